--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	adminHeaderTimeout = 2 * time.Second // for a whole call
+	adminHeaderTimeout = 2 * time.Second // for a whole request header
 	adminTimeout       = 3 * time.Second
 	adminHeader        = 8 << 10
 	orderTimeout       = 800 * time.Millisecond // answers are due within 1 s
 )
 
-// Admin is the operators' address: one call a connection. It is there before its node is, and outlasts it.
+// Admin serves the operators' address, one request on each connection. It exists before its node and outlives
+// it.
 type Admin struct {
 	srv     *http.Server
-	ln      net.Listener // nil: the node runs without
+	ln      net.Listener // nil without an operators' address
 	node    atomic.Pointer[Node]
-	figures *figures // of the process, whatever nodes it has been
+	figures *figures // of the process, for each node that it runs
 }
 
-// ListenAdmin opens the operators' address, if the configuration names one, and answers there until Close.
+// ListenAdmin opens the operators' address, if the configuration names one, and serves it until Close.
 func ListenAdmin(cfg Config, log *slog.Logger) (*Admin, error) {
 	a := &Admin{figures: newFigures(cfg.Names.Classes)}
 	if cfg.AdminAddr == "" {
@@ -44,25 +45,25 @@
 	a.srv = &http.Server{
 		Handler: a.handler(), MaxHeaderBytes: adminHeader,
 		ReadHeaderTimeout: adminHeaderTimeout, ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
-		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug), // callers that come and go are no news
+		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug), // connections that come and go are not worth a log line
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, callerKey{}, nc) },
 	}
 	a.srv.SetKeepAlivesEnabled(false)
 	go func() { // until Close
 		if err := a.srv.Serve(a.ln); !errors.Is(err, http.ErrServerClosed) {
-			log.Error("operators' address", "err", err)
+			log.Error("operators' address is no longer served", "err", err)
 		}
 	}()
 	return a, nil
 }
 
-// Serve answers for a node from now on. The node must not run yet.
+// SetNode sets the node that the answers are about from now on. The node must not run yet.
 func (a *Admin) Serve(n *Node) {
 	n.figures = a.figures
 	a.node.Store(n)
 }
 
-// Close ends the address, calls that are open included.
+// Close closes the address and all its connections, even during a request.
 func (a *Admin) Close() error {
 	if a.srv == nil {
 		return nil
@@ -95,7 +96,7 @@
 		if c, ok := req.Context().Value(callerKey{}).(*caller); ok {
 			c.called()
 		}
-		// ServeMux would redirect, which is neither a yes nor a no.
+		// ServeMux would redirect, which neither confirms nor refuses.
 		if p := req.URL.Path; p != path.Clean(p) {
 			http.NotFound(w, req)
 			return
@@ -104,7 +105,8 @@
 	})
 }
 
-// order passes on what is said of an endpoint. Its yes says that it is so, and stays so over a restart.
+// setEndpointEnabled passes an operator's command for an endpoint to the node. A success status means that
+// the command is in effect and outlasts a restart.
 func (a *Admin) order(w http.ResponseWriter, req *http.Request, lift bool) {
 	n := a.node.Load()
 	if n == nil {
@@ -127,21 +129,21 @@
 
 type callerKey struct{}
 
-// callers is a listener with a cap on its connections. At the cap the one that has been there longest without a
-// whole call gives way, so that those who only hold theirs shut nobody out.
+// cappedListener limits the number of connections. At the limit it closes the connection that has been open
+// longest without a whole request, so that clients that only hold connections can't shut others out.
 type callers struct {
 	net.Listener
 	most int
 
 	mu     sync.Mutex
 	open   map[*caller]bool
-	silent queue.List // those with no whole call yet, oldest first
+	silent queue.List // connections without a whole request yet, oldest first
 }
 
 type caller struct {
 	net.Conn
 	of    *callers
-	place *queue.Element // among the silent
+	place *queue.Element // in incomplete
 }
 
 func (l *callers) Accept() (net.Conn, error) {
@@ -170,18 +172,18 @@
 		if !full {
 			return c, nil
 		}
-		nc.Close() // all others are being answered
+		nc.Close() // all other connections are being answered
 	}
 }
 
-// called says that the caller's call has come whole.
+// markRequestReceived records that the whole request has arrived.
 func (c *caller) called() {
 	c.of.mu.Lock()
 	defer c.of.mu.Unlock()
 	c.speak()
 }
 
-// speak takes it out of the silent ones; the lock is held.
+// removeFromIncomplete removes the connection from the incomplete ones. The lock must be held.
 func (c *caller) speak() {
 	if c.place != nil {
 		c.of.silent.Remove(c.place)
@@ -189,7 +191,7 @@
 	}
 }
 
-// leave gives its place back; the lock is held.
+// release gives the connection's slot back. The lock must be held.
 func (c *caller) leave() {
 	c.speak()
 	delete(c.of.open, c)
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -29,7 +29,7 @@
 	return a, a.ln.Addr().String()
 }
 
-// adminCall makes one call and returns the answer's status and body.
+// adminCall makes one call and returns the status and body of the answer.
 func adminCall(t *testing.T, addr, method, target string) (int, string) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -45,12 +45,12 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || !resp.Close {
-		t.Errorf("%v; the connection is kept: %v", err, !resp.Close)
+		t.Errorf("%v; connection kept open: %v", err, !resp.Close)
 	}
 	return resp.StatusCode, string(body)
 }
 
-// figuresAt fetches the figures.
+// fetchMetrics fetches the metrics.
 func figuresAt(t *testing.T, addr string) map[string]int {
 	t.Helper()
 	code, body := adminCall(t, addr, "GET", "/-/metrics")
@@ -63,7 +63,7 @@
 		number, kind, _ := strings.Cut(value, "|")
 		n, err := strconv.Atoi(number)
 		if err != nil || (kind != "c" && kind != "g") {
-			t.Errorf("no figure: %q", line)
+			t.Errorf("invalid metric: %q", line)
 		}
 		all[name+"|"+kind] = n
 	}
@@ -81,7 +81,7 @@
 	r := newRegistry(t)
 	a, admin := openAdmin(t, 256)
 	if code, body := adminCall(t, admin, "GET", "/-/ready"); code != http.StatusServiceUnavailable || body != "starting\n" {
-		t.Errorf("before there is a node: %d %q", code, body)
+		t.Errorf("without a node: got %d %q", code, body)
 	}
 	var n *Node
 	addr, stop := startSeen(t, r, t.TempDir(), func(made *Node) { n = made; a.Serve(made) },
@@ -91,14 +91,14 @@
 	for _, class := range []string{"status", "order", "payout"} {
 		for _, name := range []string{"ok", "shed", "errors", "tries"} {
 			if v, ok := first["app."+name+"."+class+"|c"]; !ok || v != 0 {
-				t.Errorf("at first %s of %s is %d, %v", name, class, v, ok)
+				t.Errorf("at the start %s of %s is %d, %v", name, class, v, ok)
 			}
 		}
 	}
 	mustAnswer(t, addr, enqueue("a", ofStatus, "x"), "+OK")
 	mustAnswer(t, addr, enqueue("fails", ofPayout, "x"), "+OK")
 	taken := 0
-	for i := range 6 { // held, for nothing may be sent there
+	for i := range 6 { // held, because nothing may be sent to a draining endpoint
 		if ask(t, addr, enqueue("h"+itoa(i), "c=order,d=50000,dest=8,k=k"+itoa(i), "x")) == "+OK" {
 			taken++
 		}
@@ -108,7 +108,7 @@
 		"app.ok.payout|c": 0, "app.shed.order|c": 6 - taken, "app.tries.order|c": 0, "app.active|g": taken,
 		"app.pool_size|g": 2, "app.pool_ejected|g": 0,
 	}
-	eventually(t, "the figures", func() bool {
+	eventually(t, "the metrics", func() bool {
 		got := figuresAt(t, admin)
 		for name, v := range want {
 			if got[name] != v {
@@ -119,7 +119,7 @@
 	})
 	stop()
 	if got := n.Unready(); got != "leaving" {
-		t.Errorf("after the end the node says %q", got)
+		t.Errorf("after shutdown: got %q, want leaving", got)
 	}
 }
 
@@ -134,7 +134,7 @@
 		o.endpoint = endpointAt(addr)
 		want := []choice.Outcome{choice.Pass, choice.NoRoute}[i]
 		if got := testPool().do(t.Context(), o.call); got.outcome != want || n.figures.tries[0].Load() != 2 {
-			t.Errorf("got %v, %d tries", got.outcome, n.figures.tries[0].Load())
+			t.Errorf("got outcome %v, %d tries", got.outcome, n.figures.tries[0].Load())
 		}
 	}
 }
@@ -148,7 +148,7 @@
 	} {
 		code, body := adminCall(t, addr, c[0], c[1])
 		if code/100 != 4 || strings.Count(body, "\n") != 1 {
-			t.Errorf("%v: %d %q", c, code, body)
+			t.Errorf("%v: got %d %q, want a 4xx status and one line", c, code, body)
 		}
 	}
 }
@@ -159,16 +159,16 @@
 	for _, addr := range []string{taken, "nowhere", "127.0.0.1:99999"} {
 		_, err := ListenAdmin(Config{AdminAddr: addr}, slog.New(slog.DiscardHandler))
 		if err == nil || !strings.HasPrefix(err.Error(), "operators' address: ") {
-			t.Errorf("%s: %v", addr, err)
+			t.Errorf("%s: got %v", addr, err)
 		}
 	}
 	if a, err := ListenAdmin(Config{}, nil); err != nil || a.Close() != nil {
-		t.Errorf("without an address: %v", err)
+		t.Errorf("without an address: got %v", err)
 	}
 }
 
-// Callers that hold their connections with no whole call, be they many, shut nobody out, and give way oldest first. Those
-// that are being answered do not.
+// Any number of clients that hold connections without a whole request can't shut others out: their
+// connections are closed, oldest first. Connections that are being answered stay open.
 func TestSilentCallersShutNobodyOut(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -207,7 +207,7 @@
 		case c := <-in:
 			last = append(last, c)
 		case <-time.After(patience):
-			t.Fatalf("caller %d is shut out", i)
+			t.Fatalf("connection %d is not accepted", i)
 		}
 		left[i] = true
 	}
@@ -216,30 +216,31 @@
 		case i := <-gone:
 			delete(left, i)
 		case <-time.After(patience):
-			t.Fatalf("these hold on to their connections: %v", left)
+			t.Fatalf("connections %v are still open", left)
 		}
 	}
 	for i := 16; i < 20; i++ {
 		if !left[i] {
-			t.Errorf("%d went before its turn", i)
+			t.Errorf("connection %d was closed before older ones", i)
 		}
 		last[i].(*caller).called()
 	}
 	dial(20)
 	if i := <-gone; i != 20 {
-		t.Errorf("%d went while it was being answered", i)
+		t.Errorf("connection %d was closed while it was being answered", i)
 	}
 	last[16].Close()
 	dial(21)
 	select {
 	case <-in:
 	case <-time.After(patience):
-		t.Error("the place that one left is not given to the next")
+		t.Error("the slot of a closed connection is not reused")
 	}
 }
 
-// An endpoint that is left out gets nothing, whatever discovery says, over a restart and over the next process, until one
-// call back. Each call may come again. An ID that was never listed is a no, one that was and has gone is a yes.
+// A disabled endpoint gets no calls, whatever discovery says, over a restart and over a handover, until it is
+// enabled again. Commands may be repeated. An ID that was never listed is refused; one that was listed and is
+// gone is accepted.
 func TestMaintenance(t *testing.T) {
 	t.Parallel()
 	first, second := newPartner(t, says(delivered)), newPartner(t, says(delivered))
@@ -249,12 +250,13 @@
 	say := func(id, what string, want int) {
 		t.Helper()
 		if code, body := adminCall(t, admin, "POST", "/-/endpoints/"+id+"/"+what); code != want || strings.Count(body, "\n") != 1 {
-			t.Errorf("%s %s: %d %q", what, id, code, body)
+			t.Errorf("%s %s: got %d %q", what, id, code, body)
 		}
 	}
-	say("e1", "disable", http.StatusServiceUnavailable) // nobody there yet
+	say("e1", "disable", http.StatusServiceUnavailable) // there is no node yet
 	number := 0
-	// deliver hands in messages one by one until the first endpoint has had what it should, and 25 at least.
+	// deliver hands in messages one by one, at least 25, until the first endpoint has got a call if want is
+	// set.
 	deliver := func(addr string, want bool) {
 		t.Helper()
 		before, _ := first.counts()
@@ -265,11 +267,11 @@
 			case <-first.came:
 			case <-second.came:
 			case <-time.After(patience):
-				t.Fatal("no call came")
+				t.Fatal("no endpoint got a call")
 			}
 			if now, _ := first.counts(); i >= 25 && (now > before || !want) {
 				if now > before && !want {
-					t.Errorf("%d calls to the endpoint that is left out", now-before)
+					t.Errorf("%d calls to the disabled endpoint", now-before)
 				}
 				return
 			}
@@ -280,20 +282,20 @@
 	deliver(one.addr, true)
 	say("nobody", "disable", http.StatusNotFound)
 	say("nobody", "enable", http.StatusNotFound)
-	say("e2", "enable", http.StatusOK) // it was not left out
+	say("e2", "enable", http.StatusOK) // it was not disabled
 	say("e1", "disable", http.StatusOK)
 	say("e1", "disable", http.StatusOK)
-	r.tell(listOf(2, true, both...)) // whole, and without the old one
+	r.tell(listOf(2, true, both...)) // a complete list without the old one
 	eventually(t, "the list", func() bool { return one.n.figures.listed.Load() == 2 })
 	say("old", "disable", http.StatusOK)
 	if got := one.n.figures.avoided.Load(); got != 1 {
-		t.Errorf("%d avoided of those listed", got)
+		t.Errorf("%d listed endpoints are avoided, want 1", got)
 	}
 	deliver(one.addr, false)
 
 	two := begin(t, r, state, one.addr, both...)
 	deliver(two.addr, false)
-	say("old", "enable", http.StatusOK) // said to the old process, done by the new one
+	say("old", "enable", http.StatusOK) // sent to the predecessor, carried out by the successor
 	say("nobody", "enable", http.StatusNotFound)
 	one.end()
 	if err := one.wait(t); err != nil {
@@ -306,10 +308,10 @@
 	three := begin(t, r, state, "", both...)
 	a.node.Store(three.n)
 	if got := three.n.figures.avoided.Load(); got != 1 {
-		t.Errorf("after a restart the module avoids %d", got)
+		t.Errorf("after a restart %d endpoints are avoided, want 1", got)
 	}
 	deliver(three.addr, false)
 	say("e1", "enable", http.StatusOK)
 	deliver(three.addr, true)
-	say("old", "enable", http.StatusOK) // known, though listed two lives ago
+	say("old", "enable", http.StatusOK) // known, though it was last listed two processes ago
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -20,34 +20,34 @@
 	"starlingusher/internal/wire"
 )
 
-// The reader below is our own: redcon v1.6.4 indexes out of its buffer on a bulk length near the largest
-// integer, loops over whatever array count it is told, and buffers requests without bound.
+// The reader below replaces the one of redcon v1.6.4, which indexes out of its buffer on a bulk length near
+// the largest integer, loops over any announced array length, and buffers requests without bound.
 
 const (
 	maxBody    = 64 << 10
-	maxWord    = 1 << 10 // of a request's words, all but the body
+	maxWord    = 1 << 10 // bytes of each argument but the body
 	maxArgs    = 8
-	bodyArg    = 4 // the body's place among the words of an ENQUEUE
+	bodyArg    = 4 // index of the body among the arguments of an ENQUEUE
 	maxLine    = 512
-	maxSkipped = 1 << 20 // of words that are too large, so that the connection stays of use
+	maxSkipped = 1 << 20 // bytes of arguments that are too large; up to this size they are read and dropped, so that the connection stays usable
 	maxEmpty   = 16      // empty commands ahead of a real one
 	maxLife    = 24 * time.Hour
-	maxUnsent  = 4 << 10 // answers to commands that came together go out together
+	maxUnsent  = 4 << 10 // bytes; replies to pipelined commands are sent together
 
-	// A client that says nothing, or does not come to the end of a request, is owed an error or a close within
-	// 3 s of connecting; these two together keep that. Others give up on an answer after 0.4 s.
+	// A client that sends nothing, or does not complete a request, must get an error or a close within 3 s of
+	// connecting; these two timeouts together ensure that. Other clients give up on a reply after 0.4 s.
 	idleTimeout    = 2 * time.Second
-	acceptPause    = 50 * time.Millisecond  // when a connection could not be taken
-	requestTimeout = 800 * time.Millisecond // from a request's first byte to its last, and to write an answer
-	crossTime      = 100 * time.Millisecond // for requests that crossed the close of their connection and come on a new one
-	closeGrace     = 200 * time.Millisecond // for requests that are half read when the node leaves
-	lingerTimeout  = 300 * time.Millisecond // in which a client may read its last answer, and see that nothing more is taken
-	lingerLeaving  = 150 * time.Millisecond // when the node leaves,
-	lingerAsked    = 5 * time.Millisecond   // and when others wait for the place
+	acceptPause    = 50 * time.Millisecond  // after a connection could not be accepted
+	requestTimeout = 800 * time.Millisecond // from a request's first byte to its last, and to write a reply
+	crossTime      = 100 * time.Millisecond // for requests that crossed the close of their connection and are sent again on a new one
+	closeGrace     = 200 * time.Millisecond // for requests that are partly read when the node shuts down
+	lingerTimeout  = 300 * time.Millisecond // for a client to read its last reply, and to notice that nothing more is accepted
+	lingerLeaving  = 150 * time.Millisecond // instead of lingerTimeout when the node shuts down
+	lingerAsked    = 5 * time.Millisecond   // instead of lingerTimeout when other clients wait for the connection slot
 	lookTime       = time.Millisecond
-	maxLooks       = 64                     // reads past the deadline, each of what had come by then
-	evictPause     = 20 * time.Millisecond  // for a place that was asked back
-	evictHalf      = 100 * time.Millisecond // so long a request may take before its place is asked back
+	maxLooks       = 64                     // reads after a deadline, each of what had arrived by then
+	evictPause     = 20 * time.Millisecond  // wait for an evicted connection to give its slot back
+	evictHalf      = 100 * time.Millisecond // time that a request may take before its connection can be evicted
 )
 
 // request is one message as a client hands it in.
@@ -60,14 +60,14 @@
 	came        time.Time
 }
 
-// answer is what the client is told: taken on, refused, or failed with a reason.
+// answer is what a client is told: accepted, refused, or failed for a reason.
 type answer struct {
 	refused bool
 	after   time.Duration
 	failed  string
 
-	gone      bool // nobody can tell; the client hears nothing and the connection ends, as in a crash
-	elsewhere bool // another process gave it, and has counted it
+	gone      bool // the client gets no reply and its connection ends, as in a crash, because whether the message was accepted is not known
+	elsewhere bool // another process gave the answer and has counted it
 }
 
 func (a answer) line() string {
@@ -84,13 +84,13 @@
 	return "+OK\r\n"
 }
 
-// errProtocol ends a connection: where its next request begins can't be told.
+// errProtocol ends a connection, because the start of its next request can't be found.
 var errProtocol = errors.New("Protocol error")
 
-// errTooLarge is a request that was read to its end and can't be taken.
+// errTooLarge is a request that was read to its end and is too large to accept.
 var errTooLarge = errors.New("a body holds 65536 bytes at most")
 
-// readCommand reads an array of bulk strings or an inline command, within bounds. Empty commands are passed over.
+// readCommand reads an array of bulk strings or an inline command, within bounds. It skips empty commands.
 func readCommand(r *bufio.Reader) ([][]byte, error) {
 	for range maxEmpty {
 		line, err := readLine(r)
@@ -154,7 +154,8 @@
 	return args, nil
 }
 
-// readBulk reads a bulk string and the end of its line. Room is made as the bytes come, not as they are announced.
+// readBulk reads a bulk string and the end of its line. It allocates memory as the bytes arrive, not as they
+// are announced.
 func readBulk(r *bufio.Reader, size int) ([]byte, error) {
 	arg := make([]byte, min(size+2, r.Size()))
 	if _, err := io.ReadFull(r, arg); err != nil {
@@ -172,25 +173,25 @@
 	return arg[:size:size], nil
 }
 
-// number reads a whole number as the protocol writes it: digits alone.
+// parseDigits parses a whole number as the protocol writes it: digits alone.
 func number(text string) (int, error) {
 	if len(text) > 9 {
-		return 0, errors.New("the number is too long")
+		return 0, errors.New("the number has more than 9 digits")
 	}
 	for _, c := range []byte(text) {
 		if c < '0' || c > '9' {
-			return 0, errors.New("the number has other characters than digits")
+			return 0, errors.New("the number has characters other than digits")
 		}
 	}
 	return strconv.Atoi(text)
 }
 
-// decimal reads a number that is written in digits, with a point or without. ParseFloat alone takes
+// parseDecimal parses a number that is written in digits, with a point or without. ParseFloat alone accepts
 // infinities, hexadecimal and exponents as well.
 func decimal(text string, most float64) (float64, error) {
 	for _, c := range []byte(text) {
 		if (c < '0' || c > '9') && c != '.' {
-			return 0, errors.New("no plain decimal number")
+			return 0, errors.New("not a plain decimal number")
 		}
 	}
 	v, err := strconv.ParseFloat(text, 64)
@@ -200,7 +201,7 @@
 	return v, err
 }
 
-// unexpected keeps an end inside a request apart from one between requests.
+// unexpectedEOF distinguishes the end of a connection inside a request from one between requests.
 func unexpected(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -222,7 +223,7 @@
 	return []byte(strings.TrimRight(string(line), "\r\n")), nil
 }
 
-// parseEnqueue reads the words of an ENQUEUE.
+// parseEnqueue parses the arguments of an ENQUEUE.
 func parseEnqueue(args [][]byte, names wire.Names, came time.Time) (request, error) {
 	q := request{came: came, class: -1, tenant: -1, dest: -1, life: -1}
 	if len(args) != 5 {
@@ -268,7 +269,7 @@
 	return q, nil
 }
 
-// isToken tells that a word can go into a header as it is.
+// isToken reports whether s can go into a header as it is.
 func isToken(s string) bool {
 	for _, c := range []byte(s) {
 		if c <= ' ' || c > '~' {
@@ -278,21 +279,23 @@
 	return len(s) > 0 && len(s) <= 256
 }
 
-// session is one client's connection. Only its own goroutine reads and writes; the clients' lock guards place.
+// clientConn is one client's connection. Only its own goroutine reads and writes; the lock of the
+// clientServer guards element.
 type session struct {
 	net.Conn
 	unsent []byte
-	readAt time.Time // when the last bytes came
+	readAt time.Time // when the last bytes arrived
 	looks  int
-	used   bool           // it has had an answer
-	asked  bool           // others wait for its place
+	used   bool           // a reply was sent or queued
+	asked  bool           // other clients wait for its slot
 	begun  time.Time      // when its request began
-	place  *queue.Element // in one of the clients' lists
+	place  *queue.Element // in one of the server's lists
 }
 
-// Read flushes first: the client may be waiting for those answers. A deadline that passed while the process did
-// not run, or that asks the place back, says nothing of bytes that have come meanwhile, so there is a last look:
-// a connection must not end on a whole request.
+// Read flushes first, because the client may be waiting for the queued replies. A read deadline may have
+// passed while the process did not run, or have been set to evict the connection. Neither means that no bytes
+// have arrived meanwhile, so Read tries again for a moment: a connection must not end with a whole request
+// unread.
 func (s *session) Read(p []byte) (int, error) {
 	if err := s.flush(); err != nil {
 		return 0, err
@@ -322,7 +325,7 @@
 	return err
 }
 
-// say queues an answer.
+// queueReply queues a reply.
 func (s *session) say(line string) error {
 	s.unsent = append(s.unsent, line...)
 	s.used = true
@@ -332,31 +335,31 @@
 	return s.flush()
 }
 
-// The lists of sessions, in the order in which they are asked for their place.
+// The lists of connections, in the order in which connections are evicted from them.
 const (
-	ended = iota // hung up on
-	fresh        // with no request open, and never answered
-	idle         // with no request open
+	ended = iota // being closed by this side
+	fresh        // without an open request, and never answered
+	idle         // without an open request
 	half         // in the midst of reading one
 )
 
-// clients serves the node's clients.
+// clientServer serves the node's clients.
 type clients struct {
 	ln     net.Listener
-	room   chan struct{} // a place for each connection
-	keep   int           // of connections that are idle after a request at most; see rest
+	room   chan struct{} // holds a value for each connection
+	keep   int           // connections that are idle after a request, at most; see markIdle
 	stop   chan struct{}
-	served chan struct{} // closed when nothing more is accepted
+	served chan struct{} // closed when no more connections are accepted
 	names  wire.Names
 	hand   func(request) answer
 
-	cross, request time.Duration // crossTime and requestTimeout, but in tests
+	cross, request time.Duration // reconnectTime and requestTimeout, except in tests
 
 	mu      sync.Mutex
 	open    map[*session]bool
-	lists   [4]queue.List // by what their sessions do, each in the order in which they began
+	lists   [4]queue.List // by the state of their connections, each in the order of entry
 	leaving bool
-	grace   time.Duration // for requests, when leaving
+	grace   time.Duration // for requests, while closing
 	wg      sync.WaitGroup
 	once    sync.Once
 }
@@ -368,8 +371,8 @@
 	}
 }
 
-// serve accepts connections until the listener is closed. With all places taken, the one that has been idle
-// longest is asked back, and the next connection waits in the backlog until it is.
+// serve accepts connections until the listener is closed. When all slots are taken, it evicts the connection
+// that has been idle longest, and the next connection waits in the backlog until the slot is free.
 func (c *clients) serve(ctx context.Context) {
 	defer close(c.served)
 	for last := false; ; {
@@ -392,10 +395,10 @@
 		if err != nil {
 			<-c.room
 			switch {
-			case errors.Is(err, os.ErrDeadlineExceeded) && !last: // the node leaves; who has come by now is served
+			case errors.Is(err, os.ErrDeadlineExceeded) && !last: // the node shuts down; connections that have arrived by now are served
 				last = c.acceptUntil(time.Now().Add(lookTime)) == nil
 			case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed), !registry.Sleep(ctx, acceptPause):
-				return // but for these it is out of descriptors, most likely
+				return // any other error most likely means that the process is out of descriptors
 			}
 			continue
 		}
@@ -409,7 +412,7 @@
 	}
 }
 
-// acceptUntil ends accepting at a time, where the listener can do that.
+// acceptUntil ends accepting at the given time, if the listener supports that, and otherwise now.
 func (c *clients) acceptUntil(until time.Time) error {
 	ln, ok := c.ln.(interface{ SetDeadline(time.Time) error })
 	if !ok {
@@ -418,8 +421,9 @@
 	return ln.SetDeadline(until)
 }
 
-// evict asks for a session's place. Those that never asked for anything go first, then the longest idle. With none of these,
-// the one that has been longest about its request goes: they may all be such as never end.
+// evict frees a connection slot. Connections that never sent a request are evicted first, then those idle
+// longest. If there are none, the connection whose request has been open longest is evicted: all open
+// requests may be of a kind that never ends.
 func (c *clients) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -433,7 +437,7 @@
 	}
 }
 
-// askBack ends the session that a list has held longest; the lock is held.
+// evictFirst ends the connection that a list has held longest. The lock must be held.
 func (c *clients) askBack(list *queue.List) {
 	s := list.Front().Value.(*session)
 	c.unplace(s)
@@ -441,11 +445,12 @@
 	s.SetReadDeadline(time.Unix(1, 0)) // not closed from here: see Read
 }
 
-// rest puts a session among the idle ones, and tells whether it may go on. Clients may have only so many connections
-// themselves: where most ask once and then keep theirs, all that they may open were idle ones here, and nobody could
-// hand anything in. So those idle longest go once there are more than keep. It guards as well against pools that
-// never shrink; clients that take turns on more connections than that pay with new ones. When the node leaves, one that
-// was accepted since may hand in one request.
+// markIdle adds a connection to the idle ones, and reports whether it may continue. Clients may have a limit
+// on their own connections. If most send one request and then keep their connection, all connections that
+// they may open could be idle ones here, and no client could hand anything in. So those idle longest are
+// evicted once there are more than maxIdle. This also protects against client pools that never shrink;
+// clients that alternate between more connections than that have to reconnect. When the node shuts down, a
+// connection that was accepted since may hand in one request.
 func (c *clients) rest(s *session) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -468,7 +473,7 @@
 	return true
 }
 
-// begin takes a session whose request has begun out of the idle ones.
+// markReading moves a connection whose request has begun from the idle ones to those reading.
 func (c *clients) begin(s *session) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -482,18 +487,19 @@
 	return s.SetReadDeadline(s.begun.Add(patience)) == nil
 }
 
-// read takes a session out whose request is read: it has its place until that is answered.
+// markRead removes a connection whose request is read from the lists: it keeps its slot until the request is
+// answered.
 func (c *clients) read(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unplace(s)
 }
 
-// unplace takes a session out of its list; the lock is held.
+// removeFromList removes a connection from its list. The lock must be held.
 func (c *clients) unplace(s *session) {
 	if s.place != nil {
 		for i := range c.lists {
-			c.lists[i].Remove(s.place) // of a list that it is not in, this does nothing
+			c.lists[i].Remove(s.place) // has no effect on a list that it is not in
 		}
 		s.place = nil
 	}
@@ -514,7 +520,7 @@
 	r := bufio.NewReaderSize(s, 4096)
 	for {
 		if r.Buffered() == 0 && !c.rest(s) {
-			c.hangUp(s) // the node leaves
+			c.hangUp(s) // the node shuts down
 			return
 		}
 		if _, err := r.Peek(1); err != nil {
@@ -544,7 +550,7 @@
 			}
 			return
 		default:
-			return // the client went away inside a request
+			return // the client disconnected inside a request
 		}
 		if line == "" || s.say(line) != nil {
 			return
@@ -552,7 +558,7 @@
 	}
 }
 
-// command answers one command.
+// execute runs one command and returns the reply.
 func (c *clients) command(args [][]byte, came time.Time) string {
 	switch strings.ToUpper(string(args[0])) {
 	case "PING":
@@ -567,9 +573,10 @@
 	return answer{failed: "unknown command"}.line()
 }
 
-// hangUp ends a connection from this side. Whatever the client has sent since the last look is read and taken no heed of: it sees
-// that the connection had ended, and asks elsewhere. To close over unread bytes would reset the connection, and
-// could take the last answer along. Meanwhile its place may be asked back.
+// closeWithLinger ends a connection from this side. It reads and ignores whatever the client has sent since
+// the last read: the client sees that the connection had ended, and sends its request elsewhere. Closing with
+// unread bytes would reset the connection, and the last reply could be lost. Meanwhile the connection can be
+// evicted.
 func (c *clients) hangUp(s *session) {
 	if s.flush() != nil {
 		return
@@ -586,24 +593,26 @@
 	case s.asked:
 		patience = lingerAsked
 	}
-	// It may stand among the idle ones, if nobody asked for its place.
+	// The connection may be in the list of idle ones, if it was not evicted.
 	c.unplace(s)
-	s.place = c.lists[ended].PushBack(s) // the first to go
+	s.place = c.lists[ended].PushBack(s) // evicted first
 	err := s.SetReadDeadline(time.Now().Add(patience))
 	c.mu.Unlock()
 	if err == nil {
-		io.Copy(io.Discard, io.LimitReader(s.Conn, maxSkipped)) // whatever comes, the connection ends next
+		io.Copy(io.Discard, io.LimitReader(s.Conn, maxSkipped)) // errors don't matter, as the connection ends next
 	}
 }
 
-// close stops accepting, hangs up on clients between requests, and lets the others have their answer first. A
-// client that is slow with the rest of its request has so much grace, lest it hold the node until it is killed.
+// close stops accepting, closes connections that are between requests, and first answers the requests of the
+// others. A client that is slow to send the rest of its request has the grace for it, so that it can't hold
+// up the node until that is killed.
 func (c *clients) close(grace time.Duration) {
 	c.once.Do(func() { c.end(grace) })
 }
 
-// end hangs up on who is idle while the listener still takes connections, for a request that crosses it comes again on a new
-// one. Then it takes on who waits to be accepted, and closes the listener.
+// shutDown closes the idle connections while the listener still accepts, because a request that crosses such
+// a close is sent again on a new connection. Then it accepts the connections in the backlog, and closes the
+// listener.
 func (c *clients) end(grace time.Duration) {
 	c.mu.Lock()
 	c.leaving, c.grace = true, grace
@@ -616,7 +625,7 @@
 	if c.acceptUntil(time.Now().Add(c.cross)) == nil {
 		select {
 		case <-c.served:
-		case <-time.After(c.cross + grace): // all places are taken
+		case <-time.After(c.cross + grace): // all slots are taken
 		}
 	}
 	close(c.stop)
@@ -626,7 +635,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for e := c.lists[half].Front(); e != nil; e = e.Next() {
-			e.Value.(*session).SetReadDeadline(time.Unix(1, 0)) // what has come whole by now is taken
+			e.Value.(*session).SetReadDeadline(time.Unix(1, 0)) // requests that have arrived whole by now are still answered
 		}
 	})
 	defer slow.Stop()
@@ -634,7 +643,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for s := range c.open {
-			s.Close() // it does not even take its answers
+			s.Close() // the client does not even read its replies
 		}
 	})
 	defer stuck.Stop()
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -47,7 +47,7 @@
 	return nc, bufio.NewReader(nc)
 }
 
-// resp writes words as an array of bulk strings.
+// encodeCommand encodes words as an array of bulk strings.
 func resp(words ...string) string {
 	var b strings.Builder
 	b.WriteString("*" + itoa(len(words)) + "\r\n")
@@ -72,10 +72,10 @@
 	return strings.TrimRight(line, "\r\n")
 }
 
-// Whatever comes, the client hears an error, the node does not fall, and nothing of it is taken on.
+// Whatever the input, the client gets an error, the node does not crash, and none of it is accepted.
 func TestBadInput(t *testing.T) {
 	_, addr := serveTest(t, 100, func(request) answer {
-		t.Error("bad input was handed on")
+		t.Error("invalid input was accepted")
 		return answer{}
 	})
 	big := strings.Repeat("x", maxBody+1)
@@ -102,7 +102,7 @@
 			t.Errorf("%.60q: got %q", text, got)
 		}
 	}
-	// Half a command and a close.
+	// Part of a command, then a close.
 	nc, _ := dialTest(t, addr)
 	io.WriteString(nc, "*5\r\n$7\r\nENQ")
 	nc.Close()
@@ -111,7 +111,7 @@
 	}
 }
 
-// After an error about one request, the connection goes on where the framing is sound.
+// After an error about one request, the connection stays usable if the framing is sound.
 func TestConnectionGoesOnAfterAnOversizedBody(t *testing.T) {
 	var got request
 	_, addr := serveTest(t, 100, func(q request) answer {
@@ -142,7 +142,7 @@
 	}
 }
 
-// A request that has been read gets its answer, also while the node hangs up on everybody.
+// A request that has been read gets its answer, even while the node closes all connections.
 func TestCloseAnswersWhatWasRead(t *testing.T) {
 	inside, release := make(chan struct{}), make(chan struct{})
 	c, addr := serveTest(t, 100, func(request) answer {
@@ -164,7 +164,7 @@
 		close(done)
 	}()
 	if _, err := idleReader.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("idle connection: got %v, want EOF", err)
 	}
 	close(release)
 	if line, err := br.ReadString('\n'); line != "+OK\r\n" {
@@ -173,7 +173,8 @@
 	<-done
 }
 
-// Neither half a request nor a client that never stops asking must keep the node from leaving before it is killed.
+// Neither a partial request nor a client that never stops sending may delay the node's shutdown until it is
+// killed.
 func TestCloseDoesNotWaitForClients(t *testing.T) {
 	c, addr := serveTest(t, 100, func(request) answer { return answer{} })
 	for _, more := range []string{"*5\r\n$7\r\nENQ", strings.Repeat("PING\r\n", 1000)} {
@@ -197,11 +198,11 @@
 	select {
 	case <-done:
 	case <-time.After(patience):
-		t.Error("the node waits")
+		t.Error("close waits for clients")
 	}
 }
 
-// Descriptors are bounded: a connection beyond the places waits, and is served when one is free.
+// Descriptors are limited: a connection beyond the slots waits, and is served when one is free.
 func TestConnectionsAreCapped(t *testing.T) {
 	_, addr := serveTest(t, 1, func(request) answer { return answer{} })
 	first, firstReader := dialTest(t, addr)
@@ -217,12 +218,13 @@
 	}
 }
 
-// Whoever says nothing, or nothing whole, is not kept for ever: such clients would hold the others' places.
+// Clients that send nothing, or nothing whole, are disconnected after a time: they would hold other clients'
+// slots.
 func TestUnfinishedClientsEnd(t *testing.T) {
 	_, addr := serveTest(t, 100, func(request) answer { return answer{} })
 	for name, text := range map[string]string{
-		"silent": "", "half a request": "*5\r\n$7\r\nENQ", "half a word": resp("PING") + "*2\r\n$4\r\nPI", "only an end of line": "\r\n",
-		"empty commands": strings.Repeat("*0\r\n\r\n", 100), "asked once": resp("PING"), "a value of 60 MB": "*2\r\n$60000000\r\nxxx",
+		"nothing": "", "partial request": "*5\r\n$7\r\nENQ", "partial argument": resp("PING") + "*2\r\n$4\r\nPI", "empty line": "\r\n",
+		"empty commands": strings.Repeat("*0\r\n\r\n", 100), "one request": resp("PING"), "announced 60 MB": "*2\r\n$60000000\r\nxxx",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -235,7 +237,8 @@
 	}
 }
 
-// With all places taken the ones idle longest give way, the silent first; a request that has begun stays.
+// When all slots are taken, connections that never sent anything are evicted first, then those idle longest;
+// one with an open request stays.
 func TestIdleClientsGiveWay(t *testing.T) {
 	release := make(chan struct{})
 	_, addr := serveTest(t, 3, func(request) answer {
@@ -256,16 +259,16 @@
 		t.Fatalf("got %q, %v", line, err)
 	}
 	if _, err := silentReader.ReadByte(); err != io.EOF {
-		t.Errorf("the silent one: %v", err)
+		t.Errorf("silent connection: got %v, want EOF", err)
 	}
 	close(release)
 	if line, err := busyReader.ReadString('\n'); line != "+OK\r\n" {
-		t.Errorf("the busy one: %q, %v", line, err)
+		t.Errorf("connection with an open request: got %q, %v", line, err)
 	}
 }
 
-// Clients that ask once and keep their connection for good take no more than a share of what clients may open: those
-// idle longest are hung up on, and the latest stay of use.
+// Clients that send one request and then keep their connection take no more than a share of the slots: those
+// idle longest are disconnected, and the latest stay usable.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	const most, keep = 30, 10
 	c, addr := serveTest(t, most, func(request) answer { return answer{} })
@@ -281,20 +284,20 @@
 		idle := c.lists[idle].Len()
 		c.mu.Unlock()
 		if idle > keep {
-			t.Fatalf("%d are idle after client %d, %d at most", idle, i, keep)
+			t.Fatalf("%d idle connections after client %d, want %d at most", idle, i, keep)
 		}
 		readers, last = append(readers, br), nc
 	}
 	if _, err := readers[0].ReadByte(); err != io.EOF {
-		t.Errorf("the one idle longest: %v", err)
+		t.Errorf("connection idle longest: got %v, want EOF", err)
 	}
 	io.WriteString(last, resp("PING"))
 	if line, err := readers[len(readers)-1].ReadString('\n'); line != "+PONG\r\n" {
-		t.Errorf("the latest: %q, %v", line, err)
+		t.Errorf("latest connection: got %q, %v", line, err)
 	}
 }
 
-// A deadline is no reason to leave bytes unread that have come: they may be a whole request.
+// Bytes that have arrived must be read even though the deadline has passed: they may be a whole request.
 func TestLastLook(t *testing.T) {
 	c, addr := serveTest(t, 1, func(request) answer { return answer{} })
 	nc, br := dialTest(t, addr)
@@ -306,7 +309,8 @@
 	defer far.Close()
 	go io.WriteString(far, "x")
 	s := &session{Conn: near}
-	// A pipe that has been asked for its bytes at an expired deadline gives none; the look has a deadline of its own.
+	// A read from a pipe after its deadline returns no bytes, but Read tries again with a deadline of its
+	// own.
 	for got := 0; got == 0; {
 		s.looks = 0
 		near.SetReadDeadline(time.Unix(1, 0))
@@ -321,7 +325,7 @@
 	}
 }
 
-// Room is made for what has come, not for what is announced.
+// Memory is allocated for the bytes that have arrived, not for the announced size.
 func TestAnnouncedSizesCostNothing(t *testing.T) {
 	const runs = 100
 	var before, after runtime.MemStats
@@ -334,11 +338,11 @@
 	}
 	runtime.ReadMemStats(&after)
 	if got := (after.TotalAlloc - before.TotalAlloc) / runs; got > maxBody/2 {
-		t.Errorf("%d bytes for half a request", got)
+		t.Errorf("%d bytes allocated for a partial request", got)
 	}
 }
 
-// Whatever clients write, the reader keeps its bounds and comes to an end.
+// Whatever clients write, the reader keeps its limits and terminates.
 func FuzzReadCommand(f *testing.F) {
 	for _, text := range []string{resp("PING"), enqueue("a", "c=notice,d=8000,dest=7", "b"), "*0\r\n", "\r\n", "*9\r\n", "*1\r\n$99999999999\r\n"} {
 		f.Add([]byte(text))
@@ -351,11 +355,11 @@
 				return
 			}
 			if err == nil && len(args) == 0 {
-				t.Fatal("an empty command was handed on")
+				t.Fatal("an empty command was returned")
 			}
 			for i, a := range args {
 				if len(a) > maxBody || (i != bodyArg && len(a) > maxWord) {
-					t.Fatalf("word %d holds %d bytes", i, len(a))
+					t.Fatalf("argument %d has %d bytes", i, len(a))
 				}
 			}
 		}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,5 +1,6 @@
-// Package node is a delivery node on real sockets: clients hand messages in, the node journals them, asks
-// package choice what to do, calls endpoints, and reports the ends. It decides nothing about messages itself.
+// Package node is a delivery node on real sockets: it accepts messages from clients, journals them, asks
+// package choice what to do, calls endpoints, and reports how messages end. It makes no decisions about
+// messages itself.
 package node
 
 import (
@@ -14,12 +15,12 @@
 	"starlingusher/internal/wire"
 )
 
-// Config is what a delivery node is told at its start.
+// Config is the configuration of a delivery node.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	AdminAddr string `json:"admin_addr"` // for operators; none if empty
+	AdminAddr string `json:"admin_addr"` // for operators; empty: none
 	Seed      string `json:"seed"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
@@ -31,16 +32,16 @@
 	RawSettings json.RawMessage `json:"settings"`
 
 	Fleet    Fleet           `json:"-"`
-	State    string          `json:"-"` // the folder that lasts
+	State    string          `json:"-"` // the persistent folder
 	Settings choice.Settings `json:"-"`
 	Names    wire.Names      `json:"-"`
 }
 
-// LoadConfig reads the configuration file of a node whose lasting folder is state.
+// LoadConfig reads the configuration file of a node with the persistent folder state.
 func LoadConfig(path, state string) (Config, error) {
 	var c Config
 	if path == "" || state == "" {
-		return c, errors.New("configuration: ROUTER_CONFIG must name the file and ROUTER_STATE the folder that lasts")
+		return c, errors.New("configuration: ROUTER_CONFIG must name the file and ROUTER_STATE the persistent folder")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -56,7 +57,7 @@
 	if c.Settings, err = wire.Settings(c.RawSettings); err != nil {
 		return c, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.Settings.FullTold = true // on sockets it is a 503
+	c.Settings.FullTold = true // as a 503 on the wire
 	if c.Limits.Sockets <= 0 {
 		c.Limits.Sockets = defaultSockets
 	}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -12,14 +12,14 @@
 	"starlingusher/internal/wire"
 )
 
-// Tests of what crosses a shutdown or a close; docs/crossings.md lists all such places. The crossing is forced by hooks in
-// the node's side of real sockets.
+// These tests are about requests that cross a shutdown or a close; docs/crossings.md lists all such places.
+// Hooks in the node's side of real sockets force the crossing.
 
-// hooks are called from the node's side of a client's connection.
+// connHooks are called from the node's side of a client's connection.
 type hooks struct {
-	closing func(*net.TCPConn) // before the node ends its sending, or closes without that
+	closing func(*net.TCPConn) // before the node closes its sending side, or closes the connection without that
 	reading func()             // before each read
-	expired func()             // once its reads are to end at once
+	expired func()             // after its read deadline was set to a past time
 }
 
 type hookedListener struct {
@@ -76,7 +76,7 @@
 	return c.TCPConn.Close()
 }
 
-// hooked serves clients on a listener with hooks; set changes the clients before they serve.
+// serveHooked serves clients on a listener with hooks. It calls configure, if any, before serving.
 func hooked(t *testing.T, most int, l *hookedListener, hand func(request) answer, set func(*clients)) (*clients, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,7 +93,7 @@
 	return c, ln.Addr().String()
 }
 
-// hasCome waits until bytes that nobody has read stand in a socket.
+// waitUnread waits until n unread bytes are in a socket's receive buffer.
 func hasCome(t *testing.T, c *net.TCPConn, n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -107,7 +107,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Errorf("%d of %d bytes have come", got, n)
+			t.Errorf("%d of %d bytes have arrived", got, n)
 			return
 		}
 	}
@@ -120,13 +120,13 @@
 	}
 }
 
-// A request that comes in the instant in which its connection is hung up on is neither sent on nor answered, and the client sees
-// an end, not a reset that could take its last answer along.
+// A request that arrives at the moment in which its connection is closed is neither accepted nor answered,
+// and the client sees an end of file, not a reset that could lose its last reply.
 func TestRequestCrossesTheHangUp(t *testing.T) {
 	late := enqueue("late", "c=notice,d=8000,dest=7", "b")
 	for name, hangUp := range map[string]func(*clients){
-		"asked back":      func(c *clients) { c.evict() },
-		"the node leaves": func(c *clients) { go c.close(closeGrace) },
+		"eviction": func(c *clients) { c.evict() },
+		"shutdown": func(c *clients) { go c.close(closeGrace) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var client net.Conn
@@ -135,7 +135,7 @@
 				hasCome(t, server, len(late))
 			}}}
 			c, addr := hooked(t, 5, l, func(q request) answer {
-				t.Errorf("%s was taken on", q.id)
+				t.Errorf("message %s was accepted", q.id)
 				return answer{}
 			}, nil)
 			var br interface{ ReadString(byte) (string, error) }
@@ -151,7 +151,7 @@
 	}
 }
 
-// waitFor waits until so many sessions stand in a list.
+// waitListed waits until a list holds n connections.
 func waitFor(t *testing.T, c *clients, list, n int) {
 	t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
@@ -162,12 +162,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d sessions in list %d, want %d", have, list, n)
+			t.Fatalf("%d connections in list %d, want %d", have, list, n)
 		}
 	}
 }
 
-// A client whose request crossed the end of its connection as the node leaves comes again on a new one, and is taken on.
+// A client whose request crossed the close of its connection during a shutdown sends it again on a new
+// connection, and it is accepted.
 func TestLeavingNodeTakesWhoCrossed(t *testing.T) {
 	c, addr := hooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, func(c *clients) { c.cross = patience })
 	first, br := dialTest(t, addr)
@@ -179,19 +180,19 @@
 		c.close(closeGrace)
 	}()
 	if _, err := br.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("idle connection: got %v, want EOF", err)
 	}
 	again, br := dialTest(t, addr)
 	io.WriteString(again, enqueue("a", "c=notice,d=8000,dest=7", "b"))
 	expect(t, br, "+OK\r\n")
 	if _, err := br.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("after its answer: %v", err)
+		t.Errorf("after the reply: got %v, want EOF", err)
 	}
 	c.ln.Close()
 	<-left
 }
 
-// Who stands in the accept queue as the listener is about to close is served, not reset.
+// Connections in the accept queue are served, not reset, when the listener is about to close.
 func TestLeavingNodeEmptiesTheBacklog(t *testing.T) {
 	release := make(chan struct{})
 	accepting := make(chan struct{}, 100)
@@ -200,7 +201,7 @@
 		<-release
 	}}
 	c, addr := hooked(t, 5, l, func(request) answer { return answer{} }, func(c *clients) { c.cross = 0 })
-	<-accepting // nobody is accepted from now on
+	<-accepting // nothing is accepted from now on
 	nc, br := dialTest(t, addr)
 	io.WriteString(nc, enqueue("a", "c=notice,d=8000,dest=7", "b"))
 	left := make(chan struct{})
@@ -213,7 +214,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	c.mu.Unlock()
-	if err := l.SetDeadline(time.Unix(1, 0)); err != nil { // as it soon is by itself
+	if err := l.SetDeadline(time.Unix(1, 0)); err != nil { // as close does a moment later
 		t.Fatal(err)
 	}
 	close(release)
@@ -222,12 +223,13 @@
 	<-left
 }
 
-// A request whose last byte has come when the grace of a leaving node ends gets its answer, though it had not been read yet.
+// A request whose last byte arrived before the grace of a shutdown ended gets its answer, even if the byte
+// had not been read by then.
 func TestGraceEndsOnAWholeRequest(t *testing.T) {
 	hold, held, expired := make(chan struct{}), make(chan struct{}, 100), make(chan struct{}, 100)
 	reads := 0
 	l := &hookedListener{hooks: hooks{expired: func() { expired <- struct{}{} }, reading: func() {
-		if reads++; reads == 2 { // the first one read half of the request
+		if reads++; reads == 2 { // the first read got a part of the request
 			held <- struct{}{}
 			<-hold
 		}
@@ -252,14 +254,14 @@
 	select {
 	case <-expired:
 	case <-time.After(patience):
-		t.Fatal("the grace does not end")
+		t.Fatal("the grace period does not end")
 	}
 	release()
 	expect(t, br, "+OK\r\n")
 	<-left
 }
 
-// With all places taken by requests that never end, a proper client is served.
+// When all slots are taken by requests that never end, a well-behaved client is still served.
 func TestHalfRequestsGiveWay(t *testing.T) {
 	const most = 3
 	c, addr := hooked(t, most, &hookedListener{}, func(request) answer { return answer{} }, func(c *clients) { c.request = patience })
@@ -273,16 +275,17 @@
 	expect(t, br, "+OK\r\n")
 }
 
-// However a connection ends, nothing is left of it in the lists: what is left there would be asked for its place for ever.
+// However a connection ends, it leaves the lists: the server would try to evict one that stays there again
+// and again.
 func TestEndedSessionsLeaveTheLists(t *testing.T) {
 	for name, end := range map[string]func(net.Conn, *session){
-		"its idle time is up": func(_ net.Conn, s *session) { s.SetReadDeadline(time.Unix(1, 0)) },
-		"the client goes":     func(client net.Conn, _ *session) { client.Close() },
-		"half a request": func(client net.Conn, s *session) {
+		"idle timeout":  func(_ net.Conn, s *session) { s.SetReadDeadline(time.Unix(1, 0)) },
+		"client closes": func(client net.Conn, _ *session) { client.Close() },
+		"partial request": func(client net.Conn, s *session) {
 			io.WriteString(client, "*5\r\n$7\r\nENQ")
 			client.(*net.TCPConn).CloseWrite()
 		},
-		"no request": func(client net.Conn, _ *session) { io.WriteString(client, "*9\r\n") },
+		"invalid request": func(client net.Conn, _ *session) { io.WriteString(client, "*9\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, addr := hooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, nil)
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// figures are what the operators' address tells of this process. Whoever knows a fact counts it; anyone may read.
+// metrics are the counts and gauges of this process that the operators' address shows. Any goroutine may read
+// and update them.
 type figures struct {
 	classes                 []string
 	ok, shed, errors, tries []atomic.Int64 // messages, by class
 	active, listed, avoided atomic.Int64
-	share                   atomic.Pointer[following] // nil: without [ownership]
-	notOwned                atomic.Int64              // requests that are other nodes'
+	share                   atomic.Pointer[following] // nil without [ownership]
+	notOwned                atomic.Int64              // requests for destinations of other nodes
 }
 
 func newFigures(classes []string) *figures {
@@ -21,15 +22,15 @@
 	return &figures{classes: classes, ok: counts(), shed: counts(), errors: counts(), tries: counts()}
 }
 
-// count adds a message to one of the counts. A class that a journal of old names and the settings no longer do has
-// no figure.
+// countClass adds a message to one of the counts. A class that is named in an older journal and no longer in
+// the settings is not counted.
 func count(of []atomic.Int64, class int) {
 	if class >= 0 && class < len(of) {
 		of[class].Add(1)
 	}
 }
 
-// told counts what a client or the platform is told of a message's end.
+// countUndelivered counts a message whose end without delivery a client or the platform is told.
 func (f *figures) told(class int, failed bool) {
 	if failed {
 		count(f.errors, class)
@@ -38,7 +39,7 @@
 	count(f.shed, class)
 }
 
-// write puts out all figures, one a line.
+// write writes all metrics, one a line.
 func (f *figures) write(w io.Writer) {
 	for i, class := range f.classes {
 		fmt.Fprintf(w, "app.ok.%s:%d|c\n", class, f.ok[i].Load())
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A node of a fleet follows whichever replica answers, and serves on the last list when none does, also after a restart
-// that begins with nothing.
+// A node of a fleet follows whichever replica answers. When none does it continues with the last list, even
+// after a restart without any known list.
 func TestNodeOutlivesItsDirectory(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,7 +23,7 @@
 	with := func(addrs ...string) func(*Config) {
 		return func(c *Config) {
 			c.Discovery, c.Fleet.Registry.Addresses, c.Fleet.Registry.KeepKB = dead, addrs, 64
-			c.Known.Members, c.Known.Revision = nil, 1000 // by the platform's count
+			c.Known.Members, c.Known.Revision = nil, 1000 // a revision of the platform, which does not compare with the directory's
 		}
 	}
 	addr, stop := startAltered(t, r, state, with(dead, r.addr()))
@@ -63,15 +63,15 @@
 		}
 		_, err := LoadFleet(path)
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got %v", text, err)
 		}
 	}
 	if f, err := LoadFleet(""); err != nil || len(f.Registry.Addresses) > 0 {
-		t.Errorf("without a file: %+v, %v", f, err)
+		t.Errorf("without a file: got %+v, %v", f, err)
 	}
 }
 
-// What a node says of its list is in force in its loop.
+// The revision and the number of endpoints that a node reports are in force in its event loop.
 func TestTold(t *testing.T) {
 	t.Parallel()
 	p, r := newPartner(t, says(delivered)), newRegistry(t)
@@ -92,7 +92,7 @@
 		}
 		eventually(t, "revision "+itoa(int(want.revision)), func() bool { at, _ := n.Told(); return at >= want.revision })
 		if at, have := n.Told(); at != want.revision || have != want.endpoints {
-			t.Errorf("%d endpoints at revision %d, want %d at %d", have, at, want.endpoints, want.revision)
+			t.Errorf("%d endpoints at revision %d, want %d at revision %d", have, at, want.endpoints, want.revision)
 		}
 	}
 }
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -15,47 +15,49 @@
 	"time"
 )
 
-// The journal is one file of records, appended only. A record is its payload's length and CRC-32, four bytes
-// each, and the payload: a kind, the number of its message and what the kind calls for. What a process has
-// written outlasts it, so nothing is synced. A kill tears the last record at most; see replay for what is spoilt.
+// The journal is one append-only file of records. A record is the length and the CRC-32 of its payload, four
+// bytes each, and the payload: the kind, the message's number and the fields of that kind. Written data
+// outlives the process, so the file is never synced. A kill can truncate only the last record; replay
+// describes how corrupt records are handled.
 
 const (
-	recAccepted   byte = iota + 1 // a message was taken on
+	recAccepted   byte = iota + 1 // a message was accepted
 	recAttempt                    // an attempt is about to be sent
 	recNotRun                     // an attempt failed, as in an outage, and is proven not to have run
 	recFailed                     // an attempt failed and may have run
 	recEnded                      // the final answer, whose notice is still owed
 	recOver                       // nothing is owed any more
-	recTurnedAway                 // an attempt did not run, and its destination is well
+	recTurnedAway                 // an attempt did not run, and its destination works
 
-	// These are of an endpoint and stand under number 0, which no message has; builds of old pass them over.
-	recListed // discovery has named it
-	recBarred // it is left out by hand
-	recLifted // no longer
+	// These records concern an endpoint and have number 0, which no message has. Older builds skip them.
+	recListed // discovery has listed it
+	recBarred // an operator disabled it
+	recLifted // an operator enabled it again
 )
 
 const (
 	journalName    = "journal"
 	recordHead     = 8
 	maxRecord      = maxBody + 4*maxWord + 64
-	messageReserve = 700       // room for the small records that will follow: 12 attempts at 36 to 45 bytes, and the end
-	minCompact     = 256 << 10 // a smaller file is not worth compacting
+	messageReserve = 700       // bytes for the small records that will follow: 12 attempts at 36 to 45 bytes, and the end
+	minCompact     = 256 << 10 // bytes; a smaller file is not worth compacting
 	defaultDiskMB  = 3
 	compactPause   = 100 * time.Millisecond // after a failed compaction
-	maxKnown       = 2000                   // endpoints that are remembered; the oldest that are not barred go first
+	maxKnown       = 2000                   // endpoints that are remembered; the oldest that are not disabled are dropped first
 )
 
 var (
-	errDiskBudget  = errors.New("the journal's share of the disk is used up")
-	errJournalDown = errors.New("journal: it could not be written a moment ago")
+	errDiskBudget  = errors.New("the journal has used up its disk budget")
+	errJournalDown = errors.New("journal: not retried yet after a failed write")
 )
 
-// past is all that the journal knows of a message that still owes something.
+// pendingMessage is what the journal knows of a message until its delivery, or the acceptance of its notice,
+// is recorded.
 type past struct {
 	seq      uint64
 	id, key  string
 	class    int
-	tenant   int // -1 for none that is known
+	tenant   int // -1 if unknown
 	dest     int
 	body     []byte
 	deadline time.Time
@@ -63,23 +65,24 @@
 	ended    *ending
 }
 
-// pastSend is an attempt. One that has not failed was out when the journal ended, and may have run as well.
+// pastAttempt is one attempt of a pending message. One without a recorded failure was in flight when the
+// journal ended, and may have run as well.
 type pastSend struct {
 	at             time.Time
 	zone           int
 	notRun, failed bool
 }
 
-// ending is the final answer of a message.
+// finalAnswer is the final answer of a message that was not delivered.
 type ending struct {
 	failed bool
 	after  time.Duration
 }
 
-// name is what the module calls the message. Ids may come again; numbers don't.
+// choiceID is what package choice calls the message. Clients may reuse IDs; numbers are unique.
 func (p *past) name() string { return strconv.FormatUint(p.seq, 10) }
 
-// seqOf reads a name; no message has number 0.
+// parseChoiceID returns the number in a choice ID, or 0, which no message has.
 func seqOf(name string) uint64 {
 	seq, err := strconv.ParseUint(name, 10, 64)
 	if err != nil {
@@ -93,22 +96,22 @@
 	return int64(len(p.body)+len(p.id)+len(p.key)) + messageReserve
 }
 
-// journal appends records and keeps what is live, so that it can write the file anew.
+// journal appends records and keeps the live state, from which it can rewrite the file.
 type journal struct {
 	dir     string
 	budget  int64
 	f       *os.File
-	written int64 // good bytes in the file
+	written int64 // bytes of whole records in the file
 	live    map[uint64]*past
-	known   []string             // endpoints that were ever listed, in the order in which they came
-	barred  map[string]bool      // of these, true while it is left out by hand
-	lifted  map[string]time.Time // when one was let serve again of late
-	held    int64                // sum of the sizes of what is live
+	known   []string             // IDs of all endpoints that were ever listed, in the order of their first listing
+	barred  map[string]bool      // by the ID of each known endpoint: true while an operator has disabled it
+	lifted  map[string]time.Time // by endpoint ID: when an operator last enabled it again
+	held    int64                // sum of the sizes of all live messages and known endpoints
 	pending []byte               // records not yet in the file
 	next    uint64
-	broken  bool // the file lacks records of what is live; only a new file will do
+	broken  bool // the file lacks records of the live state; only a new file has them all
 	retryAt time.Time
-	spoilt  string // what replay found that it could not read
+	spoilt  string // describes what replay could not read, if anything
 }
 
 // openJournal replays the journal in dir, as far as it can be read.
@@ -118,7 +121,7 @@
 	}
 	j := &journal{dir: dir, budget: int64(diskMB*(1<<20)) - 16<<10, live: map[uint64]*past{}, next: 1,
 		barred: map[string]bool{}, lifted: map[string]time.Time{}}
-	// A compaction that was cut short left its file; the old one is still whole.
+	// An interrupted compaction leaves its file; the old one is still whole.
 	if err := os.Remove(j.path() + ".new"); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
@@ -134,21 +137,22 @@
 	j.replay(raw)
 	j.written = int64(len(raw))
 	if j.spoilt != "" {
-		j.compact() // if that fails it is broken, and every flush tries again
+		j.compact() // if it fails, the journal is incomplete and every flush tries again
 	}
 	return j, nil
 }
 
 func (j *journal) path() string { return filepath.Join(j.dir, journalName) }
 
-// replay applies the records of a file. One that can't be read may have guarded anything that was done since: an
-// attempt, an end. Where it still tells of which message it was, that one is taken to have got so far; else all that is
-// live there is. It ends as failed, for sending it on could be a second effect, or come after its final answer.
+// replay applies the records of a file. A record that can't be read may have guarded anything that was done
+// afterwards: an attempt, or an end. If it still identifies its message, that message is taken to have got so
+// far; otherwise all live messages are. Such a message ends as failed, because sending it again could have a
+// second effect or come after its final answer.
 func (j *journal) replay(raw []byte) {
 	for at := 0; at < len(raw); {
 		payload := wholeRecord(raw[at:])
 		if payload != nil {
-			j.apply(bytes.Clone(payload)) // what is kept of it must not keep the file
+			j.apply(bytes.Clone(payload)) // a copy, so that what is kept of it does not keep the whole file in memory
 			at += recordHead + len(payload)
 			continue
 		}
@@ -157,7 +161,7 @@
 			next++
 		}
 		if j.spoilt == "" {
-			j.spoilt = fmt.Sprintf("%d of %d bytes from byte %d on", next-at, len(raw), at)
+			j.spoilt = fmt.Sprintf("%d of %d bytes from offset %d", next-at, len(raw), at)
 		}
 		if next < len(raw) || !j.applyTorn(raw[at:]) {
 			j.endLive()
@@ -166,7 +170,7 @@
 	}
 }
 
-// wholeRecord returns the payload of the record that b begins with, or nil.
+// recordPayload returns the payload of the record at the start of b, or nil if there is no valid record.
 func wholeRecord(b []byte) []byte {
 	if len(b) <= recordHead {
 		return nil
@@ -182,10 +186,11 @@
 	return payload
 }
 
-// applyTorn applies what is left of a file's last record, and tells whether that was enough to know its message.
+// applyTruncated applies what is left of a file's last record, and reports whether that identified the
+// message.
 func (j *journal) applyTorn(b []byte) bool {
 	if len(b) <= recordHead || int64(binary.LittleEndian.Uint32(b)) <= int64(len(b)-recordHead) {
-		return false // it is not its end that is missing
+		return false // the record is corrupt, not truncated
 	}
 	payload := b[recordHead:]
 	f := &fields{b: payload[1:]}
@@ -194,25 +199,25 @@
 	switch {
 	case f.bad:
 		return false
-	case payload[0] == recAccepted: // attempts are recorded after it, so none was made
+	case payload[0] == recAccepted: // it precedes the records of attempts, so none was made
 		if id := f.bytes(); !f.bad {
 			p = &past{seq: seq, id: string(id), tenant: -1, deadline: time.UnixMicro(0), ended: &ending{}}
 			j.next = max(j.next, seq+1)
 			j.live[seq] = p
 			j.held += p.size()
 		}
-	case p == nil: // of an endpoint, or of a message that is over
+	case p == nil: // of an endpoint, or of a message that nothing is owed for
 	case payload[0] == recOver:
 		j.apply(record(recOver, seq))
-	case payload[0] == recAttempt && p.ended == nil: // it may have run, and long ago
+	case payload[0] == recAttempt && p.ended == nil: // it may have run, at any time in the past
 		j.apply(attemptRecord(seq, time.UnixMicro(0), 0))
 	case payload[0] == recEnded && p.ended == nil:
 		j.apply(endedRecord(seq, ending{failed: true}))
-	} // the outcome of an attempt: without it the attempt may have run
+	} // of the outcome of an attempt nothing is applied: without it the attempt may have run
 	return true
 }
 
-// endLive ends all that is live as failed. A notice of what is already over does no harm.
+// failAllLive ends all live messages as failed. A repeated notice of one that had ended does no harm.
 func (j *journal) endLive() {
 	for seq, p := range j.live {
 		if p.ended == nil {
@@ -221,7 +226,7 @@
 	}
 }
 
-// fields reads the fields of a payload; bad is set when it is too short.
+// payloadReader reads the fields of a payload; bad is set when the payload is too short.
 type fields struct {
 	b   []byte
 	bad bool
@@ -258,7 +263,7 @@
 	return binary.AppendUvarint(b, uint64(t.UnixMicro()))
 }
 
-// apply brings what is live up to date with one record.
+// apply updates the live state with one record.
 func (j *journal) apply(payload []byte) {
 	f := &fields{b: payload[1:]}
 	seq := f.number()
@@ -275,7 +280,7 @@
 	case recAccepted:
 		p = &past{seq: seq, id: string(f.bytes()), key: string(f.bytes()), class: int(f.number()), dest: int(f.number()),
 			deadline: f.time(), body: f.bytes(), tenant: -1}
-		if len(f.b) > 0 { // not in records of old
+		if len(f.b) > 0 { // records of older builds end here
 			p.tenant = int(f.number()) - 1
 		}
 		if !f.bad {
@@ -284,7 +289,7 @@
 		}
 	case recAttempt:
 		s := pastSend{at: f.time(), zone: int(f.number())}
-		if !f.bad && p.ended == nil { // which it is after a record that can't be read
+		if !f.bad && p.ended == nil { // a message already has its final answer after a record that can't be read
 			p.sends = append(p.sends, s)
 		}
 	case recNotRun:
@@ -334,14 +339,14 @@
 	}
 }
 
-// endpointSize is the room that an endpoint takes in the journal, with a ban.
+// endpointSize is the room that an endpoint takes in the journal, including its record as disabled.
 func endpointSize(id string) int64 { return 2 * int64(recordHead+len(id)+16) }
 
 func endpointRecord(kind byte, id string, at time.Time) []byte {
 	return appendTime(appendBytes(record(kind, 0), []byte(id)), at)
 }
 
-// add queues a record for the next flush, and brings what is live up to date.
+// add queues a record for the next flush and updates the live state.
 func (j *journal) add(payload []byte) {
 	j.pending = appendRecord(j.pending, payload)
 	j.apply(payload)
@@ -366,7 +371,7 @@
 	return binary.AppendUvarint(appendTime(record(recAttempt, seq), at), uint64(zone))
 }
 
-// outcomeRecord is of recNotRun, recTurnedAway or recFailed.
+// outcomeRecord makes a record of the kind recordNotRun, recordRejected or recordFailed.
 func outcomeRecord(kind byte, seq uint64, attempt int) []byte {
 	return binary.AppendUvarint(record(kind, seq), uint64(attempt))
 }
@@ -380,8 +385,9 @@
 	return binary.AppendUvarint(b, uint64(e.after/time.Millisecond))
 }
 
-// accept numbers a new message, queues its record and returns what is kept of it; it refuses what the disk may not have room for.
-// Twice what is live must fit, since a compaction holds the old file and the new one at once.
+// accept numbers a new message, queues its record and returns what is kept of it. It refuses a message that
+// the disk may have no room for. Twice the live state must fit, because during a compaction the old and the
+// new file both exist.
 func (j *journal) accept(p *past) (*past, error) {
 	if j.broken {
 		return nil, errJournalDown
@@ -394,8 +400,8 @@
 	return j.live[p.seq], nil
 }
 
-// flush writes what is queued. On an error nothing that the queued records guard may be done. What is live
-// stays true all the same, and goes to a new file as soon as one can be written.
+// flush writes the queued records. After an error nothing that they guard may be done. The live state stays
+// correct all the same, and is written to a new file as soon as that is possible.
 func (j *journal) flush() error {
 	if len(j.pending) == 0 && !j.broken {
 		return nil
@@ -405,7 +411,7 @@
 		return j.compact()
 	}
 	if _, err := j.f.WriteAt(j.pending, j.written); err != nil {
-		// Whole records of what is not going to be done must not be found at the next start.
+		// The next start must not find whole records of actions that are not going to be taken.
 		j.pending, j.broken = nil, true
 		return fmt.Errorf("journal: %w", errors.Join(err, j.rewind()))
 	}
@@ -414,18 +420,19 @@
 	return nil
 }
 
-// rewind cuts off whatever stands behind the last whole record.
+// truncateTail removes whatever follows the last whole record.
 func (j *journal) rewind() error {
 	return j.f.Truncate(j.written)
 }
 
-// compact writes what is live, queued records included, to a new file that takes the old one's place.
+// compact writes the live state, which includes the queued records, to a new file and replaces the old one
+// with it.
 func (j *journal) compact() (err error) {
 	if time.Now().Before(j.retryAt) {
 		return errJournalDown
 	}
 	defer func() {
-		if err != nil { // a full disk should not have all that is live written to it again and again
+		if err != nil { // without a pause, all live state would be written to a full disk again and again
 			j.pending, j.broken, j.retryAt = nil, true, time.Now().Add(compactPause)
 		}
 	}()
@@ -441,7 +448,7 @@
 	w := bufio.NewWriterSize(f, 64<<10)
 	size := int64(0)
 	put := func(payload []byte) {
-		n, _ := w.Write(appendRecord(nil, payload)) // the error stays with w
+		n, _ := w.Write(appendRecord(nil, payload)) // w keeps the error
 		size += int64(n)
 	}
 	for _, id := range j.known {
@@ -476,8 +483,8 @@
 		return err
 	}
 	old := j.f
-	j.f, j.written, j.pending, j.broken = f, size, nil, false // a large buffer is not kept
-	old.Close()                                               // nothing of the old file is needed any more
+	j.f, j.written, j.pending, j.broken = f, size, nil, false // the buffer may be large, so it is not reused
+	old.Close()                                               // an error is ignored: nothing of the old file is needed any more
 	return nil
 }
 
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -39,7 +39,7 @@
 	return p
 }
 
-// history writes something of every kind, and returns what is then live.
+// writeHistory writes records of every kind, and returns the live messages afterwards.
 func history(t *testing.T, j *journal) map[uint64]*past {
 	t.Helper()
 	now := time.UnixMicro(time.Now().UnixMicro())
@@ -59,7 +59,7 @@
 func sameLive(t *testing.T, got, want map[uint64]*past) {
 	t.Helper()
 	if len(got) != len(want) {
-		t.Fatalf("%d live, want %d", len(got), len(want))
+		t.Fatalf("%d live messages, want %d", len(got), len(want))
 	}
 	for seq, w := range want {
 		g := got[seq]
@@ -81,7 +81,7 @@
 	again := openTest(t, dir, 3)
 	sameLive(t, again.live, want)
 	if again.next != j.next || again.held != j.held {
-		t.Errorf("next %d, held %d; want %d, %d", again.next, again.held, j.next, j.held)
+		t.Errorf("next number %d, live size %d; want %d, %d", again.next, again.held, j.next, j.held)
 	}
 	if err := again.compact(); err != nil {
 		t.Fatal(err)
@@ -89,7 +89,8 @@
 	sameLive(t, openTest(t, dir, 3).live, want)
 }
 
-// A kill tears the last record at any byte; all before it must be there, and what follows must be readable.
+// A kill can truncate the last record at any byte. All records before it must be read, and the journal must
+// be readable after further records.
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
 	history(t, openTest(t, dir, 3))
@@ -104,16 +105,17 @@
 		}
 		j := openTest(t, dir, 3)
 		before := len(j.live)
-		mustAccept(t, j, "new", []byte("after the tear"))
+		mustAccept(t, j, "new", []byte("after the truncation"))
 		mustFlush(t, j)
 		if again := openTest(t, dir, 3); len(again.live) != before+1 {
-			t.Fatalf("cut at %d: %d live, want %d", cut, len(again.live), before+1)
+			t.Fatalf("truncated at %d: %d live messages, want %d", cut, len(again.live), before+1)
 		}
 	}
 }
 
-// Whatever a record that can't be read was about may have been done. So a message must not have got less far by the
-// journal than it has, at any byte that is the last or is spoilt; what is whole counts, and so does what comes after.
+// Whatever a record guarded that can't be read may have been done. So for any byte that the file ends at, and
+// for any byte that is corrupt, no message may look less advanced than it was; whole records count, also
+// those that follow.
 func TestSpoiltRecords(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 3)
@@ -122,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far := func(p *past) (int, bool) { // attempts that may have run, and whether it is over
+	far := func(p *past) (int, bool) { // attempts that may have run, and whether the message has ended
 		n := 0
 		for _, s := range p.sends {
 			if !s.notRun {
@@ -141,10 +143,10 @@
 		for seq, g := range got.live {
 			tried, over := far(g)
 			if w := truth[seq]; w == nil && !over {
-				t.Errorf("%s: %d, which is over, is %+v", what, seq, g)
+				t.Errorf("%s: message %d has ended, but is read as %+v", what, seq, g)
 			} else if w != nil && !over {
 				if wantTried, wantOver := far(w); wantOver || tried < wantTried {
-					t.Errorf("%s: %d is %+v, want %+v", what, seq, g, w)
+					t.Errorf("%s: message %d is read as %+v, want %+v", what, seq, g, w)
 				}
 			}
 		}
@@ -152,7 +154,7 @@
 		mustFlush(t, got)
 		again := openTest(t, dir, 3)
 		if sameLive(t, again.live, got.live); again.spoilt != "" {
-			t.Errorf("%s: the new file has %s", what, again.spoilt)
+			t.Errorf("%s: the compacted file is corrupt: %s", what, again.spoilt)
 		}
 	}
 	ends := []int{} // of the records
@@ -168,17 +170,18 @@
 			begin = ends[i-1]
 		}
 		for cut := begin + 1; cut < end; cut++ {
-			check(fmt.Sprintf("cut at %d of a record from %d to %d", cut, begin, end), whole[:cut], truth.live)
+			check(fmt.Sprintf("truncated at %d in a record from %d to %d", cut, begin, end), whole[:cut], truth.live)
 		}
 	}
 	for i := range whole {
 		bad := bytes.Clone(whole)
 		bad[i] ^= 0x55
-		check(fmt.Sprint("spoilt at ", i), bad, j.live)
+		check(fmt.Sprint("corrupt at ", i), bad, j.live)
 	}
 }
 
-// Over its share of the disk the node is taken for crashed: the old file, the new one and all.
+// A node that exceeds its disk budget is treated as crashed. The budget covers the old and the new file of a
+// compaction.
 func TestDiskBudgetHoldsWithLargeBodies(t *testing.T) {
 	dir := t.TempDir()
 	const mb = 1
@@ -199,7 +202,7 @@
 			held = append(held, p)
 			j.add(attemptRecord(p.seq, time.Now(), 0))
 		}
-		live := int64(0) // what a compaction would write now, beside the file that is there
+		live := int64(0) // what a compaction would write now, beside the existing file
 		for _, p := range j.live {
 			live += int64(len(acceptedRecord(p))) + recordHead + 64
 		}
@@ -210,14 +213,14 @@
 			t.Fatal(err)
 		}
 		if info.Size() != j.written {
-			t.Fatalf("the file has %d bytes, the journal counts %d", info.Size(), j.written)
+			t.Fatalf("the file has %d bytes, but the journal counts %d", info.Size(), j.written)
 		}
 	}
 	if refused == 0 || most > mb<<20 {
-		t.Errorf("refused %d, most on disk %d", refused, most)
+		t.Errorf("%d messages were refused, at most %d bytes on disk", refused, most)
 	}
 	if again := openTest(t, dir, mb); len(again.live) != len(held) {
-		t.Errorf("%d live, want %d", len(again.live), len(held))
+		t.Errorf("%d live messages, want %d", len(again.live), len(held))
 	}
 }
 
@@ -230,11 +233,11 @@
 		mustFlush(t, j)
 	}
 	if j.written > 2*minCompact || len(j.live) != 0 || j.held != 0 {
-		t.Errorf("%d bytes, %d live, %d held", j.written, len(j.live), j.held)
+		t.Errorf("%d bytes in the file, %d live messages, live size %d", j.written, len(j.live), j.held)
 	}
 }
 
-// A journal that can't be written must not lose what it has, nor take anything more on.
+// A journal that can't be written must not lose what it has, and must not accept more.
 func TestUnwritableJournal(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 3)
@@ -246,19 +249,19 @@
 	good := j.f
 	defer good.Close()
 	j.f = full
-	if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // no compaction either
+	if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // makes compaction fail too
 		t.Fatal(err)
 	}
 	p := mustAccept(t, j, "lost", []byte("x"))
 	if err := j.flush(); err == nil {
-		t.Fatal("the full disk took it")
+		t.Fatal("a flush to a full disk succeeded")
 	}
 	j.add(record(recOver, p.seq)) // its client is refused
 	if _, err := j.accept(&past{id: "more"}); err == nil {
-		t.Error("taken on without a journal")
+		t.Error("a message was accepted while the journal could not be written")
 	}
 	if err := j.flush(); err == nil {
-		t.Error("compacted onto a full disk")
+		t.Error("a compaction on a full disk succeeded")
 	}
 	if err := os.Remove(j.path() + ".new"); err != nil {
 		t.Fatal(err)
@@ -267,7 +270,7 @@
 	sameLive(t, openTest(t, dir, 3).live, want)
 }
 
-// What is set aside for a message must hold all that may follow it, or its end could find the disk full.
+// The reserve of a message must hold all records that may follow it, or its end could find the disk full.
 func TestReserveHoldsAllThatFollows(t *testing.T) {
 	const attempts, seq = 12, 1 << 40
 	var all []byte
@@ -279,11 +282,12 @@
 	all = appendRecord(all, record(recOver, seq))
 	accepted := appendRecord(nil, acceptedRecord(&past{seq: seq, deadline: time.Now(), class: 9, dest: 1e6}))
 	if got := len(all) + len(accepted); got > messageReserve {
-		t.Errorf("%d bytes, %d are set aside", got, messageReserve)
+		t.Errorf("the records take %d bytes, the reserve is %d", got, messageReserve)
 	}
 }
 
-// Endpoints are remembered over restarts and compactions, the oldest go first, and none that is left out by hand.
+// Endpoints are remembered over restarts and compactions. The oldest are dropped first, but none that an
+// operator has disabled.
 func TestEndpointsAreRemembered(t *testing.T) {
 	dir := t.TempDir()
 	j := openTest(t, dir, 3)
@@ -302,17 +306,17 @@
 			}
 		}
 		if len(j.known) != maxKnown || len(j.barred) != maxKnown || !j.barred["e3"] || j.barred["e4"] || j.lifted["e4"].IsZero() {
-			t.Errorf("round %d: %d known, e3 is barred: %v, e4: %v", round, len(j.known), j.barred["e3"], j.barred["e4"])
+			t.Errorf("round %d: %d known endpoints, e3 disabled: %v, e4 disabled: %v", round, len(j.known), j.barred["e3"], j.barred["e4"])
 		}
 		if _, known := j.barred["e0"]; known {
-			t.Error("the oldest is kept")
+			t.Error("the oldest endpoint is still known")
 		}
 		held := j.held
 		if err := j.close(); err != nil {
 			t.Fatal(err)
 		}
 		if j = openTest(t, dir, 3); j.held != held || len(j.live) != 0 {
-			t.Errorf("%d bytes held, were %d", j.held, held)
+			t.Errorf("live size %d after a restart, want %d", j.held, held)
 		}
 	}
 }
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	maxReport     = maxBody         // of one post: the protocol's bodies hold no more
-	reportTimeout = 2 * time.Second // the agent answers at once, so one that does not has gone
-	// Of several that take notices each is given so long at first, for a notice is due within 300 ms of its message's end;
-	// twice that when none of them has answered.
+	maxReport     = maxBody         // bytes of one post: the protocol's bodies hold no more
+	reportTimeout = 2 * time.Second // the agent answers at once, so one that does not answer is gone
+	// When there are several addresses, each gets this long at first, because a notice is due within 300 ms
+	// of its message's end. The timeout is doubled whenever none of them has answered.
 	firstPatience = 100 * time.Millisecond
 )
 
-// notice tells the platform of the end of a message that was taken on and not delivered.
+// notice tells the platform how a message ended that was accepted and not delivered.
 type notice struct {
 	of *past
 
@@ -30,7 +30,7 @@
 	AfterMS int64  `json:"after_ms,omitempty"`
 }
 
-// newNotice makes the notice of a message that has had its final answer.
+// newNotice makes the notice of a message that has its final answer.
 func newNotice(p *past) notice {
 	if p.ended.failed {
 		return notice{of: p, ID: p.id, State: "failed"}
@@ -38,9 +38,9 @@
 	return notice{of: p, ID: p.id, State: "returned", AfterMS: p.ended.after.Milliseconds()}
 }
 
-// report posts the notices that come until the context ends, unanswered ones first, and returns those that were
-// not answered. One that is answered is handed to done, for the journal may forget its message then. A post that
-// is not answered may have been taken all the same; telling it again does no harm.
+// reportNotices posts the notices that it receives until the context ends, unanswered ones first, and returns
+// those that were not answered. It passes answered ones to done, because the journal may then forget their
+// messages. A post without an answer may have been accepted all the same; repeating a notice does no harm.
 func report(
 	ctx context.Context, log *slog.Logger, client *http.Client, addrs []string,
 	unanswered []notice, more <-chan []notice, done func([]notice),
@@ -52,7 +52,7 @@
 	}
 	wait := patience
 	for at, failed := 0, 0; ctx.Err() == nil; {
-		if len(unanswered) == 0 { // while some are not answered the loop keeps what comes
+		if len(unanswered) == 0 { // while some are unanswered, the node's event loop keeps new ones
 			select {
 			case unanswered = <-more:
 			case <-ctx.Done():
@@ -63,8 +63,8 @@
 		n, err := post(ctx, client, addr, wait, unanswered)
 		if err != nil {
 			if ctx.Err() == nil {
-				log.Warn("notices not answered", "discovery", addr, "owed", len(unanswered), "err", err)
-				at++ // the next one may take them, and telling them again does no harm
+				log.Warn("notices were not answered; trying the next address", "discovery", addr, "owed", len(unanswered), "err", err)
+				at++ // the next address may accept them
 				if failed++; failed%len(addrs) == 0 {
 					wait = min(2*wait, reportTimeout)
 					registry.Sleep(ctx, pause.Next())
@@ -79,7 +79,7 @@
 	return unanswered
 }
 
-// post sends as many of the notices as one body holds, and tells how many.
+// postNotices posts as many of the notices as fit into one body, and returns their number.
 func post(ctx context.Context, client *http.Client, addr string, wait time.Duration, notices []notice) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -88,7 +88,7 @@
 	for _, one := range notices {
 		line, err := json.Marshal(one)
 		if err != nil {
-			return 0, fmt.Errorf("notices: %w", err)
+			return 0, fmt.Errorf("post notices: %w", err)
 		}
 		if n > 0 && body.Len()+len(line) >= maxReport {
 			break
@@ -98,18 +98,18 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/reports", &body)
 	if err != nil {
-		return 0, fmt.Errorf("notices: %w", err)
+		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("notices: %w", err)
+		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxReport)); err != nil {
-		return 0, fmt.Errorf("notices: %w", err)
+		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	if resp.StatusCode/100 != 2 {
-		return 0, fmt.Errorf("notices: %s", resp.Status)
+		return 0, fmt.Errorf("post notices: answered %s", resp.Status)
 	}
 	return n, nil
 }
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// A backlog of notices goes out in bodies of 64 KiB at most, each notice once and in order; those that were not
-// answered are returned for the next address.
+// A backlog of notices is posted in bodies of at most 64 KiB, each notice once and in order. Unanswered ones
+// are returned for the next address.
 func TestBacklogOfNotices(t *testing.T) {
 	const all, answered = 2000, 3 // posts
-	var bodies []string           // written by the server, read after its end
+	var bodies []string           // written by the server, read after it has stopped
 	full := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, err := io.ReadAll(req.Body)
@@ -57,7 +57,7 @@
 	told := 0
 	for _, body := range bodies {
 		if len(body) > maxReport {
-			t.Errorf("a body of %d bytes", len(body))
+			t.Errorf("a body has %d bytes", len(body))
 		}
 		for lines := bufio.NewScanner(strings.NewReader(body)); lines.Scan(); told++ {
 			want := `{"id":"` + owed[told].ID + `","state":"returned","after_ms":1000}`
@@ -67,11 +67,12 @@
 		}
 	}
 	if len(done) != told || told == 0 || len(left) != all-told || left[0].ID != owed[told].ID {
-		t.Errorf("%d told, %d done, %d left", told, len(done), len(left))
+		t.Errorf("%d posted, %d done, %d returned", told, len(done), len(left))
 	}
 }
 
-// A notice is due soon after its message's end, so a replica that says nothing is not waited for while there is another.
+// A notice is due soon after its message's end, so a replica that does not answer is not waited for while
+// there is another.
 func TestNoticeGoesToTheNextReplica(t *testing.T) {
 	t.Parallel()
 	hung := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
@@ -87,6 +88,6 @@
 	left := report(ctx, slog.New(slog.DiscardHandler), http.DefaultClient, []string{hung.Listener.Addr().String(), good.Listener.Addr().String()},
 		[]notice{newNotice(&past{id: "a", ended: &ending{}})}, nil, func(n []notice) { told = len(n); cancel() })
 	if took := time.Since(began); told != 1 || len(left) != 0 || took >= reportTimeout {
-		t.Errorf("%d told, %d left, after %v", told, len(left), took)
+		t.Errorf("%d done, %d returned, after %v", told, len(left), took)
 	}
 }
