--- /dev/null
+++ b/internal/node/formats_b_test.go
@@ -0,0 +1,89 @@
+package node
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"starlingusher/choice"
+	"starlingusher/internal/golden"
+)
+
+// The two processes of a handover may be of different builds, so every field of their messages keeps its name, and
+// fields without omitempty are written as null, false or zero.
+func TestHandoverMessageFormat(t *testing.T) {
+	var filled message
+	golden.Fill(&filled)
+	empty := message{Legacy: &legacy{}, Outcome: &outcomeOf{Attempts: []outState{{}}, Each: []fateOf{{}}}, Ask: &question{}, Order: &orderOf{}, Answer: &reply{}}
+	for name, m := range map[string]message{"handover_filled.json": filled, "handover_empty.json": empty, "handover_null.json": {}} {
+		encoded, err := json.MarshalIndent(m, "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		var decoded message
+		if err := json.Unmarshal(golden.Check(t, name, encoded), &decoded); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(decoded, m) {
+			t.Errorf("%s decodes to %+v, want %+v", name, decoded, m)
+		}
+	}
+}
+
+// The request line, headers and body of a call with one message and of a batch.
+func TestRequestFormat(t *testing.T) {
+	var items []item
+	golden.Fill(&items)
+	for name, messages := range map[string][]item{"call_single.http": items[:1], "call_batch.http": items} {
+		encoded, err := encodeRequest(call{items: messages, endpoint: endpointAt("192.0.2.1:8080"), notPast: time.Unix(1, 0)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		want := golden.Check(t, name, encoded)
+		if len(messages) == 1 {
+			continue
+		}
+		_, body, _ := bytes.Cut(want, []byte("\r\n\r\n"))
+		var decoded []item
+		if err := json.Unmarshal(body, &decoded); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(decoded, messages) {
+			t.Errorf("the batch decodes to %+v, want %+v", decoded, messages)
+		}
+	}
+}
+
+// Each state that the answer to a batch may give a message.
+func TestBatchAnswerFormat(t *testing.T) {
+	want := map[string]fate{
+		"accepted": {choice.Pass, true, false}, "fault": {choice.Fault, false, false}, "deferred": {choice.NoRoom, false, false},
+		"expired": {choice.Stale, true, false}, "no_more": {choice.Stale, false, false},
+	}
+	if !reflect.DeepEqual(states, want) {
+		t.Errorf("got %+v, want %+v", states, want)
+	}
+}
+
+// The file that ROUTER_FLEET names, with every setting.
+func TestFleetFileFormat(t *testing.T) {
+	const text = "[registry]\naddresses = [\"a:1\", \"b:2\"]\nkeep_kb = 3\n[ownership]\nname = \"n\"\nowners = 4\n"
+	path := filepath.Join(t.TempDir(), "fleet.toml")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got, err := LoadFleet(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var want Fleet
+	want.Registry.Addresses, want.Registry.KeepKB = []string{"a:1", "b:2"}, 3
+	want.Ownership = &Ownership{Name: "n", Owners: 4}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
