--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -43,18 +43,18 @@
 
 // message is what the two processes say to each other, one JSON value each. One of its fields is set.
 type message struct {
-	Hello  int    `json:",omitempty"` // the new one's version; the listening socket comes before the Legacy
-	Owner  string `json:",omitempty"` // beside Hello: its name in the map of owners
-	Legacy *legacy
-	Ready  bool // the new one has it all
-	Yours  bool // the old one lets go of the lock
+	Hello  int     `json:"Hello,omitempty"` // the new one's version; the listening socket comes before the Legacy
+	Owner  string  `json:",omitempty"`      // beside Hello: its name in the map of owners
+	Legacy *legacy `json:"Legacy"`
+	Ready  bool    // the new one has it all
+	Yours  bool    `json:"Yours"` // the old one lets go of the lock
 
 	Outcome *outcomeOf // of a call in the old process
-	Ask     *question  // a request that the old process read
-	Order   *orderOf   // of the operators, to the old process
+	Ask     *question  `json:"Ask"`   // a request that the old process read
+	Order   *orderOf   `json:"Order"` // of the operators, to the old process
 	Answer  *reply     // to an Ask or an Order
 	Cancel  *outState  // the new process calls an attempt off
-	Shut    string     // an endpoint that calls that have not begun must not go to
+	Shut    string     `json:"Shut"` // an endpoint that calls that have not begun must not go to
 	Wait    *waitOf    // that the new process was told
 }
 
@@ -64,11 +64,11 @@
 	At       time.Time
 	Sender   choice.Saved
 	Revision int64
-	ToldBy   string // the discovery that counts so
+	ToldBy   string `json:"ToldBy"`     // the discovery that counts so
 	History  int64  `json:",omitempty"` // that it counts by, if it tells one
 	Members  []catalog.Endpoint
 	Waits    map[string]int64 // by endpoint; those of one destination share it
-	Out      []outState
+	Out      []outState       `json:"Out"`
 }
 
 // outState names an attempt that is out, and of its message what is needed once the journal has forgotten it.
@@ -81,16 +81,16 @@
 type outcomeOf struct {
 	Attempts []outState
 	Endpoint string
-	Took     time.Duration
+	Took     time.Duration `json:"Took"`
 	Outcome  choice.Outcome
-	Each     []fateOf
+	Each     []fateOf `json:"Each"`
 	Wait     time.Duration
 	NoSlot   bool
-	Closed   bool
-	Unsure   bool // builds of old do not tell
+	Closed   bool `json:"Closed"`
+	Unsure   bool `json:"Unsure"` // builds of old do not tell
 	Report   choice.Report
-	Kept     bool
-	HungUp   bool
+	Kept     bool `json:"Kept"`
+	HungUp   bool `json:"HungUp"`
 }
 
 type waitOf struct {
@@ -100,32 +100,32 @@
 
 type fateOf struct {
 	Outcome choice.Outcome
-	Closed  bool
-	Unsure  bool
+	Closed  bool `json:"Closed"`
+	Unsure  bool `json:"Unsure"`
 }
 
 type question struct {
 	Number              uint64
 	ID, Key             string
 	Class, Dest, Tenant int
-	Life                time.Duration
+	Life                time.Duration `json:"Life"`
 	Body                []byte
-	Came                time.Time
+	Came                time.Time `json:"Came"`
 }
 
 type orderOf struct {
 	Number uint64
 	ID     string
-	Lift   bool
+	Lift   bool `json:"Lift"`
 }
 
 type reply struct {
 	Number  uint64
 	Refused bool
-	After   time.Duration
+	After   time.Duration `json:"After"`
 	Failed  string
-	Gone    bool
-	Unknown bool // an Order's ID
+	Gone    bool `json:"Gone"`
+	Unknown bool `json:"Unknown"` // an Order's ID
 }
 
 // forebearGone is the loop's event of the old process's end.
