--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,7 +1,8 @@
-// Package choice decides for a delivery node: refuse or admit a message, when to send it, to which endpoint,
-// whether to try again, when to give up. Its interface (Settings, Events, Actions) is in types.go and its
-// bare state in state.go; every decision, table and tuned value is here. A Sender is a deterministic state
-// machine: time comes with Step, randomness from the seed, and it shares nothing with other senders.
+// Package choice makes the decisions of a delivery node: whether to admit or refuse a message, when to send
+// it and to which endpoint, whether to try again, and when to give up. Its interface (Settings, Event,
+// Action) is in types.go, the state that it keeps in state.go; all decisions and constants are here. A Sender
+// is a deterministic state machine: time comes with Step, randomness from the seed, and senders share nothing
+// with each other.
 package choice
 
 import (
@@ -12,92 +13,97 @@
 )
 
 const (
-	// Gate. Bounds of the response ratio are the paper's best, BBC 60-80.
+	// Gate. The bounds of the response time ratio are the best of the paper, BBC 60-80.
 	gateUpper, gateLower = 80, 60
-	// The ratio bounds cannot act before a slow destination's messages expire, so shares of the deadline do.
+	// A slow destination's messages expire before the ratio reaches its bounds, so shares of the deadline are
+	// bounds too.
 	deadlineShut, deadlineOpen = 0.5, 1.0 / 3
-	// One never sent counts as this share of the deadline, just past the bound: it may be all that a gate
-	// hears, and with all its time a single one kept the gate shut for long.
+	// A message that was never sent counts as this share of the deadline, just above the bound. It may be the
+	// only sample that a gate gets; counted with all its time, a single one kept the gate closed for long.
 	unsentShare  = 0.6
-	smoothing    = 0.2               // weight of a sample when they come often
-	smoothSpan   = 2 * time.Second   // after a silence this long a sample weighs more
-	baselineSpan = 120 * time.Second // the baseline grows by a factor e in this time
-	// A failed attempt counts for so many aims at least: it reads ill, but holding through an outage beats
-	// refusing, so it must not shut the gate alone. The hold that follows does when it grows too long.
+	smoothing    = 0.2               // weight of a sample when samples come often
+	smoothSpan   = 2 * time.Second   // after a pause of this length a sample weighs more
+	baselineSpan = 120 * time.Second // the baseline grows by a factor of e in this time
+	// A failed attempt counts as at least so many soft deadlines. It must not close the gate alone, because
+	// holding messages through an outage is better than refusing them. The time they are then held closes it
+	// when it grows too long.
 	failCharge    = 1.0
-	floorResponse = 5 * time.Millisecond   // keeps ratios finite
-	gateTrial     = 500 * time.Millisecond // pause between trial messages of a shut, idle gate
-
-	// Health of a route.
-	failWeight = 0.05                    // weight of a call in the share of failures met everywhere
-	chanceRun  = 0.02                    // a run of failures less likely than this by that share is no luck
-	shutWait   = 2200 * time.Millisecond // a told wait longer than any limit's span means shut
-	trialFirst = 250 * time.Millisecond  // half-open trials: first pause,
-	trialLast  = 1000 * time.Millisecond // and the longest, a fraction of the outages worth noticing
-	sickCount  = 3                       // failures in a row that make an outage where they are rare,
-	sickSpan   = 2 * time.Second         // one less if none passed for so long,
-	rareCalls  = 0.5                     // or where we have so few calls in that time
-	// Rule four counts the load of knowing senders; a tenth less than all of it leaves room for chance.
+	floorResponse = 5 * time.Millisecond   // lower bound that keeps ratios finite
+	gateTrial     = 500 * time.Millisecond // pause between trial messages of a closed, idle gate
+
+	// Circuit breaker of a route.
+	failWeight = 0.05                    // weight of a call in the share of failures over all routes
+	chanceRun  = 0.02                    // a run of failures less likely than this, given that share, is no chance
+	shutWait   = 2200 * time.Millisecond // a retry-after longer than the span of any limit means that the endpoint is shut
+	trialFirst = 250 * time.Millisecond  // first pause before a half-open call,
+	trialLast  = 1000 * time.Millisecond // and the longest, a fraction of the outages that matter
+	sickCount  = 3                       // failures in a row that are an outage where failures are rare,
+	sickSpan   = 2 * time.Second         // one less if no call succeeded for this time,
+	rareCalls  = 0.5                     // or if fewer messages than this come within it
+	// The load limit of a returning destination counts the calls of senders that know of the outage. A tenth
+	// less than all of it leaves room for chance.
 	knowingShare = 0.9
-	// Of its own demand a sender takes less, for a busy destination may be asked for more than it can do.
+	// A sender takes less than its own demand: a busy destination may be asked for more than it can do.
 	demandShare = 0.4
-	roughWeight = 1.5 // a rough weight may be this many times too high
-	// So many roots of a cold destination's budget of calls, and so many calls more, are put down to chance.
+	roughWeight = 1.5 // a rough weight may be too high by this factor
+	// Calls above the budget of a destination in slow start, up to so many times the square root of the
+	// budget and so many more, are put down to chance.
 	chanceRoots, chanceCalls = 2, 2
 
 	// Connections.
-	farApart    = 2.0              // mean gaps of so many idle times: two in five calls come in time
-	crowdedSpan = 30 * time.Second // idle ones are given back so long after a sign of a full one
-	roomGrow    = 2.0              // calls a second that are tried there beyond those known to fit
-	wornSpan    = 10 * time.Second // kept connections are not trusted so long after one broke under a call
+	farApart    = 2.0              // with a mean gap of so many idle times between calls, two in five calls come before the connection is closed
+	crowdedSpan = 30 * time.Second // idle connections are closed for this time after a sign of a full connection table
+	roomGrow    = 2.0              // calls a second that are tried above the number known to fit
+	wornSpan    = 10 * time.Second // reused connections are not trusted for this time after one broke under a call
 
 	// Slots.
-	slowFactor = 5                      // a call older than so many usual times makes its destination slow
-	slowLeast  = 700 * time.Millisecond // but not before this, or noise would
-	lostFactor = 10                     // at so many usual times an answer may have been lost, not just late,
-	lostLeast  = 350 * time.Millisecond // and not before this
-	slotSpan   = 2 * time.Second        // slot time fades from memory in this span
-	sendCharge = 10 * time.Millisecond  // slot time booked at once, so that sends of one moment take turns
+	slowFactor = 5                      // a call out for so many typical times makes its destination slow,
+	slowLeast  = 700 * time.Millisecond // but not before this time, to ignore noise
+	lostFactor = 10                     // after so many typical times an answer may be lost and not only late,
+	lostLeast  = 350 * time.Millisecond // but not before this time
+	slotSpan   = 2 * time.Second        // time constant of the decay of used slot time
+	sendCharge = 10 * time.Millisecond  // slot time booked when a call starts, so that calls of the same moment alternate between destinations
 	slowShare  = 0.4                    // share of the slots that all slow destinations together may hold
 
-	// Pacing. Parts are in shares of the weight.
-	partCut     = 0.6  // factor on this sender's part at a refusal, once more for each in a row
-	partLeast   = 0.05 // is never cut
-	partGrow    = 0.03 // growth in the time of a call at the own share, while calls pass,
-	partStay    = 0.1  // and its logarithm after a refusal, less than what the next one cuts
-	partFirst   = 2.0  // more than the own share at first, for thin traffic is uneven,
-	partMost    = 4.0  // and at most; depthMost calls may go at once
+	// Pacing. Rate shares are in multiples of this sender's share of the traffic.
+	partCut     = 0.6  // factor on the rate share at a rejection, once more for each in a row
+	partLeast   = 0.05 // lower bound of a decrease
+	partGrow    = 0.03 // increase in the time of one call at the own share, while calls succeed,
+	partStay    = 0.1  // and the increase of its logarithm after a rejection, less than the next one decreases it
+	partFirst   = 2.0  // above the own share at first, because sparse traffic is uneven,
+	partMost    = 4.0  // and at most this; maxBurstCalls may go at once
 	depthMost   = 3.0
-	batchMost   = 0.9                    // where what waits travels together the own share costs little
-	weightSpan  = 30 * time.Second       // the weight is what arrived for the first time in so long,
-	weightPrior = 3.0                    // with so many seconds of an even share before the start
-	firstSpan   = 300 * time.Millisecond // a message younger than this comes for the first time
-	demandSpan  = 10 * time.Second       // this sender's own demand is what arrived of late
-	burstSpan   = 0.25                   // seconds of pace that may go at once
-	refusedRest = 120 * time.Millisecond // first rest after a refusal that told no wait
+	batchMost   = 0.9                    // where waiting messages share calls, keeping to the own share costs little
+	weightSpan  = 30 * time.Second       // the share of the traffic is taken from first submissions within this time,
+	weightPrior = 3.0                    // after as many seconds of an even share before the start
+	firstSpan   = 300 * time.Millisecond // a message younger than this is a first submission
+	demandSpan  = 10 * time.Second       // this sender's own demand is the arrivals within this time
+	burstSpan   = 0.25                   // seconds of the rate that may go at once
+	refusedRest = 120 * time.Millisecond // first pause after a rejection without a retry-after
 
 	// Attempts.
-	timeoutFactor = 6                      // time-out in usual times, where a repeat is allowed,
-	timeoutGrow   = 1.5                    // growing with each failure in a row, lest a slow one never pass
-	timeoutLeast  = 0.5                    // and this share of the aim at least: a repeat still fits in it,
-	timeoutAims   = 2.0                    // and at most so many aims
-	retryRest     = 100 * time.Millisecond // rest of a message after a failure, doubled each time
-	drawPower     = 2                      // odds of an endpoint fall with this power of its response
-	sweepEvery    = 10 * time.Millisecond  // wakes are this far apart at least,
-	pollEvery     = 30 * time.Millisecond  // and this far while something waits
+	timeoutFactor = 6                      // timeout in typical times, where a repeat is allowed,
+	timeoutGrow   = 1.5                    // growing with each failure in a row, so that a slow call succeeds in the end
+	timeoutLeast  = 0.5                    // at least this share of the soft deadline: a repeat still fits in it,
+	timeoutAims   = 2.0                    // and at most so many soft deadlines
+	retryRest     = 100 * time.Millisecond // pause of a message after a failure, doubled each time
+	drawPower     = 2                      // the probability of an endpoint falls with this power of its response time
+	sweepEvery    = 10 * time.Millisecond  // minimum time between wakes,
+	pollEvery     = 30 * time.Millisecond  // and the time between them while something waits
 	endMargin     = 15 * time.Millisecond  // final answers are given this long before the deadline
 
-	// Leaving. What is cut off may have run: one that may be repeated goes out with room for so many usual
-	// times, one that may not for more. The rest is held for the next life.
+	// Stopping. A call that is cut off may have run. A message that may be repeated is sent only if so many
+	// typical times are left, one that may not only if there are more. The others are held for the next
+	// process.
 	leaveRoom, leaveRoomUnsafe = 2, 6
 	leaveLeast                 = 300 * time.Millisecond
 	leaveLeastUnsafe           = time.Second
 
-	// A destination that the list no longer has any endpoint of is forgotten after this time.
+	// A destination is forgotten this long after its last endpoint left the list.
 	forgetAfter = 2 * time.Minute
 )
 
-// New returns the decision maker of a delivery node that has just started.
+// New returns the sender of a delivery node that has just started.
 func New(cfg Settings, seed uint64) *Sender {
 	source := rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)
 	s := &Sender{
@@ -109,18 +115,19 @@
 	}
 	s.cfg.Fleet = max(cfg.Fleet, 1)
 	if cfg.AskForList {
-		s.askAt = 1 // at once
+		s.askAt = 1 // immediately
 	}
 	return s
 }
 
-// Step takes the events of a moment and returns what to do about them, in order.
+// Step handles the events of a moment and returns the actions to take, in order.
 func (s *Sender) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = now, nil
 	if s.cameAt == 0 {
-		s.cameAt = now // the clock starts anywhere
+		s.cameAt = now // the clock may start at any value
 	}
-	// Lists and bans first: a drain acts in the step that told of it, whatever stands before it in the batch.
+	// List changes and disabled endpoints come first: a drain takes effect in the step that reports it,
+	// whatever comes before it in the batch.
 	for _, e := range events {
 		switch e := e.(type) {
 		case Listed:
@@ -144,7 +151,7 @@
 				s.finish(m, nil)
 			}
 		case Rang:
-			s.wakeAt = 0 // a rounded clock may ring a little before the time
+			s.wakeAt = 0 // a rounded clock may wake the sender a little early
 		case Leaving:
 			s.leaveBy = e.By
 		}
@@ -160,8 +167,8 @@
 	return s.actions
 }
 
-// arm asks to be woken when a message's time is up, and soon while one waits for a slot, a rest or a pace.
-// What is out wakes the sender by its outcome; with nothing held it sleeps.
+// scheduleWake asks to be woken when a message's time is up, and soon while one waits for a slot, a pause or
+// the rate. The outcome of a call wakes the sender by itself; a sender without messages asks for no wake.
 func (s *Sender) arm() {
 	due := time.Duration(math.MaxInt64)
 	if s.askAt > 0 {
@@ -179,7 +186,7 @@
 	}
 }
 
-// listed brings the list of endpoints up to date. A whole list replaces the old one.
+// updateList applies a list of endpoints. A complete list replaces the old one.
 func (s *Sender) listed(l Listed) {
 	if l.Failed {
 		s.asking = min(max(2*s.asking, trialFirst), time.Minute)
@@ -208,7 +215,7 @@
 			d.kind = entry.Kind
 			if e.route = d.shared; s.apart(d) {
 				e.route = newRoute()
-				e.route.waitUntil = s.parted[e.id] // the only thing that outlasts a route's leaving
+				e.route.waitUntil = s.parted[e.id] // the only state that outlives the removal of a route
 			}
 			if s.batch(d) > 1 {
 				e.route.most, e.route.part = batchMost, min(e.route.part, batchMost)
@@ -223,8 +230,9 @@
 	s.forget()
 }
 
-// bar leaves an endpoint out by hand, or lets it serve again. It was restarted meanwhile and is cold, while
-// its fellows are not: so it has a budget of its own beside their route's, for its part of what that can do.
+// setDisabled disables an endpoint or enables it again. It was restarted meanwhile and starts slowly, while
+// the other endpoints of its route do not: so it has a budget of its own besides the route's, for its part of
+// the route's capacity.
 func (s *Sender) bar(b Barred) {
 	e := s.eps[b.Endpoint]
 	switch {
@@ -246,7 +254,7 @@
 
 func newRoute() *route { return &route{part: partFirst, most: partMost, tokens: 1} }
 
-// arrived admits a message or refuses it at once.
+// handleArrival admits a message or refuses it immediately.
 func (s *Sender) arrived(e Arrived) {
 	if s.msgs[e.ID] != nil {
 		return
@@ -259,7 +267,7 @@
 	s.hold(m, e.Key)
 }
 
-// take notes a new message and its demand on the destination.
+// registerMessage records a new message and its demand on the destination.
 func (s *Sender) take(e Arrived) (*message, *destination) {
 	d := s.destination(e.Dest)
 	d.came, d.cameAt = d.rate(s.now)*seconds(demandSpan)+1, s.now
@@ -280,7 +288,7 @@
 	return m, d
 }
 
-// hold puts a message that was taken on among the waiting.
+// holdMessage queues an admitted message.
 func (s *Sender) hold(m *message, key string) {
 	s.open = append(s.open, m)
 	if len(m.dest.waiting) == 0 {
@@ -301,8 +309,9 @@
 	}
 }
 
-// forgo gives up what a cold budget allowed while nothing waited for it: saved up over a large fleet it is a
-// call at once for each sender that has heard of the outage. The next one comes at any moment of the pace.
+// dropSavedTokens gives up what the slow start budget allowed while no message waited. Saved up over a large
+// fleet it would be one call at the same moment from each sender that knows of the outage. The next call
+// comes at a random moment of the rate.
 func (s *Sender) forgo(d *destination) {
 	for i, e := range d.endpoints {
 		if r := e.route; (i == 0 || r != d.endpoints[0].route) && r.recovering() && s.outnumbers(r) {
@@ -312,16 +321,16 @@
 	}
 }
 
-// outnumbers tells that the fleet has more senders than a cold destination may get calls, chance and all: one
-// call too many of each is too much then.
+// fleetExceedsBudget reports whether the fleet has more senders than a destination in slow start may get
+// calls, chance included. One extra call of each sender is too much then.
 func (s *Sender) outnumbers(r *route) bool {
 	budget := s.cfg.FallMultiple * s.cfg.ColdFrom * s.capacity(r) * seconds(s.cfg.Fall)
 	return budget > 0 && float64(s.cfg.Fleet) > budget+chanceRoots*math.Sqrt(budget)+chanceCalls
 }
 
-// resumed takes back a message from before a restart. It was admitted then, so no gate is asked; what may
-// have run already and may not be repeated ends here. A failure known from before may have been an outage's,
-// whose end this life did not see: the way back there is taken as cold.
+// handleResumed takes back a message from before a restart. It was admitted then, so the gate is not asked. A
+// message that may have run and must not be repeated ends here. A known earlier failure may belong to an
+// outage whose end this process did not see, so the routes there get a slow start.
 func (s *Sender) resumed(e Resumed) {
 	if s.msgs[e.ID] != nil {
 		return
@@ -342,7 +351,7 @@
 	s.hold(m, e.Key)
 }
 
-// inShare counts a request against its tenant's share, of which this sender sees its part.
+// withinTenantShare counts a request against its tenant's allowance, of which each sender has an equal part.
 func (s *Sender) inShare(i int) bool {
 	if i < 0 || i >= len(s.tenants) || s.cfg.Tenants[i].PerSecond <= 0 {
 		return true
@@ -357,8 +366,9 @@
 	return true
 }
 
-// admit asks the gate, at arrival. Beside the paper's ratio stand two departures: the deadline bounds, and
-// a share of the room for held messages, since one backlog must not turn everybody else's messages away.
+// admit asks the gate, on arrival. It departs from the paper in two points: the bounds in shares of the
+// deadline, and a share of the room for held messages, because one backlog must not turn away the messages of
+// all others.
 func (s *Sender) admit(d *destination, m *message) bool {
 	if s.cfg.MaxOpen > 0 && len(d.waiting) > s.cfg.MaxOpen-len(s.open) {
 		return false
@@ -367,8 +377,8 @@
 	if g.accepts(g.average, seconds(m.class.Deadline)) {
 		return true
 	}
-	// Shut: with nobody held or out, a single trial message lets the ratio fall. Calls that are overdue don't
-	// count: one silent payout, out for all its time, kept the gate shut as long.
+	// Closed: with no message held and no call out, a single trial message lets the ratio fall. Overdue calls
+	// don't count: one unanswered payout, which stays out for all its time, kept the gate closed as long.
 	awaited := slices.ContainsFunc(d.calls, func(c *call) bool { return !s.overdue(c) })
 	held := slices.ContainsFunc(d.waiting, func(o *message) bool { return o.gate == g })
 	if !held && !awaited && s.now-g.lastTrial >= gateTrial {
@@ -378,7 +388,7 @@
 	return false
 }
 
-// accepts moves the gate between its bounds and tells whether it is open.
+// updateOpen moves the gate between its bounds and reports whether it is open.
 func (g *gate) accepts(current, deadline float64) bool {
 	base := max(g.baseline, seconds(floorResponse))
 	upper, lower := gateUpper*base, gateLower*base
@@ -396,7 +406,7 @@
 	return !g.shut
 }
 
-// sample takes a response time into the average, and keeps the lowest average as the baseline.
+// addSample adds a response time to the average, and keeps the lowest average as the baseline.
 func (g *gate) sample(now time.Duration, sec float64) {
 	if !g.seen {
 		g.seen, g.average, g.baseline, g.at = true, sec, sec, now
@@ -409,7 +419,7 @@
 	g.at = now
 }
 
-// retryAfter asks a refused client to stay away for about as long as the backlog lasts.
+// retryAfter is the wait that a refused client is told, about as long as the backlog lasts.
 func (s *Sender) retryAfter(g *gate) time.Duration {
 	after := s.cfg.MaxRetryAfter
 	if g.seen && !g.shut {
@@ -418,16 +428,17 @@
 	return after
 }
 
-// StayAway is how long a client should stay away whose message is turned away before the gate, for no room.
+// RetryAfterIfFull is the wait for a client whose message is refused before the gate because there is no
+// room.
 func (s *Sender) StayAway(class, dest int) time.Duration {
 	return s.retryAfter(s.gate(s.destination(dest), class))
 }
 
-// Knows tells that a destination is on the list, or was not long ago.
+// KnowsDestination reports whether a destination is on the list, or was a short time ago.
 func (s *Sender) Knows(dest int) bool { return s.dests[dest] != nil }
 
-// Ominous tells whether an outcome is a sign of an outage that the next life should hear of with its message.
-// A refusal over a limit is none, nor is a call that was called off, nor a kept connection that broke.
+// IndicatesOutage reports whether an outcome is a sign of an outage that the next process should know of with
+// its message. A rejection over a limit is none, nor is a canceled call, nor a reused connection that broke.
 func (s *Sender) Ominous(dest int, e Ended) bool {
 	switch e.Outcome {
 	case Pass, Stale, Undone:
@@ -442,7 +453,7 @@
 	return true
 }
 
-// finish ends a message; a is nil when it is over without our doing.
+// endMessage ends a message; a is nil when it has ended without an action of this sender.
 func (s *Sender) finish(m *message, a Action) {
 	if m.over {
 		return
@@ -456,7 +467,7 @@
 	}
 }
 
-// mayRefuse tells whether a refusal promises the truth, that coming again is harmless.
+// canRefuse reports whether a refusal is true when it says that a new submission is harmless.
 func (s *Sender) mayRefuse(m *message) bool {
 	if m.class.Effect == Safe || (m.out == 0 && !m.touched) {
 		return true
@@ -464,13 +475,14 @@
 	return m.class.Effect == Keyed && m.touched && m.class.GroupAll && s.now <= s.windowEnd(m)
 }
 
-// windowEnd is the last moment at which a keyed message's repeat is surely dropped.
+// dedupWindowEnd is the last moment at which the destination is certain to drop a repeat.
 func (s *Sender) windowEnd(m *message) time.Duration {
 	return m.mayRun + m.class.Window - endMargin - 2*s.cfg.Tick
 }
 
-// startBy is when an attempt has to begin: while the message has time, and a keyed one's repeat so that it
-// comes to its endpoint within the window. From then on it is given up, while it may still be refused.
+// latestStart is the time until which an attempt may begin: while the message has time left, and for a repeat
+// of a Deduplicated message early enough to reach the endpoint within the window. After it the message is
+// given up, while it can still be refused.
 func (s *Sender) startBy(m *message) time.Duration {
 	by := m.dropDead - endMargin - 2*s.cfg.Tick
 	if m.touched && m.class.Effect == Keyed {
@@ -488,13 +500,14 @@
 	}
 }
 
-// expire gives every open message its end in time, and sweeps out the ended.
+// expireMessages ends every open message in time, and removes the ended ones.
 func (s *Sender) expire() {
 	s.open = slices.DeleteFunc(s.open, func(m *message) bool {
 		switch {
 		case m.over:
 		case s.now >= m.dropDead-endMargin-s.cfg.Tick && m.out == 0, s.now >= m.dropDead:
-			// Of a class that is never sent its gate would hear nothing, and stay open.
+			// If messages of a class are never sent, this is the only sample of their gate; without it the
+			// gate would stay open.
 			if m.attempts == 0 && !m.dest.troubled() {
 				m.gate.sample(s.now, min(seconds(s.now-m.arrived), unsentShare*seconds(m.class.Deadline)))
 			}
@@ -506,7 +519,7 @@
 	})
 }
 
-// ended takes the outcome of an attempt.
+// handleAttemptEnd handles the outcome of an attempt.
 func (s *Sender) ended(e Ended) {
 	key := attempt{e.ID, e.Attempt}
 	m, c := s.sent[key].m, s.sent[key].c
@@ -517,8 +530,8 @@
 	if c.left--; c.left == 0 {
 		s.hangEnd(c)
 	}
-	// A kept connection that breaks under a call tells of the connection, not of its destination; so does
-	// silence where calls that were sent later have passed.
+	// A reused connection that breaks under a call is a sign about the connection and not about the
+	// destination; so is a call without an answer when calls sent later have succeeded.
 	worn := e.Kept && e.Outcome == Cut
 	if worn {
 		s.wornTil = s.now + wornSpan
@@ -526,7 +539,7 @@
 	lone := worn || (e.Outcome == TooSlow || e.Outcome == Undone) && s.lost(c)
 	s.report(c.ep.route, e.Report)
 	s.judge(c, e, lone)
-	if e.Wait > 0 { // the answer to a batch may tell one whatever became of this message
+	if e.Wait > 0 { // the answer to a batch may have a retry-after whatever the outcome of this message
 		c.ep.route.waitUntil = max(c.ep.route.waitUntil, s.now+e.Wait)
 	}
 	s.inherit(c.ep)
@@ -540,15 +553,15 @@
 	}
 	if m.over {
 		s.trimLine(m.key)
-		return // ended meanwhile; its turn and its key had to hear of the outcome all the same
+		return // it ended meanwhile; its key and its place in the key's queue still needed the outcome
 	}
 	s.sample(m, c, e.Outcome, lone)
 	switch {
-	case e.Unsure: // a repeat could be one after its end, a refusal could be untrue
+	case e.Unsure: // a repeat might come after the message's end, a refusal might be untrue
 		s.finish(m, Fail{ID: m.id})
 	case e.Closed || e.Outcome == Pass:
 		s.finish(m, nil)
-	case m.out > 0: // another copy is out and may still pass
+	case m.out > 0: // another copy is out and may still succeed
 	case s.now >= m.dropDead-endMargin, ran && m.class.Effect == Unsafe, s.spent(m):
 		s.giveUp(m)
 	default:
@@ -563,12 +576,12 @@
 	return s.cfg.MaxAttempts > 0 && m.attempts >= s.cfg.MaxAttempts
 }
 
-// sample is the one place that turns outcomes into gate samples. Whatever did not deliver is charged as slow,
-// or fast errors would make the ratio read healthy while everything is rejected; a refusal for being over a
-// limit is pacing news and no sample, for the hold that follows shows in the final one. Of a message held
-// through an outage only the time since the return counts (the call itself in any case): its hold says
-// nothing of what a new one would meet, and the old backlog kept the gate shut for messages that could be
-// in time.
+// sampleOutcome is the only place that turns outcomes into gate samples. An attempt that did not deliver
+// counts as slow; with fast errors taken as they are, the ratio would look healthy while all calls fail. A
+// rejection over a limit affects the pacing and is no sample: the wait that follows is part of the final one.
+// For a message held through an outage only the time since the return counts, or the time of the call if that
+// is longer. The time before says nothing about a new message, and the old backlog kept the gate closed for
+// messages that could be delivered in time.
 func (s *Sender) sample(m *message, c *call, o Outcome, lone bool) {
 	if lone {
 		return
@@ -598,8 +611,8 @@
 	return true
 }
 
-// report takes what an endpoint tells of its limit; odd values are skipped. The room left changes by the
-// moment: without a report there is none to count on.
+// recordReport stores what an endpoint reports about its limit; invalid values are skipped. The remaining
+// share changes all the time: without a report none is assumed.
 func (s *Sender) report(r *route, rep Report) {
 	r.left = 0
 	if rep.HasLimit && rep.Limit >= 0 && !math.IsInf(rep.Limit, 0) {
@@ -610,8 +623,8 @@
 	}
 }
 
-// judge updates the health of an endpoint and its route from an outcome. One that tells of its connection
-// alone says nothing of them.
+// recordOutcome updates the health of an endpoint and its route from an outcome. With connectionOnly the
+// outcome says something about its connection only.
 func (s *Sender) judge(c *call, e Ended, lone bool) {
 	ep, r, took := c.ep, c.ep.route, max(seconds(e.Took), seconds(floorResponse))
 	if c.trial {
@@ -626,23 +639,23 @@
 		ep.usual = ease(ep.usual, took)
 		ep.response = ease(ep.response, took)
 		if r.fails > 0 && r.harmless && !r.sick && !s.cfg.FullTold {
-			s.crowded[ep.dest.kind] = s.now + crowdedSpan // no connection, then a pass: a full table
+			s.crowded[ep.dest.kind] = s.now + crowdedSpan // a failed connect followed by a success: a full connection table
 		}
 		s.passed(r)
 	case e.Outcome == Stale:
 	case e.Outcome == NoRoom && e.HungUp && !e.Kept && e.Wait == 0 && !r.sick:
 		s.crowd(ep)
 	case e.Outcome == NoRoom:
-		// Refusals in a row rest longer each time, over a limit or shut. They are no outage by themselves:
-		// a large fleet meets three in a row at any busy limit.
+		// Rejections in a row double the pause, whether over a limit or shut. They are no outage by
+		// themselves: a large fleet gets three in a row at any busy limit.
 		if s.now-r.waitUntil > r.rest {
 			r.rest = refusedRest
-		} else if s.now >= r.waitUntil { // no fellow of the call that told of it
+		} else if s.now >= r.waitUntil { // not from the same call that told the wait
 			r.rest *= 2
 		}
 		r.waitUntil = max(r.waitUntil, s.now+max(e.Wait, r.rest))
 		ep.response = ease(ep.response, 2*max(ep.response, took))
-		// Refused where there is no limit: a full queue, as of a destination that hangs.
+		// Rejected although there is no limit: a full queue, as of a destination that hangs.
 		stuck := r.reported && r.limit == 0
 		if shut := e.Wait > shutWait; shut || stuck || r.sick {
 			s.failure(ep, shut, true)
@@ -657,16 +670,17 @@
 	}
 }
 
-// failed books a call that failed.
+// recordFailedCall records a call that failed.
 func (s *Sender) failed(ep *endpoint, took float64, harmless bool) {
 	ep.response = ease(ep.response, max(2*ep.response, took, seconds(slowLeast)))
 	s.failure(ep, false, harmless)
 }
 
-// giveBack closes idle connections that stand in other senders' way: an endpoint's table may be small, idle
-// ones counted, and a large fleet fills it. It acts where the connection would hardly see another use before
-// it is closed: calls come at random, most of them sooner than the mean gap. It acts as well at a kind where
-// connects failed of late; there it costs handshakes while the sign lasts.
+// closeIdleConnections closes idle connections that get in the way of other senders: the connection table of
+// an endpoint may be small, it counts idle connections, and a large fleet fills it. Connections are closed
+// where the next call would hardly come before the idle timeout; calls come at random, most of them sooner
+// than the mean gap. They are also closed at a kind of destination where connects failed recently; there it
+// costs handshakes while the sign lasts.
 func (s *Sender) giveBack(ep *endpoint) {
 	unused := s.cfg.ConnIdle > 0 && ep.gap > farApart*seconds(s.cfg.ConnIdle)
 	switch {
@@ -678,14 +692,15 @@
 	}
 }
 
-// crowd takes a new connection that was refused and closed: the endpoint's table is full, while the
-// connections that it holds go on being served. That is neither its limit nor an outage: taken for a limit,
-// it cut the pace to a quarter and stopped the calls that had a connection. As many calls as are out there
-// fit, and little by little more is tried; lost calls, which hold a connection each, are called off. It
-// guards against any peer that sheds connections rather than calls. It could do harm at one that hangs up
-// so on whatever is above its limit: the pace would fall by the connections alone.
+// recordFullTable handles a new connection that was rejected and closed: the endpoint's connection table is
+// full, while calls on the connections that it holds are still served. That is neither its limit nor an
+// outage. Taken for a limit, it cut the rate to a quarter and stopped the calls that had a connection. As
+// many calls as are out there fit, and slowly more are tried; lost calls, which hold a connection each, are
+// canceled. This protects against any peer that sheds connections instead of calls. It could do harm at one
+// that closes connections for everything above its limit: only the number of connections would reduce the
+// rate there.
 func (s *Sender) crowd(ep *endpoint) {
-	if ep.out == 0 { // nothing of ours is there: somebody else has to leave first
+	if ep.out == 0 { // no call of this sender is there: others have to leave first
 		ep.shyTil = s.now + refusedRest + time.Duration(s.rng.Int64N(int64(refusedRest)))
 	}
 	ep.room, ep.crowdedAt = float64(max(ep.out, 1)), s.now
@@ -696,12 +711,12 @@
 	}
 }
 
-// cut lowers this sender's part of the limit at a refusal: below its own share at once, and ever deeper
-// with refusals in a row, for where refused calls use up the limit, a fleet that goes on asking gets nothing.
-// The next call comes at any moment of the new pace, lest all come at once.
+// decreaseShare lowers the rate share at a rejection: below the own share immediately, and further with each
+// rejection in a row. Where rejected calls use up the limit, a fleet that does not slow down gets nothing.
+// The next call comes at a random moment of the new rate, so that the senders do not all come at once.
 func (s *Sender) cut(c *call) {
 	r := c.ep.route
-	if c.sentAt < r.cutAt { // it went out before the last cut and tells no more
+	if c.sentAt < r.cutAt { // it was sent before the last decrease and is no new sign
 		return
 	}
 	s.grow(r)
@@ -718,12 +733,13 @@
 	return old + smoothing*(min(sample, 20*old)-old)
 }
 
-// failure notes a sign of an outage. It covers every kind: refused connections, errors, silence, shut doors.
-// A route gone sick gets single trials with growing pauses; the cold budget holds until it is surely warm.
-// One failure is no outage: a run is, if it is longer than the failures met everywhere explain. So a
-// lossy path of our own does not make all destinations look struck. Only calls that follow a pass there count
-// in that share, or an outage would raise the bar for itself. Routes apart of one destination add up their
-// runs, for an outage mostly takes them all and each sees few calls.
+// recordFailure records a sign of an outage of any kind: refused connections, errors, silence, endpoints that
+// are shut. An open breaker lets single half-open calls through, with growing pauses, and the slow start
+// budget holds until the destination certainly has its full capacity again. One failure is no outage; a run
+// of them is, if it is longer than the share of failures over all routes explains. So a lossy path of this
+// node does not look like an outage of all destinations. Only calls that follow a success on their route
+// count in that share, or an outage would raise the bar for itself. The runs of separate routes of one
+// destination are added up, because an outage mostly affects all of them and each has few calls.
 func (s *Sender) failure(ep *endpoint, sure, harmless bool) {
 	r := ep.route
 	r.harmless, r.partAt = harmless, s.now
@@ -756,8 +772,8 @@
 	}
 }
 
-// strike opens an outage. The allowance starts anywhere below one call, or the senders of a large fleet, most
-// of which hold a single message, would all try at the same age of the outage.
+// openBreaker starts an outage. The tokens start at a random value below one call; otherwise the senders of a
+// large fleet, most of which hold a single message, would all try at the same age of the outage.
 func (s *Sender) strike(r *route) {
 	if !r.recovering() {
 		r.struckAt, r.demand = s.now, 1
@@ -767,7 +783,8 @@
 	r.trialAt = s.now + r.backoff
 }
 
-// passed notes a delivered call: the end of an outage, a step of the recovery, or plain health.
+// recordSuccess records a delivered call: the end of an outage, a step of the slow start, or normal
+// operation.
 func (s *Sender) passed(r *route) {
 	if !r.sick && r.fails == 0 {
 		s.failing *= 1 - failWeight
@@ -788,10 +805,11 @@
 	}
 }
 
-// recovering tells that the route is struck, or not yet surely warm again.
+// recovering reports whether the route has an outage or is in slow start after one.
 func (r *route) recovering() bool { return r.sick || r.coldFrom > 0 }
 
-// capacity is a careful guess of what the route takes a second from all senders when it is warm.
+// capacity is a cautious estimate of the calls a second that the route takes from all senders at its full
+// capacity.
 func (s *Sender) capacity(r *route) float64 {
 	switch {
 	case r.limit > 0:
@@ -804,11 +822,12 @@
 	return max(r.busiest, 1)
 }
 
-// pace is how many calls a second this sender may send on the route, and whether it is so bound. Of the cold
-// budget it takes what its own demand since the outage began calls for: over all senders that sums up to what
-// the destination is asked for, which a warm one can do. Where there are many, they learn of an outage one by
-// one, each by a message of its own: without the span of demand before it these would sum up to several times
-// that. An even share starves the few senders of a large fleet that hold messages, and wastes what is left.
+// pace is the number of calls a second that this sender may send on the route, and whether there is such a
+// bound. Of the slow start budget a sender takes what its own demand since the start of the outage requires:
+// over all senders this adds up to the demand on the destination, which it can handle at full capacity. In a
+// large fleet senders learn of an outage one by one, each from a message of its own: without the demand span
+// before it, their rates would add up to several times the budget. An even share would starve the few senders
+// of a large fleet that hold messages, and waste the rest.
 func (s *Sender) pace(r *route) (rate float64, bound bool) {
 	if r.recovering() && s.cfg.Fall > 0 && s.cfg.FallMultiple > 0 {
 		share := s.cfg.ColdFrom
@@ -828,13 +847,13 @@
 	switch {
 	case limit == 0:
 		return rate, bound
-	case bound: // what refuses a cold one's budget is its limit, which refused calls use up
+	case bound: // a destination in slow start rejects over its limit, which rejected calls use up
 		return min(rate, own), true
 	}
 	return own, true
 }
 
-// limit is what the route takes a second from all senders as far as it is told, 0 for no limit.
+// rateLimit is the known number of calls a second that the route takes from all senders, 0 for no limit.
 func (s *Sender) limit(r *route) float64 {
 	if !r.reported && r.weight > 0 {
 		return r.weight
@@ -842,15 +861,16 @@
 	return r.limit
 }
 
-// rate is how many messages a second came here for the destination of late.
+// arrivalRate is the recent number of messages a second for the destination at this sender.
 func (d *destination) rate(now time.Duration) float64 {
 	return d.came * math.Exp(-seconds(now-d.cameAt)/seconds(demandSpan)) / seconds(demandSpan)
 }
 
-// grow gives back a part that was cut. While calls pass it grows by the same step for all, in the time of a
-// call at the own share: growth in proportion to the part, or by the calls, drove the parts of a fleet apart
-// until half of it starved. After a refusal it grows by less in that time than the next refusal cuts, for a
-// fleet whose parts come back between its rare calls keeps a limit overbooked for good.
+// increaseShare gives back a rate share that was decreased. While calls succeed it grows by the same step for
+// all, in the time of one call at the own share: growth in proportion to the rate share, or with each call,
+// drove the shares of a fleet apart until half of it starved. After a rejection it grows by less in that time
+// than the next rejection decreases it: a fleet whose shares recover between its rare calls keeps a limit
+// overbooked for good.
 func (s *Sender) grow(r *route) {
 	calls := s.weight() * s.limit(r) * min(seconds(s.now-r.partAt), seconds(demandSpan))
 	if r.refusals > 0 {
@@ -861,8 +881,8 @@
 	r.part, r.partAt = min(r.part, r.most), s.now
 }
 
-// weight is this sender's share of the fleet's traffic: of what the tenants' allowances let expect for all,
-// what comes here for the first time.
+// trafficShare is this sender's share of the fleet's traffic: the first submissions here, out of those that
+// the tenants' allowances let expect over all senders.
 func (s *Sender) weight() float64 {
 	even, all := 1/float64(s.cfg.Fleet), 0.0
 	for _, t := range s.cfg.Tenants {
@@ -876,7 +896,8 @@
 	return min(1, (s.came*fade/all+even*weightPrior)/(seen+weightPrior))
 }
 
-// refill brings the token bucket up to now. On the way back from an outage nothing is saved up for a burst.
+// refillTokens brings the token bucket up to the current time. During recovery no tokens are saved for a
+// burst.
 func (s *Sender) refill(r *route) {
 	if !r.recovering() {
 		s.grow(r)
@@ -897,24 +918,25 @@
 	r.tokensAt = s.now
 }
 
-// patience is how long a call may be out before that is far longer than usual, in seconds.
+// patience is how long a call may be out before that is far longer than typical, in seconds.
 func (c *call) patience() float64 { return max(slowFactor*c.ep.usual, seconds(slowLeast)) }
 
-// overdue tells that a call has been out for so long that its answer is hardly to be counted on.
+// overdue reports whether a call has been out for so long that an answer is unlikely.
 func (s *Sender) overdue(c *call) bool {
 	return seconds(s.now-c.sentAt) > max(lostFactor*c.ep.usual, seconds(lostLeast))
 }
 
-// lost tells that a call is overdue though one sent later to the same endpoint has passed in the usual time:
-// its connection or its answer is gone, and its silence says nothing of the destination. Without this, single
-// calls lost on the way, payouts above all, which are out for all their time, made every busy destination
-// look slow, and then struck. It guards as well against answers that are dropped or held back one by one. It
-// could do harm where an endpoint serves some calls fast and lets others hang for good: those hold slots
-// beyond the slow share, until none is free and preempt takes them first.
+// lost reports whether a call is overdue although one sent later to the same endpoint succeeded in the
+// typical time. Its connection or its answer is gone, and its silence says nothing about the destination.
+// Without this, single calls lost on the way, mainly payouts, which stay out for all their time, made every
+// busy destination look slow and then opened its breaker. It also protects against answers that are dropped
+// or held back one by one. It could do harm where an endpoint serves some calls fast and lets others hang
+// forever: those hold slots beyond the slow share until none is free, and cancelStuckCalls takes them first.
 func (s *Sender) lost(c *call) bool { return c.sentAt < c.ep.provenAt && s.overdue(c) }
 
-// slow tells that a destination's oldest call, of those not lost, has been out far longer than usual: before
-// any time-out has passed, silence and crawling look like this. Its share of the slots is capped then.
+// slow reports whether the oldest call of a destination, of those not lost, has been out far longer than
+// typical. Before any timeout has passed, a silent and a very slow destination look like this. Its share of
+// the slots is then limited.
 func (s *Sender) slow(d *destination) bool {
 	for _, c := range d.calls {
 		if !s.lost(c) {
@@ -924,15 +946,15 @@
 	return false
 }
 
-// spend brings the slot time that the destination had of late up to now.
+// updateSlotTime brings the recent slot time of the destination up to the current time.
 func (d *destination) spend(now time.Duration) {
 	fade := math.Exp(-seconds(now-d.usedAt) / seconds(slotSpan))
 	d.used = d.used*fade + float64(len(d.calls))*seconds(slotSpan)*(1-fade)
 	d.usedAt = now
 }
 
-// lame tells that a destination is slow, or that at each of its routes the last call failed. With few slots,
-// first tries at silent destinations held them all.
+// unresponsive reports whether a destination is slow, or the last call failed on each of its routes. When
+// slots were few, first attempts at silent destinations held all of them.
 func (s *Sender) lame(d *destination) bool {
 	for _, e := range d.endpoints {
 		if e.ready && e.route.fails == 0 {
@@ -942,7 +964,7 @@
 	return true
 }
 
-// lameHeld counts the slots that lame destinations hold.
+// unresponsiveCalls counts the slots that unresponsive destinations hold.
 func (s *Sender) lameHeld() int {
 	n := 0
 	for _, d := range s.active {
@@ -958,12 +980,12 @@
 	return n
 }
 
-// preempt calls off calls that are out far longer than usual while no slot is free: silence, be it a few
-// destinations' or a lossy path's, must not stop delivery to all the others. A call whose messages may be
-// repeated goes first and at once. One that may not ends failed: if it is lost it goes while others wait for
-// its slot, for hardly one in thirty of these is answered after all, and each holds a slot for all its time;
-// if it is not, only while slow destinations hold more than their share of the slots. Called-off work may be
-// wasted; a full node would lose far more.
+// cancelStuckCalls cancels calls that are out far longer than typical while no slot is free: silence, whether
+// of a few destinations or of a lossy path, must not stop delivery to all the others. A call whose messages
+// may be repeated goes first and immediately. One that may not be repeated ends as failed. If it is lost it
+// is canceled when others wait for its slot: hardly one in thirty of these is answered after all, and each
+// holds a slot for all its time. If it is not lost, it is canceled only while slow destinations hold more
+// than their share of the slots. Canceled work may be wasted; a full node would lose far more.
 func (s *Sender) preempt() {
 	if !s.cfg.MayCancel || s.cfg.Slots <= 0 || s.busy < s.cfg.Slots {
 		return
@@ -975,7 +997,7 @@
 		waiting = waiting || len(d.waiting) > 0
 		for _, c := range d.calls {
 			if c.called {
-				return // its slot is about to come back
+				return // its slot will be free soon
 			}
 			if slow {
 				held++
@@ -984,7 +1006,7 @@
 			over := seconds(s.now-c.sentAt) / patience
 			gone := s.lost(c)
 			if gone {
-				over++ // first of all
+				over++ // lost calls go first
 			}
 			switch {
 			case c.repeatable && over > late:
@@ -1007,7 +1029,7 @@
 	}
 }
 
-// callOff cancels a call.
+// cancelCall cancels the attempts of a call.
 func (s *Sender) callOff(c *call) {
 	if c.called || !s.cfg.MayCancel {
 		return
@@ -1020,7 +1042,7 @@
 	}
 }
 
-// release fills free slots: the waiting destination that had the least slot time of late comes first, so that
+// startCalls fills free slots. The waiting destination with the least recent slot time comes first, so that
 // one whose calls last long does not get as many slots as a fast one.
 func (s *Sender) release() {
 	s.active = slices.DeleteFunc(s.active, func(d *destination) bool {
@@ -1050,16 +1072,16 @@
 	}
 }
 
-// next finds the message a destination would release now, and its endpoint. The order is that of arrival,
-// unless the queue is so long that waiting costs worth: then the one that loses most by waiting as long
-// as the oldest has waited goes first.
+// nextMessage finds the message that a destination would send now, and its endpoint. The order is that of
+// arrival, unless the queue is so long that waiting costs worth: then the message that loses most by waiting
+// as long as the oldest has waited goes first.
 func (s *Sender) next(d *destination) (*message, *endpoint) {
 	if s.lame(d) && s.cfg.Slots > 0 && float64(s.lameHeld()) >= max(1, slowShare*float64(s.cfg.Slots)) {
 		return nil, nil
 	}
 	open := false
 	for i, e := range d.endpoints {
-		if i == 0 || e.route != d.endpoints[0].route { // one for all, or each its own
+		if i == 0 || e.route != d.endpoints[0].route { // one route for all, or one for each
 			s.refill(e.route)
 		}
 		if e.warming != nil && s.now-e.warming.coldFrom > s.cfg.WarmWithin {
@@ -1086,7 +1108,7 @@
 	return best, bestEp
 }
 
-// loss is the worth that a message loses by waiting for another span.
+// worthLost is the worth that a message loses by waiting for a given time.
 func (s *Sender) loss(m *message, wait time.Duration) float64 {
 	usual := time.Duration(0)
 	if e := m.dest.endpoints; len(e) > 0 {
@@ -1095,7 +1117,7 @@
 	return s.value(m, s.now+usual) - s.value(m, s.now+usual+wait)
 }
 
-// value is what a delivery at a moment is worth.
+// worthAt is the worth of a delivery at a given time.
 func (s *Sender) value(m *message, at time.Duration) float64 {
 	age, late := at-m.born, m.class.LateWorth
 	switch {
@@ -1109,7 +1131,8 @@
 	return m.worth * (1 - (1-late)*float64(age-m.aim)/float64(max(m.class.Deadline-m.aim, 1)))
 }
 
-// draw picks an endpoint at random among those that pass the check, odds falling with smoothed latency.
+// pickEndpoint picks a random endpoint among those that maySend accepts, with a probability that falls with
+// the smoothed response time.
 func (s *Sender) draw(m *message) *endpoint {
 	total := 0.0
 	var fit []*endpoint
@@ -1132,7 +1155,8 @@
 	return fit[len(fit)-1]
 }
 
-// routeOpen is the part of the check that hangs on the endpoint alone: drain, wait, health, budget and pace.
+// endpointAvailable is the part of maySend that depends on the endpoint alone: drain, wait, health, budget
+// and rate.
 func (s *Sender) routeOpen(e *endpoint) bool {
 	r := e.route
 	if !e.ready || s.now < r.waitUntil || r.tokens < 1 || s.now < e.shyTil {
@@ -1148,7 +1172,7 @@
 	return !r.sick || (!r.trial && s.now >= r.trialAt)
 }
 
-// check is the one gate before every send; no path goes round it.
+// maySend is the one check before every send; no code path avoids it.
 func (s *Sender) check(m *message, e *endpoint) bool {
 	if m.over || m.out > 0 || s.now < m.notBefore || s.spent(m) || !s.routeOpen(e) {
 		return false
@@ -1161,7 +1185,7 @@
 	}
 	switch m.class.Effect {
 	case Unsafe:
-		// On a sick route an unsafe message risks an unsure end, unless failures there prove that
+		// With an open breaker an AtMostOnce message risks an ambiguous end, unless failures there prove that
 		// nothing ran; with most of its time gone it has less to lose.
 		spent := s.now-m.arrived > (m.dropDead-m.arrived)/2
 		if m.touched || (e.route.sick && !e.route.harmless && !spent) {
@@ -1174,7 +1198,7 @@
 	}
 	if m.key != "" {
 		s.trimLine(m.key)
-		// Whoever had the turn before may try again without a rest.
+		// The message that had its turn before may try again without a pause.
 		line := s.lines[m.key]
 		if (s.now < s.rests[m.key] && m.attempts == 0) || (len(line) > 0 && line[0] != m) {
 			return false
@@ -1183,7 +1207,7 @@
 	return true
 }
 
-// leaveSpan is how long before the process ends a message may still go out.
+// stopMargin is how long before the end of the process a message may still be sent.
 func (s *Sender) leaveSpan(m *message, e *endpoint) time.Duration {
 	if m.class.Effect == Unsafe {
 		return max(span(leaveRoomUnsafe*e.usual), leaveLeastUnsafe)
@@ -1191,14 +1215,16 @@
 	return max(span(leaveRoom*e.usual), leaveLeast)
 }
 
-// send sends a message and, where the kind allows, more of the destination's waiting ones in the same call.
+// startCall sends a message and, where the kind allows it, more of the destination's waiting messages in the
+// same call.
 func (s *Sender) send(d *destination, m *message, e *endpoint) {
 	r := e.route
 	c := &call{ep: e, sentAt: s.now, trial: r.sick, repeatable: m.class.Effect != Unsafe}
 	s.made++
 	r.trial = r.trial || c.trial
-	// On sockets a call is given up whole: where silence is to be feared, what may be repeated is not tied to
-	// the time of what may not. Where it isn't, twice the calls would only take slots from others.
+	// A call on a socket is given up whole. Where silence is likely, messages that may be repeated are not
+	// tied to the long timeout of those that may not. Elsewhere twice the calls would only take slots from
+	// others.
 	mixed := !r.recovering() && !s.lame(d)
 	group := []*message{m}
 	for _, o := range d.waiting {
@@ -1217,8 +1243,8 @@
 		o.out++
 		c.left++
 		c.repeatable = c.repeatable && o.class.Effect != Unsafe
-		// What may not be repeated is lost when a kept connection turns out broken; a handshake costs less,
-		// and less than another turn for what has had one.
+		// A message that may not be repeated is lost when a reused connection turns out broken; a handshake
+		// costs less than that, and less than another attempt of a message that has had one.
 		fresh := s.now < s.wornTil && (o.class.Effect == Unsafe || o.attempts > 1)
 		s.do(Send{
 			ID: o.id, Endpoint: e.id, Call: s.made, NotPast: s.timeout(o, e), StartBy: s.startBy(o),
@@ -1239,11 +1265,11 @@
 	d.used += seconds(sendCharge)
 }
 
-// endBy is the clock time at which what a call says of the message counts no longer.
+// resultBy is the clock time after which an answer about the message no longer counts.
 func (m *message) endBy() time.Duration { return m.dropDead - endMargin/2 }
 
-// timeout is the clock time at which an attempt is abandoned. An unsafe message cannot be tried again, so it
-// is given all its time.
+// timeoutAt is the clock time at which an attempt is abandoned. An AtMostOnce message cannot be tried again,
+// so it gets all its time.
 func (s *Sender) timeout(m *message, e *endpoint) time.Duration {
 	last := m.endBy()
 	if m.class.Effect == Unsafe {
@@ -1258,7 +1284,7 @@
 	return min(last, s.now+span(t))
 }
 
-// probed takes the result of a probe as it takes that of a call.
+// handleProbeEnd records the result of a probe like that of a call.
 func (s *Sender) probed(e Probed) {
 	if ep := s.eps[e.Endpoint]; ep != nil {
 		s.report(ep.route, e.Report)
--- a/choice/saved.go
+++ b/choice/saved.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Saved is a sender between two steps, so that another process can go on where this one stopped. It knows the same
-// and acts the same from there on. The clock of both must be the same.
+// Saved is the state of a sender between two steps. A sender restored from it in another process acts as the
+// saved one would have. The clock of both processes must be the same.
 //
-// The literals below have no field names on purpose: a field that is added to one of the types must be added here
-// as well, or this does not compile.
+// The composite literals below have no field names on purpose: a field that is added to one of the types must
+// be added there as well, or the package does not compile. The JSON names stay as they are, because the other
+// process may be another build.
 type Saved struct {
 	Now        time.Duration
 	Random     []byte
 	Dests      []SavedDest
-	Active     []int          // places in Dests
-	Messages   []SavedMessage // the open ones in their order, then those that are over and have an attempt out
+	Active     []int          // indices in Dests
+	Messages   []SavedMessage // the open ones in their order, then those that have ended and have an attempt out
 	Open       int
-	Lines      map[string][]int // places in Messages
+	Lines      map[string][]int // indices in Messages
 	Calls      []SavedCall
 	Rests      map[string]time.Duration
 	Resting    []SavedRest
@@ -35,19 +36,19 @@
 	CameAt     time.Duration
 }
 
-// SavedRest is a keyRest.
+// SavedKeyPause is the saved form of a keyPause.
 type SavedRest struct {
 	Key   string
 	Until time.Duration
 }
 
-// SavedTenant is a tenant.
+// SavedTenant is the saved form of a tenant.
 type SavedTenant struct {
 	Tokens float64
 	At     time.Duration
 }
 
-// SavedGate is a gate.
+// SavedGate is the saved form of a gate.
 type SavedGate struct {
 	Average, Baseline float64
 	At                time.Duration
@@ -55,7 +56,7 @@
 	LastTrial         time.Duration
 }
 
-// SavedRoute is a route.
+// SavedRoute is the saved form of a route.
 type SavedRoute struct {
 	WaitUntil          time.Duration
 	Limit              float64
@@ -78,7 +79,7 @@
 	PassedAt           time.Duration
 }
 
-// SavedEndpoint is an endpoint; Route is nil where its destination's is shared.
+// SavedEndpoint is the saved form of an endpoint; Route is nil if it uses its destination's shared route.
 type SavedEndpoint struct {
 	ID              string
 	Zone            int
@@ -94,7 +95,8 @@
 	ShyTil          time.Duration
 }
 
-// SavedDest is a destination. Behind its Listed endpoints stand those that have left the list and have calls out.
+// SavedDestination is the saved form of a destination. Its endpoints are the first ListedCount, which are in
+// the list, then those that have left the list and have calls out.
 type SavedDest struct {
 	ID        int
 	Emptied   time.Duration
@@ -103,20 +105,20 @@
 	Shared    SavedRoute
 	Endpoints []SavedEndpoint
 	Listed    int
-	Waiting   []int // places in Messages
+	Waiting   []int // indices in Messages
 	Used      float64
 	UsedAt    time.Duration
 	Came      float64
 	CameAt    time.Duration
 }
 
-// SavedMessage is a message.
+// SavedMessage is the saved form of a message.
 type SavedMessage struct {
 	ID           string
 	Class        int
 	Key          string
 	Worth        float64
-	Dest         int // place in Dests
+	Dest         int // index in Dests
 	Arrived      time.Duration
 	Born         time.Duration
 	Aim          time.Duration
@@ -129,15 +131,16 @@
 	Waits, Ended bool
 }
 
-// SavedCall is a call that is out.
+// SavedCall is the saved form of a call that is out.
 type SavedCall struct {
-	Dest, Endpoint            int // places in Dests and its Endpoints
+	Dest, Endpoint            int // indices in Dests and its Endpoints
 	SentAt                    time.Duration
 	Trial, Called, Repeatable bool
 	Sends                     []SavedSend
 }
 
-// SavedSend is one message of a call; Message is its place in Messages while its outcome is not known, or -1.
+// SavedAttempt is one message of a call; Message is its index in Messages while its outcome is not known, or
+// -1.
 type SavedSend struct {
 	ID      string
 	Attempt int
@@ -157,7 +160,8 @@
 	}
 }
 
-// route takes a route without a greatest part, from before these were counted in shares, as a new one in that.
+// route restores a route. One without an upper bound of the rate share comes from a build that did not count
+// in shares, and gets the initial share.
 func (r SavedRoute) route() *route {
 	if r.Most == 0 {
 		r.Part, r.Most = partFirst, partMost
@@ -197,7 +201,7 @@
 	}
 }
 
-// Save returns the state of a sender. Wakes that it asked for and its leaving are not part of it.
+// Save returns the state of a sender. Wakes that it asked for and a Stopping event are not part of it.
 func (s *Sender) Save() (Saved, error) {
 	random, err := s.source.MarshalBinary()
 	if err != nil {
@@ -288,7 +292,7 @@
 	return v, nil
 }
 
-// Restore returns a sender that goes on where a saved one stopped.
+// Restore returns a sender that goes on from a saved state.
 func Restore(cfg Settings, v Saved) (*Sender, error) {
 	s := New(cfg, 0)
 	if err := s.source.UnmarshalBinary(v.Random); err != nil {
@@ -368,5 +372,5 @@
 	return s, nil
 }
 
-// Holds tells that a message is open.
+// HasMessage reports whether a message is open.
 func (s *Sender) Holds(id string) bool { return s.msgs[id] != nil }
--- a/choice/state.go
+++ b/choice/state.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// Sender decides for one delivery node.
+// Sender makes the decisions of one delivery node.
 type Sender struct {
 	cfg     Settings
 	source  *rand.PCG
 	rng     *rand.Rand // draws from source
 	now     time.Duration
 	dests   map[int]*destination
-	order   []*destination // in order of first mention, so that nothing hangs on map order
+	order   []*destination // in order of first mention, so that no decision depends on map order
 	eps     map[string]*endpoint
 	msgs    map[string]*message
-	open    []*message // in order of arrival; ended ones are swept out
+	open    []*message // in order of arrival; ended ones are removed by expireMessages
 	lines   map[string][]*message
-	rests   map[string]time.Duration // keys at rest until then
+	rests   map[string]time.Duration // keys that pause until then
 	resting []keyRest                // the same in the order in which they end
-	parted  map[string]time.Duration // waits told by routes apart that have left the list
-	barred  map[string]bool          // endpoints that are left out by hand
-	crowded map[int]time.Duration    // connection tables of a kind seem full until then
-	wornTil time.Duration            // kept connections are not trusted until then
+	parted  map[string]time.Duration // waits that separate routes told before they left the list
+	barred  map[string]bool          // endpoints that an operator has disabled
+	crowded map[int]time.Duration    // by kind: the connection tables seem full until then
+	wornTil time.Duration            // reused connections are not trusted until then
 	tenants []tenant
-	busy    int                 // calls out
-	made    uint64              // calls so far
+	busy    int                 // number of calls out
+	made    uint64              // number of calls made so far
 	sent    map[attempt]sending // attempts without an outcome
-	active  []*destination      // with messages waiting or calls out; swept in release
+	active  []*destination      // with messages waiting or calls out; startCalls removes the others
 	wakeAt  time.Duration       // the earliest wake asked for
 	asking  time.Duration       // pause before the list is asked for again
 	askAt   time.Duration
-	leaveBy time.Duration // when the process ends; 0 while it stays
-	failing float64       // smoothed share of failures at routes not known to be struck
-	came    float64       // messages that came here for the first time, fading,
-	seen    float64       // and the time in which they did, in seconds
+	leaveBy time.Duration // when the process ends; 0 while it goes on
+	failing float64       // smoothed share of failures on routes not known to have an outage
+	came    float64       // first submissions at this sender, decaying,
+	seen    float64       // and the time in which they came, in seconds, decaying alike
 	cameAt  time.Duration
 	actions []Action
 }
@@ -46,31 +46,31 @@
 	at     time.Duration
 }
 
-// keyRest is a key's rest as it was when it began; a later one may have prolonged it.
+// keyPause is the pause of a key as it was when it began; a later one may have extended it.
 type keyRest struct {
 	key   string
 	until time.Duration
 }
 
-// destination is one partner: its gate, endpoints and waiting messages.
+// destination is the state of one destination: its gates, endpoints and waiting messages.
 type destination struct {
 	id        int
 	emptied   time.Duration // when its last endpoint left the list
-	gates     []gate        // by class; the last is for those not known
+	gates     []gate        // by class; the last is for unknown classes
 	kind      int
-	shared    *route // of all endpoints, unless they are routes apart
+	shared    *route // the route of all endpoints, unless these are separate routes
 	endpoints []*endpoint
 	waiting   []*message // in order of arrival
-	used      float64    // slot time it had of late, in seconds
+	used      float64    // slot time used recently, in seconds, decaying
 	usedAt    time.Duration
-	calls     []*call // out, oldest first
-	came      float64 // messages that came of late, fading
+	calls     []*call // calls out, oldest first
+	came      float64 // recent number of messages, decaying
 	cameAt    time.Duration
-	active    bool // stands in the sender's list of those with something to do
+	active    bool // is in the sender's list of active destinations
 }
 
-// gate is the two-bound admission control of the paper, for one destination and class: what a long hold costs
-// one class at its place in the order says nothing of what another meets.
+// gate is the admission control of the paper with two bounds, for one destination and class. The waiting time
+// of one class, at its place in the order, says nothing about that of another.
 type gate struct {
 	average, baseline float64 // seconds
 	at                time.Duration
@@ -78,32 +78,32 @@
 	lastTrial         time.Duration
 }
 
-// route is what limits, waits and outages bind: a destination, or an endpoint that is a route apart.
+// route is what limits, waits and outages apply to: a destination, or an endpoint that is a separate route.
 type route struct {
-	waitUntil time.Duration // rule six
+	waitUntil time.Duration // no call before; contract rule six
 	limit     float64       // calls a second as reported
 	reported  bool
-	left      float64 // share of it left at the last report
+	left      float64 // remaining share of the limit at the last report
 	weight    float64
-	part      float64 // of the limit that this sender takes, in shares of its weight
+	part      float64 // of the limit, in multiples of this sender's share of the traffic
 	partAt    time.Duration
 	refusals  int // in a row
 	cutAt     time.Duration
-	most      float64 // is never exceeded by the part
+	most      float64 // upper bound of rateShare
 	tokens    float64
 	tokensAt  time.Duration
-	fails     int           // failures in a row
-	failedAt  time.Duration // the first of them
-	rest      time.Duration // after the last of the refusals in a row
+	fails     int           // in a row
+	failedAt  time.Duration // the first of these
+	rest      time.Duration // pause after the last of the rejections in a row
 	sick      bool
 	harmless  bool // the last failure proved that nothing ran
 	trialAt   time.Duration
 	backoff   time.Duration
-	trial     bool          // a trial is out
-	coldFrom  time.Duration // start of the recovery; 0 none
+	trial     bool          // a half-open call is out
+	coldFrom  time.Duration // start of the slow start; 0 for none
 	struckAt  time.Duration // start of the outage
 	demand    float64       // this sender's messages for the route since then
-	busiest   float64       // most calls passed in a second, for want of any limit
+	busiest   float64       // most calls that succeeded in a second, for a route without any limit
 	passed    float64
 	passedAt  time.Duration
 }
@@ -113,20 +113,20 @@
 	zone     int
 	dest     *destination
 	route    *route
-	listed   bool // as serving
+	listed   bool // as Ready
 	ready    bool
-	warming  *route        // its own budget, while it is cold after it was left out by hand
-	response float64       // smoothed seconds, failures counting slow
-	usual    float64       // smoothed seconds of passed calls
-	provenAt time.Duration // the latest send of a call that passed in the usual time
-	sentAt   time.Duration // last call
+	warming  *route        // its own budget, while it is in slow start after being disabled
+	response float64       // smoothed seconds, with failures counted as slow
+	usual    float64       // smoothed seconds of successful calls
+	provenAt time.Duration // latest start of a call that succeeded in the typical time
+	sentAt   time.Duration // start of the last call
 	gap      float64       // smoothed seconds between calls
-	out      int           // calls out
+	out      int           // number of calls out
 
-	// Its table of connections, once that was full.
-	crowdedAt time.Duration // the last sign of it
-	room      float64       // calls that fitted then; 0 if it never was
-	shyTil    time.Duration // with no call there it is left alone until then
+	// Its connection table, once that was full.
+	crowdedAt time.Duration // last sign of a full table
+	room      float64       // calls that had a place then; 0 if it was never full
+	shyTil    time.Duration // with no call there it gets none until then
 }
 
 type message struct {
@@ -137,26 +137,26 @@
 	dest      *destination
 	gate      *gate
 	arrived   time.Duration
-	born      time.Duration // first hand-in, as far as the deadline tells
+	born      time.Duration // first submission, derived from the deadline
 	aim       time.Duration
 	dropDead  time.Duration
 	attempts  int
 	out       int
-	mayRun    time.Duration // send time of the first attempt that may have run
+	mayRun    time.Duration // start of the first attempt that may have run
 	touched   bool          // there is such an attempt
-	zone      int           // its endpoint's zone
+	zone      int           // zone of its endpoint
 	notBefore time.Duration
 	waits     bool
 	over      bool
 }
 
-// attempt names one Send.
+// attempt identifies one Send.
 type attempt struct {
 	id string
 	n  int
 }
 
-// sending is a message in a call.
+// pendingAttempt is a message in a call.
 type sending struct {
 	m *message
 	c *call
@@ -169,19 +169,19 @@
 	left       int
 	trial      bool
 	sends      []attempt
-	called     bool // called off
-	repeatable bool // none of its messages is unsafe
+	called     bool // its attempts were canceled
+	repeatable bool // none of its messages is AtMostOnce
 }
 
-// do adds an action to the reply.
+// emit adds an action to the result of the step.
 func (s *Sender) do(a Action) { s.actions = append(s.actions, a) }
 
-// seconds and span convert between durations and seconds.
+// seconds and duration convert between durations and seconds.
 func seconds(t time.Duration) float64 { return t.Seconds() }
 
 func span(sec float64) time.Duration { return time.Duration(sec * float64(time.Second)) }
 
-// destination returns the state of a destination, new if it was not mentioned before.
+// destination returns the state of a destination, which is new if it was never mentioned before.
 func (s *Sender) destination(id int) *destination {
 	d := s.dests[id]
 	if d == nil {
@@ -192,7 +192,7 @@
 	return d
 }
 
-// keepOnly drops the endpoints that a whole list does not have.
+// removeUnlisted removes the endpoints that are not in a complete list.
 func (s *Sender) keepOnly(entries []Entry) {
 	named := make(map[string]bool, len(entries))
 	for _, entry := range entries {
@@ -207,8 +207,8 @@
 	}
 }
 
-// drop forgets an endpoint that has left the list. Calls out there keep it until they end. If its id comes back
-// it starts afresh, but for a wait that a route apart has told of.
+// removeEndpoint removes an endpoint that has left the list. Calls out there refer to it until they end. If
+// its id comes back it starts without history, except for a wait told by a separate route.
 func (s *Sender) drop(e *endpoint) {
 	e.ready = false
 	delete(s.eps, e.id)
@@ -217,7 +217,8 @@
 	s.inherit(e)
 }
 
-// inherit hands on a wait that was told after its endpoint had left the list: it binds whoever has the id.
+// carryOverWait keeps a wait that was told after its endpoint had left the list: it applies to any endpoint
+// of that id.
 func (s *Sender) inherit(e *endpoint) {
 	heir := s.eps[e.id]
 	if heir == e || e.route == e.dest.shared || s.now >= e.route.waitUntil {
@@ -230,7 +231,8 @@
 	}
 }
 
-// Pool counts the endpoints that are listed, and those of them that are avoided for now.
+// EndpointCounts returns the number of listed endpoints, and the number of these that get no ordinary calls
+// for now.
 func (s *Sender) Pool() (listed, avoided int) {
 	for _, e := range s.eps {
 		if e.route.sick || s.barred[e.id] {
@@ -240,8 +242,8 @@
 	return len(s.eps), avoided
 }
 
-// forget lets go of destinations that have had no endpoint for long and nothing under way, and of waits that are
-// over.
+// forgetUnused forgets destinations without endpoints for a long time and without messages or calls, and
+// waits that have ended.
 func (s *Sender) forget() {
 	s.order = slices.DeleteFunc(s.order, func(d *destination) bool {
 		if len(d.endpoints) > 0 || d.active || s.now-d.emptied < forgetAfter || s.now < d.shared.waitUntil {
@@ -253,7 +255,7 @@
 	maps.DeleteFunc(s.parted, func(_ string, until time.Duration) bool { return s.now >= until })
 }
 
-// restKey lets a key rest from now on, and forgets the rests that are over.
+// pauseKey starts the pause of a key, and forgets the pauses that have ended.
 func (s *Sender) restKey(key string) {
 	until := s.now + s.cfg.OrderSettle
 	s.rests[key] = until
@@ -268,7 +270,7 @@
 	}
 }
 
-// gate is a destination's gate for the class of that number.
+// gate returns a destination's gate for the class with that index.
 func (s *Sender) gate(d *destination, i int) *gate {
 	if i < 0 || i >= len(s.cfg.Classes) {
 		i = len(s.cfg.Classes)
@@ -276,7 +278,7 @@
 	return &d.gates[i]
 }
 
-// class is the class of that number, one without any bounds for a number that is not known.
+// class returns the class with that index, and one without any bounds for an unknown index.
 func (s *Sender) class(i int) *Class {
 	if i < 0 || i >= len(s.cfg.Classes) {
 		return &Class{}
@@ -284,12 +286,12 @@
 	return &s.cfg.Classes[i]
 }
 
-// apart tells that the endpoints are routes of their own.
+// separateRoutes reports whether the endpoints are routes of their own.
 func (s *Sender) apart(d *destination) bool {
 	return d.kind >= 0 && d.kind < len(s.cfg.Kinds) && s.cfg.Kinds[d.kind].Apart
 }
 
-// batch is the most messages in one call.
+// maxBatch is the maximum number of messages in one call.
 func (s *Sender) batch(d *destination) int {
 	if d.kind < 0 || d.kind >= len(s.cfg.Kinds) {
 		return 1
@@ -297,7 +299,7 @@
 	return max(s.cfg.Kinds[d.kind].Batch, 1)
 }
 
-// enqueue puts a message among its destination's waiting, in order of arrival.
+// enqueue adds a message to its destination's waiting messages, in order of arrival.
 func (s *Sender) enqueue(m *message) {
 	if m.waits || m.over {
 		return
@@ -317,7 +319,7 @@
 	d.waiting[i] = m
 }
 
-// dequeue takes it out again.
+// dequeue removes a message from the waiting messages.
 func (d *destination) dequeue(m *message) {
 	if !m.waits {
 		return
@@ -331,7 +333,7 @@
 	}
 }
 
-// hangEnd gives back the slot of a call all of whose messages have their outcomes.
+// finishCall frees the slot of a call when all its messages have their outcomes.
 func (s *Sender) hangEnd(c *call) {
 	s.busy--
 	c.ep.out--
@@ -344,7 +346,8 @@
 	}
 }
 
-// trimLine drops ended messages from the head of a key's line; one with an attempt out still holds its turn.
+// trimKeyQueue removes ended messages from the head of a key's queue; one with an attempt out still has its
+// turn.
 func (s *Sender) trimLine(key string) {
 	line := s.lines[key]
 	if len(line) == 0 {
--- a/choice/types.go
+++ b/choice/types.go
@@ -7,62 +7,62 @@
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // repeats are harmless
-	Keyed                // repeats are dropped for a while
+	Safe   Effect = iota // a repeat is harmless
+	Keyed                // the destination drops repeats within DedupWindow
 	Unsafe               // must never run twice
 )
 
 // Class describes one kind of message. A zero field was not given.
 type Class struct {
-	Aim, Deadline time.Duration // full worth until Aim, some until Deadline, both from the first hand-in
-	AimStretch    float64       // extra aim, as a multiple of the message's hint
+	Aim, Deadline time.Duration // full worth until SoftDeadline, part of it until Deadline; both count from the first submission
+	AimStretch    float64       // extra soft deadline, as a multiple of the message's hint
 	Worth         float64
 	LateWorth     float64 // share of Worth left at the deadline
 	Effect        Effect
-	Window        time.Duration // Keyed: how long repeats are dropped
-	GroupAll      bool          // Keyed: every endpoint of the destination drops repeats, not one zone's only
-	Ordered       bool          // messages with one key take turns
+	Window        time.Duration // Deduplicated: how long repeats are dropped
+	GroupAll      bool          // Deduplicated: every endpoint of the destination drops repeats, not only those of one zone
+	Ordered       bool          // messages with the same key are sent one after the other
 }
 
 // Kind describes one kind of destination.
 type Kind struct {
-	Apart bool // endpoints are routes with limits and outages of their own
-	Batch int  // messages in one call at most
+	Apart bool // every endpoint is a route with limits and outages of its own
+	Batch int  // maximum number of messages in one call
 }
 
-// Tenant is a customer with a share of the service.
+// Tenant is a customer with an allowance.
 type Tenant struct {
-	PerSecond float64 // requests inside its share, all senders together
+	PerSecond float64 // allowed requests a second, over all senders
 }
 
-// Settings are the facts a sender is born with. Zero means not given.
+// Settings configure a sender. A zero value means that the setting was not given.
 type Settings struct {
 	Classes        []Class
 	Kinds          []Kind
 	Tenants        []Tenant
-	Fleet          int // senders altogether
-	Slots          int // calls out at once
-	MaxOpen        int // messages held, sent or not
+	Fleet          int // number of senders
+	Slots          int // maximum number of calls out at once
+	MaxOpen        int // maximum number of messages held, whether waiting or sent
 	MaxAttempts    int
 	MayDuplicate   bool
 	MayProbe       bool
 	MayCancel      bool
-	AskForList     bool // changes of the list come only on request
-	Halves         bool // worth halves with each further aim; otherwise it falls evenly
+	AskForList     bool // list changes come only after a Watch
+	Halves         bool // worth halves with each further soft deadline; otherwise it falls linearly
 	RoughWeights   bool // an endpoint's Weight may be half too high or too low
-	FullTold       bool // a full connection table answers NoRoom; a failed connect is no sign of one
+	FullTold       bool // an endpoint with a full connection table answers Rejected, so a failed connect is no sign of one
 	Weighted       bool // an endpoint's Weight is a rate in calls a second
 	OverShareWorth float64
 	ZoneFee        []float64
 	Tick           time.Duration
 	MaxRetryAfter  time.Duration
 	DialTimeout    time.Duration
-	ConnIdle       time.Duration // idle connections are closed after this
+	ConnIdle       time.Duration // idle connections are closed after this time
 	DrainGrace     time.Duration
 	AnswerGrace    time.Duration
-	FallMultiple   float64 // a cold destination falls above this multiple of its capacity,
+	FallMultiple   float64 // a destination in slow start fails again above this multiple of its capacity,
 	Fall           time.Duration
-	ColdFrom       float64 // share of its capacity that it has when it returns,
+	ColdFrom       float64 // share of its capacity that a destination has when it returns from an outage
 	WarmWithin     time.Duration
 	OrderSettle    time.Duration
 	MustAsk        time.Duration
@@ -71,7 +71,9 @@
 // Outcome is how an attempt or a probe ended.
 type Outcome uint8
 
-// The outcomes. NoRoom, NoRoute and Stale prove that nothing ran.
+// The outcomes. Rejected, Unreachable and Stale prove that nothing ran. Rejected is the endpoint's refusal,
+// Unreachable means that no complete request reached the endpoint, and Stale that the call was out of date
+// before it ran: the message or the endpoint was gone, or there was no slot.
 const (
 	Pass Outcome = iota
 	Fault
@@ -83,13 +85,13 @@
 	Stale
 )
 
-// Report is what an endpoint says of its limit. A missing value has its flag off.
+// Report is what an endpoint reports about its limit. The flag of a missing value is false.
 type Report struct {
-	Left, Limit       float64 // share of the limit left; the limit in calls a second, 0 for none
+	Left, Limit       float64 // remaining share of the limit; the limit in calls a second, 0 for none
 	HasLeft, HasLimit bool
 }
 
-// Phase is an endpoint's place in the list.
+// Phase is the state of an endpoint in the list.
 type Phase uint8
 
 // The phases.
@@ -108,23 +110,25 @@
 	Weight     float64
 }
 
-// Event is one piece of news for a sender: Listed, Barred, Arrived, Resumed, Ended, Dropped, Probed, Rang
-// or Leaving.
+// Event is an input of a Sender: ListUpdate, EndpointDisabled, MessageArrived, MessageResumed, AttemptEnded,
+// MessageAbandoned, ProbeEnded, WakeDue or Stopping.
 type Event interface{ event() }
 
-// Listed brings the list of endpoints, whole or as changes.
+// ListUpdate brings the list of endpoints, complete or as changes. Failed means that the list could not be
+// had.
 type Listed struct {
 	Whole, Failed bool
 	Entries       []Entry
 }
 
-// Barred says that an endpoint is left out by hand, whatever the list says, or that it no longer is.
+// EndpointDisabled says that an operator has disabled an endpoint, whatever the list says, or, with Lifted,
+// that it is enabled again.
 type Barred struct {
 	Endpoint string
 	Lifted   bool
 }
 
-// Arrived is a new message.
+// MessageArrived is a new message.
 type Arrived struct {
 	ID                  string
 	Class, Tenant, Dest int
@@ -133,36 +137,37 @@
 	Hint                time.Duration
 }
 
-// Resumed is a message that the node took on before its process ended, and whose end it still owes.
+// MessageResumed is a message that the node accepted before its process ended, and whose end it still has to
+// report.
 type Resumed struct {
 	Arrived
 	Attempts int           // attempts used so far
 	Failed   bool          // one of them is known to have failed
 	Touched  bool          // one of them may have run,
-	MayRun   time.Duration // and the first of these was sent then,
+	MayRun   time.Duration // the first of these was sent then,
 	Zone     int           // to an endpoint of this zone
 }
 
-// Ended is the one outcome of a Send.
+// AttemptEnded is the one outcome of a Send.
 type Ended struct {
 	ID       string
 	Attempt  int
 	Endpoint string
 	Outcome  Outcome
 	Took     time.Duration
-	Closed   bool          // the message is over
-	Unsure   bool          // said so when a fellow of its call was over already; it may be and may not
-	Kept     bool          // it went out on a connection that had been in use before
+	Closed   bool          // the message has ended
+	Unsure   bool          // the answer said Done when another message of its call had ended already: the message may be delivered or not
+	Kept     bool          // the attempt used a connection that had been used before
 	HungUp   bool          // the endpoint closed the connection after its answer
-	Wait     time.Duration // NoRoom: the wait told
+	Wait     time.Duration // Rejected: the wait that the endpoint asked for
 	NoSlot   bool          // Stale: all slots were taken
 	Report   Report
 }
 
-// Dropped says that nobody wants the message any more.
+// MessageAbandoned says that nobody wants the message any more.
 type Dropped struct{ ID string }
 
-// Probed is the result of a Probe.
+// ProbeEnded is the result of a Probe.
 type Probed struct {
 	Endpoint string
 	Outcome  Outcome
@@ -170,10 +175,10 @@
 	Report   Report
 }
 
-// Rang says that a Wake has fallen due.
+// WakeDue says that the time of a Wake has come.
 type Rang struct{ Tag string }
 
-// Leaving says that the process ends at By: what is out then is cut off.
+// Stopping says that the process ends at By: calls still out then are cut off.
 type Leaving struct{ By time.Duration }
 
 func (Leaving) event() {}
@@ -186,12 +191,12 @@
 func (Probed) event()  {}
 func (Rang) event()    {}
 
-// Action is one decision: Send, PushBack, Fail, Cancel, Probe, HangUp, Wake, Watch or Note.
+// Action is a decision of a Sender: Send, Refuse, Fail, Cancel, Probe, CloseIdle, Wake, Watch or LogLine.
 type Action interface{ action() }
 
-// Send calls an endpoint with a message; it is abandoned at NotPast, and not begun after StartBy unless that is 0: a
-// connection may take long to come up. Fresh asks for a new connection. Sends of one Step with the same Call travel
-// together. EndBy is when the message's time is up.
+// Send calls an endpoint with a message. The call is abandoned at TimeoutAt, and not begun after StartBy
+// unless that is 0, because connecting may take long. NewConn asks for a new connection. Sends of one Step
+// with the same Call are one call. An answer about the message counts until ResultBy.
 type Send struct {
 	ID, Endpoint string
 	Call         uint64
@@ -201,31 +206,31 @@
 	Fresh        bool
 }
 
-// PushBack ends a message undelivered; the client may safely come again after RetryAfter.
+// Refuse ends a message undelivered; the client may safely submit it again after RetryAfter.
 type PushBack struct {
 	ID         string
 	RetryAfter time.Duration
 }
 
-// Fail ends a message and promises nothing.
+// Fail ends a message without telling whether it ran.
 type Fail struct{ ID string }
 
-// Cancel calls off an attempt that is out.
+// Cancel cancels an attempt that is out.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Probe sends a check.
+// Probe checks an endpoint without a message.
 type Probe struct{ Endpoint string }
 
-// HangUp gives back idle connections, all but Keep of them.
+// CloseIdle closes idle connections to an endpoint, all but Keep of them.
 type HangUp struct {
 	Endpoint string
 	Keep     int
 }
 
-// Wake asks for a Rang at a clock time.
+// Wake asks for a WakeDue at a clock time.
 type Wake struct {
 	At  time.Duration
 	Tag string
@@ -234,7 +239,7 @@
 // Watch asks for changes of the list.
 type Watch struct{}
 
-// Note is a line for the log.
+// LogLine is a line for the log.
 type Note struct{ Text string }
 
 func (Send) action()     {}
