--- a/choice/barred_test.go
+++ b/choice/barred_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// barNow leaves endpoints out and lets them serve again, some of them while they are not listed, and most of it twice.
+// toggleDisabled disables endpoints and enables them again, some of them while they are not listed, and most
+// of it twice.
 func barNow(n int, w *story) {
 	if n%40 == 0 && n > 0 {
 		w.step(0, Barred{Endpoint: fmt.Sprint("e", n/40%14), Lifted: n/40%3 > 0})
@@ -15,14 +16,14 @@
 	}
 }
 
-// Whatever discovery says, a barred endpoint gets nothing; the checker watches.
+// A disabled endpoint gets no call whatever the list says; the checker verifies it.
 func TestBarredInRandomStories(t *testing.T) {
 	for seed := range uint64(10) {
 		interruptedStory(t, seed, 1500, barNow)
 	}
 }
 
-// From its call back on an endpoint serves again, within the budget of one that is cold, and its fellow as before.
+// An endpoint that is enabled again serves within the budget of a slow start, and the other one as before.
 func TestBarredComesBackCold(t *testing.T) {
 	cfg := settings()
 	cfg.Slots, cfg.MaxOpen = 500, 4000
@@ -54,23 +55,23 @@
 	w.step(0, both)
 	play(10 * time.Second)
 	if sent["a"] < 50 || sent["b"] < 50 {
-		t.Fatalf("got %v", sent)
+		t.Fatalf("calls by endpoint: %v", sent)
 	}
 	w.step(0, Barred{Endpoint: "a"})
-	w.step(0, both) // discovery still lists it as serving
+	w.step(0, both) // the list still has it as Ready
 	if _, avoided := w.s.Pool(); avoided != 1 {
-		t.Errorf("%d avoided", avoided)
+		t.Errorf("%d endpoints avoided, want 1", avoided)
 	}
 	play(5 * time.Second)
 	if sent["a"] != 0 || sent["b"] < 50 {
-		t.Errorf("while it is left out: %v", sent)
+		t.Errorf("calls by endpoint while one is disabled: %v", sent)
 	}
 	w.step(0, Barred{Endpoint: "a", Lifted: true})
 	back := w.now
 	when = nil
 	play(cfg.WarmWithin)
 	if sent["a"] < 5 {
-		t.Errorf("it does not come back: %v", sent)
+		t.Errorf("calls by endpoint after it was enabled: %v", sent)
 	}
 	capacity := 10.0 // half of what the destination takes
 	for i, from := range when {
@@ -82,13 +83,13 @@
 		}
 		share := min(1, cfg.ColdFrom+(1-cfg.ColdFrom)*(from-back+cfg.Fall/2).Seconds()/cfg.WarmWithin.Seconds())
 		if most := cfg.FallMultiple * share * capacity * cfg.Fall.Seconds(); float64(count) > most+1 {
-			t.Fatalf("%d calls in the window from %v after the return, at most %.1f", count, from-back, most)
+			t.Fatalf("%d calls in the window from %v after the return, want at most %.1f", count, from-back, most)
 		}
 	}
 	cold := sent["a"]
-	w.step(0, Barred{Endpoint: "a", Lifted: true}) // once more, which makes it no colder
+	w.step(0, Barred{Endpoint: "a", Lifted: true}) // a second time, which must not restart the slow start
 	play(cfg.WarmWithin)
 	if sent["a"] <= cold || w.s.eps["a"].warming != nil {
-		t.Errorf("warm it gets %d calls, cold it got %d", sent["a"], cold)
+		t.Errorf("%d calls after the slow start, %d during it", sent["a"], cold)
 	}
 }
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep shows that a step follows what waits or is out, not the number of destinations known.
+// BenchmarkStep shows that the cost of a step depends on the messages waiting or out, not on the number of
+// destinations.
 func BenchmarkStep(b *testing.B) {
 	for _, dests := range []int{10, 300, 3000} {
 		b.Run(fmt.Sprint(dests), func(b *testing.B) {
@@ -32,8 +33,8 @@
 	}
 }
 
-// BenchmarkManyEndpoints is a step with a backlog of 90 messages whose partner is at its pace: what it costs to look at
-// all that waits for as many endpoints as it has, which each wake does.
+// BenchmarkManyEndpoints is a step with a backlog of 90 messages for a destination at its rate limit. It
+// measures the cost of going through all waiting messages for each of its endpoints, which each wake does.
 func BenchmarkManyEndpoints(b *testing.B) {
 	for _, endpoints := range []int{4, 64, 1024} {
 		for _, kind := range []string{"shared", "apart"} {
@@ -62,7 +63,8 @@
 	}
 }
 
-// With nothing held a sender asks for no wake, and what it keeps to walk is empty, however many it knows.
+// A sender without messages asks for no wake, and the lists that each step goes through are empty, however
+// many destinations it knows.
 func TestIdleSenderSleeps(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	var entries []Entry
@@ -78,6 +80,6 @@
 	asked := len(w.wakes)
 	w.step(time.Minute, Rang{})
 	if len(w.wakes) != asked || len(w.s.active) != 0 || len(w.s.open) != 0 {
-		t.Errorf("%d wakes asked for while idle, %d destinations walked", len(w.wakes)-asked, len(w.s.active))
+		t.Errorf("an idle sender asked for %d wakes and has %d active destinations", len(w.wakes)-asked, len(w.s.active))
 	}
 }
--- a/choice/checker_test.go
+++ b/choice/checker_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// story drives a Sender and asserts the rules on every action it takes.
+// scenario drives a Sender and checks the rules of the contract on every action.
 type story struct {
 	t       testing.TB
 	cfg     Settings
@@ -73,7 +73,7 @@
 	return fmt.Sprint("dest ", p.Dest)
 }
 
-// step notes the news, lets the sender answer, and checks each action.
+// step records the events, passes them to the sender and checks each action.
 func (w *story) step(after time.Duration, events ...Event) {
 	w.t.Helper()
 	w.now += after
@@ -130,7 +130,7 @@
 		}
 	}
 	for _, f := range waits {
-		f() // stricter than the rule: the reply to the batch that told a wait heeds it too
+		f() // stricter than the rule: the reply to the batch that brought a retry-after must already obey it
 	}
 	w.batched = map[string]int{}
 	for _, a := range w.s.Step(w.now, events) {
@@ -159,12 +159,12 @@
 		w.wakes = append(w.wakes, a.At)
 	case Probe:
 		if !w.cfg.MayProbe {
-			w.t.Fatal("a probe where none is allowed")
+			w.t.Fatal("a probe although the settings allow none")
 		}
 		w.probes = append(w.probes, a)
 	case Cancel:
 		if !w.cfg.MayCancel || w.out[attempt{a.ID, a.Attempt}] == nil {
-			w.t.Fatalf("cancel of %v is not allowed", a)
+			w.t.Fatalf("%v is not allowed, or the attempt is not out", a)
 		}
 	}
 }
@@ -173,10 +173,10 @@
 	w.t.Helper()
 	m := w.msgs[id]
 	if m == nil || m.ended {
-		w.t.Fatalf("%v: %s answered twice or unknown", w.now, id)
+		w.t.Fatalf("%v: %s has ended before or is unknown", w.now, id)
 	}
 	if w.now > m.DropDead+w.cfg.AnswerGrace {
-		w.t.Fatalf("%v: %s answered after its time", w.now, id)
+		w.t.Fatalf("%v: %s ended after its deadline", w.now, id)
 	}
 	m.ended = true
 	return m
@@ -187,31 +187,31 @@
 	m, p := w.msgs[a.ID], w.eps[a.Endpoint]
 	switch {
 	case m == nil || m.ended:
-		w.t.Fatalf("%v: sent %s, which is over or unknown", w.now, a.ID)
+		w.t.Fatalf("%v: sent %s, which has ended or is unknown", w.now, a.ID)
 	case p == nil || p.Dest != m.Dest:
-		w.t.Fatalf("%v: sent %s to %s, not of its destination", w.now, a.ID, a.Endpoint)
+		w.t.Fatalf("%v: sent %s to %s, which is not of its destination", w.now, a.ID, a.Endpoint)
 	case w.barred[a.Endpoint]:
-		w.t.Fatalf("%v: sent to barred endpoint %s", w.now, a.Endpoint)
+		w.t.Fatalf("%v: sent to disabled endpoint %s", w.now, a.Endpoint)
 	case p.closed:
-		w.t.Fatalf("%v: sent to drained endpoint %s", w.now, a.Endpoint)
+		w.t.Fatalf("%v: sent to endpoint %s, which is not Ready", w.now, a.Endpoint)
 	case w.now < w.waits[w.route(a.Endpoint)]:
-		w.t.Fatalf("%v: sent to %s in a wait", w.now, a.Endpoint)
+		w.t.Fatalf("%v: sent to %s before the end of a wait", w.now, a.Endpoint)
 	case m.class.Effect == Unsafe && (m.touched || m.out > 0):
-		w.t.Fatalf("%v: unsafe %s sent again", w.now, a.ID)
+		w.t.Fatalf("%v: AtMostOnce message %s sent again", w.now, a.ID)
 	case m.class.Effect == Keyed && m.touched && w.now > m.first+m.class.Window:
-		w.t.Fatalf("%v: keyed %s sent after its window", w.now, a.ID)
+		w.t.Fatalf("%v: Deduplicated message %s sent after its window", w.now, a.ID)
 	case m.class.Effect == Keyed && m.touched && (a.StartBy <= w.now || a.StartBy >= m.first+m.class.Window):
-		w.t.Fatalf("%v: keyed %s may begin until %v, its window ends at %v", w.now, a.ID, a.StartBy, m.first+m.class.Window)
+		w.t.Fatalf("%v: Deduplicated message %s may start until %v, its window ends at %v", w.now, a.ID, a.StartBy, m.first+m.class.Window)
 	case m.class.Effect == Keyed && m.touched && !m.class.GroupAll && p.Zone != m.zone:
-		w.t.Fatalf("%v: keyed %s sent outside its group", w.now, a.ID)
+		w.t.Fatalf("%v: Deduplicated message %s sent to another zone", w.now, a.ID)
 	case m.out > 0 && !w.cfg.MayDuplicate:
-		w.t.Fatalf("%v: two copies of %s", w.now, a.ID)
+		w.t.Fatalf("%v: two attempts of %s are out", w.now, a.ID)
 	case w.cfg.MaxAttempts > 0 && m.attempts >= w.cfg.MaxAttempts:
 		w.t.Fatalf("%v: too many attempts of %s", w.now, a.ID)
 	}
 	if m.class.Ordered && m.Key != "" {
 		if w.now < w.rests[m.Key] && m.attempts == 0 {
-			w.t.Fatalf("%v: sent %s while its key rests", w.now, a.ID)
+			w.t.Fatalf("%v: sent %s during the pause of its key", w.now, a.ID)
 		}
 		for _, id := range w.open {
 			o := w.msgs[id]
@@ -219,7 +219,7 @@
 				break
 			}
 			if o.class.Ordered && o.Key == m.Key && (!o.ended || o.out > 0) {
-				w.t.Fatalf("%v: %s overtook %s", w.now, a.ID, id)
+				w.t.Fatalf("%v: sent %s before %s, which comes first", w.now, a.ID, id)
 			}
 		}
 	}
@@ -233,7 +233,7 @@
 		w.calls++
 	}
 	if w.cfg.Slots > 0 && w.calls > w.cfg.Slots {
-		w.t.Fatalf("%v: more calls out than slots", w.now)
+		w.t.Fatalf("%v: more calls are out than there are slots", w.now)
 	}
 	w.out[attempt{a.ID, m.attempts}] = &flight{a, w.now, slot}
 	m.attempts++
@@ -241,7 +241,7 @@
 	w.sends = append(w.sends, a)
 }
 
-// flights lists the attempts that are out, in a fixed order.
+// attemptsOut lists the attempts that are out, in a fixed order.
 func (w *story) flights() []attempt {
 	var list []attempt
 	for a := range w.out {
@@ -253,7 +253,7 @@
 	return list
 }
 
-// outcome ends the only attempt that is out for a message.
+// outcome returns the end of the only attempt of a message that is out.
 func (w *story) outcome(id string, o Outcome, wait time.Duration) Ended {
 	w.t.Helper()
 	for a, f := range w.out {
@@ -267,14 +267,14 @@
 	return Ended{}
 }
 
-// quiet lets time pass.
+// idle advances the clock.
 func (w *story) quiet(span time.Duration) {
 	for end := w.now + span; w.now < end; {
 		w.step(10*ms, Rang{Tag: "sweep"})
 	}
 }
 
-// finish lets everything end and asserts that nothing is lost.
+// finish lets every message end and checks that none is lost.
 func (w *story) finish() {
 	w.t.Helper()
 	for i := 0; i < 20000 && (len(w.out) > 0 || w.unended() != ""); i++ {
@@ -325,12 +325,12 @@
 	return Arrived{ID: id, Class: class, Dest: dest, DropDead: w.now + d}
 }
 
-// randomStory plays thousands of steps of anything at all; the checker watches.
+// randomScenario runs thousands of steps of random events; the checker verifies each.
 func randomStory(t testing.TB, seed uint64, steps int) *story {
 	return interruptedStory(t, seed, steps, func(int, *story) {})
 }
 
-// interruptedStory is a randomStory with something done before each step.
+// interruptedScenario is a randomScenario that calls a function before each step.
 func interruptedStory(t testing.TB, seed uint64, steps int, between func(int, *story)) *story {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := settings()
@@ -377,7 +377,8 @@
 			if pick(0.3) {
 				e.Report = Report{Left: rng.Float64()*3 - 1, Limit: rng.Float64()*20 - 2, HasLeft: true, HasLimit: true}
 			}
-			// The fellows of a batch share its fate; this story lets their outcomes come apart, which is harder.
+			// The messages of one call normally have the same outcome; here the outcomes differ, which is
+			// harder.
 			events = append(events, e)
 		}
 		for range rng.IntN(3) {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	if fresh := (gate{}); !fresh.accepts(0, 10) {
-		t.Error("a fresh gate must accept")
+		t.Error("a new gate must be open")
 	}
 }
 
@@ -47,7 +47,7 @@
 		g.sample(now, 5)
 	}
 	if g.baseline > 0.25 || g.average < 4 {
-		t.Fatalf("baseline %v, average %v", g.baseline, g.average)
+		t.Fatalf("the baseline is %v, the average is %v", g.baseline, g.average)
 	}
 	before := g.baseline
 	for range 600 {
@@ -55,7 +55,7 @@
 		g.sample(now, 5)
 	}
 	if g.baseline <= before*2 || g.baseline > g.average {
-		t.Errorf("after ten minutes at a new base speed the baseline is %v, was %v", g.baseline, before)
+		t.Errorf("after ten minutes at a new response time the baseline is %v, was %v", g.baseline, before)
 	}
 }
 
@@ -66,11 +66,11 @@
 	*g = gate{seen: true, baseline: 0.1, average: 9, at: w.now}
 	w.step(5*ms, w.arrive("trial", 0, 0))
 	if len(w.sends) != 1 || len(w.backs) != 0 {
-		t.Fatalf("an idle shut gate must admit one trial: %v", w.log)
+		t.Fatalf("a closed gate without calls must admit one trial message: %v", w.log)
 	}
 	w.step(5*ms, w.arrive("next", 0, 0))
 	if len(w.backs) != 1 || w.backs[0].ID != "next" || w.backs[0].RetryAfter <= 0 {
-		t.Fatalf("a shut gate refuses with a retry-after: %v", w.log)
+		t.Fatalf("a closed gate must refuse with a retry-after: %v", w.log)
 	}
 	for i := range 30 {
 		w.quiet(600 * ms)
@@ -81,12 +81,13 @@
 		w.step(5*ms, w.arrive(fmt.Sprint("t", i), 0, 0))
 	}
 	if g.shut {
-		t.Errorf("fast trials must open the gate; average %v", g.average)
+		t.Errorf("fast trial messages must open the gate; the average is %v", g.average)
 	}
 	w.finish()
 }
 
-// What one class waits at the end of the order must not turn away another that goes before it and is in time.
+// The waiting time of one class, which is last in the order, must not refuse another class that goes first
+// and is in time.
 func TestLongHoldOfOneClassLeavesTheGateOfAnotherOpen(t *testing.T) {
 	cfg := settings()
 	cfg.Classes[0].Deadline = time.Minute
@@ -95,18 +96,19 @@
 	w.step(5*ms, w.arrive("urgent", 1, 0))
 	w.step(50*ms, w.outcome("urgent", Pass, 0))
 	w.step(5*ms, w.arrive("held", 0, 0))
-	w.step(9*time.Second, w.outcome("held", Pass, 0)) // most of the other class's time
+	w.step(9*time.Second, w.outcome("held", Pass, 0)) // most of the time of that class
 	w.step(5*ms, w.arrive("more", 1, 0), w.arrive("and more", 1, 0))
 	if len(w.backs) != 0 {
-		t.Errorf("turned away: %v", w.backs)
+		t.Errorf("refused: %v", w.backs)
 	}
 	w.finish()
 }
 
-// A class whose messages are never sent has no outcomes; its gate must learn from those that are given up.
+// A class whose messages are never sent has no outcomes; its gate must learn from the messages that are given
+// up.
 func TestMessagesGivenUpUnsentShutTheGate(t *testing.T) {
 	w := newStory(t, settings(), 1)
-	w.step(0, one(), w.arrive("sent", 1, 0)) // has its answer neither way, and the only call of the pace
+	w.step(0, one(), w.arrive("sent", 1, 0)) // stays out without an answer, and is the only call that the rate allows
 	w.s.eps["a"].route.waitUntil = w.now + time.Minute
 	for i := range 3 {
 		w.step(5*ms, w.arrive(fmt.Sprint("held", i), 0, 0))
@@ -119,7 +121,7 @@
 	w.step(5*ms, w.arrive("trial", 0, 0))
 	w.step(5*ms, w.arrive("next", 0, 0))
 	if len(w.backs) != given+1 {
-		t.Errorf("%d turned away after three that were given up unsent", len(w.backs)-given)
+		t.Errorf("%d messages refused after three that were given up unsent", len(w.backs)-given)
 	}
 	w.finish()
 }
@@ -136,20 +138,20 @@
 	w.step(5*ms, w.arrive("x", 2, 0))
 	w.step(5*ms, w.outcome("x", Fault, 0)) // a fast error
 	if now := w.s.dests[0].gates[2].average; now < was+0.2*smoothing {
-		t.Errorf("a fast error moved the average from %v to %v", was, now)
+		t.Errorf("a fast error changed the average from %v to %v", was, now)
 	}
 	w.finish()
 }
 
 func TestRuleOneEveryMessageEnds(t *testing.T) {
 	w := newStory(t, settings(), 1)
-	w.step(0, w.arrive("nowhere", 0, 9)) // no such destination, no list at all
+	w.step(0, w.arrive("nowhere", 0, 9)) // no such destination and no list
 	w.step(5*ms, one(), w.arrive("gone", 1, 0))
 	w.step(5*ms, list(), w.outcome("gone", NoRoute, 0)) // its endpoint left
 	w.step(5*ms, one(), w.arrive("slow", 2, 0))
 	w.finish()
 	if !slices.ContainsFunc(w.backs, func(b PushBack) bool { return b.ID == "nowhere" }) {
-		t.Error("what never ran is refused, not failed")
+		t.Error("a message that never ran must be refused, not failed")
 	}
 }
 
@@ -167,14 +169,14 @@
 	}
 	for _, s := range w.sends {
 		if end := w.msgs[s.ID].DropDead; s.StartBy <= w.now || s.StartBy >= end {
-			t.Errorf("%s may begin until %v, its time is up at %v", s.ID, s.StartBy, end)
+			t.Errorf("%s may start until %v, its deadline is %v", s.ID, s.StartBy, end)
 		}
 	}
 	w.finish()
 }
 
 func TestRuleTwoEffects(t *testing.T) {
-	t.Run("unsafe fails after an unsure end", func(t *testing.T) {
+	t.Run("at most once: fails after an ambiguous outcome", func(t *testing.T) {
 		w := newStory(t, settings(), 1)
 		w.step(0, one(), w.arrive("u", 2, 0))
 		w.step(5*ms, w.outcome("u", Cut, 0))
@@ -182,7 +184,7 @@
 			t.Fatal(w.log)
 		}
 	})
-	t.Run("unsafe goes again when nothing ran", func(t *testing.T) {
+	t.Run("at most once: is sent again when nothing ran", func(t *testing.T) {
 		w := newStory(t, settings(), 1)
 		w.step(0, one(), w.arrive("u", 2, 0))
 		w.step(5*ms, w.outcome("u", NoRoom, 0))
@@ -192,7 +194,7 @@
 		}
 		w.finish()
 	})
-	t.Run("keyed is refused before its window ends", func(t *testing.T) {
+	t.Run("deduplicated: is refused before its window ends", func(t *testing.T) {
 		w := newStory(t, settings(), 1)
 		w.step(0, one(), w.arrive("k", 1, 0))
 		w.step(5*ms, w.outcome("k", TooSlow, 0), list())
@@ -201,7 +203,7 @@
 			t.Fatal(w.log)
 		}
 	})
-	t.Run("keyed goes again with its window's end", func(t *testing.T) {
+	t.Run("deduplicated: is sent again until its window ends", func(t *testing.T) {
 		w := newStory(t, settings(), 1)
 		w.step(0, one(), w.arrive("k", 1, 0))
 		first := w.now
@@ -211,11 +213,11 @@
 			t.Fatal(w.log)
 		}
 		if by, end := w.sends[1].StartBy, first+w.cfg.Classes[1].Window; by <= w.now || by >= end {
-			t.Errorf("may begin until %v, the window ends at %v", by, end)
+			t.Errorf("may start until %v, the window ends at %v", by, end)
 		}
 		w.finish()
 	})
-	t.Run("keyed of one zone stays there", func(t *testing.T) {
+	t.Run("deduplicated in one zone: stays there", func(t *testing.T) {
 		cfg := settings()
 		cfg.Classes[1].GroupAll = false
 		w := newStory(t, cfg, 1)
@@ -235,18 +237,18 @@
 	drain := Listed{Entries: []Entry{{Endpoint: "a", Phase: Draining}}}
 	w.step(5*ms, w.arrive("0", 0, 0), w.arrive("1", 0, 0), w.arrive("2", 0, 0), w.arrive("3", 0, 0), drain)
 	if len(w.sends) == 0 {
-		t.Fatal("the other endpoint is free")
+		t.Fatal("no message was sent to the other endpoint")
 	}
 	w.step(5*ms, Listed{Entries: []Entry{{Endpoint: "a", Weight: 10}, {Endpoint: "b", Phase: Gone}}})
 	w.quiet(time.Second)
 	w.step(5*ms, w.arrive("4", 0, 0))
 	if last := w.sends[len(w.sends)-1]; last.Endpoint != "a" {
-		t.Errorf("an endpoint may come back: %v", last)
+		t.Errorf("the endpoint that is Ready again must get the message: %v", last)
 	}
 	w.finish()
 }
 
-// Messages held through an outage kept the gate shut for new ones that could be in time.
+// Messages held through an outage kept the gate closed for new ones that could be delivered in time.
 func TestOldHoldDoesNotShutTheGateAfterTheReturn(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	w.step(0, one(), w.arrive("old", 0, 0))
@@ -257,9 +259,9 @@
 	w.quiet(2 * time.Second)
 	w.step(50*ms, w.outcome("old", Pass, 0))
 	if d.gates[0].average > 3 {
-		t.Errorf("the average is %v s after a hold through an outage", d.gates[0].average)
+		t.Errorf("the average is %v s after messages were held through an outage", d.gates[0].average)
 	}
-	// The call that ends an outage starts the recovery at its own outcome; it still lasted as long as it did.
+	// The call that ends an outage starts the slow start at its own outcome; its time still counts in full.
 	w.step(5*ms, w.arrive("next", 0, 0))
 	w.quiet(300 * ms)
 	d.gates[0], d.endpoints[0].route.sick = gate{}, true
@@ -269,8 +271,8 @@
 	}
 }
 
-// A destination that is back cold must not be pushed over by the backlog that a fleet held through its outage,
-// be the fleet two busy senders or many that seldom call there; nor must the backlog starve.
+// A destination in slow start must not be overloaded by the backlog that a fleet held through its outage,
+// whether the fleet is two busy senders or many that rarely call it; and the backlog must not starve.
 func TestRuleFourColdBudget(t *testing.T) {
 	for _, fleet := range []int{2, 40} {
 		t.Run(fmt.Sprint(fleet), func(t *testing.T) { coldFleet(t, fleet) })
@@ -291,7 +293,7 @@
 	var when []time.Duration
 	served := 0
 	for n := range 2400 {
-		to := rng.IntN(fleet) // 6.7 messages a second in all
+		to := rng.IntN(fleet) // 6.7 messages a second over all senders
 		for i, w := range senders {
 			var events []Event
 			for _, a := range w.flights() {
@@ -327,21 +329,22 @@
 		}
 		share := min(1, cfg.ColdFrom+(1-cfg.ColdFrom)*(from-back+cfg.Fall/2).Seconds()/cfg.WarmWithin.Seconds())
 		if most := cfg.FallMultiple * share * 12 * cfg.Fall.Seconds(); float64(count) > most {
-			t.Fatalf("%d calls in the window from %v after the return, at most %.1f", count, from-back, most)
+			t.Fatalf("%d calls in the window from %v after the return, want at most %.1f", count, from-back, most)
 		}
 	}
 	if served < 70 {
-		t.Errorf("only %d of 160 messages served: the backlog starves", served)
+		t.Errorf("only %d of 160 messages were delivered: the backlog starves", served)
 	}
 }
 
-// A wake that rings a little early is asked for again; else what waits would wait for other news.
+// After a WakeDue that comes a little early another wake must be asked for; otherwise waiting messages depend
+// on other events.
 func TestEarlyRingIsNoLostWake(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	w.step(0, w.arrive("m", 0, 0))
 	w.step(w.wakes[0]-w.now-time.Microsecond, Rang{})
 	if len(w.wakes) < 2 {
-		t.Fatal("no wake is asked for")
+		t.Fatal("no second wake was asked for")
 	}
 	w.finish()
 }
@@ -355,16 +358,16 @@
 	if len(w.sends) != 1 {
 		t.Fatal(w.log)
 	}
-	// The first ends while its attempt is out: the turn passes only with the outcome and after the rest.
+	// The first ends while its attempt is out: the next has its turn only after the outcome and the pause.
 	w.step(5*ms, Dropped{ID: "1"})
 	w.quiet(100 * ms)
 	if len(w.sends) != 1 {
-		t.Fatal("overtaken while an attempt was out")
+		t.Fatal("the next message was sent while an attempt of the first was out")
 	}
 	w.step(5*ms, w.outcome("1", TooSlow, 0))
 	w.quiet(cfg.OrderSettle + 500*ms)
 	if len(w.sends) != 2 {
-		t.Fatalf("the turn was never passed on: %v", w.log)
+		t.Fatalf("the next message never had its turn: %v", w.log)
 	}
 	w.finish()
 }
@@ -379,17 +382,17 @@
 		w.step(5*ms, w.outcome("1", NoRoom, time.Second), Listed{Entries: []Entry{{Endpoint: "b", Weight: 10}}})
 		w.step(5*ms, w.arrive("2", 1, 0), w.arrive("3", 2, 0))
 		if others := len(w.sends) > 1; others != apart {
-			t.Errorf("apart %v: sends %v", apart, w.sends)
+			t.Errorf("separate routes %v: sends are %v", apart, w.sends)
 		}
 		w.quiet(2500 * ms)
 		if len(w.sends) < 3 {
-			t.Errorf("apart %v: nothing more after the wait: %v", apart, w.sends)
+			t.Errorf("separate routes %v: no further sends after the wait: %v", apart, w.sends)
 		}
 		w.finish()
 	}
 }
 
-// Hung destinations held every slot until long time-outs, and healthy ones starved.
+// Destinations that hung held every slot until long timeouts, and healthy ones starved.
 func TestSilenceDoesNotHoldAllSlots(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	var entries []Entry
@@ -418,18 +421,18 @@
 			events = append(events, w.arrive(fmt.Sprint("m", n), n/5%3, n/5%5))
 		}
 		w.step(10*ms, append(events, Rang{})...)
-		for _, a := range w.s.actions { // what is called off ends in the next step
+		for _, a := range w.s.actions { // a canceled attempt ends in the next step
 			if c, ok := a.(Cancel); ok {
 				w.step(ms, w.outcome(c.ID, Undone, 0))
 			}
 		}
 	}
 	if served < 24 {
-		t.Errorf("the one healthy destination of five had %d of 32 messages served", served)
+		t.Errorf("the one healthy destination of five got %d of 32 messages delivered", served)
 	}
 }
 
-// A destination whose calls last long took as many slots as a fast one, and held each far longer.
+// A destination with long calls got as many slots as a fast one, and held each far longer.
 func TestSlotsGoByTimeHeld(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	w.step(0, list(Entry{Endpoint: "fast", Dest: 0, Weight: 1000}, Entry{Endpoint: "long", Dest: 1, Weight: 1000}))
@@ -447,26 +450,27 @@
 		w.step(10*ms, append(events, Rang{})...)
 	}
 	if passed["fast"] < 3*passed["long"] {
-		t.Errorf("fast %d, long %d", passed["fast"], passed["long"])
+		t.Errorf("%d calls to the fast destination, %d to the one with long calls", passed["fast"], passed["long"])
 	}
 }
 
-// An endpoint that takes few connections refuses ours while others pass: no outage, and idle ones are given back.
+// An endpoint that takes few connections refuses new ones while other calls succeed: no outage, and idle
+// connections are closed.
 func TestCrowdedEndpointIsNoOutage(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	w.step(0, one(), w.arrive("1", 0, 0))
 	w.step(time.Second, w.outcome("1", NoRoute, 0))
 	if w.s.dests[0].endpoints[0].route.sick {
-		t.Fatal("one failed connect made an outage")
+		t.Fatal("one failed connect opened the breaker")
 	}
 	w.quiet(time.Second)
 	w.step(5*ms, w.outcome("1", Pass, 0))
 	if !slices.ContainsFunc(w.s.actions, func(a Action) bool { return a == HangUp{Endpoint: "a"} }) {
-		t.Error("the idle connection was kept")
+		t.Error("the idle connection was not closed")
 	}
 }
 
-// One destination's backlog must not take the whole room for held messages.
+// The backlog of one destination must not take all the room for held messages.
 func TestBacklogLeavesRoomForOthers(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	w.step(0, list(Entry{Endpoint: "b", Dest: 1, Weight: 10}))
@@ -474,11 +478,11 @@
 		w.step(5*ms, w.arrive(fmt.Sprint("m", i), 0, 0)) // no endpoint there
 	}
 	if held := len(w.s.dests[0].waiting); held > w.cfg.MaxOpen/2+1 {
-		t.Errorf("%d of %d places held by one destination", held, w.cfg.MaxOpen)
+		t.Errorf("one destination holds %d of %d places", held, w.cfg.MaxOpen)
 	}
 	w.step(5*ms, w.arrive("other", 0, 1))
 	if n := len(w.sends); n != 1 || w.sends[0].ID != "other" {
-		t.Errorf("the healthy destination was not served: %v", w.sends)
+		t.Errorf("the healthy destination got no call: %v", w.sends)
 	}
 	w.finish()
 }
@@ -493,13 +497,13 @@
 		w.step(5*ms, w.outcome(id, Fault, 0))
 	}
 	if !w.s.dests[0].endpoints[0].route.sick {
-		t.Fatal("a run of failures makes an outage")
+		t.Fatal("a run of failures must open the breaker")
 	}
 	w.step(5*ms, w.arrive("u", 2, 0))
 	w.quiet(2 * time.Second)
 	for _, s := range w.sends {
 		if s.ID == "u" {
-			t.Fatal("an unsafe message went out as a trial")
+			t.Fatal("an AtMostOnce message was sent in a half-open call")
 		}
 	}
 	w.finish()
@@ -519,7 +523,7 @@
 	w.step(5*ms, w.arrive("last", 0, 0))
 	w.quiet(time.Second)
 	if last := w.sends[len(w.sends)-1]; last.ID != "last" {
-		t.Errorf("sending stopped after odd reports: %v", last)
+		t.Errorf("sending stopped after invalid reports: %v", last)
 	}
 	w.finish()
 }
@@ -534,7 +538,7 @@
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			if w := randomStory(t, seed, 2500); len(w.sends) < 50 && w.cfg.MaxOpen > 10 {
-				t.Errorf("only %d sends: the story tests little", len(w.sends))
+				t.Errorf("only %d sends: the scenario tests little", len(w.sends))
 			}
 		})
 	}
@@ -543,11 +547,12 @@
 func TestSameEventsSameActions(t *testing.T) {
 	a, b := randomStory(t, 7, 2000), randomStory(t, 7, 2000)
 	if !slices.Equal(a.log, b.log) {
-		t.Error("two runs over the same events differ")
+		t.Error("two runs with the same events differ")
 	}
 }
 
-// A lossy path: lost calls held the few slots until their time-outs, though their messages may be repeated.
+// On a lossy path, lost calls held the few slots until their timeouts although their messages may be
+// repeated.
 func TestLostRepeatableCallsGiveBackTheirSlots(t *testing.T) {
 	cfg := settings()
 	cfg.Slots = 2
@@ -566,12 +571,13 @@
 		}
 	}
 	if len(called) == 0 || called["unsafe"] {
-		t.Errorf("called off: %v; want repeatable calls only", called)
+		t.Errorf("canceled: %v; want repeatable calls only", called)
 	}
 }
 
-// A large fleet's idle connections filled small tables: one that will hardly be used again goes back. But closing those
-// whose mean gap was just above the idle time cost handshakes, for calls at random mostly come sooner than the mean.
+// The idle connections of a large fleet filled small connection tables: one that will hardly be used again is
+// closed. But closing connections with a mean gap just above the idle timeout cost handshakes, because calls
+// at random mostly come sooner than the mean.
 func TestConnectionOfAFarApartSenderIsGivenBack(t *testing.T) {
 	for _, c := range []struct {
 		gap  time.Duration
@@ -590,12 +596,13 @@
 			back = slices.Contains(w.s.actions, Action(HangUp{Endpoint: "a"}))
 		}
 		if back != c.back {
-			t.Errorf("calls %v apart: connection given back is %v", c.gap, back)
+			t.Errorf("calls %v apart: the connection was closed: %v", c.gap, back)
 		}
 	}
 }
 
-// A rare sender has no third call in time: two failures in a row are an outage for it, not for a busy one.
+// A sender with rare calls has no third call in time: two failures in a row are an outage for it, but not for
+// a busy one.
 func TestTwoFailuresAreAnOutageForARareSender(t *testing.T) {
 	for _, c := range []struct {
 		gap  time.Duration
@@ -611,13 +618,14 @@
 			w.step(5*ms, w.outcome(id, Fault, 0), Dropped{ID: id})
 		}
 		if got := w.s.eps["a"].route.sick; got != c.sick {
-			t.Errorf("failures %v apart: outage is %v", c.gap, got)
+			t.Errorf("failures %v apart: the breaker is open: %v", c.gap, got)
 		}
 	}
 }
 
-// Where refused calls use up the limit, a fleet that goes on asking gets nothing. So at a refusal a sender falls below
-// its own share, and however long all are refused, what it goes on with stays a fraction of that.
+// Where rejected calls use up the limit, a fleet that does not slow down gets nothing. So a sender falls
+// below its own share at a rejection, and its rate stays a fraction of that however long all calls are
+// rejected.
 func TestRefusedSenderStaysBelowItsShare(t *testing.T) {
 	for _, limit := range []float64{20, 130} {
 		cfg := settings()
@@ -630,7 +638,7 @@
 			for a := range w.out {
 				w.step(5*ms, w.outcome(a.id, NoRoom, 0), Dropped{ID: a.id})
 				if rate, _ := w.s.pace(w.s.eps["a"].route); rate >= share {
-					t.Fatalf("limit %v: %v calls a second after a refusal, the share is %v", limit, rate, share)
+					t.Fatalf("limit %v: %v calls a second after a rejection, the own share is %v", limit, rate, share)
 				}
 				if i >= 100 {
 					calls++
@@ -638,13 +646,13 @@
 			}
 		}
 		if rate := float64(calls) / (0.9 * seconds(w.now-time.Hour)); rate > share/3 || calls == 0 {
-			t.Errorf("limit %v: %v calls a second while all are refused, the share is %v", limit, rate, share)
+			t.Errorf("limit %v: %v calls a second while all are rejected, the own share is %v", limit, rate, share)
 		}
 	}
 }
 
-// A destination that is back and cold has a limit too, which refused calls use up: with the cold budget alone a fleet whose
-// backlog is large overbooks it until it is warm.
+// A destination in slow start has a limit too, which rejected calls use up: with the slow start budget alone,
+// a fleet with a large backlog overbooks it until the slow start ends.
 func TestRefusalsSlowThePaceToAColdDestination(t *testing.T) {
 	cfg := settings()
 	cfg.Fleet = 80
@@ -653,7 +661,7 @@
 	r := w.s.eps["a"].route
 	w.s.strike(r)
 	w.quiet(5 * time.Second)
-	r.sick, r.coldFrom, r.demand = false, w.now, 100 // a backlog that was handed in meanwhile
+	r.sick, r.coldFrom, r.demand = false, w.now, 100 // a backlog that arrived meanwhile
 	w.quiet(6 * time.Second)
 	before, _ := w.s.pace(r)
 	for range 3 {
@@ -661,12 +669,13 @@
 		w.s.cut(&call{ep: w.s.eps["a"], sentAt: w.s.now})
 	}
 	if after, bound := w.s.pace(r); !bound || after > 0.3 || before < 0.9 {
-		t.Errorf("%v calls a second before and %v after three refusals; the own share is 1", before, after)
+		t.Errorf("%v calls a second before and %v after three rejections; the own share is 1", before, after)
 	}
 }
 
-// Parts that grew with each call that passed drove the nodes of a fleet apart: those with more calls got more, until the
-// others starved at a limit that had room for all. Two that see the same share of refusals have to come together.
+// Rate shares that grew with each successful call drove the nodes of a fleet apart: those with more calls got
+// more, until the others starved at a limit with room for all. Two nodes with the same share of rejections
+// must converge.
 func TestPartsComeTogether(t *testing.T) {
 	cfg := settings()
 	cfg.Fleet = 80
@@ -676,7 +685,7 @@
 	high.weight, low.weight, high.part, low.part = 80, 80, 1, 0.1
 	high.partAt, low.partAt = s.now, s.now
 	due := map[*route]float64{}
-	for range 3000 { // 0.1 s each; the limit is one call a second for each node, and one in ten is refused
+	for range 3000 { // 0.1 s each; the limit is one call a second for each node, and one call in ten is rejected
 		s.now += 100 * ms
 		for _, r := range []*route{high, low} {
 			rate, _ := s.pace(r)
@@ -692,11 +701,12 @@
 		}
 	}
 	if low.part < 0.4 || low.part < high.part/3 || high.part < low.part/3 {
-		t.Errorf("parts are %v and %v after five minutes", high.part, low.part)
+		t.Errorf("the rate shares are %v and %v after five minutes", high.part, low.part)
 	}
 }
 
-// Calls that are out when the first refusal comes were sent into the same overload: theirs tell nothing new.
+// Calls that are out at the first rejection were sent into the same overload: their rejections are no new
+// sign.
 func TestRefusalsOfOneMomentCutOnce(t *testing.T) {
 	cfg := settings()
 	cfg.Fleet = 4
@@ -710,18 +720,18 @@
 		w.step(5*ms, w.outcome(id, NoRoom, 0), Dropped{ID: id})
 	}
 	if r := w.s.eps["a"].route; r.refusals != 1 || r.part < partCut {
-		t.Errorf("%d cuts, the part is %v", r.refusals, r.part)
+		t.Errorf("%d decreases, the rate share is %v", r.refusals, r.part)
 	}
 }
 
-// The weight follows what comes for the first time; what is handed in again does not count.
+// The traffic share counts first submissions; repeated submissions do not count.
 func TestWeightIsTheShareOfFirstTries(t *testing.T) {
 	cfg := settings()
 	cfg.Fleet, cfg.Tenants = 10, []Tenant{{PerSecond: 60}, {PerSecond: 40}}
 	w := newStory(t, cfg, 1)
 	w.step(0, one())
 	if got := w.s.weight(); math.Abs(got-0.1) > 0.001 {
-		t.Errorf("%v at the start, want an even share", got)
+		t.Errorf("the traffic share is %v at the start, want an even one", got)
 	}
 	for i := range 600 { // 20 a second, of 100
 		e := w.arrive(fmt.Sprint("m", i), 0, 0)
@@ -731,12 +741,12 @@
 		w.step(0, again, Dropped{ID: again.ID})
 	}
 	if got := w.s.weight(); got < 0.16 || got > 0.22 {
-		t.Errorf("%v with a fifth of the traffic", got)
+		t.Errorf("the traffic share is %v with a fifth of the traffic", got)
 	}
 }
 
-// In a large fleet a part that was cut is soon given back, though hardly a call passes meanwhile: messages waited for all
-// their time at a destination that had room.
+// In a large fleet a decreased rate share must recover soon although hardly a call succeeds meanwhile:
+// messages waited for all their time at a destination that had room.
 func TestRareSenderIsNotStarvedByARefusal(t *testing.T) {
 	cfg := settings()
 	cfg.Fleet = 36
@@ -754,7 +764,8 @@
 	w.finish()
 }
 
-// A hung destination's queue fills, and it refuses: where no limit is told, a run of refusals is an outage.
+// The queue of a destination that hangs fills up, and it rejects calls: without a known limit, a run of
+// rejections is an outage.
 func TestRefusalsWithoutALimitAreAnOutage(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	w.step(0, list(Entry{Endpoint: "a", Dest: 0}))
@@ -767,11 +778,12 @@
 		w.step(50*ms, e, Dropped{ID: id})
 	}
 	if !w.s.eps["a"].route.sick {
-		t.Error("three refusals where there is no limit are no outage")
+		t.Error("three rejections without a limit did not open the breaker")
 	}
 }
 
-// The answer to a batch may tell a wait though this message of it was delivered. It binds all the same.
+// The answer to a batch may have a retry-after although this message of it was delivered. It applies all the
+// same.
 func TestWaitToldWithADeliveryBinds(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	w.step(0, one())
@@ -781,7 +793,7 @@
 	sent := len(w.sends)
 	w.step(5*ms, w.arrive("b", 0, 0))
 	if w.quiet(700 * ms); len(w.sends) != sent {
-		t.Error("a call went out before the end of the wait")
+		t.Error("a call was made before the end of the wait")
 	}
 	if w.quiet(300 * ms); len(w.sends) != sent+1 {
 		t.Errorf("%d calls after the wait", len(w.sends)-sent)
@@ -789,8 +801,9 @@
 	w.finish()
 }
 
-// A call of several messages is given up whole, and one that may not be repeated is given all its time. So where the
-// last call failed, those that may be repeated travel apart from it; elsewhere they share its call and its slot.
+// A call of several messages is given up whole, and an AtMostOnce message gets all its time. So where the
+// last call failed, messages that may be repeated are sent in other calls; elsewhere they share its call and
+// its slot.
 func TestUnsafeMessagesTravelApartWhereSilenceIsFeared(t *testing.T) {
 	for _, feared := range []bool{false, true} {
 		cfg := settings()
@@ -825,16 +838,16 @@
 			together = max(together, n)
 		}
 		if mixed == feared {
-			t.Errorf("feared is %v, so is a mixed call", feared)
+			t.Errorf("after a failure: %v, and there is a mixed call: the same", feared)
 		}
 		if together != 6 || len(s.sent) < 9 && !feared {
-			t.Errorf("feared is %v: %d of what may be repeated travel together, %d are out", feared, together, len(s.sent))
+			t.Errorf("after a failure: %v; %d repeatable messages share a call, %d attempts are out", feared, together, len(s.sent))
 		}
 	}
 }
 
-// A message whose call was answered when a fellow was over already may be delivered and may not: it is neither sent again,
-// lest that be after its end, nor refused, lest that be untrue.
+// A message may be delivered or not if its call was answered when another message of the call had ended
+// already. It is not sent again, which might be after its end, and not refused, which might be untrue.
 func TestWhatCantBeToldEndsAsFailed(t *testing.T) {
 	for class := range settings().Classes {
 		w := newStory(t, settings(), 1)
--- a/choice/crowd_test.go
+++ b/choice/crowd_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A new connection that is refused and closed is a full table: the calls that are out have their places, no more go
-// out beside them for now, the pace stays, and idle connections are given back. On a kept connection, or with it
-// left open, the same refusal is one over the limit.
+// A new connection that is rejected and closed means a full connection table: calls that are out keep their
+// places, no more start beside them for now, the rate stays, and idle connections are closed. On a reused
+// connection, or with the connection left open, the same rejection is one over the limit.
 func TestFullTableIsNoLimit(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -44,12 +44,12 @@
 		now += 20 * ms
 		step(Ended{ID: "m0", Endpoint: "a", Took: 40 * ms})
 		if out != 4 {
-			t.Errorf("%s: the place that is free is not used", c.name)
+			t.Errorf("%s: the free place is not used", c.name)
 		}
 		now += 20 * ms
 		step(Ended{ID: "m1", Endpoint: "a", Took: 60 * ms})
 		if got := step(Ended{ID: "m2", Attempt: 1, Endpoint: "a", Took: 20 * ms}); len(got) != 1 || got[0].Keep != 1 {
-			t.Errorf("%s: got %v", c.name, got)
+			t.Errorf("%s: closed idle connections: %v", c.name, got)
 		}
 	}
 }
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -7,7 +7,7 @@
 	"starlingusher/choice"
 )
 
-// A delivery node gives the module its settings once, then feeds it events and carries out the actions.
+// A delivery node passes its settings once, then passes events and carries out the actions.
 func Example() {
 	sender := choice.New(choice.Settings{
 		Classes: []choice.Class{{Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 1, Effect: choice.Keyed,
@@ -15,7 +15,7 @@
 		Fleet: 3, Slots: 10, MaxOpen: 100, MaxAttempts: 6, MaxRetryAfter: 3 * time.Second,
 	}, 42)
 
-	now := time.Duration(0) // the node's own clock; Step must never see it go back
+	now := time.Duration(0) // the node's own clock, which must never go back
 	sender.Step(now, []choice.Event{choice.Listed{Whole: true, Entries: []choice.Entry{{Endpoint: "bank-1", Dest: 7}}}})
 
 	now += 10 * time.Millisecond
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// fleet is many senders on one clock, and one destination that has an outage and comes back cold.
+// fleet is many senders on one clock, with one destination that has an outage and returns in slow start.
 type fleet struct {
 	nodes    []*fleetNode
 	rng      *rand.Rand
 	cfg      Settings
 	now      time.Duration
 	due      dues
-	limit    float64 // calls a second when warm; the list tells them
+	limit    float64 // calls a second at full capacity; the list has them as weights
 	eps      int
 	down, up time.Duration
-	outage   Outcome // what calls meet meanwhile
+	outage   Outcome // outcome of calls during the outage
 	busy     float64 // work at the destination, in seconds of its capacity
 	busyAt   time.Duration
 	reached  []reach
@@ -34,17 +34,17 @@
 	rate   float64 // messages a second
 	held   map[string]Arrived
 	tries  map[string]int
-	knows  bool // a call failed or was refused during the outage
+	knows  bool // a call failed or was rejected during the outage
 	serial int
 }
 
-// reach is a call that came to the destination after its outage.
+// arrival is a call that reached the destination after its outage.
 type reach struct {
 	at    time.Duration
 	knows bool
 }
 
-// due is something that happens at a time.
+// task is something to do at a given time.
 type due struct {
 	at time.Duration
 	do func()
@@ -64,7 +64,7 @@
 
 func (f *fleet) at(t time.Duration, do func()) { heap.Push(&f.due, due{t, do}) }
 
-// start gives a node a new sender, which takes up what the one before held.
+// start gives a node a new sender, which resumes the messages of the previous one.
 func (f *fleet) start(n *fleetNode) {
 	n.s, n.knows = New(f.cfg, f.rng.Uint64()), false
 	entries := make([]Entry, f.eps)
@@ -98,7 +98,7 @@
 	}
 }
 
-// call takes a call to the destination and its outcome back.
+// call delivers a call to the destination and its outcome to the node.
 func (f *fleet) call(n *fleetNode, s *Sender, a Send) {
 	f.sent++
 	n.tries[a.ID]++
@@ -126,7 +126,7 @@
 	})
 }
 
-// capacity is what the destination does a second now.
+// capacity is the number of calls a second that the destination can handle now.
 func (f *fleet) capacity() float64 {
 	if f.now < f.up {
 		return f.limit
@@ -151,7 +151,7 @@
 	return Pass, 150*ms + span(f.busy/f.capacity())
 }
 
-// run plays until a time.
+// run runs the tasks until the given time.
 func (f *fleet) run(until time.Duration) {
 	for f.due.Len() > 0 && f.due[0].at <= until {
 		d := heap.Pop(&f.due).(due)
@@ -160,7 +160,7 @@
 	}
 }
 
-// arrivals hands in a node's messages until a time.
+// scheduleArrivals hands in a node's messages until the given time.
 func (f *fleet) arrivals(n *fleetNode, until time.Duration) {
 	gap := span(f.rng.ExpFloat64() / n.rate)
 	if f.now+gap > until {
@@ -176,7 +176,8 @@
 	})
 }
 
-// worst is the fullest window after the return: calls in it, of these by nodes that knew, and what it may hold without chance.
+// worstWindow finds the fullest window after the return: its calls, the number of these from nodes that knew
+// of the outage, and its budget without an allowance for chance.
 func (f *fleet) worst() (calls, knowing int, budget float64) {
 	excess := math.Inf(-1)
 	from, known := 0, 0
@@ -223,7 +224,7 @@
 	f.down = f.now + 15*time.Second
 	f.up = f.down + length
 	weights, sum := make([]float64, nodes), 0.0
-	for i := range weights { // unlike: some have several times the mean
+	for i := range weights { // uneven: some have several times the mean
 		weights[i] = f.rng.ExpFloat64() + 0.1
 		sum += weights[i]
 	}
@@ -236,9 +237,10 @@
 	return f
 }
 
-// coldPlays plays many fleets through outages in which calls hang or fail, half of them with a third of the nodes started anew a
-// second before the return. It counts those in which the destination got more than its budget and chance allow, and those of them in
-// which more than two thirds of that came from nodes that had a call fail during the outage: the rule is broken then.
+// runOutages runs many fleets through outages in which calls hang or fail, half of them with a third of the
+// nodes restarted one second before the return. It counts the runs in which the destination got more than its
+// budget and chance allow, and of these the runs in which more than two thirds of the calls came from nodes
+// that had a failed call during the outage: these break the rule.
 func coldPlays(t *testing.T, nodes int, seeds uint64) (plays, fell, broken int, knew float64) {
 	t.Helper()
 	for _, load := range []float64{0.6, 0.9} {
@@ -264,7 +266,7 @@
 						}
 						if fell++; 3*knowing > 2*calls {
 							broken++
-							t.Logf("%d nodes, load %v, limit %v, outcome %v for %v, seed %d: %d calls, %d by nodes that knew, %.1f allowed",
+							t.Logf("%d nodes, load %v, limit %v, outcome %v for %v, seed %d: %d calls, %d by nodes that knew of the outage, %.1f allowed",
 								nodes, load, limit, outage, length, seed, calls, knowing, bound)
 						}
 					}
@@ -275,22 +277,23 @@
 	return plays, fell, broken, knew
 }
 
-// The budget of a cold destination holds as a sum over the fleet. Nodes that know nothing of the outage can't keep to it, and the
-// rule counts only where over two thirds came from those that know. These together stay within what is allowed, but for chance; where
-// others add to that, the rule is broken in one play of a hundred at most, and never with one or two nodes or with 300.
+// The budget of a destination in slow start holds for the sum over the fleet. Nodes that do not know of the
+// outage can't keep it, and the rule counts only where over two thirds of the calls came from those that
+// know. These together stay within the allowed number, except for chance; with the calls of others added, the
+// rule is broken in at most one run of a hundred, and never with one or two nodes or with 300.
 func TestColdBudgetIsTheFleets(t *testing.T) {
 	for _, c := range []struct {
 		nodes  int
 		seeds  uint64
-		knew   float64 // of what is allowed, at most
+		knew   float64 // upper bound, as a share of the allowed calls
 		broken int
 	}{{1, 4, 0.7, 0}, {2, 4, 0.7, 0}, {5, 4, 1, 1}, {20, 4, 1, 1}, {30, 4, 1.05, 1}, {100, 4, 1.05, 1}, {300, 2, 0.7, 0}} {
 		t.Run(fmt.Sprint(c.nodes), func(t *testing.T) {
 			t.Parallel()
 			plays, fell, broken, knew := coldPlays(t, c.nodes, c.seeds)
-			t.Logf("%d plays: past the bound %d, rule broken %d; nodes that knew made at most %.2f of what is allowed", plays, fell, broken, knew)
+			t.Logf("%d runs: %d above the bound, %d break the rule; nodes that knew of the outage made at most %.2f of the allowed calls", plays, fell, broken, knew)
 			if knew > c.knew || broken > c.broken {
-				t.Error("the budget does not hold")
+				t.Error("the fleet exceeds the slow start budget")
 			}
 		})
 	}
--- a/choice/growth_test.go
+++ b/choice/growth_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Endpoints, keys and destinations are ever new in service. What has gone must leave nothing behind once nothing out
-// refers to it and its window has passed.
+// In service there are always new endpoints, keys and destinations. Removed ones must leave no state behind
+// once no call refers to them and their windows have passed.
 func TestWhatHasGoneIsForgotten(t *testing.T) {
 	s := New(Settings{
 		Classes: []Class{{Deadline: 10 * time.Second, Aim: time.Second, Worth: 1, Effect: Keyed, Window: time.Minute, GroupAll: true,
@@ -44,17 +44,18 @@
 	}
 	s.restKey("another")
 	for what, size := range map[string]int{
-		"endpoints": len(s.eps) - 1, "destinations": len(s.dests) - 1, "their order": len(s.order) - 1, "messages": len(s.msgs),
-		"open": len(s.open), "lines": len(s.lines), "rests": len(s.rests) - 1, "resting": len(s.resting) - 1, "sent": len(s.sent),
-		"active": len(s.active), "parted": len(s.parted), "busy": s.busy,
+		"endpoints": len(s.eps) - 1, "destinations": len(s.dests) - 1, "destination order": len(s.order) - 1, "messages": len(s.msgs),
+		"open": len(s.open), "key queues": len(s.lines), "key pauses": len(s.rests) - 1, "paused keys": len(s.resting) - 1, "attempts out": len(s.sent),
+		"active destinations": len(s.active), "waits of removed routes": len(s.parted), "calls out": s.busy,
 	} {
-		if size > 1 { // the last of the cycle may have been in the list to the end
+		if size > 1 { // the last of the cycle may have been in the list until the end
 			t.Errorf("%s: %d left", what, size)
 		}
 	}
 }
 
-// An id that comes back is another endpoint: it must not be judged by what one of that name did before.
+// An id that comes back is a new endpoint: it must not be judged by the history of an earlier one with that
+// id.
 func TestAnIDThatComesBackStartsAfresh(t *testing.T) {
 	s := New(Settings{Kinds: []Kind{{Apart: true}}}, 1)
 	add := Listed{Entries: []Entry{{Endpoint: "e", Dest: 1}}}
@@ -64,15 +65,15 @@
 	for _, gone := range []Listed{{Entries: []Entry{{Endpoint: "e", Dest: 1, Phase: Gone}}}, {Whole: true}} {
 		s.Step(time.Hour, []Event{gone})
 		if len(s.eps) != 0 || len(s.dests[1].endpoints) != 0 || old.ready {
-			t.Fatal("the endpoint is kept")
+			t.Fatal("the removed endpoint still has state")
 		}
 		s.Step(time.Hour, []Event{add})
 		e := s.eps["e"]
 		if e == old || e.usual != 0 || e.route.sick {
-			t.Error("it inherits its health")
+			t.Error("the new endpoint has the health of the old one")
 		}
 		if e.route.waitUntil != time.Hour+time.Second {
-			t.Error("the wait that it told of is not kept")
+			t.Error("the wait that the old endpoint told is lost")
 		}
 	}
 }
--- a/choice/kept_test.go
+++ b/choice/kept_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A kept connection that breaks under a call says nothing of the destination: what may be repeated is tried again at
-// once, no outage is struck however often it happens, and what may not be repeated asks for new connections from then on.
+// A reused connection that breaks under a call says nothing about the destination: a message that may be
+// repeated is tried again immediately, no breaker opens however often it happens, and AtMostOnce messages ask
+// for new connections from then on.
 func TestBrokenKeptConnections(t *testing.T) {
 	cfg := settings()
 	classOf := func(e Effect) int {
@@ -52,6 +53,6 @@
 	s.Step(now, []Event{Arrived{ID: "x", Class: classOf(Safe), DropDead: now + time.Minute}})
 	if got := sends(s.Step(now, []Event{Ended{ID: "x", Endpoint: "a", Outcome: Cut, Took: 20 * ms}})); len(got) != 0 ||
 		s.dests[0].shared.fails != 1 {
-		t.Error("a cut on a new connection is no failure")
+		t.Error("a new connection that broke was not counted as a failure")
 	}
 }
--- a/choice/lost_test.go
+++ b/choice/lost_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Calls that get no answer while later ones to their endpoint pass are lost alone: their destination is neither slow
-// nor struck, and its gate hears nothing of them. With nothing passing meanwhile the same silence is an outage.
+// Single calls without an answer are lost if later ones to their endpoint succeed: their destination is not
+// slow, its breaker stays closed, and its gate gets no sample. If no call succeeds meanwhile, the same
+// silence is an outage.
 func TestLoneSilenceIsNoOutage(t *testing.T) {
 	for _, passing := range []bool{true, false} {
 		cfg := settings()
@@ -30,7 +31,7 @@
 		s.Step(now, []Event{list(Entry{Endpoint: "a", Weight: 1000})})
 		pass := func(id string) {
 			if !arrive(id, Safe) {
-				t.Fatalf("passing is %v: %s is held", passing, id)
+				t.Fatalf("other calls succeed: %v; %s was not sent", passing, id)
 			}
 			now += 20 * ms
 			s.Step(now, []Event{Ended{ID: id, Endpoint: "a", Took: 20 * ms}})
@@ -43,7 +44,7 @@
 		average, sent := d.gates[0].average, now
 		for i := range 4 {
 			if !arrive(fmt.Sprint("lost", i), Safe) {
-				t.Fatalf("lost%d is held", i)
+				t.Fatalf("lost%d was not sent", i)
 			}
 			now += 100 * ms
 		}
@@ -53,18 +54,18 @@
 			}
 		}
 		if s.Step(now, nil); s.slow(d) == passing {
-			t.Errorf("passing is %v, so is slow", passing)
+			t.Errorf("other calls succeed: %v, and the destination is slow: the same", passing)
 		}
 		for i := range 4 {
 			s.Step(now, []Event{Ended{ID: fmt.Sprint("lost", i), Endpoint: "a", Outcome: TooSlow, Took: now - sent}})
 		}
 		if r := d.shared; r.sick == passing || (d.gates[0].average > average+0.1) == passing {
-			t.Errorf("passing is %v: sick is %v, the average went from %v to %v", passing, r.sick, average, d.gates[0].average)
+			t.Errorf("other calls succeed: %v; the breaker is open: %v, the average went from %v to %v", passing, r.sick, average, d.gates[0].average)
 		}
 	}
 }
 
-// A shut gate does not wait for an answer that is long overdue before it lets a trial message in.
+// A closed gate does not wait for an answer that is long overdue before it admits a trial message.
 func TestOverdueCallsKeepNoTrialOut(t *testing.T) {
 	s, now := New(settings(), 1), time.Hour
 	s.Step(now, []Event{one()})
@@ -78,13 +79,14 @@
 		id := c.after.String()
 		s.Step(now+c.after, []Event{Arrived{ID: id, DropDead: now + time.Minute}})
 		if (s.msgs[id] != nil) != c.taken {
-			t.Errorf("%v after the call that is out: taken on is %v", c.after, !c.taken)
+			t.Errorf("%v after the call that is out: the message was admitted: %v", c.after, !c.taken)
 		}
 	}
 }
 
-// With no slot free and others waiting, a lost call that may not be repeated gives its slot back. With a slot free, or
-// with nobody waiting, its answer may still come. One that may be repeated goes for a full node alone.
+// With no slot free and others waiting, a lost call that may not be repeated gives up its slot. With a slot
+// free, or with no message waiting, its answer may still come. One that may be repeated is canceled as soon
+// as no slot is free.
 func TestLostCallsGiveBackTheirSlots(t *testing.T) {
 	cfg := settings()
 	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == Unsafe })
@@ -122,7 +124,7 @@
 			}
 		}
 		if called != c.want {
-			t.Errorf("%s: called off is %v", c.name, called)
+			t.Errorf("%s: the lost call was canceled: %v", c.name, called)
 		}
 	}
 }
--- a/choice/resume_test.go
+++ b/choice/resume_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What a restart hands back is decided by what may have run, as it would have been without the restart.
+// After a restart a message is handled by whether it may have run, as it would have been without the restart.
 func TestResumed(t *testing.T) {
 	const now = time.Hour
 	cfg := settings()
@@ -28,16 +28,16 @@
 		e     Resumed
 		want  string
 	}{
-		{"safe, held", safe, 5 * time.Second, Resumed{}, "send"},
-		{"safe, may have run", safe, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "send"},
-		{"keyed, inside its window", keyed, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - window/2}, "send"},
-		{"keyed, past its window", keyed, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - window}, "fail"},
-		{"unsafe, held", unsafe, 5 * time.Second, Resumed{}, "send"},
-		{"unsafe, never ran", unsafe, 5 * time.Second, Resumed{Attempts: 1}, "send"},
-		{"unsafe, may have run", unsafe, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "fail"},
-		{"out of time", safe, -time.Second, Resumed{}, "push back"},
-		{"unsafe, out of time, may have run", unsafe, -time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "fail"},
-		{"out of attempts", safe, 5 * time.Second, Resumed{Attempts: cfg.MaxAttempts}, "push back"},
+		{"idempotent, not sent yet", safe, 5 * time.Second, Resumed{}, "send"},
+		{"idempotent, may have run", safe, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "send"},
+		{"deduplicated, inside its window", keyed, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - window/2}, "send"},
+		{"deduplicated, after its window", keyed, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - window}, "fail"},
+		{"at most once, not sent yet", unsafe, 5 * time.Second, Resumed{}, "send"},
+		{"at most once, never ran", unsafe, 5 * time.Second, Resumed{Attempts: 1}, "send"},
+		{"at most once, may have run", unsafe, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "fail"},
+		{"out of time", safe, -time.Second, Resumed{}, "refuse"},
+		{"at most once, out of time, may have run", unsafe, -time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "fail"},
+		{"out of attempts", safe, 5 * time.Second, Resumed{Attempts: cfg.MaxAttempts}, "refuse"},
 	} {
 		s := New(cfg, 1)
 		c.e.Arrived = Arrived{ID: "m", Class: c.class, DropDead: now + c.left}
@@ -49,9 +49,9 @@
 			case Fail:
 				got += "fail"
 			case PushBack:
-				got += "push back"
+				got += "refuse"
 				if a.RetryAfter <= 0 {
-					t.Errorf("%s: no time to come back", c.name)
+					t.Errorf("%s: no retry-after", c.name)
 				}
 			}
 		}
@@ -61,7 +61,7 @@
 	}
 }
 
-// A backlog that has failed before the restart comes back at the pace of a cold destination, not at once.
+// A backlog with failures before the restart is sent at the rate of a slow start, not at once.
 func TestResumedBacklogComesBackGently(t *testing.T) {
 	for _, failed := range []bool{false, true} {
 		cfg := settings()
@@ -79,13 +79,13 @@
 			}
 		}
 		if r := s.eps["a"].route; r.recovering() != failed || (failed && sends > 1) || (!failed && sends == 0) {
-			t.Errorf("failed %v: recovering %v, %d sends", failed, r.recovering(), sends)
+			t.Errorf("earlier failure: %v; recovering: %v, %d sends", failed, r.recovering(), sends)
 		}
 	}
 }
 
-// Leaving stops the sends that may be cut off, sooner where they could not be repeated, and nothing else: the gate
-// and the ends go on.
+// A Stopping event holds back sends that might be cut off, earlier for those that could not be repeated, and
+// nothing else: the gate still works and messages still end.
 func TestLeaving(t *testing.T) {
 	cfg := settings()
 	s := New(cfg, 1)
@@ -106,7 +106,7 @@
 			}
 		}
 		if sent != c.sent {
-			t.Errorf("class %d with %v left: sent %v", c.class, c.left, sent)
+			t.Errorf("class %d with %v left: sent: %v", c.class, c.left, sent)
 		}
 	}
 	s.Step(end-100*ms, []Event{Arrived{ID: "m", Class: safe, DropDead: end + time.Second}})
@@ -117,6 +117,6 @@
 		}
 	}
 	if !ended {
-		t.Error("a held message's time was up and it was given no end")
+		t.Error("a message past its deadline did not end")
 	}
 }
--- a/choice/saved.go
+++ b/choice/saved.go
@@ -13,27 +13,28 @@
 // be added there as well, or the package does not compile. The JSON names stay as they are, because the other
 // process may be another build.
 type Saved struct {
-	Now        time.Duration
-	Random     []byte
-	Dests      []SavedDest
-	Active     []int          // indices in Dests
-	Messages   []SavedMessage // the open ones in their order, then those that have ended and have an attempt out
-	Open       int
-	Lines      map[string][]int // indices in Messages
-	Calls      []SavedCall
-	Rests      map[string]time.Duration
-	Resting    []SavedRest
-	Parted     map[string]time.Duration
-	Barred     map[string]bool
-	Crowded    map[int]time.Duration
-	WornTil    time.Duration
-	Tenants    []SavedTenant
-	Made       uint64
-	Asking     time.Duration
-	AskAt      time.Duration
-	Failing    float64
-	Came, Seen float64
-	CameAt     time.Duration
+	Now      time.Duration
+	Random   []byte
+	Dests    []SavedDest
+	Active   []int            `json:"Active"` // indices in Dests
+	Messages []SavedMessage   // the open ones in their order, then those that have ended and have an attempt out
+	Open     int              `json:"Open"`
+	Lines    map[string][]int `json:"Lines"` // indices in Messages
+	Calls    []SavedCall
+	Rests    map[string]time.Duration `json:"Rests"`
+	Resting  []SavedRest              `json:"Resting"`
+	Parted   map[string]time.Duration `json:"Parted"`
+	Barred   map[string]bool          `json:"Barred"`
+	Crowded  map[int]time.Duration    `json:"Crowded"`
+	WornTil  time.Duration            `json:"WornTil"`
+	Tenants  []SavedTenant
+	Made     uint64        `json:"Made"`
+	Asking   time.Duration `json:"Asking"`
+	AskAt    time.Duration `json:"AskAt"`
+	Failing  float64       `json:"Failing"`
+	Came     float64       `json:"Came"`
+	Seen     float64       `json:"Seen"`
+	CameAt   time.Duration `json:"CameAt"`
 }
 
 // SavedKeyPause is the saved form of a keyPause.
@@ -45,105 +46,118 @@
 // SavedTenant is the saved form of a tenant.
 type SavedTenant struct {
 	Tokens float64
-	At     time.Duration
+	At     time.Duration `json:"At"`
 }
 
 // SavedGate is the saved form of a gate.
 type SavedGate struct {
 	Average, Baseline float64
-	At                time.Duration
-	Seen, Shut        bool
-	LastTrial         time.Duration
+	At                time.Duration `json:"At"`
+	Seen              bool          `json:"Seen"`
+	Shut              bool          `json:"Shut"`
+	LastTrial         time.Duration `json:"LastTrial"`
 }
 
 // SavedRoute is the saved form of a route.
 type SavedRoute struct {
-	WaitUntil          time.Duration
-	Limit              float64
-	Reported           bool
-	Left, Weight, Part float64
-	PartAt             time.Duration
-	Refusals           int
-	CutAt              time.Duration
-	Most               float64
-	Tokens             float64
-	TokensAt           time.Duration
-	Fails              int
-	FailedAt, Rest     time.Duration
-	Sick, Harmless     bool
-	TrialAt, Backoff   time.Duration
-	Trial              bool
-	ColdFrom, StruckAt time.Duration
-	Demand             float64
-	Busiest, Passed    float64
-	PassedAt           time.Duration
+	WaitUntil time.Duration
+	Limit     float64
+	Reported  bool    `json:"Reported"`
+	Left      float64 `json:"Left"`
+	Weight    float64
+	Part      float64       `json:"Part"`
+	PartAt    time.Duration `json:"PartAt"`
+	Refusals  int           `json:"Refusals"`
+	CutAt     time.Duration `json:"CutAt"`
+	Most      float64       `json:"Most"`
+	Tokens    float64
+	TokensAt  time.Duration
+	Fails     int           `json:"Fails"`
+	FailedAt  time.Duration `json:"FailedAt"`
+	Rest      time.Duration `json:"Rest"`
+	Sick      bool          `json:"Sick"`
+	Harmless  bool          `json:"Harmless"`
+	TrialAt   time.Duration `json:"TrialAt"`
+	Backoff   time.Duration `json:"Backoff"`
+	Trial     bool          `json:"Trial"`
+	ColdFrom  time.Duration `json:"ColdFrom"`
+	StruckAt  time.Duration `json:"StruckAt"`
+	Demand    float64       `json:"Demand"`
+	Busiest   float64       `json:"Busiest"`
+	Passed    float64       `json:"Passed"`
+	PassedAt  time.Duration `json:"PassedAt"`
 }
 
 // SavedEndpoint is the saved form of an endpoint; Route is nil if it uses its destination's shared route.
 type SavedEndpoint struct {
-	ID              string
-	Zone            int
-	Route           *SavedRoute
-	Listed, Ready   bool
-	Warming         *SavedRoute
-	Response, Usual float64
-	ProvenAt        time.Duration
-	SentAt          time.Duration
-	Gap             float64
-	CrowdedAt       time.Duration
-	Room            float64
-	ShyTil          time.Duration
+	ID        string
+	Zone      int
+	Route     *SavedRoute
+	Listed    bool `json:"Listed"`
+	Ready     bool
+	Warming   *SavedRoute   `json:"Warming"`
+	Response  float64       `json:"Response"`
+	Usual     float64       `json:"Usual"`
+	ProvenAt  time.Duration `json:"ProvenAt"`
+	SentAt    time.Duration `json:"SentAt"`
+	Gap       float64       `json:"Gap"`
+	CrowdedAt time.Duration `json:"CrowdedAt"`
+	Room      float64       `json:"Room"`
+	ShyTil    time.Duration `json:"ShyTil"`
 }
 
 // SavedDestination is the saved form of a destination. Its endpoints are the first ListedCount, which are in
 // the list, then those that have left the list and have calls out.
 type SavedDest struct {
 	ID        int
-	Emptied   time.Duration
-	Gates     []SavedGate // by class
+	Emptied   time.Duration `json:"Emptied"`
+	Gates     []SavedGate   // by class
 	Kind      int
-	Shared    SavedRoute
+	Shared    SavedRoute `json:"Shared"`
 	Endpoints []SavedEndpoint
-	Listed    int
-	Waiting   []int // indices in Messages
-	Used      float64
-	UsedAt    time.Duration
-	Came      float64
-	CameAt    time.Duration
+	Listed    int           `json:"Listed"`
+	Waiting   []int         // indices in Messages
+	Used      float64       `json:"Used"`
+	UsedAt    time.Duration `json:"UsedAt"`
+	Came      float64       `json:"Came"`
+	CameAt    time.Duration `json:"CameAt"`
 }
 
 // SavedMessage is the saved form of a message.
 type SavedMessage struct {
-	ID           string
-	Class        int
-	Key          string
-	Worth        float64
-	Dest         int // index in Dests
-	Arrived      time.Duration
-	Born         time.Duration
-	Aim          time.Duration
-	DropDead     time.Duration
-	Attempts     int
-	MayRun       time.Duration
-	Touched      bool
-	Zone         int
-	NotBefore    time.Duration
-	Waits, Ended bool
+	ID        string
+	Class     int
+	Key       string
+	Worth     float64
+	Dest      int           // index in Dests
+	Arrived   time.Duration `json:"Arrived"`
+	Born      time.Duration `json:"Born"`
+	Aim       time.Duration `json:"Aim"`
+	DropDead  time.Duration `json:"DropDead"`
+	Attempts  int
+	MayRun    time.Duration `json:"MayRun"`
+	Touched   bool          `json:"Touched"`
+	Zone      int           `json:"Zone"`
+	NotBefore time.Duration
+	Waits     bool `json:"Waits"`
+	Ended     bool
 }
 
 // SavedCall is the saved form of a call that is out.
 type SavedCall struct {
-	Dest, Endpoint            int // indices in Dests and its Endpoints
-	SentAt                    time.Duration
-	Trial, Called, Repeatable bool
-	Sends                     []SavedSend
+	Dest, Endpoint int // indices in Dests and its Endpoints
+	SentAt         time.Duration
+	Trial          bool `json:"Trial"`
+	Called         bool `json:"Called"`
+	Repeatable     bool
+	Sends          []SavedSend `json:"Sends"`
 }
 
 // SavedAttempt is one message of a call; Message is its index in Messages while its outcome is not known, or
 // -1.
 type SavedSend struct {
 	ID      string
-	Attempt int
+	Attempt int `json:"Attempt"`
 	Message int
 }
 
--- a/choice/saved_test.go
+++ b/choice/saved_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// handedOver is a sender after its way to another process.
+// handOver returns the sender as another process restores it.
 func handedOver(t testing.TB, s *Sender, cfg Settings) *Sender {
 	t.Helper()
 	saved, err := s.Save()
@@ -30,11 +30,11 @@
 	return heir
 }
 
-// A sender that is handed over every few steps, calls out and all, acts as one that never was.
+// A sender that is handed over every few steps, with calls out, acts like one that never was.
 func TestHandedOverActsTheSame(t *testing.T) {
 	acts := func(w *story) []string {
 		if len(w.sends) < 50 && w.cfg.MaxOpen > 10 {
-			t.Errorf("only %d sends: the story tests little", len(w.sends))
+			t.Errorf("only %d sends: the scenario tests little", len(w.sends))
 		}
 		return slices.DeleteFunc(w.log, func(line string) bool { return strings.Contains(line, "Wake") })
 	}
@@ -50,7 +50,7 @@
 			})
 			want, got := acts(interruptedStory(t, seed, 1500, barNow)), acts(moved)
 			if len(got) == 0 || (out == 0 && moved.cfg.MaxOpen > 10) {
-				t.Fatal("the story tests nothing")
+				t.Fatal("the scenario tests nothing")
 			}
 			for i := range min(len(want), len(got)) {
 				if want[i] != got[i] {
@@ -64,9 +64,10 @@
 	}
 }
 
-// A route that comes from a process which did not count parts in shares must not be left without any.
+// A route saved by a build that did not count rate shares in multiples of the traffic share must get a usable
+// rate share.
 func TestRouteFromBeforeSharesHasAPart(t *testing.T) {
 	if r := (SavedRoute{Part: 0.01}).route(); r.part != partFirst || r.most != partMost {
-		t.Errorf("the part is %v of at most %v", r.part, r.most)
+		t.Errorf("the rate share is %v, its upper bound %v", r.part, r.most)
 	}
 }
--- a/choice/types.go
+++ b/choice/types.go
@@ -60,7 +60,7 @@
 	ConnIdle       time.Duration // idle connections are closed after this time
 	DrainGrace     time.Duration
 	AnswerGrace    time.Duration
-	FallMultiple   float64 // a destination in slow start fails again above this multiple of its capacity,
+	FallMultiple   float64 // a destination in slow start collapses above this multiple of its capacity,
 	Fall           time.Duration
 	ColdFrom       float64 // share of its capacity that a destination has when it returns from an outage
 	WarmWithin     time.Duration
@@ -156,7 +156,7 @@
 	Outcome  Outcome
 	Took     time.Duration
 	Closed   bool          // the message has ended
-	Unsure   bool          // the answer said Done when another message of its call had ended already: the message may be delivered or not
+	Unsure   bool          // the answer said Final when another message of its call had ended already: the message may be delivered or not
 	Kept     bool          // the attempt used a connection that had been used before
 	HungUp   bool          // the endpoint closed the connection after its answer
 	Wait     time.Duration // Rejected: the wait that the endpoint asked for
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill hosts instances of the decision module on the simulator's wire: batches of events come on
-// standard input, one reply a batch goes to standard output. Instances share nothing.
+// Command drill runs instances of the decision module for the simulator: batches of events come on standard
+// input, and each batch gets one reply on standard output. Instances share nothing.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	}
 }
 
-// host keeps what one process knows: its instances, and the lists by number.
+// host keeps the instances of this process, and the lists of endpoints by number.
 type host struct {
 	nodes map[string]*choice.Sender
 	lists map[int][]choice.Entry
@@ -35,7 +35,7 @@
 	}
 }
 
-// turn gathers the events of one batch, each instance's together, instances in order of appearance.
+// batch collects the events of one batch by instance, with the instances in order of appearance.
 type turn struct {
 	now    time.Duration
 	order  []string
@@ -66,7 +66,7 @@
 	}
 }
 
-// line takes one line of input and returns the batch that is open after it.
+// handleLine handles one line of input and returns the batch that is open after it.
 func (h *host) line(t *turn, text []byte) (*turn, error) {
 	l, err := wire.Parse(text)
 	if err != nil {
@@ -119,14 +119,14 @@
 		return t, nil
 	case "Down":
 		if h.nodes[l.Node] == nil {
-			return t, fmt.Errorf("Down for %q, which was never born", l.Node)
+			return t, fmt.Errorf("Down for unknown instance %q", l.Node)
 		}
 		delete(h.nodes, l.Node)
 		t.reset(l.Node)
 		return t, nil
 	}
 	if h.nodes[l.Node] == nil {
-		return t, fmt.Errorf("%s for %q, which was never born", l.Type, l.Node)
+		return t, fmt.Errorf("%s for unknown instance %q", l.Type, l.Node)
 	}
 	ev, err := wire.Event(l, h.lists)
 	if err != nil {
@@ -145,7 +145,8 @@
 	t.events[node] = append(t.events[node], ev)
 }
 
-// reset forgets what an earlier life of the instance was told in this batch; it has its turn all the same.
+// reset discards the events that an earlier run of the instance got in this batch; the instance still gets
+// its step.
 func (t *turn) reset(node string) {
 	if _, ok := t.events[node]; !ok {
 		t.order = append(t.order, node)
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -30,7 +30,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 5 || !strings.Contains(lines[1], `"Transmit"`) || !strings.Contains(lines[1], `"endpoint-a"`) {
-		t.Errorf("unexpected reply:\n%s", out.String())
+		t.Errorf("unexpected replies:\n%s", out.String())
 	}
 }
 
@@ -38,10 +38,10 @@
 	turn := "{\"event_type\":\"Turn\",\"simTime\":1}\n"
 	for _, c := range []struct{ in, says string }{
 		{turn + "{oops\n", "line 2: malformed"},
-		{turn + `{"event_type":"Knock","node":"node-0"}` + "\n", "never born"},
+		{turn + `{"event_type":"Knock","node":"node-0"}` + "\n", "unknown instance"},
 		{born + turn + `{"event_type":"Knock","node":"node-0"}` + "\n", `unknown event "Knock"`},
-		{turn + `{"event_type":"Ring","node":"node-9"}` + "\n", `Ring for "node-9", which was never born`},
-		{turn + `{"event_type":"Down","node":"node-9"}` + "\n", "never born"},
+		{turn + `{"event_type":"Ring","node":"node-9"}` + "\n", `Ring for unknown instance "node-9"`},
+		{turn + `{"event_type":"Down","node":"node-9"}` + "\n", "unknown instance"},
 		{born + turn + `{"event_type":"Announce","node":"node-0","form":"whole","slot":5}` + "\n", "list 5, which was never sent"},
 		{turn + turn, "Turn inside a batch"},
 		{`{"event_type":"YourTurn"}` + "\n", "outside a batch"},
@@ -56,7 +56,7 @@
 	}
 }
 
-// A panic of the decision code becomes a Broken line with its text, never silence.
+// A panic of the decision module must become a Broken line with its text, and not a missing reply.
 func TestPanicBecomesBroken(t *testing.T) {
 	var out strings.Builder
 	h := newHost(&out)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the product's configuration files.
+// Package settings reads configuration files.
 package settings
 
 import (
@@ -9,7 +9,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads a TOML file over what into points to. An unknown name, or a value that can't be, is an error with its line.
+// Load decodes a TOML file into the value that into points to; settings that the file leaves out keep their
+// values. An unknown name or an invalid value is an error with its line.
 func Load(path string, into any) error {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -61,7 +61,7 @@
 	"idempotent": choice.Safe, "deduplicated": choice.Keyed, "at_most_once": choice.Unsafe,
 }
 
-// Settings converts the settings of a Born line.
+// ParseSettings converts the settings of a Born line.
 func Settings(raw json.RawMessage) (choice.Settings, error) {
 	var c conf
 	if err := json.Unmarshal(raw, &c); err != nil {
@@ -109,12 +109,13 @@
 	return s, nil
 }
 
-// Names are the words that the settings give to classes, kinds, zones and tenants; a word's place is its number.
+// Names are the names that the settings give to classes, kinds, zones and tenants; the index of a name is its
+// number.
 type Names struct {
 	Classes, Kinds, Zones, Tenants []string
 }
 
-// SettingsNames reads the names from the settings.
+// ParseNames reads the names from the settings.
 func SettingsNames(raw json.RawMessage) (Names, error) {
 	var c struct {
 		Categories []struct {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns the simulator's JSON lines into the events of package choice and its actions into
-// lines. It decides nothing and supplies no defaults: what a line leaves out stays zero.
+// Package wire converts the simulator's JSON lines to the events of package choice, and its actions to lines.
+// It makes no decisions and has no defaults: a field that a line leaves out stays zero.
 package wire
 
 import (
@@ -11,7 +11,7 @@
 	"starlingusher/choice"
 )
 
-// Line is any line of a batch; Type says which fields count.
+// Line is any line of a batch; Type determines which fields are used.
 type Line struct {
 	Type     string             `json:"event_type"`
 	SimTime  float64            `json:"simTime"`
@@ -51,21 +51,21 @@
 
 const optHint = 1 // bit of opts: the hint is valid
 
-// Time converts milliseconds of the wire; the simulator counts whole microseconds.
+// Time converts milliseconds of the protocol to a duration; the simulator counts whole microseconds.
 func Time(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Parse reads one line of a batch.
+// ParseLine reads one line of a batch.
 func Parse(text []byte) (Line, error) {
 	var l Line
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, fmt.Errorf("malformed line: %w", err)
 	}
 	if l.Type == "" {
-		return l, fmt.Errorf("a line without event_type")
+		return l, fmt.Errorf("line has no event_type")
 	}
 	return l, nil
 }
@@ -94,8 +94,8 @@
 	return list, nil
 }
 
-// Event converts a line addressed to one instance. It returns nil for lines that carry nothing to decide on.
-// An Announce needs the entries of its list, which the caller keeps.
+// ParseEvent converts a line addressed to one instance. It returns nil for lines without an event for package
+// choice. An Announce needs the entries of its list, which the caller keeps.
 func Event(l Line, lists map[int][]choice.Entry) (choice.Event, error) {
 	switch l.Type {
 	case "Announce":
@@ -103,7 +103,7 @@
 			return choice.Listed{Failed: true}, nil
 		}
 		if l.Form != "patch" && l.Form != "whole" && l.Form != "stale_copy" {
-			return nil, fmt.Errorf("Announce of unknown form %q", l.Form)
+			return nil, fmt.Errorf("Announce has unknown form %q", l.Form)
 		}
 		entries, ok := lists[l.Slot]
 		if !ok {
@@ -121,7 +121,7 @@
 	case "AttemptEnd":
 		o, ok := outcomes[l.Code]
 		if !ok {
-			return nil, fmt.Errorf("AttemptEnd with unknown rc %q", l.Code)
+			return nil, fmt.Errorf("AttemptEnd has unknown rc %q", l.Code)
 		}
 		ev := choice.Ended{
 			ID: l.Handle, Attempt: l.Go, Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration),
@@ -135,7 +135,7 @@
 	case "Echo":
 		o, ok := outcomes[l.Code]
 		if !ok {
-			return nil, fmt.Errorf("Echo with unknown rc %q", l.Code)
+			return nil, fmt.Errorf("Echo has unknown rc %q", l.Code)
 		}
 		return choice.Probed{
 			Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration), Report: report(l.Feedback),
@@ -157,7 +157,7 @@
 	return r
 }
 
-// Action converts an action of the instance named node into its line.
+// EncodeAction converts an action of the instance named node to its line.
 func Action(node string, a choice.Action) ([]byte, error) {
 	o := map[string]any{"node": node}
 	switch a := a.(type) {
@@ -186,7 +186,7 @@
 	return json.Marshal(o)
 }
 
-// Broken is the line that reports a crash of the decision code.
+// BrokenLine reports a crash of the decision module.
 func Broken(node, text string) []byte {
 	b, err := json.Marshal(map[string]string{"event_type": "Broken", "node": node, "text": text})
 	if err != nil {
@@ -195,5 +195,5 @@
 	return b
 }
 
-// Done ends a reply.
+// DoneLine ends a reply.
 const Done = `{"event_type":"Done"}`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -62,7 +62,7 @@
 func TestBadLines(t *testing.T) {
 	for _, line := range []string{`{"event_type":`, `[]`, `{}`, `{"event_type":"Ring","simTime":"soon"}`} {
 		if _, err := Parse([]byte(line)); err == nil {
-			t.Errorf("%s was taken", line)
+			t.Errorf("%s was accepted", line)
 		}
 	}
 	for _, line := range []string{
@@ -75,11 +75,11 @@
 			t.Fatal(err)
 		}
 		if _, err := Event(l, nil); err == nil {
-			t.Errorf("%s was taken", line)
+			t.Errorf("%s was accepted", line)
 		}
 	}
 	if _, err := Entries([]Record{{Endpoint: "e", Phase: "tired"}}); err == nil {
-		t.Error("an unknown phase was taken")
+		t.Error("an unknown phase was accepted")
 	}
 }
 
@@ -128,10 +128,10 @@
 		t.Errorf("got %+v\nwant %+v", s, want)
 	}
 	if s, err := Settings(json.RawMessage(`{}`)); err != nil || !reflect.DeepEqual(s, choice.Settings{}) {
-		t.Errorf("missing settings are 'not given': %+v, %v", s, err)
+		t.Errorf("missing settings must be zero: %+v, %v", s, err)
 	}
 	if _, err := Settings(json.RawMessage(`{"categories":[{"effect":"odd"}]}`)); err == nil {
-		t.Error("an unknown effect was taken")
+		t.Error("an unknown effect was accepted")
 	}
 }
 
@@ -142,6 +142,6 @@
 		t.Errorf("got %+v, %v", n, err)
 	}
 	if _, err := SettingsNames(json.RawMessage(`[]`)); err == nil {
-		t.Error("settings that are no object were taken")
+		t.Error("settings that are no object were accepted")
 	}
 }
