--- a/choice/barred_test.go
+++ b/choice/barred_test.go
@@ -10,9 +10,9 @@
 // of it twice.
 func barNow(n int, w *story) {
 	if n%40 == 0 && n > 0 {
-		w.step(0, Barred{Endpoint: fmt.Sprint("e", n/40%14), Lifted: n/40%3 > 0})
-		w.step(0, Barred{Endpoint: fmt.Sprint("e", n/40%14), Lifted: n/40%3 > 0})
-		w.step(0, Barred{Endpoint: fmt.Sprint("e", (n/40+9)%14), Lifted: true})
+		w.step(0, EndpointDisabled{Endpoint: fmt.Sprint("e", n/40%14), Lifted: n/40%3 > 0})
+		w.step(0, EndpointDisabled{Endpoint: fmt.Sprint("e", n/40%14), Lifted: n/40%3 > 0})
+		w.step(0, EndpointDisabled{Endpoint: fmt.Sprint("e", (n/40+9)%14), Lifted: true})
 	}
 }
 
@@ -36,14 +36,14 @@
 			var events []Event
 			for _, a := range w.flights() {
 				if f := w.out[a]; w.now-f.sent >= 20*ms {
-					events = append(events, Ended{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: 20 * ms, Outcome: Pass, Closed: true})
+					events = append(events, AttemptEnded{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: 20 * ms, Outcome: Success, Final: true})
 				}
 			}
 			if w.now%(50*ms) == 0 { // as much as the destination takes
 				events = append(events, w.arrive(fmt.Sprint("m", w.now), 0, 0))
 			}
 			before := len(w.sends)
-			w.step(10*ms, append(events, Rang{})...)
+			w.step(10*ms, append(events, WakeDue{})...)
 			for _, s := range w.sends[before:] {
 				sent[s.Endpoint]++
 				if s.Endpoint == "a" {
@@ -57,19 +57,19 @@
 	if sent["a"] < 50 || sent["b"] < 50 {
 		t.Fatalf("calls by endpoint: %v", sent)
 	}
-	w.step(0, Barred{Endpoint: "a"})
+	w.step(0, EndpointDisabled{Endpoint: "a"})
 	w.step(0, both) // the list still has it as Ready
-	if _, avoided := w.s.Pool(); avoided != 1 {
+	if _, avoided := w.s.EndpointCounts(); avoided != 1 {
 		t.Errorf("%d endpoints avoided, want 1", avoided)
 	}
 	play(5 * time.Second)
 	if sent["a"] != 0 || sent["b"] < 50 {
 		t.Errorf("calls by endpoint while one is disabled: %v", sent)
 	}
-	w.step(0, Barred{Endpoint: "a", Lifted: true})
+	w.step(0, EndpointDisabled{Endpoint: "a", Lifted: true})
 	back := w.now
 	when = nil
-	play(cfg.WarmWithin)
+	play(cfg.SlowStartDuration)
 	if sent["a"] < 5 {
 		t.Errorf("calls by endpoint after it was enabled: %v", sent)
 	}
@@ -77,18 +77,18 @@
 	for i, from := range when {
 		count := 0
 		for _, at := range when[i:] {
-			if at < from+cfg.Fall {
+			if at < from+cfg.CollapseSpan {
 				count++
 			}
 		}
-		share := min(1, cfg.ColdFrom+(1-cfg.ColdFrom)*(from-back+cfg.Fall/2).Seconds()/cfg.WarmWithin.Seconds())
-		if most := cfg.FallMultiple * share * capacity * cfg.Fall.Seconds(); float64(count) > most+1 {
+		share := min(1, cfg.SlowStartShare+(1-cfg.SlowStartShare)*(from-back+cfg.CollapseSpan/2).Seconds()/cfg.SlowStartDuration.Seconds())
+		if most := cfg.CollapseMultiple * share * capacity * cfg.CollapseSpan.Seconds(); float64(count) > most+1 {
 			t.Fatalf("%d calls in the window from %v after the return, want at most %.1f", count, from-back, most)
 		}
 	}
 	cold := sent["a"]
-	w.step(0, Barred{Endpoint: "a", Lifted: true}) // a second time, which must not restart the slow start
-	play(cfg.WarmWithin)
+	w.step(0, EndpointDisabled{Endpoint: "a", Lifted: true}) // a second time, which must not restart the slow start
+	play(cfg.SlowStartDuration)
 	if sent["a"] <= cold || w.s.eps["a"].warming != nil {
 		t.Errorf("%d calls after the slow start, %d during it", sent["a"], cold)
 	}
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -16,7 +16,7 @@
 				entries = append(entries, Entry{Endpoint: fmt.Sprint("e", i), Dest: i, Weight: 10})
 			}
 			cfg := settings()
-			cfg.Fleet = 200
+			cfg.FleetSize = 200
 			s, now := New(cfg, 1), time.Hour
 			s.Step(now, []Event{list(entries...)})
 			b.ReportAllocs()
@@ -25,9 +25,9 @@
 				now += 400 * ms
 				id, d := fmt.Sprint("m", n), n%dests
 				n++
-				s.Step(now, []Event{Arrived{ID: id, Dest: d, DropDead: now + 10*time.Second}})
+				s.Step(now, []Event{MessageArrived{ID: id, Dest: d, Deadline: now + 10*time.Second}})
 				now += 100 * ms
-				s.Step(now, []Event{Ended{ID: id, Endpoint: fmt.Sprint("e", d), Took: 100 * ms, Closed: true}})
+				s.Step(now, []Event{AttemptEnded{ID: id, Endpoint: fmt.Sprint("e", d), Took: 100 * ms, Final: true}})
 			}
 		})
 	}
@@ -44,19 +44,19 @@
 					entries = append(entries, Entry{Endpoint: fmt.Sprint("e", i), Weight: 1})
 				}
 				cfg := settings()
-				cfg.Fleet, cfg.Slots, cfg.MaxOpen = 200, 8, 200
-				cfg.Kinds = []Kind{{Apart: kind == "apart"}}
+				cfg.FleetSize, cfg.Slots, cfg.MaxOpen = 200, 8, 200
+				cfg.Kinds = []Kind{{SeparateRoutes: kind == "apart"}}
 				s, now := New(cfg, 1), time.Hour
 				s.Step(now, []Event{list(entries...)})
 				var events []Event
 				for i := range 98 {
-					events = append(events, Arrived{ID: fmt.Sprint("m", i), DropDead: now + 24*time.Hour})
+					events = append(events, MessageArrived{ID: fmt.Sprint("m", i), Deadline: now + 24*time.Hour})
 				}
 				s.Step(now, events)
 				b.ReportAllocs()
 				for b.Loop() {
 					now += 10 * time.Microsecond
-					s.Step(now, []Event{Rang{}})
+					s.Step(now, []Event{WakeDue{}})
 				}
 			})
 		}
@@ -75,10 +75,10 @@
 	for i := range 50 {
 		id := fmt.Sprint("m", i)
 		w.step(300*ms, w.arrive(id, 0, i))
-		w.step(100*ms, w.outcome(id, Pass, 0))
+		w.step(100*ms, w.outcome(id, Success, 0))
 	}
 	asked := len(w.wakes)
-	w.step(time.Minute, Rang{})
+	w.step(time.Minute, WakeDue{})
 	if len(w.wakes) != asked || len(w.s.active) != 0 || len(w.s.open) != 0 {
 		t.Errorf("an idle sender asked for %d wakes and has %d active destinations", len(w.wakes)-asked, len(w.s.active))
 	}
--- a/choice/check_test.go
+++ b/choice/check_test.go
@@ -21,7 +21,7 @@
 		{"at most once, half-open", 2, func(_ *Sender, _ *message, e *endpoint) { e.route.sick = true }},
 		{"at most once, may have run", 2, func(_ *Sender, m *message, _ *endpoint) { m.touched = true }},
 		{"deduplicated, after its window", 1, func(s *Sender, m *message, _ *endpoint) {
-			m.touched, m.mayRun = true, s.now-m.class.Window
+			m.touched, m.mayRun = true, s.now-m.class.DedupWindow
 		}},
 		{"attempt out", 0, func(_ *Sender, m *message, _ *endpoint) { m.out = 1 }},
 		{"no attempts left", 0, func(s *Sender, m *message, _ *endpoint) { m.attempts = s.cfg.MaxAttempts }},
--- a/choice/checker_test.go
+++ b/choice/checker_test.go
@@ -24,7 +24,7 @@
 	out     map[attempt]*flight
 	calls   int
 	sends   []Send
-	backs   []PushBack
+	backs   []Refuse
 	fails   []Fail
 	probes  []Probe
 	wakes   []time.Duration
@@ -34,7 +34,7 @@
 }
 
 type told struct {
-	Arrived
+	MessageArrived
 	class    Class
 	attempts int
 	out      int
@@ -63,7 +63,9 @@
 	}
 }
 
-func (w *story) apart(kind int) bool { return kind < len(w.cfg.Kinds) && w.cfg.Kinds[kind].Apart }
+func (w *story) apart(kind int) bool {
+	return kind < len(w.cfg.Kinds) && w.cfg.Kinds[kind].SeparateRoutes
+}
 
 func (w *story) route(ep string) string {
 	p := w.eps[ep]
@@ -80,8 +82,8 @@
 	var waits []func()
 	for _, e := range events {
 		switch e := e.(type) {
-		case Listed:
-			if e.Whole {
+		case ListUpdate:
+			if e.Complete {
 				for _, p := range w.eps {
 					p.closed = true
 				}
@@ -89,20 +91,20 @@
 			for _, en := range e.Entries {
 				w.eps[en.Endpoint] = &place{en, en.Phase != Ready}
 			}
-		case Barred:
+		case EndpointDisabled:
 			w.barred[e.Endpoint] = !e.Lifted
-		case Arrived:
-			m := &told{Arrived: e}
+		case MessageArrived:
+			m := &told{MessageArrived: e}
 			if e.Class >= 0 && e.Class < len(w.cfg.Classes) {
 				m.class = w.cfg.Classes[e.Class]
 			}
 			w.msgs[e.ID] = m
 			w.open = append(w.open, e.ID)
-		case Dropped:
+		case MessageAbandoned:
 			if m := w.msgs[e.ID]; m != nil {
 				m.ended = true
 			}
-		case Ended:
+		case AttemptEnded:
 			f := w.out[attempt{e.ID, e.Attempt}]
 			if f == nil {
 				continue
@@ -113,18 +115,18 @@
 			}
 			m := w.msgs[e.ID]
 			m.out--
-			if e.Closed {
+			if e.Final {
 				m.ended = true
 			}
-			ran := e.Outcome == Fault || e.Outcome == TooSlow || e.Outcome == Cut || e.Outcome == Undone
+			ran := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnectionBroken || e.Outcome == Canceled
 			if ran && (!m.touched || f.sent < m.first) {
 				m.touched, m.first, m.zone = true, f.sent, w.eps[e.Endpoint].Zone
 			}
-			if ran && e.Outcome != Fault && m.class.Ordered {
-				w.rests[m.Key] = max(w.rests[m.Key], w.now+w.cfg.OrderSettle)
+			if ran && e.Outcome != ServerError && m.class.Ordered {
+				w.rests[m.Key] = max(w.rests[m.Key], w.now+w.cfg.KeyPause)
 			}
-			if e.Outcome == NoRoom && e.Wait > 0 {
-				r, until := w.route(e.Endpoint), w.now+e.Wait
+			if e.Outcome == Rejected && e.RetryAfter > 0 {
+				r, until := w.route(e.Endpoint), w.now+e.RetryAfter
 				waits = append(waits, func() { w.waits[r] = max(w.waits[r], until) })
 			}
 		}
@@ -144,10 +146,10 @@
 	switch a := a.(type) {
 	case Send:
 		w.checkSend(a)
-	case PushBack:
+	case Refuse:
 		m := w.end(a.ID)
-		free := m.class.Effect == Safe || (!m.touched && m.out == 0)
-		inside := m.class.Effect == Keyed && m.touched && m.class.GroupAll && w.now <= m.first+m.class.Window
+		free := m.class.Effect == Idempotent || (!m.touched && m.out == 0)
+		inside := m.class.Effect == Deduplicated && m.touched && m.class.DedupEverywhere && w.now <= m.first+m.class.DedupWindow
 		if !free && !inside {
 			w.t.Fatalf("%v: refused %+v, which may have run", w.now, m)
 		}
@@ -175,7 +177,7 @@
 	if m == nil || m.ended {
 		w.t.Fatalf("%v: %s has ended before or is unknown", w.now, id)
 	}
-	if w.now > m.DropDead+w.cfg.AnswerGrace {
+	if w.now > m.Deadline+w.cfg.AnswerGrace {
 		w.t.Fatalf("%v: %s ended after its deadline", w.now, id)
 	}
 	m.ended = true
@@ -196,13 +198,13 @@
 		w.t.Fatalf("%v: sent to endpoint %s, which is not Ready", w.now, a.Endpoint)
 	case w.now < w.waits[w.route(a.Endpoint)]:
 		w.t.Fatalf("%v: sent to %s before the end of a wait", w.now, a.Endpoint)
-	case m.class.Effect == Unsafe && (m.touched || m.out > 0):
+	case m.class.Effect == AtMostOnce && (m.touched || m.out > 0):
 		w.t.Fatalf("%v: AtMostOnce message %s sent again", w.now, a.ID)
-	case m.class.Effect == Keyed && m.touched && w.now > m.first+m.class.Window:
+	case m.class.Effect == Deduplicated && m.touched && w.now > m.first+m.class.DedupWindow:
 		w.t.Fatalf("%v: Deduplicated message %s sent after its window", w.now, a.ID)
-	case m.class.Effect == Keyed && m.touched && (a.StartBy <= w.now || a.StartBy >= m.first+m.class.Window):
-		w.t.Fatalf("%v: Deduplicated message %s may start until %v, its window ends at %v", w.now, a.ID, a.StartBy, m.first+m.class.Window)
-	case m.class.Effect == Keyed && m.touched && !m.class.GroupAll && p.Zone != m.zone:
+	case m.class.Effect == Deduplicated && m.touched && (a.StartBy <= w.now || a.StartBy >= m.first+m.class.DedupWindow):
+		w.t.Fatalf("%v: Deduplicated message %s may start until %v, its window ends at %v", w.now, a.ID, a.StartBy, m.first+m.class.DedupWindow)
+	case m.class.Effect == Deduplicated && m.touched && !m.class.DedupEverywhere && p.Zone != m.zone:
 		w.t.Fatalf("%v: Deduplicated message %s sent to another zone", w.now, a.ID)
 	case m.out > 0 && !w.cfg.MayDuplicate:
 		w.t.Fatalf("%v: two attempts of %s are out", w.now, a.ID)
@@ -225,7 +227,7 @@
 	}
 	batch := 1
 	if p.Kind < len(w.cfg.Kinds) {
-		batch = max(w.cfg.Kinds[p.Kind].Batch, 1)
+		batch = max(w.cfg.Kinds[p.Kind].MaxBatch, 1)
 	}
 	slot := w.batched[a.Endpoint]%batch == 0
 	w.batched[a.Endpoint]++
@@ -254,23 +256,23 @@
 }
 
 // outcome returns the end of the only attempt of a message that is out.
-func (w *story) outcome(id string, o Outcome, wait time.Duration) Ended {
+func (w *story) outcome(id string, o Outcome, wait time.Duration) AttemptEnded {
 	w.t.Helper()
 	for a, f := range w.out {
 		if a.id == id {
-			return Ended{
-				ID: id, Attempt: a.n, Endpoint: f.Endpoint, Outcome: o, Took: w.now - f.sent, Closed: o == Pass, Wait: wait,
+			return AttemptEnded{
+				ID: id, Attempt: a.n, Endpoint: f.Endpoint, Outcome: o, Took: w.now - f.sent, Final: o == Success, RetryAfter: wait,
 			}
 		}
 	}
 	w.t.Fatalf("%v: no attempt of %s is out", w.now, id)
-	return Ended{}
+	return AttemptEnded{}
 }
 
 // idle advances the clock.
 func (w *story) quiet(span time.Duration) {
 	for end := w.now + span; w.now < end; {
-		w.step(10*ms, Rang{Tag: "sweep"})
+		w.step(10*ms, WakeDue{Tag: "sweep"})
 	}
 }
 
@@ -281,11 +283,11 @@
 		var events []Event
 		for _, a := range w.flights() {
 			f := w.out[a]
-			if w.now+10*ms >= f.NotPast {
-				events = append(events, Ended{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Outcome: TooSlow, Took: w.now - f.sent})
+			if w.now+10*ms >= f.TimeoutAt {
+				events = append(events, AttemptEnded{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Outcome: TimedOut, Took: w.now - f.sent})
 			}
 		}
-		w.step(10*ms, append(events, Rang{Tag: "sweep"})...)
+		w.step(10*ms, append(events, WakeDue{Tag: "sweep"})...)
 	}
 	if id := w.unended(); id != "" {
 		w.t.Fatalf("%v: %s was lost", w.now, id)
@@ -304,25 +306,25 @@
 func settings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateWorth: 0.3},
-			{Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 2, LateWorth: 0.3, Effect: Keyed, Window: 4 * time.Second, GroupAll: true},
-			{Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 3, LateWorth: 0.3, Effect: Unsafe},
+			{SoftDeadline: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateWorth: 0.3},
+			{SoftDeadline: 2 * time.Second, Deadline: 10 * time.Second, Worth: 2, LateWorth: 0.3, Effect: Deduplicated, DedupWindow: 4 * time.Second, DedupEverywhere: true},
+			{SoftDeadline: 2 * time.Second, Deadline: 10 * time.Second, Worth: 3, LateWorth: 0.3, Effect: AtMostOnce},
 		},
-		Kinds: []Kind{{}, {Apart: true}, {Batch: 3}},
-		Fleet: 2, Slots: 6, MaxOpen: 60, MaxAttempts: 5, MayCancel: true, Tick: 5 * ms,
-		MaxRetryAfter: 2 * time.Second, AnswerGrace: 20 * ms, FallMultiple: 2, Fall: 2 * time.Second, ColdFrom: 0.3,
-		WarmWithin: 8 * time.Second, OrderSettle: 300 * ms, Weighted: true,
+		Kinds:     []Kind{{}, {SeparateRoutes: true}, {MaxBatch: 3}},
+		FleetSize: 2, Slots: 6, MaxOpen: 60, MaxAttempts: 5, MayCancel: true, Tick: 5 * ms,
+		MaxRetryAfter: 2 * time.Second, AnswerGrace: 20 * ms, CollapseMultiple: 2, CollapseSpan: 2 * time.Second, SlowStartShare: 0.3,
+		SlowStartDuration: 8 * time.Second, KeyPause: 300 * ms, WeightIsRate: true,
 	}
 }
 
-func list(entries ...Entry) Listed { return Listed{Whole: true, Entries: entries} }
+func list(entries ...Entry) ListUpdate { return ListUpdate{Complete: true, Entries: entries} }
 
-func (w *story) arrive(id string, class, dest int) Arrived {
+func (w *story) arrive(id string, class, dest int) MessageArrived {
 	d := 10 * time.Second
 	if class >= 0 && class < len(w.cfg.Classes) {
 		d = w.cfg.Classes[class].Deadline
 	}
-	return Arrived{ID: id, Class: class, Dest: dest, DropDead: w.now + d}
+	return MessageArrived{ID: id, Class: class, Dest: dest, Deadline: w.now + d}
 }
 
 // randomScenario runs thousands of steps of random events; the checker verifies each.
@@ -337,11 +339,11 @@
 	pick := func(p float64) bool { return rng.Float64() < p }
 	for i := range cfg.Classes {
 		cfg.Classes[i].Ordered = pick(0.5)
-		cfg.Classes[i].GroupAll = pick(0.5)
+		cfg.Classes[i].DedupEverywhere = pick(0.5)
 		cfg.Classes[i].Deadline = time.Duration(2+rng.IntN(8)) * time.Second
 	}
 	cfg.Slots, cfg.MaxAttempts, cfg.MayCancel = rng.IntN(8), rng.IntN(6), pick(0.7)
-	cfg.Halves, cfg.AskForList, cfg.RoughWeights = pick(0.5), pick(0.3), pick(0.5)
+	cfg.WorthHalves, cfg.WatchOnRequest, cfg.RoughWeights = pick(0.5), pick(0.3), pick(0.5)
 	cfg.MaxOpen = rng.IntN(80)
 	if pick(0.3) {
 		cfg.Tenants = []Tenant{{PerSecond: 3}, {PerSecond: 1}}
@@ -359,21 +361,21 @@
 		for _, a := range w.flights() {
 			f := w.out[a]
 			age := w.now - f.sent
-			late := w.now+5*ms >= f.NotPast
+			late := w.now+5*ms >= f.TimeoutAt
 			if !late && !pick(0.05) {
 				continue
 			}
-			e := Ended{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: age}
+			e := AttemptEnded{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: age}
 			switch {
 			case late:
-				e.Outcome = TooSlow
+				e.Outcome = TimedOut
 			case pick(mood[f.Endpoint]):
 				e.Outcome = Outcome(1 + rng.IntN(7))
-				if e.Outcome == NoRoom && pick(0.6) {
-					e.Wait = time.Duration(rng.IntN(3000)) * ms
+				if e.Outcome == Rejected && pick(0.6) {
+					e.RetryAfter = time.Duration(rng.IntN(3000)) * ms
 				}
 			}
-			e.Closed = e.Outcome == Pass || w.msgs[a.id].ended
+			e.Final = e.Outcome == Success || w.msgs[a.id].ended
 			if pick(0.3) {
 				e.Report = Report{Left: rng.Float64()*3 - 1, Limit: rng.Float64()*20 - 2, HasLeft: true, HasLimit: true}
 			}
@@ -394,21 +396,21 @@
 		if pick(0.02) {
 			e := all[rng.IntN(len(all))]
 			e.Phase = Phase(rng.IntN(3))
-			events = append(events, Listed{Entries: []Entry{e}})
+			events = append(events, ListUpdate{Entries: []Entry{e}})
 		}
 		if pick(0.005) {
 			events = append(events, list(all[rng.IntN(6):]...))
 		}
 		if pick(0.005) {
-			events = append(events, Listed{Failed: true})
+			events = append(events, ListUpdate{Failed: true})
 		}
 		if len(w.open) > 0 && pick(0.01) {
-			events = append(events, Dropped{ID: w.open[rng.IntN(len(w.open))]})
+			events = append(events, MessageAbandoned{ID: w.open[rng.IntN(len(w.open))]})
 		}
 		if pick(0.01) {
-			events = append(events, Ended{ID: "nobody", Endpoint: "e0"}, Probed{Endpoint: "nowhere", Outcome: Fault})
+			events = append(events, AttemptEnded{ID: "nobody", Endpoint: "e0"}, ProbeEnded{Endpoint: "nowhere", Outcome: ServerError})
 		}
-		w.step(time.Duration(5*(1+rng.IntN(4)))*ms, append(events, Rang{Tag: "sweep"})...)
+		w.step(time.Duration(5*(1+rng.IntN(4)))*ms, append(events, WakeDue{Tag: "sweep"})...)
 	}
 	w.finish()
 	return w
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -113,8 +113,8 @@
 		parted: map[string]time.Duration{}, barred: map[string]bool{},
 		tenants: make([]tenant, len(cfg.Tenants)), crowded: map[int]time.Duration{},
 	}
-	s.cfg.Fleet = max(cfg.Fleet, 1)
-	if cfg.AskForList {
+	s.cfg.FleetSize = max(cfg.FleetSize, 1)
+	if cfg.WatchOnRequest {
 		s.askAt = 1 // immediately
 	}
 	return s
@@ -130,29 +130,29 @@
 	// whatever comes before it in the batch.
 	for _, e := range events {
 		switch e := e.(type) {
-		case Listed:
+		case ListUpdate:
 			s.listed(e)
-		case Barred:
+		case EndpointDisabled:
 			s.bar(e)
 		}
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Arrived:
+		case MessageArrived:
 			s.arrived(e)
-		case Resumed:
+		case MessageResumed:
 			s.resumed(e)
-		case Ended:
+		case AttemptEnded:
 			s.ended(e)
-		case Probed:
+		case ProbeEnded:
 			s.probed(e)
-		case Dropped:
+		case MessageAbandoned:
 			if m := s.msgs[e.ID]; m != nil {
 				s.finish(m, nil)
 			}
-		case Rang:
+		case WakeDue:
 			s.wakeAt = 0 // a rounded clock may wake the sender a little early
-		case Leaving:
+		case Stopping:
 			s.leaveBy = e.By
 		}
 	}
@@ -187,16 +187,16 @@
 }
 
 // updateList applies a list of endpoints. A complete list replaces the old one.
-func (s *Sender) listed(l Listed) {
+func (s *Sender) listed(l ListUpdate) {
 	if l.Failed {
 		s.asking = min(max(2*s.asking, trialFirst), time.Minute)
-		if s.cfg.AskForList {
+		if s.cfg.WatchOnRequest {
 			s.askAt = s.now + s.asking
 		}
 		return
 	}
 	s.asking = 0
-	if l.Whole {
+	if l.Complete {
 		s.keepOnly(l.Entries)
 	}
 	for _, entry := range l.Entries {
@@ -223,7 +223,7 @@
 		}
 		e.listed = entry.Phase == Ready
 		e.ready = e.listed && !s.barred[e.id]
-		if s.cfg.Weighted && entry.Weight > 0 {
+		if s.cfg.WeightIsRate && entry.Weight > 0 {
 			e.route.weight = entry.Weight
 		}
 	}
@@ -233,7 +233,7 @@
 // setDisabled disables an endpoint or enables it again. It was restarted meanwhile and starts slowly, while
 // the other endpoints of its route do not: so it has a budget of its own besides the route's, for its part of
 // the route's capacity.
-func (s *Sender) bar(b Barred) {
+func (s *Sender) bar(b EndpointDisabled) {
 	e := s.eps[b.Endpoint]
 	switch {
 	case !b.Lifted:
@@ -255,28 +255,28 @@
 func newRoute() *route { return &route{part: partFirst, most: partMost, tokens: 1} }
 
 // handleArrival admits a message or refuses it immediately.
-func (s *Sender) arrived(e Arrived) {
+func (s *Sender) arrived(e MessageArrived) {
 	if s.msgs[e.ID] != nil {
 		return
 	}
 	m, d := s.take(e)
 	if !s.admit(d, m) {
-		s.finish(m, PushBack{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
+		s.finish(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
 		return
 	}
 	s.hold(m, e.Key)
 }
 
 // registerMessage records a new message and its demand on the destination.
-func (s *Sender) take(e Arrived) (*message, *destination) {
+func (s *Sender) take(e MessageArrived) (*message, *destination) {
 	d := s.destination(e.Dest)
 	d.came, d.cameAt = d.rate(s.now)*seconds(demandSpan)+1, s.now
 	class := s.class(e.Class)
 	m := &message{
-		id: e.ID, class: class, dest: d, arrived: s.now, dropDead: e.DropDead, worth: class.Worth,
-		born: e.DropDead - class.Deadline, gate: s.gate(d, e.Class),
+		id: e.ID, class: class, dest: d, arrived: s.now, dropDead: e.Deadline, worth: class.Worth,
+		born: e.Deadline - class.Deadline, gate: s.gate(d, e.Class),
 	}
-	m.aim = min(class.Aim+span(class.AimStretch*seconds(e.Hint)), max(class.Deadline, class.Aim))
+	m.aim = min(class.SoftDeadline+span(class.SoftDeadlineStretch*seconds(e.Hint)), max(class.Deadline, class.SoftDeadline))
 	if !s.inShare(e.Tenant) {
 		m.worth *= s.cfg.OverShareWorth
 	}
@@ -324,21 +324,21 @@
 // fleetExceedsBudget reports whether the fleet has more senders than a destination in slow start may get
 // calls, chance included. One extra call of each sender is too much then.
 func (s *Sender) outnumbers(r *route) bool {
-	budget := s.cfg.FallMultiple * s.cfg.ColdFrom * s.capacity(r) * seconds(s.cfg.Fall)
-	return budget > 0 && float64(s.cfg.Fleet) > budget+chanceRoots*math.Sqrt(budget)+chanceCalls
+	budget := s.cfg.CollapseMultiple * s.cfg.SlowStartShare * s.capacity(r) * seconds(s.cfg.CollapseSpan)
+	return budget > 0 && float64(s.cfg.FleetSize) > budget+chanceRoots*math.Sqrt(budget)+chanceCalls
 }
 
 // handleResumed takes back a message from before a restart. It was admitted then, so the gate is not asked. A
 // message that may have run and must not be repeated ends here. A known earlier failure may belong to an
 // outage whose end this process did not see, so the routes there get a slow start.
-func (s *Sender) resumed(e Resumed) {
+func (s *Sender) resumed(e MessageResumed) {
 	if s.msgs[e.ID] != nil {
 		return
 	}
-	m, d := s.take(e.Arrived)
-	m.attempts, m.touched = e.Attempts, e.Touched && m.class.Effect != Safe
-	m.mayRun, m.zone = e.MayRun, e.Zone
-	if (m.touched && m.class.Effect == Unsafe) || s.spent(m) || s.now >= s.startBy(m) {
+	m, d := s.take(e.MessageArrived)
+	m.attempts, m.touched = e.Attempts, e.MayHaveRun && m.class.Effect != Idempotent
+	m.mayRun, m.zone = e.MayHaveRunSince, e.Zone
+	if (m.touched && m.class.Effect == AtMostOnce) || s.spent(m) || s.now >= s.startBy(m) {
 		s.giveUp(m)
 		return
 	}
@@ -356,7 +356,7 @@
 	if i < 0 || i >= len(s.tenants) || s.cfg.Tenants[i].PerSecond <= 0 {
 		return true
 	}
-	t, rate := &s.tenants[i], s.cfg.Tenants[i].PerSecond/float64(s.cfg.Fleet)
+	t, rate := &s.tenants[i], s.cfg.Tenants[i].PerSecond/float64(s.cfg.FleetSize)
 	t.tokens = min(t.tokens+rate*seconds(s.now-t.at), 2*rate+1)
 	t.at = s.now
 	if t.tokens < 1 {
@@ -430,25 +430,25 @@
 
 // RetryAfterIfFull is the wait for a client whose message is refused before the gate because there is no
 // room.
-func (s *Sender) StayAway(class, dest int) time.Duration {
+func (s *Sender) RetryAfterIfFull(class, dest int) time.Duration {
 	return s.retryAfter(s.gate(s.destination(dest), class))
 }
 
 // KnowsDestination reports whether a destination is on the list, or was a short time ago.
-func (s *Sender) Knows(dest int) bool { return s.dests[dest] != nil }
+func (s *Sender) KnowsDestination(dest int) bool { return s.dests[dest] != nil }
 
 // IndicatesOutage reports whether an outcome is a sign of an outage that the next process should know of with
 // its message. A rejection over a limit is none, nor is a canceled call, nor a reused connection that broke.
-func (s *Sender) Ominous(dest int, e Ended) bool {
+func (s *Sender) IndicatesOutage(dest int, e AttemptEnded) bool {
 	switch e.Outcome {
-	case Pass, Stale, Undone:
+	case Success, Stale, Canceled:
 		return false
-	case Cut:
-		return !e.Kept
-	case NoRoom:
+	case ConnectionBroken:
+		return !e.ReusedConn
+	case Rejected:
 		d := s.dests[dest]
 		struck := func(ep *endpoint) bool { return ep.route.recovering() }
-		return e.Wait > shutWait || (d != nil && slices.ContainsFunc(d.endpoints, struck))
+		return e.RetryAfter > shutWait || (d != nil && slices.ContainsFunc(d.endpoints, struck))
 	}
 	return true
 }
@@ -469,15 +469,15 @@
 
 // canRefuse reports whether a refusal is true when it says that a new submission is harmless.
 func (s *Sender) mayRefuse(m *message) bool {
-	if m.class.Effect == Safe || (m.out == 0 && !m.touched) {
+	if m.class.Effect == Idempotent || (m.out == 0 && !m.touched) {
 		return true
 	}
-	return m.class.Effect == Keyed && m.touched && m.class.GroupAll && s.now <= s.windowEnd(m)
+	return m.class.Effect == Deduplicated && m.touched && m.class.DedupEverywhere && s.now <= s.windowEnd(m)
 }
 
 // dedupWindowEnd is the last moment at which the destination is certain to drop a repeat.
 func (s *Sender) windowEnd(m *message) time.Duration {
-	return m.mayRun + m.class.Window - endMargin - 2*s.cfg.Tick
+	return m.mayRun + m.class.DedupWindow - endMargin - 2*s.cfg.Tick
 }
 
 // latestStart is the time until which an attempt may begin: while the message has time left, and for a repeat
@@ -485,7 +485,7 @@
 // given up, while it can still be refused.
 func (s *Sender) startBy(m *message) time.Duration {
 	by := m.dropDead - endMargin - 2*s.cfg.Tick
-	if m.touched && m.class.Effect == Keyed {
+	if m.touched && m.class.Effect == Deduplicated {
 		by = min(by, s.windowEnd(m)-2*pollEvery)
 	}
 	return by
@@ -494,7 +494,7 @@
 // giveUp ends a message as its effect allows.
 func (s *Sender) giveUp(m *message) {
 	if s.mayRefuse(m) {
-		s.finish(m, PushBack{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
+		s.finish(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
 	} else {
 		s.finish(m, Fail{ID: m.id})
 	}
@@ -520,7 +520,7 @@
 }
 
 // handleAttemptEnd handles the outcome of an attempt.
-func (s *Sender) ended(e Ended) {
+func (s *Sender) ended(e AttemptEnded) {
 	key := attempt{e.ID, e.Attempt}
 	m, c := s.sent[key].m, s.sent[key].c
 	if c == nil {
@@ -532,23 +532,23 @@
 	}
 	// A reused connection that breaks under a call is a sign about the connection and not about the
 	// destination; so is a call without an answer when calls sent later have succeeded.
-	worn := e.Kept && e.Outcome == Cut
+	worn := e.ReusedConn && e.Outcome == ConnectionBroken
 	if worn {
 		s.wornTil = s.now + wornSpan
 	}
-	lone := worn || (e.Outcome == TooSlow || e.Outcome == Undone) && s.lost(c)
+	lone := worn || (e.Outcome == TimedOut || e.Outcome == Canceled) && s.lost(c)
 	s.report(c.ep.route, e.Report)
 	s.judge(c, e, lone)
-	if e.Wait > 0 { // the answer to a batch may have a retry-after whatever the outcome of this message
-		c.ep.route.waitUntil = max(c.ep.route.waitUntil, s.now+e.Wait)
+	if e.RetryAfter > 0 { // the answer to a batch may have a retry-after whatever the outcome of this message
+		c.ep.route.waitUntil = max(c.ep.route.waitUntil, s.now+e.RetryAfter)
 	}
 	s.inherit(c.ep)
 	m.out--
-	ran := e.Outcome == Fault || e.Outcome == TooSlow || e.Outcome == Cut || e.Outcome == Undone
-	if ran && m.class.Effect != Safe && (!m.touched || c.sentAt < m.mayRun) {
+	ran := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnectionBroken || e.Outcome == Canceled
+	if ran && m.class.Effect != Idempotent && (!m.touched || c.sentAt < m.mayRun) {
 		m.touched, m.mayRun, m.zone = true, c.sentAt, c.ep.zone
 	}
-	if ran && e.Outcome != Fault && m.key != "" {
+	if ran && e.Outcome != ServerError && m.key != "" {
 		s.restKey(m.key)
 	}
 	if m.over {
@@ -557,15 +557,15 @@
 	}
 	s.sample(m, c, e.Outcome, lone)
 	switch {
-	case e.Unsure: // a repeat might come after the message's end, a refusal might be untrue
+	case e.Ambiguous: // a repeat might come after the message's end, a refusal might be untrue
 		s.finish(m, Fail{ID: m.id})
-	case e.Closed || e.Outcome == Pass:
+	case e.Final || e.Outcome == Success:
 		s.finish(m, nil)
 	case m.out > 0: // another copy is out and may still succeed
-	case s.now >= m.dropDead-endMargin, ran && m.class.Effect == Unsafe, s.spent(m):
+	case s.now >= m.dropDead-endMargin, ran && m.class.Effect == AtMostOnce, s.spent(m):
 		s.giveUp(m)
 	default:
-		if !worn && (ran || e.Outcome == NoRoute) {
+		if !worn && (ran || e.Outcome == Unreachable) {
 			m.notBefore = s.now + retryRest<<min(m.attempts, 16)
 		}
 		s.enqueue(m)
@@ -588,10 +588,10 @@
 	}
 	sec := seconds(s.now - max(m.arrived, min(c.ep.route.coldFrom, c.sentAt)))
 	switch o {
-	case Pass:
-	case Stale, Undone:
+	case Success:
+	case Stale, Canceled:
 		return
-	case NoRoom:
+	case Rejected:
 		if !m.dest.troubled() {
 			return
 		}
@@ -625,27 +625,27 @@
 
 // recordOutcome updates the health of an endpoint and its route from an outcome. With connectionOnly the
 // outcome says something about its connection only.
-func (s *Sender) judge(c *call, e Ended, lone bool) {
+func (s *Sender) judge(c *call, e AttemptEnded, lone bool) {
 	ep, r, took := c.ep, c.ep.route, max(seconds(e.Took), seconds(floorResponse))
 	if c.trial {
 		r.trial = false
 	}
 	switch {
 	case lone:
-	case e.Outcome == Pass:
+	case e.Outcome == Success:
 		if took <= slowFactor*ep.usual {
 			ep.provenAt = max(ep.provenAt, c.sentAt)
 		}
 		ep.usual = ease(ep.usual, took)
 		ep.response = ease(ep.response, took)
-		if r.fails > 0 && r.harmless && !r.sick && !s.cfg.FullTold {
+		if r.fails > 0 && r.harmless && !r.sick && !s.cfg.FullTableRejects {
 			s.crowded[ep.dest.kind] = s.now + crowdedSpan // a failed connect followed by a success: a full connection table
 		}
 		s.passed(r)
 	case e.Outcome == Stale:
-	case e.Outcome == NoRoom && e.HungUp && !e.Kept && e.Wait == 0 && !r.sick:
+	case e.Outcome == Rejected && e.ConnClosed && !e.ReusedConn && e.RetryAfter == 0 && !r.sick:
 		s.crowd(ep)
-	case e.Outcome == NoRoom:
+	case e.Outcome == Rejected:
 		// Rejections in a row double the pause, whether over a limit or shut. They are no outage by
 		// themselves: a large fleet gets three in a row at any busy limit.
 		if s.now-r.waitUntil > r.rest {
@@ -653,19 +653,19 @@
 		} else if s.now >= r.waitUntil { // not from the same call that told the wait
 			r.rest *= 2
 		}
-		r.waitUntil = max(r.waitUntil, s.now+max(e.Wait, r.rest))
+		r.waitUntil = max(r.waitUntil, s.now+max(e.RetryAfter, r.rest))
 		ep.response = ease(ep.response, 2*max(ep.response, took))
 		// Rejected although there is no limit: a full queue, as of a destination that hangs.
 		stuck := r.reported && r.limit == 0
-		if shut := e.Wait > shutWait; shut || stuck || r.sick {
+		if shut := e.RetryAfter > shutWait; shut || stuck || r.sick {
 			s.failure(ep, shut, true)
 		} else {
 			s.cut(c)
 		}
 	default:
-		s.failed(ep, took, e.Outcome == NoRoute)
+		s.failed(ep, took, e.Outcome == Unreachable)
 	}
-	if c.left == 0 && e.Outcome != NoRoute && e.Outcome != Stale {
+	if c.left == 0 && e.Outcome != Unreachable && e.Outcome != Stale {
 		s.giveBack(ep)
 	}
 }
@@ -682,13 +682,13 @@
 // than the mean gap. They are also closed at a kind of destination where connects failed recently; there it
 // costs handshakes while the sign lasts.
 func (s *Sender) giveBack(ep *endpoint) {
-	unused := s.cfg.ConnIdle > 0 && ep.gap > farApart*seconds(s.cfg.ConnIdle)
+	unused := s.cfg.IdleConnTimeout > 0 && ep.gap > farApart*seconds(s.cfg.IdleConnTimeout)
 	switch {
 	case len(ep.dest.waiting) > 0:
 	case unused || s.now < s.crowded[ep.dest.kind]:
-		s.do(HangUp{Endpoint: ep.id})
+		s.do(CloseIdle{Endpoint: ep.id})
 	case ep.room > 0 && s.now-ep.crowdedAt < crowdedSpan:
-		s.do(HangUp{Endpoint: ep.id, Keep: 1})
+		s.do(CloseIdle{Endpoint: ep.id, Keep: 1})
 	}
 }
 
@@ -800,7 +800,7 @@
 	switch {
 	case r.sick:
 		r.sick, r.coldFrom = false, s.now
-	case r.coldFrom > 0 && s.now-r.coldFrom > s.cfg.WarmWithin:
+	case r.coldFrom > 0 && s.now-r.coldFrom > s.cfg.SlowStartDuration:
 		r.coldFrom = 0
 	}
 }
@@ -829,18 +829,18 @@
 // before it, their rates would add up to several times the budget. An even share would starve the few senders
 // of a large fleet that hold messages, and waste the rest.
 func (s *Sender) pace(r *route) (rate float64, bound bool) {
-	if r.recovering() && s.cfg.Fall > 0 && s.cfg.FallMultiple > 0 {
-		share := s.cfg.ColdFrom
-		if r.coldFrom > 0 && s.cfg.WarmWithin > 0 {
-			share += (1 - share) * min(1, seconds(s.now-r.coldFrom)/seconds(s.cfg.WarmWithin))
+	if r.recovering() && s.cfg.CollapseSpan > 0 && s.cfg.CollapseMultiple > 0 {
+		share := s.cfg.SlowStartShare
+		if r.coldFrom > 0 && s.cfg.SlowStartDuration > 0 {
+			share += (1 - share) * min(1, seconds(s.now-r.coldFrom)/seconds(s.cfg.SlowStartDuration))
 		}
-		even := s.capacity(r) / float64(s.cfg.Fleet)
-		own := r.demand / max(seconds(s.now-r.struckAt), seconds(s.cfg.Fall))
+		even := s.capacity(r) / float64(s.cfg.FleetSize)
+		own := r.demand / max(seconds(s.now-r.struckAt), seconds(s.cfg.CollapseSpan))
 		if s.outnumbers(r) {
 			own = r.demand / (seconds(s.now-r.struckAt) + seconds(demandSpan))
 		}
 		part := max(knowingShare*even, demandShare*min(own, s.capacity(r)))
-		rate, bound = s.cfg.FallMultiple*share*part, true
+		rate, bound = s.cfg.CollapseMultiple*share*part, true
 	}
 	limit := s.limit(r)
 	own := min(1, r.part*s.weight()) * limit
@@ -884,7 +884,7 @@
 // trafficShare is this sender's share of the fleet's traffic: the first submissions here, out of those that
 // the tenants' allowances let expect over all senders.
 func (s *Sender) weight() float64 {
-	even, all := 1/float64(s.cfg.Fleet), 0.0
+	even, all := 1/float64(s.cfg.FleetSize), 0.0
 	for _, t := range s.cfg.Tenants {
 		all += t.PerSecond
 	}
@@ -1084,7 +1084,7 @@
 		if i == 0 || e.route != d.endpoints[0].route { // one route for all, or one for each
 			s.refill(e.route)
 		}
-		if e.warming != nil && s.now-e.warming.coldFrom > s.cfg.WarmWithin {
+		if e.warming != nil && s.now-e.warming.coldFrom > s.cfg.SlowStartDuration {
 			e.warming = nil
 		} else if e.warming != nil {
 			s.refill(e.warming)
@@ -1125,7 +1125,7 @@
 		return 0
 	case age <= m.aim || m.aim <= 0:
 		return m.worth
-	case s.cfg.Halves:
+	case s.cfg.WorthHalves:
 		return m.worth * max(late, math.Exp2(-float64(age-m.aim)/float64(m.aim)))
 	}
 	return m.worth * (1 - (1-late)*float64(age-m.aim)/float64(max(m.class.Deadline-m.aim, 1)))
@@ -1184,15 +1184,15 @@
 		return false
 	}
 	switch m.class.Effect {
-	case Unsafe:
+	case AtMostOnce:
 		// With an open breaker an AtMostOnce message risks an ambiguous end, unless failures there prove that
 		// nothing ran; with most of its time gone it has less to lose.
 		spent := s.now-m.arrived > (m.dropDead-m.arrived)/2
 		if m.touched || (e.route.sick && !e.route.harmless && !spent) {
 			return false
 		}
-	case Keyed:
-		if m.touched && !m.class.GroupAll && e.zone != m.zone {
+	case Deduplicated:
+		if m.touched && !m.class.DedupEverywhere && e.zone != m.zone {
 			return false
 		}
 	}
@@ -1209,7 +1209,7 @@
 
 // stopMargin is how long before the end of the process a message may still be sent.
 func (s *Sender) leaveSpan(m *message, e *endpoint) time.Duration {
-	if m.class.Effect == Unsafe {
+	if m.class.Effect == AtMostOnce {
 		return max(span(leaveRoomUnsafe*e.usual), leaveLeastUnsafe)
 	}
 	return max(span(leaveRoom*e.usual), leaveLeast)
@@ -1219,7 +1219,7 @@
 // same call.
 func (s *Sender) send(d *destination, m *message, e *endpoint) {
 	r := e.route
-	c := &call{ep: e, sentAt: s.now, trial: r.sick, repeatable: m.class.Effect != Unsafe}
+	c := &call{ep: e, sentAt: s.now, trial: r.sick, repeatable: m.class.Effect != AtMostOnce}
 	s.made++
 	r.trial = r.trial || c.trial
 	// A call on a socket is given up whole. Where silence is likely, messages that may be repeated are not
@@ -1231,7 +1231,7 @@
 		if len(group) >= s.batch(d) || c.trial {
 			break
 		}
-		if o != m && (mixed || c.repeatable == (o.class.Effect != Unsafe)) && s.check(o, e) {
+		if o != m && (mixed || c.repeatable == (o.class.Effect != AtMostOnce)) && s.check(o, e) {
 			group = append(group, o)
 		}
 	}
@@ -1242,13 +1242,13 @@
 		o.attempts++
 		o.out++
 		c.left++
-		c.repeatable = c.repeatable && o.class.Effect != Unsafe
+		c.repeatable = c.repeatable && o.class.Effect != AtMostOnce
 		// A message that may not be repeated is lost when a reused connection turns out broken; a handshake
 		// costs less than that, and less than another attempt of a message that has had one.
-		fresh := s.now < s.wornTil && (o.class.Effect == Unsafe || o.attempts > 1)
+		fresh := s.now < s.wornTil && (o.class.Effect == AtMostOnce || o.attempts > 1)
 		s.do(Send{
-			ID: o.id, Endpoint: e.id, Call: s.made, NotPast: s.timeout(o, e), StartBy: s.startBy(o),
-			EndBy: o.endBy(), Fresh: fresh,
+			ID: o.id, Endpoint: e.id, Call: s.made, TimeoutAt: s.timeout(o, e), StartBy: s.startBy(o),
+			ResultBy: o.endBy(), NewConn: fresh,
 		})
 	}
 	r.tokens--
@@ -1272,7 +1272,7 @@
 // so it gets all its time.
 func (s *Sender) timeout(m *message, e *endpoint) time.Duration {
 	last := m.endBy()
-	if m.class.Effect == Unsafe {
+	if m.class.Effect == AtMostOnce {
 		return last
 	}
 	aim := seconds(m.aim)
@@ -1285,9 +1285,9 @@
 }
 
 // handleProbeEnd records the result of a probe like that of a call.
-func (s *Sender) probed(e Probed) {
+func (s *Sender) probed(e ProbeEnded) {
 	if ep := s.eps[e.Endpoint]; ep != nil {
 		s.report(ep.route, e.Report)
-		s.judge(&call{ep: ep, trial: true}, Ended{Outcome: e.Outcome, Took: e.Took}, false)
+		s.judge(&call{ep: ep, trial: true}, AttemptEnded{Outcome: e.Outcome, Took: e.Took}, false)
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func one() Listed { return list(Entry{Endpoint: "a", Dest: 0, Weight: 10}) }
+func one() ListUpdate { return list(Entry{Endpoint: "a", Dest: 0, Weight: 10}) }
 
 func TestGateHysteresis(t *testing.T) {
 	for _, c := range []struct {
@@ -76,7 +76,7 @@
 		w.quiet(600 * ms)
 		if len(w.out) > 0 {
 			id := w.flights()[0].id
-			w.step(5*ms, w.outcome(id, Pass, 0))
+			w.step(5*ms, w.outcome(id, Success, 0))
 		}
 		w.step(5*ms, w.arrive(fmt.Sprint("t", i), 0, 0))
 	}
@@ -94,9 +94,9 @@
 	w := newStory(t, cfg, 1)
 	w.step(0, one())
 	w.step(5*ms, w.arrive("urgent", 1, 0))
-	w.step(50*ms, w.outcome("urgent", Pass, 0))
+	w.step(50*ms, w.outcome("urgent", Success, 0))
 	w.step(5*ms, w.arrive("held", 0, 0))
-	w.step(9*time.Second, w.outcome("held", Pass, 0)) // most of the time of that class
+	w.step(9*time.Second, w.outcome("held", Success, 0)) // most of the time of that class
 	w.step(5*ms, w.arrive("more", 1, 0), w.arrive("and more", 1, 0))
 	if len(w.backs) != 0 {
 		t.Errorf("refused: %v", w.backs)
@@ -132,11 +132,11 @@
 	for i := range 5 {
 		id := fmt.Sprint("m", i)
 		w.step(200*ms, w.arrive(id, 2, 0))
-		w.step(20*ms, w.outcome(id, Pass, 0))
+		w.step(20*ms, w.outcome(id, Success, 0))
 	}
 	was := w.s.dests[0].gates[2].average
 	w.step(5*ms, w.arrive("x", 2, 0))
-	w.step(5*ms, w.outcome("x", Fault, 0)) // a fast error
+	w.step(5*ms, w.outcome("x", ServerError, 0)) // a fast error
 	if now := w.s.dests[0].gates[2].average; now < was+0.2*smoothing {
 		t.Errorf("a fast error changed the average from %v to %v", was, now)
 	}
@@ -147,10 +147,10 @@
 	w := newStory(t, settings(), 1)
 	w.step(0, w.arrive("nowhere", 0, 9)) // no such destination and no list
 	w.step(5*ms, one(), w.arrive("gone", 1, 0))
-	w.step(5*ms, list(), w.outcome("gone", NoRoute, 0)) // its endpoint left
+	w.step(5*ms, list(), w.outcome("gone", Unreachable, 0)) // its endpoint left
 	w.step(5*ms, one(), w.arrive("slow", 2, 0))
 	w.finish()
-	if !slices.ContainsFunc(w.backs, func(b PushBack) bool { return b.ID == "nowhere" }) {
+	if !slices.ContainsFunc(w.backs, func(b Refuse) bool { return b.ID == "nowhere" }) {
 		t.Error("a message that never ran must be refused, not failed")
 	}
 }
@@ -158,17 +158,17 @@
 // A call with several messages lasts as long as the longest of them, and its connection may come up late.
 func TestRuleOneEachMessageBeginsInItsTime(t *testing.T) {
 	cfg := settings()
-	cfg.Kinds[0].Batch = 2
+	cfg.Kinds[0].MaxBatch = 2
 	w := newStory(t, cfg, 1)
 	w.step(0, one())
 	short, long := w.arrive("short", 0, 0), w.arrive("long", 2, 0)
-	long.DropDead += time.Minute
+	long.Deadline += time.Minute
 	w.step(5*ms, short, long)
 	if len(w.sends) != 2 || w.sends[0].Call != w.sends[1].Call {
 		t.Fatal(w.log)
 	}
 	for _, s := range w.sends {
-		if end := w.msgs[s.ID].DropDead; s.StartBy <= w.now || s.StartBy >= end {
+		if end := w.msgs[s.ID].Deadline; s.StartBy <= w.now || s.StartBy >= end {
 			t.Errorf("%s may start until %v, its deadline is %v", s.ID, s.StartBy, end)
 		}
 	}
@@ -179,7 +179,7 @@
 	t.Run("at most once: fails after an ambiguous outcome", func(t *testing.T) {
 		w := newStory(t, settings(), 1)
 		w.step(0, one(), w.arrive("u", 2, 0))
-		w.step(5*ms, w.outcome("u", Cut, 0))
+		w.step(5*ms, w.outcome("u", ConnectionBroken, 0))
 		if len(w.fails) != 1 {
 			t.Fatal(w.log)
 		}
@@ -187,7 +187,7 @@
 	t.Run("at most once: is sent again when nothing ran", func(t *testing.T) {
 		w := newStory(t, settings(), 1)
 		w.step(0, one(), w.arrive("u", 2, 0))
-		w.step(5*ms, w.outcome("u", NoRoom, 0))
+		w.step(5*ms, w.outcome("u", Rejected, 0))
 		w.quiet(time.Second)
 		if len(w.sends) != 2 {
 			t.Fatal(w.log)
@@ -197,7 +197,7 @@
 	t.Run("deduplicated: is refused before its window ends", func(t *testing.T) {
 		w := newStory(t, settings(), 1)
 		w.step(0, one(), w.arrive("k", 1, 0))
-		w.step(5*ms, w.outcome("k", TooSlow, 0), list())
+		w.step(5*ms, w.outcome("k", TimedOut, 0), list())
 		w.quiet(5 * time.Second)
 		if len(w.backs) != 1 {
 			t.Fatal(w.log)
@@ -207,23 +207,23 @@
 		w := newStory(t, settings(), 1)
 		w.step(0, one(), w.arrive("k", 1, 0))
 		first := w.now
-		w.step(5*ms, w.outcome("k", Fault, 0))
+		w.step(5*ms, w.outcome("k", ServerError, 0))
 		w.quiet(time.Second)
 		if len(w.sends) != 2 {
 			t.Fatal(w.log)
 		}
-		if by, end := w.sends[1].StartBy, first+w.cfg.Classes[1].Window; by <= w.now || by >= end {
+		if by, end := w.sends[1].StartBy, first+w.cfg.Classes[1].DedupWindow; by <= w.now || by >= end {
 			t.Errorf("may start until %v, the window ends at %v", by, end)
 		}
 		w.finish()
 	})
 	t.Run("deduplicated in one zone: stays there", func(t *testing.T) {
 		cfg := settings()
-		cfg.Classes[1].GroupAll = false
+		cfg.Classes[1].DedupEverywhere = false
 		w := newStory(t, cfg, 1)
 		w.step(0, one(), w.arrive("k", 1, 0))
 		other := list(Entry{Endpoint: "b", Zone: 1, Weight: 10})
-		w.step(5*ms, w.outcome("k", Fault, 0), other)
+		w.step(5*ms, w.outcome("k", ServerError, 0), other)
 		w.finish()
 		if len(w.sends) != 1 || len(w.fails) != 1 {
 			t.Fatal(w.log)
@@ -234,12 +234,12 @@
 func TestRuleThreeDrainActsInItsStep(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	w.step(0, list(Entry{Endpoint: "a", Weight: 10}, Entry{Endpoint: "b", Weight: 10}))
-	drain := Listed{Entries: []Entry{{Endpoint: "a", Phase: Draining}}}
+	drain := ListUpdate{Entries: []Entry{{Endpoint: "a", Phase: Draining}}}
 	w.step(5*ms, w.arrive("0", 0, 0), w.arrive("1", 0, 0), w.arrive("2", 0, 0), w.arrive("3", 0, 0), drain)
 	if len(w.sends) == 0 {
 		t.Fatal("no message was sent to the other endpoint")
 	}
-	w.step(5*ms, Listed{Entries: []Entry{{Endpoint: "a", Weight: 10}, {Endpoint: "b", Phase: Gone}}})
+	w.step(5*ms, ListUpdate{Entries: []Entry{{Endpoint: "a", Weight: 10}, {Endpoint: "b", Phase: Gone}}})
 	w.quiet(time.Second)
 	w.step(5*ms, w.arrive("4", 0, 0))
 	if last := w.sends[len(w.sends)-1]; last.Endpoint != "a" {
@@ -253,11 +253,11 @@
 	w := newStory(t, settings(), 1)
 	w.step(0, one(), w.arrive("old", 0, 0))
 	d := w.s.dests[0]
-	w.step(7*time.Second, w.outcome("old", NoRoom, 0))
+	w.step(7*time.Second, w.outcome("old", Rejected, 0))
 	d.gates[0] = gate{seen: true, average: 1, baseline: 0.5, at: w.now}
 	d.endpoints[0].route.coldFrom = w.now
 	w.quiet(2 * time.Second)
-	w.step(50*ms, w.outcome("old", Pass, 0))
+	w.step(50*ms, w.outcome("old", Success, 0))
 	if d.gates[0].average > 3 {
 		t.Errorf("the average is %v s after messages were held through an outage", d.gates[0].average)
 	}
@@ -265,7 +265,7 @@
 	w.step(5*ms, w.arrive("next", 0, 0))
 	w.quiet(300 * ms)
 	d.gates[0], d.endpoints[0].route.sick = gate{}, true
-	w.step(5*ms, w.outcome("next", Pass, 0))
+	w.step(5*ms, w.outcome("next", Success, 0))
 	if d.gates[0].baseline < 0.3 {
 		t.Errorf("the baseline fell to %v s", d.gates[0].baseline)
 	}
@@ -281,7 +281,7 @@
 
 func coldFleet(t *testing.T, fleet int) {
 	cfg := settings()
-	cfg.Slots, cfg.MaxOpen, cfg.Fleet = 50, 400, fleet
+	cfg.Slots, cfg.MaxOpen, cfg.FleetSize = 50, 400, fleet
 	var senders []*story
 	for i := range fleet {
 		w := newStory(t, cfg, uint64(i))
@@ -299,9 +299,9 @@
 			for _, a := range w.flights() {
 				f := w.out[a]
 				if age := w.now - f.sent; age >= 50*ms {
-					e := Ended{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: age, Outcome: NoRoute}
+					e := AttemptEnded{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: age, Outcome: Unreachable}
 					if f.sent >= back {
-						e.Outcome, e.Closed = Pass, true
+						e.Outcome, e.Final = Success, true
 						served++
 					}
 					events = append(events, e)
@@ -311,7 +311,7 @@
 				events = append(events, w.arrive(fmt.Sprint("m", n), 0, 0))
 			}
 			before := len(w.sends)
-			w.step(10*ms, append(events, Rang{})...)
+			w.step(10*ms, append(events, WakeDue{})...)
 			for range len(w.sends) - before {
 				when = append(when, w.now)
 			}
@@ -323,12 +323,12 @@
 		}
 		count := 0
 		for _, at := range when[i:] {
-			if at < from+cfg.Fall {
+			if at < from+cfg.CollapseSpan {
 				count++
 			}
 		}
-		share := min(1, cfg.ColdFrom+(1-cfg.ColdFrom)*(from-back+cfg.Fall/2).Seconds()/cfg.WarmWithin.Seconds())
-		if most := cfg.FallMultiple * share * 12 * cfg.Fall.Seconds(); float64(count) > most {
+		share := min(1, cfg.SlowStartShare+(1-cfg.SlowStartShare)*(from-back+cfg.CollapseSpan/2).Seconds()/cfg.SlowStartDuration.Seconds())
+		if most := cfg.CollapseMultiple * share * 12 * cfg.CollapseSpan.Seconds(); float64(count) > most {
 			t.Fatalf("%d calls in the window from %v after the return, want at most %.1f", count, from-back, most)
 		}
 	}
@@ -342,7 +342,7 @@
 func TestEarlyRingIsNoLostWake(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	w.step(0, w.arrive("m", 0, 0))
-	w.step(w.wakes[0]-w.now-time.Microsecond, Rang{})
+	w.step(w.wakes[0]-w.now-time.Microsecond, WakeDue{})
 	if len(w.wakes) < 2 {
 		t.Fatal("no second wake was asked for")
 	}
@@ -353,19 +353,19 @@
 	cfg := settings()
 	cfg.Classes[0].Ordered = true
 	w := newStory(t, cfg, 1)
-	keyed := func(id string) Arrived { a := w.arrive(id, 0, 0); a.Key = "k"; return a }
+	keyed := func(id string) MessageArrived { a := w.arrive(id, 0, 0); a.Key = "k"; return a }
 	w.step(0, one(), keyed("1"), keyed("2"))
 	if len(w.sends) != 1 {
 		t.Fatal(w.log)
 	}
 	// The first ends while its attempt is out: the next has its turn only after the outcome and the pause.
-	w.step(5*ms, Dropped{ID: "1"})
+	w.step(5*ms, MessageAbandoned{ID: "1"})
 	w.quiet(100 * ms)
 	if len(w.sends) != 1 {
 		t.Fatal("the next message was sent while an attempt of the first was out")
 	}
-	w.step(5*ms, w.outcome("1", TooSlow, 0))
-	w.quiet(cfg.OrderSettle + 500*ms)
+	w.step(5*ms, w.outcome("1", TimedOut, 0))
+	w.quiet(cfg.KeyPause + 500*ms)
 	if len(w.sends) != 2 {
 		t.Fatalf("the next message never had its turn: %v", w.log)
 	}
@@ -375,11 +375,11 @@
 func TestRuleSixWaits(t *testing.T) {
 	for _, apart := range []bool{false, true} {
 		cfg := settings()
-		cfg.Kinds[0].Apart = apart
+		cfg.Kinds[0].SeparateRoutes = apart
 		w := newStory(t, cfg, 1)
 		w.step(0, list(Entry{Endpoint: "a", Weight: 10}))
 		w.step(5*ms, w.arrive("1", 0, 0))
-		w.step(5*ms, w.outcome("1", NoRoom, time.Second), Listed{Entries: []Entry{{Endpoint: "b", Weight: 10}}})
+		w.step(5*ms, w.outcome("1", Rejected, time.Second), ListUpdate{Entries: []Entry{{Endpoint: "b", Weight: 10}}})
 		w.step(5*ms, w.arrive("2", 1, 0), w.arrive("3", 2, 0))
 		if others := len(w.sends) > 1; others != apart {
 			t.Errorf("separate routes %v: sends are %v", apart, w.sends)
@@ -405,13 +405,13 @@
 		var events []Event
 		for _, a := range w.flights() {
 			f := w.out[a]
-			e := Ended{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: w.now - f.sent}
+			e := AttemptEnded{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: w.now - f.sent}
 			switch {
 			case f.Endpoint == "e0" && w.now-f.sent >= 50*ms:
-				e.Outcome, e.Closed = Pass, true
+				e.Outcome, e.Final = Success, true
 				served++
-			case w.now >= f.NotPast:
-				e.Outcome = TooSlow
+			case w.now >= f.TimeoutAt:
+				e.Outcome = TimedOut
 			default:
 				continue
 			}
@@ -420,10 +420,10 @@
 		if n%5 == 0 {
 			events = append(events, w.arrive(fmt.Sprint("m", n), n/5%3, n/5%5))
 		}
-		w.step(10*ms, append(events, Rang{})...)
+		w.step(10*ms, append(events, WakeDue{})...)
 		for _, a := range w.s.actions { // a canceled attempt ends in the next step
 			if c, ok := a.(Cancel); ok {
-				w.step(ms, w.outcome(c.ID, Undone, 0))
+				w.step(ms, w.outcome(c.ID, Canceled, 0))
 			}
 		}
 	}
@@ -442,12 +442,12 @@
 		for _, a := range w.flights() {
 			f := w.out[a]
 			if need := map[string]time.Duration{"fast": 50 * ms, "long": 600 * ms}[f.Endpoint]; w.now-f.sent >= need {
-				events = append(events, Ended{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: need, Closed: true})
+				events = append(events, AttemptEnded{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: need, Final: true})
 				passed[f.Endpoint]++
 			}
 		}
 		events = append(events, w.arrive(fmt.Sprint("a", n), 0, n%2))
-		w.step(10*ms, append(events, Rang{})...)
+		w.step(10*ms, append(events, WakeDue{})...)
 	}
 	if passed["fast"] < 3*passed["long"] {
 		t.Errorf("%d calls to the fast destination, %d to the one with long calls", passed["fast"], passed["long"])
@@ -459,13 +459,13 @@
 func TestCrowdedEndpointIsNoOutage(t *testing.T) {
 	w := newStory(t, settings(), 1)
 	w.step(0, one(), w.arrive("1", 0, 0))
-	w.step(time.Second, w.outcome("1", NoRoute, 0))
+	w.step(time.Second, w.outcome("1", Unreachable, 0))
 	if w.s.dests[0].endpoints[0].route.sick {
 		t.Fatal("one failed connect opened the breaker")
 	}
 	w.quiet(time.Second)
-	w.step(5*ms, w.outcome("1", Pass, 0))
-	if !slices.ContainsFunc(w.s.actions, func(a Action) bool { return a == HangUp{Endpoint: "a"} }) {
+	w.step(5*ms, w.outcome("1", Success, 0))
+	if !slices.ContainsFunc(w.s.actions, func(a Action) bool { return a == CloseIdle{Endpoint: "a"} }) {
 		t.Error("the idle connection was not closed")
 	}
 }
@@ -494,7 +494,7 @@
 	for i := range sickCount {
 		id := fmt.Sprint("s", i)
 		w.step(500*ms, w.arrive(id, 0, 0))
-		w.step(5*ms, w.outcome(id, Fault, 0))
+		w.step(5*ms, w.outcome(id, ServerError, 0))
 	}
 	if !w.s.dests[0].endpoints[0].route.sick {
 		t.Fatal("a run of failures must open the breaker")
@@ -515,7 +515,7 @@
 	for i, v := range []float64{-1, math.NaN(), math.Inf(1), 2, 0} {
 		id := fmt.Sprint("m", i)
 		w.step(5*ms, w.arrive(id, 0, 0))
-		e := w.outcome(id, Pass, 0)
+		e := w.outcome(id, Success, 0)
 		e.Report = Report{Left: v, Limit: v, HasLeft: true, HasLimit: true}
 		w.step(100*ms, e)
 	}
@@ -559,11 +559,11 @@
 	w := newStory(t, cfg, 1)
 	w.step(0, list(Entry{Endpoint: "a", Weight: 1000}))
 	w.step(5*ms, w.arrive("0", 0, 0))
-	w.step(100*ms, w.outcome("0", Pass, 0))
+	w.step(100*ms, w.outcome("0", Success, 0))
 	w.step(5*ms, w.arrive("lost", 0, 0), w.arrive("unsafe", 2, 0), w.arrive("next", 0, 0))
 	called := map[string]bool{}
 	for end := w.now + 950*ms; w.now < end; {
-		w.step(10*ms, Rang{})
+		w.step(10*ms, WakeDue{})
 		for _, a := range w.s.actions {
 			if c, ok := a.(Cancel); ok {
 				called[c.ID] = true
@@ -584,7 +584,7 @@
 		back bool
 	}{{20 * time.Second, true}, {7 * time.Second, false}, {500 * ms, false}} {
 		cfg := settings()
-		cfg.ConnIdle = 5 * time.Second
+		cfg.IdleConnTimeout = 5 * time.Second
 		w := newStory(t, cfg, 1)
 		w.step(0, one())
 		back := false
@@ -592,8 +592,8 @@
 			id := fmt.Sprint("m", i)
 			w.quiet(c.gap)
 			w.step(5*ms, w.arrive(id, 0, 0))
-			w.step(100*ms, w.outcome(id, Pass, 0))
-			back = slices.Contains(w.s.actions, Action(HangUp{Endpoint: "a"}))
+			w.step(100*ms, w.outcome(id, Success, 0))
+			back = slices.Contains(w.s.actions, Action(CloseIdle{Endpoint: "a"}))
 		}
 		if back != c.back {
 			t.Errorf("calls %v apart: the connection was closed: %v", c.gap, back)
@@ -615,7 +615,7 @@
 		for i := range 2 {
 			id := fmt.Sprint("m", i)
 			w.step(c.gap, w.arrive(id, 0, 0))
-			w.step(5*ms, w.outcome(id, Fault, 0), Dropped{ID: id})
+			w.step(5*ms, w.outcome(id, ServerError, 0), MessageAbandoned{ID: id})
 		}
 		if got := w.s.eps["a"].route.sick; got != c.sick {
 			t.Errorf("failures %v apart: the breaker is open: %v", c.gap, got)
@@ -629,14 +629,14 @@
 func TestRefusedSenderStaysBelowItsShare(t *testing.T) {
 	for _, limit := range []float64{20, 130} {
 		cfg := settings()
-		cfg.Fleet = 80
+		cfg.FleetSize = 80
 		w := newStory(t, cfg, 1)
 		w.step(0, list(Entry{Endpoint: "a", Weight: limit}))
-		share, calls := limit/float64(cfg.Fleet), 0
+		share, calls := limit/float64(cfg.FleetSize), 0
 		for i := range 600 {
 			w.step(100*ms, w.arrive(fmt.Sprint("m", i), 0, 0))
 			for a := range w.out {
-				w.step(5*ms, w.outcome(a.id, NoRoom, 0), Dropped{ID: a.id})
+				w.step(5*ms, w.outcome(a.id, Rejected, 0), MessageAbandoned{ID: a.id})
 				if rate, _ := w.s.pace(w.s.eps["a"].route); rate >= share {
 					t.Fatalf("limit %v: %v calls a second after a rejection, the own share is %v", limit, rate, share)
 				}
@@ -655,7 +655,7 @@
 // a fleet with a large backlog overbooks it until the slow start ends.
 func TestRefusalsSlowThePaceToAColdDestination(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet = 80
+	cfg.FleetSize = 80
 	w := newStory(t, cfg, 1)
 	w.step(0, list(Entry{Endpoint: "a", Weight: 80}))
 	r := w.s.eps["a"].route
@@ -678,7 +678,7 @@
 // must converge.
 func TestPartsComeTogether(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet = 80
+	cfg.FleetSize = 80
 	s := New(cfg, 1)
 	s.Step(time.Hour, []Event{list(Entry{Endpoint: "a", Weight: 80})})
 	high, low := newRoute(), newRoute()
@@ -709,7 +709,7 @@
 // sign.
 func TestRefusalsOfOneMomentCutOnce(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet = 4
+	cfg.FleetSize = 4
 	w := newStory(t, cfg, 1)
 	w.step(0, list(Entry{Endpoint: "a", Weight: 100}))
 	w.step(5*ms, w.arrive("a", 0, 0), w.arrive("b", 0, 0), w.arrive("c", 0, 0))
@@ -717,7 +717,7 @@
 		t.Fatalf("%d calls out", len(w.out))
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		w.step(5*ms, w.outcome(id, NoRoom, 0), Dropped{ID: id})
+		w.step(5*ms, w.outcome(id, Rejected, 0), MessageAbandoned{ID: id})
 	}
 	if r := w.s.eps["a"].route; r.refusals != 1 || r.part < partCut {
 		t.Errorf("%d decreases, the rate share is %v", r.refusals, r.part)
@@ -727,7 +727,7 @@
 // The traffic share counts first submissions; repeated submissions do not count.
 func TestWeightIsTheShareOfFirstTries(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet, cfg.Tenants = 10, []Tenant{{PerSecond: 60}, {PerSecond: 40}}
+	cfg.FleetSize, cfg.Tenants = 10, []Tenant{{PerSecond: 60}, {PerSecond: 40}}
 	w := newStory(t, cfg, 1)
 	w.step(0, one())
 	if got := w.s.weight(); math.Abs(got-0.1) > 0.001 {
@@ -735,10 +735,10 @@
 	}
 	for i := range 600 { // 20 a second, of 100
 		e := w.arrive(fmt.Sprint("m", i), 0, 0)
-		w.step(50*ms, e, Dropped{ID: e.ID})
+		w.step(50*ms, e, MessageAbandoned{ID: e.ID})
 		again := w.arrive(fmt.Sprint("again", i), 0, 0)
-		again.DropDead -= time.Second
-		w.step(0, again, Dropped{ID: again.ID})
+		again.Deadline -= time.Second
+		w.step(0, again, MessageAbandoned{ID: again.ID})
 	}
 	if got := w.s.weight(); got < 0.16 || got > 0.22 {
 		t.Errorf("the traffic share is %v with a fifth of the traffic", got)
@@ -749,18 +749,18 @@
 // messages waited for all their time at a destination that had room.
 func TestRareSenderIsNotStarvedByARefusal(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet = 36
+	cfg.FleetSize = 36
 	w := newStory(t, cfg, 1)
 	w.step(0, list(Entry{Endpoint: "a", Weight: 5}))
 	w.step(5*ms, w.arrive("refused", 0, 0))
-	w.step(50*ms, w.outcome("refused", NoRoom, 0))
+	w.step(50*ms, w.outcome("refused", Rejected, 0))
 	for w.out[attempt{"refused", 1}] == nil {
-		w.step(20*ms, Rang{})
+		w.step(20*ms, WakeDue{})
 		if w.now > time.Hour+5*time.Second {
 			t.Fatal("no second call in five seconds")
 		}
 	}
-	w.step(50*ms, w.outcome("refused", Pass, 0))
+	w.step(50*ms, w.outcome("refused", Success, 0))
 	w.finish()
 }
 
@@ -773,9 +773,9 @@
 		id := fmt.Sprint("m", i)
 		w.quiet(time.Second)
 		w.step(5*ms, w.arrive(id, 0, 0))
-		e := w.outcome(id, NoRoom, 0)
+		e := w.outcome(id, Rejected, 0)
 		e.Report = Report{HasLimit: true}
-		w.step(50*ms, e, Dropped{ID: id})
+		w.step(50*ms, e, MessageAbandoned{ID: id})
 	}
 	if !w.s.eps["a"].route.sick {
 		t.Error("three rejections without a limit did not open the breaker")
@@ -788,7 +788,7 @@
 	w := newStory(t, settings(), 1)
 	w.step(0, one())
 	w.step(5*ms, w.arrive("a", 0, 0))
-	w.step(5*ms, w.outcome("a", Pass, time.Second))
+	w.step(5*ms, w.outcome("a", Success, time.Second))
 	w.quiet(200 * ms)
 	sent := len(w.sends)
 	w.step(5*ms, w.arrive("b", 0, 0))
@@ -807,7 +807,7 @@
 func TestUnsafeMessagesTravelApartWhereSilenceIsFeared(t *testing.T) {
 	for _, feared := range []bool{false, true} {
 		cfg := settings()
-		cfg.Kinds = []Kind{{Batch: 10}}
+		cfg.Kinds = []Kind{{MaxBatch: 10}}
 		classOf := func(e Effect) int {
 			return slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == e && !c.Ordered })
 		}
@@ -818,8 +818,8 @@
 		}
 		var events []Event
 		for i := range 9 {
-			events = append(events, Arrived{
-				ID: fmt.Sprint(i), Class: classOf([]Effect{Safe, Keyed, Unsafe}[i%3]), DropDead: time.Hour + time.Minute,
+			events = append(events, MessageArrived{
+				ID: fmt.Sprint(i), Class: classOf([]Effect{Idempotent, Deduplicated, AtMostOnce}[i%3]), Deadline: time.Hour + time.Minute,
 			})
 		}
 		unsafe, repeatable := map[uint64]int{}, map[uint64]int{}
@@ -853,8 +853,8 @@
 		w := newStory(t, settings(), 1)
 		w.step(0, one())
 		w.step(5*ms, w.arrive("a", class, 0))
-		e := w.outcome("a", Pass, 0)
-		e.Closed, e.Unsure = false, true
+		e := w.outcome("a", Success, 0)
+		e.Final, e.Ambiguous = false, true
 		w.step(5*ms, e)
 		if len(w.fails) != 1 || len(w.sends) != 1 {
 			t.Errorf("class %d: failed %d times after %d sends", class, len(w.fails), len(w.sends))
--- a/choice/crowd_test.go
+++ b/choice/crowd_test.go
@@ -18,22 +18,22 @@
 		s, now := New(settings(), 1), time.Hour
 		s.Step(now, []Event{list(Entry{Endpoint: "a", Weight: 1000})})
 		out := 0
-		step := func(e Event) (hangUps []HangUp) {
+		step := func(e Event) (hangUps []CloseIdle) {
 			for _, a := range s.Step(now, []Event{e}) {
 				switch a := a.(type) {
 				case Send:
 					out++
-				case HangUp:
+				case CloseIdle:
 					hangUps = append(hangUps, a)
 				}
 			}
 			return hangUps
 		}
 		for i := range 3 {
-			step(Arrived{ID: fmt.Sprint("m", i), DropDead: now + time.Minute})
+			step(MessageArrived{ID: fmt.Sprint("m", i), Deadline: now + time.Minute})
 		}
 		now += 20 * ms
-		step(Ended{ID: "m2", Endpoint: "a", Outcome: NoRoom, Kept: c.kept, HungUp: c.hungUp, Took: 20 * ms})
+		step(AttemptEnded{ID: "m2", Endpoint: "a", Outcome: Rejected, ReusedConn: c.kept, ConnClosed: c.hungUp, Took: 20 * ms})
 		r := s.dests[0].shared
 		if out != 3 || (r.refusals == 0) != c.full || (r.waitUntil == 0) != c.full {
 			t.Fatalf("%s: %d sent, %d refusals, a wait until %v", c.name, out, r.refusals, r.waitUntil)
@@ -42,13 +42,13 @@
 			continue
 		}
 		now += 20 * ms
-		step(Ended{ID: "m0", Endpoint: "a", Took: 40 * ms})
+		step(AttemptEnded{ID: "m0", Endpoint: "a", Took: 40 * ms})
 		if out != 4 {
 			t.Errorf("%s: the free place is not used", c.name)
 		}
 		now += 20 * ms
-		step(Ended{ID: "m1", Endpoint: "a", Took: 60 * ms})
-		if got := step(Ended{ID: "m2", Attempt: 1, Endpoint: "a", Took: 20 * ms}); len(got) != 1 || got[0].Keep != 1 {
+		step(AttemptEnded{ID: "m1", Endpoint: "a", Took: 60 * ms})
+		if got := step(AttemptEnded{ID: "m2", Attempt: 1, Endpoint: "a", Took: 20 * ms}); len(got) != 1 || got[0].Keep != 1 {
 			t.Errorf("%s: closed idle connections: %v", c.name, got)
 		}
 	}
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -10,21 +10,21 @@
 // A delivery node passes its settings once, then passes events and carries out the actions.
 func Example() {
 	sender := choice.New(choice.Settings{
-		Classes: []choice.Class{{Aim: 2 * time.Second, Deadline: 20 * time.Second, Worth: 1, Effect: choice.Keyed,
-			Window: 10 * time.Second, GroupAll: true}},
-		Fleet: 3, Slots: 10, MaxOpen: 100, MaxAttempts: 6, MaxRetryAfter: 3 * time.Second,
+		Classes: []choice.Class{{SoftDeadline: 2 * time.Second, Deadline: 20 * time.Second, Worth: 1, Effect: choice.Deduplicated,
+			DedupWindow: 10 * time.Second, DedupEverywhere: true}},
+		FleetSize: 3, Slots: 10, MaxOpen: 100, MaxAttempts: 6, MaxRetryAfter: 3 * time.Second,
 	}, 42)
 
 	now := time.Duration(0) // the node's own clock, which must never go back
-	sender.Step(now, []choice.Event{choice.Listed{Whole: true, Entries: []choice.Entry{{Endpoint: "bank-1", Dest: 7}}}})
+	sender.Step(now, []choice.Event{choice.ListUpdate{Complete: true, Entries: []choice.Entry{{Endpoint: "bank-1", Dest: 7}}}})
 
 	now += 10 * time.Millisecond
-	order := choice.Arrived{ID: "order-1", Class: 0, Dest: 7, DropDead: now + 20*time.Second}
+	order := choice.MessageArrived{ID: "order-1", Class: 0, Dest: 7, Deadline: now + 20*time.Second}
 	for _, a := range sender.Step(now, []choice.Event{order}) {
 		switch a := a.(type) {
 		case choice.Send:
 			fmt.Println("call", a.Endpoint, "with", a.ID)
-		case choice.PushBack:
+		case choice.Refuse:
 			fmt.Println("refuse", a.ID, "for", a.RetryAfter)
 		case choice.Wake:
 			fmt.Println("step again in", a.At-now, "if no news comes before")
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -32,7 +32,7 @@
 type fleetNode struct {
 	s      *Sender
 	rate   float64 // messages a second
-	held   map[string]Arrived
+	held   map[string]MessageArrived
 	tries  map[string]int
 	knows  bool // a call failed or was rejected during the outage
 	serial int
@@ -71,9 +71,9 @@
 	for i := range entries {
 		entries[i] = Entry{Endpoint: fmt.Sprint("e", i), Weight: f.limit}
 	}
-	events := []Event{Listed{Whole: true, Entries: entries}}
+	events := []Event{ListUpdate{Complete: true, Entries: entries}}
 	for _, id := range slices.Sorted(maps.Keys(n.held)) {
-		events = append(events, Resumed{Arrived: n.held[id], Attempts: n.tries[id]})
+		events = append(events, MessageResumed{MessageArrived: n.held[id], Attempts: n.tries[id]})
 	}
 	f.step(n, events...)
 }
@@ -84,14 +84,14 @@
 		switch a := a.(type) {
 		case Send:
 			f.call(n, s, a)
-		case PushBack:
+		case Refuse:
 			delete(n.held, a.ID)
 		case Fail:
 			delete(n.held, a.ID)
 		case Wake:
 			f.at(max(a.At, f.now+time.Millisecond), func() {
 				if n.s == s {
-					f.step(n, Rang{Tag: a.Tag})
+					f.step(n, WakeDue{Tag: a.Tag})
 				}
 			})
 		}
@@ -107,10 +107,10 @@
 	f.at(f.now+way, func() {
 		during := f.now >= f.down && f.now < f.up
 		out, took := f.serve(n)
-		if out == TooSlow {
-			took = a.NotPast - f.now
+		if out == TimedOut {
+			took = a.TimeoutAt - f.now
 		}
-		if out == Pass {
+		if out == Success {
 			f.passed++
 		}
 		f.at(f.now+max(took, 0)+way, func() {
@@ -118,10 +118,10 @@
 				return
 			}
 			n.knows = n.knows || during
-			if out == Pass {
+			if out == Success {
 				delete(n.held, a.ID)
 			}
-			f.step(n, Ended{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Outcome: out, Closed: out == Pass, Took: took + 2*way})
+			f.step(n, AttemptEnded{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Outcome: out, Final: out == Success, Took: took + 2*way})
 		})
 	})
 }
@@ -131,8 +131,8 @@
 	if f.now < f.up {
 		return f.limit
 	}
-	warm := min(1, seconds(f.now-f.up)/seconds(f.cfg.WarmWithin))
-	return f.limit * (f.cfg.ColdFrom + (1-f.cfg.ColdFrom)*warm)
+	warm := min(1, seconds(f.now-f.up)/seconds(f.cfg.SlowStartDuration))
+	return f.limit * (f.cfg.SlowStartShare + (1-f.cfg.SlowStartShare)*warm)
 }
 
 func (f *fleet) serve(n *fleetNode) (Outcome, time.Duration) {
@@ -145,10 +145,10 @@
 	f.busy = max(0, f.busy-f.capacity()*seconds(f.now-f.busyAt))
 	f.busyAt = f.now
 	if f.busy > max(1, 0.6*f.capacity()) {
-		return NoRoom, 5 * ms
+		return Rejected, 5 * ms
 	}
 	f.busy++
-	return Pass, 150*ms + span(f.busy/f.capacity())
+	return Success, 150*ms + span(f.busy/f.capacity())
 }
 
 // run runs the tasks until the given time.
@@ -169,7 +169,7 @@
 	f.at(f.now+gap, func() {
 		n.serial++
 		class := f.rng.IntN(len(f.cfg.Classes))
-		a := Arrived{ID: fmt.Sprint(n.serial), Class: class, DropDead: f.now + f.cfg.Classes[class].Deadline}
+		a := MessageArrived{ID: fmt.Sprint(n.serial), Class: class, Deadline: f.now + f.cfg.Classes[class].Deadline}
 		n.held[a.ID] = a
 		f.step(n, a)
 		f.arrivals(n, until)
@@ -185,18 +185,18 @@
 		if r.knows {
 			known++
 		}
-		for f.reached[from].at <= r.at-f.cfg.Fall {
+		for f.reached[from].at <= r.at-f.cfg.CollapseSpan {
 			if f.reached[from].knows {
 				known--
 			}
 			from++
 		}
-		if r.at > f.up+f.cfg.WarmWithin {
+		if r.at > f.up+f.cfg.SlowStartDuration {
 			break
 		}
-		start := max(r.at-f.cfg.Fall, f.up)
-		warm := min(1, seconds(start-f.up)/seconds(f.cfg.WarmWithin))
-		n := f.cfg.FallMultiple * f.limit * (f.cfg.ColdFrom + (1-f.cfg.ColdFrom)*warm) * seconds(f.cfg.Fall)
+		start := max(r.at-f.cfg.CollapseSpan, f.up)
+		warm := min(1, seconds(start-f.up)/seconds(f.cfg.SlowStartDuration))
+		n := f.cfg.CollapseMultiple * f.limit * (f.cfg.SlowStartShare + (1-f.cfg.SlowStartShare)*warm) * seconds(f.cfg.CollapseSpan)
 		if over := float64(i-from+1) - n - 2*math.Sqrt(n); over > excess {
 			excess, calls, knowing, budget = over, i-from+1, known, n
 		}
@@ -207,13 +207,13 @@
 func coldSettings(nodes int) Settings {
 	return Settings{
 		Classes: []Class{
-			{Aim: 2500 * ms, Deadline: 24 * time.Second, Worth: 1, LateWorth: 0.5, Effect: Keyed, GroupAll: true, Window: 10 * time.Second},
-			{Aim: 1500 * ms, Deadline: 5 * time.Second, Worth: 2, Effect: Safe},
-			{Aim: 2500 * ms, Deadline: 28 * time.Second, Worth: 5, LateWorth: 0.4, Effect: Unsafe},
+			{SoftDeadline: 2500 * ms, Deadline: 24 * time.Second, Worth: 1, LateWorth: 0.5, Effect: Deduplicated, DedupEverywhere: true, DedupWindow: 10 * time.Second},
+			{SoftDeadline: 1500 * ms, Deadline: 5 * time.Second, Worth: 2, Effect: Idempotent},
+			{SoftDeadline: 2500 * ms, Deadline: 28 * time.Second, Worth: 5, LateWorth: 0.4, Effect: AtMostOnce},
 		},
-		Kinds: []Kind{{Batch: 1}}, Fleet: nodes, Slots: 8, MaxOpen: 60, MaxAttempts: 6, MayCancel: true, Weighted: true, MayProbe: true,
-		Tick: 5 * ms, MaxRetryAfter: 2 * time.Second, DialTimeout: 1500 * ms, ConnIdle: 5 * time.Second, DrainGrace: time.Second,
-		FallMultiple: 2, Fall: 2 * time.Second, ColdFrom: 0.19, WarmWithin: 10 * time.Second,
+		Kinds: []Kind{{MaxBatch: 1}}, FleetSize: nodes, Slots: 8, MaxOpen: 60, MaxAttempts: 6, MayCancel: true, WeightIsRate: true, MayProbe: true,
+		Tick: 5 * ms, MaxRetryAfter: 2 * time.Second, DialTimeout: 1500 * ms, IdleConnTimeout: 5 * time.Second, DrainGrace: time.Second,
+		CollapseMultiple: 2, CollapseSpan: 2 * time.Second, SlowStartShare: 0.19, SlowStartDuration: 10 * time.Second,
 	}
 }
 
@@ -229,10 +229,10 @@
 		sum += weights[i]
 	}
 	for i := range nodes {
-		n := &fleetNode{rate: load * limit * weights[i] / sum, held: map[string]Arrived{}, tries: map[string]int{}}
+		n := &fleetNode{rate: load * limit * weights[i] / sum, held: map[string]MessageArrived{}, tries: map[string]int{}}
 		f.nodes = append(f.nodes, n)
 		f.start(n)
-		f.arrivals(n, f.up+f.cfg.WarmWithin)
+		f.arrivals(n, f.up+f.cfg.SlowStartDuration)
 	}
 	return f
 }
@@ -245,7 +245,7 @@
 	t.Helper()
 	for _, load := range []float64{0.6, 0.9} {
 		for _, limit := range []float64{1.5, 5, 20, 80} {
-			for _, outage := range []Outcome{TooSlow, Fault} {
+			for _, outage := range []Outcome{TimedOut, ServerError} {
 				for _, length := range []time.Duration{6 * time.Second, 18 * time.Second} {
 					for seed := range seeds {
 						f := newFleet(nodes, limit, load, outage, length, seed)
@@ -256,7 +256,7 @@
 								}
 							})
 						}
-						f.run(f.up + f.cfg.WarmWithin)
+						f.run(f.up + f.cfg.SlowStartDuration)
 						calls, knowing, budget := f.worst()
 						bound := budget + chanceRoots*math.Sqrt(budget) + chanceCalls
 						plays++
--- a/choice/formats_test.go
+++ b/choice/formats_test.go
@@ -30,8 +30,8 @@
 	}
 	var decoded numbers
 	checkFormat(t, "numbers.json", numbers{
-		Outcomes: [8]Outcome{Pass, Fault, NoRoom, TooSlow, NoRoute, Cut, Undone, Stale},
-		Effects:  []int{int(Safe), int(Keyed), int(Unsafe)},
+		Outcomes: [8]Outcome{Success, ServerError, Rejected, TimedOut, Unreachable, ConnectionBroken, Canceled, Stale},
+		Effects:  []int{int(Idempotent), int(Deduplicated), int(AtMostOnce)},
 		Phases:   []int{int(Ready), int(Draining), int(Gone)},
 	}, &decoded)
 }
--- a/choice/growth_test.go
+++ b/choice/growth_test.go
@@ -10,12 +10,12 @@
 // once no call refers to them and their windows have passed.
 func TestWhatHasGoneIsForgotten(t *testing.T) {
 	s := New(Settings{
-		Classes: []Class{{Deadline: 10 * time.Second, Aim: time.Second, Worth: 1, Effect: Keyed, Window: time.Minute, GroupAll: true,
+		Classes: []Class{{Deadline: 10 * time.Second, SoftDeadline: time.Second, Worth: 1, Effect: Deduplicated, DedupWindow: time.Minute, DedupEverywhere: true,
 			Ordered: true}},
-		Kinds: []Kind{{}, {Apart: true}}, Slots: 8, MaxAttempts: 2, OrderSettle: 300 * time.Millisecond,
+		Kinds: []Kind{{}, {SeparateRoutes: true}}, Slots: 8, MaxAttempts: 2, KeyPause: 300 * time.Millisecond,
 	}, 1)
 	now := time.Hour
-	outcomes := []Outcome{Pass, Cut, NoRoom, TooSlow, Stale}
+	outcomes := []Outcome{Success, ConnectionBroken, Rejected, TimedOut, Stale}
 	for i := range 5000 {
 		now += 100 * time.Millisecond
 		name, dest := strconv.Itoa(i), i/50 // each destination lives for fifty endpoints
@@ -24,21 +24,21 @@
 			entries = append(entries, Entry{Endpoint: "e" + strconv.Itoa(i-1), Dest: (i - 1) / 50, Phase: Gone})
 		}
 		actions := s.Step(now, []Event{
-			Listed{Whole: i%7 == 0, Entries: entries}, Arrived{ID: name, Dest: dest, Key: "k" + name, DropDead: now + 5*time.Second},
+			ListUpdate{Complete: i%7 == 0, Entries: entries}, MessageArrived{ID: name, Dest: dest, Key: "k" + name, Deadline: now + 5*time.Second},
 		})
 		for len(actions) > 0 {
 			if a, ok := actions[0].(Send); ok {
-				actions = append(actions, s.Step(now, []Event{Ended{ID: a.ID, Attempt: s.msgs[a.ID].attempts - 1, Endpoint: a.Endpoint,
-					Outcome: outcomes[i%len(outcomes)], Wait: 50 * time.Millisecond}})...)
+				actions = append(actions, s.Step(now, []Event{AttemptEnded{ID: a.ID, Attempt: s.msgs[a.ID].attempts - 1, Endpoint: a.Endpoint,
+					Outcome: outcomes[i%len(outcomes)], RetryAfter: 50 * time.Millisecond}})...)
 			}
 			actions = actions[1:]
 		}
 	}
 	for range 2 * int(forgetAfter/time.Second) { // all windows pass; one endpoint stays
 		now += time.Second
-		for _, a := range s.Step(now, []Event{Listed{Entries: []Entry{{Endpoint: "last", Dest: -1}}}}) {
+		for _, a := range s.Step(now, []Event{ListUpdate{Entries: []Entry{{Endpoint: "last", Dest: -1}}}}) {
 			if a, ok := a.(Send); ok {
-				s.Step(now, []Event{Ended{ID: a.ID, Attempt: s.msgs[a.ID].attempts - 1, Endpoint: a.Endpoint}})
+				s.Step(now, []Event{AttemptEnded{ID: a.ID, Attempt: s.msgs[a.ID].attempts - 1, Endpoint: a.Endpoint}})
 			}
 		}
 	}
@@ -57,12 +57,12 @@
 // An id that comes back is a new endpoint: it must not be judged by the history of an earlier one with that
 // id.
 func TestAnIDThatComesBackStartsAfresh(t *testing.T) {
-	s := New(Settings{Kinds: []Kind{{Apart: true}}}, 1)
-	add := Listed{Entries: []Entry{{Endpoint: "e", Dest: 1}}}
+	s := New(Settings{Kinds: []Kind{{SeparateRoutes: true}}}, 1)
+	add := ListUpdate{Entries: []Entry{{Endpoint: "e", Dest: 1}}}
 	s.Step(time.Hour, []Event{add})
 	old := s.eps["e"]
 	old.usual, old.route.sick, old.route.waitUntil = 9, true, time.Hour+time.Second
-	for _, gone := range []Listed{{Entries: []Entry{{Endpoint: "e", Dest: 1, Phase: Gone}}}, {Whole: true}} {
+	for _, gone := range []ListUpdate{{Entries: []Entry{{Endpoint: "e", Dest: 1, Phase: Gone}}}, {Complete: true}} {
 		s.Step(time.Hour, []Event{gone})
 		if len(s.eps) != 0 || len(s.dests[1].endpoints) != 0 || old.ready {
 			t.Fatal("the removed endpoint still has state")
--- a/choice/kept_test.go
+++ b/choice/kept_test.go
@@ -27,31 +27,31 @@
 	s.Step(now, []Event{one()})
 	for i, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		now += time.Second
-		got := sends(s.Step(now, []Event{Arrived{ID: id, Class: classOf(Safe), DropDead: now + time.Minute}}))
-		if len(got) != 1 || got[0].Fresh {
+		got := sends(s.Step(now, []Event{MessageArrived{ID: id, Class: classOf(Idempotent), Deadline: now + time.Minute}}))
+		if len(got) != 1 || got[0].NewConn {
 			t.Fatalf("%d: got %+v", i, got)
 		}
 		now += 20 * ms
-		got = sends(s.Step(now, []Event{Ended{ID: id, Endpoint: "a", Outcome: Cut, Kept: true, Took: 20 * ms}}))
-		if len(got) != 1 || !got[0].Fresh || s.dests[0].shared.fails != 0 {
+		got = sends(s.Step(now, []Event{AttemptEnded{ID: id, Endpoint: "a", Outcome: ConnectionBroken, ReusedConn: true, Took: 20 * ms}}))
+		if len(got) != 1 || !got[0].NewConn || s.dests[0].shared.fails != 0 {
 			t.Fatalf("%d: got %+v, %d failures", i, got, s.dests[0].shared.fails)
 		}
-		s.Step(now, []Event{Ended{ID: id, Attempt: 1, Endpoint: "a", Took: 20 * ms}})
+		s.Step(now, []Event{AttemptEnded{ID: id, Attempt: 1, Endpoint: "a", Took: 20 * ms}})
 	}
 	for _, c := range []struct {
 		after time.Duration
 		fresh bool
 	}{{time.Second, true}, {wornSpan + time.Second, false}} {
 		id := c.after.String()
-		got := sends(s.Step(now+c.after, []Event{Arrived{ID: id, Class: classOf(Unsafe), DropDead: now + time.Hour}}))
-		if len(got) != 1 || got[0].Fresh != c.fresh {
+		got := sends(s.Step(now+c.after, []Event{MessageArrived{ID: id, Class: classOf(AtMostOnce), Deadline: now + time.Hour}}))
+		if len(got) != 1 || got[0].NewConn != c.fresh {
 			t.Errorf("%v after the last break: got %+v", c.after, got)
 		}
-		s.Step(now+c.after, []Event{Ended{ID: id, Endpoint: "a", Took: 20 * ms}})
+		s.Step(now+c.after, []Event{AttemptEnded{ID: id, Endpoint: "a", Took: 20 * ms}})
 	}
 	now += time.Minute
-	s.Step(now, []Event{Arrived{ID: "x", Class: classOf(Safe), DropDead: now + time.Minute}})
-	if got := sends(s.Step(now, []Event{Ended{ID: "x", Endpoint: "a", Outcome: Cut, Took: 20 * ms}})); len(got) != 0 ||
+	s.Step(now, []Event{MessageArrived{ID: "x", Class: classOf(Idempotent), Deadline: now + time.Minute}})
+	if got := sends(s.Step(now, []Event{AttemptEnded{ID: "x", Endpoint: "a", Outcome: ConnectionBroken, Took: 20 * ms}})); len(got) != 0 ||
 		s.dests[0].shared.fails != 1 {
 		t.Error("a new connection that broke was not counted as a failure")
 	}
--- a/choice/lost_test.go
+++ b/choice/lost_test.go
@@ -26,15 +26,15 @@
 			return out
 		}
 		arrive := func(id string, e Effect) bool {
-			return len(sends(Arrived{ID: id, Class: classOf(e), DropDead: now + time.Minute})) == 1
+			return len(sends(MessageArrived{ID: id, Class: classOf(e), Deadline: now + time.Minute})) == 1
 		}
 		s.Step(now, []Event{list(Entry{Endpoint: "a", Weight: 1000})})
 		pass := func(id string) {
-			if !arrive(id, Safe) {
+			if !arrive(id, Idempotent) {
 				t.Fatalf("other calls succeed: %v; %s was not sent", passing, id)
 			}
 			now += 20 * ms
-			s.Step(now, []Event{Ended{ID: id, Endpoint: "a", Took: 20 * ms}})
+			s.Step(now, []Event{AttemptEnded{ID: id, Endpoint: "a", Took: 20 * ms}})
 			now += 280 * ms
 		}
 		for i := range 5 {
@@ -43,7 +43,7 @@
 		d := s.dests[0]
 		average, sent := d.gates[0].average, now
 		for i := range 4 {
-			if !arrive(fmt.Sprint("lost", i), Safe) {
+			if !arrive(fmt.Sprint("lost", i), Idempotent) {
 				t.Fatalf("lost%d was not sent", i)
 			}
 			now += 100 * ms
@@ -57,7 +57,7 @@
 			t.Errorf("other calls succeed: %v, and the destination is slow: the same", passing)
 		}
 		for i := range 4 {
-			s.Step(now, []Event{Ended{ID: fmt.Sprint("lost", i), Endpoint: "a", Outcome: TooSlow, Took: now - sent}})
+			s.Step(now, []Event{AttemptEnded{ID: fmt.Sprint("lost", i), Endpoint: "a", Outcome: TimedOut, Took: now - sent}})
 		}
 		if r := d.shared; r.sick == passing || (d.gates[0].average > average+0.1) == passing {
 			t.Errorf("other calls succeed: %v; the breaker is open: %v, the average went from %v to %v", passing, r.sick, average, d.gates[0].average)
@@ -69,15 +69,15 @@
 func TestOverdueCallsKeepNoTrialOut(t *testing.T) {
 	s, now := New(settings(), 1), time.Hour
 	s.Step(now, []Event{one()})
-	unsafe := slices.IndexFunc(settings().Classes, func(c Class) bool { return c.Effect == Unsafe })
-	s.Step(now, []Event{Arrived{ID: "silent", Class: unsafe, DropDead: now + time.Minute}})
+	unsafe := slices.IndexFunc(settings().Classes, func(c Class) bool { return c.Effect == AtMostOnce })
+	s.Step(now, []Event{MessageArrived{ID: "silent", Class: unsafe, Deadline: now + time.Minute}})
 	s.dests[0].gates[0] = gate{seen: true, baseline: 0.1, average: 9, at: now}
 	for _, c := range []struct {
 		after time.Duration
 		taken bool
 	}{{lostLeast - 100*ms, false}, {lostLeast + 100*ms, true}} {
 		id := c.after.String()
-		s.Step(now+c.after, []Event{Arrived{ID: id, DropDead: now + time.Minute}})
+		s.Step(now+c.after, []Event{MessageArrived{ID: id, Deadline: now + time.Minute}})
 		if (s.msgs[id] != nil) != c.taken {
 			t.Errorf("%v after the call that is out: the message was admitted: %v", c.after, !c.taken)
 		}
@@ -89,7 +89,7 @@
 // as no slot is free.
 func TestLostCallsGiveBackTheirSlots(t *testing.T) {
 	cfg := settings()
-	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == Unsafe })
+	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == AtMostOnce })
 	for _, c := range []struct {
 		name   string
 		class  int
@@ -104,17 +104,17 @@
 	} {
 		s, now := New(cfg, 1), time.Hour
 		s.Step(now, []Event{list(Entry{Endpoint: "a", Weight: 1000})})
-		arrive := func(id string, class int) Arrived {
-			return Arrived{ID: id, Class: class, DropDead: now + time.Minute}
+		arrive := func(id string, class int) MessageArrived {
+			return MessageArrived{ID: id, Class: class, Deadline: now + time.Minute}
 		}
 		s.Step(now, []Event{arrive("first", 0)})
-		s.Step(now+20*ms, []Event{Ended{ID: "first", Endpoint: "a", Took: 20 * ms}})
+		s.Step(now+20*ms, []Event{AttemptEnded{ID: "first", Endpoint: "a", Took: 20 * ms}})
 		now += 30 * ms
 		s.Step(now, []Event{arrive("lost", c.class)})
 		now += 10 * ms
 		s.Step(now, []Event{arrive("later", 0)})
 		now += 20 * ms
-		s.Step(now, []Event{Ended{ID: "later", Endpoint: "a", Took: 20 * ms}})
+		s.Step(now, []Event{AttemptEnded{ID: "later", Endpoint: "a", Took: 20 * ms}})
 		now += lostLeast + 50*ms
 		called := false
 		for i := range c.others {
--- a/choice/resume_test.go
+++ b/choice/resume_test.go
@@ -12,35 +12,35 @@
 	cfg := settings()
 	classOf := func(e Effect) int {
 		for i, c := range cfg.Classes {
-			if c.Effect == e && !c.Ordered && (e != Keyed || c.GroupAll) {
+			if c.Effect == e && !c.Ordered && (e != Deduplicated || c.DedupEverywhere) {
 				return i
 			}
 		}
 		t.Fatalf("no class of effect %d", e)
 		return 0
 	}
-	safe, keyed, unsafe := classOf(Safe), classOf(Keyed), classOf(Unsafe)
-	window := cfg.Classes[keyed].Window
+	safe, keyed, unsafe := classOf(Idempotent), classOf(Deduplicated), classOf(AtMostOnce)
+	window := cfg.Classes[keyed].DedupWindow
 	for _, c := range []struct {
 		name  string
 		class int
 		left  time.Duration
-		e     Resumed
+		e     MessageResumed
 		want  string
 	}{
-		{"idempotent, not sent yet", safe, 5 * time.Second, Resumed{}, "send"},
-		{"idempotent, may have run", safe, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "send"},
-		{"deduplicated, inside its window", keyed, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - window/2}, "send"},
-		{"deduplicated, after its window", keyed, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - window}, "fail"},
-		{"at most once, not sent yet", unsafe, 5 * time.Second, Resumed{}, "send"},
-		{"at most once, never ran", unsafe, 5 * time.Second, Resumed{Attempts: 1}, "send"},
-		{"at most once, may have run", unsafe, 5 * time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "fail"},
-		{"out of time", safe, -time.Second, Resumed{}, "refuse"},
-		{"at most once, out of time, may have run", unsafe, -time.Second, Resumed{Attempts: 1, Touched: true, MayRun: now - time.Second}, "fail"},
-		{"out of attempts", safe, 5 * time.Second, Resumed{Attempts: cfg.MaxAttempts}, "refuse"},
+		{"idempotent, not sent yet", safe, 5 * time.Second, MessageResumed{}, "send"},
+		{"idempotent, may have run", safe, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "send"},
+		{"deduplicated, inside its window", keyed, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - window/2}, "send"},
+		{"deduplicated, after its window", keyed, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - window}, "fail"},
+		{"at most once, not sent yet", unsafe, 5 * time.Second, MessageResumed{}, "send"},
+		{"at most once, never ran", unsafe, 5 * time.Second, MessageResumed{Attempts: 1}, "send"},
+		{"at most once, may have run", unsafe, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "fail"},
+		{"out of time", safe, -time.Second, MessageResumed{}, "refuse"},
+		{"at most once, out of time, may have run", unsafe, -time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "fail"},
+		{"out of attempts", safe, 5 * time.Second, MessageResumed{Attempts: cfg.MaxAttempts}, "refuse"},
 	} {
 		s := New(cfg, 1)
-		c.e.Arrived = Arrived{ID: "m", Class: c.class, DropDead: now + c.left}
+		c.e.MessageArrived = MessageArrived{ID: "m", Class: c.class, Deadline: now + c.left}
 		got := ""
 		for _, a := range s.Step(now, []Event{one(), c.e}) {
 			switch a := a.(type) {
@@ -48,7 +48,7 @@
 				got += "send"
 			case Fail:
 				got += "fail"
-			case PushBack:
+			case Refuse:
 				got += "refuse"
 				if a.RetryAfter <= 0 {
 					t.Errorf("%s: no retry-after", c.name)
@@ -68,8 +68,8 @@
 		s := New(cfg, 1)
 		events := []Event{one()}
 		for _, id := range []string{"a", "b", "c"} {
-			events = append(events, Resumed{
-				Arrived: Arrived{ID: id, DropDead: time.Hour + 5*time.Second}, Attempts: 1, Failed: failed,
+			events = append(events, MessageResumed{
+				MessageArrived: MessageArrived{ID: id, Deadline: time.Hour + 5*time.Second}, Attempts: 1, Failed: failed,
 			})
 		}
 		sends := 0
@@ -90,29 +90,29 @@
 	cfg := settings()
 	s := New(cfg, 1)
 	end := time.Hour + 2*time.Second
-	s.Step(time.Hour, []Event{one(), Leaving{By: end}})
-	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == Unsafe })
-	safe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == Safe })
+	s.Step(time.Hour, []Event{one(), Stopping{By: end}})
+	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == AtMostOnce })
+	safe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == Idempotent })
 	for _, c := range []struct {
 		class int
 		left  time.Duration
 		sent  bool
 	}{{unsafe, 1500 * ms, true}, {unsafe, 900 * ms, false}, {safe, 800 * ms, true}, {safe, 200 * ms, false}} {
 		id, sent := c.left.String(), false
-		for _, a := range s.Step(end-c.left, []Event{Arrived{ID: id, Class: c.class, DropDead: end + time.Minute}}) {
+		for _, a := range s.Step(end-c.left, []Event{MessageArrived{ID: id, Class: c.class, Deadline: end + time.Minute}}) {
 			if _, ok := a.(Send); ok {
 				sent = true
-				s.Step(end-c.left, []Event{Ended{ID: id, Endpoint: "a", Took: ms}})
+				s.Step(end-c.left, []Event{AttemptEnded{ID: id, Endpoint: "a", Took: ms}})
 			}
 		}
 		if sent != c.sent {
 			t.Errorf("class %d with %v left: sent: %v", c.class, c.left, sent)
 		}
 	}
-	s.Step(end-100*ms, []Event{Arrived{ID: "m", Class: safe, DropDead: end + time.Second}})
+	s.Step(end-100*ms, []Event{MessageArrived{ID: "m", Class: safe, Deadline: end + time.Second}})
 	ended := false
-	for _, a := range s.Step(end+time.Second, []Event{Rang{}}) {
-		if p, ok := a.(PushBack); ok && p.ID == "m" {
+	for _, a := range s.Step(end+time.Second, []Event{WakeDue{}}) {
+		if p, ok := a.(Refuse); ok && p.ID == "m" {
 			ended = true
 		}
 	}
--- a/choice/saved.go
+++ b/choice/saved.go
@@ -387,4 +387,4 @@
 }
 
 // HasMessage reports whether a message is open.
-func (s *Sender) Holds(id string) bool { return s.msgs[id] != nil }
+func (s *Sender) HasMessage(id string) bool { return s.msgs[id] != nil }
--- a/choice/state.go
+++ b/choice/state.go
@@ -233,7 +233,7 @@
 
 // EndpointCounts returns the number of listed endpoints, and the number of these that get no ordinary calls
 // for now.
-func (s *Sender) Pool() (listed, avoided int) {
+func (s *Sender) EndpointCounts() (listed, avoided int) {
 	for _, e := range s.eps {
 		if e.route.sick || s.barred[e.id] {
 			avoided++
@@ -257,7 +257,7 @@
 
 // pauseKey starts the pause of a key, and forgets the pauses that have ended.
 func (s *Sender) restKey(key string) {
-	until := s.now + s.cfg.OrderSettle
+	until := s.now + s.cfg.KeyPause
 	s.rests[key] = until
 	s.resting = append(s.resting, keyRest{key, until})
 	for s.resting[0].until <= s.now {
@@ -288,7 +288,7 @@
 
 // separateRoutes reports whether the endpoints are routes of their own.
 func (s *Sender) apart(d *destination) bool {
-	return d.kind >= 0 && d.kind < len(s.cfg.Kinds) && s.cfg.Kinds[d.kind].Apart
+	return d.kind >= 0 && d.kind < len(s.cfg.Kinds) && s.cfg.Kinds[d.kind].SeparateRoutes
 }
 
 // maxBatch is the maximum number of messages in one call.
@@ -296,7 +296,7 @@
 	if d.kind < 0 || d.kind >= len(s.cfg.Kinds) {
 		return 1
 	}
-	return max(s.cfg.Kinds[d.kind].Batch, 1)
+	return max(s.cfg.Kinds[d.kind].MaxBatch, 1)
 }
 
 // enqueue adds a message to its destination's waiting messages, in order of arrival.
--- a/choice/types.go
+++ b/choice/types.go
@@ -7,27 +7,27 @@
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // a repeat is harmless
-	Keyed                // the destination drops repeats within DedupWindow
-	Unsafe               // must never run twice
+	Idempotent   Effect = iota // a repeat is harmless
+	Deduplicated               // the destination drops repeats within DedupWindow
+	AtMostOnce                 // must never run twice
 )
 
 // Class describes one kind of message. A zero field was not given.
 type Class struct {
-	Aim, Deadline time.Duration // full worth until SoftDeadline, part of it until Deadline; both count from the first submission
-	AimStretch    float64       // extra soft deadline, as a multiple of the message's hint
-	Worth         float64
-	LateWorth     float64 // share of Worth left at the deadline
-	Effect        Effect
-	Window        time.Duration // Deduplicated: how long repeats are dropped
-	GroupAll      bool          // Deduplicated: every endpoint of the destination drops repeats, not only those of one zone
-	Ordered       bool          // messages with the same key are sent one after the other
+	SoftDeadline, Deadline time.Duration // full worth until SoftDeadline, part of it until Deadline; both count from the first submission
+	SoftDeadlineStretch    float64       // extra soft deadline, as a multiple of the message's hint
+	Worth                  float64
+	LateWorth              float64 // share of Worth left at the deadline
+	Effect                 Effect
+	DedupWindow            time.Duration // Deduplicated: how long repeats are dropped
+	DedupEverywhere        bool          // Deduplicated: every endpoint of the destination drops repeats, not only those of one zone
+	Ordered                bool          // messages with the same key are sent one after the other
 }
 
 // Kind describes one kind of destination.
 type Kind struct {
-	Apart bool // every endpoint is a route with limits and outages of its own
-	Batch int  // maximum number of messages in one call
+	SeparateRoutes bool // every endpoint is a route with limits and outages of its own
+	MaxBatch       int  // maximum number of messages in one call
 }
 
 // Tenant is a customer with an allowance.
@@ -37,35 +37,35 @@
 
 // Settings configure a sender. A zero value means that the setting was not given.
 type Settings struct {
-	Classes        []Class
-	Kinds          []Kind
-	Tenants        []Tenant
-	Fleet          int // number of senders
-	Slots          int // maximum number of calls out at once
-	MaxOpen        int // maximum number of messages held, whether waiting or sent
-	MaxAttempts    int
-	MayDuplicate   bool
-	MayProbe       bool
-	MayCancel      bool
-	AskForList     bool // list changes come only after a Watch
-	Halves         bool // worth halves with each further soft deadline; otherwise it falls linearly
-	RoughWeights   bool // an endpoint's Weight may be half too high or too low
-	FullTold       bool // an endpoint with a full connection table answers Rejected, so a failed connect is no sign of one
-	Weighted       bool // an endpoint's Weight is a rate in calls a second
-	OverShareWorth float64
-	ZoneFee        []float64
-	Tick           time.Duration
-	MaxRetryAfter  time.Duration
-	DialTimeout    time.Duration
-	ConnIdle       time.Duration // idle connections are closed after this time
-	DrainGrace     time.Duration
-	AnswerGrace    time.Duration
-	FallMultiple   float64 // a destination in slow start collapses above this multiple of its capacity,
-	Fall           time.Duration
-	ColdFrom       float64 // share of its capacity that a destination has when it returns from an outage
-	WarmWithin     time.Duration
-	OrderSettle    time.Duration
-	MustAsk        time.Duration
+	Classes           []Class
+	Kinds             []Kind
+	Tenants           []Tenant
+	FleetSize         int // number of senders
+	Slots             int // maximum number of calls out at once
+	MaxOpen           int // maximum number of messages held, whether waiting or sent
+	MaxAttempts       int
+	MayDuplicate      bool
+	MayProbe          bool
+	MayCancel         bool
+	WatchOnRequest    bool // list changes come only after a Watch
+	WorthHalves       bool // worth halves with each further soft deadline; otherwise it falls linearly
+	RoughWeights      bool // an endpoint's Weight may be half too high or too low
+	FullTableRejects  bool // an endpoint with a full connection table answers Rejected, so a failed connect is no sign of one
+	WeightIsRate      bool // an endpoint's Weight is a rate in calls a second
+	OverShareWorth    float64
+	ZoneFee           []float64
+	Tick              time.Duration
+	MaxRetryAfter     time.Duration
+	DialTimeout       time.Duration
+	IdleConnTimeout   time.Duration // idle connections are closed after this time
+	DrainGrace        time.Duration
+	AnswerGrace       time.Duration
+	CollapseMultiple  float64 // a destination in slow start collapses above this multiple of its capacity,
+	CollapseSpan      time.Duration
+	SlowStartShare    float64 // share of its capacity that a destination has when it returns from an outage
+	SlowStartDuration time.Duration
+	KeyPause          time.Duration
+	WatchWithin       time.Duration
 }
 
 // Outcome is how an attempt or a probe ended.
@@ -75,13 +75,13 @@
 // Unreachable means that no complete request reached the endpoint, and Stale that the call was out of date
 // before it ran: the message or the endpoint was gone, or there was no slot.
 const (
-	Pass Outcome = iota
-	Fault
-	NoRoom
-	TooSlow
-	NoRoute
-	Cut
-	Undone
+	Success Outcome = iota
+	ServerError
+	Rejected
+	TimedOut
+	Unreachable
+	ConnectionBroken
+	Canceled
 	Stale
 )
 
@@ -116,59 +116,59 @@
 
 // ListUpdate brings the list of endpoints, complete or as changes. Failed means that the list could not be
 // had.
-type Listed struct {
-	Whole, Failed bool
-	Entries       []Entry
+type ListUpdate struct {
+	Complete, Failed bool
+	Entries          []Entry
 }
 
 // EndpointDisabled says that an operator has disabled an endpoint, whatever the list says, or, with Lifted,
 // that it is enabled again.
-type Barred struct {
+type EndpointDisabled struct {
 	Endpoint string
 	Lifted   bool
 }
 
 // MessageArrived is a new message.
-type Arrived struct {
+type MessageArrived struct {
 	ID                  string
 	Class, Tenant, Dest int
 	Key                 string
-	DropDead            time.Duration // clock time after which it cannot be delivered
+	Deadline            time.Duration // clock time after which it cannot be delivered
 	Hint                time.Duration
 }
 
 // MessageResumed is a message that the node accepted before its process ended, and whose end it still has to
 // report.
-type Resumed struct {
-	Arrived
-	Attempts int           // attempts used so far
-	Failed   bool          // one of them is known to have failed
-	Touched  bool          // one of them may have run,
-	MayRun   time.Duration // the first of these was sent then,
-	Zone     int           // to an endpoint of this zone
+type MessageResumed struct {
+	MessageArrived
+	Attempts        int           // attempts used so far
+	Failed          bool          // one of them is known to have failed
+	MayHaveRun      bool          // one of them may have run,
+	MayHaveRunSince time.Duration // the first of these was sent then,
+	Zone            int           // to an endpoint of this zone
 }
 
 // AttemptEnded is the one outcome of a Send.
-type Ended struct {
-	ID       string
-	Attempt  int
-	Endpoint string
-	Outcome  Outcome
-	Took     time.Duration
-	Closed   bool          // the message has ended
-	Unsure   bool          // the answer said Final when another message of its call had ended already: the message may be delivered or not
-	Kept     bool          // the attempt used a connection that had been used before
-	HungUp   bool          // the endpoint closed the connection after its answer
-	Wait     time.Duration // Rejected: the wait that the endpoint asked for
-	NoSlot   bool          // Stale: all slots were taken
-	Report   Report
+type AttemptEnded struct {
+	ID         string
+	Attempt    int
+	Endpoint   string
+	Outcome    Outcome
+	Took       time.Duration
+	Final      bool          // the message has ended
+	Ambiguous  bool          // the answer said Final when another message of its call had ended already: the message may be delivered or not
+	ReusedConn bool          // the attempt used a connection that had been used before
+	ConnClosed bool          // the endpoint closed the connection after its answer
+	RetryAfter time.Duration // Rejected: the wait that the endpoint asked for
+	NoSlot     bool          // Stale: all slots were taken
+	Report     Report
 }
 
 // MessageAbandoned says that nobody wants the message any more.
-type Dropped struct{ ID string }
+type MessageAbandoned struct{ ID string }
 
 // ProbeEnded is the result of a Probe.
-type Probed struct {
+type ProbeEnded struct {
 	Endpoint string
 	Outcome  Outcome
 	Took     time.Duration
@@ -176,20 +176,20 @@
 }
 
 // WakeDue says that the time of a Wake has come.
-type Rang struct{ Tag string }
+type WakeDue struct{ Tag string }
 
 // Stopping says that the process ends at By: calls still out then are cut off.
-type Leaving struct{ By time.Duration }
-
-func (Leaving) event() {}
-func (Listed) event()  {}
-func (Barred) event()  {}
-func (Arrived) event() {}
-func (Resumed) event() {}
-func (Ended) event()   {}
-func (Dropped) event() {}
-func (Probed) event()  {}
-func (Rang) event()    {}
+type Stopping struct{ By time.Duration }
+
+func (Stopping) event()         {}
+func (ListUpdate) event()       {}
+func (EndpointDisabled) event() {}
+func (MessageArrived) event()   {}
+func (MessageResumed) event()   {}
+func (AttemptEnded) event()     {}
+func (MessageAbandoned) event() {}
+func (ProbeEnded) event()       {}
+func (WakeDue) event()          {}
 
 // Action is a decision of a Sender: Send, Refuse, Fail, Cancel, Probe, CloseIdle, Wake, Watch or LogLine.
 type Action interface{ action() }
@@ -200,14 +200,14 @@
 type Send struct {
 	ID, Endpoint string
 	Call         uint64
-	NotPast      time.Duration
+	TimeoutAt    time.Duration
 	StartBy      time.Duration
-	EndBy        time.Duration
-	Fresh        bool
+	ResultBy     time.Duration
+	NewConn      bool
 }
 
 // Refuse ends a message undelivered; the client may safely submit it again after RetryAfter.
-type PushBack struct {
+type Refuse struct {
 	ID         string
 	RetryAfter time.Duration
 }
@@ -225,7 +225,7 @@
 type Probe struct{ Endpoint string }
 
 // CloseIdle closes idle connections to an endpoint, all but Keep of them.
-type HangUp struct {
+type CloseIdle struct {
 	Endpoint string
 	Keep     int
 }
@@ -240,14 +240,14 @@
 type Watch struct{}
 
 // LogLine is a line for the log.
-type Note struct{ Text string }
-
-func (Send) action()     {}
-func (PushBack) action() {}
-func (Fail) action()     {}
-func (Cancel) action()   {}
-func (Probe) action()    {}
-func (HangUp) action()   {}
-func (Wake) action()     {}
-func (Watch) action()    {}
-func (Note) action()     {}
+type LogLine struct{ Text string }
+
+func (Send) action()      {}
+func (Refuse) action()    {}
+func (Fail) action()      {}
+func (Cancel) action()    {}
+func (Probe) action()     {}
+func (CloseIdle) action() {}
+func (Wake) action()      {}
+func (Watch) action()     {}
+func (LogLine) action()   {}
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -102,7 +102,7 @@
 		h.lists[l.Slot] = entries
 		return t, nil
 	case "Born":
-		settings, err := wire.Settings(l.Conf)
+		settings, err := wire.ParseSettings(l.Conf)
 		if err != nil {
 			return t, fmt.Errorf("Born %s: %w", l.Node, err)
 		}
--- a/fleet/experiment/experiment_test.go
+++ b/fleet/experiment/experiment_test.go
@@ -151,17 +151,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := wire.Settings(raw)
+	s, err := wire.ParseSettings(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Fleet != 3 || s.Slots != p.Nodes[1].Slots || s.MaxAttempts != 6 || !s.MayProbe || s.DrainGrace != time.Second || !s.Weighted {
+	if s.FleetSize != 3 || s.Slots != p.Nodes[1].Slots || s.MaxAttempts != 6 || !s.MayProbe || s.DrainGrace != time.Second || !s.WeightIsRate {
 		t.Errorf("got %+v", s)
 	}
-	if len(s.Classes) != 2 || s.Classes[1].Effect != choice.Unsafe || s.Classes[0].Worth != 2 || s.Classes[0].Deadline != 3*time.Second {
+	if len(s.Classes) != 2 || s.Classes[1].Effect != choice.AtMostOnce || s.Classes[0].Worth != 2 || s.Classes[0].Deadline != 3*time.Second {
 		t.Errorf("classes %+v", s.Classes)
 	}
-	if len(s.Kinds) != 2 || s.Kinds[0].Batch != p.Partners[0].Model.Batch {
+	if len(s.Kinds) != 2 || s.Kinds[0].MaxBatch != p.Partners[0].Model.Batch {
 		t.Errorf("kinds %+v", s.Kinds)
 	}
 	if !json.Valid(raw) {
--- a/internal/lab/scale/burden/burden.go
+++ b/internal/lab/scale/burden/burden.go
@@ -22,12 +22,12 @@
 // settings are those of a module in a fleet, by the lab's defaults: one class that may be repeated, weights in calls a second.
 func settings(fleet, slots int, deadline time.Duration) choice.Settings {
 	return choice.Settings{
-		Classes: []choice.Class{{Aim: time.Second, Deadline: deadline, Worth: 1, Effect: choice.Safe}},
-		Kinds:   []choice.Kind{{Batch: 1}},
-		Fleet:   fleet, Slots: slots, MaxAttempts: 6, MayProbe: true, MayCancel: true, Weighted: true, FullTold: true, OverShareWorth: 1,
-		Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second, DialTimeout: 1500 * time.Millisecond, ConnIdle: 5 * time.Second,
-		DrainGrace: time.Second, AnswerGrace: 20 * time.Millisecond, FallMultiple: 2, Fall: 2 * time.Second, ColdFrom: 0.19,
-		WarmWithin: 10 * time.Second, MustAsk: 10 * time.Second,
+		Classes:   []choice.Class{{SoftDeadline: time.Second, Deadline: deadline, Worth: 1, Effect: choice.Idempotent}},
+		Kinds:     []choice.Kind{{MaxBatch: 1}},
+		FleetSize: fleet, Slots: slots, MaxAttempts: 6, MayProbe: true, MayCancel: true, WeightIsRate: true, FullTableRejects: true, OverShareWorth: 1,
+		Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second, DialTimeout: 1500 * time.Millisecond, IdleConnTimeout: 5 * time.Second,
+		DrainGrace: time.Second, AnswerGrace: 20 * time.Millisecond, CollapseMultiple: 2, CollapseSpan: 2 * time.Second, SlowStartShare: 0.19,
+		SlowStartDuration: 10 * time.Second, WatchWithin: 10 * time.Second,
 	}
 }
 
@@ -35,12 +35,12 @@
 func endpointID(dest int) string { return fmt.Sprintf("d%06d-e0", dest) }
 
 // oneEach lists so many destinations with an endpoint each that takes perSecond calls.
-func oneEach(destinations int, perSecond float64) choice.Listed {
+func oneEach(destinations int, perSecond float64) choice.ListUpdate {
 	entries := make([]choice.Entry, destinations)
 	for i := range entries {
 		entries[i] = choice.Entry{Endpoint: endpointID(i), Dest: i, Weight: perSecond}
 	}
-	return choice.Listed{Whole: true, Entries: entries}
+	return choice.ListUpdate{Complete: true, Entries: entries}
 }
 
 // liveHeap is what is live, in bytes.
--- a/internal/lab/scale/burden/burden_test.go
+++ b/internal/lab/scale/burden/burden_test.go
@@ -82,23 +82,23 @@
 func (d *double) Step(now time.Duration, events []choice.Event) (actions []choice.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case choice.Arrived:
-			actions = append(actions, choice.Send{ID: e.ID, Endpoint: endpointID(0), NotPast: now + time.Second},
-				choice.Send{ID: e.ID, Endpoint: endpointID(2), NotPast: now + time.Second})
-		case choice.Probed:
-			if e.Outcome == choice.TooSlow {
+		case choice.MessageArrived:
+			actions = append(actions, choice.Send{ID: e.ID, Endpoint: endpointID(0), TimeoutAt: now + time.Second},
+				choice.Send{ID: e.ID, Endpoint: endpointID(2), TimeoutAt: now + time.Second})
+		case choice.ProbeEnded:
+			if e.Outcome == choice.TimedOut {
 				d.of["probe failed"]++
 			}
-		case choice.Ended:
+		case choice.AttemptEnded:
 			switch e.Outcome {
-			case choice.NoRoute:
+			case choice.Unreachable:
 				d.of["refused"]++
-			case choice.TooSlow:
+			case choice.TimedOut:
 				d.of["silent"]++
 				actions = append(actions, choice.Cancel{ID: e.ID, Attempt: e.Attempt}) // that is over: it changes nothing
-			case choice.Pass:
+			case choice.Success:
 				d.of["passed"]++
-			case choice.Undone:
+			case choice.Canceled:
 				d.of["undone"]++
 			}
 		}
@@ -137,9 +137,9 @@
 	w.module = stepFunc(func(now time.Duration, events []choice.Event) []choice.Action {
 		for _, e := range events {
 			switch e := e.(type) {
-			case choice.Arrived:
-				return []choice.Action{choice.Send{ID: e.ID, Endpoint: endpointID(0), NotPast: now + time.Second}, choice.Cancel{ID: e.ID}}
-			case choice.Ended:
+			case choice.MessageArrived:
+				return []choice.Action{choice.Send{ID: e.ID, Endpoint: endpointID(0), TimeoutAt: now + time.Second}, choice.Cancel{ID: e.ID}}
+			case choice.AttemptEnded:
 				got = append(got, e.Outcome)
 			}
 		}
@@ -149,7 +149,7 @@
 	if err := w.run(t.Context(), time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	if !slices.Equal(got, []choice.Outcome{choice.Undone}) {
+	if !slices.Equal(got, []choice.Outcome{choice.Canceled}) {
 		t.Errorf("ended as %v", got)
 	}
 }
--- a/internal/lab/scale/burden/down.go
+++ b/internal/lab/scale/burden/down.go
@@ -63,7 +63,7 @@
 	if err := w.run(ctx, seconds("warm")); err != nil {
 		return r, err
 	}
-	listed, avoided := sender.Pool()
+	listed, avoided := sender.EndpointCounts()
 	m.reset()
 	w.count = counts{}
 	if err := w.run(ctx, seconds("seconds")); err != nil {
@@ -167,7 +167,7 @@
 		}
 		if w.wakeAt > 0 && w.wakeAt <= w.now {
 			w.wakeAt = 0
-			events = append(events, choice.Rang{Tag: "sweep"})
+			events = append(events, choice.WakeDue{Tag: "sweep"})
 		}
 		if len(events) > 0 {
 			w.step(events...)
@@ -178,18 +178,18 @@
 func (w *world) arrival() choice.Event {
 	w.lastEvent++
 	w.count.arrived++
-	return choice.Arrived{ID: strconv.Itoa(w.lastEvent), Tenant: -1, Dest: w.rand.IntN(w.dests), DropDead: w.now + w.life}
+	return choice.MessageArrived{ID: strconv.Itoa(w.lastEvent), Tenant: -1, Dest: w.rand.IntN(w.dests), Deadline: w.now + w.life}
 }
 
 // take is a queued event that has fallen due. A call that was called off has ended before.
 func (w *world) take(e choice.Event) []choice.Event {
-	if e, ok := e.(choice.Ended); ok {
+	if e, ok := e.(choice.AttemptEnded); ok {
 		a := attempt{e.ID, e.Attempt}
 		if is, out := w.over[a]; !out || is != e.Outcome {
 			return nil
 		}
 		delete(w.over, a)
-		if e.Outcome == choice.Pass {
+		if e.Outcome == choice.Success {
 			w.count.delivered++
 			delete(w.attempts, e.ID)
 		}
@@ -207,9 +207,9 @@
 			w.probe(a)
 		case choice.Cancel:
 			if _, out := w.over[attempt{a.ID, a.Attempt}]; out {
-				w.end(0, choice.Ended{ID: a.ID, Attempt: a.Attempt, Outcome: choice.Undone})
+				w.end(0, choice.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: choice.Canceled})
 			}
-		case choice.PushBack:
+		case choice.Refuse:
 			w.count.refused++
 			delete(w.attempts, a.ID)
 		case choice.Fail:
@@ -226,14 +226,14 @@
 	n := w.attempts[a.ID]
 	w.attempts[a.ID] = n + 1
 	w.count.calls++
-	e := choice.Ended{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Outcome: choice.Pass}
+	e := choice.AttemptEnded{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Outcome: choice.Success}
 	silent, isDown := w.down[a.Endpoint]
 	took := answerTime
 	switch {
 	case silent:
-		e.Outcome, took = choice.TooSlow, max(a.NotPast-w.now, 0)
+		e.Outcome, took = choice.TimedOut, max(a.TimeoutAt-w.now, 0)
 	case isDown:
-		e.Outcome, took = choice.NoRoute, refusalTime
+		e.Outcome, took = choice.Unreachable, refusalTime
 	}
 	if isDown {
 		w.count.callsDown++
@@ -243,7 +243,7 @@
 }
 
 // end queues the one outcome of a Send.
-func (w *world) end(after time.Duration, e choice.Ended) {
+func (w *world) end(after time.Duration, e choice.AttemptEnded) {
 	w.over[attempt{e.ID, e.Attempt}] = e.Outcome
 	w.after(after, e)
 }
@@ -251,12 +251,12 @@
 func (w *world) probe(a choice.Probe) {
 	w.count.probes++
 	silent, isDown := w.down[a.Endpoint]
-	p := choice.Probed{Endpoint: a.Endpoint, Outcome: choice.Pass, Took: answerTime}
+	p := choice.ProbeEnded{Endpoint: a.Endpoint, Outcome: choice.Success, Took: answerTime}
 	switch {
 	case silent:
-		p.Outcome, p.Took = choice.TooSlow, probeTime
+		p.Outcome, p.Took = choice.TimedOut, probeTime
 	case isDown:
-		p.Outcome, p.Took = choice.NoRoute, refusalTime
+		p.Outcome, p.Took = choice.Unreachable, refusalTime
 	}
 	w.after(p.Took, p)
 }
--- a/internal/lab/scale/burden/held.go
+++ b/internal/lab/scale/burden/held.go
@@ -125,9 +125,9 @@
 		f.step(f.arrival(id, id%dests))
 		used, most = used+m.used, max(most, m.most)
 		m.reset()
-		f.step(choice.Rang{Tag: "sweep"})
+		f.step(choice.WakeDue{Tag: "sweep"})
 		wakes += m.used
-		f.step(choice.Dropped{ID: strconv.Itoa(id)}) // so that it goes on holding n
+		f.step(choice.MessageAbandoned{ID: strconv.Itoa(id)}) // so that it goes on holding n
 	}
 	if m.err != nil {
 		return m.err
@@ -150,7 +150,7 @@
 }
 
 func (f *filler) arrival(id, dest int) choice.Event {
-	return choice.Arrived{ID: strconv.Itoa(id), Tenant: -1, Dest: dest, DropDead: f.now + messageLife}
+	return choice.MessageArrived{ID: strconv.Itoa(id), Tenant: -1, Dest: dest, Deadline: f.now + messageLife}
 }
 
 func (f *filler) step(events ...choice.Event) {
@@ -162,8 +162,8 @@
 			switch a := a.(type) {
 			case choice.Send:
 				f.calls++
-				events = append(events, choice.Ended{ID: a.ID, Endpoint: a.Endpoint, Outcome: choice.NoRoom, Took: time.Millisecond, Wait: never})
-			case choice.PushBack, choice.Fail:
+				events = append(events, choice.AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Outcome: choice.Rejected, Took: time.Millisecond, RetryAfter: never})
+			case choice.Refuse, choice.Fail:
 				f.refused++
 			}
 		}
--- a/internal/lab/scale/hollow/destinations.go
+++ b/internal/lab/scale/hollow/destinations.go
@@ -272,7 +272,7 @@
 	for i := range list {
 		list[i] = entry(i, choice.Ready)
 	}
-	of["module.list.step"] = step(choice.Listed{Whole: true, Entries: list})
+	of["module.list.step"] = step(choice.ListUpdate{Complete: true, Entries: list})
 	list = nil
 	of["module.destinations.heap"] = heap() - before
 	var steps []float64
@@ -281,7 +281,7 @@
 		if i%2 == 1 {
 			phase = choice.Ready
 		}
-		steps = append(steps, step(choice.Listed{Entries: []choice.Entry{entry(i/2%endpoints, phase)}}))
+		steps = append(steps, step(choice.ListUpdate{Entries: []choice.Entry{entry(i/2%endpoints, phase)}}))
 	}
 	if len(steps) > 0 {
 		of["module.change.step"] = median(steps)
@@ -291,11 +291,11 @@
 		began := time.Now()
 		now += time.Millisecond
 		m.Step(now, nil)
-		m.Pool()
+		m.EndpointCounts()
 		steps = append(steps, time.Since(began).Seconds())
 	}
 	of["module.empty.step"] = median(steps)
-	if have, _ := m.Pool(); have != endpoints {
+	if have, _ := m.EndpointCounts(); have != endpoints {
 		return of, fmt.Errorf("the module knows %d endpoints, the list has %d", have, endpoints)
 	}
 	return of, ctx.Err()
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -132,7 +132,7 @@
 	o.wrote = func() { n.wrote(o) }
 	for i, addr := range []string{p.addr(), "127.0.0.1:1"} {
 		o.endpoint = endpointAt(addr)
-		want := []choice.Outcome{choice.Pass, choice.NoRoute}[i]
+		want := []choice.Outcome{choice.Success, choice.Unreachable}[i]
 		if got := testPool().do(t.Context(), o.call); got.outcome != want || n.figures.tries[0].Load() != 2 {
 			t.Errorf("got %v, %d tries", got.outcome, n.figures.tries[0].Load())
 		}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -154,7 +154,7 @@
 	kept := k != nil
 	if !kept {
 		if k, err = p.dial(ctx, c.endpoint.addr, c.startBy); err != nil {
-			return result{outcome: choice.NoRoute}
+			return result{outcome: choice.Unreachable}
 		}
 	}
 	// A dial takes up to a second, and more where the path is cut for a while: a wait told, a drain heard of or a
@@ -254,7 +254,7 @@
 // exchange writes the request and reads the answer; reuse tells that the connection is good for another call.
 func (k *conn) exchange(ctx context.Context, request []byte, c call) (res result, reuse bool) {
 	if n, err := k.Write(request); err != nil && n < len(request) {
-		return result{outcome: choice.NoRoute}, false // without its last byte the endpoint has not begun it
+		return result{outcome: choice.Unreachable}, false // without its last byte the endpoint has not begun it
 	}
 	if c.wrote != nil {
 		c.wrote()
@@ -268,11 +268,11 @@
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return result{outcome: choice.TooSlow}, false
+		return result{outcome: choice.TimedOut}, false
 	case ctx.Err() != nil:
-		return result{outcome: choice.Undone}, false
+		return result{outcome: choice.Canceled}, false
 	}
-	return result{outcome: choice.Cut}, false
+	return result{outcome: choice.ConnectionBroken}, false
 }
 
 // answer reads one answer and tells whether the connection may carry another call. A 200 holds from its first
@@ -297,7 +297,7 @@
 		}
 		res, reuse, err := k.rest(items)
 		if err != nil && code == http.StatusOK && len(items) <= 1 {
-			res, err = result{outcome: choice.Pass, closed: true}, nil
+			res, err = result{outcome: choice.Success, closed: true}, nil
 		}
 		if err != nil {
 			return result{}, false, fmt.Errorf("answer: %w", err)
@@ -350,7 +350,7 @@
 	res := outcome(resp)
 	res.hungUp = resp.Close
 	body := io.LimitReader(resp.Body, maxAnswerBody+1)
-	if len(items) > 1 && res.outcome == choice.Pass {
+	if len(items) > 1 && res.outcome == choice.Success {
 		res.each, err = fates(body, items)
 		res.wait = retryAfter(resp) // of the items it defers; it binds all the same
 	}
@@ -364,7 +364,7 @@
 }
 
 var states = map[string]fate{
-	"accepted": {outcome: choice.Pass, closed: true}, "fault": {outcome: choice.Fault}, "deferred": {outcome: choice.NoRoom},
+	"accepted": {outcome: choice.Success, closed: true}, "fault": {outcome: choice.ServerError}, "deferred": {outcome: choice.Rejected},
 	"expired": {outcome: choice.Stale, closed: true}, "no_more": {outcome: choice.Stale},
 }
 
@@ -390,7 +390,7 @@
 	for i, item := range items {
 		var ok bool
 		if each[i], ok = states[state[item.ID]]; !ok {
-			each[i] = fate{outcome: choice.Fault}
+			each[i] = fate{outcome: choice.ServerError}
 		}
 	}
 	return each, nil
@@ -401,11 +401,11 @@
 	res := result{report: loadReport(resp.Header.Values(loadHeader))}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		res.outcome, res.closed = choice.Pass, true
+		res.outcome, res.closed = choice.Success, true
 	case http.StatusTooManyRequests:
-		res.outcome, res.wait = choice.NoRoom, retryAfter(resp)
+		res.outcome, res.wait = choice.Rejected, retryAfter(resp)
 	case http.StatusServiceUnavailable:
-		res.outcome = choice.NoRoom
+		res.outcome = choice.Rejected
 		if resp.Header.Get("X-Line-Busy") == "1" {
 			res.outcome, res.noSlot = choice.Stale, true
 		}
@@ -414,7 +414,7 @@
 	case http.StatusGone:
 		res.outcome, res.closed = choice.Stale, true
 	default: // 500, and what the protocol does not know: it may have run
-		res.outcome = choice.Fault
+		res.outcome = choice.ServerError
 	}
 	return res
 }
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -148,23 +148,23 @@
 		name, says string
 		want       result
 	}{
-		{"delivered", delivered, result{outcome: choice.Pass, closed: true}},
+		{"delivered", delivered, result{outcome: choice.Success, closed: true}},
 		{"delivered with a report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n",
-			result{outcome: choice.Pass, closed: true, report: choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
+			result{outcome: choice.Success, closed: true, report: choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
 		{"a report that can't be read", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=often,,x1=NaN\r\nContent-Length: 0\r\n\r\n",
-			result{outcome: choice.Pass, closed: true}},
-		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + delivered, result{outcome: choice.Pass, closed: true}},
-		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.Fault}},
+			result{outcome: choice.Success, closed: true}},
+		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + delivered, result{outcome: choice.Success, closed: true}},
+		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.ServerError}},
 		{"told to wait", "HTTP/1.1 429 No\r\nRetry-After: 0.35\r\nContent-Length: 0\r\n\r\n",
-			result{outcome: choice.NoRoom, wait: 350 * time.Millisecond}},
-		{"turned away", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.NoRoom}},
+			result{outcome: choice.Rejected, wait: 350 * time.Millisecond}},
+		{"turned away", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.Rejected}},
 		{"turned away with its connection", "HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
-			result{outcome: choice.NoRoom, hungUp: true}},
+			result{outcome: choice.Rejected, hungUp: true}},
 		{"no slot", "HTTP/1.1 503 No\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.Stale, noSlot: true}},
 		{"all attempts used", "HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.Stale}},
 		{"over", "HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.Stale, closed: true}},
-		{"unknown status", "HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.Fault}},
-		{"no HTTP", "what?\r\n\r\n", result{outcome: choice.Cut}},
+		{"unknown status", "HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.ServerError}},
+		{"no HTTP", "what?\r\n\r\n", result{outcome: choice.ConnectionBroken}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPartner(t, says(c.says))
@@ -183,7 +183,7 @@
 			t.Fatal(err)
 		}
 		ln.Close()
-		if got := testPool().do(t.Context(), testCall(endpointAt(ln.Addr().String()))); got.outcome != choice.NoRoute {
+		if got := testPool().do(t.Context(), testCall(endpointAt(ln.Addr().String()))); got.outcome != choice.Unreachable {
 			t.Errorf("got %+v", got)
 		}
 	})
@@ -194,13 +194,13 @@
 			far.Close()
 		}()
 		k := &conn{Conn: near}
-		if got, reuse := k.exchange(t.Context(), []byte(strings.Repeat("x", 100)), call{}); got.outcome != choice.NoRoute || reuse {
+		if got, reuse := k.exchange(t.Context(), []byte(strings.Repeat("x", 100)), call{}); got.outcome != choice.Unreachable || reuse {
 			t.Errorf("got %+v, %v", got, reuse)
 		}
 	})
 	t.Run("ended after the last byte", func(t *testing.T) {
 		p := newPartner(t, func(net.Conn, *http.Request) bool { return false })
-		if got := testPool().do(t.Context(), testCall(endpointAt(p.addr()))); got.outcome != choice.Cut {
+		if got := testPool().do(t.Context(), testCall(endpointAt(p.addr()))); got.outcome != choice.ConnectionBroken {
 			t.Errorf("got %+v", got)
 		}
 	})
@@ -213,7 +213,7 @@
 		})
 		c := testCall(endpointAt(p.addr()))
 		c.notPast = time.Now().Add(100 * time.Millisecond)
-		if got := testPool().do(t.Context(), c); got.outcome != choice.TooSlow || !<-closed {
+		if got := testPool().do(t.Context(), c); got.outcome != choice.TimedOut || !<-closed {
 			t.Errorf("got %+v", got)
 		}
 	})
@@ -224,7 +224,7 @@
 			<-p.came
 			cancel()
 		}()
-		if got := testPool().do(ctx, testCall(endpointAt(p.addr()))); got.outcome != choice.Undone {
+		if got := testPool().do(ctx, testCall(endpointAt(p.addr()))); got.outcome != choice.Canceled {
 			t.Errorf("got %+v", got)
 		}
 	})
@@ -261,10 +261,10 @@
 		return false
 	})
 	pool, e := testPool(), endpointAt(p.addr())
-	if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Pass {
+	if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Success {
 		t.Fatalf("got %+v", got)
 	}
-	if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Cut {
+	if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.ConnectionBroken {
 		t.Errorf("got %+v", got)
 	}
 	if calls, conns := p.counts(); calls != 2 || conns != 1 {
@@ -280,7 +280,7 @@
 	})
 	pool, e := testPool(), endpointAt(p.addr())
 	for range 3 {
-		if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Pass {
+		if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Success {
 			t.Fatalf("got %+v", got)
 		}
 		eventually(t, "the closed connection is dropped", func() bool {
@@ -323,7 +323,7 @@
 	pool, c := testPool(), testCall(endpointAt(p.addr()))
 	for i, step := range []struct{ fresh, kept bool }{{false, false}, {false, true}, {true, false}} {
 		c.fresh = step.fresh
-		if got := pool.do(t.Context(), c); got.outcome != choice.Pass || got.kept != step.kept || keptBy(pool) != 1 {
+		if got := pool.do(t.Context(), c); got.outcome != choice.Success || got.kept != step.kept || keptBy(pool) != 1 {
 			t.Errorf("call %d: got %+v, %d kept", i, got, keptBy(pool))
 		}
 	}
@@ -337,7 +337,7 @@
 	p := newPartner(t, says(delivered+"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 	pool, e := testPool(), endpointAt(p.addr())
 	for range 3 {
-		if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Pass {
+		if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Success {
 			t.Errorf("got %+v", got)
 		}
 	}
@@ -401,9 +401,9 @@
 				pool := testPool()
 				got := pool.do(t.Context(), testCall(endpointAt(p.addr())))
 				got.heard = time.Time{}
-				want := result{outcome: choice.Cut}
+				want := result{outcome: choice.ConnectionBroken}
 				if code == "200" {
-					want = result{outcome: choice.Pass, closed: true}
+					want = result{outcome: choice.Success, closed: true}
 				}
 				if !reflect.DeepEqual(got, want) || keptBy(pool) != 0 {
 					t.Errorf("got %+v, want %+v; %d kept", got, want, keptBy(pool))
@@ -451,7 +451,7 @@
 	})
 	e.addr = p.addr()
 	pool := testPool()
-	if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Pass || keptBy(pool) != 0 {
+	if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Success || keptBy(pool) != 0 {
 		t.Errorf("got %+v, %d kept", got, keptBy(pool))
 	}
 }
@@ -473,7 +473,7 @@
 		if err != nil && (!reflect.DeepEqual(res, result{}) || reuse) {
 			t.Errorf("%v with %+v, %v", err, res, reuse)
 		}
-		if err == nil && res.outcome == choice.Pass && !strings.Contains(string(text), " 200") {
+		if err == nil && res.outcome == choice.Success && !strings.Contains(string(text), " 200") {
 			t.Errorf("delivered by %q", text)
 		}
 	})
@@ -482,24 +482,24 @@
 // Several messages travel in the form of the protocol's batch, and each fares as the answer says of it. One that can't
 // be read whole proves nothing of any.
 func TestBatch(t *testing.T) {
-	pass, cut := fate{outcome: choice.Pass, closed: true}, fate{outcome: choice.Cut}
+	pass, cut := fate{outcome: choice.Success, closed: true}, fate{outcome: choice.ConnectionBroken}
 	for _, c := range []struct {
 		name, head, body string
 		want             [3]fate
 		wait             time.Duration
 	}{
 		{"each its own", "200 OK", `[{"id":"c","state":"deferred"},{"id":"a","state":"accepted"},{"id":"b","state":"fault"}]`,
-			[3]fate{pass, {outcome: choice.Fault}, {outcome: choice.NoRoom}}, 0},
+			[3]fate{pass, {outcome: choice.ServerError}, {outcome: choice.Rejected}}, 0},
 		{"not sent", "200 OK", `[{"id":"a","state":"expired"},{"id":"b","state":"no_more"},{"id":"c","state":"accepted"}]`,
 			[3]fate{{outcome: choice.Stale, closed: true}, {outcome: choice.Stale}, pass}, 0},
 		{"with a wait", "200 OK\r\nRetry-After: 0.5", `[{"id":"a","state":"accepted"},{"id":"b","state":"accepted"},{"id":"c","state":"deferred"}]`,
-			[3]fate{pass, pass, {outcome: choice.NoRoom}}, 500 * time.Millisecond},
+			[3]fate{pass, pass, {outcome: choice.Rejected}}, 500 * time.Millisecond},
 		{"left out and unknown", "200 OK", `[{"id":"a","state":"accepted"},{"id":"b","state":"odd"},{"id":"x","state":"accepted"}]`,
-			[3]fate{pass, {outcome: choice.Fault}, {outcome: choice.Fault}}, 0},
+			[3]fate{pass, {outcome: choice.ServerError}, {outcome: choice.ServerError}}, 0},
 		{"named twice", "200 OK", `[{"id":"a","state":"accepted"},{"id":"a","state":"deferred"}]`, [3]fate{cut, cut, cut}, 0},
 		{"no JSON", "200 OK", `ok`, [3]fate{cut, cut, cut}, 0},
 		{"all alike", "429 No\r\nRetry-After: 2", ``,
-			[3]fate{{outcome: choice.NoRoom}, {outcome: choice.NoRoom}, {outcome: choice.NoRoom}}, 2 * time.Second},
+			[3]fate{{outcome: choice.Rejected}, {outcome: choice.Rejected}, {outcome: choice.Rejected}}, 2 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bodies := make(chan string, 1)
@@ -543,8 +543,8 @@
 		endBy time.Duration
 		want  [3]fate
 	}{
-		{"in time", time.Hour, [3]fate{{outcome: choice.Pass, closed: true}, {outcome: choice.Stale, closed: true}, {outcome: choice.NoRoom}}},
-		{"late", 0, [3]fate{{outcome: choice.Pass, unsure: true}, {outcome: choice.Stale, unsure: true}, {outcome: choice.NoRoom}}},
+		{"in time", time.Hour, [3]fate{{outcome: choice.Success, closed: true}, {outcome: choice.Stale, closed: true}, {outcome: choice.Rejected}}},
+		{"late", 0, [3]fate{{outcome: choice.Success, unsure: true}, {outcome: choice.Stale, unsure: true}, {outcome: choice.Rejected}}},
 	} {
 		testee := testCall(endpointAt(answered.addr()))
 		testee.items, testee.endBy = []item{{ID: "a"}, {ID: "b"}, {ID: "c"}}, time.Now().Add(c.endBy)
@@ -555,7 +555,7 @@
 			}
 		}
 		told := (&Node{}).outcome(called{endpoint: testee.endpoint, result: got}).Each[0] // to an heir, perhaps of an older build
-		if told.Closed == told.Unsure || told.Unsure != (told.Outcome == choice.TooSlow) {
+		if told.Closed == told.Unsure || told.Unsure != (told.Outcome == choice.TimedOut) {
 			t.Errorf("%s: an heir is told %+v", c.name, told)
 		}
 		testee.items = testee.items[:1]
@@ -635,7 +635,7 @@
 	} else {
 		c.notPast = time.Now().Add(200 * time.Millisecond)
 	}
-	if got := p.do(ctx, c); got.outcome != choice.Pass {
+	if got := p.do(ctx, c); got.outcome != choice.Success {
 		t.Errorf("got %+v", got)
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -53,15 +53,15 @@
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
 		return c, fmt.Errorf("configuration %s: discovery: %w", path, err)
 	}
-	if c.Settings, err = wire.Settings(c.RawSettings); err != nil {
+	if c.Settings, err = wire.ParseSettings(c.RawSettings); err != nil {
 		return c, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.Settings.FullTold = true // on sockets it is a 503
+	c.Settings.FullTableRejects = true // on sockets it is a 503
 	if c.Limits.Sockets <= 0 {
 		c.Limits.Sockets = defaultSockets
 	}
 	c.Settings.Slots, _ = descriptors(c.Limits.Sockets, c.Settings.Slots)
-	if c.Names, err = wire.SettingsNames(c.RawSettings); err != nil {
+	if c.Names, err = wire.ParseNames(c.RawSettings); err != nil {
 		return c, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	return c, nil
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -528,7 +528,7 @@
 	var events []choice.Event
 	for name, c := range n.out {
 		if c.remote {
-			broken := called{attempts: []attempt{name}, endpoint: &endpoint{}, result: result{outcome: choice.Cut, kept: true}}
+			broken := called{attempts: []attempt{name}, endpoint: &endpoint{}, result: result{outcome: choice.ConnectionBroken, kept: true}}
 			events = append(events, n.called(broken)...)
 		}
 	}
@@ -689,7 +689,7 @@
 			continue
 		}
 		switch e := e.(type) {
-		case choice.Leaving:
+		case choice.Stopping:
 			leaves = true
 		case called:
 			e.heed()
@@ -745,7 +745,7 @@
 // forHeir is the outcome in words that builds of old, which know of no doubt, take for one that may have run.
 func (f fate) forHeir() choice.Outcome {
 	if f.unsure {
-		return choice.TooSlow
+		return choice.TimedOut
 	}
 	return f.outcome
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -166,7 +166,7 @@
 	return &Node{
 		told: told, kept: kept, own: own,
 		cfg: cfg, log: log, journal: j, sender: choice.New(cfg.moduleSettings(), seed(cfg.Seed)), start: time.Now(),
-		pool:   newPool(cfg.Settings.DialTimeout, cfg.Settings.ConnIdle, idle),
+		pool:   newPool(cfg.Settings.DialTimeout, cfg.Settings.IdleConnTimeout, idle),
 		events: make(chan any, eventQueue), orders: make(chan order), notices: make(chan []notice), moves: make(chan []string),
 		over: make(chan struct{}), messages: map[string]*past{},
 		out: map[attempt]outCall{}, eps: map[string]*endpoint{}, waits: map[int]*atomic.Int64{},
@@ -262,7 +262,7 @@
 		}
 		n.stage.Store(leaving)
 		leaveBy := time.Now().Add(leaveAfter)
-		n.tell(life, choice.Leaving{By: n.at(leaveBy)})
+		n.tell(life, choice.Stopping{By: n.at(leaveBy)})
 		registry.Sleep(life, closeAfter)
 		clients.close(closeGrace) // those inside a request get their answers from the loop, which still runs
 		registry.Sleep(life, time.Until(leaveBy))
@@ -328,7 +328,7 @@
 		client := &http.Client{Transport: transport}
 		at := addrs // which change while the parts begin
 		var parts sync.WaitGroup
-		w := registry.Watcher{Addresses: at, Nodes: max(n.cfg.Settings.Fleet, 1), Client: client, Log: n.log, Track: track}
+		w := registry.Watcher{Addresses: at, Nodes: max(n.cfg.Settings.FleetSize, 1), Client: client, Log: n.log, Track: track}
 		if n.kept != nil {
 			w.Heard = n.kept.heard
 			parts.Go(func() { n.kept.run(here) })
@@ -381,7 +381,7 @@
 			continue
 		}
 		n.held++
-		if !n.sender.Holds(p.name()) { // one that was taken over it has
+		if !n.sender.HasMessage(p.name()) { // one that was taken over it has
 			events = append(events, n.resumed(p))
 		}
 	}
@@ -396,24 +396,24 @@
 func (n *Node) barredBefore() []choice.Event {
 	var events []choice.Event
 	for _, id := range n.journal.known {
-		recent := time.Since(n.journal.lifted[id]) < n.cfg.Settings.WarmWithin
+		recent := time.Since(n.journal.lifted[id]) < n.cfg.Settings.SlowStartDuration
 		if n.journal.barred[id] || recent {
-			events = append(events, choice.Barred{Endpoint: id})
+			events = append(events, choice.EndpointDisabled{Endpoint: id})
 		}
 		if !n.journal.barred[id] && recent {
-			events = append(events, choice.Barred{Endpoint: id, Lifted: true})
+			events = append(events, choice.EndpointDisabled{Endpoint: id, Lifted: true})
 		}
 	}
 	return events
 }
 
 // resumed tells the module of a message's past. An attempt that is not proven not to have run may have.
-func (n *Node) resumed(p *past) choice.Resumed {
-	r := choice.Resumed{Arrived: n.arrived(p, p.deadline), Attempts: len(p.sends)}
+func (n *Node) resumed(p *past) choice.MessageResumed {
+	r := choice.MessageResumed{MessageArrived: n.arrived(p, p.deadline), Attempts: len(p.sends)}
 	for _, s := range p.sends {
 		r.Failed = r.Failed || s.failed
-		if !s.notRun && !r.Touched {
-			r.Touched, r.MayRun, r.Zone = true, n.at(s.at), s.zone
+		if !s.notRun && !r.MayHaveRun {
+			r.MayHaveRun, r.MayHaveRunSince, r.Zone = true, n.at(s.at), s.zone
 		}
 	}
 	return r
@@ -421,8 +421,8 @@
 
 // arrived is the module's event of a message. A deadline that has not been through the journal is on the
 // monotonic clock, so that a step of the wall clock does not move it.
-func (n *Node) arrived(p *past, deadline time.Time) choice.Arrived {
-	return choice.Arrived{ID: p.name(), Class: p.class, Tenant: p.tenant, Dest: p.dest, Key: p.key, DropDead: n.at(deadline)}
+func (n *Node) arrived(p *past, deadline time.Time) choice.MessageArrived {
+	return choice.MessageArrived{ID: p.name(), Class: p.class, Tenant: p.tenant, Dest: p.dest, Key: p.key, Deadline: n.at(deadline)}
 }
 
 // tell hands the loop an event.
@@ -535,7 +535,7 @@
 			for _, s := range e {
 				n.forget(s.of)
 			}
-		case choice.Leaving:
+		case choice.Stopping:
 			events = append(events, e)
 		case order:
 			events = append(events, n.bar(e)...)
@@ -548,7 +548,7 @@
 	// What the module is about to be told of, and the clients with it, rests on these records.
 	if !n.flush() && len(fresh) > 0 { // these are turned away
 		events = slices.DeleteFunc(events, func(e choice.Event) bool {
-			_, isNew := e.(choice.Arrived)
+			_, isNew := e.(choice.MessageArrived)
 			return isNew
 		})
 		for seq, all := range fresh {
@@ -559,7 +559,7 @@
 	}
 	if n.wakeAt > 0 && n.now() >= n.wakeAt {
 		n.wakeAt = 0
-		events = append(events, choice.Rang{Tag: "sweep"})
+		events = append(events, choice.WakeDue{Tag: "sweep"})
 	}
 	n.step(ctx, events, fresh)
 }
@@ -576,7 +576,7 @@
 		return nil
 	case n.own != nil && n.foreign(a):
 		return nil
-	case !n.sender.Knows(a.dest):
+	case !n.sender.KnowsDestination(a.dest):
 		a.reply <- answer{failed: "unknown destination"}
 		return nil
 	case n.cfg.Settings.MaxOpen > 0 && n.held >= n.cfg.Settings.MaxOpen:
@@ -600,7 +600,7 @@
 
 // turnAway refuses a message for want of room, before the module has heard of it.
 func (n *Node) turnAway(a arrival) answer {
-	return answer{refused: true, after: n.sender.StayAway(a.class, a.dest)}
+	return answer{refused: true, after: n.sender.RetryAfterIfFull(a.class, a.dest)}
 }
 
 // forget ends all that the node has of a message.
@@ -616,8 +616,8 @@
 }
 
 // listed brings the endpoints up to date. Calls that have not written their first byte hear of it by shut.
-func (n *Node) listed(l catalog.List) choice.Listed {
-	maps.DeleteFunc(n.waits, func(dest int, _ *atomic.Int64) bool { return !n.sender.Knows(dest) })
+func (n *Node) listed(l catalog.List) choice.ListUpdate {
+	maps.DeleteFunc(n.waits, func(dest int, _ *atomic.Int64) bool { return !n.sender.KnowsDestination(dest) })
 	l.Members = slices.DeleteFunc(l.Members, func(m catalog.Endpoint) bool { return m.ID == "" })
 	entries := entries(l.Members, n.cfg.Names)
 	named := map[string]bool{}
@@ -640,7 +640,7 @@
 		}
 		maps.DeleteFunc(n.members, func(id string, _ catalog.Endpoint) bool { return !named[id] })
 	}
-	return choice.Listed{Whole: l.Complete, Entries: entries}
+	return choice.ListUpdate{Complete: l.Complete, Entries: entries}
 }
 
 // place opens or shuts the way to an endpoint, as the list and the operators have it.
@@ -695,7 +695,7 @@
 	if m, listed := n.members[o.id]; listed {
 		n.place(m, entries([]catalog.Endpoint{m}, n.cfg.Names)[0])
 	}
-	return []choice.Event{choice.Barred{Endpoint: o.id, Lifted: o.lift}}
+	return []choice.Event{choice.EndpointDisabled{Endpoint: o.id, Lifted: o.lift}}
 }
 
 func (n *Node) shut(e *endpoint) {
@@ -712,14 +712,14 @@
 // batchOf is how many messages one call to an endpoint may carry.
 func (n *Node) batchOf(e choice.Entry) int {
 	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) {
-		return max(kinds[e.Kind].Batch, 1)
+		return max(kinds[e.Kind].MaxBatch, 1)
 	}
 	return 1
 }
 
 // waitOf is where the waits are kept that bind an endpoint: its own if it is a route apart.
 func (n *Node) waitOf(e choice.Entry) *atomic.Int64 {
-	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) && kinds[e.Kind].Apart {
+	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) && kinds[e.Kind].SeparateRoutes {
 		return new(atomic.Int64)
 	}
 	if n.waits[e.Dest] == nil {
@@ -746,13 +746,13 @@
 	for i, name := range e.attempts {
 		m, fate := n.out[name].m, e.of(i)
 		delete(n.out, name)
-		ended := choice.Ended{
-			ID: m.name(), Attempt: name.n, Endpoint: e.endpoint.id, Outcome: fate.outcome, Took: e.took, Closed: fate.closed, Unsure: fate.unsure,
-			Wait: e.wait, NoSlot: e.noSlot, Report: e.report, Kept: e.kept, HungUp: e.hungUp,
+		ended := choice.AttemptEnded{
+			ID: m.name(), Attempt: name.n, Endpoint: e.endpoint.id, Outcome: fate.outcome, Took: e.took, Final: fate.closed, Ambiguous: fate.unsure,
+			RetryAfter: e.wait, NoSlot: e.noSlot, Report: e.report, ReusedConn: e.kept, ConnClosed: e.hungUp,
 		}
-		ominous := n.sender.Ominous(m.dest, ended)
+		ominous := n.sender.IndicatesOutage(m.dest, ended)
 		switch fate.outcome {
-		case choice.NoRoom, choice.NoRoute, choice.Stale:
+		case choice.Rejected, choice.Unreachable, choice.Stale:
 			kind := recTurnedAway
 			if ominous {
 				kind = recNotRun
@@ -764,7 +764,7 @@
 			}
 		}
 		if fate.closed && m.ended == nil {
-			if fate.outcome == choice.Pass {
+			if fate.outcome == choice.Success {
 				count(n.figures.ok, m.class)
 			}
 			n.forget(m)
@@ -782,7 +782,7 @@
 		switch a := a.(type) {
 		case choice.Send:
 			n.send(ctx, a, calls)
-		case choice.PushBack:
+		case choice.Refuse:
 			n.end(a.ID, ending{after: a.RetryAfter}, fresh)
 		case choice.Fail:
 			n.end(a.ID, ending{failed: true}, fresh)
@@ -792,13 +792,13 @@
 					c.cancel()
 				}
 			}})
-		case choice.HangUp:
+		case choice.CloseIdle:
 			n.pool.hangUp(a.Endpoint, a.Keep)
 		case choice.Wake:
 			if n.wakeAt == 0 || a.At < n.wakeAt {
 				n.wakeAt = a.At
 			}
-		case choice.Note:
+		case choice.LogLine:
 			n.log.Info(a.Text)
 		}
 	}
@@ -845,7 +845,7 @@
 
 // show brings the figures that the loop alone knows up to date.
 func (n *Node) show() {
-	listed, avoided := n.sender.Pool()
+	listed, avoided := n.sender.EndpointCounts()
 	n.figures.active.Store(int64(n.held))
 	n.figures.listed.Store(int64(listed))
 	n.figures.avoided.Store(int64(avoided))
@@ -913,16 +913,16 @@
 	o.items, o.room = append(o.items, one), o.room+one.room()
 	o.attempts, o.messages = append(o.attempts, name), append(o.messages, p)
 	// It ends for all at once: who gave up on one alone could not take it out of the call.
-	if t := n.wall(a.NotPast); t.After(o.notPast) {
+	if t := n.wall(a.TimeoutAt); t.After(o.notPast) {
 		o.notPast = t
 	}
-	if t := n.wall(a.EndBy); o.endBy.IsZero() || t.Before(o.endBy) {
+	if t := n.wall(a.ResultBy); o.endBy.IsZero() || t.Before(o.endBy) {
 		o.endBy = t
 	}
 	if t := n.wall(a.StartBy); a.StartBy > 0 && (o.startBy.IsZero() || t.Before(o.startBy)) {
 		o.startBy = t
 	}
-	o.fresh = o.fresh || a.Fresh
+	o.fresh = o.fresh || a.NewConn
 	n.acts[o.place].free = o.notPast // begun then, it ends at once as one that was never sent
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -667,7 +667,7 @@
 		n := &Node{start: time.Now()}
 		for _, p := range openTest(t, dir, 3).live {
 			r := n.resumed(p)
-			if r.Failed != c.failed || r.Touched != c.touched || r.Attempts != 1 || (r.Touched && r.MayRun > n.now()) {
+			if r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 || (r.MayHaveRun && r.MayHaveRunSince > n.now()) {
 				t.Errorf("%s: got %+v", c.name, r)
 			}
 		}
@@ -859,7 +859,7 @@
 	n := bareNode(t, serving("e", p.addr(), 7, "SERVING"))
 	n.take(t.Context(), []any{handIn("a", 50*time.Second)})
 	p.next(t)
-	n.step(t.Context(), []choice.Event{choice.Dropped{ID: n.messages["a"].name()}}, nil)
+	n.step(t.Context(), []choice.Event{choice.MessageAbandoned{ID: n.messages["a"].name()}}, nil)
 	n.forget(n.messages["a"])
 	n.take(t.Context(), []any{handIn("a", 50*time.Second)})
 	p.next(t)
@@ -899,14 +899,14 @@
 		n := bareNode(t, serving("e", p.addr(), 7, "SERVING"))
 		n.take(t.Context(), []any{handIn("a", 50*time.Second)})
 		p.next(t)
-		n.take(t.Context(), []any{choice.Leaving{By: 1}})
+		n.take(t.Context(), []any{choice.Stopping{By: 1}})
 		for _, out := range n.out {
 			if name == "cut off" {
 				out.cancel()
 			}
 		}
 		n.take(t.Context(), []any{<-n.events})
-		if r := n.resumed(n.messages["a"]); r.Failed != c.failed || r.Touched != c.touched || r.Attempts != 1 {
+		if r := n.resumed(n.messages["a"]); r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 {
 			t.Errorf("%s: got %+v", name, r)
 		}
 		n.pool.close()
@@ -954,7 +954,7 @@
 	for range 2 {
 		n.take(t.Context(), []any{registry.News{List: catalog.List{Complete: true, Members: []catalog.Endpoint{{ID: "last", Addr: p.addr(), Cell: 1e6, Phase: "SERVING"}}}}})
 	}
-	if len(n.waits) > 2 || n.sender.Knows(3) {
+	if len(n.waits) > 2 || n.sender.KnowsDestination(3) {
 		t.Errorf("%d waits", len(n.waits))
 	}
 	n.pool.close()
@@ -977,7 +977,7 @@
 			p := newPartner(t, silent)
 			n := bareAltered(t, func(cfg *Config) {
 				cfg.Settings.MaxOpen = 100
-				cfg.Settings.Kinds = []choice.Kind{{Batch: c.batch}}
+				cfg.Settings.Kinds = []choice.Kind{{MaxBatch: c.batch}}
 				cfg.Settings.Slots = 100
 			}, serving("e", p.addr(), 7, "SERVING"))
 			var batch []any
@@ -1054,7 +1054,7 @@
 	dir := t.TempDir()
 	j := openTest(t, dir, 3)
 	n := &Node{start: time.Now(), journal: j, messages: map[string]*past{}, sender: choice.New(choice.Settings{}, 1)}
-	n.sender.Step(n.now(), []choice.Event{choice.Listed{Entries: []choice.Entry{{Endpoint: "e", Dest: 7}}}})
+	n.sender.Step(n.now(), []choice.Event{choice.ListUpdate{Entries: []choice.Entry{{Endpoint: "e", Dest: 7}}}})
 	want := map[string]int{"acme": 0, "zen": 1, "": -1, "other": -1}
 	for tenant, place := range want {
 		args := [][]byte{[]byte("ENQUEUE"), []byte("0"), []byte("of:" + tenant), []byte("c=status,d=9000,dest=7,t=" + tenant), nil}
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -68,11 +68,11 @@
 // have a part of all traffic, and so of what all tenants may send: by that the module knows its share of a limit.
 func (c *Config) moduleSettings() choice.Settings {
 	s, o := c.Settings, c.Fleet.Ownership
-	if o == nil || o.Owners >= s.Fleet {
+	if o == nil || o.Owners >= s.FleetSize {
 		return s
 	}
-	part := float64(o.Owners) / float64(s.Fleet)
-	s.Fleet, s.Tenants = o.Owners, slices.Clone(s.Tenants)
+	part := float64(o.Owners) / float64(s.FleetSize)
+	s.FleetSize, s.Tenants = o.Owners, slices.Clone(s.Tenants)
 	for i := range s.Tenants {
 		s.Tenants[i].PerSecond *= part
 	}
@@ -173,7 +173,7 @@
 		}
 	}
 	s.lost = []lost{owed}
-	s.follow = follower{name: s.name, log: log, nodes: max(cfg.Settings.Fleet, 1), news: make(chan struct{}, 1), seen: -1, older: -1, unheard: unheardFor}
+	s.follow = follower{name: s.name, log: log, nodes: max(cfg.Settings.FleetSize, 1), news: make(chan struct{}, 1), seen: -1, older: -1, unheard: unheardFor}
 	s.follow.told.Store(-1)
 	return s
 }
@@ -286,7 +286,7 @@
 	switch {
 	case !n.own.owned.Has(part):
 		n.figures.notOwned.Add(1)
-	case n.own.covered.Has(part), n.sender.Knows(a.dest):
+	case n.own.covered.Has(part), n.sender.KnowsDestination(a.dest):
 		return false
 	}
 	a.reply <- answer{refused: true, after: n.cfg.Settings.MaxRetryAfter}
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -975,16 +975,16 @@
 // pauses of its watch stay the whole fleet's.
 func TestOwnersShareALimit(t *testing.T) {
 	t.Parallel()
-	c := Config{Settings: choice.Settings{Fleet: 820, Tenants: []choice.Tenant{{PerSecond: 8200}}}}
-	if s := c.moduleSettings(); s.Fleet != 820 || s.Tenants[0].PerSecond != 8200 {
+	c := Config{Settings: choice.Settings{FleetSize: 820, Tenants: []choice.Tenant{{PerSecond: 8200}}}}
+	if s := c.moduleSettings(); s.FleetSize != 820 || s.Tenants[0].PerSecond != 8200 {
 		t.Errorf("without: %+v", s)
 	}
 	c.Fleet.Ownership = &Ownership{Name: "n", Owners: 3}
-	if s := c.moduleSettings(); s.Fleet != 3 || s.Tenants[0].PerSecond != 30 || c.Settings.Fleet != 820 || c.Settings.Tenants[0].PerSecond != 8200 {
+	if s := c.moduleSettings(); s.FleetSize != 3 || s.Tenants[0].PerSecond != 30 || c.Settings.FleetSize != 820 || c.Settings.Tenants[0].PerSecond != 8200 {
 		t.Errorf("with: %+v of %+v", s, c.Settings)
 	}
-	c.Settings.Fleet = 2
-	if s := c.moduleSettings(); s.Fleet != 2 || s.Tenants[0].PerSecond != 8200 {
+	c.Settings.FleetSize = 2
+	if s := c.moduleSettings(); s.FleetSize != 2 || s.Tenants[0].PerSecond != 8200 {
 		t.Errorf("of two: %+v", s)
 	}
 }
--- a/internal/wire/formats_test.go
+++ b/internal/wire/formats_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Settings(raw)
+	s, err := ParseSettings(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -58,26 +58,26 @@
 }
 
 var effects = map[string]choice.Effect{
-	"idempotent": choice.Safe, "deduplicated": choice.Keyed, "at_most_once": choice.Unsafe,
+	"idempotent": choice.Idempotent, "deduplicated": choice.Deduplicated, "at_most_once": choice.AtMostOnce,
 }
 
 // ParseSettings converts the settings of a Born line.
-func Settings(raw json.RawMessage) (choice.Settings, error) {
+func ParseSettings(raw json.RawMessage) (choice.Settings, error) {
 	var c conf
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return choice.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := choice.Settings{
-		Fleet: c.FleetSize, Slots: c.Domain.Workers, MaxOpen: c.Limits.MaxOpen,
+		FleetSize: c.FleetSize, Slots: c.Domain.Workers, MaxOpen: c.Limits.MaxOpen,
 		MaxAttempts: c.Limits.MaxAttempts, MayDuplicate: c.Limits.MayDuplicate, MayProbe: c.Limits.Probes,
-		MayCancel: c.Limits.Cancel, AskForList: c.Discovery == "on_request",
-		Halves:       c.Domain.Decay == "halves",
-		RoughWeights: c.Weights == "rough", Weighted: c.Weights == "rough" || c.Weights == "nominal",
+		MayCancel: c.Limits.Cancel, WatchOnRequest: c.Discovery == "on_request",
+		WorthHalves:  c.Domain.Decay == "halves",
+		RoughWeights: c.Weights == "rough", WeightIsRate: c.Weights == "rough" || c.Weights == "nominal",
 		OverShareWorth: c.OverShareWorth, ZoneFee: c.Domain.Fee, Tick: Time(c.Tick),
-		DialTimeout: Time(c.Limits.DialTimeout), ConnIdle: Time(c.Limits.ConnIdle), DrainGrace: Time(c.Contract.StopSending),
-		AnswerGrace: Time(c.Contract.Grace), FallMultiple: c.Contract.FallMultiple,
-		Fall: Time(c.Contract.Fall), ColdFrom: c.Contract.ColdFrom, WarmWithin: Time(c.Contract.WarmWithin),
-		OrderSettle: Time(c.Contract.OrderSettle), MustAsk: Time(c.Contract.MustAskIn),
+		DialTimeout: Time(c.Limits.DialTimeout), IdleConnTimeout: Time(c.Limits.ConnIdle), DrainGrace: Time(c.Contract.StopSending),
+		AnswerGrace: Time(c.Contract.Grace), CollapseMultiple: c.Contract.FallMultiple,
+		CollapseSpan: Time(c.Contract.Fall), SlowStartShare: c.Contract.ColdFrom, SlowStartDuration: Time(c.Contract.WarmWithin),
+		KeyPause: Time(c.Contract.OrderSettle), WatchWithin: Time(c.Contract.MustAskIn),
 	}
 	if c.Limits.RetryAfter {
 		s.MaxRetryAfter = Time(c.Limits.MaxRetryAfter)
@@ -88,18 +88,18 @@
 			return s, fmt.Errorf("settings: class %d has unknown effect %q", i, k.Effect)
 		}
 		s.Classes = append(s.Classes, choice.Class{
-			Aim: Time(k.Aim), AimStretch: k.AimStretch, Deadline: Time(k.Deadline), Worth: k.Worth,
-			LateWorth: k.LateWorth, Effect: effect, Window: Time(k.Window), GroupAll: k.Group == "all",
+			SoftDeadline: Time(k.Aim), SoftDeadlineStretch: k.AimStretch, Deadline: Time(k.Deadline), Worth: k.Worth,
+			LateWorth: k.LateWorth, Effect: effect, DedupWindow: Time(k.Window), DedupEverywhere: k.Group == "all",
 			Ordered: k.Ordered,
 		})
 	}
 	for i := range max(len(c.Domain.Apart), len(c.Domain.Batch)) {
 		var k choice.Kind
 		if i < len(c.Domain.Apart) {
-			k.Apart = c.Domain.Apart[i]
+			k.SeparateRoutes = c.Domain.Apart[i]
 		}
 		if i < len(c.Domain.Batch) {
-			k.Batch = c.Domain.Batch[i]
+			k.MaxBatch = c.Domain.Batch[i]
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
@@ -116,7 +116,7 @@
 }
 
 // ParseNames reads the names from the settings.
-func SettingsNames(raw json.RawMessage) (Names, error) {
+func ParseNames(raw json.RawMessage) (Names, error) {
 	var c struct {
 		Categories []struct {
 			Name string `json:"name"`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -71,8 +71,8 @@
 }
 
 var outcomes = map[string]choice.Outcome{
-	"pass": choice.Pass, "fault": choice.Fault, "no_room": choice.NoRoom, "too_slow": choice.TooSlow,
-	"no_route": choice.NoRoute, "cut": choice.Cut, "undone": choice.Undone, "stale_send": choice.Stale,
+	"pass": choice.Success, "fault": choice.ServerError, "no_room": choice.Rejected, "too_slow": choice.TimedOut,
+	"no_route": choice.Unreachable, "cut": choice.ConnectionBroken, "undone": choice.Canceled, "stale_send": choice.Stale,
 }
 
 var phases = map[string]choice.Phase{
@@ -100,7 +100,7 @@
 	switch l.Type {
 	case "Announce":
 		if l.Form == "broken" {
-			return choice.Listed{Failed: true}, nil
+			return choice.ListUpdate{Failed: true}, nil
 		}
 		if l.Form != "patch" && l.Form != "whole" && l.Form != "stale_copy" {
 			return nil, fmt.Errorf("Announce has unknown form %q", l.Form)
@@ -109,10 +109,10 @@
 		if !ok {
 			return nil, fmt.Errorf("Announce names list %d, which was never sent", l.Slot)
 		}
-		return choice.Listed{Whole: l.Form != "patch", Entries: entries}, nil
+		return choice.ListUpdate{Complete: l.Form != "patch", Entries: entries}, nil
 	case "Query":
-		ev := choice.Arrived{
-			ID: l.Handle, Class: l.Class, Tenant: l.Owner, Dest: l.FarEnd, Key: l.Key, DropDead: Time(l.DropDead),
+		ev := choice.MessageArrived{
+			ID: l.Handle, Class: l.Class, Tenant: l.Owner, Dest: l.FarEnd, Key: l.Key, Deadline: Time(l.DropDead),
 		}
 		if l.Opts&optHint != 0 {
 			ev.Hint = Time(l.Hint)
@@ -123,12 +123,12 @@
 		if !ok {
 			return nil, fmt.Errorf("AttemptEnd has unknown rc %q", l.Code)
 		}
-		ev := choice.Ended{
+		ev := choice.AttemptEnded{
 			ID: l.Handle, Attempt: l.Go, Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration),
-			Closed: l.Closed, Report: report(l.Feedback),
+			Final: l.Closed, Report: report(l.Feedback),
 		}
-		if o == choice.NoRoom {
-			ev.Wait = Time(l.Note)
+		if o == choice.Rejected {
+			ev.RetryAfter = Time(l.Note)
 		}
 		ev.NoSlot = o == choice.Stale && l.Note != 0
 		return ev, nil
@@ -137,13 +137,13 @@
 		if !ok {
 			return nil, fmt.Errorf("Echo has unknown rc %q", l.Code)
 		}
-		return choice.Probed{
+		return choice.ProbeEnded{
 			Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration), Report: report(l.Feedback),
 		}, nil
 	case "Dropped":
-		return choice.Dropped{ID: l.Handle}, nil
+		return choice.MessageAbandoned{ID: l.Handle}, nil
 	case "Ring":
-		return choice.Rang{Tag: l.Tag}, nil
+		return choice.WakeDue{Tag: l.Tag}, nil
 	case "Memo", "UnderWay":
 		return nil, nil
 	}
@@ -163,8 +163,8 @@
 	switch a := a.(type) {
 	case choice.Send:
 		o["event_type"], o["handle"], o["endpoint"] = "Transmit", a.ID, a.Endpoint
-		o["notPast"] = millis(a.NotPast)
-	case choice.PushBack:
+		o["notPast"] = millis(a.TimeoutAt)
+	case choice.Refuse:
 		o["event_type"], o["handle"], o["holdOff"] = "PushBack", a.ID, millis(a.RetryAfter)
 	case choice.Fail:
 		o["event_type"], o["handle"] = "RespondError", a.ID
@@ -172,13 +172,13 @@
 		o["event_type"], o["handle"], o["go"] = "Recall", a.ID, a.Attempt
 	case choice.Probe:
 		o["event_type"], o["endpoint"] = "Test", a.Endpoint
-	case choice.HangUp:
+	case choice.CloseIdle:
 		o["event_type"], o["endpoint"] = "HangUp", a.Endpoint
 	case choice.Wake:
 		o["event_type"], o["when"], o["tag"] = "Defer", millis(a.At), a.Tag
 	case choice.Watch:
 		o["event_type"], o["enable"] = "Track", true
-	case choice.Note:
+	case choice.LogLine:
 		o["event_type"], o["text"] = "JournalLine", a.Text
 	default:
 		return nil, fmt.Errorf("no line for action %T", a)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,19 +18,19 @@
 		want choice.Event
 	}{
 		{`{"event_type":"Query","node":"node-3","handle":"h1","cls":1,"owner":2,"nameKey":"k","dropDead":8652.25,"predicted":12.5,"farEnd":57,"opts":1,"extra":[1]}`,
-			choice.Arrived{ID: "h1", Class: 1, Tenant: 2, Dest: 57, Key: "k", DropDead: 8652250 * time.Microsecond, Hint: 12500 * time.Microsecond}},
-		{`{"event_type":"Query","node":"node-3","handle":"h1","predicted":12.5,"dropDead":1}`, choice.Arrived{ID: "h1", DropDead: ms}},
+			choice.MessageArrived{ID: "h1", Class: 1, Tenant: 2, Dest: 57, Key: "k", Deadline: 8652250 * time.Microsecond, Hint: 12500 * time.Microsecond}},
+		{`{"event_type":"Query","node":"node-3","handle":"h1","predicted":12.5,"dropDead":1}`, choice.MessageArrived{ID: "h1", Deadline: ms}},
 		{`{"event_type":"AttemptEnd","node":"n","handle":"h","go":2,"endpoint":"e","rc":"no_room","duration":18.5,"note":250,"feedback":{"x0":0.4,"x1":1.25}}`,
-			choice.Ended{ID: "h", Attempt: 2, Endpoint: "e", Outcome: choice.NoRoom, Took: 18500 * time.Microsecond, Wait: 250 * ms,
+			choice.AttemptEnded{ID: "h", Attempt: 2, Endpoint: "e", Outcome: choice.Rejected, Took: 18500 * time.Microsecond, RetryAfter: 250 * ms,
 				Report: choice.Report{Left: 0.4, Limit: 1.25, HasLeft: true, HasLimit: true}}},
 		{`{"event_type":"AttemptEnd","node":"n","handle":"h","endpoint":"e","rc":"stale_send","note":1,"closed":true}`,
-			choice.Ended{ID: "h", Endpoint: "e", Outcome: choice.Stale, NoSlot: true, Closed: true}},
-		{`{"event_type":"Echo","node":"n","endpoint":"e","rc":"pass","duration":3}`, choice.Probed{Endpoint: "e", Took: 3 * ms}},
-		{`{"event_type":"Dropped","node":"n","handle":"h"}`, choice.Dropped{ID: "h"}},
-		{`{"event_type":"Ring","node":"n","tag":"sweep"}`, choice.Rang{Tag: "sweep"}},
-		{`{"event_type":"Announce","node":"n","form":"stale_copy","gen":41,"slot":3}`, choice.Listed{Whole: true, Entries: lists[3]}},
-		{`{"event_type":"Announce","node":"n","form":"patch","gen":41,"slot":3}`, choice.Listed{Entries: lists[3]}},
-		{`{"event_type":"Announce","node":"n","form":"broken","gen":41}`, choice.Listed{Failed: true}},
+			choice.AttemptEnded{ID: "h", Endpoint: "e", Outcome: choice.Stale, NoSlot: true, Final: true}},
+		{`{"event_type":"Echo","node":"n","endpoint":"e","rc":"pass","duration":3}`, choice.ProbeEnded{Endpoint: "e", Took: 3 * ms}},
+		{`{"event_type":"Dropped","node":"n","handle":"h"}`, choice.MessageAbandoned{ID: "h"}},
+		{`{"event_type":"Ring","node":"n","tag":"sweep"}`, choice.WakeDue{Tag: "sweep"}},
+		{`{"event_type":"Announce","node":"n","form":"stale_copy","gen":41,"slot":3}`, choice.ListUpdate{Complete: true, Entries: lists[3]}},
+		{`{"event_type":"Announce","node":"n","form":"patch","gen":41,"slot":3}`, choice.ListUpdate{Entries: lists[3]}},
+		{`{"event_type":"Announce","node":"n","form":"broken","gen":41}`, choice.ListUpdate{Failed: true}},
 		{`{"event_type":"Memo","node":"n","who":1,"content":"00"}`, nil},
 	} {
 		l, err := Parse([]byte(c.line))
@@ -50,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Event(l, nil); err != nil || got.(choice.Ended).Outcome != want {
+		if got, err := Event(l, nil); err != nil || got.(choice.AttemptEnded).Outcome != want {
 			t.Errorf("%s: %v, %v", word, got, err)
 		}
 	}
@@ -88,15 +88,15 @@
 		action choice.Action
 		want   string
 	}{
-		{choice.Send{ID: "h", Endpoint: "e", NotPast: 8492250 * time.Microsecond}, `{"event_type":"Transmit","node":"n","handle":"h","endpoint":"e","notPast":8492.25}`},
-		{choice.PushBack{ID: "h", RetryAfter: 1500 * ms}, `{"event_type":"PushBack","node":"n","handle":"h","holdOff":1500}`},
+		{choice.Send{ID: "h", Endpoint: "e", TimeoutAt: 8492250 * time.Microsecond}, `{"event_type":"Transmit","node":"n","handle":"h","endpoint":"e","notPast":8492.25}`},
+		{choice.Refuse{ID: "h", RetryAfter: 1500 * ms}, `{"event_type":"PushBack","node":"n","handle":"h","holdOff":1500}`},
 		{choice.Fail{ID: "h"}, `{"event_type":"RespondError","node":"n","handle":"h"}`},
 		{choice.Cancel{ID: "h", Attempt: 1}, `{"event_type":"Recall","node":"n","handle":"h","go":1}`},
 		{choice.Probe{Endpoint: "e"}, `{"event_type":"Test","node":"n","endpoint":"e"}`},
-		{choice.HangUp{Endpoint: "e"}, `{"event_type":"HangUp","node":"n","endpoint":"e"}`},
+		{choice.CloseIdle{Endpoint: "e"}, `{"event_type":"HangUp","node":"n","endpoint":"e"}`},
 		{choice.Wake{At: 8912250 * time.Microsecond, Tag: "sweep"}, `{"event_type":"Defer","node":"n","when":8912.25,"tag":"sweep"}`},
 		{choice.Watch{}, `{"event_type":"Track","node":"n","enable":true}`},
-		{choice.Note{Text: "hi"}, `{"event_type":"JournalLine","node":"n","text":"hi"}`},
+		{choice.LogLine{Text: "hi"}, `{"event_type":"JournalLine","node":"n","text":"hi"}`},
 	} {
 		b, err := Action("n", c.action)
 		if err != nil {
@@ -110,7 +110,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	s, err := Settings(json.RawMessage(`{"categories":[{"aim":4000.0,"deadline":28000.0,"effect":"deduplicated","group":"all","lateWorth":0.3,"window":12000,"worth":3,"fifoByKey":true}],
+	s, err := ParseSettings(json.RawMessage(`{"categories":[{"aim":4000.0,"deadline":28000.0,"effect":"deduplicated","group":"all","lateWorth":0.3,"window":12000,"worth":3,"fifoByKey":true}],
 		"contract":{"coldFrom":0.29,"fall":2000.0,"fallMultiple":1.5,"graceToAnswer":20.0,"stopSendingWithin":250.0,"warmWithin":11000.0,"orderSettle":300},
 		"customers":[{"name":"x","allowancePerS":4.5}],"discovery":"on_request","domain":{"decay":"halves","kindBatch":[1,5],"separateRoutes":[true],"workers":9},
 		"fleetSize":2,"limits":{"cancel":true,"maxAttempts":12,"maxOpen":269,"maxRetryAfter":3000.0,"retryAfter":true},"tick":5,"weights":"rough","novelty":{"a":1}}`))
@@ -118,30 +118,30 @@
 		t.Fatal(err)
 	}
 	want := choice.Settings{
-		Classes: []choice.Class{{Aim: 4000 * ms, Deadline: 28000 * ms, Worth: 3, LateWorth: 0.3, Effect: choice.Keyed, Window: 12000 * ms, GroupAll: true, Ordered: true}},
-		Kinds:   []choice.Kind{{Apart: true, Batch: 1}, {Batch: 5}}, Tenants: []choice.Tenant{{PerSecond: 4.5}},
-		Fleet: 2, Slots: 9, MaxOpen: 269, MaxAttempts: 12, MayCancel: true, AskForList: true, Halves: true, RoughWeights: true, Weighted: true,
-		Tick: 5 * ms, MaxRetryAfter: 3000 * ms, DrainGrace: 250 * ms, AnswerGrace: 20 * ms, FallMultiple: 1.5, Fall: 2000 * ms,
-		ColdFrom: 0.29, WarmWithin: 11000 * ms, OrderSettle: 300 * ms,
+		Classes: []choice.Class{{SoftDeadline: 4000 * ms, Deadline: 28000 * ms, Worth: 3, LateWorth: 0.3, Effect: choice.Deduplicated, DedupWindow: 12000 * ms, DedupEverywhere: true, Ordered: true}},
+		Kinds:   []choice.Kind{{SeparateRoutes: true, MaxBatch: 1}, {MaxBatch: 5}}, Tenants: []choice.Tenant{{PerSecond: 4.5}},
+		FleetSize: 2, Slots: 9, MaxOpen: 269, MaxAttempts: 12, MayCancel: true, WatchOnRequest: true, WorthHalves: true, RoughWeights: true, WeightIsRate: true,
+		Tick: 5 * ms, MaxRetryAfter: 3000 * ms, DrainGrace: 250 * ms, AnswerGrace: 20 * ms, CollapseMultiple: 1.5, CollapseSpan: 2000 * ms,
+		SlowStartShare: 0.29, SlowStartDuration: 11000 * ms, KeyPause: 300 * ms,
 	}
 	if !reflect.DeepEqual(s, want) {
 		t.Errorf("got %+v\nwant %+v", s, want)
 	}
-	if s, err := Settings(json.RawMessage(`{}`)); err != nil || !reflect.DeepEqual(s, choice.Settings{}) {
+	if s, err := ParseSettings(json.RawMessage(`{}`)); err != nil || !reflect.DeepEqual(s, choice.Settings{}) {
 		t.Errorf("missing settings must be zero: %+v, %v", s, err)
 	}
-	if _, err := Settings(json.RawMessage(`{"categories":[{"effect":"odd"}]}`)); err == nil {
+	if _, err := ParseSettings(json.RawMessage(`{"categories":[{"effect":"odd"}]}`)); err == nil {
 		t.Error("an unknown effect was accepted")
 	}
 }
 
 func TestSettingsNames(t *testing.T) {
-	n, err := SettingsNames(json.RawMessage(`{"categories":[{"name":"a"},{"name":"b"}],"flavors":["big"],"customers":[{"name":"x"},{"name":"y"}],"failureDomains":["z1","z2"]}`))
+	n, err := ParseNames(json.RawMessage(`{"categories":[{"name":"a"},{"name":"b"}],"flavors":["big"],"customers":[{"name":"x"},{"name":"y"}],"failureDomains":["z1","z2"]}`))
 	want := Names{Classes: []string{"a", "b"}, Kinds: []string{"big"}, Zones: []string{"z1", "z2"}, Tenants: []string{"x", "y"}}
 	if err != nil || !reflect.DeepEqual(n, want) {
 		t.Errorf("got %+v, %v", n, err)
 	}
-	if _, err := SettingsNames(json.RawMessage(`[]`)); err == nil {
+	if _, err := ParseNames(json.RawMessage(`[]`)); err == nil {
 		t.Error("settings that are no object were accepted")
 	}
 }
