--- a/choice/lost_test.go
+++ b/choice/lost_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Calls that get no answer while later ones to their endpoint pass are lost alone: their destination is neither slow
-// nor struck, and its gate hears nothing of them. With nothing passing meanwhile the same silence is an outage.
+// Single calls without an answer are lost if later ones to their endpoint succeed: their destination is not
+// slow, its breaker stays closed, and its gate gets no sample. If no call succeeds meanwhile, the same
+// silence is an outage.
 func TestLoneSilenceIsNoOutage(t *testing.T) {
 	for _, passing := range []bool{true, false} {
 		cfg := settings()
@@ -25,15 +26,15 @@
 			return out
 		}
 		arrive := func(id string, e Effect) bool {
-			return len(sends(Arrived{ID: id, Class: classOf(e), DropDead: now + time.Minute})) == 1
+			return len(sends(MessageArrived{ID: id, Class: classOf(e), Deadline: now + time.Minute})) == 1
 		}
 		s.Step(now, []Event{list(Entry{Endpoint: "a", Weight: 1000})})
 		pass := func(id string) {
-			if !arrive(id, Safe) {
-				t.Fatalf("passing is %v: %s is held", passing, id)
+			if !arrive(id, Idempotent) {
+				t.Fatalf("other calls succeed: %v; %s was not sent", passing, id)
 			}
 			now += 20 * ms
-			s.Step(now, []Event{Ended{ID: id, Endpoint: "a", Took: 20 * ms}})
+			s.Step(now, []Event{AttemptEnded{ID: id, Endpoint: "a", Took: 20 * ms}})
 			now += 280 * ms
 		}
 		for i := range 5 {
@@ -42,8 +43,8 @@
 		d := s.dests[0]
 		average, sent := d.gates[0].average, now
 		for i := range 4 {
-			if !arrive(fmt.Sprint("lost", i), Safe) {
-				t.Fatalf("lost%d is held", i)
+			if !arrive(fmt.Sprint("lost", i), Idempotent) {
+				t.Fatalf("lost%d was not sent", i)
 			}
 			now += 100 * ms
 		}
@@ -53,41 +54,42 @@
 			}
 		}
 		if s.Step(now, nil); s.slow(d) == passing {
-			t.Errorf("passing is %v, so is slow", passing)
+			t.Errorf("other calls succeed: %v, and the destination is slow: the same", passing)
 		}
 		for i := range 4 {
-			s.Step(now, []Event{Ended{ID: fmt.Sprint("lost", i), Endpoint: "a", Outcome: TooSlow, Took: now - sent}})
+			s.Step(now, []Event{AttemptEnded{ID: fmt.Sprint("lost", i), Endpoint: "a", Outcome: TimedOut, Took: now - sent}})
 		}
 		if r := d.shared; r.sick == passing || (d.gates[0].average > average+0.1) == passing {
-			t.Errorf("passing is %v: sick is %v, the average went from %v to %v", passing, r.sick, average, d.gates[0].average)
+			t.Errorf("other calls succeed: %v; the breaker is open: %v, the average went from %v to %v", passing, r.sick, average, d.gates[0].average)
 		}
 	}
 }
 
-// A shut gate does not wait for an answer that is long overdue before it lets a trial message in.
+// A closed gate does not wait for an answer that is long overdue before it admits a trial message.
 func TestOverdueCallsKeepNoTrialOut(t *testing.T) {
 	s, now := New(settings(), 1), time.Hour
 	s.Step(now, []Event{one()})
-	unsafe := slices.IndexFunc(settings().Classes, func(c Class) bool { return c.Effect == Unsafe })
-	s.Step(now, []Event{Arrived{ID: "silent", Class: unsafe, DropDead: now + time.Minute}})
+	unsafe := slices.IndexFunc(settings().Classes, func(c Class) bool { return c.Effect == AtMostOnce })
+	s.Step(now, []Event{MessageArrived{ID: "silent", Class: unsafe, Deadline: now + time.Minute}})
 	s.dests[0].gates[0] = gate{seen: true, baseline: 0.1, average: 9, at: now}
 	for _, c := range []struct {
 		after time.Duration
 		taken bool
 	}{{lostLeast - 100*ms, false}, {lostLeast + 100*ms, true}} {
 		id := c.after.String()
-		s.Step(now+c.after, []Event{Arrived{ID: id, DropDead: now + time.Minute}})
+		s.Step(now+c.after, []Event{MessageArrived{ID: id, Deadline: now + time.Minute}})
 		if (s.msgs[id] != nil) != c.taken {
-			t.Errorf("%v after the call that is out: taken on is %v", c.after, !c.taken)
+			t.Errorf("%v after the call that is out: the message was admitted: %v", c.after, !c.taken)
 		}
 	}
 }
 
-// With no slot free and others waiting, a lost call that may not be repeated gives its slot back. With a slot free, or
-// with nobody waiting, its answer may still come. One that may be repeated goes for a full node alone.
+// With no slot free and others waiting, a lost call that may not be repeated gives up its slot. With a slot
+// free, or with no message waiting, its answer may still come. One that may be repeated is canceled as soon
+// as no slot is free.
 func TestLostCallsGiveBackTheirSlots(t *testing.T) {
 	cfg := settings()
-	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == Unsafe })
+	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == AtMostOnce })
 	for _, c := range []struct {
 		name   string
 		class  int
@@ -102,17 +104,17 @@
 	} {
 		s, now := New(cfg, 1), time.Hour
 		s.Step(now, []Event{list(Entry{Endpoint: "a", Weight: 1000})})
-		arrive := func(id string, class int) Arrived {
-			return Arrived{ID: id, Class: class, DropDead: now + time.Minute}
+		arrive := func(id string, class int) MessageArrived {
+			return MessageArrived{ID: id, Class: class, Deadline: now + time.Minute}
 		}
 		s.Step(now, []Event{arrive("first", 0)})
-		s.Step(now+20*ms, []Event{Ended{ID: "first", Endpoint: "a", Took: 20 * ms}})
+		s.Step(now+20*ms, []Event{AttemptEnded{ID: "first", Endpoint: "a", Took: 20 * ms}})
 		now += 30 * ms
 		s.Step(now, []Event{arrive("lost", c.class)})
 		now += 10 * ms
 		s.Step(now, []Event{arrive("later", 0)})
 		now += 20 * ms
-		s.Step(now, []Event{Ended{ID: "later", Endpoint: "a", Took: 20 * ms}})
+		s.Step(now, []Event{AttemptEnded{ID: "later", Endpoint: "a", Took: 20 * ms}})
 		now += lostLeast + 50*ms
 		called := false
 		for i := range c.others {
@@ -122,7 +124,7 @@
 			}
 		}
 		if called != c.want {
-			t.Errorf("%s: called off is %v", c.name, called)
+			t.Errorf("%s: the lost call was canceled: %v", c.name, called)
 		}
 	}
 }
