--- a/internal/node/formats_b_test.go
+++ b/internal/node/formats_b_test.go
@@ -61,7 +61,7 @@
 // Each state that the answer to a batch may give a message.
 func TestBatchAnswerFormat(t *testing.T) {
 	want := map[string]fate{
-		"accepted": {choice.Pass, true, false}, "fault": {choice.Fault, false, false}, "deferred": {choice.NoRoom, false, false},
+		"accepted": {choice.Success, true, false}, "fault": {choice.ServerError, false, false}, "deferred": {choice.Rejected, false, false},
 		"expired": {choice.Stale, true, false}, "no_more": {choice.Stale, false, false},
 	}
 	if !reflect.DeepEqual(states, want) {
