--- /dev/null
+++ b/fleet/partner/formats_test.go
@@ -0,0 +1,12 @@
+package partner
+
+import (
+	"fmt"
+	"testing"
+
+	"starlingusher/internal/golden"
+)
+
+func TestTroubleNames(t *testing.T) {
+	golden.Check(t, "troubles.txt", fmt.Appendln(nil, Slow, Lossy, Failing, Shut, Silent, Down))
+}
