--- a/fleet/capacity/capacity_test.go
+++ b/fleet/capacity/capacity_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// theTarget is the committed one.
+// committedTarget returns the target in the repository.
 func theTarget(t testing.TB) Target {
 	t.Helper()
 	raw, err := os.ReadFile("../../docs/capacity/target.toml")
@@ -25,7 +25,7 @@
 	return target
 }
 
-// slope is a linear one of made-up figures.
+// slope returns a linear slope of invented values.
 func slope(id string, at0, each, from, to float64) Slope {
 	return Slope{ID: id, What: "made up", Per: "thing", Unit: units[id], Form: Linear, At0: at0, Slope: each, From: from, To: to, Points: 4, Plays: 3,
 		Run: "docs/scale/made-up.json", Commit: "0000000"}
@@ -38,13 +38,13 @@
 			return l
 		}
 	}
-	t.Fatalf("there is no line %s, owned %v", id, owned)
+	t.Fatalf("there is no line %s, with ownership %v", id, owned)
 	return Line{}
 }
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*math.Abs(b) }
 
-// The figures of the second column were worked out by hand from the operators' table.
+// The expected values were computed by hand from the operators' table.
 func TestTargetByHand(t *testing.T) {
 	target := theTarget(t)
 	for _, c := range []struct {
@@ -81,7 +81,7 @@
 	s := Slope{From: 100, To: 1000}
 	for x, want := range map[float64][2]float64{0: {1, 1}, 50: {1, 2}, 100: {1, 1}, 500: {1, 1}, 1000: {1, 1}, 25_000: {25, 1}} {
 		if past, below := s.Past(x); past != want[0] || below != want[1] {
-			t.Errorf("%v is %v times past and %v times below 100 to 1000, by hand %v", x, past, below, want)
+			t.Errorf("%v is %v times above and %v times below 100 to 1000, by hand %v", x, past, below, want)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	}{
 		// 2 MB + 380,000 × 1 KB of 64 MB: (64 - 2) / 380; measured up to a tenth.
 		{"control.memory.heap", false, 382e6, 62.0 / 380, Past, 10, ByMemory},
-		// Constant: never.
+		// Constant: it never ends.
 		{"control.memory.nodes", false, 5e6, mostLook, Measured, 0, ByMemory},
 		// 10,853,658.5 squared × 1e-12 s of 10 s: the root of 10e12, which is 3,162,277.66.
 		{"failure.start.backlog", false, 117.801903629, 3_162_277.66017 / 10_853_658.5366, Past, 10.8536585366, ByTime},
@@ -120,14 +120,14 @@
 		// 380,000 × 200 B of 16 MB.
 		{"control.messages.list", false, 76e6, 16_777_216 / 76e6, Measured, 0, ByCap},
 		{"control.messages.list", true, 278_048.78, 16_777_216 / 278_048.78, Measured, 0, ByCap},
-		// The cap alone, and what needs no slope.
+		// A cap only, and figures that need no slope.
 		{"directory.state.endpoints", false, 646_000, 50_000.0 / 646_000, Told, 0, ByCap},
 		{"failure.down.probes", false, 747_840, 0, Told, 0, ""},
 		{"failure.down.probes", true, 2_736, 0, Told, 0, ""},
 		{"own.messages.passed", false, 230.859607377, 0, Told, 0, ""},
 		// 2 × 10.85 million × (200 + 24 + 700) B of 3 MiB.
 		{"own.state.room", false, 20_057_560_975.6, 3_145_728 / 20_057_560_975.6, Told, 0, ByCap},
-		// 137 times 76 MB in the zone; nobody bounds it.
+		// 137 times 76 MB in the zone; it has no limit.
 		{"failure.together.bytes", false, 136.666666667 * 76e6, -1, Measured, 0, ""},
 		// 76 MB at 3 KB a second.
 		{"failure.start.list", false, 25_333.3333333, -1, Measured, 0, ""},
@@ -143,7 +143,7 @@
 			t.Errorf("%s: ends at %v, by hand %v", c.id, *l.End.Share, c.share)
 		}
 		if l.Known.How != c.how || !near(l.Known.Times, c.times) || l.End.Ending != c.ending {
-			t.Errorf("%s: known %+v, ends by %q; by hand %s %v, %q", c.id, l.Known, l.End.Ending, c.how, c.times, c.ending)
+			t.Errorf("%s: provenance %+v, ended by %q; by hand %s %v, %q", c.id, l.Known, l.End.Ending, c.how, c.times, c.ending)
 		}
 	}
 	l := lineOf(t, r, "control.memory.heap", false)
@@ -151,18 +151,18 @@
 		t.Errorf("the heap's standard error is %v, by hand 3.8e6", l.Error)
 	}
 	if got, want := l.figure(), "382 MB ± 3.8 MB"; got != want {
-		t.Errorf("the heap is written %q, not %q", got, want)
+		t.Errorf("the heap is formatted as %q, want %q", got, want)
 	}
 	if got, want := l.end(), "16% of the destinations"; got != want {
-		t.Errorf("its end is written %q, not %q", got, want)
+		t.Errorf("its end is formatted as %q, want %q", got, want)
 	}
 	if got, want := l.Known.String(), "worked out, 10 times past what was measured"; got != want {
-		t.Errorf("how it is known is written %q, not %q", got, want)
+		t.Errorf("its provenance is formatted as %q, want %q", got, want)
 	}
-	// 420 changes a day are 0.00486 a second, measured from 1 a second on.
+	// 420 changes a day are 0.00486 a second; the measured range begins at 1 a second.
 	low := Work(target, []Slope{slope("node.change.bytes", 100, 300, 1, 50)})
 	if got, want := lineOf(t, low, "control.messages.changes", false).Known.String(), "guessed (list.changes_per_s); worked out, 206 times below what was measured"; got != want {
-		t.Errorf("below the range it is written %q, not %q", got, want)
+		t.Errorf("below the range the provenance is formatted as %q, want %q", got, want)
 	}
 	if len(l.Runs) != 1 || l.Runs[0] != "docs/scale/made-up.json" {
 		t.Errorf("its runs are %v", l.Runs)
@@ -178,16 +178,16 @@
 		}
 		some++
 		if l.Figure != nil || l.Known.How != Missing || l.figure() != "missing" || !strings.HasPrefix(l.Known.String(), "missing: ") {
-			t.Errorf("%s has no slope, and says %q, known %q", l.ID, l.figure(), l.Known)
+			t.Errorf("%s has no slope, but its figure is %q, its provenance %q", l.ID, l.figure(), l.Known)
 		}
 		if l.End.Share != nil && !l.End.Nothing && !l.End.AtMost {
-			t.Errorf("%s has no slope, and ends at %v", l.ID, *l.End.Share)
+			t.Errorf("%s has no slope, but ends at %v", l.ID, *l.End.Share)
 		}
 	}
 	if some < 40 {
 		t.Errorf("only %d lines need slopes", some)
 	}
-	// One of two slopes is as good as none, and a cap alone is no more than a bound from above.
+	// One of two slopes is not enough, and a cap alone gives only an upper bound.
 	r = Work(theTarget(t), []Slope{slope("node.list.bytes", 0, 200, 100, 400_000), slope("node.watch.bytes", 1, 0, 1, 1000)})
 	l := lineOf(t, r, "control.messages.all", false)
 	if l.Figure != nil || !slices.Equal(l.Known.Missing, []string{"node.change.bytes"}) {
@@ -211,7 +211,7 @@
 		"control.messages.list":     "measured",
 	} {
 		if got := lineOf(t, r, id, false).Known.String(); got != want {
-			t.Errorf("%s: %q, not %q", id, got, want)
+			t.Errorf("%s: %q, want %q", id, got, want)
 		}
 	}
 	target.Guessed = nil
@@ -229,7 +229,7 @@
 	}
 	for _, w := range rows {
 		if ids[w.id] {
-			t.Errorf("%s stands there twice", w.id)
+			t.Errorf("duplicate row %s", w.id)
 		}
 		ids[w.id] = true
 		if kinds[w.role] == nil {
@@ -237,14 +237,14 @@
 		}
 		kinds[w.role][w.kind] = true
 		if w.what == "" || w.axis == "" || w.formula == "" || w.figure != nil && w.unit == "" {
-			t.Errorf("%s lacks something: %+v", w.id, w)
+			t.Errorf("%s is incomplete: %+v", w.id, w)
 		}
 		if w.place == "" && len(w.waits) == 0 {
-			t.Errorf("%s has no mechanism, and waits for none", w.id)
+			t.Errorf("%s has no mechanism and waits for none", w.id)
 		}
 		for _, name := range w.waits {
 			if !known(name) {
-				t.Errorf("%s waits for %q, which is no mechanism", w.id, name)
+				t.Errorf("%s waits for %q, which is not a mechanism", w.id, name)
 			}
 		}
 		if w.figure != nil {
@@ -256,17 +256,17 @@
 		for _, id := range none.missing {
 			used[id] = true
 			if units[id] == "" {
-				t.Errorf("%s uses the slope %q, whose unit nobody tells", w.id, id)
+				t.Errorf("%s uses the slope %q, which has no unit", w.id, id)
 			}
 		}
-		// The formula that is printed names the slopes that are used.
+		// The printed formula names the slopes that are used.
 		alone := &reading{}
 		if w.figure != nil {
 			w.figure(theTarget(t), alone)
 		}
 		for _, id := range alone.missing {
 			if !strings.Contains(w.formula, id) {
-				t.Errorf("%s uses %s, and its formula says %q", w.id, id, w.formula)
+				t.Errorf("%s uses %s, which is not in its formula %q", w.id, id, w.formula)
 			}
 		}
 	}
@@ -285,13 +285,13 @@
 	for _, m := range mechanisms {
 		for _, name := range m.Needs {
 			if !known(name) {
-				t.Errorf("%s needs %q, which is no mechanism", m.Name, name)
+				t.Errorf("%s needs %q, which is not a mechanism", m.Name, name)
 			}
 		}
 	}
 }
 
-// builds lets the mechanisms of these names count as built, and no others, for as long as the test takes.
+// setBuilt marks the named mechanisms as built, and no others, for the duration of the test.
 func builds(t *testing.T, names ...string) {
 	before := mechanisms
 	t.Cleanup(func() { mechanisms = before })
@@ -314,30 +314,30 @@
 		return rows, names
 	}
 	builds(t)
-	// The lines with ownership tell how far it would carry, and count for nothing until it is there.
+	// The lines with ownership tell how far it would carry, and do not count until it is built.
 	l := lineOf(t, Work(theTarget(t), measured), "control.memory.heap", true)
 	if l.Mechanism != "missing" || l.End.Nothing || !near(*l.End.Share, 64e6/(1000*380_000*3/820.0)) {
 		t.Errorf("before it is built: %+v", l)
 	}
 	if rows, _ := waits(); !slices.Contains(rows, "control.memory.heap") || !slices.Contains(rows, "control.time.list") {
-		t.Errorf("before it is built there wait for it %v", rows)
+		t.Errorf("rows that wait for it before it is built: %v", rows)
 	}
 	builds(t, ownership)
 	if l := lineOf(t, Work(theTarget(t), measured), "control.memory.heap", true); l.Mechanism != "choice" {
 		t.Errorf("once it is built: %+v", l)
 	}
 	if _, names := waits(); slices.Contains(names, ownership) {
-		t.Errorf("what is built is missing still: %v", names)
+		t.Errorf("a built mechanism is still listed as missing: %v", names)
 	}
 	table := Work(theTarget(t), measured).orderTable()
 	if strings.Contains(table, "heap, by destinations |") || strings.Contains(table, "heap, by destinations, with ownership |") ||
 		!strings.Contains(table, "its loop stands still for a whole list |") ||
 		!strings.Contains(table, "its loop stands still for one change, with ownership |") {
-		t.Errorf("what is measured with it goes by that, what is not by what it was:\n%s", table)
+		t.Errorf("rows measured with ownership must be listed with it, others without:\n%s", table)
 	}
 	for _, s := range Work(theTarget(t), measured).Steps {
 		if slices.Contains(s.Needs, ownership) {
-			t.Errorf("%s still needs it first", s.Name)
+			t.Errorf("%s still needs ownership first", s.Name)
 		}
 	}
 }
@@ -350,27 +350,27 @@
 		at[s.Name] = i
 		for _, name := range s.Needs {
 			if j, ok := at[name]; !ok || j > i {
-				t.Errorf("%s stands before %s, which it needs", s.Name, name)
+				t.Errorf("%s is listed before %s, which it needs", s.Name, name)
 			}
 		}
 	}
 	if len(r.Steps) != len(mechanisms) || r.Steps[0].Least != 0 {
 		t.Errorf("steps: %+v", r.Steps)
 	}
-	// A row that nothing carries counts as nothing, and so for those that it needs.
+	// A row that nothing carries counts as ending at 0, also for the mechanisms that its mechanism needs.
 	own := r.Steps[at[ownership]]
 	if own.Least != 0 || !slices.Contains(own.Rows, "failure.down.probes") || !slices.Contains(own.Rows, "control.state.limits") {
 		t.Errorf("ownership: %+v", own)
 	}
-	// One whose end is not known is not counted with those that are.
+	// A row whose end is unknown is not counted among those with a known end.
 	if !slices.Contains(own.Unknown, "control.memory.heap") || slices.Contains(own.Rows, "control.memory.heap") {
 		t.Errorf("ownership: %+v", own)
 	}
-	// What a mechanism would cost itself is nothing that waits for it.
+	// The own cost of a mechanism does not wait for it.
 	if f := r.Steps[at[followers]]; slices.Contains(f.Rows, "follower.memory") || !slices.Contains(f.Rows, "follower.messages.link") {
 		t.Errorf("followers: %+v", f)
 	}
-	// What carries the target waits for nothing.
+	// A row that carries the target waits for nothing.
 	r = Work(theTarget(t), []Slope{slope("node.destinations.heap", 0, 10, 100, 400_000)})
 	for _, s := range r.Steps {
 		if slices.Contains(s.Rows, "control.memory.heap") || slices.Contains(s.Unknown, "control.memory.heap") {
@@ -393,7 +393,7 @@
 		line           int
 	}{
 		{"nodes = 820", "knots = 820", `there is no setting "fleet.knots"`, nodes},
-		{"nodes = 820", "nodes = 0", "fleet.nodes is 0, and has to be more than 0", nodes},
+		{"nodes = 820", "nodes = 0", "fleet.nodes is 0, must be more than 0", nodes},
 		{"nodes = 820", "nodes = -3", "more than 0", nodes},
 		{"nodes = 820", "nodes = nan", "more than 0", nodes},
 		{"nodes = 820", "nodes = inf", "more than 0", nodes},
@@ -411,7 +411,7 @@
 		_, err := ParseTarget([]byte(changed))
 		var bad *Error
 		if !errors.As(err, &bad) || bad.Line != c.line || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: %v; wanted line %d and %q", c.new, err, c.line, c.want)
+			t.Errorf("%q: %v; want line %d and %q", c.new, err, c.line, c.want)
 		}
 	}
 }
@@ -447,21 +447,21 @@
 		old, new, want string
 		line           int
 	}{
-		{`id = "node.list.bytes"`, `id = "Node list"`, "words of small letters", 3},
-		{`id = "node.list.bytes"`, "", "words of small letters", 2},
+		{`id = "node.list.bytes"`, `id = "Node list"`, "lower-case words", 3},
+		{`id = "node.list.bytes"`, "", "lower-case words", 2},
 		{`what = "bytes of a first list"`, "", "what is missing", 2},
 		{`unit = "B"`, `unit = "MB"`, "none of B, B/s", 6},
-		{`unit = "B"`, `unit = "s"`, "it is counted in B", 6},
+		{`unit = "B"`, `unit = "s"`, "unit must be B", 6},
 		{`form = "linear"`, `form = "cubic"`, "none of constant, linear, quadratic", 7},
-		{`form = "linear"`, `form = "constant"`, "slope is 0", 9},
-		{`square = 0.0`, `square = 0.1`, "square is 0", 10},
-		{`at0 = 10.0`, `at0 = nan`, "no finite number", 8},
-		{`spread = 1.0`, `spread = -1.0`, "spread is 0 or more", 11},
-		{`to = 38000.0`, `to = 100.0`, "wrong way round", 13},
-		{`to = 38000.0`, ``, "wrong way round", 2},
-		{`points = 4`, `points = 0`, "points are 1 or more", 14},
+		{`form = "linear"`, `form = "constant"`, "slope must be 0", 9},
+		{`square = 0.0`, `square = 0.1`, "square must be 0", 10},
+		{`at0 = 10.0`, `at0 = nan`, "not a finite number", 8},
+		{`spread = 1.0`, `spread = -1.0`, "spread must be 0 or more", 11},
+		{`to = 38000.0`, `to = 100.0`, "empty or reversed", 13},
+		{`to = 38000.0`, ``, "empty or reversed", 2},
+		{`points = 4`, `points = 0`, "points must be 1 or more", 14},
 		{`points = 4`, `points = 4.5`, "", 14},
-		{`plays = 3`, ``, "plays are 1 or more", 2},
+		{`plays = 3`, ``, "plays must be 1 or more", 2},
 		{`run = "docs/scale/destinations.json"`, ``, "run is missing", 2},
 		{`commit = "8af6f88"`, `comit = "8af6f88"`, `no setting "slope.comit"`, 18},
 	} {
@@ -469,10 +469,10 @@
 		_, err := ParseSlopes([]byte(changed))
 		var bad *Error
 		if !errors.As(err, &bad) || bad.Line != c.line || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q for %q: %v; wanted line %d and %q", c.new, c.old, err, c.line, c.want)
+			t.Errorf("%q for %q: %v; want line %d and %q", c.new, c.old, err, c.line, c.want)
 		}
 	}
-	if _, err := ParseSlopes([]byte(goodSlope + goodSlope)); err == nil || !strings.Contains(err.Error(), `line 21: slope "node.list.bytes" stands there twice`) {
+	if _, err := ParseSlopes([]byte(goodSlope + goodSlope)); err == nil || !strings.Contains(err.Error(), `line 21: duplicate slope "node.list.bytes"`) {
 		t.Errorf("a slope twice: %v", err)
 	}
 }
@@ -490,14 +490,14 @@
 			t.Fatalf("%v in\n%s", err, text)
 		}
 		if !slices.Equal(again, all) {
-			t.Fatalf("%v was read back as %v", all, again)
+			t.Fatalf("%v decoded as %v", all, again)
 		}
 		if !slices.IsSortedFunc(again, func(a, b Slope) int { return strings.Compare(a.ID, b.ID) }) {
 			t.Fatal("not sorted")
 		}
 		for _, s := range measured {
 			if !slices.Contains(again, s) {
-				t.Fatalf("%s was measured and is not there", s.ID)
+				t.Fatalf("%s was measured and is missing", s.ID)
 			}
 		}
 		for _, s := range before {
@@ -508,7 +508,7 @@
 	})
 }
 
-// drawSlopes draws well-formed slopes that don't fall, of some of the ids.
+// drawSlopes draws valid slopes that do not fall, for some of the ids.
 func drawSlopes(t *rapid.T, what string) []Slope {
 	ids := make([]string, 0, len(units))
 	for id := range units {
@@ -532,7 +532,7 @@
 	return all
 }
 
-// What grows costs more and ends sooner; what may be spent more ends later; at its end a row stands at its bound.
+// What grows costs more and ends earlier; a larger budget ends later; at its end a row is at its bound.
 func TestMoreCostsMore(t *testing.T) {
 	target := theTarget(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -557,7 +557,7 @@
 		}
 		axis := rapid.SampledFrom([]Axis{ByDestinations, ByNodes, ByEvents, ByHeld, ByChanges, ByAlone}).Draw(t, "axis")
 		for i, g := range Work(target.Grown(axis, times), slopes).Lines {
-			// A node's part of a limit is the one figure that shrinks as the fleet grows.
+			// A node's part of a limit is the only figure that shrinks as the fleet grows.
 			if l := before.Lines[i]; l.Axis == axis && l.Figure != nil && l.ID != "control.state.limits" && g.Figure.Value < l.Figure.Value*(1-1e-9) {
 				t.Fatalf("%s: %v, and with %v times the %s %v", l.ID, l.Figure, times, axis, g.Figure)
 			}
@@ -572,7 +572,7 @@
 		richer.Failures.ReadyS *= times
 		for i, l := range Work(richer, slopes).Lines {
 			if b := before.Lines[i]; b.End.Share != nil && *l.End.Share < *b.End.Share*(1-1e-6) {
-				t.Fatalf("%s: ends at %v, and with more to spend at %v", l.ID, *b.End.Share, *l.End.Share)
+				t.Fatalf("%s: ends at %v, and with a larger budget at %v", l.ID, *b.End.Share, *l.End.Share)
 			}
 		}
 		of := map[string]Slope{}
@@ -590,7 +590,7 @@
 					continue
 				}
 				if at := amount(target.Grown(w.axis, share), &reading{slopes: of}); math.Abs(at-b.value(target)) > 1e-6*b.value(target) {
-					t.Fatalf("%s ends at %v of the target, where it stands at %v of %v", w.id, share, at, b.value(target))
+					t.Fatalf("%s ends at %v of the target, where its amount is %v of %v", w.id, share, at, b.value(target))
 				}
 			}
 		}
@@ -609,12 +609,12 @@
 		{747_840, CountPerS, "747,840/s"}, {0.00243902, CountPerS, "0.00244/s"}, {-12.5, Count, "-12.5"}, {-1500, Count, "-1,500"},
 	} {
 		if got := (Quantity{c.v, c.u}).String(); got != c.want {
-			t.Errorf("%v %s is written %q, not %q", c.v, c.u, got, c.want)
+			t.Errorf("%v %s is formatted as %q, want %q", c.v, c.u, got, c.want)
 		}
 	}
 	for share, want := range map[float64]string{0: "under 0.1%", 0.0004: "under 0.1%", 0.003: "0.3%", 0.0774: "7.7%", 0.29: "29%", 0.999: "99%", 1: "100%", 9.99: "999%", 24.4: "24 times", 1e4: "10,000 times"} {
 		if got := percent(share); got != want {
-			t.Errorf("%v is written %q, not %q", share, got, want)
+			t.Errorf("%v is formatted as %q, want %q", share, got, want)
 		}
 	}
 }
@@ -628,18 +628,18 @@
 		t.Fatalf("%v:\n%s", err, got)
 	}
 	if again, err := Page(got, sections); err != nil || string(again) != want {
-		t.Errorf("a page that is up to date: %v:\n%s", err, again)
+		t.Errorf("a page that is up to date was changed: %v:\n%s", err, again)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{"begin one", "begin three", `line 4: there is no table "three"`},
-		{"begin two", "begin one", `line 9: the table "one" stands there twice`},
-		{"| older |\n<!-- capacity:end -->", "| older |", `line 8: a table begins before the end of "one" of line 4`},
-		{"<!-- capacity:end -->\nlast", "last", `line 9: the table "two" has no end`},
-		{"prose", "<!-- capacity:end -->", "line 3: a table ends that has not begun"},
+		{"begin two", "begin one", `line 9: duplicate table "one"`},
+		{"| older |\n<!-- capacity:end -->", "| older |", `line 8: a table begins before the end of table "one" of line 4`},
+		{"<!-- capacity:end -->\nlast", "last", `line 9: the table "two" has no end mark`},
+		{"prose", "<!-- capacity:end -->", "line 3: end mark without a begin mark"},
 		{"<!-- capacity:begin two -->\n<!-- capacity:end -->", "", `the table "two" has no place`},
 	} {
 		if _, err := Page([]byte(strings.Replace(page, c.old, c.new, 1)), sections); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q for %q: %v; wanted %q", c.new, c.old, err, c.want)
+			t.Errorf("%q for %q: %v; want %q", c.new, c.old, err, c.want)
 		}
 	}
 }
--- a/fleet/capacity/facts.go
+++ b/fleet/capacity/facts.go
@@ -1,13 +1,13 @@
 package capacity
 
-// Fact is a bound in today's program. Tests hold it against the code.
+// Bound is a limit in the present program. Tests compare it with the code.
 type Fact struct {
-	Name    string  `json:"name"`  // as it stands at its place
-	Place   string  `json:"place"` // from the root of the repository
+	Name    string  `json:"name"`  // identifier or setting, as written at Place
+	Place   string  `json:"place"` // path from the root of the repository
 	Value   float64 `json:"value"`
 	Unit    Unit    `json:"unit"`
 	What    string  `json:"what"`
-	Setting string  `json:"setting,omitempty"` // what moves it; else it is a constant
+	Setting string  `json:"setting,omitempty"` // setting that changes it; without one it is a constant
 }
 
 var (
@@ -25,7 +25,7 @@
 	factWatches = Fact{"Watch.Most", "internal/directory/config.go", 20_000, Count, "watches of a replica", "watch.most"}
 )
 
-// Facts are the bounds that rows end at.
+// Bounds returns the limits that rows are compared with.
 func Facts() []Fact {
 	return []Fact{factList, factKept, factKnown, factDisk, factReserve, factLoop, factMembers, factChanges, factWrite, factRead, factWatches}
 }
--- a/fleet/capacity/page.go
+++ b/fleet/capacity/page.go
@@ -12,8 +12,9 @@
 	markEnds  = " -->"
 )
 
-// Page is a page with its tables brought up to date: what stands between the marks of a section is replaced by its table,
-// the rest stays as it is. Each section has its place on the page once. Its errors are of type *Error, all that were found, joined.
+// UpdatePage returns a page with its tables replaced: the lines between the marks of a section become its
+// table, all others stay. Each section must be on the page exactly once. Its errors are of type *Error, all
+// of them joined.
 func Page(page []byte, sections []Section) ([]byte, error) {
 	of := map[string]Section{}
 	for _, s := range sections {
@@ -25,12 +26,12 @@
 		found = append(found, &Error{Line: line, Text: fmt.Sprintf(format, args...)})
 	}
 	seen := map[string]bool{}
-	begun, open := 0, "" // the line of the mark that awaits its end
+	begun, open := 0, "" // line of a begin mark whose end mark has not been seen; 0: none
 	for i, line := range strings.SplitAfter(string(page), "\n") {
 		mark := strings.TrimSpace(line)
 		switch name, isBegin := strings.CutPrefix(mark, beginMark); {
 		case isBegin && begun > 0:
-			bad(i+1, "a table begins before the end of %q of line %d", open, begun)
+			bad(i+1, "a table begins before the end of table %q of line %d", open, begun)
 		case isBegin:
 			name = strings.TrimSuffix(name, markEnds)
 			s, ok := of[name]
@@ -38,13 +39,13 @@
 				bad(i+1, "there is no table %q", name)
 			}
 			if seen[name] {
-				bad(i+1, "the table %q stands there twice", name)
+				bad(i+1, "duplicate table %q", name)
 			}
 			seen[name] = true
 			begun, open = i+1, name
 			out.WriteString(beginMark + name + markEnds + "\n" + s.Table + endMark + "\n")
 		case mark == endMark && begun == 0:
-			bad(i+1, "a table ends that has not begun")
+			bad(i+1, "end mark without a begin mark")
 		case mark == endMark:
 			begun = 0
 		case begun == 0:
@@ -52,7 +53,7 @@
 		}
 	}
 	if begun > 0 {
-		bad(begun, "the table %q has no end", open)
+		bad(begun, "the table %q has no end mark", open)
 	}
 	for _, s := range sections {
 		if !seen[s.Name] {
--- a/fleet/capacity/print.go
+++ b/fleet/capacity/print.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// String is the figure as people read it, with three digits.
+// String returns the quantity for people to read, with three digits.
 func (q Quantity) String() string {
 	switch q.Unit {
 	case Bytes:
@@ -40,7 +40,7 @@
 	return digits(q.Value)
 }
 
-// scaled writes a figure in the largest of the units that it has one of.
+// formatScaled formats a value in the largest unit in which it is at least 1.
 func scaled(v, step float64, units ...string) string {
 	i := 0
 	for i < len(units)-1 && math.Abs(v) >= step {
@@ -50,7 +50,8 @@
 	return digits(v) + " " + units[i]
 }
 
-// digits writes a number with three digits, or all of them before the point.
+// formatNumber formats a number with three digits, or with all digits before the decimal point if there are
+// more.
 func digits(v float64) string {
 	if v == 0 {
 		return "0"
@@ -70,9 +71,9 @@
 	return strings.TrimRight(strings.TrimRight(s, "0"), ".")
 }
 
-// percent writes a share of the target, rounded down: it is what is carried.
+// formatShare formats a share of the target that is reached, rounded down.
 func percent(share float64) string {
-	const eps = 1e-9 // a share that was solved for may lie a hair under the whole number
+	const eps = 1e-9 // a share found by bisection may be slightly below the whole number
 	switch {
 	case share >= 10:
 		return digits(math.Floor(share+eps)) + " times"
@@ -84,7 +85,7 @@
 	return "under 0.1%"
 }
 
-// figure is what stands in the column of figures.
+// figureText returns the text of the "at the target" column.
 func (l Line) figure() string {
 	switch {
 	case l.Figure != nil && l.Error > 0:
@@ -104,7 +105,7 @@
 	return l.Budget.String()
 }
 
-// end is what stands in the column of ends.
+// endText returns the text of the "ends at" column.
 func (l Line) end() string {
 	switch {
 	case l.End.Nothing:
@@ -138,7 +139,7 @@
 	return string(l.End.Ending) + ": " + l.End.By
 }
 
-// String is how it is known.
+// String returns the text of the "known" column.
 func (k Known) String() string {
 	s := string(k.How)
 	switch k.How {
@@ -163,14 +164,14 @@
 	return l.What
 }
 
-// Section is a table with its name on the page.
+// Section is a table and its name on the page.
 type Section struct {
 	Name  string
 	Title string
-	Table string // Markdown, one line a row
+	Table string // Markdown, one line for each row
 }
 
-// Sections are the tables, in their order on the page.
+// Sections returns the tables in their order on the page.
 func (r Report) Sections() []Section {
 	all := []Section{{"target", "The target", r.targetTable()}}
 	for _, s := range []struct {
@@ -249,7 +250,8 @@
 	return table([]string{"setting", "value", "known"}, rows)
 }
 
-// orderTable has the rows by where they end, the nearest first; those whose end is not known stand behind them, and what carries the target does not.
+// orderTable lists the rows by where they end, the nearest first, then those whose end is unknown. Rows that
+// carry the target are only counted.
 func (r Report) orderTable() string {
 	lines := best(r.Lines)
 	at := func(l Line) float64 {
@@ -267,7 +269,7 @@
 			carried++
 			continue
 		case l.End.Share == nil && !l.Bounded:
-			continue // nothing ends it that is known
+			continue // no known limit ends it
 		}
 		waits := strings.Join(l.WaitsFor, ", ")
 		if waits == "" {
--- a/fleet/capacity/rows.go
+++ b/fleet/capacity/rows.go
@@ -1,9 +1,8 @@
 package capacity
 
-// Role is who bears a cost.
+// Role is the program or situation that bears a cost.
 type Role string
 
-// The roles.
 const (
 	NodeControl Role = "delivery node: control"
 	NodeOwn     Role = "delivery node: own work"
@@ -13,10 +12,9 @@
 	Failure     Role = "times of failure"
 )
 
-// Kind is the kind of work.
+// Kind is the kind of a cost.
 type Kind string
 
-// The kinds.
 const (
 	State     Kind = "state"
 	Messages  Kind = "messages"
@@ -25,10 +23,9 @@
 	Time      Kind = "time"
 )
 
-// Ending is what ends a program's growth.
+// Cause is the kind of limit that ends a row.
 type Ending string
 
-// The endings.
 const (
 	ByCap       Ending = "a cap"
 	ByMemory    Ending = "memory"
@@ -37,12 +34,12 @@
 	ByTime      Ending = "time"
 )
 
-// Mechanism is what would carry rows that end before the target.
+// Mechanism is a part of the program that carries rows, or would carry them beyond their end.
 type Mechanism struct {
 	Name  string   `json:"name"`
-	Place string   `json:"place"`           // where it stands in the code, or would
-	Built bool     `json:"built"`           // and is used
-	Needs []string `json:"needs,omitempty"` // names of those that have to be there first
+	Place string   `json:"place"`           // package or file where it is, or would be
+	Built bool     `json:"built"`           // and in use
+	Needs []string `json:"needs,omitempty"` // names of the mechanisms that must be built first
 }
 
 const (
@@ -56,11 +53,11 @@
 	membership    = "members' views carried"
 )
 
-// mechanisms, none of which is built.
+// mechanisms holds those that the target needs.
 var mechanisms = []Mechanism{
 	{Name: ownership, Place: "fleet/ownership", Built: true},
 	{Name: passing, Place: "internal/node", Needs: []string{ownership}},
-	{Name: limits, Place: "fleet/shares", Needs: []string{ownership, passing}}, // no fleet runs by owners whose clients go to any node
+	{Name: limits, Place: "fleet/shares", Needs: []string{ownership, passing}}, // no fleet runs by ownership while its clients submit to any node
 	{Name: probing, Place: "choice", Needs: []string{ownership, passing}},
 	{Name: backlog, Place: "internal/node/journal.go"},
 	{Name: configuration, Place: "internal/directory"},
@@ -68,20 +65,20 @@
 	{Name: membership, Place: "internal/gossip"},
 }
 
-// calc works a figure out.
+// calculation computes a figure of a target.
 type calc func(t Target, s *reading) float64
 
-// limit is a figure that may not be passed.
+// limit is a value that a figure must not exceed.
 type limit struct {
 	ending Ending
 	what   string
 	value  func(Target) float64
-	amount calc // what is held against it; nil: the row's figure
-	budget bool // stands beside the figure
+	amount calc // the amount that is compared with value; nil: the row's figure
+	budget bool // shown beside the figure
 }
 
-// row is a line of the table. Its figure is of the whole target; it ends where, with more and more of its axis and all
-// else as the target has it, the first limit is passed.
+// row is a row of the table. Its figure is that of the whole target. It ends where its first limit is
+// exceeded when its axis grows and everything else stays as in the target.
 type row struct {
 	id      string
 	role    Role
@@ -90,16 +87,16 @@
 	unit    Unit
 	axis    Axis
 	formula string
-	figure  calc // nil: there is none to be told
+	figure  calc // nil: it has none
 	guess   string
 	limits  []limit
-	place   string   // of what carries it today; empty: nothing does
-	waits   []string // the mechanisms that would carry it on
-	ownCost bool     // it is what a mechanism that does not exist would cost itself
+	place   string   // of the code that carries it today; empty: there is none
+	waits   []string // mechanisms that would carry it further
+	ownCost bool     // the cost of a mechanism that does not exist yet
 	owned   *owned
 }
 
-// owned is a row once each destination has few owners.
+// ownedVariant is a row in a fleet where each destination has few owners.
 type owned struct {
 	formula string
 	figure  calc
@@ -110,7 +107,7 @@
 	return limit{ending: e, what: what, value: value, budget: true}
 }
 
-// capOf is a bound in the code; amount nil is the row's figure.
+// capLimit is a bound in the code as a limit; if amount is nil, the row's figure is compared with it.
 func capOf(f Fact, amount calc) limit {
 	what := f.Name + " in " + f.Place + ", " + Quantity{f.Value, f.Unit}.String()
 	if f.Setting != "" {
@@ -130,12 +127,12 @@
 	oneLoop       = limit{ending: ByProcessor, what: "loop in internal/node/node.go is one goroutine", value: func(Target) float64 { return factLoop.Value }, budget: true}
 )
 
-// one is a figure that one slope gives.
+// fromSlope is a figure given by one slope.
 func one(id string, x func(Target) float64) calc {
 	return func(t Target, s *reading) float64 { return s.at(id, x(t)) }
 }
 
-// told is a figure that the target gives by itself.
+// fromTarget is a figure given by the target alone.
 func told(x func(Target) float64) calc {
 	return func(t Target, _ *reading) float64 { return x(t) }
 }
@@ -143,7 +140,7 @@
 func nodesOf(t Target) float64   { return t.Fleet.Nodes }
 func changesOf(t Target) float64 { return t.List.ChangesPerS }
 
-// changesOwned are the changes a second that come to one node, of destinations that it owns.
+// ownedChanges returns the changes a second that one node receives for the destinations that it owns.
 func changesOwned(t Target) float64 { return t.List.ChangesPerS * t.owners() / t.Fleet.Nodes }
 func downOwned(t Target) float64    { return t.DestinationsDown() * t.owners() / t.Fleet.Nodes }
 func restartsPerS(t Target) float64 { return t.Failures.RestartsPerDay / secondsADay }
@@ -154,9 +151,9 @@
 	byHeld         = "(backlog / nodes)"
 )
 
-// rows are the table.
+// rows is the table.
 var rows = []row{
-	// What a node spends on knowing.
+	// What a node spends on control data.
 	{id: "control.state.endpoints", role: NodeControl, kind: State, what: "endpoints that it knows", unit: Count, axis: ByDestinations,
 		formula: "destinations × endpoints each", figure: told(Target.Endpoints), limits: []limit{capOf(factMembers, nil)},
 		place: "internal/registry", waits: []string{ownership},
@@ -262,7 +259,7 @@
 		place: "choice", waits: []string{ownership},
 		owned: &owned{"owned.change.step" + byOwned, one("owned.change.step", Target.destinationsOwned), []limit{answerTime}}},
 
-	// What it spends on events.
+	// What a node spends on events.
 	{id: "own.state.room", role: NodeOwn, kind: State, what: "room that the journal wants for the backlog", unit: Bytes, axis: ByHeld,
 		formula: "2 × backlog / nodes × (body + id and key + " + factReserve.Name + ")",
 		figure: func(t Target, _ *reading) float64 {
@@ -334,7 +331,7 @@
 	{id: "directory.time.change", role: Directory, kind: Time, what: "until the last node knows of a change", unit: Seconds, axis: ByNodes,
 		formula: "directory.change.last(nodes)", figure: one("directory.change.last", nodesOf), limits: []limit{inForce}, place: "internal/directory"},
 
-	// A follower in each region, which does not exist.
+	// A follower in each region; it does not exist yet.
 	{id: "follower.state.endpoints", role: Follower, kind: State, what: "endpoints that it passes on", unit: Count, axis: ByDestinations,
 		formula: "destinations × endpoints each", figure: told(Target.Endpoints), waits: []string{followers}, ownCost: true},
 	{id: "follower.messages.link", role: Follower, kind: Messages, what: "watches of a region's nodes over its link, without one", unit: BytesPerS, axis: ByNodes,
@@ -359,7 +356,7 @@
 	{id: "operators.time.list", role: Operators, kind: Time, what: "one `directory list`, from start to end", unit: Seconds, axis: ByDestinations,
 		formula: "operator.list.time" + byDestinations, figure: one("operator.list.time", Target.destinationsMeasured), place: "cmd/cottonrack/directory.go"},
 
-	// Times of failure.
+	// Failures.
 	{id: "failure.start.backlog", role: Failure, kind: Time, what: "a node's start with the whole backlog behind it", unit: Seconds, axis: ByHeld,
 		formula: "journal.start" + byHeld, figure: one("journal.start", Target.HeldNode), limits: []limit{readyTime},
 		place: "internal/node/journal.go", waits: []string{backlog}},
--- a/fleet/capacity/slope.go
+++ b/fleet/capacity/slope.go
@@ -14,35 +14,33 @@
 	"starlingusher/fleet/tomlfile"
 )
 
-// Unit is what a figure is counted in.
+// Unit is the unit of a figure.
 type Unit = string
 
-// The units.
 const (
 	Bytes     Unit = "B"
 	BytesPerS Unit = "B/s"
 	Seconds   Unit = "s"
-	Cores     Unit = "s/s" // processor time a second
+	Cores     Unit = "s/s" // processor time per second
 	Count     Unit = "count"
 	CountPerS Unit = "count/s"
 )
 
-// Form is how a figure grows.
+// Form is the shape of a slope.
 type Form = string
 
-// The forms.
 const (
 	Constant  Form = "constant"
 	Linear    Form = "linear"
 	Quadratic Form = "quadratic"
 )
 
-// Slope is what a scale run has measured: how one figure, y, grows with x.
+// Slope is the result of a scale run: how one figure, y, grows with x.
 type Slope struct {
 	ID     string  `toml:"id" json:"id"`
 	What   string  `toml:"what" json:"what"`
 	Per    string  `toml:"per" json:"per"`   // unit of x
-	Unit   Unit    `toml:"unit" json:"unit"` // of y
+	Unit   Unit    `toml:"unit" json:"unit"` // unit of y
 	Form   Form    `toml:"form" json:"form"`
 	At0    float64 `toml:"at0" json:"at0"`
 	Slope  float64 `toml:"slope" json:"slope"`   // 0 if constant
@@ -52,15 +50,16 @@
 	To     float64 `toml:"to" json:"to"`
 	Points int     `toml:"points" json:"points"`
 	Plays  int     `toml:"plays" json:"plays"`   // at each point
-	Worst  float64 `toml:"worst" json:"worst"`   // largest relative residual, or how far a point that was left out was missed
-	Run    string  `toml:"run" json:"run"`       // the committed table that it comes from
-	Commit string  `toml:"commit" json:"commit"` // the build
+	Worst  float64 `toml:"worst" json:"worst"`   // largest relative residual, or the prediction error at a point that was left out of the fit
+	Run    string  `toml:"run" json:"run"`       // committed table with the measurements
+	Commit string  `toml:"commit" json:"commit"` // commit of the measured build
 }
 
-// At is y at x, also past the measured range.
+// ValueAt returns y at x, also outside the measured range.
 func (s Slope) At(x float64) float64 { return s.At0 + s.Slope*x + s.Square*x*x }
 
-// Past is by how many times x lies above the measured range, and below by how many times under it; 1 within it.
+// OutsideRange returns how many times x is above the measured range, and how many times below it; 1 if it is
+// not.
 func (s Slope) Past(x float64) (past, below float64) {
 	past, below = 1, 1
 	switch {
@@ -72,7 +71,7 @@
 	return past, below
 }
 
-// shifted is the slope with its leading coefficient a standard error higher.
+// plusStdErr returns the slope with its leading coefficient increased by its standard error.
 func (s Slope) shifted() Slope {
 	switch s.Form {
 	case Constant:
@@ -85,7 +84,7 @@
 	return s
 }
 
-// units are those of the slopes that rows use. A file may hold more.
+// units holds the units of the slopes that rows use. A file may contain others.
 var units = map[string]Unit{
 	"node.destinations.heap": Bytes, "node.destinations.rss": Bytes, "node.list.bytes": Bytes, "node.list.step": Seconds,
 	"node.change.step": Seconds, "directory.destinations.rss": Bytes,
@@ -108,8 +107,8 @@
 	Slopes []Slope `toml:"slope"`
 }
 
-// ParseSlopes reads a file of slopes; one without any is well formed. Its errors are of type *Error, all that were
-// found, joined.
+// ParseSlopes parses a file of slopes; an empty file is valid. Its errors are of type *Error, all of them
+// joined.
 func ParseSlopes(text []byte) ([]Slope, error) {
 	var f slopeFile
 	if err := tomlfile.Decode(text, &f, unknown); err != nil {
@@ -129,14 +128,14 @@
 		})
 		found = append(found, err)
 		if seen[s.ID] {
-			found = append(found, &Error{Line: where[table+".id"], Text: fmt.Sprintf("slope %q stands there twice", s.ID)})
+			found = append(found, &Error{Line: where[table+".id"], Text: fmt.Sprintf("duplicate slope %q", s.ID)})
 		}
 		seen[s.ID] = true
 	}
 	return f.Slopes, errors.Join(found...)
 }
 
-// check tells all that is wrong with a slope; bad makes an error of a setting's name and a text.
+// check returns all errors of a slope, joined; newError makes an error of a setting's name and a text.
 func (s Slope) check(bad func(name, format string, args ...any) error) error {
 	var found []error
 	wrong := func(is bool, name, format string, args ...any) {
@@ -145,35 +144,35 @@
 		}
 	}
 	finite := func(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
-	wrong(!wellFormedID.MatchString(s.ID), "id", "its id is words of small letters, with dots between them")
+	wrong(!wellFormedID.MatchString(s.ID), "id", "id must be lower-case words with dots between them")
 	wrong(s.What == "", "what", "what is missing")
 	wrong(s.Per == "", "per", "per is missing: the unit of x")
 	wrong(!slices.Contains([]Unit{Bytes, BytesPerS, Seconds, Cores, Count, CountPerS}, s.Unit), "unit",
 		"unit %q is none of B, B/s, s, s/s, count, count/s", s.Unit)
 	want, known := units[s.ID]
-	wrong(known && s.Unit != want, "unit", "it is counted in %s, not in %q", want, s.Unit)
+	wrong(known && s.Unit != want, "unit", "unit must be %s, is %q", want, s.Unit)
 	wrong(!slices.Contains([]Form{Constant, Linear, Quadratic}, s.Form), "form", "form %q is none of constant, linear, quadratic", s.Form)
-	wrong(s.Form == Constant && s.Slope != 0, "slope", "slope is 0 where the form is constant")
-	wrong(s.Form != Quadratic && s.Square != 0, "square", "square is 0 unless the form is quadratic")
+	wrong(s.Form == Constant && s.Slope != 0, "slope", "slope must be 0 if the form is constant")
+	wrong(s.Form != Quadratic && s.Square != 0, "square", "square must be 0 unless the form is quadratic")
 	for _, c := range []struct {
 		name string
 		v    float64
 	}{{"at0", s.At0}, {"slope", s.Slope}, {"square", s.Square}} {
-		wrong(!finite(c.v), c.name, "%s is no finite number", c.name)
+		wrong(!finite(c.v), c.name, "%s is not a finite number", c.name)
 	}
-	wrong(!(s.Spread >= 0) || !finite(s.Spread), "spread", "spread is 0 or more")
-	wrong(!(s.Worst >= 0) || !finite(s.Worst), "worst", "worst is 0 or more")
-	wrong(!(s.From >= 0) || !(s.To > s.From) || !finite(s.To), "to", "the measured range, from %v to %v, has its ends the wrong way round or is none", s.From, s.To)
-	wrong(s.Points < 1, "points", "points are 1 or more")
-	wrong(s.Plays < 1, "plays", "plays are 1 or more")
-	wrong(s.Run == "", "run", "run is missing: the committed table that it comes from")
-	wrong(s.Commit == "", "commit", "commit is missing: the build")
+	wrong(!(s.Spread >= 0) || !finite(s.Spread), "spread", "spread must be 0 or more")
+	wrong(!(s.Worst >= 0) || !finite(s.Worst), "worst", "worst must be 0 or more")
+	wrong(!(s.From >= 0) || !(s.To > s.From) || !finite(s.To), "to", "the measured range from %v to %v is empty or reversed", s.From, s.To)
+	wrong(s.Points < 1, "points", "points must be 1 or more")
+	wrong(s.Plays < 1, "plays", "plays must be 1 or more")
+	wrong(s.Run == "", "run", "run is missing: the committed table with the measurements")
+	wrong(s.Commit == "", "commit", "commit is missing: the measured build")
 	return errors.Join(found...)
 }
 
 const slopesHead = "# Slopes that scale runs have measured, sorted by id; written by `cottonrack lab scale FILE --slopes FILE`, not by hand.\n# What they mean for a fleet: `cottonrack capacity`, docs/CAPACITY.md.\n"
 
-// FormatSlopes writes a file of slopes, sorted by id.
+// FormatSlopes returns a file of slopes, sorted by id.
 func FormatSlopes(all []Slope) ([]byte, error) {
 	sorted := slices.Clone(all)
 	slices.SortFunc(sorted, func(a, b Slope) int { return cmp.Compare(a.ID, b.ID) })
@@ -184,12 +183,13 @@
 	}
 	b.WriteString("\n")
 	if err := toml.NewEncoder(&b).Encode(slopeFile{sorted}); err != nil {
-		return nil, fmt.Errorf("slopes: %w", err)
+		return nil, fmt.Errorf("encode slopes: %w", err)
 	}
 	return b.Bytes(), nil
 }
 
-// Replaced is before with what was measured in the place of the slopes of the same ids, sorted.
+// MergeSlopes returns the slopes of both lists, sorted by id; of two with the same id it keeps the measured
+// one.
 func Replaced(before, measured []Slope) []Slope {
 	of := map[string]Slope{}
 	for _, s := range slices.Concat(before, measured) {
--- a/fleet/capacity/target.go
+++ b/fleet/capacity/target.go
@@ -1,8 +1,9 @@
-// Package capacity works out what a fleet of a given size costs, and at which size today's program ends. It takes a
-// target (the fleet's size and what may be spent) and slopes (what a scale run has measured), and holds the table of
-// what is worked out from them. It is arithmetic alone: it touches no files, no clock and no randomness.
+// Package capacity computes what a fleet of a given size costs, and at which size the present program reaches
+// its limits. It takes a target (the size of the fleet and its budgets) and slopes (results of scale runs),
+// and contains the table of what is computed from them. It is arithmetic only: no files, no clock and no
+// randomness.
 //
-// Bytes are counted by thousands: a KB is 1,000 bytes, an MB 1,000,000.
+// Bytes are counted in decimal units: a KB is 1,000 bytes, an MB 1,000,000.
 package capacity
 
 import (
@@ -20,20 +21,21 @@
 	secondsADay = 86_400
 	kb, mb      = 1e3, 1e6
 
-	// Slopes by destinations are measured with so many endpoints each; a target with another number has as many
-	// destinations as have its endpoints.
+	// The slopes by destinations were measured with this many endpoints for each destination. A target with
+	// another number is converted to the number of destinations with the same total of endpoints.
 	endpointsMeasured = 1.7
 )
 
-// Target is the size of a fleet and what it may spend.
+// Target is the size of a fleet and its budgets.
 type Target struct {
-	// Guessed names settings of this file that nobody has told, like "list.changes_per_s". What rests on them says so.
+	// Guessed names settings of this file that nobody has provided, like "list.changes_per_s". Results that
+	// depend on them say so.
 	Guessed []string `toml:"guessed" json:"guessed"`
 
 	Fleet struct {
 		Nodes   float64 `toml:"nodes" json:"nodes"`
 		Regions float64 `toml:"regions" json:"regions"`
-		Zones   float64 `toml:"zones" json:"zones"` // in all
+		Zones   float64 `toml:"zones" json:"zones"` // in total
 	} `toml:"fleet" json:"fleet"`
 	Events struct {
 		PerS      float64 `toml:"per_s" json:"per_s"`           // of all nodes
@@ -45,78 +47,77 @@
 		Count         float64 `toml:"count" json:"count"`
 		EndpointsEach float64 `toml:"endpoints_each" json:"endpoints_each"`
 		DownShare     float64 `toml:"down_share" json:"down_share"`       // at any time
-		CallsPerS     float64 `toml:"calls_per_s" json:"calls_per_s"`     // that a small one allows the whole fleet
-		ProbeEveryS   float64 `toml:"probe_every_s" json:"probe_every_s"` // while it is down
-		Owners        float64 `toml:"owners" json:"owners"`               // of each, for the lines "with ownership"
+		CallsPerS     float64 `toml:"calls_per_s" json:"calls_per_s"`     // that a small destination allows the whole fleet
+		ProbeEveryS   float64 `toml:"probe_every_s" json:"probe_every_s"` // while a destination is down
+		Owners        float64 `toml:"owners" json:"owners"`               // of each destination, for the lines "with ownership"
 	} `toml:"destinations" json:"destinations"`
 	List struct {
-		ChangesPerS float64 `toml:"changes_per_s" json:"changes_per_s"` // of one endpoint each
+		ChangesPerS float64 `toml:"changes_per_s" json:"changes_per_s"` // each of one endpoint
 	} `toml:"list" json:"list"`
 	Configuration struct {
 		ChangesPerDay float64 `toml:"changes_per_day" json:"changes_per_day"`
-		InForceS      float64 `toml:"in_force_s" json:"in_force_s"` // everywhere
+		InForceS      float64 `toml:"in_force_s" json:"in_force_s"` // until it is in force on all nodes
 	} `toml:"configuration" json:"configuration"`
-	Control struct { // what a node may spend on knowing
+	Control struct { // budget of a node for control data
 		CoreShare float64 `toml:"core_share" json:"core_share"`
 		MemoryMB  float64 `toml:"memory_mb" json:"memory_mb"`
 		KBPerS    float64 `toml:"kb_per_s" json:"kb_per_s"`
-		Machines  float64 `toml:"machines" json:"machines"` // set aside for the whole fleet
-		Replicas  float64 `toml:"replicas" json:"replicas"` // of the directory, on some of these
+		Machines  float64 `toml:"machines" json:"machines"` // reserved for the whole fleet
+		Replicas  float64 `toml:"replicas" json:"replicas"` // of the directory, on some of these machines
 	} `toml:"control" json:"control"`
-	Own struct { // what a node may spend on events
-		AnswerS         float64 `toml:"answer_s" json:"answer_s"`                   // for so long clients wait for an answer
-		HeldMemoryBytes float64 `toml:"held_memory_bytes" json:"held_memory_bytes"` // of an event held
+	Own struct { // budget of a node for events
+		AnswerS         float64 `toml:"answer_s" json:"answer_s"`                   // how long clients wait for an answer
+		HeldMemoryBytes float64 `toml:"held_memory_bytes" json:"held_memory_bytes"` // for each event held
 	} `toml:"own" json:"own"`
 	Failures struct {
 		MachinesPerDay float64 `toml:"machines_per_day" json:"machines_per_day"`
 		RestartsPerDay float64 `toml:"restarts_per_day" json:"restarts_per_day"`
-		ReadyS         float64 `toml:"ready_s" json:"ready_s"` // from a start, also with the whole backlog behind it
+		ReadyS         float64 `toml:"ready_s" json:"ready_s"` // after a start, even with the whole backlog to read
 		RegionAloneS   float64 `toml:"region_alone_s" json:"region_alone_s"`
 	} `toml:"failures" json:"failures"`
 }
 
-// Endpoints of all destinations.
+// Endpoints returns the endpoints of all destinations.
 func (t Target) Endpoints() float64 { return t.Destinations.Count * t.Destinations.EndpointsEach }
 
-// DestinationsDown at any time.
+// DestinationsDown returns how many destinations are down at any time.
 func (t Target) DestinationsDown() float64 { return t.Destinations.Count * t.Destinations.DownShare }
 
-// EventsPerSNode is what one node takes in a second.
+// EventsPerSNode returns the events that one node receives in a second.
 func (t Target) EventsPerSNode() float64 { return t.Events.PerS / t.Fleet.Nodes }
 
-// HeldNode is the largest backlog of one node, events.
+// HeldNode returns the largest backlog of one node, in events.
 func (t Target) HeldNode() float64 { return t.Events.Held / t.Fleet.Nodes }
 
-// NodesZone are the nodes of a zone, which a rack, a switch or a zone takes along at once.
+// NodesZone returns the nodes of a zone, which fail together with a rack, a switch or the zone.
 func (t Target) NodesZone() float64 { return t.Fleet.Nodes / t.Fleet.Zones }
 
-// NodesRegion are the nodes of a region.
+// NodesRegion returns the nodes of a region.
 func (t Target) NodesRegion() float64 { return t.Fleet.Nodes / t.Fleet.Regions }
 
-// destinationsMeasured are the destinations as slopes count them.
+// destinationsMeasured returns the destinations in the unit of the slopes.
 func (t Target) destinationsMeasured() float64 { return t.Endpoints() / endpointsMeasured }
 
-// destinationsOwned is the part of one node where each destination has few owners.
+// destinationsOwned returns the destinations of one node if each destination has few owners.
 func (t Target) destinationsOwned() float64 {
 	return t.destinationsMeasured() * t.owners() / t.Fleet.Nodes
 }
 
 func (t Target) owners() float64 { return min(t.Destinations.Owners, t.Fleet.Nodes) }
 
-// Axis is what of a fleet grows while all else stays as the target has it.
+// Axis is the property of a fleet that grows while all others stay as in the target.
 type Axis string
 
-// The axes.
 const (
 	ByDestinations Axis = "destinations"
-	ByNodes        Axis = "nodes" // and with them events and backlog, so that a node's own work stays as it is
+	ByNodes        Axis = "nodes" // with their events and backlog, so that the work of a node stays the same
 	ByEvents       Axis = "events a second"
 	ByHeld         Axis = "backlog"
 	ByChanges      Axis = "changes"
 	ByAlone        Axis = "time alone"
 )
 
-// Grown is the target with so many times as much of one thing.
+// Scaled returns the target with one property multiplied.
 func (t Target) Grown(by Axis, times float64) Target {
 	switch by {
 	case ByDestinations:
@@ -138,11 +139,11 @@
 	return t
 }
 
-// Error is what is wrong with a file, and where.
+// Error is an error in a file and its place.
 type Error = tomlfile.Error
 
-// ParseTarget reads a target. Each setting has to be there, and be more than 0; a share is at most 1. Its errors are
-// of type *Error, all that were found, joined.
+// ParseTarget parses a target. Each setting must be present and above 0; a share is at most 1. Its errors are
+// of type *Error, all of them joined.
 func ParseTarget(text []byte) (Target, error) {
 	var t Target
 	if err := tomlfile.Decode(text, &t, unknown); err != nil {
@@ -153,7 +154,7 @@
 	bad := func(name, format string, args ...any) {
 		line := where[name]
 		if table, _, _ := strings.Cut(name, "."); line == 0 {
-			line = where[table] // that it is missing from, or that stands on one line
+			line = where[table] // the table in which it is missing, or that is written on one line
 		}
 		found = append(found, &Error{Line: line, Text: name + fmt.Sprintf(format, args...)})
 	}
@@ -171,9 +172,9 @@
 			case where[name] == 0 && v == 0:
 				bad(name, " is missing")
 			case !(v > 0) || math.IsInf(v, 0):
-				bad(name, " is %v, and has to be more than 0", v)
+				bad(name, " is %v, must be more than 0", v)
 			case strings.HasSuffix(name, "_share") && v > 1:
-				bad(name, " is %v, and a share is at most 1", v)
+				bad(name, " is %v, a share is at most 1", v)
 			}
 		}
 	}
@@ -187,7 +188,7 @@
 
 func unknown(name string) string { return fmt.Sprintf("there is no setting %q", name) }
 
-// guesses are those of the names that the target calls guessed.
+// guessedOf returns those of the names that the target calls guessed.
 func (t Target) guesses(names []string) []string {
 	var some []string
 	for _, n := range names {
--- a/fleet/capacity/work.go
+++ b/fleet/capacity/work.go
@@ -8,78 +8,77 @@
 	"strings"
 )
 
-// Quantity is a figure with its unit.
+// Quantity is a value with its unit.
 type Quantity struct {
 	Value float64 `json:"value"`
 	Unit  Unit    `json:"unit"`
 }
 
-// How is how a figure is known.
+// Source is where a figure comes from.
 type How string
 
-// The ways.
 const (
-	Measured How = "measured"              // within the range that was measured
-	Past     How = "past the measurements" // worked out beyond that range
-	Told     How = "from the target"       // it needs no slope
-	Missing  How = "missing"               // a slope that it needs is not there
-	NoFigure How = "none"                  // it has none
+	Measured How = "measured"              // within the measured range
+	Past     How = "past the measurements" // computed outside the measured range
+	Told     How = "from the target"       // needs no slope
+	Missing  How = "missing"               // a slope that it needs is missing
+	NoFigure How = "none"                  // the row has no figure
 )
 
-// Known tells how a figure is known.
+// Provenance tells where a figure comes from.
 type Known struct {
 	How     How      `json:"how"`
-	Times   float64  `json:"times,omitempty"`   // above the measured range
-	Below   float64  `json:"below,omitempty"`   // times under it, where that is all
-	Missing []string `json:"missing,omitempty"` // slopes
-	Guessed []string `json:"guessed,omitempty"` // what it takes for granted; it is a guess then
+	Times   float64  `json:"times,omitempty"`   // times above the measured range
+	Below   float64  `json:"below,omitempty"`   // times below it, if nothing is above
+	Missing []string `json:"missing,omitempty"` // ids of slopes
+	Guessed []string `json:"guessed,omitempty"` // assumptions that the figure rests on; with any, it is a guess
 }
 
-// End is where growing ends.
+// End is where the growth of a row ends.
 type End struct {
-	Share   *float64 `json:"share,omitempty"` // of the target along the row's axis; nil: not known
-	Nothing bool     `json:"nothing"`         // there is no mechanism at all, and Share is 0
-	AtMost  bool     `json:"at_most"`         // a slope is missing that may end it sooner
-	Beyond  bool     `json:"beyond"`          // it does not end within Share, which is as far as was looked
+	Share   *float64 `json:"share,omitempty"` // of the target along the row's axis; nil: unknown
+	Nothing bool     `json:"nothing"`         // no mechanism carries the row, and Share is 0
+	AtMost  bool     `json:"at_most"`         // a missing slope may end it earlier
+	Beyond  bool     `json:"beyond"`          // it does not end up to Share, the end of the search
 	Ending  Ending   `json:"ending,omitempty"`
 	By      string   `json:"by,omitempty"`
 }
 
-// Line is a row, worked out.
+// Line is a computed row.
 type Line struct {
 	ID        string    `json:"id"`
 	Role      Role      `json:"role"`
 	Kind      Kind      `json:"kind"`
 	What      string    `json:"what"`
-	Owned     bool      `json:"with_ownership"` // the row once each destination has few owners
+	Owned     bool      `json:"with_ownership"` // the variant of the row in which each destination has few owners
 	Formula   string    `json:"formula"`
 	Figure    *Quantity `json:"figure,omitempty"` // at the target; nil: missing or none
 	Error     float64   `json:"standard_error,omitempty"`
 	Budget    *Quantity `json:"budget,omitempty"`
-	OwnCost   bool      `json:"own_cost"` // of a mechanism that does not exist; nothing else waits with it
-	Bounded   bool      `json:"bounded"`  // there is something that may end it
+	OwnCost   bool      `json:"own_cost"` // cost of a mechanism that does not exist yet; nothing else waits with it
+	Bounded   bool      `json:"bounded"`  // something is known that may end it
 	Axis      Axis      `json:"axis"`
 	End       End       `json:"end"`
-	Mechanism string    `json:"mechanism"` // its place in the code, or "missing"
+	Mechanism string    `json:"mechanism"` // package or file that carries it, or "missing"
 	Known     Known     `json:"known"`
 	Slopes    []string  `json:"slopes,omitempty"`
 	Runs      []string  `json:"runs,omitempty"`
 	WaitsFor  []string  `json:"waits_for,omitempty"`
 }
 
-// Step is a mechanism and what waits for it.
+// Step is a missing mechanism and the rows that wait for it.
 type Step struct {
 	Mechanism
-	Rows    []string `json:"rows"`    // that end before the target and wait for it, also by way of others; by id. Not those of its own cost
-	Unknown []string `json:"unknown"` // that would, but whose end is not known
-	Least   float64  `json:"least"`   // the least share at which one of Rows ends; 1 without any
-	Near    int      `json:"near"`    // of Rows that end under Alike of the target
+	Rows    []string `json:"rows"`    // ids of rows that end before the target and wait for it, also indirectly, without those of its own cost
+	Unknown []string `json:"unknown"` // ids of rows that wait for it and whose end is unknown
+	Least   float64  `json:"least"`   // the smallest share at which one of Rows ends; 1 if there is none
+	Near    int      `json:"near"`    // number of Rows that end below NearShare of the target
 }
 
-// Alike is the share of the target under which ends count as equally near.
+// NearShare is the share of the target below which all ends count as equally near.
 const Alike = 0.01
 
-// Report is all that is worked out.
+// Report is the result of Compute.
 type Report struct {
 	Target Target  `json:"target"`
 	Lines  []Line  `json:"lines"`
@@ -88,16 +87,16 @@
 	Slopes []Slope `json:"slopes"`
 }
 
-// reading is what a figure takes from the slopes.
+// slopeReader gives a calculation the values of slopes and records which ones it uses.
 type reading struct {
 	slopes  map[string]Slope
 	used    []string
 	missing []string
-	past    float64 // the most of all
+	past    float64 // largest of all
 	below   float64
 }
 
-// at is a slope's figure at x; NaN if it is missing.
+// at returns the value of a slope at x; NaN if it is missing.
 func (r *reading) at(id string, x float64) float64 {
 	s, ok := r.take(id, x)
 	if !ok {
@@ -106,7 +105,7 @@
 	return s.At(x)
 }
 
-// rise is by how much a slope's figure at x is more than at none.
+// rise returns the increase of a slope's value from 0 to x; NaN if it is missing.
 func (r *reading) rise(id string, x float64) float64 {
 	s, ok := r.take(id, x)
 	if !ok {
@@ -129,7 +128,7 @@
 	return s, ok
 }
 
-// with is the reading's slopes once more, with one of them another.
+// with returns a new reader in which one slope is replaced.
 func (r *reading) with(s Slope) *reading {
 	slopes := map[string]Slope{}
 	for id, o := range r.slopes {
@@ -139,7 +138,7 @@
 	return &reading{slopes: slopes}
 }
 
-// Work works out the whole table.
+// Compute computes the whole table.
 func Work(t Target, slopes []Slope) Report {
 	of := map[string]Slope{}
 	for _, s := range slopes {
@@ -156,12 +155,12 @@
 	return r
 }
 
-// ownedLine is the row with ownership.
+// ownedLine computes the row's variant with ownership.
 func (w row) ownedLine(t Target, slopes map[string]Slope) Line {
 	w.formula, w.figure, w.limits = w.owned.formula, w.owned.figure, w.owned.limits
 	carried := built(ownership) && w.place != ""
 	if w.place == "" {
-		w.place = "missing" // all the same it is worked out how far it would carry
+		w.place = "missing" // how far it would carry is computed all the same
 	}
 	l := w.line(t, slopes)
 	l.Owned = true
@@ -171,7 +170,7 @@
 	return l
 }
 
-// line works a row out.
+// line computes a row.
 func (w row) line(t Target, slopes map[string]Slope) Line {
 	l := Line{ID: w.id, Role: w.role, Kind: w.kind, What: w.what, Formula: w.formula, Axis: w.axis, WaitsFor: w.waits, Mechanism: w.place, OwnCost: w.ownCost, Bounded: w.place == "" || len(w.limits) > 0}
 	if w.place == "" {
@@ -215,7 +214,7 @@
 	return l
 }
 
-// spread is the standard error of a figure: those of its slopes, taken as independent.
+// stdErr returns the standard error of a figure, taking the errors of its slopes as independent.
 func (w row) spread(t Target, r *reading, v float64) float64 {
 	sum := 0.0
 	for _, id := range r.used {
@@ -225,8 +224,8 @@
 	return math.Sqrt(sum)
 }
 
-// guesses are what a line takes for granted: settings of the target that nobody has told and that move its figure or what ends it, and
-// what its formula supposes.
+// assumptions returns what a line takes for granted: guessed settings of the target that affect its figure or
+// its end, and the assumption of its formula.
 func (w row) guesses(t Target, slopes map[string]Slope) []string {
 	var some []string
 	for _, name := range t.Guessed {
@@ -240,7 +239,8 @@
 	return some
 }
 
-// holds are the row's figure and, of each limit, its bound and what is held against it; NaN where a slope is missing.
+// values returns the row's figure and, for each limit, its value and the amount compared with it; NaN where a
+// slope is missing.
 func (w row) holds(t Target, slopes map[string]Slope) []float64 {
 	var all []float64
 	if w.figure != nil {
@@ -255,7 +255,7 @@
 	return all
 }
 
-// moved is the target with one of its settings, by its name in the file, a fiftieth less.
+// reduced returns the target with one setting, named as in the file, reduced by 2%.
 func moved(t Target, name string) Target {
 	table, key, _ := strings.Cut(name, ".")
 	if v := byTag(byTag(reflect.ValueOf(&t).Elem(), table), key); v.IsValid() && v.Kind() == reflect.Float64 {
@@ -264,7 +264,7 @@
 	return t
 }
 
-// byTag is the field of a struct with such a name in files; none is no valid value.
+// fieldByTag returns the field of a struct with the given name in files; an invalid value if there is none.
 func byTag(v reflect.Value, name string) reflect.Value {
 	if v.IsValid() && v.Kind() == reflect.Struct {
 		for i := range v.NumField() {
@@ -276,7 +276,7 @@
 	return reflect.Value{}
 }
 
-// end is where the row ends: at the first of its limits.
+// end returns where the row ends: at the first of its limits.
 func (w row) end(t Target, slopes map[string]Slope) End {
 	if w.place == "" {
 		none := 0.0
@@ -298,22 +298,23 @@
 		}
 	}
 	if e.Share == nil {
-		e.AtMost = false // there is nothing that could be said
+		e.AtMost = false // nothing is known of its end
 	}
 	return e
 }
 
 const (
-	leastLook, mostLook = 1e-7, 1e4 // shares of the target
+	leastLook, mostLook = 1e-7, 1e4 // as shares of the target
 )
 
-// reach is the least share at which the amount passes the bound; beyond: it does not up to there. It is not ok if the amount is not known.
+// findEnd returns the smallest share at which the amount exceeds the bound; beyond is true if it does not up
+// to maxSearch. It is not ok if the amount is unknown.
 func reach(amount func(share float64) float64, bound float64) (share float64, beyond, ok bool) {
 	if math.IsNaN(amount(1)) {
 		return 0, false, false
 	}
 	low := 0.0
-	for high := leastLook; ; high = min(high*1.5, mostLook) { // a curve may turn: the first crossing is looked for
+	for high := leastLook; ; high = min(high*1.5, mostLook) { // the amount may rise and fall: look for the first crossing
 		if !(amount(high) > bound) {
 			if low = high; high >= mostLook {
 				return mostLook, true, true
@@ -321,7 +322,7 @@
 			continue
 		}
 		if low == 0 {
-			return 0, false, true // it is past the bound with nothing at all
+			return 0, false, true // it exceeds the bound even at 0
 		}
 		for range 60 {
 			mid := (low + high) / 2
@@ -335,7 +336,8 @@
 	}
 }
 
-// best are the lines by which a row is judged: with ownership where that is built and measured, else as it is.
+// currentLines returns the lines that count for each row: the one with ownership if that is built and
+// measured, else the one without.
 func best(lines []Line) []Line {
 	var all []Line
 	for _, l := range lines {
@@ -350,8 +352,9 @@
 	return all
 }
 
-// steps puts the mechanisms that are not built in the order of the roadmap: first the one for which a row waits that ends at the
-// least part of the target; among alike ones that for which most rows wait; never one before what it needs.
+// roadmap orders the missing mechanisms: first the one with the waiting row that ends at the smallest share
+// of the target; among those that are equally near, the one with the most waiting rows; never one before a
+// mechanism it needs.
 func steps(lines []Line) []Step {
 	var all []Step
 	for _, m := range mechanisms {
@@ -389,7 +392,7 @@
 	slices.SortStableFunc(all, func(a, b Step) int {
 		return cmp.Or(cmp.Compare(near(a), near(b)), -cmp.Compare(len(a.Rows), len(b.Rows)), -cmp.Compare(len(a.Unknown), len(b.Unknown)))
 	})
-	var sorted []Step // with what each needs before it
+	var sorted []Step // each after those that it needs
 	var put func(s Step)
 	put = func(s Step) {
 		if slices.ContainsFunc(sorted, func(o Step) bool { return o.Name == s.Name }) {
@@ -412,7 +415,7 @@
 	return slices.ContainsFunc(mechanisms, func(m Mechanism) bool { return m.Name == name && m.Built })
 }
 
-// needs tells that one mechanism needs another, also by way of others.
+// dependsOn reports whether one mechanism needs another, also indirectly.
 func needs(name, other string) bool {
 	for _, m := range mechanisms {
 		if m.Name == name {
--- a/fleet/experiment/check.go
+++ b/fleet/experiment/check.go
@@ -11,19 +11,19 @@
 	"starlingusher/fleet/tomlfile"
 )
 
-// Error is what is wrong with an experiment, and where.
+// Error is an error in an experiment and its place.
 type Error = tomlfile.Error
 
 func unknown(name string) string {
-	return fmt.Sprintf("the name %q is not known here; see `cottonrack lab kinds` and the page on experiments", name)
+	return fmt.Sprintf("unknown name %q; see `cottonrack lab kinds` and the page on experiments", name)
 }
 
-// check looks at what the form alone does not tell.
+// check validates what the types alone do not.
 func (f *File) check(where map[string]int) error {
 	var found []error
 	bad := func(key, text string, args ...any) {
 		line := where[key]
-		for line == 0 && strings.Contains(key, ".") { // the table that it is missing from
+		for line == 0 && strings.Contains(key, ".") { // the table in which the key is missing
 			key = key[:strings.LastIndex(key, ".")]
 			line = where[key]
 		}
@@ -31,14 +31,14 @@
 	}
 	number := func(key string, n Number, low, high float64) {
 		if !n.within(low, high) {
-			bad(key, "%s is from %v to %v", key[strings.LastIndex(key, ".")+1:], low, high)
+			bad(key, "%s must be from %v to %v", key[strings.LastIndex(key, ".")+1:], low, high)
 		}
 	}
 	if f.Name == "" {
-		bad("name", "the experiment has no name: give it one")
+		bad("name", "the experiment has no name")
 	}
 	if f.Length.Low < time.Second || f.Length.High > time.Hour {
-		bad("length", "length is from 1s to 1h")
+		bad("length", "length must be from 1s to 1h")
 	}
 	number("fleet.nodes", f.Fleet.Nodes, 1, 5000)
 	number("fleet.uneven", f.Fleet.Uneven, 0, 3)
@@ -54,7 +54,7 @@
 	number("load.retries", f.Load.Retries, 0, 20)
 	number("discovery.replicas", f.Discovery.Replicas, 0, 5)
 	if n := f.Discovery.Replicas; n.Low != n.High || n.Low > 0 && int(n.Low)%2 == 0 {
-		bad("discovery.replicas", "a directory has 1, 3 or 5 replicas")
+		bad("discovery.replicas", "a directory must have 1, 3 or 5 replicas")
 	}
 	number("load.honour", f.Load.Honour, 0, 1)
 	number("load.rude", f.Load.Rude, 0, 100)
@@ -64,17 +64,17 @@
 	number("rules.fall_multiple", f.Rules.FallMultiple, 1, 100)
 	number("rules.cold_from", f.Rules.ColdFrom, 0.01, 1)
 	if len(f.Fleet.Zones) == 0 {
-		bad("fleet.zones", "a fleet has a zone at least")
+		bad("fleet.zones", "a fleet needs at least one zone")
 	}
 	kinds := map[string]bool{}
 	if len(f.Partners) == 0 {
-		bad("partner", "no [[partner]] is given: messages have nowhere to go")
+		bad("partner", "there is no [[partner]] to send messages to")
 	}
 	for i, p := range f.Partners {
 		key := func(name string) string { return fmt.Sprintf("partner[%d].%s", i, name) }
 		kinds[p.Kind] = true
 		if p.Kind == "" {
-			bad(key("kind"), "the partner has no kind: give it a name")
+			bad(key("kind"), "the partner has no kind")
 		}
 		number(key("count"), p.Count, 1, 10000)
 		number(key("traffic"), p.Traffic, 0, 1e6)
@@ -94,40 +94,40 @@
 			number(key(share.name), share.v, 0, 1)
 		}
 		if p.Pace.Low < time.Millisecond {
-			bad(key("pace"), "pace is 1ms at least")
+			bad(key("pace"), "pace must be at least 1ms")
 		}
 		if !slices.Contains([]string{"rate", "count", "none"}, p.Limit) {
-			bad(key("limit"), "limit is \"rate\", \"count\" or \"none\", not %q", p.Limit)
+			bad(key("limit"), "limit must be \"rate\", \"count\" or \"none\", is %q", p.Limit)
 		}
 		if p.Limit == "count" && p.LimitSpan.Low < 10*time.Millisecond {
-			bad(key("limit_span"), "limit_span is 10ms at least")
+			bad(key("limit_span"), "limit_span must be at least 10ms")
 		}
 	}
 	if len(f.Classes) == 0 {
-		bad("class", "no [[class]] is given")
+		bad("class", "there is no [[class]]")
 	}
 	names := map[string]bool{}
 	for i, c := range f.Classes {
 		key := func(name string) string { return fmt.Sprintf("class[%d].%s", i, name) }
 		if c.Name == "" || names[c.Name] {
-			bad(key("name"), "the class has no name, or that of another one")
+			bad(key("name"), "the class has no name or a duplicate one")
 		}
 		names[c.Name] = true
 		number(key("share"), c.Share, 0, 1e6)
 		number(key("worth"), c.Worth, 0, 1e6)
 		number(key("late_worth"), c.LateWorth, 0, 1)
 		if c.Aim.Low <= 0 || c.Deadline.Low < c.Aim.High {
-			bad(key("deadline"), "the class needs an aim over 0s and a deadline that is not before it")
+			bad(key("deadline"), "the class needs an aim above 0s and a deadline that is not before it")
 		}
 		if !slices.Contains([]string{"safe", "keyed", "unsafe"}, c.Effect) {
-			bad(key("effect"), "effect is \"safe\", \"keyed\" or \"unsafe\", not %q", c.Effect)
+			bad(key("effect"), "effect must be \"safe\", \"keyed\" or \"unsafe\", is %q", c.Effect)
 		}
 		if c.Effect == "keyed" && c.Window.Low <= 0 {
-			bad(key("window"), "a keyed class needs a window over 0s")
+			bad(key("window"), "a keyed class needs a window above 0s")
 		}
 		for _, k := range c.Kinds {
 			if !kinds[k] {
-				bad(key("kinds"), "no [[partner]] is of kind %q", k)
+				bad(key("kinds"), "there is no [[partner]] of kind %q", k)
 			}
 		}
 	}
@@ -145,7 +145,7 @@
 	}
 	for c := range f.Expect.Class {
 		if !names[c] {
-			bad("expect.class", "no [[class]] is named %q", c)
+			bad("expect.class", "there is no [[class]] named %q", c)
 		}
 	}
 	return errors.Join(found...)
@@ -155,26 +155,26 @@
 	kind, known := FaultKinds[x.Kind]
 	aim := kind.aim
 	if !known {
-		bad("kind", "no fault is of kind %q: `cottonrack lab kinds` lists them", x.Kind)
+		bad("kind", "unknown kind of fault %q; `cottonrack lab kinds` lists them", x.Kind)
 		return
 	}
 	if x.At.High > f.Length.Low {
-		bad("at", "the fault may begin at %v, after the last message (%v)", x.At.High, f.Length.Low)
+		bad("at", "the fault may start at %v, after the last message (%v)", x.At.High, f.Length.Low)
 	}
 	if aim&atReplicas != 0 && f.Discovery.Replicas.Low < 1 {
 		bad("kind", "a fault of kind %q needs a directory: [discovery] replicas = 3", x.Kind)
 	}
 	if aim&atPartners == 0 && (x.Partners != nil || x.Part != nil) {
-		bad("partners", "a fault of kind %q is not aimed at partners", x.Kind)
+		bad("partners", "a fault of kind %q does not target partners", x.Kind)
 	}
 	if aim&atNodes == 0 && (x.Nodes != nil || x.Share != nil || x.Zone != "") {
-		bad("nodes", "a fault of kind %q is not aimed at nodes", x.Kind)
+		bad("nodes", "a fault of kind %q does not target nodes", x.Kind)
 	}
 	if x.Zone != "" && !slices.Contains(f.Fleet.Zones, x.Zone) {
 		bad("zone", "the fleet has no zone %q", x.Zone)
 	}
 	if x.Part != nil && !x.Part.within(0, 1) || x.Share != nil && !x.Share.within(0, 1) {
-		bad("part", "part and share are from 0 to 1")
+		bad("part", "part and share must be from 0 to 1")
 	}
 	least := 0
 	for _, p := range f.Partners {
@@ -182,12 +182,12 @@
 	}
 	for _, p := range x.Partners {
 		if p < 0 || p >= least {
-			bad("partners", "there is no partner %d on every seed: they are numbered from 0, and may be as few as %d", p, least)
+			bad("partners", "there is no partner %d with every seed: they are numbered from 0, and there may be only %d", p, least)
 		}
 	}
 	for _, n := range x.Nodes {
 		if n < 0 || n >= int(f.Fleet.Nodes.Low+0.5) {
-			bad("nodes", "there is no node %d on every seed: they are numbered from 0", n)
+			bad("nodes", "there is no node %d with every seed: they are numbered from 0", n)
 		}
 	}
 	low, high := 0.0, 1e6
@@ -200,18 +200,18 @@
 		low = 1
 	}
 	if x.Size != (Number{}) && !x.Size.within(low, high) {
-		bad("size", "size is from %v to %v for a fault of kind %q", low, high, x.Kind)
+		bad("size", "size must be from %v to %v for a fault of kind %q", low, high, x.Kind)
 	}
 	if x.Size == (Number{}) && slices.Contains([]string{"slow", "burst", "rate", "delay", "late-list", "loss", "limit"}, x.Kind) {
 		bad("size", "a fault of kind %q needs a size", x.Kind)
 	}
 	if !slices.Contains([]string{"", "both", "out", "back"}, x.Way) {
-		bad("way", "way is \"both\", \"out\" or \"back\", not %q", x.Way)
+		bad("way", "way must be \"both\", \"out\" or \"back\", is %q", x.Way)
 	}
 	if !slices.Contains([]string{"", "reset", "resume"}, x.Then) {
-		bad("then", "then is \"reset\" or \"resume\", not %q", x.Then)
+		bad("then", "then must be \"reset\" or \"resume\", is %q", x.Then)
 	}
 	if _, isTrouble := partner.ParseTrouble(x.Kind); x.For.Low == 0 && !isTrouble && !slices.Contains([]string{"reset", "move", "replace", "restart"}, x.Kind) {
-		bad("for", "a fault of kind %q needs to say how long it lasts", x.Kind)
+		bad("for", "a fault of kind %q needs a duration: for", x.Kind)
 	}
 }
--- a/fleet/experiment/experiment_test.go
+++ b/fleet/experiment/experiment_test.go
@@ -71,14 +71,14 @@
 func TestSameSeedSamePlan(t *testing.T) {
 	a, b, c := parse(t, small).Draw(7, 0), parse(t, small).Draw(7, 0), parse(t, small).Draw(8, 0)
 	if !reflect.DeepEqual(a, b) {
-		t.Error("one seed drew two plans")
+		t.Error("one seed gave two plans")
 	}
 	if reflect.DeepEqual(a.Arrivals, c.Arrivals) || reflect.DeepEqual(a.Faults, c.Faults) {
-		t.Error("two seeds drew the same arrivals or faults")
+		t.Error("two seeds gave the same arrivals or faults")
 	}
 }
 
-// A change to one part of an experiment leaves what is drawn for the others as it was.
+// A change to one part of an experiment must not change what is drawn for the others.
 func TestPartsAreDrawnApart(t *testing.T) {
 	a := parse(t, small).Draw(7, 0)
 	b := parse(t, small+"[[fault]]\nkind = \"stop\"\nat = \"1s\"\nfor = \"1s\"\nshare = 0.5\n").Draw(7, 0)
@@ -95,7 +95,7 @@
 	for seed := range uint64(20) {
 		p := parse(t, small).Draw(seed, 0)
 		if !slices.IsSortedFunc(p.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) }) {
-			t.Fatal("arrivals out of order")
+			t.Fatal("arrivals are out of order")
 		}
 		if n := len(p.Arrivals); n < 120 || n > 600 {
 			t.Errorf("seed %d: %d arrivals at 20 to 30 a second in 10 s", seed, n)
@@ -111,7 +111,7 @@
 			}
 		}
 		if len(ids) != 3*len(p.Arrivals) {
-			t.Errorf("seed %d: ids come twice", seed)
+			t.Errorf("seed %d: duplicate ids", seed)
 		}
 		sum := 0.0
 		for _, q := range p.Partners {
@@ -120,11 +120,11 @@
 				t.Errorf("seed %d: %v", seed, err)
 			}
 			if q.Model.Batch != p.Partners[0].Model.Batch && p.Kinds[q.Kind] == "bulk" {
-				t.Errorf("seed %d: one kind, two sizes of batches", seed)
+				t.Errorf("seed %d: one kind of partner has two batch sizes", seed)
 			}
 		}
 		if sum < 0.999 || sum > 1.001 {
-			t.Errorf("seed %d: the partners' traffic sums up to %v", seed, sum)
+			t.Errorf("seed %d: the traffic of the partners sums to %v", seed, sum)
 		}
 		restarts := 0
 		for _, x := range p.Faults {
@@ -135,7 +135,7 @@
 				restarts++
 			}
 			if x.Kind == "shut" && len(x.Partners) == 0 {
-				t.Error("a part of 0.3 is no partner")
+				t.Error("a part of 0.3 selects no partner")
 			}
 		}
 		if restarts != len(p.Nodes) {
@@ -144,7 +144,7 @@
 	}
 }
 
-// The settings are those that a node reads.
+// A node can parse the settings.
 func TestSettings(t *testing.T) {
 	p := parse(t, small).Draw(1, 0)
 	raw, err := p.Settings(1)
@@ -169,7 +169,7 @@
 	}
 }
 
-// Whatever is wrong is told with its line, before anything starts.
+// Each error in a file is reported with its line.
 func TestErrors(t *testing.T) {
 	for _, test := range []struct {
 		name, change, to string
@@ -177,23 +177,23 @@
 		says             string
 	}{
 		{"an unknown name", "clumps = 0.2", "clumbs = 0.2", 6, "clumbs"},
-		{"no number", `rate = "20..30"`, `rate = "many"`, 5, "no number"},
-		{"a range reversed", `rate = "20..30"`, `rate = "30..20"`, 5, "wrong way round"},
-		{"no time", `length = "10s"`, `length = "10"`, 3, "no length of time"},
-		{"out of range", "clumps = 0.2", "clumps = 2", 6, "from 0 to 0.9"},
-		{"an unknown effect", `effect = "unsafe"`, `effect = "none"`, 20, "effect is"},
+		{"not a number", `rate = "20..30"`, `rate = "many"`, 5, "not a number"},
+		{"a reversed range", `rate = "20..30"`, `rate = "30..20"`, 5, "ends reversed"},
+		{"not a duration", `length = "10s"`, `length = "10"`, 3, "not a duration"},
+		{"out of range", "clumps = 0.2", "clumps = 2", 6, "must be from 0 to 0.9"},
+		{"an unknown effect", `effect = "unsafe"`, `effect = "none"`, 20, "effect must be"},
 		{"an unknown kind of partner", `kinds = ["bulk"]`, `kinds = ["bulky"]`, 21, "bulky"},
 		{"an unknown fault", `kind = "burst"`, `kind = "bursts"`, 30, "bursts"},
-		{"a fault too late", `at = "1s"`, `at = "11s"`, 36, "after the last message"},
+		{"a fault after the end", `at = "1s"`, `at = "11s"`, 36, "after the last message"},
 		{"a fault without a size", "size = 2\n", "", 29, "needs a size"},
-		{"a partner that is not there", "part = 0.3", "partners = [9]", 42, "no partner 9"},
-		{"nodes for a partner's fault", "part = 0.3", "nodes = [1]", 42, "not aimed at nodes"},
-		{"no TOML", "[load]", "[load", 4, "expected"},
-		{"a limit of no kind", "count = 2", "limit = \"some\"", 28, "limit is"},
+		{"a partner that does not exist", "part = 0.3", "partners = [9]", 42, "no partner 9"},
+		{"nodes for a partner's fault", "part = 0.3", "nodes = [1]", 42, "does not target nodes"},
+		{"invalid TOML", "[load]", "[load", 4, "expected"},
+		{"an unknown kind of limit", "count = 2", "limit = \"some\"", 28, "limit must be"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if !strings.Contains(small, test.change) {
-				t.Fatal("the change is to nothing")
+				t.Fatal("the text to change is not in the experiment")
 			}
 			_, err := Parse([]byte(strings.Replace(small, test.change, test.to, 1)))
 			var e *Error
@@ -206,15 +206,15 @@
 		})
 	}
 	if _, err := Parse(nil); err == nil {
-		t.Error("nothing at all is an experiment")
+		t.Error("an empty text is accepted")
 	}
 }
 
-// The experiments that come with the project can be read and drawn.
+// The experiments in the repository can be parsed and planned.
 func TestExperiments(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no experiments: %v", err)
+		t.Fatalf("no experiments found: %v", err)
 	}
 	for _, path := range files {
 		raw, err := os.ReadFile(path)
@@ -242,7 +242,7 @@
 			return
 		}
 		if file.Fleet.Nodes.High > 50 || file.Load.Rate.High > 100 || file.Length.High > time.Minute || len(file.Partners) > 20 {
-			return // drawn it is long
+			return // the plan would take too long to draw
 		}
 		for _, p := range file.Partners {
 			if p.Count.High > 20 || p.LeastRate.High > 1000 || p.Headroom.High > 10 {
--- a/fleet/experiment/faults.go
+++ b/fleet/experiment/faults.go
@@ -1,33 +1,33 @@
 package experiment
 
-// What a fault is aimed at.
+// target is a set of kinds of targets that a fault can have.
 type target uint8
 
 const (
 	atPartners target = 1 << iota
 	atNodes
-	atReplicas // all of the directory's, one after the other with a step
+	atReplicas // replicas of the directory; with a step, one after the other
 )
 
-// FaultKind is what a kind of fault does, and what it is aimed at.
+// FaultKind describes a kind of fault and what it targets.
 type FaultKind struct {
 	About string
 	aim   target
 }
 
-// FaultKinds are the kinds of faults, by their names.
+// FaultKinds holds the kinds of faults by name.
 var FaultKinds = map[string]FaultKind{
 	"slow":         {"partners serve size times slower", atPartners},
 	"lossy":        {"partners lose the share size of their answers, after the messages ran", atPartners},
 	"failing":      {"partners answer the share size with an error", atPartners},
-	"shut":         {"partners turn everything away", atPartners},
-	"silent":       {"partners take calls and answer none; the share size of the messages runs", atPartners},
+	"shut":         {"partners refuse all calls", atPartners},
+	"silent":       {"partners accept calls and answer none; the share size of the messages runs", atPartners},
 	"down":         {"partners' connections are reset and new ones refused", atPartners},
-	"limit":        {"partners' limits are the share size of what they were", atPartners},
-	"replace":      {"partners' endpoints drain, one each step, go after size seconds, and new ones come", atPartners},
-	"late-list":    {"what discovery tells the nodes comes size seconds later still", atNodes},
-	"silent-list":  {"discovery tells the nodes nothing", atNodes},
-	"move":         {"the nodes are told by SIGHUP to go to another address of discovery", atNodes},
+	"limit":        {"partners' rate limits are reduced to the share size", atPartners},
+	"replace":      {"partners' endpoints drain, one each step, are deleted after size seconds, and new ones are added", atPartners},
+	"late-list":    {"discovery informs the nodes size seconds later than usual", atNodes},
+	"silent-list":  {"discovery sends the nodes nothing", atNodes},
+	"move":         {"nodes are told by SIGHUP to use another address of discovery", atNodes},
 	"burst":        {"size times the traffic", 0},
 	"kill":         {"nodes are killed, and start again at the fault's end", atNodes},
 	"restart":      {"nodes get SIGTERM, are killed 3.7 s later if need be, and start again", atNodes},
@@ -41,5 +41,5 @@
 	"replica-kill": {"replicas of the directory are killed, and start again at the fault's end", atReplicas},
 	"replica-cut":  {"nothing passes to and from replicas of the directory", atReplicas},
 	"replica-stop": {"replicas of the directory are stopped (SIGSTOP) until the fault's end", atReplicas},
-	"disk-full":    {"nodes can write nothing more to their lasting folders", atNodes},
+	"disk-full":    {"nodes can't write to their state directories", atNodes},
 }
--- a/fleet/experiment/file.go
+++ b/fleet/experiment/file.go
@@ -1,6 +1,7 @@
-// Package experiment is the format of experiments: a fleet, a load, a timeline of faults, and what is expected of them.
-// Parse reads and checks one, Draw makes a plan of it: with one seed it is always the same one. The package touches no
-// files and no clock; the lab plays its plans on sockets, the model of the fleet on virtual time.
+// Package experiment defines the file format of experiments: a fleet, a load, a timeline of faults, and
+// expectations. Parse reads and checks a file, DrawPlan makes a plan of it; the same seed always gives the
+// same plan. The package uses no files and no clock; the lab runs its plans on sockets, the model of the
+// fleet in virtual time.
 package experiment
 
 import (
@@ -11,12 +12,12 @@
 	"starlingusher/fleet/tomlfile"
 )
 
-// File is an experiment as it is written. A value left out has the default that Parse gives it.
+// File is an experiment as written in its file. Parse sets the defaults of omitted values.
 type File struct {
 	Name   string `toml:"name"`
 	About  string `toml:"about"`
-	Length Span   `toml:"length"` // in which messages come
-	Settle Span   `toml:"settle"` // after it, for their ends; by default the longest deadline and a second
+	Length Span   `toml:"length"` // period in which messages are submitted
+	Settle Span   `toml:"settle"` // period after it, for their final answers; by default the longest deadline plus a second
 
 	Fleet     Fleet     `toml:"fleet"`
 	Load      Load      `toml:"load"`
@@ -30,14 +31,14 @@
 	Expect    Expect    `toml:"expect"`
 }
 
-// Fleet is the nodes.
+// Fleet describes the nodes.
 type Fleet struct {
 	Nodes     Number   `toml:"nodes"`
 	Zones     []string `toml:"zones"`
-	Uneven    Number   `toml:"uneven"`     // exponent of the nodes' traffic by rank; 0: all alike
-	SlotsRoom Number   `toml:"slots_room"` // slots over what a node's part of the load keeps busy
+	Uneven    Number   `toml:"uneven"`     // of the nodes' traffic by rank; 0: all nodes alike
+	SlotsRoom Number   `toml:"slots_room"` // slots relative to the mean number of calls in flight
 	LeastSlot Number   `toml:"least_slots"`
-	Hold      Span     `toml:"hold"` // messages held: so long a part of the load
+	Hold      Span     `toml:"hold"` // limit of messages held by a node, as time at its share of the load
 	LeastOpen Number   `toml:"least_open"`
 	Cores     Number   `toml:"cores"`
 	MemoryMB  Number   `toml:"memory_mb"`
@@ -45,35 +46,35 @@
 	DiskMB    Number   `toml:"disk_mb"`
 }
 
-// Load is what clients do.
+// Load describes the clients.
 type Load struct {
-	Rate      Number `toml:"rate"`       // messages a second, of all nodes together
+	Rate      Number `toml:"rate"`       // messages a second, all nodes together
 	Clumps    Number `toml:"clumps"`     // share of the messages that come in clumps for one partner
-	ClumpSize Span   `toml:"clump_size"` // a clump: what the partner takes in so long
-	ClumpOver Span   `toml:"clump_over"` // and the time over which it comes
-	Retries   Number `toml:"retries"`    // hand-ins after a refusal
-	Backoff   Span   `toml:"backoff"`    // before each of them, unless the node says when
-	Honour    Number `toml:"honour"`     // share of clients that heed what the node says
-	Again     Span   `toml:"again"`      // before what a lost node held comes to another one
-	Patience  Span   `toml:"patience"`   // for an answer
-	Rude      Number `toml:"rude"`       // rude peers a second
-	Body      Number `toml:"body"`       // bytes of a message
+	ClumpSize Span   `toml:"clump_size"` // size of a clump, as time at the partner's rate limit
+	ClumpOver Span   `toml:"clump_over"` // period over which a clump is submitted
+	Retries   Number `toml:"retries"`    // submissions after a refusal
+	Backoff   Span   `toml:"backoff"`    // before each of them, unless the node tells a retry-after
+	Honour    Number `toml:"honour"`     // share of clients that wait as long as the node tells
+	Again     Span   `toml:"again"`      // before messages held by a lost node are submitted to another
+	Patience  Span   `toml:"patience"`   // time that clients wait for an answer
+	Rude      Number `toml:"rude"`       // misbehaving peers a second
+	Body      Number `toml:"body"`       // of a message
 }
 
-// Network is the way between nodes and partners.
+// Network describes the links between nodes and partners.
 type Network struct {
-	Same   Span   `toml:"same"`   // one way, inside a zone
-	Cross  Span   `toml:"cross"`  // between zones
-	Jitter Number `toml:"jitter"` // spread of each piece's delay, as a share of it
+	Same   Span   `toml:"same"`   // one-way delay within a zone
+	Cross  Span   `toml:"cross"`  // one-way delay between zones
+	Jitter Number `toml:"jitter"` // variation of each segment's delay, as a share of the delay
 }
 
-// Discovery is how late the platform tells of changes.
+// Discovery tells how late nodes learn of changes.
 type Discovery struct {
 	Delay    Span   `toml:"delay"`
-	Replicas Number `toml:"replicas"` // of a directory of ours, which then tells the nodes; 0: the platform does
+	Replicas Number `toml:"replicas"` // of a directory run by the lab, which then informs the nodes; 0: the platform does
 }
 
-// Rules are the figures of the rules that the settings tell the nodes.
+// Rules holds the parameters of the rules that the settings tell the nodes.
 type Rules struct {
 	MaxAttempts  Number `toml:"max_attempts"`
 	DrainGrace   Span   `toml:"drain_grace"`
@@ -86,7 +87,7 @@
 	MaxWait      Span   `toml:"max_retry_after"`
 }
 
-// Class is a class of message.
+// Class is a message class.
 type Class struct {
 	Name      string   `toml:"name"`
 	Share     Number   `toml:"share"`
@@ -96,34 +97,34 @@
 	LateWorth Number   `toml:"late_worth"`
 	Effect    string   `toml:"effect"` // "safe", "keyed" or "unsafe"
 	Window    Span     `toml:"window"`
-	Kinds     []string `toml:"kinds"` // of partners that it goes to; none: all
+	Kinds     []string `toml:"kinds"` // kinds of partners that its messages go to; none: all
 }
 
-// Member is one of those whose clients hand messages in.
+// Tenant is a group of clients with a share of the traffic.
 type Member struct {
 	Name      string `toml:"name"`
 	Share     Number `toml:"share"`
 	Allowance Number `toml:"allowance"` // messages a second; 0: its share of the load's rate
 }
 
-// Partner is a group of partners that are drawn alike.
+// PartnerGroup is a group of partners drawn from the same ranges.
 type Partner struct {
 	Kind      string `toml:"kind"`
 	Count     Number `toml:"count"`
-	Traffic   Number `toml:"traffic"` // of the group, as a weight against the other groups
-	Uneven    Number `toml:"uneven"`  // exponent of the partners' traffic by rank
+	Traffic   Number `toml:"traffic"` // of the group, relative to the other groups
+	Uneven    Number `toml:"uneven"`  // of the partners' traffic by rank
 	Endpoints Number `toml:"endpoints"`
 	Batch     Number `toml:"batch"`
 
 	Pace     Span   `toml:"pace"`
 	Spread   Number `toml:"spread"`
 	ItemCost Number `toml:"item_cost"`
-	Spare    Number `toml:"spare"`       // capacity over the limit
-	Queue    Span   `toml:"queue"`       // a full queue, as time at its capacity
-	Conns    Number `toml:"connections"` // over what is served at once, as a multiple; 0: any number
+	Spare    Number `toml:"spare"`       // capacity relative to the limit
+	Queue    Span   `toml:"queue"`       // length of a full queue, as time at its capacity
+	Conns    Number `toml:"connections"` // maximum number of connections, as a multiple of the workers; 0: unlimited
 
 	Limit         string `toml:"limit"`    // "rate", "count" or "none"
-	Headroom      Number `toml:"headroom"` // limit over the traffic
+	Headroom      Number `toml:"headroom"` // limit relative to the traffic
 	LeastRate     Number `toml:"least_rate"`
 	LimitSpan     Span   `toml:"limit_span"`
 	CountsRefused bool   `toml:"counts_refused"`
@@ -136,37 +137,37 @@
 	Spoilt Number `toml:"spoilt"`
 }
 
-// Fault is one trouble of the timeline.
+// Fault is one fault of the timeline.
 type Fault struct {
 	Kind string `toml:"kind"`
 	At   Span   `toml:"at"`
 	For  Span   `toml:"for"`
-	Size Number `toml:"size"` // what it means depends on the kind; see the page on experiments
-	Step Span   `toml:"step"` // between one of its targets and the next
+	Size Number `toml:"size"` // its meaning depends on the kind; see the page on experiments
+	Step Span   `toml:"step"` // time between one target and the next
 
-	Partners []int   `toml:"partners"` // numbers
-	Part     *Number `toml:"part"`     // or partners with such a share of the traffic, at least one
+	Partners []int   `toml:"partners"` // numbers of partners
+	Part     *Number `toml:"part"`     // or random partners with this share of the traffic, at least one
 	Nodes    []int   `toml:"nodes"`
-	Share    *Number `toml:"share"` // or such a share of the nodes, at least one
+	Share    *Number `toml:"share"` // or this share of the nodes, at least one
 	Zone     string  `toml:"zone"`  // or all nodes of a zone
 
 	Way  string `toml:"way"`  // of cuts: "both", "out" (from the nodes) or "back"
-	Then string `toml:"then"` // of cuts: what becomes of open connections, "reset" or "resume"
-	Lose bool   `toml:"lose"` // of restarts: the lasting folder too
+	Then string `toml:"then"` // of cuts: what happens to open connections, "reset" or "resume"
+	Lose bool   `toml:"lose"` // of restarts: lose the state directory too
 }
 
-// Expect is what the run is held to, beside its rules.
+// Expect holds the expectations of a run, in addition to its rules.
 type Expect struct {
-	Broken    []string          `toml:"broken"`    // rules that have to be broken; none: all have to be kept
-	Served    Number            `toml:"served"`    // share of the worth, at least
-	Class     map[string]Number `toml:"class"`     // the same of a class
-	Worst     Number            `toml:"worst"`     // the same of the worst five seconds
-	AboveMost *Number           `toml:"above"`     // calls refused above a limit, a message, at most
-	Lateness  Span              `toml:"lateness"`  // of the lab itself, 99th percentile, at most
-	Delivered Number            `toml:"delivered"` // messages, at least
+	Broken    []string          `toml:"broken"`    // rules that must be broken; none: all must be kept
+	Served    Number            `toml:"served"`    // share of the worth served
+	Class     map[string]Number `toml:"class"`     // the same by class
+	Worst     Number            `toml:"worst"`     // the same in the worst five seconds
+	AboveMost *Number           `toml:"above"`     // calls refused above a limit, per message
+	Lateness  Span              `toml:"lateness"`  // of the lab itself, 99th percentile
+	Delivered Number            `toml:"delivered"` // messages
 }
 
-// defaults are the brief's figures, or harmless ones.
+// defaults returns the values of the brief, or harmless ones.
 func defaults() File {
 	ms := func(low, high int) Span {
 		return Span{time.Duration(low) * time.Millisecond, time.Duration(high) * time.Millisecond}
@@ -199,20 +200,20 @@
 	}
 }
 
-// Parse reads and checks an experiment. Its errors are of type *Error, all that were found, joined.
+// Parse reads and checks an experiment. Its errors are of type *Error, all of them joined.
 func Parse(text []byte) (File, error) {
 	f := defaults()
 	if err := tomlfile.Decode(text, &f, unknown); err != nil {
 		return f, err
 	}
 	where := tomlfile.Lines(text)
-	for i := range f.Partners { // what the group leaves out has the defaults
+	for i := range f.Partners { // set the defaults of what a group leaves out
 		f.Partners[i] = withDefaults(f.Partners[i], func(name string) bool { return where[fmt.Sprintf("partner[%d].%s", i, name)] > 0 })
 	}
 	return f, f.check(where)
 }
 
-// withDefaults is a partner as it is given, with the defaults for what the file does not name.
+// withDefaults returns a partner group with the defaults for what the file does not set.
 func withDefaults(given Partner, named func(name string) bool) Partner {
 	p := partnerDefaults()
 	from, to := reflect.ValueOf(given), reflect.ValueOf(&p).Elem()
--- a/fleet/experiment/plan.go
+++ b/fleet/experiment/plan.go
@@ -15,7 +15,7 @@
 	"starlingusher/fleet/tally"
 )
 
-// Plan is an experiment with all its chances drawn.
+// Plan is an experiment with all random values drawn.
 type Plan struct {
 	Name           string
 	About          string
@@ -28,22 +28,22 @@
 	Classes  []ClassPlan
 	Members  []MemberPlan
 	Partners []PartnerPlan
-	Arrivals []Arrival // in the order of their times
+	Arrivals []Arrival // in order of time
 	Rude     []Rudeness
-	Faults   []FaultPlan // in the order of their beginnings
+	Faults   []FaultPlan // in order of their start
 	Load     LoadPlan
 	Network  NetworkPlan
 	Rules    RulesPlan
-	Replicas int  // of the directory that tells the nodes; 0: the platform does
-	Listing  Span // how late the platform tells a node of a change
+	Replicas int  // of the directory that informs the nodes; 0: the platform does
+	Listing  Span // delay until the platform informs a node of a change
 	Expect   Expect
 }
 
-// NodePlan is one node.
+// NodePlan describes one node.
 type NodePlan struct {
 	Name     string
 	Zone     int
-	Weight   float64 // its share of the traffic
+	Weight   float64 // share of the traffic
 	Slots    int
 	MaxOpen  int
 	Cores    float64
@@ -53,7 +53,7 @@
 	Seed     uint64
 }
 
-// ClassPlan is one class.
+// ClassPlan describes one message class.
 type ClassPlan struct {
 	Name      string
 	Share     float64
@@ -66,23 +66,23 @@
 	Kinds     []int // none: all
 }
 
-// MemberPlan is one member.
+// TenantPlan describes one tenant.
 type MemberPlan struct {
 	Name      string
 	Share     float64
 	Allowance float64 // messages a second
 }
 
-// PartnerPlan is one partner.
+// PartnerPlan describes one partner.
 type PartnerPlan struct {
 	Kind   int
-	Weight float64 // its share of the traffic
+	Weight float64 // share of the traffic
 	Zones  []int   // of its endpoints
 	Model  partner.Config
 	Seed   uint64
 }
 
-// LoadPlan is how clients behave.
+// LoadPlan describes the clients.
 type LoadPlan struct {
 	Retries  int
 	Backoff  Span
@@ -92,13 +92,13 @@
 	Body     int
 }
 
-// NetworkPlan is the way between nodes and partners, one way.
+// NetworkPlan holds the one-way delays between nodes and partners.
 type NetworkPlan struct {
 	Same, Cross time.Duration
 	Jitter      float64
 }
 
-// RulesPlan holds the figures that the settings tell.
+// RulesPlan holds the parameters that the settings tell the nodes.
 type RulesPlan struct {
 	MaxAttempts  int
 	DrainGrace   time.Duration
@@ -111,28 +111,29 @@
 	MaxWait      time.Duration
 }
 
-// Arrival is a message that a client hands in for the first time. Its case is its place among the arrivals, from 1.
+// Arrival is a message that a client submits for the first time. Its message number is its position among the
+// arrivals, from 1.
 type Arrival struct {
 	At     time.Duration
 	Node   int
 	Class  int
 	Member int
 	Dest   int
-	Over   bool // beyond its member's share
+	Over   bool // beyond its tenant's share
 }
 
-// Rudeness is a rude peer that comes to a node.
+// RudePeer is a misbehaving peer that connects to a node.
 type Rudeness struct {
 	At   time.Duration
 	Node int
 	Way  int
 }
 
-// FaultPlan is one fault on one target or several.
+// FaultPlan is one fault on one or more targets.
 type FaultPlan struct {
 	Kind     string
 	At       time.Duration
-	Until    time.Duration // 0: for good
+	Until    time.Duration // 0: forever
 	Size     float64
 	Nodes    []int
 	Partners []int
@@ -162,10 +163,10 @@
 	return s
 }
 
-// OverShareWorth is what a message beyond its member's share counts.
+// OverShareWorth is the factor on the worth of a message beyond its tenant's share.
 const OverShareWorth = 0.05
 
-// Draw makes the plan of a seed. With nodes over 0 the fleet has so many.
+// DrawPlan returns the plan of a seed. If nodes is above 0, the fleet has that many.
 func (f File) Draw(seed uint64, nodes int) Plan {
 	d := drawer{f: f, seed: seed}
 	p := Plan{
@@ -210,12 +211,13 @@
 	seed uint64
 }
 
-// source is a source of chance for one purpose, so that a change to one part of the plan leaves the others.
+// source returns the random source of one purpose, so that a change to one part of the plan does not affect
+// the others.
 func (d drawer) source(purpose string) *rand.Rand {
 	return rand.New(rand.NewPCG(d.seed, xxhash.Sum64String(purpose)))
 }
 
-// byRank gives n weights that fall with a power of their rank, and sum up to 1.
+// zipfWeights returns n weights that fall with a power of their rank and sum to 1.
 func byRank(n int, exponent float64) []float64 {
 	w := make([]float64, n)
 	sum := 0.0
@@ -249,7 +251,7 @@
 	}
 }
 
-// share is a part of a sum, or an even one where the sum is nothing.
+// shareOf returns part as a share of sum, or an equal share if the sum is 0.
 func share(part, sum float64, of int) float64 {
 	if sum <= 0 {
 		return 1 / float64(of)
@@ -274,7 +276,7 @@
 	}
 }
 
-// partners draws the partners. Their traffic is what all classes send them together.
+// partners draws the partners. The traffic of a partner is the sum over all classes.
 func (d drawer) partners(p *Plan, rate float64) {
 	r := d.source("partners")
 	type group struct {
@@ -348,7 +350,7 @@
 			p.Partners = append(p.Partners, one)
 		}
 	}
-	most := make([]int, len(p.Kinds)) // the settings tell the nodes one size of batches a kind
+	most := make([]int, len(p.Kinds)) // the settings tell the nodes one batch size for each kind
 	for _, q := range p.Partners {
 		most[q.Kind] = max(most[q.Kind], q.Model.Batch)
 	}
@@ -359,7 +361,8 @@
 
 func (c ClassPlan) takes(kind int) bool { return len(c.Kinds) == 0 || slices.Contains(c.Kinds, kind) }
 
-// Rate is the limit that the list tells of a partner, or its capacity: calls a second from all nodes together.
+// TotalRate returns the rate limit that the list of endpoints tells of a partner, or else its capacity: calls
+// a second from all nodes together.
 func (p PartnerPlan) Rate() float64 {
 	if p.Model.Limit.PerSecond > 0 {
 		return p.Model.Limit.PerSecond
@@ -374,7 +377,7 @@
 	}
 	weights := byRank(count, d.f.Fleet.Uneven.draw(r))
 	r.Shuffle(count, func(i, j int) { weights[i], weights[j] = weights[j], weights[i] })
-	out := 0.0 // how long a call is out, in the mean
+	out := 0.0 // mean time that a call is in flight, in seconds
 	for _, q := range p.Partners {
 		out += q.Weight * (q.Model.Pace + p.Network.Same + p.Network.Cross).Seconds()
 	}
@@ -413,7 +416,7 @@
 			p.Faults = append(p.Faults, one)
 			continue
 		}
-		// One target after another. Only one sort of them steps; the other is the same each time.
+		// One target after another. Only one kind of targets steps; the other stays the same.
 		stepNodes := FaultKinds[x.Kind].aim&atNodes != 0
 		steps := len(partners)
 		if stepNodes {
@@ -482,7 +485,8 @@
 	return slices.Sorted(slices.Values(order))
 }
 
-// arrivals draws when messages come: a Poisson process whose rate the bursts lift, and clumps.
+// arrivals draws when messages are submitted: a Poisson process whose rate is multiplied by bursts, and
+// clumps.
 func (d drawer) arrivals(p *Plan, rate float64) {
 	r := d.source("arrivals")
 	clumps := d.f.Load.Clumps.draw(r)
@@ -563,7 +567,7 @@
 	}
 }
 
-// overShare marks what comes beyond a member's share: more than its allowance of the last two seconds.
+// markOverShare marks arrivals beyond a tenant's share: more than its allowance of the last two seconds.
 func overShare(p *Plan) {
 	const span = 2 * time.Second
 	room := make([]float64, len(p.Members))
@@ -582,7 +586,7 @@
 	}
 }
 
-// next is the time to the next of events that come so often a second.
+// nextArrival draws the time to the next event of a Poisson process with the given rate per second.
 func next(r *rand.Rand, rate float64) time.Duration {
 	if rate <= 0 {
 		return math.MaxInt64 / 4
@@ -590,7 +594,7 @@
 	return time.Duration(r.ExpFloat64() / rate * float64(time.Second))
 }
 
-// pick draws a place by weight.
+// pickWeighted draws an index by weight.
 func pick(r *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
@@ -605,7 +609,7 @@
 	return len(weights) - 1
 }
 
-// Key is the idempotency key of a case, "" if its class has none.
+// IdempotencyKey returns the idempotency key of a message, "" if its class has none.
 func (p *Plan) Key(c int) string {
 	if p.Classes[p.Arrivals[c-1].Class].Effect != judge.Keyed {
 		return ""
@@ -613,15 +617,15 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("key %d %d", p.Seed, c)))
 }
 
-// ID is the id under which a case is handed in for the n-th time.
+// MessageID returns the id for the n-th submission of a message.
 func (p *Plan) ID(c, n int) string {
 	return fmt.Sprintf("%08x%02x%06x", c, n&0xff, xxhash.Sum64String(fmt.Sprintf("id %d %d %d", p.Seed, c, n))&0xffffff)
 }
 
-// End is when the run ends.
+// EndTime returns when the run ends.
 func (p *Plan) End() time.Duration { return p.Length + p.Settle }
 
-// Judge gives the terms for the judge.
+// JudgeConfig returns the configuration for the judge.
 func (p *Plan) Judge() judge.Terms {
 	t := judge.DefaultTerms()
 	t.MaxAttempts, t.DrainGrace = p.Rules.MaxAttempts, p.Rules.DrainGrace
@@ -634,7 +638,7 @@
 	return t
 }
 
-// Tally gives the terms for the tally.
+// TallyConfig returns the configuration for the tally.
 func (p *Plan) Tally() tally.Terms {
 	t := tally.Terms{Partners: len(p.Partners), Weight: func(c int) float64 {
 		if c >= 1 && c <= len(p.Arrivals) && p.Arrivals[c-1].Over {
--- a/fleet/experiment/settings.go
+++ b/fleet/experiment/settings.go
@@ -10,7 +10,7 @@
 
 type object = map[string]any
 
-// Settings is the object that the platform's configuration tells a node as its settings.
+// Settings returns the settings object in the platform's configuration of a node.
 func (p *Plan) Settings(node int) (json.RawMessage, error) {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	n := p.Nodes[node]
@@ -49,7 +49,7 @@
 		},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("settings of node %d: %w", node, err)
+		return nil, fmt.Errorf("encode settings of node %d: %w", node, err)
 	}
 	return raw, nil
 }
--- a/fleet/experiment/value.go
+++ b/fleet/experiment/value.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// Number is a number or a range "LOW..HIGH", from which each seed draws one evenly.
+// NumberRange is a number or a range "LOW..HIGH", from which each seed draws a number uniformly.
 type Number struct{ Low, High float64 }
 
-// UnmarshalText reads a number or a range.
+// UnmarshalText parses a number or a range.
 func (n *Number) UnmarshalText(text []byte) error {
 	low, high, ranged := strings.Cut(string(text), "..")
 	var err error
 	if n.Low, err = strconv.ParseFloat(strings.TrimSpace(low), 64); err != nil {
-		return fmt.Errorf("%q is no number: write 3, 0.5 or \"2..4\"", text)
+		return fmt.Errorf("%q is not a number: write 3, 0.5 or \"2..4\"", text)
 	}
 	n.High = n.Low
 	if ranged {
 		if n.High, err = strconv.ParseFloat(strings.TrimSpace(high), 64); err != nil {
-			return fmt.Errorf("%q is no range of numbers: write \"2..4\"", text)
+			return fmt.Errorf("%q is not a range of numbers: write \"2..4\"", text)
 		}
 	}
 	if n.High < n.Low {
-		return fmt.Errorf("the range %q has its ends the wrong way round", text)
+		return fmt.Errorf("range %q has its ends reversed", text)
 	}
 	return nil
 }
 
 func (n Number) draw(r *rand.Rand) float64 { return n.Low + (n.High-n.Low)*r.Float64() }
 
-// whole draws a whole number; both ends are as likely as the others.
+// drawInt draws an integer; both ends are as likely as the others.
 func (n Number) whole(r *rand.Rand) int {
 	low, high := int(n.Low+0.5), int(n.High+0.5)
 	return low + r.IntN(high-low+1)
@@ -42,24 +42,24 @@
 
 func fixed(v float64) Number { return Number{v, v} }
 
-// Span is a length of time like "1.5s", or a range "1s..2s", from which each seed draws one evenly.
+// DurationRange is a duration like "1.5s", or a range "1s..2s", from which each seed draws one uniformly.
 type Span struct{ Low, High time.Duration }
 
-// UnmarshalText reads a length of time or a range.
+// UnmarshalText parses a duration or a range.
 func (s *Span) UnmarshalText(text []byte) error {
 	low, high, ranged := strings.Cut(string(text), "..")
 	var err error
 	if s.Low, err = time.ParseDuration(strings.TrimSpace(low)); err != nil {
-		return fmt.Errorf("%q is no length of time: write \"250ms\", \"1.5s\" or \"1s..2s\"", text)
+		return fmt.Errorf("%q is not a duration: write \"250ms\", \"1.5s\" or \"1s..2s\"", text)
 	}
 	s.High = s.Low
 	if ranged {
 		if s.High, err = time.ParseDuration(strings.TrimSpace(high)); err != nil {
-			return fmt.Errorf("%q is no range of times: write \"1s..2s\"", text)
+			return fmt.Errorf("%q is not a range of durations: write \"1s..2s\"", text)
 		}
 	}
 	if s.High < s.Low || s.Low < 0 {
-		return fmt.Errorf("the time %q is under 0 or has its ends the wrong way round", text)
+		return fmt.Errorf("duration %q is below 0 or has its ends reversed", text)
 	}
 	return nil
 }
--- a/fleet/history/history.go
+++ b/fleet/history/history.go
@@ -1,5 +1,6 @@
-// Package history holds what was seen in an experiment from outside the nodes: the events of clients, partners, the
-// platform and the processes, in the order of their times. The judge and the tally read it, whoever wrote it.
+// Package history holds what was seen in an experiment from outside the nodes: the events of clients,
+// partners, the platform and the processes, in the order of their times. The packages judge and tally read
+// it, regardless of who wrote it.
 package history
 
 import (
@@ -13,52 +14,52 @@
 	"time"
 )
 
-// Kind says what an event tells.
+// Kind is the kind of an event.
 type Kind string
 
-// The kinds. The fields that each of them uses are named behind it.
+// The trailing comments name the fields that each kind uses.
 const (
-	HandedIn Kind = "handed_in" // a client began to write a request: ID, Case, Class, Member, Dest, Key, Life, Again, First (it was due)
-	Answered Kind = "answered"  // how that ended: ID, State, Wait
+	HandedIn Kind = "handed_in" // a client began to write a request: ID, MessageNumber, Class, Tenant, Dest, Key, ExpiresIn, Resubmitted, FirstAt (when it was due)
+	Answered Kind = "answered"  // how the submission ended: ID, State, RetryAfter
 
-	CallBegan Kind = "call_began" // a call's last byte has come: Call, Partner, Endpoint, IDs, First (its first byte)
-	CallEnded Kind = "call_ended" // it holds no slot any more: Call, Partner, State, Fates, Wait
+	CallBegan Kind = "call_began" // the last byte of a call has arrived: Call, Partner, Endpoint, IDs, FirstAt (when its first byte arrived)
+	CallEnded Kind = "call_ended" // the call no longer holds a slot: Call, Partner, State, Outcomes, RetryAfter
 	Ran       Kind = "ran"        // a message has taken effect: Call, Partner, ID
-	Opened    Kind = "opened"     // a connection to an endpoint came up: Partner, Endpoint
-	Unreached Kind = "unreached"  // a connection did not come up, or was refused: Partner, Endpoint
+	Opened    Kind = "opened"     // a connection to an endpoint was established: Partner, Endpoint
+	Unreached Kind = "unreached"  // a connection was not established, or was refused: Partner, Endpoint
 
-	Noticed Kind = "noticed" // the platform has heard the end of a message: ID, State, Wait
-	Told    Kind = "told"    // the platform has told a change, or it counts as told: Endpoint, State
+	Noticed Kind = "noticed" // the platform has received the notice of a message's end: ID, State, RetryAfter
+	Told    Kind = "told"    // the platform has announced a change of an endpoint, or it counts as announced: Endpoint, State
 
-	Started Kind = "started" // a process: Note holds its id
+	Started Kind = "started" // a process; Note holds its id
 	Ready   Kind = "ready"
 	Term    Kind = "term"      // SIGTERM was sent
 	Killed  Kind = "killed"    // SIGKILL was sent
-	Stopped Kind = "stopped"   // SIGSTOP
-	Resumed Kind = "continued" // SIGCONT
-	Exited  Kind = "exited"    // State: "asked" or "crashed"
-	Lost    Kind = "lost"      // the node's lasting folder has gone
-	Exceeds Kind = "exceeds"   // a limit: Note
+	Stopped Kind = "stopped"   // SIGSTOP was sent
+	Resumed Kind = "continued" // SIGCONT was sent
+	Exited  Kind = "exited"    // State: ExitRequested or Crashed
+	Lost    Kind = "lost"      // the node's state directory was lost
+	Exceeds Kind = "exceeds"   // of a resource; Note tells which
 
 	OutageBegan Kind = "outage_began" // of a partner
 	OutageEnded Kind = "outage_ended"
-	Fell        Kind = "fell" // a cold partner was pushed over: Partner, Pushes
+	Fell        Kind = "fell" // a partner in slow start was overloaded: Partner, CallsBySender
 
-	Fault Kind = "fault" // of the timeline, begins or ends: Note
-	End   Kind = "end"   // of the run
+	Fault Kind = "fault" // a fault of the plan begins or ends: Note
+	End   Kind = "end"   // of the experiment
 )
 
-// States of Answered, CallEnded, Noticed and Told.
+// States of Answered, CallEnded, NoticeReceived and ChangeAnnounced.
 const (
 	Taken    = "taken"
 	Refused  = "refused"
 	Failed   = "failed"
-	Unheard  = "unheard" // the client stopped waiting
-	Broken   = "broken"  // the connection ended with no answer
-	Unsent   = "unsent"  // the request never got out whole
+	Unheard  = "unheard" // the client stopped waiting for the answer
+	Broken   = "broken"  // the connection ended without an answer
+	Unsent   = "unsent"  // the request was never sent completely
 	Returned = "returned"
 
-	Accepted  = "accepted" // 200; its Fates tell more
+	Accepted  = "accepted" // status 200; Outcomes tells more
 	Errored   = "errored"
 	Above     = "above_limit"
 	Turned    = "turned_away"
@@ -76,15 +77,15 @@
 	Crashed = "crashed"
 )
 
-// Fates of the messages of a call that was answered 200.
+// Outcomes of the messages of a call that was answered with status 200.
 const (
 	FateAccepted = "accepted"
 	FateFault    = "fault"
 	FateDeferred = "deferred"
 )
 
-// Event is one thing that was seen. Times are counted from the start of the run. Node is the node that it concerns, or
-// -1; Partner likewise.
+// Event is one observation. Times are relative to the start of the run. Node is the node concerned, or -1;
+// the same holds for Partner.
 type Event struct {
 	At      time.Duration `json:"at"`
 	Kind    Kind          `json:"kind"`
@@ -92,7 +93,7 @@
 	Partner int           `json:"partner"`
 
 	ID       string          `json:"id,omitempty"`
-	Case     int             `json:"case,omitempty"` // the message, over all ids that it was handed in under; from 1
+	Case     int             `json:"case,omitempty"` // number of the message, the same for all ids it was submitted under; from 1
 	Class    int             `json:"class,omitempty"`
 	Member   int             `json:"member,omitempty"`
 	Dest     int             `json:"dest,omitempty"`
@@ -110,24 +111,24 @@
 	Note     string          `json:"note,omitempty"`
 }
 
-// Sort puts events in the order of their times; those of one time stay as they stand.
+// Sort sorts events by time; events of the same time keep their order.
 func Sort(events []Event) {
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 }
 
-// Write writes events as JSON, one a line.
+// Write writes events as JSON lines.
 func Write(w io.Writer, events []Event) error {
 	b := bufio.NewWriter(w)
 	enc := json.NewEncoder(b)
 	for i := range events {
 		if err := enc.Encode(&events[i]); err != nil {
-			return fmt.Errorf("event %d: %w", i+1, err)
+			return fmt.Errorf("encode event %d: %w", i+1, err)
 		}
 	}
 	return b.Flush()
 }
 
-// Read reads what Write wrote. A line that can't be read is an error that names it.
+// Read reads what Write wrote. If an event can't be decoded, the error tells which one.
 func Read(r io.Reader) ([]Event, error) {
 	var events []Event
 	dec := json.NewDecoder(bufio.NewReader(r))
@@ -137,7 +138,7 @@
 		case errors.Is(err, io.EOF):
 			return events, nil
 		case err != nil:
-			return events, fmt.Errorf("event %d can't be read: %w", len(events)+1, err)
+			return events, fmt.Errorf("decode event %d: %w", len(events)+1, err)
 		}
 		events = append(events, e)
 	}
--- a/fleet/judge/judge.go
+++ b/fleet/judge/judge.go
@@ -1,5 +1,6 @@
-// Package judge finds broken rules in a history: what a fleet of nodes did, as clients, partners and the platform saw
-// it. It takes no node's word for anything. A breach names the rule, the message, and the events that prove it.
+// Package judge finds broken rules in a history: what a fleet of nodes did, as seen by clients, partners and
+// the platform. It never relies on what a node says of itself. A violation names the rule, the message, and
+// the events that show it.
 package judge
 
 import (
@@ -15,57 +16,55 @@
 // Rule names a rule.
 type Rule string
 
-// The rules.
 const (
-	OneEnd   Rule = "one-end"  // one final answer for each message taken, in time
-	Over     Rule = "over"     // nothing is sent on after its final answer
-	OneCopy  Rule = "one-copy" // never two attempts of a message out at once
-	Once     Rule = "once"     // what must not run twice is not sent, handed back or run again once it may have run
-	Window   Rule = "window"   // keyed messages are repeated within their window or not at all
-	Drain    Rule = "drain"    // nothing new to an endpoint that drains or is gone, a second after it was told
-	Wait     Rule = "wait"     // a partner that asked to be left alone is
-	Cold     Rule = "cold"     // no cold partner is pushed over by those who saw its outage
-	Attempts Rule = "attempts" // so many for a message at most
-	Slots    Rule = "slots"    // so many calls of a node out at once at most
-	Foreign  Rule = "foreign"  // a partner gets only the messages that were handed in for it
-	Answer   Rule = "answer"   // a client that has handed in whole gets an answer
-	Alive    Rule = "alive"    // no crash, no failed start, no limit exceeded
+	OneEnd   Rule = "one-end"  // each accepted message has one final answer, in time
+	Over     Rule = "over"     // a message is not sent after its final answer
+	OneCopy  Rule = "one-copy" // no two attempts of a message are in flight at once
+	Once     Rule = "once"     // a message that must not run twice is not sent, returned or run again once it may have run
+	Window   Rule = "window"   // keyed messages are repeated within their deduplication window or not at all
+	Drain    Rule = "drain"    // no new calls to an endpoint that drains or is deleted, one second after the change was announced
+	Wait     Rule = "wait"     // a partner that told a retry-after gets no calls until it has passed
+	Cold     Rule = "cold"     // no partner in slow start collapses by calls from nodes that saw its outage
+	Attempts Rule = "attempts" // a message has at most so many attempts
+	Slots    Rule = "slots"    // a node has at most so many calls in flight
+	Foreign  Rule = "foreign"  // a partner gets only messages that were submitted for it
+	Answer   Rule = "answer"   // a client that sent a complete request gets an answer
+	Alive    Rule = "alive"    // no crash, no failed start, no resource limit exceeded
 )
 
-// Rules are all rules.
+// Rules lists all rules.
 var Rules = []Rule{OneEnd, Over, OneCopy, Once, Window, Drain, Wait, Cold, Attempts, Slots, Foreign, Answer, Alive}
 
 // Effect is what a repeat of a message may do.
 type Effect uint8
 
-// The effects of a class.
 const (
 	Safe   Effect = iota // repeats are harmless
-	Keyed                // repeats are dropped for a window
+	Keyed                // repeats are dropped within a window
 	Unsafe               // must never run twice
 )
 
-// Class is what the rules need to know of a class.
+// Class holds the properties of a message class that the rules need.
 type Class struct {
 	Name   string
 	Effect Effect
 	Window time.Duration
 }
 
-// Terms are the figures of the rules. The zero value of a slack is none.
+// Config holds the parameters of the rules. A zero slack means none.
 type Terms struct {
 	Classes      []Class
-	MaxAttempts  int // 0: any number
+	MaxAttempts  int // 0: unlimited
 	Slots        []int
-	DrainGrace   time.Duration // after a drain was told
-	Slack        time.Duration // on top of every time limit
-	EndSlack     time.Duration // after a message's time, for its end
-	RestartSlack time.Duration // after a restarted node is ready, for the ends that it owes
-	WaitGrace    time.Duration // calls that come so soon after a wait was told are let through
-	CopySlack    time.Duration // overlaps shorter than this may be the observer's own lateness
+	DrainGrace   time.Duration // after a drain was announced
+	Slack        time.Duration // added to every time limit
+	EndSlack     time.Duration // after a message's deadline, for its final answer
+	RestartSlack time.Duration // after a restarted node is ready, for final answers that are overdue
+	WaitGrace    time.Duration // calls that start so soon after a retry-after was told are allowed
+	CopySlack    time.Duration // shorter overlaps may come from delays of the observer
 }
 
-// DefaultTerms are the protocol's figures.
+// DefaultConfig returns the values of the protocol.
 func DefaultTerms() Terms {
 	const ms = time.Millisecond
 	return Terms{
@@ -74,7 +73,7 @@
 	}
 }
 
-// Breach is a rule that was broken.
+// Violation is a broken rule.
 type Breach struct {
 	Rule  Rule            `json:"rule"`
 	Node  int             `json:"node"`
@@ -92,11 +91,11 @@
 	return s + ": " + b.Why
 }
 
-// call is one call as it was seen.
+// call is one call as the observers saw it.
 type call struct {
 	began, ended history.Event
-	open         bool          // it never ended
-	over         time.Duration // the time of one of its messages was up then
+	open         bool          // no end was seen
+	over         time.Duration // when the first of its messages reached its deadline
 }
 
 func (c *call) end() time.Duration {
@@ -106,8 +105,9 @@
 	return c.ended.At
 }
 
-// fate is how the call ended for a message, as the node was told; mayHaveRun unless the node has proof. What an answer to
-// several says when one of them is over counts for none.
+// outcome returns how the call ended for a message, as the node was told. mayHaveRun is true unless the node
+// has proof that the message did not run. An answer to a batch counts for none of its messages once the
+// deadline of one of them has passed.
 func (c *call) fate(id string) (delivered, mayHaveRun bool) {
 	if c.open {
 		return false, true
@@ -137,14 +137,14 @@
 
 func (m *message) taken() bool { return m.answered != nil && m.answered.State == history.Taken }
 
-// span is a stretch of time in which nothing is asked of a node.
+// span is a period in which nothing is required of a node.
 type span struct{ from, to time.Duration }
 
 type judge struct {
 	terms    Terms
 	events   []history.Event
 	messages map[string]*message
-	ids      []string // of messages, in the order of their hand-in
+	ids      []string // of messages, in the order of their submission
 	calls    map[uint64]*call
 	order    []*call
 	excused  map[int][]span // restarts and stops, by node
@@ -154,7 +154,7 @@
 	found    []Breach
 }
 
-// Find judges a history, which must be in order of its times. Breaches come in the order of theirs.
+// FindViolations checks a history, which must be in order of time. It returns the violations in order of time.
 func Find(terms Terms, events []history.Event) []Breach {
 	j := &judge{
 		terms: terms, events: events, messages: map[string]*message{}, calls: map[uint64]*call{}, excused: map[int][]span{},
@@ -184,12 +184,13 @@
 	j.found = append(j.found, Breach{Rule: rule, Node: node, ID: id, At: at, Why: fmt.Sprintf(why, args...), Proof: proof})
 }
 
-// read sorts the events by message and call.
+// index groups the events by message and call.
 func (j *judge) read() {
 	if n := len(j.events); n > 0 {
 		j.end = j.events[n-1].At
 	}
-	// A call that was given up on its way ends before it begins at the partner, so beginnings are read first.
+	// A call that was abandoned on its way ends before it starts at the partner, so the starts are read
+	// first.
 	for _, e := range j.events {
 		if e.Kind == history.CallBegan {
 			c := &call{began: e, open: true}
@@ -239,10 +240,10 @@
 	}
 }
 
-// processes finds crashes, and the times in which a node is excused: from the signal of a restart until it is ready
-// again, and while it is stopped, each with a little after it.
+// checkProcesses finds crashes, and the periods in which a node is excused: from the signal of a restart
+// until it is ready again, and while it is stopped, each with some slack.
 func (j *judge) processes() {
-	asked, since := map[int]bool{}, map[int]time.Duration{} // the node was told to end, and has not been ready since
+	asked, since := map[int]bool{}, map[int]time.Duration{} // the node was told to exit; time since which it has not been ready
 	stopped := map[int]time.Duration{}
 	for _, e := range j.events {
 		switch e.Kind {
@@ -271,7 +272,7 @@
 			}
 		case history.Exited:
 			if e.State == history.Crashed {
-				j.breach(Alive, e.Node, "", e.At, []history.Event{e}, "the process ended unasked: %s", e.Note)
+				j.breach(Alive, e.Node, "", e.At, []history.Event{e}, "the process exited without being told to: %s", e.Note)
 			}
 		case history.Exceeds:
 			j.breach(Alive, e.Node, "", e.At, []history.Event{e}, "%s", e.Note)
@@ -290,7 +291,7 @@
 	}
 }
 
-// excusedUntil moves a time on to the end of the stretches in which the node is excused.
+// excusedUntil moves a time to the end of the periods in which the node is excused.
 func (j *judge) excusedUntil(node int, at time.Duration) time.Duration {
 	for _, s := range j.excused[node] {
 		if s.from <= at && at < s.to {
@@ -304,7 +305,7 @@
 	return slices.ContainsFunc(j.lost[node], func(l time.Duration) bool { return l >= at })
 }
 
-// ended is the first of a message's ends, and what it was.
+// finalAnswer returns the first event that ended the message.
 func (j *judge) ended(m *message) (history.Event, bool) {
 	var first history.Event
 	found := false
@@ -325,15 +326,16 @@
 	if !m.taken() || j.lostSince(m.in.Node, m.in.At) {
 		return
 	}
-	// A call out at its time may end it then; the slack is for the way that the news takes.
+	// A call that is in flight at the deadline may end the message then; the slack covers the delay of the
+	// notice.
 	due := j.excusedUntil(m.in.Node, m.in.At+m.in.Life+j.terms.EndSlack+j.terms.Slack)
 	end, ok := j.ended(m)
 	proof := []history.Event{m.in, *m.answered}
 	switch {
 	case !ok && due < j.end:
-		j.breach(OneEnd, m.in.Node, m.in.ID, due, append(proof, callEvents(m)...), "it was taken and never had its end")
+		j.breach(OneEnd, m.in.Node, m.in.ID, due, append(proof, callEvents(m)...), "it was accepted and never had a final answer")
 	case ok && end.At > due:
-		j.breach(OneEnd, m.in.Node, m.in.ID, end.At, append(proof, end), "its end came %v too late", (end.At - due).Round(time.Millisecond))
+		j.breach(OneEnd, m.in.Node, m.in.ID, end.At, append(proof, end), "its final answer came %v too late", (end.At - due).Round(time.Millisecond))
 	}
 	// Delivered messages need no notice, and one does no harm. But two notices must not disagree.
 	for i := 1; i < len(m.notices); i++ {
@@ -362,8 +364,8 @@
 		return
 	}
 	for _, c := range m.calls {
-		// A message delivered to a process that was killed before it wrote that down may be sent once more, as its class
-		// permits; effects looks at that. After a notice nothing may follow.
+		// If a process is killed before it has recorded a delivery, the message may be sent once more, as its
+		// class permits; checkRepeats covers that. After a notice no attempt may follow.
 		if c.began.First <= end.At+j.terms.CopySlack {
 			continue
 		}
@@ -381,7 +383,7 @@
 	}
 }
 
-// effects looks at each attempt against those before it.
+// checkRepeats compares each attempt of a message with those before it.
 func (j *judge) effects(m *message) {
 	class := Class{}
 	if m.in.Class < len(j.terms.Classes) {
@@ -396,7 +398,7 @@
 				if !before.open {
 					proof = append(proof, before.ended)
 				}
-				j.breach(OneCopy, m.in.Node, m.in.ID, c.began.First, proof, "call %d began while call %d was out", c.began.Call, before.began.Call)
+				j.breach(OneCopy, m.in.Node, m.in.ID, c.began.First, proof, "call %d started while call %d was in flight", c.began.Call, before.began.Call)
 			}
 			if _, may := before.fate(m.in.ID); !may {
 				continue
@@ -406,11 +408,11 @@
 			switch {
 			case class.Effect == Unsafe && !once:
 				once = true
-				j.breach(Once, m.in.Node, m.in.ID, c.began.First, proof, "it was sent again though call %d may have run it (%s)", before.began.Call,
+				j.breach(Once, m.in.Node, m.in.ID, c.began.First, proof, "it was sent again although call %d may have run it (%s)", before.began.Call,
 					state(before))
 			case class.Effect == Keyed && late > 0 && !window:
 				window = true
-				j.breach(Window, m.in.Node, m.in.ID, c.began.First, proof, "it was sent again %v after its window",
+				j.breach(Window, m.in.Node, m.in.ID, c.began.First, proof, "it was sent again %v after its deduplication window",
 					late.Round(time.Millisecond))
 			}
 		}
@@ -424,7 +426,7 @@
 		}
 		for _, c := range m.calls {
 			if _, may := c.fate(m.in.ID); may && c.began.First < n.At {
-				j.breach(Once, m.in.Node, m.in.ID, n.At, []history.Event{m.in, c.began, c.ended, n}, "it was handed back though call %d may have run it (%s)",
+				j.breach(Once, m.in.Node, m.in.ID, n.At, []history.Event{m.in, c.began, c.ended, n}, "it was returned although call %d may have run it (%s)",
 					c.began.Call, state(c))
 				return
 			}
@@ -439,8 +441,8 @@
 	return c.ended.State
 }
 
-// cases finds messages that must not run twice and did, be it under one id or, after a node said that coming again
-// is harmless, under two.
+// checkDoubleRuns finds messages that must not run twice and did, under one id or, if a node said that
+// resubmission is harmless, under two.
 func (j *judge) cases() {
 	type run struct {
 		m  *message
@@ -472,7 +474,7 @@
 	if e == nil || e.State != history.Broken || j.excusedUntil(m.in.Node, e.At) != e.At || j.excusedUntil(m.in.Node, m.in.At) != m.in.At {
 		return
 	}
-	j.breach(Answer, m.in.Node, m.in.ID, e.At, []history.Event{m.in, *e}, "the connection ended with no answer")
+	j.breach(Answer, m.in.Node, m.in.ID, e.At, []history.Event{m.in, *e}, "the connection ended without an answer")
 }
 
 func (j *judge) foreign() {
@@ -481,14 +483,14 @@
 			m := j.messages[id]
 			switch {
 			case m == nil:
-				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{c.began}, "no client handed it in")
+				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{c.began}, "no client submitted it")
 			case m.in.Dest != c.began.Partner:
-				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it is for partner %d and was sent to %d", m.in.Dest,
+				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it is for partner %d but was sent to partner %d", m.in.Dest,
 					c.began.Partner)
 			case m.in.Node != c.began.Node:
-				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it was handed in to node %d", m.in.Node)
+				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it was submitted to node %d", m.in.Node)
 			case slices.Contains(c.began.IDs[:i], id):
-				j.breach(OneCopy, c.began.Node, id, c.began.At, []history.Event{c.began}, "it is in one call twice")
+				j.breach(OneCopy, c.began.Node, id, c.began.At, []history.Event{c.began}, "it is twice in one call")
 			}
 		}
 	}
@@ -509,7 +511,7 @@
 	}
 	for _, c := range j.order {
 		if len(c.began.IDs) == 0 {
-			continue // a probe is no send
+			continue // a probe delivers no message
 		}
 		p := place{c.began.Node, c.began.Endpoint}
 		for len(at[p]) > 0 && at[p][0].At <= c.began.First {
@@ -525,16 +527,16 @@
 		if !ok {
 			continue
 		}
-		// What was told to a process that does not run is told when it does.
+		// A process that is stopped learns of a change when it resumes.
 		heard := j.stoppedUntil(p.node, e.At)
 		if late := c.began.First - heard - j.terms.DrainGrace - j.terms.Slack; late > 0 {
-			j.breach(Drain, p.node, first(c.began.IDs), c.began.First, []history.Event{e, c.began}, "a call to %s %v too late after it was told to be %s",
+			j.breach(Drain, p.node, first(c.began.IDs), c.began.First, []history.Event{e, c.began}, "a call to %s started %v too late after the endpoint was announced as %s",
 				p.endpoint, late.Round(time.Millisecond), e.State)
 		}
 	}
 }
 
-// stoppedUntil is excusedUntil without the slack for ends.
+// stoppedUntil is excusedUntil without the slack for final answers.
 func (j *judge) stoppedUntil(node int, at time.Duration) time.Duration {
 	for _, s := range j.excused[node] {
 		if to := s.to - j.terms.RestartSlack; s.from <= at && at < to {
@@ -573,7 +575,7 @@
 			if c.began.First <= heard+j.terms.WaitGrace || c.began.First >= e.At+e.Wait-j.terms.Slack || j.restarted(p.node, e.At, c.began.First) {
 				continue
 			}
-			j.breach(Wait, p.node, first(c.began.IDs), c.began.First, []history.Event{e, c.began}, "partner %d asked %v before to be left alone for %v",
+			j.breach(Wait, p.node, first(c.began.IDs), c.began.First, []history.Event{e, c.began}, "partner %d had told a retry-after %v before, of %v",
 				p.partner, (c.began.First - e.At).Round(time.Millisecond), e.Wait.Round(time.Millisecond))
 			break
 		}
@@ -610,14 +612,14 @@
 		out := 0
 		for _, e := range edges {
 			if out += e.d; out > j.terms.Slots[n] {
-				j.breach(Slots, n, first(e.c.began.IDs), e.at, []history.Event{e.c.began}, "%d calls are out, the node has %d slots", out, j.terms.Slots[n])
+				j.breach(Slots, n, first(e.c.began.IDs), e.at, []history.Event{e.c.began}, "%d calls are in flight, the node has %d slots", out, j.terms.Slots[n])
 				break
 			}
 		}
 	}
 }
 
-// colds finds partners that were pushed over mostly by nodes that had seen the outage.
+// checkSlowStart finds partners that collapsed mostly by calls of nodes that had seen the outage.
 func (j *judge) colds() {
 	saw := map[int]map[int]history.Event{} // by partner and node: the first failure in its last outage
 	out := map[int]bool{}
@@ -645,7 +647,7 @@
 				}
 			}
 			if all > 0 && knew >= all*2/3 {
-				j.breach(Cold, -1, "", e.At, proof, "partner %d was pushed over, %.0f of %.0f calls from nodes that had seen its outage", e.Partner, knew, all)
+				j.breach(Cold, -1, "", e.At, proof, "partner %d collapsed in slow start, %.0f of %.0f calls came from nodes that had seen its outage", e.Partner, knew, all)
 			}
 		}
 	}
--- a/fleet/judge/judge_test.go
+++ b/fleet/judge/judge_test.go
@@ -22,7 +22,7 @@
 	return t
 }
 
-// story builds a history by hand: what a sender, faulty or not, would have been seen to do.
+// scenario builds a history by hand: what observers would have seen of a sender, faulty or not.
 type story struct {
 	events []history.Event
 	calls  uint64
@@ -65,24 +65,24 @@
 	tell func(*story)
 }
 
-// stories break the rules that they name and no others. Those next to each other differ in the one thing that makes
-// the breach.
+// scenarios returns histories that break exactly the named rules. Neighbors in the list differ in the one
+// thing that makes the violation.
 func stories() []told {
 	deliver := func(s *story, at time.Duration, id string) { s.end(at+50*ms, s.call(at, id), history.Accepted, 0, ok) }
 	return []told{
 		{"delivered", nil, func(s *story) { s.taken(0, "a", unsafe); deliver(s, 10*ms, "a") }},
-		{"given up with a notice", nil, func(s *story) { s.taken(0, "a", safe); s.notice(4200*ms, "a", history.Failed) }},
-		{"no end", []Rule{OneEnd}, func(s *story) { s.taken(0, "a", safe) }},
-		{"a late end", []Rule{OneEnd}, func(s *story) { s.taken(0, "a", safe); s.notice(4500*ms, "a", history.Failed) }},
-		{"an end just in time", nil, func(s *story) { s.taken(0, "a", safe); s.notice(4340*ms, "a", history.Failed) }},
-		{"answered with another that is over", []Rule{OneEnd}, func(s *story) {
+		{"failed with a notice", nil, func(s *story) { s.taken(0, "a", safe); s.notice(4200*ms, "a", history.Failed) }},
+		{"no final answer", []Rule{OneEnd}, func(s *story) { s.taken(0, "a", safe) }},
+		{"a late final answer", []Rule{OneEnd}, func(s *story) { s.taken(0, "a", safe); s.notice(4500*ms, "a", history.Failed) }},
+		{"a final answer just in time", nil, func(s *story) { s.taken(0, "a", safe); s.notice(4340*ms, "a", history.Failed) }},
+		{"answered together with an expired message", []Rule{OneEnd}, func(s *story) {
 			s.taken(0, "a", safe)
 			s.taken(time.Second, "bb", unsafe)
 			both := s.call(1100*ms, "a", "bb")
 			s.notice(4*time.Second, "a", history.Failed)
 			s.end(4060*ms, both, history.Accepted, 0, ok, ok)
 		}},
-		{"answered with another that is over, and a notice", nil, func(s *story) {
+		{"answered together with an expired message, and a notice", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.taken(time.Second, "bb", unsafe)
 			both := s.call(1100*ms, "a", "bb")
@@ -90,11 +90,11 @@
 			s.end(4060*ms, both, history.Accepted, 0, ok, ok)
 			s.notice(4070*ms, "bb", history.Failed)
 		}},
-		{"no end, not taken", nil, func(s *story) {
+		{"no final answer, not accepted", nil, func(s *story) {
 			s.add(history.Event{Kind: history.HandedIn, Partner: -1, ID: "a", Case: 1, Life: time.Second})
 			s.add(history.Event{At: ms, Kind: history.Answered, Partner: -1, ID: "a", State: history.Refused})
 		}},
-		{"a late end, owed over a restart", nil, func(s *story) {
+		{"a final answer delayed by a restart", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.node(3900*ms, history.Killed, "")
 			s.node(3901*ms, history.Exited, history.Asked)
@@ -102,24 +102,24 @@
 			s.node(5*time.Second, history.Ready, "")
 			s.notice(6400*ms, "a", history.Failed)
 		}},
-		{"too late over a restart", []Rule{OneEnd}, func(s *story) {
+		{"too late after a restart", []Rule{OneEnd}, func(s *story) {
 			s.taken(0, "a", safe)
 			s.node(3900*ms, history.Killed, "")
 			s.node(4900*ms, history.Started, "")
 			s.node(5*time.Second, history.Ready, "")
 			s.notice(6600*ms, "a", history.Failed)
 		}},
-		{"no end, the folder lost", nil, func(s *story) {
+		{"no final answer, state directory lost", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.node(ms*100, history.Killed, "")
 			s.node(101*ms, history.Lost, "")
 		}},
-		{"two ends that disagree", []Rule{OneEnd}, func(s *story) {
+		{"two notices that disagree", []Rule{OneEnd}, func(s *story) {
 			s.taken(0, "a", safe)
 			s.notice(time.Second, "a", history.Failed)
 			s.notice(2*time.Second, "a", history.Returned)
 		}},
-		{"one end told twice", nil, func(s *story) {
+		{"the same notice twice", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.notice(time.Second, "a", history.Failed)
 			s.notice(2*time.Second, "a", history.Failed)
@@ -135,27 +135,27 @@
 			deliver(s, 1100*ms, "a")
 		}},
 		{"sent after it was delivered", []Rule{Over}, func(s *story) { s.taken(0, "a", safe); deliver(s, 10*ms, "a"); deliver(s, time.Second, "a") }},
-		{"sent again over a restart", nil, func(s *story) {
+		{"sent again after a restart", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			deliver(s, 10*ms, "a")
 			s.node(100*ms, history.Killed, "")
 			s.node(900*ms, history.Started, "")
 			deliver(s, time.Second, "a")
 		}},
-		{"two copies out", []Rule{OneCopy}, func(s *story) {
+		{"two attempts in flight", []Rule{OneCopy}, func(s *story) {
 			s.taken(0, "a", safe)
 			first := s.call(10*ms, "a")
 			second := s.call(100*ms, "a")
 			s.end(200*ms, first, history.GivenUp, 0)
 			s.end(300*ms, second, history.Accepted, 0, ok)
 		}},
-		{"one after the other", nil, func(s *story) {
+		{"one attempt after the other", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.end(99*ms, s.call(10*ms, "a"), history.GivenUp, 0)
 			deliver(s, 100*ms, "a")
 		}},
-		{"a copy while a call has no end", []Rule{OneCopy}, func(s *story) { s.taken(0, "a", safe); s.call(10*ms, "a"); deliver(s, 100*ms, "a") }},
-		{"a call given up on its way, and another one", nil, func(s *story) {
+		{"an attempt while a call has no end", []Rule{OneCopy}, func(s *story) { s.taken(0, "a", safe); s.call(10*ms, "a"); deliver(s, 100*ms, "a") }},
+		{"a call abandoned on its way, and another one", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.calls++
 			s.add(history.Event{At: 500 * ms, Kind: history.CallBegan, Call: s.calls, Endpoint: "e", IDs: []string{"a"}, First: 10 * ms})
@@ -182,7 +182,7 @@
 			s.end(160*ms, s.call(100*ms, "a"), history.Accepted, 0, history.FateDeferred)
 			deliver(s, 200*ms, "a")
 		}},
-		{"a payout handed back that may have run", []Rule{Once}, func(s *story) {
+		{"a payout returned that may have run", []Rule{Once}, func(s *story) {
 			s.taken(0, "a", unsafe)
 			s.end(60*ms, s.call(10*ms, "a"), history.GivenUp, 0)
 			s.notice(time.Second, "a", history.Returned)
@@ -227,48 +227,48 @@
 			s.taken(time.Second, "a", safe)
 			deliver(s, 1100*ms, "a")
 		}},
-		{"told while it was stopped", nil, func(s *story) {
+		{"announced while the node was stopped", nil, func(s *story) {
 			s.node(0, history.Stopped, "")
 			s.told(100*ms, history.Draining)
 			s.node(5*time.Second, history.Resumed, "")
 			s.taken(5100*ms, "a", safe)
 			deliver(s, 5200*ms, "a")
 		}},
-		{"a wait not heeded", []Rule{Wait}, func(s *story) {
+		{"a retry-after ignored", []Rule{Wait}, func(s *story) {
 			s.taken(0, "a", safe)
 			s.end(60*ms, s.call(10*ms, "a"), history.Above, 500*ms)
 			deliver(s, 300*ms, "a")
 		}},
-		{"a call on its way when the wait was told", nil, func(s *story) {
+		{"a call on its way when the retry-after was told", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.end(60*ms, s.call(10*ms, "a"), history.Above, 500*ms)
 			deliver(s, 150*ms, "a")
 		}},
-		{"after the wait", nil, func(s *story) {
+		{"after the retry-after", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.end(60*ms, s.call(10*ms, "a"), history.Above, 500*ms)
 			deliver(s, 561*ms, "a")
 		}},
-		{"a wait that a restart ended", nil, func(s *story) {
+		{"a retry-after ended by a restart", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.end(60*ms, s.call(10*ms, "a"), history.Above, 2*time.Second)
 			s.node(100*ms, history.Killed, "")
 			s.node(700*ms, history.Started, "")
 			deliver(s, 800*ms, "a")
 		}},
-		{"a probe in a wait", nil, func(s *story) {
+		{"a probe during a retry-after", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.end(60*ms, s.call(10*ms, "a"), history.Above, 500*ms)
 			s.end(310*ms, s.call(300*ms), history.Accepted, 0)
 			deliver(s, 600*ms, "a")
 		}},
-		{"a cold partner pushed over by those who knew", []Rule{Cold}, func(s *story) {
+		{"a collapse caused by nodes that saw the outage", []Rule{Cold}, func(s *story) {
 			s.add(history.Event{Kind: history.OutageBegan, Node: -1})
 			s.add(history.Event{At: 10 * ms, Kind: history.Unreached, Node: 0})
 			s.add(history.Event{At: time.Second, Kind: history.OutageEnded, Node: -1})
 			s.add(history.Event{At: 2 * time.Second, Kind: history.Fell, Node: -1, Pushes: map[int]float64{0: 20, 1: 10}})
 		}},
-		{"a cold partner pushed over by others", nil, func(s *story) {
+		{"a collapse caused by other nodes", nil, func(s *story) {
 			s.add(history.Event{Kind: history.OutageBegan, Node: -1})
 			s.add(history.Event{At: 10 * ms, Kind: history.Unreached, Node: 0})
 			s.add(history.Event{At: time.Second, Kind: history.OutageEnded, Node: -1})
@@ -305,7 +305,7 @@
 				deliver(s, time.Duration(60*i+10)*ms, id)
 			}
 		}},
-		{"a message that nobody handed in", []Rule{Foreign}, func(s *story) { deliver(s, 10*ms, "a") }},
+		{"a message that nobody submitted", []Rule{Foreign}, func(s *story) { deliver(s, 10*ms, "a") }},
 		{"a message to another partner", []Rule{Foreign}, func(s *story) {
 			s.add(history.Event{Kind: history.HandedIn, Partner: -1, ID: "a", Case: 1, Dest: 1, Life: time.Second})
 			s.add(history.Event{At: ms, Kind: history.Answered, Partner: -1, ID: "a", State: history.Taken})
@@ -315,14 +315,14 @@
 			s.add(history.Event{Kind: history.HandedIn, Partner: -1, ID: "a", Case: 1, Life: time.Second})
 			s.add(history.Event{At: ms, Kind: history.Answered, Partner: -1, ID: "a", State: history.Broken})
 		}},
-		{"a client without an answer, at a kill", nil, func(s *story) {
+		{"a client without an answer, node killed", nil, func(s *story) {
 			s.add(history.Event{Kind: history.HandedIn, Partner: -1, ID: "a", Case: 1, Life: time.Second})
 			s.node(ms, history.Killed, "")
 			s.add(history.Event{At: 2 * ms, Kind: history.Answered, Partner: -1, ID: "a", State: history.Broken})
 		}},
 		{"a crash", []Rule{Alive}, func(s *story) { s.node(time.Second, history.Exited, history.Crashed) }},
-		{"an end that was asked for", nil, func(s *story) { s.node(time.Second, history.Exited, history.Asked) }},
-		{"a limit passed", []Rule{Alive}, func(s *story) { s.add(history.Event{At: 1, Kind: history.Exceeds, Note: "memory"}) }},
+		{"a requested exit", nil, func(s *story) { s.node(time.Second, history.Exited, history.Asked) }},
+		{"a resource limit exceeded", []Rule{Alive}, func(s *story) { s.add(history.Event{At: 1, Kind: history.Exceeds, Note: "memory"}) }},
 	}
 }
 
@@ -339,7 +339,7 @@
 					got = append(got, b.Rule)
 				}
 				if b.Why == "" || len(b.Proof) == 0 {
-					t.Errorf("%v has no proof", b)
+					t.Errorf("%v has no evidence", b)
 				}
 			}
 			if !slices.Equal(got, test.want) {
@@ -349,11 +349,11 @@
 	}
 }
 
-// No rule is without a story that breaks it.
+// Each rule has a scenario that breaks it.
 func TestEveryRuleIsFound(t *testing.T) {
 	for _, rule := range Rules {
 		if !slices.ContainsFunc(stories(), func(s told) bool { return slices.Contains(s.want, rule) }) {
-			t.Errorf("no story breaks %s", rule)
+			t.Errorf("no scenario breaks %s", rule)
 		}
 	}
 }
--- a/fleet/ownership/agree.go
+++ b/fleet/ownership/agree.go
@@ -6,32 +6,36 @@
 	"fmt"
 )
 
-// Agreement writes one new map into the directory's record so that each number is given once, whatever is lost: it
-// acquires the record, reads it fresh, writes the next number by its token, lets go. It is a pure state machine; who
-// carries out its actions does one at a time and hands back what came of each.
+// Publisher writes one new map into the directory's record so that each map number is used once, whatever
+// messages are lost. It acquires the record, reads it with a linearizable read, writes the map with the next
+// number under its fencing token, and releases the record. It is a pure state machine: the caller carries out
+// its actions one at a time and reports the result of each.
 //
-// Two rules carry it. What rests on a read that came after the token was given is written by that token alone: another
-// holder's would be another token, and this one is refused from then on. And a write whose answer was lost may yet be
-// done, so that nothing else is written by its token: the record is acquired again, which bars the old token, and then
-// a fresh read tells for good whether it was done.
+// Two rules make this safe. First, a map that is planned from a read made under a token is written under that
+// token only: if another holder acquired the record in between, the token differs and the write is refused.
+// Second, a write whose answer was lost may still take effect, so nothing else is written under its token.
+// The record is acquired again, which invalidates the old token, and a fresh read then tells for certain
+// whether the write took effect.
 type Agreement struct {
-	// Plan makes the map of a number from the one before (nil: there is none). It may refuse, and it returns the map
-	// before itself if nothing is to change. It is asked again if another was written meanwhile.
+	// Plan makes the map with the given number from the previous one (nil: there is none). It may refuse with
+	// an error, and it returns the previous map itself if nothing has to change. It is called again if
+	// another map was written meanwhile.
 	Plan func(number int64, before *Map) (*Map, error)
-	// Above is a number that the new one must be above, beside the record's. It is for a record that was set back (a
-	// restored backup) or can't be read: then with it, and only then, the map is made as the first. 0: none.
+	// AboveNumber is a number that the new map's number must exceed, in addition to the record's. It is meant
+	// for a record that was set back (a restored backup) or can't be decoded: only if it is set is an
+	// undecodable record replaced, by a first map. 0: none.
 	Above int64
 
 	state   stage
 	seq     int
 	token   int64
 	writing *Map
-	raw     []byte // the last that was written and may have been done, or may yet be; nil: none
-	sought  *Map   // it, as a map
-	unsure  int64  // number of another that may have been written, before what is there now; 0: none
+	raw     []byte // encoded map that was written and whose write is ambiguous; nil: none
+	sought  *Map   // the same map, decoded
+	unsure  int64  // number of an earlier map whose write is ambiguous; 0: none
 	done    *Map
-	err     error // why there is none,
-	why     error // and why an action was refused lately
+	err     error // why there is no result
+	why     error // why the last action was refused
 }
 
 type stage int
@@ -45,30 +49,32 @@
 	ended
 )
 
-// Action is what is to be done next; its answer names its Seq. All but End are done against the directory.
+// Action is what the caller has to do next; its Answer repeats Seq. All actions but End are requests to the
+// directory.
 type Action struct {
 	Seq   int
 	Do    Verb
 	Token int64  // of Update and Release
 	Value []byte // of Update
-	// Of End: the map that is in force by this agreement's doing (or was when it was read, if nothing had to change).
-	// Without one Err tells why not; ErrUnknown if a map may have been written, or may yet be.
+	// For End: the map that this publisher put in force (or that was in force when read, if nothing had to
+	// change). If Map is nil, Err tells why; it is ErrAmbiguous if a map may have been written, or may yet
+	// be.
 	Map *Map
 	Err error
 }
 
-// Verb is what an action does.
+// Operation is the kind of an action.
 type Verb int
 
 const (
-	Acquire Verb = iota + 1 // the record, with a lease
-	Read                    // it, fresh: holding each write that was acknowledged before the read
-	Update                  // its value, by the token
-	Release                 // it, by the token; what comes of it does not matter
-	End                     // nothing more
+	Acquire Verb = iota + 1 // acquire the record, with a lease
+	Read                    // read the record; the read must include each write that was acknowledged before it
+	Update                  // write the record's value under the token
+	Release                 // release the record under the token; the result does not matter
+	End                     // nothing more to do
 )
 
-// Answer is what came of an action.
+// Answer is the result of an action.
 type Answer struct {
 	Seq   int
 	Came  Outcome
@@ -82,19 +88,19 @@
 
 const (
 	Done    Outcome = iota + 1
-	Refused         // it was not done and never will be
-	Lost            // it may have been done, or may yet be
-	Lapsed          // of Read and Update, before or in place of an answer: the lease can't be relied on; it may have been done
-	GaveUp          // of any: who carries the actions out has no more time. It may have been done
+	Refused         // it did not take effect and never will
+	Lost            // it may have taken effect, or may yet do so
+	Lapsed          // for Read and Update, before or instead of an answer: the lease can't be relied on; the action may have taken effect
+	GaveUp          // for all actions: the caller has no time left; the action may have taken effect
 )
 
-// ErrUnknown says that a map may have been written, or may yet be.
-var ErrUnknown = errors.New("a map may have been written, or may yet be")
+// ErrAmbiguous says that a map may have been written, or may yet be.
+var ErrUnknown = errors.New("a map may have been written, or may yet be written")
 
-// Begin tells the first action.
+// Begin returns the first action.
 func (a *Agreement) Begin() Action { return a.next(acquiring) }
 
-// next is the action that begins a stage.
+// enter returns the action that begins a stage.
 func (a *Agreement) next(s stage) Action {
 	a.state = s
 	a.seq++
@@ -115,7 +121,7 @@
 	return Action{Seq: a.seq, Do: End, Map: a.done, Err: a.err}
 }
 
-// Step takes an answer and tells what is next; false for one that is of no action under way.
+// Step takes an answer and returns the next action; false if the answer is not for the action in progress.
 func (a *Agreement) Step(ans Answer) (Action, bool) {
 	if ans.Seq != a.seq || a.state == idle || a.state == ended {
 		return Action{}, false
@@ -152,14 +158,14 @@
 		}
 		return a.next(acquiring), true
 	}
-	return a.next(ended), true // releasing
+	return a.next(ended), true // was releasing
 }
 
 func (a *Agreement) giveUp() Action {
 	if a.sought != nil {
 		a.unsure = a.sought.Number
 	}
-	err := errors.New("no more time")
+	err := errors.New("out of time")
 	if a.why != nil {
 		err = fmt.Errorf("%w: %w", err, a.why)
 	}
@@ -169,12 +175,12 @@
 func (a *Agreement) fail(err error) Action {
 	a.err = err
 	if a.unsure > 0 {
-		a.err = fmt.Errorf("%w; number %d: %w", err, a.unsure, ErrUnknown)
+		a.err = fmt.Errorf("%w; map %d: %w", err, a.unsure, ErrUnknown)
 	}
 	return a.next(releasing)
 }
 
-// plan goes on from what was read by the token that is held.
+// planNext continues from the value that was read under the current token.
 func (a *Agreement) plan(value []byte) Action {
 	if a.sought != nil && bytes.Equal(value, a.raw) {
 		a.done = a.sought
@@ -189,10 +195,10 @@
 		}
 	}
 	if a.sought != nil && value != nil && (before == nil || before.Number >= a.sought.Number) {
-		a.unsure = a.sought.Number // another has written after that; else it was not done and, its token barred, never will be
+		a.unsure = a.sought.Number // another map was written after it; otherwise it did not take effect and, its token being invalid, never will
 	}
 	if unread != nil && a.Above == 0 {
-		return a.fail(fmt.Errorf("record %s can't be read: %w", Record, unread))
+		return a.fail(fmt.Errorf("decode record %s: %w", Record, unread))
 	}
 	a.raw, a.sought = nil, nil
 	m, err := a.Plan(number+1, before)
--- a/fleet/ownership/agree_test.go
+++ b/fleet/ownership/agree_test.go
@@ -12,15 +12,15 @@
 	. "starlingusher/fleet/ownership"
 )
 
-// The catalog knows maps, so what plays with both stands outside of the package.
+// These tests are outside the package because they use the catalog, which imports it.
 
-// writer is an Agreement or a double of it.
+// writer is a Publisher or a faulty version of it.
 type writer interface {
 	Begin() Action
 	Step(Answer) (Action, bool)
 }
 
-// sent is an action on its way to the directory, or its answer on the way back.
+// request is an action on its way to the directory, or its answer on the way back.
 type sent struct {
 	who, life int
 	holder    string
@@ -28,7 +28,7 @@
 	answer    Answer
 }
 
-// process is a controller: one life of it writes one map, and then the next begins.
+// controller runs one Publisher after another; each is one run of an operator's command.
 type process struct {
 	life    int
 	holder  string
@@ -37,7 +37,7 @@
 	ended   bool
 }
 
-// world is two controllers and the directory's record, which is the catalog's own state machine.
+// simulation has two controllers and the directory's record, kept by the catalog's own state machine.
 type world struct {
 	rng      *rand.Rand
 	make     func(*world) writer
@@ -45,11 +45,11 @@
 	all      [2]process
 	asks     []sent
 	answers  []sent
-	variants []*Map // of a first map, to be had at no cost
+	variants []*Map // first maps made in advance, which saves the time of Make
 	given    map[int64][]byte
 	last     int64
-	wrote    map[[2]int]bool // lives whose writes were done
-	never    map[[2]int]bool // lives that ended sure that they wrote nothing
+	wrote    map[[2]int]bool // runs whose writes took effect
+	never    map[[2]int]bool // runs that ended certain that they wrote nothing
 	count    map[string]int
 	bad      []string
 }
@@ -66,7 +66,7 @@
 	return w
 }
 
-// variant is a map of a number, made from what the members are just now.
+// variant returns a map with the given number; its members are chosen at random.
 func (w *world) variant(number int64) *Map {
 	m := *w.variants[w.rng.IntN(len(w.variants))]
 	m.Number = number
@@ -76,11 +76,11 @@
 func (w *world) restart(i int) {
 	p := &w.all[i]
 	p.life++
-	if w.rng.IntN(2) == 0 || p.holder == "" { // else as the same, as an operator who calls again
+	if w.rng.IntN(2) == 0 || p.holder == "" { // otherwise under the same name, like an operator who runs the command again
 		p.holder = fmt.Sprintf("c%d.%d", i, p.life)
 	}
 	if w.rng.IntN(20) == 0 {
-		p.holder = w.all[1-i].holder + "" // or by mistake as the other
+		p.holder = w.all[1-i].holder + "" // or, by mistake, under the name of the other
 		if p.holder == "" {
 			p.holder = "c"
 		}
@@ -103,22 +103,22 @@
 		w.count["ended with a map"]++
 		raw, err := a.Map.Encode()
 		if err != nil || !bytes.Equal(w.given[a.Map.Number], raw) {
-			w.bad = append(w.bad, fmt.Sprintf("controller %d says that it wrote map %d, which was not written (%v)", i, a.Map.Number, err))
+			w.bad = append(w.bad, fmt.Sprintf("controller %d reports that it wrote map %d, which was not written (%v)", i, a.Map.Number, err))
 		}
 	case errors.Is(a.Err, ErrUnknown):
-		w.count["ended not knowing"]++
+		w.count["ended ambiguous"]++
 	case a.Err != nil:
-		w.count["ended without"]++
+		w.count["ended without a map"]++
 		w.never[key] = true
 		if w.wrote[key] {
-			w.bad = append(w.bad, fmt.Sprintf("controller %d says that it wrote nothing, and has: %v", i, a.Err))
+			w.bad = append(w.bad, fmt.Sprintf("controller %d reports that it wrote nothing, but it did: %v", i, a.Err))
 		}
 	default:
-		w.bad = append(w.bad, fmt.Sprintf("controller %d ended and says nothing", i))
+		w.bad = append(w.bad, fmt.Sprintf("controller %d ended without a map or an error", i))
 	}
 }
 
-// serve carries out an ask at the directory.
+// serve carries out a request at the directory.
 func (w *world) serve(s sent) Answer {
 	ans := Answer{Seq: s.action.Seq, Came: Done}
 	var r catalog.Result
@@ -146,23 +146,23 @@
 	return ans
 }
 
-// written looks at each new value.
+// checkWrite checks each value that is written.
 func (w *world) written(s sent) {
 	m, err := Decode(s.action.Value)
 	if err != nil {
-		w.bad = append(w.bad, fmt.Sprint("what was written can't be read: ", err))
+		w.bad = append(w.bad, fmt.Sprint("decode the written value: ", err))
 		return
 	}
 	w.count["written"]++
 	key := [2]int{s.who, s.life}
 	w.wrote[key] = true
 	if w.never[key] {
-		w.bad = append(w.bad, fmt.Sprintf("controller %d said that it wrote nothing, and map %d of its came after", s.who, m.Number))
+		w.bad = append(w.bad, fmt.Sprintf("controller %d reported that it wrote nothing, but its map %d was written later", s.who, m.Number))
 	}
 	if old, ok := w.given[m.Number]; ok && !bytes.Equal(old, s.action.Value) {
-		w.bad = append(w.bad, fmt.Sprintf("number %d was given twice", m.Number))
+		w.bad = append(w.bad, fmt.Sprintf("number %d was used for two maps", m.Number))
 	} else if !ok && m.Number <= w.last {
-		w.bad = append(w.bad, fmt.Sprintf("number %d came after %d", m.Number, w.last))
+		w.bad = append(w.bad, fmt.Sprintf("number %d was written after %d", m.Number, w.last))
 	}
 	w.given[m.Number], w.last = s.action.Value, max(w.last, m.Number)
 }
@@ -173,7 +173,7 @@
 	}
 }
 
-// step lets one thing happen, of which faults are a share.
+// step makes one thing happen; faults is the share of faults among them.
 func (w *world) step(faults float64) {
 	pull := func(from *[]sent) sent {
 		i := w.rng.IntN(len(*from))
@@ -189,7 +189,7 @@
 		case 0:
 			w.count[fmt.Sprint("killed at ", stage)]++
 			w.restart(i)
-		case 1: // the answer is given up; what was asked may be on its way for long
+		case 1: // the controller gives up waiting for the answer; the request may still be on its way
 			w.count[fmt.Sprint("lost at ", stage)]++
 			w.tell(i, Answer{Seq: p.waiting.Seq, Came: Lost})
 		case 2:
@@ -207,7 +207,7 @@
 				pull(&w.answers)
 			}
 		case 6:
-			if len(w.asks) > 0 { // a replica that knows no leader
+			if len(w.asks) > 0 { // answered by a replica that knows no leader
 				s := pull(&w.asks)
 				w.answers = append(w.answers, sent{who: s.who, life: s.life, answer: Answer{Seq: s.action.Seq, Came: Refused, Err: errors.New("no leader")}})
 			}
@@ -232,7 +232,7 @@
 	}
 }
 
-// careful writes a map of what the members are; now and then nothing is to change, or it may not.
+// newPublisher returns a correct Publisher; now and then its plan changes nothing or is refused.
 func careful(w *world) writer {
 	a := &Agreement{}
 	a.Plan = func(number int64, before *Map) (*Map, error) {
@@ -259,7 +259,7 @@
 	return all
 }
 
-// play runs schedules until one is bad, and tells its seed and what was bad.
+// runSchedules runs random schedules until one breaks a rule, and returns its seed and what was broken.
 func play(t *testing.T, from, schedules uint64, count map[string]int, make_ func(*world) writer) (uint64, []string) {
 	all := variants(t)
 	for seed := from; seed < from+schedules; seed++ {
@@ -283,26 +283,26 @@
 		t.Fatalf("seed %d: %v", seed, bad)
 	}
 	t.Log(count)
-	for _, what := range []string{"written", "ended with a map", "ended without", "ended not knowing", "lapsed"} {
+	for _, what := range []string{"written", "ended with a map", "ended without a map", "ended ambiguous", "lapsed"} {
 		if count[what] < 20 {
-			t.Errorf("%q came %d times only", what, count[what])
+			t.Errorf("%q happened only %d times", what, count[what])
 		}
 	}
 	for _, stage := range []Verb{Acquire, Read, Update, Release, End} {
 		if what := fmt.Sprint("killed at ", stage); count[what] < 20 {
-			t.Errorf("%q came %d times only", what, count[what])
+			t.Errorf("%q happened only %d times", what, count[what])
 		}
 	}
 }
 
 func TestAgreementCheckFindsBreaches(t *testing.T) {
 	for name, double := range map[string]func(*world) writer{
-		"a lost write sent again with another map": func(w *world) writer {
+		"an ambiguous write repeated with another map": func(w *world) writer {
 			c := &Careless{Other: w.variant}
 			c.Plan = func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }
 			return c
 		},
-		"a lost write taken for not done": func(w *world) writer {
+		"an ambiguous write taken for not done": func(w *world) writer {
 			h := &Hasty{}
 			h.Plan = func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }
 			return h
@@ -317,7 +317,7 @@
 	}
 }
 
-// TestAgreementEnds: once nothing is lost, whatever was before, a controller writes its map in a few steps.
+// Once no message is lost, a controller writes its map in four actions, whatever happened before.
 func TestAgreementEnds(t *testing.T) {
 	all := variants(t)
 	for seed := range uint64(300) {
@@ -337,11 +337,11 @@
 			did += fmt.Sprint(next.Do)
 			var ok bool
 			if next, ok = a.Step(w.serve(sent{who: 0, life: -1, holder: "quiet", action: next})); !ok {
-				t.Fatalf("seed %d: an answer was not taken", seed)
+				t.Fatalf("seed %d: Step ignored an answer", seed)
 			}
 		}
 		if next.Err != nil || next.Map == nil || next.Map.Number != w.last || did != "1234" || len(w.bad) > 0 {
-			t.Fatalf("seed %d: %s: %+v, the last number is %d, %v", seed, did, next, w.last, w.bad)
+			t.Fatalf("seed %d: actions %s, last action %+v, last number %d, violations %v", seed, did, next, w.last, w.bad)
 		}
 	}
 }
@@ -359,16 +359,16 @@
 		what  string
 		value []byte
 		above int64
-		first bool // Plan is given no map before
+		first bool // Plan is called without a previous map
 		want  int64
 	}{
 		{"never written", nil, 0, true, 1},
 		{"a map", good, 0, false, 8},
-		{"a map and a number above", good, 20, false, 21},
-		{"a map and a number that it is past", good, 3, false, 8},
-		{"spoilt", good[:40], 0, false, 0},
+		{"a map and a larger number", good, 20, false, 21},
+		{"a map and a smaller number", good, 3, false, 8},
+		{"damaged", good[:40], 0, false, 0},
 		{"empty", []byte{}, 0, false, 0},
-		{"spoilt and a number above", good[:40], 20, true, 21},
+		{"damaged and a number above", good[:40], 20, true, 21},
 	} {
 		var number int64
 		var before *Map
--- a/fleet/ownership/code.go
+++ b/fleet/ownership/code.go
@@ -11,23 +11,23 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxBytes of an encoded map: what a record of the directory holds. At 2,000 members it has room for names of some 18
-// bytes, at 820 for some 50.
+// MaxEncodedBytes is the size limit of an encoded map, given by the size of a directory record. With 2,000
+// members there is room for names of about 18 bytes, with 820 members for about 50.
 const MaxBytes = 64 << 10
 
-// An encoded map is a mark, the hash of what follows, and that in CBOR.
+// An encoded map consists of a magic string, the hash of the body, and the body in CBOR.
 const (
 	mark    = "own1"
 	sealLen = len(mark) + 8
 )
 
-// coded is a map as it is written. Owners are places in Members, of as many bits each as the last place has, highest
-// bit first.
+// encodedMap is the encoded form of a map. Owners are indexes into Members, each with as many bits as the
+// last index needs, highest bit first.
 type coded struct {
 	_       struct{} `cbor:",toarray"`
 	Number  int64
 	Copies  int
-	Zones   []string // in order
+	Zones   []string // sorted
 	Members []codedMember
 	Owners  []byte
 }
@@ -35,14 +35,14 @@
 type codedMember struct {
 	_      struct{} `cbor:",toarray"`
 	Name   string
-	Zone   int // in Zones
+	Zone   int // index into Zones
 	Weight float64
 }
 
 var encoding = func() cbor.EncMode {
 	m, err := cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
-		panic(err) // the options stand above
+		panic(err) // can't happen: the options are constant
 	}
 	return m
 }()
@@ -55,10 +55,10 @@
 	return m
 }()
 
-// width is the bits of one owner among n members; 0 for the only one.
+// ownerBits returns the bits of one owner's index among n members; 0 if there is only one.
 func width(n int) int { return bits.Len(uint(n - 1)) }
 
-// Encode writes the map. One that would have more than MaxBytes is an error: its names are too long.
+// Encode returns the encoded map. A map of more than MaxEncodedBytes is an error: its names are too long.
 func (m *Map) Encode() ([]byte, error) {
 	c := coded{Number: m.Number, Copies: m.Copies, Zones: []string{}, Members: []codedMember{}}
 	for _, member := range m.Members {
@@ -81,26 +81,26 @@
 	}
 	body, err := encoding.Marshal(c)
 	if err != nil {
-		return nil, fmt.Errorf("ownership map: %w", err)
+		return nil, fmt.Errorf("encode ownership map: %w", err)
 	}
 	if sealLen+len(body) > MaxBytes {
-		return nil, fmt.Errorf("%w: encoded it has %d bytes, %d at most; shorter names", ErrBad, sealLen+len(body), MaxBytes)
+		return nil, fmt.Errorf("%w: encoded size %d exceeds %d bytes; use shorter member names", ErrBad, sealLen+len(body), MaxBytes)
 	}
 	out := append(make([]byte, 0, sealLen+len(body)), mark...)
 	out = binary.BigEndian.AppendUint64(out, xxhash.Sum64(body))
 	return append(out, body...), nil
 }
 
-// Decode reads what Encode wrote, and takes nothing else, not even another writing of the same map. That a partition's
-// owners are distinct and as many as they must be is looked at; zones and loads are not, so that a map which a later
-// build makes by other rules can be followed. Errors are ErrBad.
+// Decode reads what Encode wrote and accepts nothing else, not even another encoding of the same map. It
+// checks that the owners of a partition are distinct and as many as required; it does not check zones and
+// loads, so that a map made by the different rules of a later build can be followed. Errors are ErrInvalid.
 func Decode(raw []byte) (*Map, error) {
 	if len(raw) > MaxBytes || len(raw) < sealLen || string(raw[:len(mark)]) != mark {
-		return nil, fmt.Errorf("%w: %d bytes that do not begin as a map", ErrBad, len(raw))
+		return nil, fmt.Errorf("%w: wrong magic or size of %d bytes", ErrBad, len(raw))
 	}
 	body := raw[sealLen:]
 	if binary.BigEndian.Uint64(raw[len(mark):]) != xxhash.Sum64(body) {
-		return nil, fmt.Errorf("%w: the bytes are not those that were written", ErrBad)
+		return nil, fmt.Errorf("%w: hash mismatch", ErrBad)
 	}
 	var c coded
 	if err := decoding.Unmarshal(body, &c); err != nil {
@@ -109,7 +109,7 @@
 	m := &Map{Number: c.Number, Copies: c.Copies, Members: make([]Member, 0, len(c.Members))}
 	for _, member := range c.Members {
 		if member.Zone < 0 || member.Zone >= len(c.Zones) {
-			return nil, fmt.Errorf("%w: member %.40q is in zone %d of %d", ErrBad, member.Name, member.Zone, len(c.Zones))
+			return nil, fmt.Errorf("%w: member %.40q: zone index %d of %d zones", ErrBad, member.Name, member.Zone, len(c.Zones))
 		}
 		m.Members = append(m.Members, Member{Name: member.Name, Zone: c.Zones[member.Zone], Weight: member.Weight})
 	}
@@ -118,7 +118,7 @@
 	}
 	wide, all := width(len(m.Members)), Partitions*m.per()
 	if len(c.Owners) != (all*wide+7)/8 {
-		return nil, fmt.Errorf("%w: %d bytes of owners, not %d", ErrBad, len(c.Owners), (all*wide+7)/8)
+		return nil, fmt.Errorf("%w: owners have %d bytes, want %d", ErrBad, len(c.Owners), (all*wide+7)/8)
 	}
 	m.owners = make([]uint16, all)
 	at := 0
@@ -132,12 +132,12 @@
 		owners := m.of(p)
 		for i, o := range owners {
 			if int(o) >= len(m.Members) || slices.Contains(owners[:i], o) {
-				return nil, fmt.Errorf("%w: an owner of partition %d is there twice or no member", ErrBad, p)
+				return nil, fmt.Errorf("%w: an owner of partition %d is duplicate or not a member", ErrBad, p)
 			}
 		}
 	}
 	if again, err := m.Encode(); err != nil || !bytes.Equal(again, raw) {
-		return nil, fmt.Errorf("%w: it is not written as a map is", ErrBad)
+		return nil, fmt.Errorf("%w: not in canonical encoding", ErrBad)
 	}
 	return m, nil
 }
--- a/fleet/ownership/doubles_test.go
+++ b/fleet/ownership/doubles_test.go
@@ -1,16 +1,16 @@
 package ownership
 
-// Fleet is for tests outside of the package.
+// Fleet exports fleet to tests outside the package.
 var Fleet = fleet
 
-// Careless is an Agreement that sends a write again when its answer is lost: the same number, made anew.
+// ResendingPublisher is a faulty Publisher that repeats an ambiguous write with another map of the same
+// number.
 type Careless struct {
 	Agreement
 	Other func(number int64) *Map
 	last  Action
 }
 
-// Step takes an answer.
 func (c *Careless) Step(ans Answer) (Action, bool) {
 	if ans.Seq == c.last.Seq && c.last.Do == Update && ans.Came == Lost {
 		raw, err := c.Other(c.sought.Number).Encode()
@@ -28,11 +28,10 @@
 	return next, ok
 }
 
-// Hasty is an Agreement that reads after a lost write without barring it first, and takes what is not there for not
-// done.
+// UnfencedPublisher is a faulty Publisher that reads after an ambiguous write without invalidating the token
+// first, and takes a map that is not there for one that will never be written.
 type Hasty struct{ Agreement }
 
-// Step takes an answer.
 func (h *Hasty) Step(ans Answer) (Action, bool) {
 	if ans.Seq == h.seq && h.state == updating && ans.Came == Lost {
 		return h.next(reading), true
--- a/fleet/ownership/make.go
+++ b/fleet/ownership/make.go
@@ -14,38 +14,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of what comes from outside.
+// Limits on input.
 const (
 	MaxCopies  = 5
-	MaxMembers = 4096 // past it a member's share is 3 parts, and no longer even
-	MaxName    = 200  // bytes of a name or a zone
+	MaxMembers = 4096 // beyond this, a member's fair share is 3 assignments and loads are no longer even
+	MaxName    = 200  // of a member's name or a zone
 )
 
-// The bounds of a member's load, as multiples of its fair share; one part is added to each, for what can't be divided.
-// A member is given parts up to its share if that can be, else up to the first bound, and loses parts from the second
-// on. The second is what a node's memory and limits are reckoned with: 15% over the share, 18 parts where it is 15. The
-// gap between them is there so that a fleet may grow by a tenth before a part moves between members that stay; without
-// one, each member at the bound would have to give a part away whenever the share falls.
+// Bounds of a member's load, as multiples of its fair share; one assignment is added to each because
+// assignments can't be divided. A member is given assignments up to its fair share if possible, else up to
+// maxFillRatio, and loses assignments above maxKeepRatio. The memory and limits of a node are calculated with
+// maxKeepRatio: 15% over the share, 18 assignments where the share is 15. The gap between the two lets a
+// fleet grow by a tenth before an assignment moves between members that stay; without a gap, each member at
+// the bound would have to give one away whenever the share falls.
 const (
 	fillTo = 1.05
 	keepTo = 1.15
 )
 
-// ErrBad says that members or a map can't be.
-var ErrBad = errors.New("no such map can be")
+// ErrInvalid says that no map can be made of the members, or that a map is invalid.
+var ErrBad = errors.New("invalid ownership map")
 
-// Make gives each partition its owners: copies of them, or all members if those are fewer, in as many zones as there
-// are. It ranks members for a partition by weighted rendezvous hashing and bounds what one is given, see fillTo. With
-// before, a partition keeps its owners but for those that left, those who share their zone while a zone has none, those
-// past their bound, and those above their share of whom a member takes that has come (or grown, or is in another zone
-// now), until it has its own share. The result does not hang on the order of members. Errors are ErrBad.
+// Make assigns owners to each partition: copies of them, or all members if there are fewer, in as many zones
+// as there are. It ranks the members for a partition by weighted rendezvous hashing and bounds the load of
+// each, see maxFillRatio. Given a previous map, a partition keeps its owners except: owners that left; owners
+// that share a zone while another zone has none; owners above their bound; and owners above their fair share
+// whose assignment is taken over by a new member (one that joined, gained weight or changed its zone) until
+// that member has its own share. The result does not depend on the order of members. Errors are ErrInvalid.
 func Make(number int64, copies int, members []Member, before *Map) (*Map, error) {
 	members = inOrder(members)
 	if err := check(number, copies, members); err != nil {
 		return nil, err
 	}
 	if before != nil && before.Number >= number {
-		return nil, fmt.Errorf("%w: its number is %d, and the one before has %d", ErrBad, number, before.Number)
+		return nil, fmt.Errorf("%w: number %d is not above the previous map's number %d", ErrBad, number, before.Number)
 	}
 	k := newMaker(copies, members)
 	came := k.keep(before)
@@ -58,7 +60,7 @@
 			k.arrive(m, came)
 		}
 	}
-	for p := range Partitions { // where zones are all but full: rare
+	for p := range Partitions { // only where zones are nearly full
 		for len(k.owners[p]) < k.per {
 			k.force(p, came)
 		}
@@ -76,22 +78,22 @@
 	return out, nil
 }
 
-// Check tells what is wrong with copies and members that a map is to be made of: ErrBad.
+// CheckMembers validates the copies and members that a map is to be made of. Errors are ErrInvalid.
 func Check(copies int, members []Member) error { return check(1, copies, inOrder(members)) }
 
 func inOrder(members []Member) []Member {
 	return slices.SortedFunc(slices.Values(members), func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// check tells what is wrong with the frame of a map whose members are in order.
+// validate checks the number, the owners per partition and the members, which must be sorted by name.
 func check(number int64, copies int, members []Member) error {
 	switch {
 	case number < 1:
-		return fmt.Errorf("%w: its number is %d, and the first is 1", ErrBad, number)
+		return fmt.Errorf("%w: number %d is below 1", ErrBad, number)
 	case copies < 1 || copies > MaxCopies:
-		return fmt.Errorf("%w: %d owners of a partition, 1 to %d are possible", ErrBad, copies, MaxCopies)
+		return fmt.Errorf("%w: %d owners of each partition, must be 1 to %d", ErrBad, copies, MaxCopies)
 	case len(members) == 0 || len(members) > MaxMembers:
-		return fmt.Errorf("%w: %d members, 1 to %d are possible", ErrBad, len(members), MaxMembers)
+		return fmt.Errorf("%w: %d members, must be 1 to %d", ErrBad, len(members), MaxMembers)
 	}
 	for i, m := range members {
 		if err := errors.Join(checkName("name", m.Name), checkName("zone", m.Zone)); err != nil {
@@ -101,7 +103,7 @@
 			return fmt.Errorf("%w: member %q: weight %v is not finite and above 0", ErrBad, m.Name, m.Weight)
 		}
 		if i > 0 && members[i-1].Name >= m.Name {
-			return fmt.Errorf("%w: member %q is there twice or out of order", ErrBad, m.Name)
+			return fmt.Errorf("%w: member %q is duplicate or out of order", ErrBad, m.Name)
 		}
 	}
 	return nil
@@ -109,13 +111,13 @@
 
 func checkName(what, s string) error {
 	if s == "" || len(s) > MaxName || strings.ContainsFunc(s, func(r rune) bool { return r == utf8.RuneError || unicode.IsSpace(r) || unicode.IsControl(r) }) {
-		return fmt.Errorf("%s %.40q: 1 to %d bytes without spaces and control characters", what, s, MaxName)
+		return fmt.Errorf("%s %.40q: must be 1 to %d bytes without spaces and control characters", what, s, MaxName)
 	}
 	return nil
 }
 
-// weights are the members' weights beside the largest. A weight below a thousand-millionth of it counts as that, so
-// that sums neither overflow nor vanish.
+// relativeWeights returns the members' weights relative to the largest. A weight below 1e-9 of it counts as
+// 1e-9, so that sums neither overflow nor vanish.
 func weights(members []Member) []float64 {
 	most := 0.0
 	for _, m := range members {
@@ -128,7 +130,7 @@
 	return w
 }
 
-// zonesOf numbers the zones, and tells each member's.
+// numberZones numbers the zones and returns the number of each member's zone.
 func zonesOf(members []Member) (zone []int, zones int) {
 	number := map[string]int{}
 	for _, m := range members {
@@ -140,8 +142,9 @@
 	return zone, len(number)
 }
 
-// shares parts all parts among zones by their weights, and each zone's among its members. A zone has each partition
-// once at most if there are as many zones as owners, else once at least; a member has each once at most.
+// fairShares divides all assignments among the zones by weight, and those of a zone among its members. If
+// there are at least as many zones as owners of a partition, a zone has each partition at most once,
+// otherwise at least once; a member has each partition at most once.
 func shares(members []Member, per int) []float64 {
 	w := weights(members)
 	zone, zones := zonesOf(members)
@@ -172,7 +175,8 @@
 	return out
 }
 
-// divide parts a total by weights, each part within its bounds; the total is between the sums of the bounds.
+// divideBounded divides a total by weights, each part within its bounds; the total must lie between the sums
+// of the bounds.
 func divide(total float64, weights, lo, hi []float64) []float64 {
 	out := make([]float64, len(weights))
 	fixed := make([]bool, len(weights))
@@ -188,7 +192,7 @@
 		if sum == 0 {
 			return out
 		}
-		// All that pass a bound are put to it, on the side on which more is passed: those stay there.
+		// Fix all parts that exceed a bound at that bound, on the side where the excess is larger.
 		over := 0.0
 		for i, w := range weights {
 			if !fixed[i] {
@@ -214,23 +218,23 @@
 	}
 }
 
-// maker is a map in the making.
+// mapBuilder holds a map while it is being made.
 type maker struct {
 	members []Member
-	name    []uint64 // hashed
+	name    []uint64
 	weight  []float64
 	zone    []int
-	unlike  int // zones that each partition's owners are in
+	unlike  int // zones that the owners of each partition must be in
 	per     int // owners of each partition
 	share   []float64
-	even    []int // a member is given parts while it has fewer,
-	fill    []int // or fewer than this if nobody else can be,
-	bound   []int // and loses parts while it has more than this
+	even    []int // a member is given assignments while it has fewer than this,
+	fill    []int // or fewer than this if no other member can be given one,
+	bound   []int // and loses assignments while it has more than this
 	owners  [][]int
 	held    []Set
 	load    []int
 
-	ranked int // partition whose scores are at hand
+	ranked int // partition that scores was computed for
 	scores []float64
 	key    [10]byte
 }
@@ -254,8 +258,9 @@
 	return k
 }
 
-// score is a member's for a partition; the highest ranks first. With u even on (0,1) by the hash, -w/ln(u) puts each
-// member first in proportion to its weight, and one that comes or goes changes nothing between the others.
+// score returns the rank value of a member for a partition; the highest ranks first. With u uniform on (0,1)
+// from the hash, -w/ln(u) puts each member first in proportion to its weight, and adding or removing a member
+// does not change the order of the others.
 func (k *maker) score(m, p int) float64 {
 	binary.LittleEndian.PutUint64(k.key[:], k.name[m])
 	binary.LittleEndian.PutUint16(k.key[8:], uint16(p))
@@ -281,7 +286,8 @@
 	k.load[m]--
 }
 
-// zonesBut counts the zones of a partition's owners, without one of them (-1: with all) and with another (-1: none).
+// countZones counts the zones of a partition's owners, leaving out one owner (-1: none) and adding another
+// (-1: none).
 func (k *maker) zonesBut(p, without, with int) int {
 	n := 0
 	var seen [MaxCopies + 1]int
@@ -302,8 +308,8 @@
 	return n
 }
 
-// fits tells whether a member may own a partition in another's place (-1: beside those that do), so that its owners
-// still come to as many zones as they must once all are there.
+// canOwn reports whether a member may own a partition in place of another (-1: in addition to the present
+// owners), so that the owners can still cover as many zones as they must once all of them are assigned.
 func (k *maker) fits(p, m, without int) bool {
 	if k.held[m].Has(p) {
 		return false
@@ -315,12 +321,12 @@
 	return k.zonesBut(p, without, m) >= k.unlike-(k.per-n)
 }
 
-// keep takes the owners before over, as far as they are there and in unlike zones, and tells which members have come
-// since, or are due more than before.
+// keepOwners takes over the owners of the previous map, as far as they are still members and in different
+// zones, and reports which members are new or are due more than before.
 func (k *maker) keep(before *Map) []bool {
 	came := make([]bool, len(k.members))
 	if before == nil {
-		return came // all have, and none takes from another
+		return came // all members are new, so none takes from another
 	}
 	now := make([]int, len(before.Members))
 	for i := range now {
@@ -346,7 +352,8 @@
 	return came
 }
 
-// spare is the owner that a partition misses least: the lowest of those who share their zone with another, else of all.
+// leastNeededOwner returns the owner that a partition can best do without: the lowest ranked of those who
+// share their zone with another owner, else of all.
 func (k *maker) spare(p int) int {
 	all := slices.Clone(k.owners[p])
 	slices.SortFunc(all, func(a, b int) int { return k.compare(a, b, p) })
@@ -358,9 +365,9 @@
 	return all[0]
 }
 
-// pick finds who may take a partition in another's place (-1: beside its owners), has less than its limit and ranks
-// highest; those who have come and lack a part of their share go first, so that a machine that is replaced gives its
-// parts to the one in its place. -1: nobody.
+// bestCandidate finds the highest ranked member that may own a partition in place of another (-1: in addition
+// to its owners) and is below its limit. New members below their fair share go first, so that a replaced
+// machine hands its assignments to its replacement. -1: there is none.
 func (k *maker) pick(p, without int, limit []int, came []bool) int {
 	if k.ranked != p {
 		for m := range k.members {
@@ -384,7 +391,7 @@
 	return best
 }
 
-// offer gives a partition one more owner, within the bounds, or tells that nobody can be.
+// addOwnerWithinLimits adds an owner to a partition, or returns false if no member is below its limits.
 func (k *maker) offer(p int, came []bool) bool {
 	for _, limit := range [][]int{k.even, k.fill, k.bound} {
 		if m := k.pick(p, -1, limit, came); m >= 0 {
@@ -395,7 +402,7 @@
 	return false
 }
 
-// force gives a partition one more owner, by a chain if it must.
+// addOwner adds an owner to a partition, by a chain of moves if needed.
 func (k *maker) force(p int, came []bool) {
 	for range maxChains {
 		if k.offer(p, came) {
@@ -408,11 +415,11 @@
 			return
 		}
 	}
-	k.give(p, k.pick(p, -1, nil, came)) // the zones count more than the bound
+	k.give(p, k.pick(p, -1, nil, came)) // zone coverage takes precedence over the load limit
 }
 
-// arrive lets a member that has come take its fair share, from those who have more than theirs and first where it ranks
-// highest beside them.
+// fillNewMember lets a new member take its fair share from members above theirs, beginning where it ranks
+// highest relative to them.
 func (k *maker) arrive(m int, came []bool) {
 	type part struct {
 		p, from int
@@ -433,7 +440,7 @@
 	slices.SortFunc(parts, func(a, b part) int {
 		return cmp.Or(cmp.Compare(b.by, a.by), cmp.Compare(a.p, b.p), cmp.Compare(a.from, b.from))
 	})
-	for _, pastBound := range []bool{true, false} { // first what they would have to give to anybody
+	for _, pastBound := range []bool{true, false} { // first what they have to give away in any case
 		for _, c := range parts {
 			if float64(k.load[m]+1) > k.share[m] {
 				return
@@ -447,7 +454,7 @@
 	}
 }
 
-// shed brings a member down to its bound.
+// reduceToLimit brings the load of a member down to its limit.
 func (k *maker) shed(m int, came []bool) {
 	for _, limit := range [][]int{k.even, k.fill, k.bound} {
 		if k.load[m] <= k.bound[m] {
@@ -471,13 +478,14 @@
 	}
 }
 
-// maxChains is how often room is sought for one part. Mostly once is enough; a chain may have to be cut short where
-// it comes to one partition twice.
+// maxChains bounds the attempts to make room for one assignment. One is usually enough; a chain may be cut
+// short if it meets one partition twice.
 const maxChains = 16
 
-// chain finds the shortest chain of members of which each takes a part from the one before and the last has room,
-// and carries it out: for one more owner of partition p, or for a member that has too much. False: there is none, and
-// the bounds can't be kept. Chains are rare: zones that are all but full.
+// moveAlongChain finds the shortest chain of members in which each takes an assignment from the one before
+// and the last has room, and carries it out: for one more owner of partition p, or for a member with too high
+// a load. It returns false if there is none and the limits can't be kept. Chains are rare: they are needed
+// only when zones are nearly full.
 func (k *maker) chain(p, from int) bool {
 	type link struct{ giver, p int }
 	links := map[int]link{}
@@ -500,7 +508,7 @@
 			for at != from {
 				l := links[at]
 				if !k.fits(l.p, at, l.giver) {
-					return true // an earlier link took that partition's zone; room has come nearer all the same
+					return true // an earlier link took that partition's zone; the chain still brought room closer
 				}
 				if l.giver >= 0 {
 					k.take(l.p, l.giver)
