--- a/fleet/ownership/ownership.go
+++ b/fleet/ownership/ownership.go
@@ -1,7 +1,7 @@
-// Package ownership decides which nodes own which destinations. Destinations fall into a fixed number of partitions;
-// a numbered map gives each partition a few owners in unlike zones. Nodes act by the newest map that they have, so a
-// map is data that is agreed on and handed round, and never worked out again by its readers. The package is pure: no
-// sockets, files, clocks, goroutines or randomness.
+// Package ownership decides which nodes own which destinations. Destinations are hashed to a fixed number of
+// partitions; a numbered map gives each partition a few owners in different zones. Nodes act by the newest
+// map they have, so a map is agreed on and distributed as data, and never computed again by its readers. The
+// package is pure: no sockets, files, clocks, goroutines or randomness.
 package ownership
 
 import (
@@ -16,15 +16,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Partitions is their number, for good: with another one every destination would fall elsewhere. At 820 nodes and 3
-// owners a node has some 15 parts of 12,288, enough for loads to be even within a few parts, and a map still fits a
-// record of the directory.
+// PartitionCount can't be changed: with another value every destination would fall into another partition.
+// With 820 nodes and 3 owners a node has about 15 of 12,288 assignments, enough to keep loads even within a
+// few assignments, and a map still fits into a record of the directory.
 const Partitions = 4096
 
-// Record is the name of the directory's record whose value is the newest map, as Encode writes it.
+// RecordName is the name of the directory record whose value is the newest map, encoded by Encode.
 const Record = "ownership.map"
 
-// PartitionOf is the partition of a destination: by the hash of its number in decimal, so that any language can tell.
+// PartitionOf returns the partition of a destination. It hashes the number in decimal, so that programs in
+// any language can compute it.
 func PartitionOf(dest int) int {
 	return int(xxhash.Sum64String(strconv.Itoa(dest)) % Partitions)
 }
@@ -32,15 +33,15 @@
 // Set is a set of partitions. It is comparable; the zero value is empty.
 type Set [Partitions / 64]uint64
 
-// Has tells whether p is one of them; what is no partition is not.
+// Has reports whether p is in the set; false if p is not a partition.
 func (s Set) Has(p int) bool { return p >= 0 && p < Partitions && s[p/64]&(1<<(p%64)) != 0 }
 
-// Add puts a partition in, 0 to Partitions-1; another number is a fault of the caller and panics.
+// Add adds a partition, 0 to PartitionCount-1; it panics on any other number.
 func (s *Set) Add(p int) { s[p/64] |= 1 << (p % 64) }
 
 func (s *Set) remove(p int) { s[p/64] &^= 1 << (p % 64) }
 
-// Len is how many there are.
+// Len returns the number of partitions in the set.
 func (s Set) Len() int {
 	n := 0
 	for _, w := range s {
@@ -49,7 +50,7 @@
 	return n
 }
 
-// Union is what is in either.
+// Union returns the partitions that are in either set.
 func (s Set) Union(o Set) Set {
 	for i := range s {
 		s[i] |= o[i]
@@ -57,7 +58,7 @@
 	return s
 }
 
-// Without is what is in s and not in o.
+// Without returns the partitions of s that are not in o.
 func (s Set) Without(o Set) Set {
 	for i := range s {
 		s[i] &^= o[i]
@@ -65,7 +66,7 @@
 	return s
 }
 
-// All are they, in ascending order.
+// All iterates over the partitions in ascending order.
 func (s Set) All() iter.Seq[int] {
 	return func(yield func(int) bool) {
 		for i, w := range s {
@@ -78,7 +79,8 @@
 	}
 }
 
-// String is the set as text, "3,17,40-44": ascending, two or more that follow each other as a range; "" for none.
+// String returns the set as text like "3,17,40-44": ascending, two or more consecutive partitions as a range,
+// "" for the empty set.
 func (s Set) String() string {
 	var b strings.Builder
 	for p := 0; p < Partitions; p++ {
@@ -101,9 +103,10 @@
 	return b.String()
 }
 
-var errSet = errors.New("not a set of partitions")
+var errSet = errors.New("invalid set of partitions")
 
-// ParseSet reads what String writes, and nothing else: one set has one text, so that texts may be compared.
+// ParseSet reads what String writes, and nothing else: each set has exactly one text, so that texts can be
+// compared.
 func ParseSet(text string) (Set, error) {
 	var s Set
 	if text == "" {
@@ -117,35 +120,35 @@
 		a, err := strconv.ParseUint(from, 10, 16)
 		b, err2 := strconv.ParseUint(to, 10, 16)
 		if err != nil || err2 != nil || a > b || b >= Partitions {
-			return Set{}, fmt.Errorf("%w: %.40q: numbers from 0 to %d, and ranges of them", errSet, part, Partitions-1)
+			return Set{}, fmt.Errorf("%w: %.40q: must be numbers from 0 to %d or ranges of them", errSet, part, Partitions-1)
 		}
 		for p := a; p <= b; p++ {
 			s.Add(int(p))
 		}
 	}
 	if want := s.String(); want != text {
-		return Set{}, fmt.Errorf("%w: %.40q is written %.40q", errSet, text, want)
+		return Set{}, fmt.Errorf("%w: %.40q must be written as %.40q", errSet, text, want)
 	}
 	return s, nil
 }
 
 // Member is a node that may own partitions.
 type Member struct {
-	Name   string  `toml:"name" json:"name"`     // its own in the fleet; 1 to 200 bytes without spaces and control characters
+	Name   string  `toml:"name" json:"name"`     // unique in the fleet; 1 to 200 bytes without spaces and control characters
 	Zone   string  `toml:"zone" json:"zone"`     // of the same form
-	Weight float64 `toml:"weight" json:"weight"` // its share beside the others'; finite, above 0
+	Weight float64 `toml:"weight" json:"weight"` // relative to the other members'; finite, above 0
 }
 
-// Map says which members own which partition. It is not changed once made, and may be read by many at once.
+// Map says which members own which partitions. It is immutable and may be read concurrently.
 type Map struct {
-	Number  int64    // each given once; the larger is the newer
-	Copies  int      // owners of a partition, or all members if they are fewer; 1 to 5
-	Members []Member // in the order of their names
+	Number  int64    // unique; the larger number is the newer map
+	Copies  int      // or all members if there are fewer; 1 to 5
+	Members []Member // sorted by name
 
-	owners []uint16 // per() of each partition, in order of preference: indices into Members
+	owners []uint16 // ownersEach() of each partition, in order of preference: indexes into Members
 }
 
-// per is how many owners each partition has.
+// ownersEach returns the number of owners of each partition.
 func (m *Map) per() int { return min(m.Copies, len(m.Members)) }
 
 func (m *Map) of(p int) []uint16 {
@@ -153,7 +156,7 @@
 	return m.owners[p*n : (p+1)*n]
 }
 
-// Owners names a partition's owners, in order of preference; none for what is no partition.
+// Owners returns the names of a partition's owners in order of preference; nil if p is not a partition.
 func (m *Map) Owners(p int) []string {
 	if p < 0 || p >= Partitions {
 		return nil
@@ -165,12 +168,12 @@
 	return names
 }
 
-// find is a member's place in Members.
+// indexOf returns a member's index in Members.
 func (m *Map) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(m.Members, name, func(a Member, name string) int { return strings.Compare(a.Name, name) })
 }
 
-// Of is what a member owns; false if it is not in the map.
+// PartitionsOf returns the partitions that a member owns; false if it is not in the map.
 func (m *Map) Of(member string) (Set, bool) {
 	var s Set
 	at, ok := m.find(member)
@@ -186,7 +189,7 @@
 	return s, true
 }
 
-// Loads are how many partitions each member owns, in the order of Members.
+// Loads returns how many partitions each member owns, in the order of Members.
 func (m *Map) Loads() []int {
 	loads := make([]int, len(m.Members))
 	for _, o := range m.owners {
@@ -195,23 +198,23 @@
 	return loads
 }
 
-// Shares are the members' fair shares in partitions, in the order of Members: by weight, as far as each partition has
-// its owners in unlike zones and no member twice.
+// FairShares returns the members' fair shares in assignments, in the order of Members: proportional to
+// weight, as far as the owners of a partition can be distinct and in different zones.
 func (m *Map) Shares() []float64 { return shares(m.Members, m.per()) }
 
-// Change is what lies between two maps.
+// Change describes the difference between two maps.
 type Change struct {
-	Parts   int      `json:"parts"`   // of the later map: partitions times owners
-	Moved   int      `json:"moved"`   // of them those whose owner did not have them before
-	Bare    int      `json:"bare"`    // partitions of which no owner stays
-	Members int      `json:"members"` // of the earlier map; 0: there was none
-	Came    []string `json:"came"`    // in order
+	Parts   int      `json:"parts"`   // of the later map: partitions times owners of each
+	Moved   int      `json:"moved"`   // assignments whose owner did not have that partition before
+	Bare    int      `json:"bare"`    // partitions that keep none of their owners
+	Members int      `json:"members"` // number of members of the earlier map; 0: there was none
+	Came    []string `json:"came"`    // sorted
 	Gone    []string `json:"gone"`
-	Most    int      `json:"most"`    // the most parts of one member of the later map,
-	MostOf  string   `json:"most_of"` // and who that is
+	Most    int      `json:"most"`    // highest load of a member of the later map
+	MostOf  string   `json:"most_of"` // the member with that load
 }
 
-// Diff is what b changes of a, which may be nil: then all of b is new.
+// Diff returns the change from a to b. a may be nil; then all of b is new.
 func Diff(a, b *Map) Change {
 	c := Change{Parts: len(b.owners), Came: []string{}, Gone: []string{}}
 	for i, n := range b.Loads() {
@@ -223,7 +226,7 @@
 		a = &Map{}
 	}
 	c.Members = len(a.Members)
-	at := make([]int, len(b.Members)) // where b's are in a; -1: not there
+	at := make([]int, len(b.Members)) // index of each member of b in a; -1: not in a
 	for i, m := range b.Members {
 		j, ok := a.find(m.Name)
 		if !ok {
@@ -253,19 +256,20 @@
 	return c
 }
 
-// ErrLarge says that a change takes away more than it may unconfirmed.
-var ErrLarge = errors.New("a large change")
+// ErrLargeChange says that a change is too large to be made without confirmation.
+var ErrLarge = errors.New("change too large without confirmation")
 
-// Guard refuses, with ErrLarge, what is more likely a mistake than meant: more than half of the members gone, or more
-// than half of all parts moved. A fleet that doubles just passes. The first map always does.
+// CheckSize refuses, with ErrLargeChange, a change that is more likely a mistake than intended: more than
+// half of the members removed, or more than half of all assignments moved. A fleet that doubles just passes.
+// The first map always passes.
 func (c Change) Guard() error {
 	switch {
 	case c.Members == 0:
 		return nil
 	case 2*len(c.Gone) > c.Members:
-		return fmt.Errorf("%w: %d of %d members would be gone", ErrLarge, len(c.Gone), c.Members)
+		return fmt.Errorf("%w: %d of %d members would be removed", ErrLarge, len(c.Gone), c.Members)
 	case 2*c.Moved > c.Parts:
-		return fmt.Errorf("%w: %d of %d parts would move", ErrLarge, c.Moved, c.Parts)
+		return fmt.Errorf("%w: %d of %d assignments would move", ErrLarge, c.Moved, c.Parts)
 	}
 	return nil
 }
--- a/fleet/ownership/ownership_test.go
+++ b/fleet/ownership/ownership_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is n members of weight 1 in so many zones.
+// fleet returns n members of weight 1 in the given number of zones.
 func fleet(n, zones int) []Member {
 	var all []Member
 	for i := range n {
@@ -26,10 +26,11 @@
 	return all
 }
 
-// making is Make or a double of it.
+// makeFunc is Make or a faulty version of it.
 type making func(number int64, copies int, members []Member, before *Map) (*Map, error)
 
-// audit holds a map against what Make promises of it; before may be nil. It works out all but the fair shares itself.
+// checkMap checks a map against all that Make promises; before may be nil. It computes everything but the
+// fair shares itself.
 func audit(before, after *Map) error {
 	all := after.Members
 	per := min(after.Copies, len(all))
@@ -56,7 +57,7 @@
 	for p := range at {
 		for _, o := range after.of(p) {
 			if int(o) >= len(all) || slices.Contains(at[p], int(o)) {
-				return fmt.Errorf("partition %d: owner %d is no member or there twice", p, o)
+				return fmt.Errorf("partition %d: owner %d is not a member or duplicate", p, o)
 			}
 			at[p] = append(at[p], int(o))
 			load[o]++
@@ -69,13 +70,13 @@
 	for i, share := range after.Shares() {
 		bound[i] = int(1.15*share + 1)
 		if load[i] > bound[i] {
-			return fmt.Errorf("%s has %d parts, its share is %.2f and its bound %d", all[i].Name, load[i], share, bound[i])
+			return fmt.Errorf("%s has %d assignments, its share is %.2f and its bound %d", all[i].Name, load[i], share, bound[i])
 		}
 	}
 	if before == nil {
 		return nil
 	}
-	place := make([]int, len(before.Members)) // in after; -1: it has left
+	place := make([]int, len(before.Members)) // indexes into after; -1: it has left
 	came := make([]bool, len(all))            // or is due more
 	for i := range all {
 		came[i] = true
@@ -97,13 +98,13 @@
 			}
 		}
 		vacant, extra := max(per-len(then), 0), max(len(then)-per, 0)
-		crowded := max(zones-distinct(then)-vacant, 0) // that share their zone and make way for a zone that has none
+		crowded := max(zones-distinct(then)-vacant, 0) // owners that share a zone and make way for a zone that has none
 		over, lost, arrived, others := 0, 0, 0, 0
 		for _, o := range then {
 			switch {
 			case slices.Contains(now, o):
 			case had[o] > bound[o] || load[o] >= bound[o]:
-				over++ // it was past its bound, or has taken another in its place and would be
+				over++ // it was above its bound, or took another partition instead and would be above it
 			default:
 				lost++
 			}
@@ -136,7 +137,7 @@
 	return all
 }
 
-// changed draws another fleet from one: members go, come, move and change their weight.
+// changed draws a changed fleet: members leave, join, move to another zone and change their weight.
 func changed(t *rapid.T, members []Member, next *int) []Member {
 	members = slices.Clone(members)
 	for range rapid.IntRange(1, 3).Draw(t, "changes") {
@@ -189,21 +190,21 @@
 			t.Fatal(err)
 		}
 		if raw2, err := again.Encode(); err != nil || !bytes.Equal(raw, raw2) {
-			t.Fatalf("the map hangs on the order of its members (%v)", err)
+			t.Fatalf("the map depends on the order of its members (%v)", err)
 		}
 		read, err := Decode(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(read, m) {
-			t.Fatal("the map reads as another")
+			t.Fatal("the decoded map differs")
 		}
 		same, err := Make(m.Number+1, copies, members, m)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c := Diff(m, same); c.Moved != 0 {
-			t.Fatalf("the map made again moves %d parts", c.Moved)
+			t.Fatalf("the map made again moves %d assignments", c.Moved)
 		}
 	})
 }
@@ -227,7 +228,7 @@
 			}
 		}
 		if math.Abs(sum-float64(Partitions*per)) > 1e-3 {
-			t.Fatalf("the shares come to %v, not %d", sum, Partitions*per)
+			t.Fatalf("the shares sum to %v, want %d", sum, Partitions*per)
 		}
 	})
 	for _, c := range []struct {
@@ -249,14 +250,14 @@
 		}
 		for i, s := range shares(members, c.copies) {
 			if math.Abs(s-c.want[i]) > 1e-6 {
-				t.Errorf("%s with %d copies: %v, not %v", c.zones, c.copies, shares(members, c.copies), c.want)
+				t.Errorf("%s with %d owners: %v, want %v", c.zones, c.copies, shares(members, c.copies), c.want)
 				break
 			}
 		}
 	}
 }
 
-// TestAuditFindsBreaches plays doubles of Make, each with one fault, as one member after the other leaves.
+// Runs faulty versions of Make while one member after another leaves; checkMap must find each fault.
 func TestAuditFindsBreaches(t *testing.T) {
 	anew := func(number int64, copies int, members []Member, _ *Map) (*Map, error) {
 		return Make(number, copies, members, nil)
@@ -274,7 +275,7 @@
 	}
 	heavy := func(number int64, copies int, members []Member, before *Map) (*Map, error) {
 		m, err := Make(number, copies, members, before)
-		if err == nil { // the first member takes a share of what others in its zone have
+		if err == nil { // the first member takes over assignments of others in its zone
 			for i, o := range m.owners {
 				if m.Members[o].Zone == m.Members[0].Zone && i%20 == 0 {
 					m.owners[i] = 0
@@ -287,7 +288,7 @@
 		what   string
 		double making
 		want   string
-	}{{"made anew each time", anew, "for no reason"}, {"zones not looked at", alike, "zones, not 3 in 3"}, {"bounds not kept", heavy, "its bound"}} {
+	}{{"ignoring the previous map", anew, "for no reason"}, {"ignoring zones", alike, "zones, not 3 in 3"}, {"exceeding the bounds", heavy, "its bound"}} {
 		members := fleet(120, 6)
 		var before *Map
 		var found error
@@ -321,7 +322,7 @@
 	return m
 }
 
-// between counts the parts that went to a member that was there before.
+// movedBetweenStaying counts the assignments that went to a member of the earlier map.
 func between(a, b *Map) int {
 	n := 0
 	for p := range Partitions {
@@ -335,39 +336,39 @@
 	return n
 }
 
-// TestTarget is the fleet that decides the design: 820 members in 6 zones.
+// The fleet that decides the design: 820 members in 6 zones.
 func TestTarget(t *testing.T) {
 	members := fleet(820, 6)
 	first := must(t, 1, members, nil)
 	loads := first.Loads()
 	t.Logf("loads %d to %d", slices.Min(loads), slices.Max(loads))
 	rng := rand.New(rand.NewPCG(1, 2))
-	for range 12 { // one leaves: its parts move and no others
+	for range 12 { // one leaves: only its own assignments move
 		i := rng.IntN(len(members))
 		m := must(t, 2, slices.Delete(slices.Clone(members), i, i+1), first)
 		if c := Diff(first, m); c.Moved != loads[i] || c.Bare != 0 {
-			t.Errorf("%s owned %d parts and leaves: %d move, %d partitions keep no owner", members[i].Name, loads[i], c.Moved, c.Bare)
+			t.Errorf("%s owned %d partitions and leaves: %d assignments move, %d partitions keep no owner", members[i].Name, loads[i], c.Moved, c.Bare)
 		}
 	}
-	for i := range 12 { // one comes: its fair share goes to it, and nothing to others
+	for i := range 12 { // one joins: it is given its fair share, and nothing moves between others
 		came := Member{Name: fmt.Sprint("new", i), Zone: fmt.Sprint("z", i%6), Weight: 1}
 		m := must(t, 2, append(slices.Clone(members), came), first)
 		c := Diff(first, m)
 		own, _ := m.Of(came.Name)
 		if n := between(first, m); n != 0 || c.Moved != own.Len() || c.Moved < 12 || c.Moved > 15 || c.Bare != 0 {
-			t.Errorf("%s comes, its share is 14.97: %d move to it, %d between others", came.Name, c.Moved, n)
+			t.Errorf("%s joins, its share is 14.97: %d assignments move, %d of them between others", came.Name, c.Moved, n)
 		}
 	}
-	for i := range 12 { // one is replaced by another: that one gets its share of what it had
+	for i := range 12 { // one is replaced: the replacement is given its share of what the old one had
 		j := rng.IntN(len(members))
 		other := slices.Clone(members)
 		other[j].Name = fmt.Sprint("new", i)
 		m := must(t, 2, other, first)
 		if c := Diff(first, m); c.Moved < loads[j] || c.Moved > max(loads[j], 15) || between(first, m) > max(loads[j]-14, 0) {
-			t.Errorf("%s owned %d parts and is replaced: %d move, %d of them between others", members[j].Name, loads[j], c.Moved, between(first, m))
+			t.Errorf("%s owned %d partitions and is replaced: %d assignments move, %d of them between others", members[j].Name, loads[j], c.Moved, between(first, m))
 		}
 	}
-	// A zone goes, and comes back.
+	// A zone leaves and comes back.
 	gone := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Zone == "z3" })
 	owned := 0
 	for i, m := range members {
@@ -378,17 +379,17 @@
 	less := must(t, 2, gone, first)
 	c := Diff(first, less)
 	if c.Moved != owned || c.Bare != 0 {
-		t.Errorf("a zone of %d parts goes: %d move, %d partitions keep no owner", owned, c.Moved, c.Bare)
+		t.Errorf("a zone of %d assignments leaves: %d move, %d partitions keep no owner", owned, c.Moved, c.Bare)
 	}
 	back := must(t, 3, members, less)
 	c2 := Diff(less, back)
 	if n := between(less, back); n != 0 || c2.Moved < 1800 || c2.Moved > 2053 { // its share is 2,053
-		t.Errorf("a zone comes back: %d parts move, %d of them between others", c2.Moved, n)
+		t.Errorf("a zone comes back: %d assignments move, %d of them between others", c2.Moved, n)
 	}
-	t.Logf("a zone goes: %d parts move; it comes back: %d", c.Moved, c2.Moved)
+	t.Logf("a zone leaves: %d assignments move; it comes back: %d", c.Moved, c2.Moved)
 }
 
-// TestManyChanges plays some days: members are replaced, leave and come, and what moves stays what had to.
+// Members are replaced, leave and join for some days; no more than necessary moves.
 func TestManyChanges(t *testing.T) {
 	members := fleet(200, 6)
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -410,9 +411,9 @@
 		before, members = m, next
 	}
 	loads := before.Loads()
-	t.Logf("%d parts moved where those who came or left were due %d; loads %d to %d", moved, owned, slices.Min(loads), slices.Max(loads))
+	t.Logf("%d assignments moved, %d belonged to members that joined or left; loads %d to %d", moved, owned, slices.Min(loads), slices.Max(loads))
 	if float64(moved) > 1.1*float64(owned) {
-		t.Errorf("%d parts moved where those who came or left were due %d", moved, owned)
+		t.Errorf("%d assignments moved, %d belonged to members that joined or left", moved, owned)
 	}
 }
 
@@ -428,7 +429,7 @@
 		}
 		t.Logf("%d members with names of %d bytes: %d bytes", c.members, c.name, len(raw))
 		if len(raw) > MaxBytes {
-			t.Errorf("%d bytes, %d at most", len(raw), MaxBytes)
+			t.Errorf("%d bytes, limit %d", len(raw), MaxBytes)
 		}
 	}
 	var all []Member
@@ -476,7 +477,7 @@
 	}
 }
 
-// sealed puts a body behind its mark and hash.
+// withHeader puts the magic string and the hash before a body.
 func sealed(body []byte) []byte {
 	return append(binary.BigEndian.AppendUint64([]byte(mark), xxhash.Sum64(body)), body...)
 }
@@ -489,7 +490,7 @@
 	}
 	for n := range len(raw) {
 		if _, err := Decode(raw[:n]); !errors.Is(err, ErrBad) {
-			t.Fatalf("cut to %d bytes: %v", n, err)
+			t.Fatalf("truncated to %d bytes: %v", n, err)
 		}
 	}
 	for bit := range len(raw) * 8 {
@@ -502,7 +503,7 @@
 	if _, err := Decode(append(slices.Clone(raw), 0)); !errors.Is(err, ErrBad) {
 		t.Fatalf("one byte more: %v", err)
 	}
-	// Well sealed, and no map.
+	// Correct magic and hash, but not a valid map.
 	var c coded
 	if err := decoding.Unmarshal(raw[sealLen:], &c); err != nil {
 		t.Fatal(err)
@@ -564,9 +565,9 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if _, err := Decode(body); err == nil && !bytes.HasPrefix(body, []byte(mark)) {
-			t.Fatal("a map without its mark")
+			t.Fatal("decoded a map without its magic string")
 		}
-		m, err := Decode(sealed(body)) // past the hash, which would stop nearly all
+		m, err := Decode(sealed(body)) // with a valid hash, which would stop nearly all inputs
 		if err != nil {
 			if !errors.Is(err, ErrBad) {
 				t.Fatal(err)
@@ -574,7 +575,7 @@
 			return
 		}
 		if raw, err := m.Encode(); err != nil || !bytes.Equal(raw, sealed(body)) {
-			t.Fatalf("it is written otherwise: %v", err)
+			t.Fatalf("the map encodes differently: %v", err)
 		}
 		for p := range Partitions {
 			if n := len(m.Owners(p)); n != min(m.Copies, len(m.Members)) {
@@ -605,7 +606,7 @@
 		}
 		text := s.String()
 		if again, err := ParseSet(text); err != nil || again != s {
-			t.Fatalf("%q reads as %q (%v)", text, again, err)
+			t.Fatalf("%q parsed as %q (%v)", text, again, err)
 		}
 		var o Set
 		for p := range want {
@@ -629,7 +630,7 @@
 		"99999999999999999999", "3;4", "1-2-3", "\x00",
 	} {
 		if s, err := ParseSet(text); err == nil || s != (Set{}) {
-			t.Errorf("%q is read as %v", text, s)
+			t.Errorf("%q parsed as %v", text, s)
 		}
 	}
 }
@@ -639,18 +640,18 @@
 	f.Add("0-4095")
 	f.Fuzz(func(t *testing.T, text string) {
 		if s, err := ParseSet(text); err == nil && s.String() != text {
-			t.Fatalf("%q is written %q", text, s)
+			t.Fatalf("%q is formatted as %q", text, s)
 		}
 	})
 }
 
-// TestPartitionOf holds on to the partition of a destination, which is a format: another program may work it out.
+// The partition of a destination is a format that other programs may compute, so it must never change.
 func TestPartitionOf(t *testing.T) {
 	seen := make([]int, Partitions)
 	for d := range 380_000 {
 		p := PartitionOf(d)
 		if want := int(xxhash.Sum64([]byte(fmt.Sprint(d))) % 4096); p != want {
-			t.Fatalf("destination %d is in %d, not %d", d, p, want)
+			t.Fatalf("destination %d is in partition %d, want %d", d, p, want)
 		}
 		seen[p]++
 	}
@@ -661,7 +662,7 @@
 	// XXH64 with seed 0 of "0", "1" and "379999", modulo 4096.
 	for d, want := range map[int]int{0: 4076, 1: 1236, 379_999: 1709} {
 		if p := PartitionOf(d); p != want {
-			t.Errorf("destination %d is in %d, not %d", d, p, want)
+			t.Errorf("destination %d is in partition %d, want %d", d, p, want)
 		}
 	}
 }
@@ -686,12 +687,12 @@
 		t.Errorf("one for another: %+v", c)
 	}
 	if _, ok := b.Of("n0000"); ok {
-		t.Error("one that left is in the map")
+		t.Error("a member that left is in the map")
 	}
 	for i, m := range b.Members {
 		own, ok := b.Of(m.Name)
 		if !ok || own.Len() != b.Loads()[i] {
-			t.Errorf("%s owns %d, not %d", m.Name, own.Len(), b.Loads()[i])
+			t.Errorf("%s owns %d partitions, want %d", m.Name, own.Len(), b.Loads()[i])
 		}
 		for p := range Partitions {
 			if own.Has(p) != slices.Contains(b.Owners(p), m.Name) {
@@ -700,7 +701,7 @@
 		}
 	}
 	if b.Owners(-1) != nil || b.Owners(Partitions) != nil {
-		t.Error("what is no partition has owners")
+		t.Error("an invalid partition has owners")
 	}
 }
 
--- a/fleet/partner/partner.go
+++ b/fleet/partner/partner.go
@@ -1,8 +1,12 @@
-// Package partner is the model of one partner, the other people's system that messages go to: its limit, its queue and
-// pace, its outages and its cold return. It is a pure state machine: an event and a time go in, actions come out, and
-// chance comes from a source that is handed in. The lab serves it on sockets, the model of the fleet on virtual time.
+// Package partner models one partner, the external system that messages are sent to: its rate limit, its
+// queue and service time, its outages and its slow start. It is a pure state machine: an event and a time go
+// in, actions come out, and randomness comes from a source that is passed in. The lab serves it on sockets,
+// the model of the fleet in virtual time.
 //
-// What it models is what the protocol page and the brief say of destinations. It is not a measurement of any real one.
+// A partner is the organization with all its endpoints; a destination is what a message is addressed to.
+//
+// The model follows what the protocol page and the brief say of destinations. It is not a measurement of any
+// real one.
 package partner
 
 import (
@@ -14,82 +18,82 @@
 	"time"
 )
 
-// Limit is what a partner takes from all senders together.
+// Limit is the rate limit that a partner applies to all senders together.
 type Limit struct {
-	PerSecond     float64       // calls a second; 0: none but its capacity
-	Span          time.Duration // a count in each fixed span of this length; 0: a plain rate
-	Burst         time.Duration // of a plain rate: so much of it may be taken at once, at least one call
-	CountsRefused bool          // calls refused above it use it up as well
+	PerSecond     float64       // calls a second; 0: limited by capacity only
+	Span          time.Duration // count calls in fixed windows of this length; 0: a token bucket
+	Burst         time.Duration // of a token bucket: the bucket holds the calls of this time, at least one call
+	CountsRefused bool          // refused calls count against the limit as well
 }
 
-// Config is what a partner is like. A zero value of a share or a spread means none of it.
+// Config is the behavior of a partner. A zero share or variation disables that behavior.
 type Config struct {
 	Endpoints int // at the start, at least 1
 	Workers   int // of each endpoint: calls served at once, at least 1
-	Queue     int // of each endpoint: calls that wait for a worker at most
-	Conns     int // of each endpoint: connections at most, idle ones counted; 0: any number
-	Batch     int // messages in one call at most; 0 and 1: no batches
+	Queue     int // of each endpoint: maximum number of calls that wait for a worker
+	Conns     int // of each endpoint: maximum number of connections, idle ones included; 0: unlimited
+	Batch     int // maximum number of messages in a call; 0 and 1: no batches
 
 	Pace     time.Duration // mean time to serve a call of one message
-	Spread   float64       // its coefficient of variation
-	ItemCost float64       // of each further message in a call, as a share of the first one's
+	Spread   float64       // coefficient of variation of the service time
+	ItemCost float64       // cost of each further message in a call, as a share of the first one's
 
 	Limit     Limit
-	TellsWait float64          // share of refusals above the limit, or while shut, that tell how long to wait
-	Wait      [2]time.Duration // range of the waits that a plain rate tells
-	Window    time.Duration    // a repeat under the same key is dropped for so long
+	TellsWait float64          // share of the calls refused above the limit or while rejecting whose refusal tells how long to wait
+	Wait      [2]time.Duration // range of the waits that a token bucket tells
+	Window    time.Duration    // a repeat under the same key is dropped for this long
 
 	Faults float64 // share of messages that end as an error
-	Defers float64 // share of messages in batches that are put off, never having run
+	Defers float64 // share of messages in batches that are deferred without having run
 	Lost   float64 // share of calls that run and whose answer is lost
-	Spoilt float64 // share of calls that run and whose answer can't be read
+	Spoilt float64 // share of calls that run and whose answer can't be parsed
 
-	ColdFrom     float64       // share of its capacity that it returns with after an outage, over 0
-	WarmWithin   time.Duration // until it has all of it
-	FallMultiple float64       // cold and sent more than this multiple of its present capacity
-	Fall         time.Duration // within any span of this length, it falls over; 0: it never does
+	ColdFrom     float64       // share of its capacity right after an outage, above 0
+	WarmWithin   time.Duration // time until it has its full capacity again
+	FallMultiple float64       // a partner in slow start that is sent more than this multiple of its current capacity
+	Fall         time.Duration // within any period of this length collapses; 0: it never does
 }
 
-// Check tells what is wrong with a Config.
+// Check validates the Config.
 func (c Config) Check() error {
 	for _, share := range []struct {
 		name string
 		v    float64
 	}{{"tells_wait", c.TellsWait}, {"faults", c.Faults}, {"defers", c.Defers}, {"lost", c.Lost}, {"spoilt", c.Spoilt}} {
 		if !(share.v >= 0 && share.v <= 1) {
-			return fmt.Errorf("%s is a share, from 0 to 1, not %v", share.name, share.v)
+			return fmt.Errorf("%s must be a share from 0 to 1, is %v", share.name, share.v)
 		}
 	}
 	switch {
 	case c.Endpoints < 1 || c.Workers < 1:
-		return fmt.Errorf("a partner needs an endpoint and a worker, has %d and %d", c.Endpoints, c.Workers)
+		return fmt.Errorf("a partner needs at least one endpoint and one worker, has %d and %d", c.Endpoints, c.Workers)
 	case c.Pace <= 0:
-		return fmt.Errorf("the pace is over 0, not %v", c.Pace)
+		return fmt.Errorf("pace must be above 0, is %v", c.Pace)
 	case c.Queue < 0 || c.Conns < 0 || c.Spread < 0 || c.ItemCost < 0 || c.Limit.PerSecond < 0 || c.Limit.Span < 0 || c.Limit.Burst < 0:
-		return fmt.Errorf("a count, a spread, a cost or a limit is under 0")
+		return fmt.Errorf("a count, spread, cost or limit is below 0")
 	case c.Wait[0] < 0 || c.Wait[1] < c.Wait[0]:
-		return fmt.Errorf("the waits' range %v has its ends the wrong way round", c.Wait)
+		return fmt.Errorf("wait %v is not a range from 0 upwards", c.Wait)
 	case c.Fall > 0 && !(c.ColdFrom > 0 && c.ColdFrom <= 1):
-		return fmt.Errorf("cold_from is over 0 and at most 1, not %v", c.ColdFrom)
+		return fmt.Errorf("cold_from must be above 0 and at most 1, is %v", c.ColdFrom)
 	}
 	return nil
 }
 
-// Capacity is the rate of calls with one message that the endpoints serve together when warm, a second.
+// Capacity returns the calls of one message that all endpoints serve in a second at full capacity.
 func (c Config) Capacity() float64 {
 	return float64(c.Endpoints*c.Workers) / c.Pace.Seconds()
 }
 
-// Trouble is what a spell does to an endpoint.
+// FaultKind is what a fault does to an endpoint.
 type Trouble uint8
 
-// The troubles. All but Slow and Lossy are outages: the endpoint is cold when they end.
+// All but Slow and Lossy are outages: the endpoint is in slow start when they end.
 const (
 	Slow    Trouble = iota // serves Size times slower
 	Lossy                  // loses the share Size of its answers
 	Failing                // answers the share Size with an error
-	Shut                   // turns all away, and may tell until when
-	Silent                 // takes calls, runs the share Size of their messages, and answers none
+	Shut                   // refuses all calls, and may tell until when
+	Silent                 // accepts calls, runs the share Size of their messages, and answers none
 	Down                   // its connections are reset, and new ones refused
 )
 
@@ -97,28 +101,29 @@
 
 func (t Trouble) String() string { return troubles[t] }
 
-// ParseTrouble reads a Trouble's name.
+// ParseFaultKind parses the name of a FaultKind.
 func ParseTrouble(name string) (Trouble, bool) {
 	i := slices.Index(troubles[:], name)
 	return Trouble(max(i, 0)), i >= 0
 }
 
-// Event is one piece of news for a partner.
+// Event is an input of a partner.
 type Event interface{ event() }
 
-// Opened says that a sender has opened a connection. Conn is its number, used once.
+// ConnOpened says that a sender opened a connection. Conn is its number and is never reused.
 type Opened struct {
 	Conn     uint64
 	Endpoint int
 }
 
-// Closed says that a connection has ended. What runs on it may run on; its answer goes nowhere.
+// ConnClosed says that a connection ended. Calls being served on it continue; their answers are lost.
 type Closed struct{ Conn uint64 }
 
 // Item is a message in a call.
 type Item struct{ ID, Key string }
 
-// Called is a call whose last byte has come. Call is its number, used once. A call without items is a probe.
+// CallReceived is a call whose last byte has arrived. Call is its number and is never reused. A call without
+// items is a probe.
 type Called struct {
 	Call, Conn uint64
 	Endpoint   int
@@ -126,21 +131,21 @@
 	Items      []Item
 }
 
-// Troubled begins a spell, which lasts until its end or for good if that is 0. Spells may overlap.
+// FaultStarted starts a fault, which lasts until Until, or forever if that is 0. Faults may overlap.
 type Troubled struct {
-	Endpoint int // -1: all that there are
+	Endpoint int // -1: all present endpoints
 	What     Trouble
 	Size     float64
 	Until    time.Duration
 }
 
-// Added brings an endpoint into service; the endpoints are numbered in their order.
+// EndpointAdded brings an endpoint into service; endpoints are numbered in the order in which they are added.
 type Added struct{}
 
-// Limited sets another limit from now on, as a share of the first one.
+// LimitChanged sets the rate limit to a share of the configured one.
 type Limited struct{ Share float64 }
 
-// Tick is the passing of time alone.
+// Tick says only that time has passed.
 type Tick struct{}
 
 func (Opened) event()   {}
@@ -151,61 +156,60 @@
 func (Limited) event()  {}
 func (Tick) event()     {}
 
-// Status is how a call is answered.
+// Status is how a call was answered.
 type Status uint8
 
-// The statuses. Only those up to Crowded prove that nothing has run.
+// Only the statuses up to TooManyConns prove that nothing has run.
 const (
-	AboveLimit   Status = iota // above the limit, with a wait or without
-	TurnedAway                 // shut
-	Full                       // its queue is full
-	Crowded                    // too many connections
-	Delivered                  // with a fate for each message
-	Errored                    // as a whole
-	LostAnswer                 // it ran, and the connection is reset
-	SpoiltAnswer               // it ran, and the answer can't be read
+	AboveLimit   Status = iota // above the rate limit, with a retry-after or without
+	TurnedAway                 // the partner refuses all calls, see Rejecting
+	Full                       // the endpoint's queue is full
+	Crowded                    // the endpoint has too many connections
+	Delivered                  // with an outcome for each message
+	Errored                    // the call as a whole failed
+	LostAnswer                 // the messages ran, and the connection was reset before the answer
+	SpoiltAnswer               // the messages ran, and the answer can't be parsed
 )
 
-// Refused tells that nothing of the call has run.
+// Refused reports that nothing of the call has run.
 func (s Status) Refused() bool { return s <= Crowded }
 
-// Fate is how one message of a call ended.
+// Outcome is how one message of a call ended.
 type Fate uint8
 
-// The fates.
 const (
 	Accepted Fate = iota
 	Fault         // it may have run
 	Deferred      // it never ran
 )
 
-// Action is what a partner does.
+// Action is an output of a partner.
 type Action interface{ action() }
 
-// Answer ends a call. Where its connection has ended nobody hears it.
+// Answer ends a call. If its connection has ended, nobody receives it.
 type Answer struct {
 	Call   uint64
 	Status Status
-	Fates  []Fate        // of Delivered
-	Wait   time.Duration // told, of a refusal; 0: none
+	Fates  []Fate        // of Served
+	Wait   time.Duration // told with a refusal; 0: none
 }
 
-// Ran says that a message has taken effect.
+// Executed says that a message has taken effect.
 type Ran struct {
 	Call   uint64
 	ID     string
-	Before bool // it is a repeat under a key whose window is over, or without a key
+	Before bool // it is a repeat without a key, or under a key whose deduplication window is over
 }
 
-// Reset says that an endpoint's connections are gone, and that it takes none until Restored.
+// ConnsReset says that an endpoint's connections were reset, and that it accepts none until EndpointRestored.
 type Reset struct{ Endpoint int }
 
-// Restored says that an endpoint takes connections again.
+// EndpointRestored says that an endpoint accepts connections again.
 type Restored struct{ Endpoint int }
 
-// Fell says that the partner, being cold, was pushed over. It stays down.
+// Collapsed says that the partner was sent more than it can carry in slow start. It stays down.
 type Fell struct {
-	Pushes map[int]float64 // calls by sender within the span
+	Pushes map[int]float64 // calls within CollapseSpan by sender
 	Budget float64
 }
 
@@ -218,23 +222,23 @@
 type endpoint struct {
 	conns    int
 	busy     int
-	waiting  []uint64 // calls, oldest first
+	waiting  []uint64 // numbers of calls, oldest first
 	spells   []Troubled
 	out      bool          // in an outage
-	cold     bool          // has returned from one,
-	returned time.Duration // then
+	cold     bool          // has returned from an outage,
+	returned time.Duration // at this time
 }
 
 type job struct {
 	Called
 	ends    time.Duration
 	running bool
-	place   int // in the heap; -1: it never ends by itself
+	place   int // index in the heap; -1: it never ends by itself
 }
 
 type conn struct {
 	endpoint int
-	over     bool // beyond the endpoint's table
+	over     bool // beyond the endpoint's maximum number of connections
 }
 
 type push struct {
@@ -243,28 +247,28 @@
 	weight float64
 }
 
-// Partner is one partner. Its methods are for one goroutine.
+// Partner is the state of one partner. It is not safe for concurrent use.
 type Partner struct {
 	cfg   Config
 	rand  *rand.Rand
 	now   time.Duration
-	share float64 // of the limit that is in force
+	share float64 // of the rate limit that is in force
 
 	endpoints []endpoint
 	conns     map[uint64]conn
 	jobs      map[uint64]*job
 	due       dueJobs
-	seen      map[string]time.Duration // when a key, or else an id, first ran
+	seen      map[string]time.Duration // when a key, or an id without a key, first ran
 	pushes    []push
 	fallen    bool
 
-	tokens   float64       // of a plain rate, under 0 where refused calls count
-	filled   time.Duration // when they were counted last
-	span     int64         // of a count: the span it is for
+	tokens   float64       // of a token bucket; below 0 where refused calls count
+	filled   time.Duration // when the tokens were last refilled
+	span     int64         // of a limit by windows: number of the current window
 	spanUsed float64
 }
 
-// New makes a partner that has been in service for long. The Config must pass Check.
+// New returns a partner at full capacity. The Config must pass Check.
 func New(cfg Config, r *rand.Rand) *Partner {
 	p := &Partner{
 		cfg: cfg, rand: r, share: 1, endpoints: make([]endpoint, cfg.Endpoints), conns: map[uint64]conn{}, jobs: map[uint64]*job{},
@@ -274,7 +278,7 @@
 	return p
 }
 
-// Next is when the partner wants a Tick, if it does.
+// NextTick returns when the partner needs a Tick; false if it needs none.
 func (p *Partner) Next() (time.Duration, bool) {
 	next, ok := time.Duration(math.MaxInt64), false
 	if len(p.due) > 0 {
@@ -290,16 +294,16 @@
 	return next, ok
 }
 
-// Down tells that an endpoint takes no connections.
+// IsDown reports that an endpoint accepts no connections.
 func (p *Partner) Down(endpoint int) bool { return p.endpoints[endpoint].has(Down) != nil }
 
-// Fallen tells that the partner was pushed over.
+// HasCollapsed reports that the partner has collapsed.
 func (p *Partner) Fallen() bool { return p.fallen }
 
-// Out counts the calls that are waiting or being served.
+// CallsInFlight returns the number of calls that are queued or being served.
 func (p *Partner) Out() int { return len(p.jobs) }
 
-// PresentCapacity is the rate of calls with one message that it can serve now, a second.
+// CurrentCapacity returns the calls of one message that the partner can now serve in a second.
 func (p *Partner) PresentCapacity() float64 {
 	sum := 0.0
 	for i := range p.endpoints {
@@ -308,7 +312,8 @@
 	return sum * float64(p.cfg.Workers) / p.cfg.Pace.Seconds()
 }
 
-// Step takes an event at a time that is not before the last one's. What falls due up to then comes first.
+// Step handles an event at a time that is not before that of the last event. It first handles everything that
+// is due by then.
 func (p *Partner) Step(now time.Duration, ev Event) []Action {
 	var acts []Action
 	for {
@@ -349,7 +354,8 @@
 	return acts
 }
 
-// pass carries out what is due at p.now: the ends of spells, then of calls in the order of their due times and numbers.
+// runDue handles what is due at p.now: the ends of faults, then calls in the order of their end times and
+// numbers.
 func (p *Partner) pass(acts []Action) []Action {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -385,7 +391,7 @@
 			}
 		}
 		e.conns, e.busy, e.waiting = 0, 0, nil
-		for id, j := range p.jobs { // what was being served has not run, or has: nobody will know
+		for id, j := range p.jobs { // whether the calls being served have run stays unknown
 			if j.Endpoint == i {
 				p.drop(id, j)
 			}
@@ -432,7 +438,7 @@
 	return acts
 }
 
-// serve begins to work on a call.
+// serve starts serving a call.
 func (p *Partner) serve(e *endpoint, j *job) {
 	e.busy++
 	j.running = true
@@ -497,7 +503,7 @@
 	return append(acts, Answer{Call: j.Call, Status: status, Fates: fates})
 }
 
-// next gives a worker that has become free to the call that has waited longest.
+// serveNext hands a free worker to the call that has waited longest.
 func (p *Partner) next(e *endpoint) {
 	e.busy = max(e.busy-1, 0)
 	for len(e.waiting) > 0 && e.busy < p.cfg.Workers {
@@ -509,7 +515,7 @@
 	}
 }
 
-// abandon forgets the calls of a connection that has ended and that wait; those being served run on.
+// dropQueued removes the queued calls of a connection that has ended; those being served continue.
 func (p *Partner) abandon(conn uint64) {
 	for id, j := range p.jobs {
 		if j.Conn == conn && !j.running {
@@ -527,7 +533,8 @@
 	}
 }
 
-// run lets a message take effect, unless its key is known and its window still open.
+// execute lets a message take effect, unless its key is known and the key's deduplication window is still
+// open.
 func (p *Partner) run(j *job, it Item, acts []Action) []Action {
 	name := "id " + it.ID
 	if it.Key != "" {
@@ -541,8 +548,8 @@
 	return append(acts, Ran{Call: j.Call, ID: it.ID, Before: before})
 }
 
-// admit counts a call against the limit; where it is refused it may be told a wait, after which there is room again
-// unless others take it.
+// admit counts a call against the rate limit. A refused call may be told a retry-after, at the end of which
+// there is room again unless others take it.
 func (p *Partner) admit() (bool, time.Duration) {
 	l := p.cfg.Limit
 	switch {
@@ -586,7 +593,8 @@
 	p.filled = p.now
 }
 
-// pushed counts a call that reaches a cold partner, and lets it fall over above its budget.
+// trackCollapse counts a call that reaches a partner in slow start, and lets the partner collapse if the
+// calls exceed its budget.
 func (p *Partner) pushed(c Called, acts []Action) []Action {
 	if p.cfg.Fall <= 0 || p.fallen {
 		return acts
@@ -596,7 +604,7 @@
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
 		if e.out {
-			return acts // the outage goes on: what is sent now pushes nothing that is returning
+			return acts // the outage continues: these calls don't reach an endpoint in slow start
 		}
 		cold = cold || p.isCold(e)
 	}
@@ -610,7 +618,7 @@
 		sum += q.weight
 	}
 	budget := p.cfg.FallMultiple * p.PresentCapacity() * p.cfg.Fall.Seconds()
-	if budget += 2 + math.Sqrt(budget); sum <= budget { // a little slack for chance
+	if budget += 2 + math.Sqrt(budget); sum <= budget { // allow for random variation
 		return acts
 	}
 	p.fallen = true
@@ -627,7 +635,7 @@
 
 func (p *Partner) isCold(e *endpoint) bool { return e.cold && p.now < e.returned+p.cfg.WarmWithin }
 
-// warmth is the share of its capacity that an endpoint has.
+// capacityShare returns the share of its full capacity that an endpoint has now.
 func (p *Partner) warmth(e *endpoint) float64 {
 	if !p.isCold(e) {
 		return 1
@@ -635,7 +643,7 @@
 	return p.cfg.ColdFrom + (1-p.cfg.ColdFrom)*float64(p.now-e.returned)/float64(p.cfg.WarmWithin)
 }
 
-// vary draws a factor of mean 1, lognormal.
+// randomFactor draws a lognormal factor of mean 1.
 func (p *Partner) vary() float64 {
 	if p.cfg.Spread == 0 {
 		return 1
@@ -646,7 +654,7 @@
 
 func (p *Partner) chance(share float64) bool { return share > 0 && p.rand.Float64() < share }
 
-// has returns the endpoint's last spell of a kind, or nil.
+// activeFault returns the endpoint's latest fault of a kind, or nil.
 func (e *endpoint) has(t Trouble) *Troubled {
 	for i := len(e.spells) - 1; i >= 0; i-- {
 		if e.spells[i].What == t {
@@ -656,13 +664,14 @@
 	return nil
 }
 
-// inOutage tells that the endpoint will be cold after its spells. One that fails less than half is none.
+// inOutage reports that the endpoint will be in slow start after its faults. Failing below half of the calls
+// is not an outage.
 func (e *endpoint) inOutage() bool {
 	f := e.has(Failing)
 	return e.has(Down) != nil || e.has(Silent) != nil || e.has(Shut) != nil || (f != nil && f.Size >= 0.5)
 }
 
-// dueJobs is a heap of calls by their ends, ties by their numbers.
+// jobQueue is a heap of calls by end time, ties by number.
 type dueJobs []*job
 
 func (d dueJobs) Len() int { return len(d) }
--- a/fleet/partner/partner_test.go
+++ b/fleet/partner/partner_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-// drawConfig draws a partner, without troubles of its own.
+// drawConfig draws a partner that has no errors of its own.
 func drawConfig(t *rapid.T) Config {
 	c := Config{
 		Endpoints: rapid.IntRange(1, 3).Draw(t, "endpoints"), Workers: rapid.IntRange(1, 4).Draw(t, "workers"),
@@ -32,7 +32,7 @@
 	return c
 }
 
-// traffic draws events at times that grow.
+// traffic draws events at increasing times.
 type timed struct {
 	at time.Duration
 	ev Event
@@ -78,7 +78,7 @@
 	act Action
 }
 
-// play gives the events to a new partner and lets it come to rest.
+// run sends the events to a new partner and lets all its calls end.
 func play(c Config, events []timed) []acted {
 	p := New(c, rand.New(rand.NewPCG(1, 2)))
 	var out []acted
@@ -88,7 +88,7 @@
 		}
 	}
 	for _, e := range events {
-		for { // as a driver does, each thing at its own time
+		for { // like a driver: everything at its due time
 			next, ok := p.Next()
 			if !ok || next >= e.at {
 				break
@@ -106,7 +106,7 @@
 	}
 }
 
-// Without troubles each call has one answer, and a refused one never ran.
+// Without faults each call has one answer, and a refused call never ran.
 func TestEveryCallIsAnsweredOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
@@ -137,7 +137,8 @@
 	})
 }
 
-// With all troubles no call is answered twice, none at an endpoint that is down, and no key runs twice in its window.
+// With all faults no call is answered twice, none is answered by an endpoint that is down, and no key runs
+// twice within its deduplication window.
 func TestTroubles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
@@ -161,7 +162,7 @@
 				answered[act.Call] = true
 			case Ran:
 				if before, ok := last[keys[act.ID]]; ok && a.at-before < c.Window {
-					t.Fatalf("%s ran at %v and %v, its window is %v", keys[act.ID], before, a.at, c.Window)
+					t.Fatalf("%s ran at %v and %v, within the window of %v", keys[act.ID], before, a.at, c.Window)
 				}
 				last[keys[act.ID]] = a.at
 			}
@@ -169,18 +170,18 @@
 	})
 }
 
-// One seed and one history give the same actions, to the last.
+// The same seed and events give identical actions.
 func TestSameSeedSameActions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
 		events := drawTraffic(t, c, true)
 		if a, b := play(c, events), play(c, events); !reflect.DeepEqual(a, b) {
-			t.Fatalf("two plays differ:\n%v\n%v", a, b)
+			t.Fatalf("two runs differ:\n%v\n%v", a, b)
 		}
 	})
 }
 
-// What is taken on never passes the limit: in a span the count, over any time the rate and its burst.
+// Admitted calls never exceed the limit: the count in each window, or the rate and its burst over any time.
 func TestLimitHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
@@ -219,14 +220,14 @@
 					most = max(1, c.Limit.PerSecond*c.Limit.Burst.Seconds()) + c.Limit.PerSecond*(to-from).Seconds() + 1e-6
 				}
 				if float64(n) > most {
-					t.Fatalf("%d calls from %v to %v, at most %v are allowed", n, from, to, most)
+					t.Fatalf("%d calls from %v to %v, limit %v", n, from, to, most)
 				}
 			}
 		}
 	})
 }
 
-// A wait that is told is honest: at its end there is room, if nobody else has taken it.
+// After a retry-after has passed there is room, unless others have taken it.
 func TestWaitsAreHonest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
@@ -241,11 +242,11 @@
 					continue
 				}
 				if ans.Wait <= 0 {
-					t.Fatalf("no wait told")
+					t.Fatalf("no retry-after was told")
 				}
 				for _, b := range p.Step(at+ans.Wait, Called{Call: 1000, Conn: 1}) {
 					if again, ok := b.(Answer); ok && again.Call == 1000 && again.Status == AboveLimit {
-						t.Fatalf("refused again after the wait of %v", ans.Wait)
+						t.Fatalf("refused again after the retry-after of %v", ans.Wait)
 					}
 				}
 				return
@@ -255,11 +256,11 @@
 	})
 }
 
-// A partner back from an outage falls over above its budget, and never below.
+// A partner in slow start collapses above its budget, and never below it.
 func TestColdReturn(t *testing.T) {
 	c := Config{
 		Endpoints: 2, Workers: 5, Queue: 1000, Pace: 100 * ms, ColdFrom: 0.2, WarmWithin: 10 * time.Second, FallMultiple: 2, Fall: 2 * time.Second,
-	} // 100 calls a second when warm, 20 when it returns
+	} // 100 calls a second at full capacity, 20 right after an outage
 	for _, test := range []struct {
 		perSecond int
 		falls     bool
@@ -278,16 +279,16 @@
 				}
 			}
 			if (fell != nil) != test.falls || p.Fallen() != test.falls {
-				t.Fatalf("fell: %v, want %v", fell, test.falls)
+				t.Fatalf("collapsed: %v, want %v", fell, test.falls)
 			}
 			if fell != nil && (fell.Pushes[7] <= fell.Budget || !p.Down(0)) {
-				t.Errorf("pushes %v, budget %v, down %v", fell.Pushes, fell.Budget, p.Down(0))
+				t.Errorf("calls by sender %v, budget %v, down %v", fell.Pushes, fell.Budget, p.Down(0))
 			}
 		})
 	}
 }
 
-// Cold, it serves slower, and warms.
+// In slow start a partner serves slower, and gets faster with time.
 func TestWarmsWithTime(t *testing.T) {
 	c := Config{Endpoints: 1, Workers: 1, Pace: 100 * ms, ColdFrom: 0.25, WarmWithin: 10 * time.Second}
 	p := New(c, rand.New(rand.NewPCG(7, 8)))
@@ -303,7 +304,7 @@
 	}
 }
 
-// A full table of connections turns the next ones away until one closes.
+// An endpoint with the maximum number of connections refuses further ones until one closes.
 func TestConnections(t *testing.T) {
 	c := Config{Endpoints: 1, Workers: 10, Conns: 2, Pace: 10 * ms}
 	p := New(c, rand.New(rand.NewPCG(9, 10)))
@@ -325,10 +326,10 @@
 		p.Step(0, Opened{Conn: conn})
 	}
 	if got := status(1, 2, 0); got != Delivered {
-		t.Errorf("in the table: %v", got)
+		t.Errorf("within the maximum: %v", got)
 	}
 	if got := status(2, 3, time.Second); got != Crowded {
-		t.Errorf("beyond the table: %v", got)
+		t.Errorf("beyond the maximum: %v", got)
 	}
 	p.Step(2*time.Second, Closed{Conn: 1})
 	p.Step(2*time.Second, Closed{Conn: 3})
@@ -338,7 +339,7 @@
 	}
 }
 
-// Batches have a fate each; lost and spoilt answers come after the messages ran.
+// Each message of a batch has its own outcome; lost and unreadable answers come after the messages ran.
 func TestFatesAndLostAnswers(t *testing.T) {
 	base := Config{Endpoints: 1, Workers: 100, Pace: 10 * ms, Batch: 10}
 	count := func(c Config) (statuses map[Status]int, fates map[Fate]int, ran int) {
@@ -370,17 +371,17 @@
 	c := base
 	c.Faults, c.Defers = 0.2, 0.3
 	if _, fates, ran := count(c); fates[Accepted] == 0 || fates[Fault] == 0 || fates[Deferred] == 0 || ran < fates[Accepted] || ran > fates[Accepted]+fates[Fault] {
-		t.Errorf("fates %v, %d ran", fates, ran)
+		t.Errorf("outcomes %v, %d ran", fates, ran)
 	}
 	c = base
 	c.Lost = 1
 	if statuses, _, ran := count(c); statuses[LostAnswer] != 100 || ran != 1000 {
-		t.Errorf("lost: %v, %d ran", statuses, ran)
+		t.Errorf("lost answers: %v, %d ran", statuses, ran)
 	}
 	c = base
 	c.Spoilt = 1
 	if statuses, _, ran := count(c); statuses[SpoiltAnswer] != 100 || ran != 1000 {
-		t.Errorf("spoilt: %v, %d ran", statuses, ran)
+		t.Errorf("unreadable answers: %v, %d ran", statuses, ran)
 	}
 }
 
--- a/fleet/tally/tally.go
+++ b/fleet/tally/tally.go
@@ -1,5 +1,5 @@
-// Package tally counts what a fleet has earned in a history: worth served by class, member, node and stretch of time,
-// refusals at partners, and the times that messages took.
+// Package tally counts the service of a fleet in a history: worth served by class, tenant, node and interval,
+// refusals at partners, and the latencies of messages.
 package tally
 
 import (
@@ -11,11 +11,11 @@
 	"starlingusher/fleet/history"
 )
 
-// Stretch is the length of the stretches of time that service is told for.
+// Interval is the length of the intervals that service is reported for.
 const Stretch = 5 * time.Second
 
-// Class is what a message earns: Worth until Aim after it was first due, then evenly less down to the share LateWorth of
-// it at Deadline, then nothing.
+// Class is what a message earns: Worth until SoftDeadline after it was first due, then linearly decreasing to
+// the share WorthAtDeadline of it at Deadline, then nothing.
 type Class struct {
 	Name          string
 	Aim, Deadline time.Duration
@@ -23,7 +23,7 @@
 	LateWorth     float64
 }
 
-// Earns is the worth of a message delivered so long after it was first due.
+// WorthAfter returns the worth of a message delivered at the given time after it was first due.
 func (c Class) Earns(took time.Duration) float64 {
 	switch {
 	case took <= c.Aim:
@@ -35,13 +35,14 @@
 	return c.Worth * (1 - (1-c.LateWorth)*past)
 }
 
-// Terms say what is counted.
+// Config says what is counted.
 type Terms struct {
 	Classes  []Class
 	Members  []string
 	Nodes    []string
 	Partners int
-	// Weight is what a case counts for its member's traffic over its share, 1 inside it; nil: always 1.
+	// Weight returns the factor on the worth of a message: 1 within its tenant's share, less above it; nil:
+	// always 1.
 	Weight func(c int) float64
 }
 
@@ -50,14 +51,14 @@
 	Name      string  `json:"name"`
 	Messages  int     `json:"messages"`
 	Delivered int     `json:"delivered"`
-	Refused   int     `json:"refused"` // at the last try, or handed back and not tried again
+	Refused   int     `json:"refused"` // at the last submission, or returned and not submitted again
 	Failed    int     `json:"failed"`
 	Unheard   int     `json:"unheard"` // no answer, or no end seen
 	Asked     float64 `json:"worth_asked"`
 	Served    float64 `json:"worth_served"`
 }
 
-// Share is the worth served over the worth asked for, 1 where nothing was asked for.
+// Share returns the worth served divided by the worth asked for, or 1 if none was asked for.
 func (l Line) Share() float64 {
 	if l.Asked == 0 {
 		return 1
@@ -65,37 +66,37 @@
 	return l.Served / l.Asked
 }
 
-// PartnerLine is what reached a partner.
+// PartnerLine counts what reached a partner.
 type PartnerLine struct {
 	Partner  int            `json:"partner"`
 	Calls    int            `json:"calls"`
 	Messages int            `json:"messages"`
-	Opened   int            `json:"connections"` // new ones
-	Ends     map[string]int `json:"ends"`        // of calls, by history's states
+	Opened   int            `json:"connections"` // newly opened
+	Ends     map[string]int `json:"ends"`        // number of calls by their end, in the states of package history
 }
 
-// Times are the percentiles of a time that was measured often.
+// Percentiles summarizes a set of recorded times.
 type Times struct {
 	Count int64         `json:"count"`
 	P50   time.Duration `json:"p50"`
 	P90   time.Duration `json:"p90"`
 	P99   time.Duration `json:"p99"`
 	Max   time.Duration `json:"max"`
-	HDR   string        `json:"hdr,omitempty"` // the whole histogram in microseconds, in HDR's compressed form
+	HDR   string        `json:"hdr,omitempty"` // the whole histogram in microseconds, in the compressed format of HdrHistogram
 }
 
-// Recorder records times from a microsecond to an hour, to three digits.
+// Recorder records times from a microsecond to an hour with a precision of three digits.
 type Recorder struct{ h *hdrhistogram.Histogram }
 
-// NewRecorder makes an empty one.
+// NewRecorder returns an empty Recorder.
 func NewRecorder() Recorder { return Recorder{hdrhistogram.New(1, time.Hour.Microseconds(), 3)} }
 
-// Record adds a time; one out of range counts as the nearest in it.
+// Record adds a time; a time out of range is set to the nearest in range.
 func (r Recorder) Record(d time.Duration) {
-	_ = r.h.RecordValue(min(max(d.Microseconds(), 1), time.Hour.Microseconds())) // within range
+	_ = r.h.RecordValue(min(max(d.Microseconds(), 1), time.Hour.Microseconds())) // can't fail: the value is within range
 }
 
-// Times reads it.
+// Percentiles returns the percentiles of the recorded times.
 func (r Recorder) Times() Times {
 	at := func(q float64) time.Duration { return time.Duration(r.h.ValueAtQuantile(q)) * time.Microsecond }
 	t := Times{Count: r.h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: time.Duration(r.h.Max()) * time.Microsecond}
@@ -105,7 +106,7 @@
 	return t
 }
 
-// Report is what was counted.
+// Report is the result of Count.
 type Report struct {
 	All       Line          `json:"all"`
 	Classes   []Line        `json:"classes"`
@@ -113,7 +114,7 @@
 	Nodes     []Line        `json:"nodes"`
 	Stretches []Line        `json:"stretches"`
 	Partners  []PartnerLine `json:"partners"`
-	Handed    int           `json:"handed_in"` // all tries of all messages
+	Handed    int           `json:"handed_in"` // of all messages, resubmissions included
 	Tries     int           `json:"tries"`     // messages in calls
 	Opened    int           `json:"connections"`
 	Above     int           `json:"calls_above_limit"`
@@ -125,12 +126,12 @@
 type message struct {
 	in    history.Event
 	due   time.Duration
-	state string // the last one known
+	state string // the last known state
 	took  time.Duration
 	done  bool
 }
 
-// Count reads a history, in the order of its times.
+// Count counts a history, which must be in order of time.
 func Count(terms Terms, events []history.Event) Report {
 	r := Report{
 		Classes: make([]Line, len(terms.Classes)), Members: make([]Line, len(terms.Members)), Nodes: make([]Line, len(terms.Nodes)),
@@ -154,9 +155,9 @@
 	handed := map[string]time.Duration{}
 	began := map[uint64][]string{}
 	ran := map[int]int{}
-	taken, early := map[string]bool{}, map[string]time.Duration{} // by id; delivered before its client had its answer
+	taken, early := map[string]bool{}, map[string]time.Duration{} // accepted ids; time of delivery, by id, if it was before the client's answer
 	deliver := func(id string, at time.Duration) {
-		if !taken[id] { // what its client never heard of counts for nothing
+		if !taken[id] { // a message whose client never learned that it was accepted counts for nothing
 			if _, before := early[id]; !before {
 				early[id] = at
 			}
@@ -265,7 +266,7 @@
 	return r
 }
 
-// stretch is the line of the stretch that a time falls into.
+// interval returns the line of the interval that contains a time.
 func (r *Report) stretch(at time.Duration) *Line {
 	i := int(max(at, 0) / Stretch)
 	for len(r.Stretches) <= i {
@@ -274,7 +275,8 @@
 	return &r.Stretches[i]
 }
 
-// Worst is the stretch that was served worst, of those with a fifth of the mean of messages at least.
+// WorstInterval returns the interval with the lowest share of worth served, among those with at least a fifth
+// of the mean number of messages.
 func (r *Report) Worst() (Line, bool) {
 	var worst Line
 	found := false
@@ -286,7 +288,7 @@
 	return worst, found
 }
 
-// Find returns the line of a name.
+// FindLine returns the line with the given name.
 func Find(lines []Line, name string) (Line, bool) {
 	i := slices.IndexFunc(lines, func(l Line) bool { return l.Name == name })
 	if i < 0 {
--- a/fleet/tally/tally_test.go
+++ b/fleet/tally/tally_test.go
@@ -27,11 +27,12 @@
 		return history.Event{At: at, Kind: history.Answered, Partner: -1, ID: id, State: state}
 	}
 	events := []history.Event{
-		// 1: refused, then taken and delivered late: its time counts from its first hand-in.
+		// 1: refused, then accepted and delivered late: its time counts from its first submission.
 		in(0, 1, "1a", 0), answer(ms, "1a", history.Refused), in(500*ms, 1, "1b", 500*ms), answer(501*ms, "1b", history.Taken),
-		// 2: delivered, but its client never heard that it was taken.
+		// 2: delivered, but its client never learned that it was accepted.
 		in(0, 2, "2", 0), answer(400*ms, "2", history.Unheard),
-		// 3: refused for good. 4: failed. 5: beyond its member's share, delivered before its client had its answer.
+		// 3: refused for good. 4: failed. 5: beyond its tenant's share, delivered before its client had its
+		// answer.
 		in(0, 3, "3", 0), answer(ms, "3", history.Refused),
 		in(0, 4, "4", 0), answer(ms, "4", history.Taken), {At: 2 * time.Second, Kind: history.Noticed, Partner: -1, ID: "4", State: history.Failed},
 		in(6*time.Second, 5, "5", 6*time.Second),
@@ -59,12 +60,12 @@
 		t.Errorf("got %+v", r)
 	}
 	if len(r.Stretches) != 2 || r.Stretches[1].Messages != 1 {
-		t.Errorf("stretches %+v", r.Stretches)
+		t.Errorf("intervals %+v", r.Stretches)
 	}
 	if w, ok := r.Worst(); !ok || w.Name != "0s" {
-		t.Errorf("worst %+v", w)
+		t.Errorf("worst interval %+v", w)
 	}
 	if r.Delivery.Count != 2 || r.Delivery.HDR == "" {
-		t.Errorf("delivery %+v", r.Delivery)
+		t.Errorf("time to delivery %+v", r.Delivery)
 	}
 }
--- a/fleet/tomlfile/tomlfile.go
+++ b/fleet/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML strictly, and says of all that is wrong in which line it stands: also of values that are well formed and
-// can't be, which only the reader of a file knows.
+// Package tomlfile reads TOML strictly and reports the line of each error. Callers use KeyLines to report the
+// lines of values that are well formed but invalid.
 package tomlfile
 
 import (
@@ -12,9 +12,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Error is what is wrong with a file, and where.
+// Error is an error in a file and its place.
 type Error struct {
-	Line int // 0: not known, or of the whole file
+	Line int // 0: unknown, or the whole file
 	Text string
 }
 
@@ -25,8 +25,8 @@
 	return fmt.Sprintf("line %d: %s", e.Line, e.Text)
 }
 
-// Decode reads a text over what into points to. Its errors are of type *Error, all that were found, joined; unknown words the one of a
-// name that into has no place for.
+// Decode decodes a text into the value that into points to. Its errors are of type *Error, all of them
+// joined; unknown returns the message for a key that into has no field for.
 func Decode(text []byte, into any, unknown func(name string) string) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	var strict *toml.StrictMissingError
@@ -48,7 +48,8 @@
 	return &Error{0, err.Error()}
 }
 
-// Lines finds the line of each key of a text that Decode has read, by names like "fault[1].kind"; a table has the line of its head.
+// KeyLines returns the line of each key of a text that Decode accepted, by names like "fault[1].kind"; a
+// table has the line of its header.
 func Lines(text []byte) map[string]int {
 	where, count, table := map[string]int{}, map[string]int{}, ""
 	var p unstable.Parser
--- a/fleet/tomlfile/tomlfile_test.go
+++ b/fleet/tomlfile/tomlfile_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("got %v, want %v", got, want)
 	}
 	if got := Lines(nil); len(got) != 0 {
-		t.Errorf("of nothing: %v", got)
+		t.Errorf("empty text: %v", got)
 	}
 }
 
@@ -51,7 +51,7 @@
 			got = err.Error()
 			var one *Error
 			if !errors.As(err, &one) || one.Line == 0 {
-				t.Errorf("%q: %v has no line", c.text, err)
+				t.Errorf("%q: error %v has no line", c.text, err)
 			}
 		}
 		if got != c.want {
