--- a/cmd/coralyard/ownership_test.go
+++ b/cmd/coralyard/ownership_test.go
@@ -88,7 +88,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw, _, err := op.Do(t.Context(), method, "/records/"+ownership.Record, "", body)
+		raw, _, err := op.Do(t.Context(), method, "/records/"+ownership.RecordName, "", body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -221,7 +221,7 @@
 		t.Helper()
 		for _, o := range nodes {
 			o.await(t, "/-/metrics", fmt.Sprintf("app.map:%d|g", m.Number))
-			own, member := m.Of(o.name)
+			own, member := m.PartitionsOf(o.name)
 			if !member {
 				o.await(t, "/-/ready", "not in the map of owners")
 				continue
--- a/cmd/cottonrack/capacity.go
+++ b/cmd/cottonrack/capacity.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	r := capacity.Work(t, slopes)
+	r := capacity.Compute(t, slopes)
 	only := c.Only
 	if c.Order {
 		only = append(only, "order", "roadmap")
@@ -78,7 +78,7 @@
 	if err != nil {
 		return wrongUse{err}
 	}
-	after, err := capacity.Page(before, r.Sections())
+	after, err := capacity.UpdatePage(before, r.Sections())
 	if err != nil {
 		return wrongUse{inFile(c.Write, err)}
 	}
--- a/cmd/cottonrack/capacity_test.go
+++ b/cmd/cottonrack/capacity_test.go
@@ -78,9 +78,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	made := capacity.Slope{ID: "node.destinations.heap", What: "made up", Per: "destination", Unit: "B", Form: "linear", At0: 1, Slope: 1234, To: 10, Points: 1, Plays: 1,
+	made := capacity.Slope{ID: "node.destinations.heap", Description: "made up", XUnit: "destination", Unit: "B", Form: "linear", Intercept: 1, LinearCoef: 1234, To: 10, Points: 1, Repeats: 1,
 		Run: "none", Commit: "0"}
-	more, err := capacity.FormatSlopes(capacity.Replaced(all, []capacity.Slope{made}))
+	more, err := capacity.FormatSlopes(capacity.MergeSlopes(all, []capacity.Slope{made}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,7 +217,7 @@
 
 // The bounds that lines end at are those of the code.
 func TestCapacityFactsAreTheCodes(t *testing.T) {
-	for _, f := range capacity.Facts() {
+	for _, f := range capacity.Bounds() {
 		var got float64
 		switch f.Name {
 		case "UsualMembers":
@@ -260,7 +260,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, l := range capacity.Work(target, nil).Lines {
+	for _, l := range capacity.Compute(target, nil).Lines {
 		if l.Mechanism == "missing" {
 			continue
 		}
--- a/cmd/cottonrack/lab.go
+++ b/cmd/cottonrack/lab.go
@@ -68,7 +68,7 @@
 	var all []*lab.Result
 	for i := range c.Runs {
 		s := seed + uint64(i)
-		res, err := a.play(f.Draw(s, c.Nodes), command, folderOf(c.Out, c.Runs, s))
+		res, err := a.play(f.DrawPlan(s, c.Nodes), command, folderOf(c.Out, c.Runs, s))
 		if err != nil {
 			return err
 		}
@@ -221,16 +221,16 @@
 	}
 	all := res.Tally.All
 	fmt.Fprintf(w, "%s seed %d: %s. %d nodes, %d messages, worth served %.3f; %d delivered, %d refused, %d failed, %d unheard\n", res.Experiment, res.Seed,
-		verdict, res.Nodes, all.Messages, all.Share(), all.Delivered, all.Refused, all.Failed, all.Unheard)
+		verdict, res.Nodes, all.Messages, all.Share(), all.Delivered, all.Refused, all.Failed, all.Unknown)
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	for _, l := range res.Tally.Classes {
 		fmt.Fprintf(t, "  class %s\t%.3f\tof %d\n", l.Name, l.Share(), l.Messages)
 	}
-	if l, ok := res.Tally.Worst(); ok {
+	if l, ok := res.Tally.WorstInterval(); ok {
 		fmt.Fprintf(t, "  worst five seconds\t%.3f\tfrom %s\n", l.Share(), l.Name)
 	}
-	fmt.Fprintf(t, "  calls above limits\t%d\tof %d tries\n", res.Tally.Above, res.Tally.Tries)
-	fmt.Fprintf(t, "  time to delivery\t%v\t99th percentile %v\n", res.Tally.Delivery.P50, res.Tally.Delivery.P99)
+	fmt.Fprintf(t, "  calls above limits\t%d\tof %d tries\n", res.Tally.CallsAboveLimit, res.Tally.Attempts)
+	fmt.Fprintf(t, "  time to delivery\t%v\t99th percentile %v\n", res.Tally.TimeToDelivery.P50, res.Tally.TimeToDelivery.P99)
 	fmt.Fprintf(t, "  lab late by\t%v\t99th percentile %v\n", res.Lateness.P50, res.Lateness.P99)
 	t.Flush()
 	for _, e := range res.Expectations {
@@ -248,7 +248,7 @@
 			break
 		}
 		fmt.Fprintf(w, "  breach of %s\n", b)
-		for _, e := range b.Proof {
+		for _, e := range b.Evidence {
 			raw, _ := json.Marshal(e) // of plain fields
 			fmt.Fprintf(w, "    %s\n", raw)
 		}
@@ -267,17 +267,17 @@
 	if err != nil {
 		return err
 	}
-	p := f.Draw(c.Seed, c.Nodes)
+	p := f.DrawPlan(c.Seed, c.Nodes)
 	if a.asJSON {
 		return printJSON(a.out, p)
 	}
 	fmt.Fprintf(a.out, "%s, seed %d: %v and %v for the ends, %d nodes, %d messages, %d rude peers\n", p.Name, p.Seed, p.Length.Round(time.Millisecond),
-		p.Settle, len(p.Nodes), len(p.Arrivals), len(p.Rude))
+		p.Settle, len(p.Nodes), len(p.Arrivals), len(p.RudePeers))
 	t := tabwriter.NewWriter(a.out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "partner\tkind\ttraffic\tlimit/s\tendpoints\tworkers\tpace\tbatch")
 	for i, q := range p.Partners {
-		fmt.Fprintf(t, "%d\t%s\t%.3f\t%.1f\t%d\t%d\t%v\t%d\n", i, p.Kinds[q.Kind], q.Weight, q.Model.Limit.PerSecond, q.Model.Endpoints, q.Model.Workers,
-			q.Model.Pace.Round(time.Millisecond), q.Model.Batch)
+		fmt.Fprintf(t, "%d\t%s\t%.3f\t%.1f\t%d\t%d\t%v\t%d\n", i, p.PartnerKinds[q.Kind], q.Weight, q.Config.Limit.PerSecond, q.Config.Endpoints, q.Config.Workers,
+			q.Config.ServiceTime.Round(time.Millisecond), q.Config.MaxBatch)
 	}
 	fmt.Fprintln(t, "\nnode\tzone\ttraffic\tslots\tholds")
 	for _, n := range p.Nodes {
@@ -297,13 +297,13 @@
 	if a.asJSON {
 		about := map[string]string{}
 		for name, k := range experiment.FaultKinds {
-			about[name] = k.About
+			about[name] = k.Description
 		}
 		return printJSON(a.out, about)
 	}
 	t := tabwriter.NewWriter(a.out, 2, 0, 2, ' ', 0)
 	for _, k := range slices.Sorted(maps.Keys(experiment.FaultKinds)) {
-		fmt.Fprintf(t, "%s\t%s\n", k, experiment.FaultKinds[k].About)
+		fmt.Fprintf(t, "%s\t%s\n", k, experiment.FaultKinds[k].Description)
 	}
 	return t.Flush()
 }
@@ -369,7 +369,7 @@
 		var pair [2]*lab.Result
 		for k := range pair {
 			side := (k + i) % 2 // each is the first one every other time
-			res, err := a.play(sides[side].f.Draw(seed+uint64(i), c.Nodes), sides[side].command, "")
+			res, err := a.play(sides[side].f.DrawPlan(seed+uint64(i), c.Nodes), sides[side].command, "")
 			if err != nil {
 				if a.ctx.Err() != nil && i >= 2 {
 					fmt.Fprintln(a.err, "ended early; the pairs played so far:")
--- a/cmd/cottonrack/ownership.go
+++ b/cmd/cottonrack/ownership.go
@@ -54,7 +54,7 @@
 		}
 		members = append(members, ownership.Member{Name: m.Name, Zone: m.Zone, Weight: weight})
 	}
-	if err := ownership.Check(f.Copies, members); err != nil { // before anybody is asked
+	if err := ownership.CheckMembers(f.Copies, members); err != nil { // before anybody is asked
 		return 0, nil, wrongUse{fmt.Errorf("%s: %w", w.Members, err)}
 	}
 	return f.Copies, members, nil
@@ -92,7 +92,7 @@
 
 // fetchMap reads the newest map, nil if there is none: as of now if fresh, else as some replica has it.
 func (c asking) fetchMap(ctx context.Context, fresh bool) (*ownership.Map, error) {
-	path := "/records/" + ownership.Record
+	path := "/records/" + ownership.RecordName
 	if fresh {
 		path += "?fresh=1"
 	}
@@ -105,14 +105,14 @@
 	}
 	var r catalog.Record
 	if err := json.Unmarshal(raw, &r); err != nil {
-		return nil, fmt.Errorf("record %s: %w", ownership.Record, err)
+		return nil, fmt.Errorf("record %s: %w", ownership.RecordName, err)
 	}
 	if r.Value == nil {
 		return nil, nil
 	}
 	m, err := ownership.Decode(r.Value)
 	if err != nil {
-		return nil, fmt.Errorf("record %s can't be read: %w", ownership.Record, err)
+		return nil, fmt.Errorf("record %s can't be read: %w", ownership.RecordName, err)
 	}
 	return m, nil
 }
@@ -170,17 +170,17 @@
 		}
 	}
 	if p.Before != 0 {
-		some("come", p.Came)
-		some("go", p.Gone)
-		fmt.Fprintf(a.out, "%d of %d parts move; %d of %d partitions keep no owner\n", p.Moved, p.Parts, p.Bare, ownership.Partitions)
+		some("come", p.Added)
+		some("go", p.Removed)
+		fmt.Fprintf(a.out, "%d of %d parts move; %d of %d partitions keep no owner\n", p.Moved, p.Assignments, p.NoOwnerKept, ownership.PartitionCount)
 	}
-	_, err := fmt.Fprintf(a.out, "%s owns most: %d parts\n", p.MostOf, p.Most)
+	_, err := fmt.Fprintf(a.out, "%s owns most: %d parts\n", p.MaxLoadMember, p.MaxLoad)
 	return err
 }
 
 // guarded tells how a change that is too large may be done all the same.
 func (p planned) guarded() error {
-	if err := p.Guard(); err != nil {
+	if err := p.CheckSize(); err != nil {
 		return fmt.Errorf("%w; --confirm if that is meant", err)
 	}
 	return nil
@@ -233,7 +233,7 @@
 	if err := p.print(a); err != nil {
 		return err
 	}
-	if err := p.Guard(); err != nil && !a.asJSON {
+	if err := p.CheckSize(); err != nil && !a.asJSON {
 		fmt.Fprintf(a.out, "apply would refuse it without --confirm: %v\n", err)
 	}
 	return nil
@@ -259,7 +259,7 @@
 		return wrongUse{errors.New("--above is a number that was given")}
 	}
 	var p planned
-	agreement := ownership.Agreement{Above: c.Above, Plan: func(number int64, before *ownership.Map) (*ownership.Map, error) {
+	agreement := ownership.Publisher{AboveNumber: c.Above, Plan: func(number int64, before *ownership.Map) (*ownership.Map, error) {
 		m, change, err := planMap(number, copies, members, before)
 		if p = change; err != nil || m == before || c.Confirm {
 			return m, err
@@ -268,7 +268,7 @@
 	}}
 	m, err := c.agree(a.ctx, &agreement)
 	switch {
-	case errors.Is(err, ownership.ErrUnknown):
+	case errors.Is(err, ownership.ErrAmbiguous):
 		return fmt.Errorf("%w; look with show, and apply again", err)
 	case err != nil:
 		return fmt.Errorf("nothing was written: %w", err)
@@ -282,11 +282,11 @@
 }
 
 // agree carries an agreement out, until it ends, the context does, or nobody can serve for the time to wait.
-func (c asking) agree(ctx context.Context, agreement *ownership.Agreement) (*ownership.Map, error) {
+func (c asking) agree(ctx context.Context, agreement *ownership.Publisher) (*ownership.Map, error) {
 	o := c.operator()
 	o.Wait = 0 // the agreement's steps are tried again one by one
 	holder := fmt.Sprintf("%s.%d.%x", o.By, os.Getpid(), rand.Uint32())
-	const path = "/records/" + ownership.Record
+	const path = "/records/" + ownership.RecordName
 	// What is under way is waited for: an answer that was not taken is one that is not known.
 	ask := func(method, path string, body, into any) error {
 		raw, err := json.Marshal(body)
@@ -306,10 +306,10 @@
 	begun := time.Now()
 	var held time.Time
 	for next := agreement.Begin(); ; {
-		ans := ownership.Answer{Seq: next.Seq, Came: ownership.Done}
+		ans := ownership.Answer{Seq: next.Seq, Outcome: ownership.Done}
 		var w directory.Written
 		var err error
-		switch next.Do {
+		switch next.Operation {
 		case ownership.Acquire:
 			held = time.Now()
 			err = ask(http.MethodPut, path, map[string]any{"holder": holder, "ttl_ms": applyLease.Milliseconds()}, &w)
@@ -320,7 +320,7 @@
 			ans.Value = r.Value
 		case ownership.Update:
 			if time.Since(held) >= applyLease { // this process was stopped meanwhile
-				ans.Came = ownership.Lapsed
+				ans.Outcome = ownership.LeaseLost
 				break
 			}
 			err = ask(http.MethodPost, path, map[string]any{"token": next.Token, "value": next.Value}, &w)
@@ -332,18 +332,18 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, directory.ErrUnknown):
-			ans.Came = ownership.Lost
+			ans.Outcome = ownership.Ambiguous
 		case errors.Is(err, catalog.ErrBad):
-			ans.Came, ans.Err = ownership.Refused, fmt.Errorf("%w: %w", ownership.ErrBad, err)
+			ans.Outcome, ans.Err = ownership.Refused, fmt.Errorf("%w: %w", ownership.ErrInvalid, err)
 		default:
-			ans.Came, ans.Err = ownership.Refused, err
+			ans.Outcome, ans.Err = ownership.Refused, err
 		}
 		limit := c.Wait
 		if errors.Is(err, catalog.ErrTaken) { // somebody writes, or has died
 			limit += applyLease
 		}
-		if ans.Came != ownership.Done && (time.Since(begun) > limit || !registry.Sleep(ctx, 100*time.Millisecond)) {
-			ans.Came = ownership.GaveUp
+		if ans.Outcome != ownership.Done && (time.Since(begun) > limit || !registry.Sleep(ctx, 100*time.Millisecond)) {
+			ans.Outcome = ownership.TimedOut
 		}
 		var ok bool
 		if next, ok = agreement.Step(ans); !ok {
@@ -393,13 +393,13 @@
 		Partitions string  `json:"partitions"`
 	}
 	var rows []row
-	loads, shares := m.Loads(), m.Shares()
+	loads, shares := m.Loads(), m.FairShares()
 	for i, member := range m.Members {
-		own, _ := m.Of(member.Name)
+		own, _ := m.PartitionsOf(member.Name)
 		rows = append(rows, row{member, loads[i], shares[i], own.String()})
 	}
 	if a.asJSON {
-		return printJSON(a.out, map[string]any{"number": m.Number, "copies": m.Copies, "members": rows})
+		return printJSON(a.out, map[string]any{"number": m.Number, "copies": m.OwnersPerPartition, "members": rows})
 	}
 	type zone struct{ members, parts int }
 	zones := map[string]zone{}
@@ -411,7 +411,7 @@
 		}
 		zones[r.Zone] = zone{z.members + 1, z.parts + r.Parts}
 	}
-	fmt.Fprintf(a.out, "map %d: %d members in %d zones, %d partitions of %d owners each\n\n", m.Number, len(rows), len(zones), ownership.Partitions, min(m.Copies, len(rows)))
+	fmt.Fprintf(a.out, "map %d: %d members in %d zones, %d partitions of %d owners each\n\n", m.Number, len(rows), len(zones), ownership.PartitionCount, min(m.OwnersPerPartition, len(rows)))
 	slices.Sort(names)
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ZONE\tMEMBERS\tPARTS")
--- a/cmd/cottonrack/ownership_test.go
+++ b/cmd/cottonrack/ownership_test.go
@@ -55,16 +55,16 @@
 		Value  []byte
 	}
 	json.NewDecoder(req.Body).Decode(&ask)
-	hold := catalog.Hold{Name: ownership.Record, Holder: ask.Holder, Token: ask.Token, TTL: 5000, Value: ask.Value}
+	hold := catalog.Hold{Name: ownership.RecordName, Holder: ask.Holder, Token: ask.Token, TTL: 5000, Value: ask.Value}
 	var r catalog.Result
 	var out any
 	switch req.Method {
 	case http.MethodGet:
-		out, _ = l.state.Record(ownership.Record)
+		out, _ = l.state.Record(ownership.RecordName)
 	case http.MethodPut:
 		r = l.state.Apply(catalog.Command{Acquire: &hold})
 		if r.Err != nil && l.rng.IntN(3) == 0 { // time passes, and its holder has not come back
-			l.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: ownership.Record, Token: r.Token}}}})
+			l.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: ownership.RecordName, Token: r.Token}}}})
 		}
 	case http.MethodPost:
 		if r = l.state.Apply(catalog.Command{Update: &hold}); r.Err == nil {
@@ -114,7 +114,7 @@
 			for round := range 12 {
 				name := fmt.Sprintf("n%d.%d", i, round)
 				c := asking{At: []string{strings.TrimPrefix(server.URL, "http://")}, Wait: time.Minute}
-				m, err := c.agree(context.Background(), &ownership.Agreement{Plan: func(number int64, before *ownership.Map) (*ownership.Map, error) {
+				m, err := c.agree(context.Background(), &ownership.Publisher{Plan: func(number int64, before *ownership.Map) (*ownership.Map, error) {
 					return ownership.Make(number, 1, []ownership.Member{{Name: name, Zone: "z", Weight: 1}}, before)
 				}})
 				results <- result{name, m, err}
--- a/cmd/cottonrack/scale.go
+++ b/cmd/cottonrack/scale.go
@@ -207,7 +207,7 @@
 			fmt.Fprintf(t, "%s\t%s\t%s\n", f.ID, f.Unit, strings.Join(f.Why, "; "))
 			continue
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%.2g\t%g\t%g\t%.1f%%\n", f.ID, f.Unit, s.Form, s.At0, s.Slope, s.Square, s.Spread, s.From, s.To, 100*s.Worst)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%.2g\t%g\t%g\t%.1f%%\n", f.ID, f.Unit, s.Form, s.Intercept, s.LinearCoef, s.QuadraticCoef, s.StdErr, s.From, s.To, 100*s.MaxResidual)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/fleet/capacity/capacity_test.go
+++ b/fleet/capacity/capacity_test.go
@@ -27,14 +27,14 @@
 
 // slope returns a linear slope of invented values.
 func slope(id string, at0, each, from, to float64) Slope {
-	return Slope{ID: id, What: "made up", Per: "thing", Unit: units[id], Form: Linear, At0: at0, Slope: each, From: from, To: to, Points: 4, Plays: 3,
+	return Slope{ID: id, Description: "made up", XUnit: "thing", Unit: units[id], Form: Linear, Intercept: at0, LinearCoef: each, From: from, To: to, Points: 4, Repeats: 3,
 		Run: "docs/scale/made-up.json", Commit: "0000000"}
 }
 
 func lineOf(t testing.TB, r Report, id string, owned bool) Line {
 	t.Helper()
 	for _, l := range r.Lines {
-		if l.ID == id && l.Owned == owned {
+		if l.ID == id && l.WithOwnership == owned {
 			return l
 		}
 	}
@@ -70,17 +70,17 @@
 		s    Slope
 		x, y float64
 	}{
-		{Slope{Form: Constant, At0: 7}, 1e6, 7},
-		{Slope{Form: Linear, At0: 100, Slope: 3}, 20, 160},
-		{Slope{Form: Quadratic, At0: 1, Slope: 2, Square: 3}, 10, 321},
+		{Slope{Form: Constant, Intercept: 7}, 1e6, 7},
+		{Slope{Form: Linear, Intercept: 100, LinearCoef: 3}, 20, 160},
+		{Slope{Form: Quadratic, Intercept: 1, LinearCoef: 2, QuadraticCoef: 3}, 10, 321},
 	} {
-		if got := c.s.At(c.x); got != c.y {
+		if got := c.s.ValueAt(c.x); got != c.y {
 			t.Errorf("%s at %v: %v, by hand %v", c.s.Form, c.x, got, c.y)
 		}
 	}
 	s := Slope{From: 100, To: 1000}
 	for x, want := range map[float64][2]float64{0: {1, 1}, 50: {1, 2}, 100: {1, 1}, 500: {1, 1}, 1000: {1, 1}, 25_000: {25, 1}} {
-		if past, below := s.Past(x); past != want[0] || below != want[1] {
+		if past, below := s.OutsideRange(x); past != want[0] || below != want[1] {
 			t.Errorf("%v is %v times above and %v times below 100 to 1000, by hand %v", x, past, below, want)
 		}
 	}
@@ -89,12 +89,12 @@
 func TestLinesByHand(t *testing.T) {
 	target := theTarget(t)
 	heap := slope("node.destinations.heap", 2e6, 1000, 1000, 38_000)
-	heap.Spread = 10
+	heap.StdErr = 10
 	square := slope("journal.start", 0, 0, 1000, 1e6)
-	square.Form, square.Square = Quadratic, 1e-12
+	square.Form, square.QuadraticCoef = Quadratic, 1e-12
 	still := slope("node.idle.heap", 5e6, 0, 1, 1000)
 	still.Form = Constant
-	r := Work(target, []Slope{
+	r := Compute(target, []Slope{
 		heap, square, still,
 		slope("module.held.step", 0, 1e-9, 1000, 20e6),
 		slope("node.list.bytes", 0, 200, 100, 400_000),
@@ -105,28 +105,28 @@
 		id            string
 		owned         bool
 		figure, share float64
-		how           How
+		how           Source
 		times         float64
-		ending        Ending
+		ending        Cause
 	}{
 		// 2 MB + 380,000 × 1 KB of 64 MB: (64 - 2) / 380; measured up to a tenth.
-		{"control.memory.heap", false, 382e6, 62.0 / 380, Past, 10, ByMemory},
+		{"control.memory.heap", false, 382e6, 62.0 / 380, Extrapolated, 10, ByMemory},
 		// Constant: it never ends.
 		{"control.memory.nodes", false, 5e6, mostLook, Measured, 0, ByMemory},
 		// 10,853,658.5 squared × 1e-12 s of 10 s: the root of 10e12, which is 3,162,277.66.
-		{"failure.start.backlog", false, 117.801903629, 3_162_277.66017 / 10_853_658.5366, Past, 10.8536585366, ByTime},
+		{"failure.start.backlog", false, 117.801903629, 3_162_277.66017 / 10_853_658.5366, Extrapolated, 10.8536585366, ByTime},
 		// 231.7 a second × 10.85 ms.
 		{"own.processor.events", false, 2.51487210, 1 / 2.51487210, Measured, 0, ByProcessor},
 		// 380,000 × 200 B of 16 MB.
 		{"control.messages.list", false, 76e6, 16_777_216 / 76e6, Measured, 0, ByCap},
 		{"control.messages.list", true, 278_048.78, 16_777_216 / 278_048.78, Measured, 0, ByCap},
 		// A cap only, and figures that need no slope.
-		{"directory.state.endpoints", false, 646_000, 50_000.0 / 646_000, Told, 0, ByCap},
-		{"failure.down.probes", false, 747_840, 0, Told, 0, ""},
-		{"failure.down.probes", true, 2_736, 0, Told, 0, ""},
-		{"own.messages.passed", false, 230.859607377, 0, Told, 0, ""},
+		{"directory.state.endpoints", false, 646_000, 50_000.0 / 646_000, FromTarget, 0, ByCap},
+		{"failure.down.probes", false, 747_840, 0, FromTarget, 0, ""},
+		{"failure.down.probes", true, 2_736, 0, FromTarget, 0, ""},
+		{"own.messages.passed", false, 230.859607377, 0, FromTarget, 0, ""},
 		// 2 × 10.85 million × (200 + 24 + 700) B of 3 MiB.
-		{"own.state.room", false, 20_057_560_975.6, 3_145_728 / 20_057_560_975.6, Told, 0, ByCap},
+		{"own.state.room", false, 20_057_560_975.6, 3_145_728 / 20_057_560_975.6, FromTarget, 0, ByCap},
 		// 137 times 76 MB in the zone; it has no limit.
 		{"failure.together.bytes", false, 136.666666667 * 76e6, -1, Measured, 0, ""},
 		// 76 MB at 3 KB a second.
@@ -142,13 +142,13 @@
 		case c.share > 0 && math.Abs(*l.End.Share-c.share) > 1e-6*c.share:
 			t.Errorf("%s: ends at %v, by hand %v", c.id, *l.End.Share, c.share)
 		}
-		if l.Known.How != c.how || !near(l.Known.Times, c.times) || l.End.Ending != c.ending {
-			t.Errorf("%s: provenance %+v, ended by %q; by hand %s %v, %q", c.id, l.Known, l.End.Ending, c.how, c.times, c.ending)
+		if l.Provenance.Source != c.how || !near(l.Provenance.AboveRange, c.times) || l.End.Cause != c.ending {
+			t.Errorf("%s: provenance %+v, ended by %q; by hand %s %v, %q", c.id, l.Provenance, l.End.Cause, c.how, c.times, c.ending)
 		}
 	}
 	l := lineOf(t, r, "control.memory.heap", false)
-	if !near(l.Error, 3.8e6) { // 380,000 × 10 B
-		t.Errorf("the heap's standard error is %v, by hand 3.8e6", l.Error)
+	if !near(l.StdErr, 3.8e6) { // 380,000 × 10 B
+		t.Errorf("the heap's standard error is %v, by hand 3.8e6", l.StdErr)
 	}
 	if got, want := l.figure(), "382 MB ± 3.8 MB"; got != want {
 		t.Errorf("the heap is formatted as %q, want %q", got, want)
@@ -156,12 +156,12 @@
 	if got, want := l.end(), "16% of the destinations"; got != want {
 		t.Errorf("its end is formatted as %q, want %q", got, want)
 	}
-	if got, want := l.Known.String(), "worked out, 10 times past what was measured"; got != want {
+	if got, want := l.Provenance.String(), "worked out, 10 times past what was measured"; got != want {
 		t.Errorf("its provenance is formatted as %q, want %q", got, want)
 	}
 	// 420 changes a day are 0.00486 a second; the measured range begins at 1 a second.
-	low := Work(target, []Slope{slope("node.change.bytes", 100, 300, 1, 50)})
-	if got, want := lineOf(t, low, "control.messages.changes", false).Known.String(), "guessed (list.changes_per_s); worked out, 206 times below what was measured"; got != want {
+	low := Compute(target, []Slope{slope("node.change.bytes", 100, 300, 1, 50)})
+	if got, want := lineOf(t, low, "control.messages.changes", false).Provenance.String(), "guessed (list.changes_per_s); worked out, 206 times below what was measured"; got != want {
 		t.Errorf("below the range the provenance is formatted as %q, want %q", got, want)
 	}
 	if len(l.Runs) != 1 || l.Runs[0] != "docs/scale/made-up.json" {
@@ -170,17 +170,17 @@
 }
 
 func TestMissingIsNeverZero(t *testing.T) {
-	r := Work(theTarget(t), nil)
+	r := Compute(theTarget(t), nil)
 	some := 0
 	for _, l := range r.Lines {
 		if len(l.Slopes) == 0 {
 			continue
 		}
 		some++
-		if l.Figure != nil || l.Known.How != Missing || l.figure() != "missing" || !strings.HasPrefix(l.Known.String(), "missing: ") {
-			t.Errorf("%s has no slope, but its figure is %q, its provenance %q", l.ID, l.figure(), l.Known)
+		if l.Figure != nil || l.Provenance.Source != Missing || l.figure() != "missing" || !strings.HasPrefix(l.Provenance.String(), "missing: ") {
+			t.Errorf("%s has no slope, but its figure is %q, its provenance %q", l.ID, l.figure(), l.Provenance)
 		}
-		if l.End.Share != nil && !l.End.Nothing && !l.End.AtMost {
+		if l.End.Share != nil && !l.End.NoMechanism && !l.End.UpperBound {
 			t.Errorf("%s has no slope, but ends at %v", l.ID, *l.End.Share)
 		}
 	}
@@ -188,34 +188,34 @@
 		t.Errorf("only %d lines need slopes", some)
 	}
 	// One of two slopes is not enough, and a cap alone gives only an upper bound.
-	r = Work(theTarget(t), []Slope{slope("node.list.bytes", 0, 200, 100, 400_000), slope("node.watch.bytes", 1, 0, 1, 1000)})
+	r = Compute(theTarget(t), []Slope{slope("node.list.bytes", 0, 200, 100, 400_000), slope("node.watch.bytes", 1, 0, 1, 1000)})
 	l := lineOf(t, r, "control.messages.all", false)
-	if l.Figure != nil || !slices.Equal(l.Known.Missing, []string{"node.change.bytes"}) {
-		t.Errorf("with one slope missing: figure %v, missing %v", l.Figure, l.Known.Missing)
+	if l.Figure != nil || !slices.Equal(l.Provenance.Missing, []string{"node.change.bytes"}) {
+		t.Errorf("with one slope missing: figure %v, missing %v", l.Figure, l.Provenance.Missing)
 	}
 	w := row{axis: ByDestinations, place: "x", unit: Bytes, figure: one("node.destinations.heap", Target.destinationsMeasured),
-		limits: []limit{controlMemory, capOf(factMembers, told(Target.Endpoints))}}
+		limits: []limit{controlMemory, capOf(boundMembers, told(Target.Endpoints))}}
 	l = w.line(theTarget(t), nil)
-	if !l.End.AtMost || l.end() != "at most 7.7% of the destinations" {
+	if !l.End.UpperBound || l.end() != "at most 7.7% of the destinations" {
 		t.Errorf("a cap beside a missing slope: %q", l.end())
 	}
 }
 
 func TestGuessesAreSaid(t *testing.T) {
 	target := theTarget(t)
-	r := Work(target, []Slope{slope("node.change.step", 0, 1e-8, 1, 1e6), slope("node.list.bytes", 0, 200, 100, 400_000)})
+	r := Compute(target, []Slope{slope("node.change.step", 0, 1e-8, 1, 1e6), slope("node.list.bytes", 0, 200, 100, 400_000)})
 	for id, want := range map[string]string{
 		"control.processor.changes": "guessed (list.changes_per_s); measured",
 		"own.state.room":            "guessed (events.body_bytes, events.name_bytes); from the target",
 		"own.messages.passed":       "guessed (destinations.owners, that clients hand an event to any node); from the target",
 		"control.messages.list":     "measured",
 	} {
-		if got := lineOf(t, r, id, false).Known.String(); got != want {
+		if got := lineOf(t, r, id, false).Provenance.String(); got != want {
 			t.Errorf("%s: %q, want %q", id, got, want)
 		}
 	}
 	target.Guessed = nil
-	if got := lineOf(t, Work(target, nil), "own.state.room", false).Known.String(); got != "from the target" {
+	if got := lineOf(t, Compute(target, nil), "own.state.room", false).Provenance.String(); got != "from the target" {
 		t.Errorf("with nothing guessed: %q", got)
 	}
 }
@@ -305,7 +305,7 @@
 	measured := []Slope{slope("node.destinations.heap", 0, 1000, 100, 400_000), slope("node.list.step", 0, 1e-5, 100, 400_000),
 		slope("node.change.step", 0, 1e-5, 100, 400_000), slope("owned.destinations.heap", 0, 1000, 100, 5000), slope("owned.change.step", 0, 1e-3, 100, 5000)}
 	waits := func() (rows []string, names []string) {
-		for _, s := range Work(theTarget(t), measured).Steps {
+		for _, s := range Compute(theTarget(t), measured).Steps {
 			names = append(names, s.Name)
 			if s.Name == ownership {
 				rows = s.Rows
@@ -315,27 +315,27 @@
 	}
 	builds(t)
 	// The lines with ownership tell how far it would carry, and do not count until it is built.
-	l := lineOf(t, Work(theTarget(t), measured), "control.memory.heap", true)
-	if l.Mechanism != "missing" || l.End.Nothing || !near(*l.End.Share, 64e6/(1000*380_000*3/820.0)) {
+	l := lineOf(t, Compute(theTarget(t), measured), "control.memory.heap", true)
+	if l.Mechanism != "missing" || l.End.NoMechanism || !near(*l.End.Share, 64e6/(1000*380_000*3/820.0)) {
 		t.Errorf("before it is built: %+v", l)
 	}
 	if rows, _ := waits(); !slices.Contains(rows, "control.memory.heap") || !slices.Contains(rows, "control.time.list") {
 		t.Errorf("rows that wait for it before it is built: %v", rows)
 	}
 	builds(t, ownership)
-	if l := lineOf(t, Work(theTarget(t), measured), "control.memory.heap", true); l.Mechanism != "choice" {
+	if l := lineOf(t, Compute(theTarget(t), measured), "control.memory.heap", true); l.Mechanism != "choice" {
 		t.Errorf("once it is built: %+v", l)
 	}
 	if _, names := waits(); slices.Contains(names, ownership) {
 		t.Errorf("a built mechanism is still listed as missing: %v", names)
 	}
-	table := Work(theTarget(t), measured).orderTable()
+	table := Compute(theTarget(t), measured).orderTable()
 	if strings.Contains(table, "heap, by destinations |") || strings.Contains(table, "heap, by destinations, with ownership |") ||
 		!strings.Contains(table, "its loop stands still for a whole list |") ||
 		!strings.Contains(table, "its loop stands still for one change, with ownership |") {
 		t.Errorf("rows measured with ownership must be listed with it, others without:\n%s", table)
 	}
-	for _, s := range Work(theTarget(t), measured).Steps {
+	for _, s := range Compute(theTarget(t), measured).Steps {
 		if slices.Contains(s.Needs, ownership) {
 			t.Errorf("%s still needs ownership first", s.Name)
 		}
@@ -344,7 +344,7 @@
 
 func TestOrder(t *testing.T) {
 	builds(t)
-	r := Work(theTarget(t), nil)
+	r := Compute(theTarget(t), nil)
 	at := map[string]int{}
 	for i, s := range r.Steps {
 		at[s.Name] = i
@@ -354,12 +354,12 @@
 			}
 		}
 	}
-	if len(r.Steps) != len(mechanisms) || r.Steps[0].Least != 0 {
+	if len(r.Steps) != len(mechanisms) || r.Steps[0].MinShare != 0 {
 		t.Errorf("steps: %+v", r.Steps)
 	}
 	// A row that nothing carries counts as ending at 0, also for the mechanisms that its mechanism needs.
 	own := r.Steps[at[ownership]]
-	if own.Least != 0 || !slices.Contains(own.Rows, "failure.down.probes") || !slices.Contains(own.Rows, "control.state.limits") {
+	if own.MinShare != 0 || !slices.Contains(own.Rows, "failure.down.probes") || !slices.Contains(own.Rows, "control.state.limits") {
 		t.Errorf("ownership: %+v", own)
 	}
 	// A row whose end is unknown is not counted among those with a known end.
@@ -371,7 +371,7 @@
 		t.Errorf("followers: %+v", f)
 	}
 	// A row that carries the target waits for nothing.
-	r = Work(theTarget(t), []Slope{slope("node.destinations.heap", 0, 10, 100, 400_000)})
+	r = Compute(theTarget(t), []Slope{slope("node.destinations.heap", 0, 10, 100, 400_000)})
 	for _, s := range r.Steps {
 		if slices.Contains(s.Rows, "control.memory.heap") || slices.Contains(s.Unknown, "control.memory.heap") {
 			t.Errorf("a heap of 3.8 MB waits for %s", s.Name)
@@ -437,7 +437,7 @@
 `
 
 func TestSlopesAreReadStrictly(t *testing.T) {
-	if all, err := ParseSlopes([]byte(goodSlope)); err != nil || len(all) != 1 || all[0].At(10) != 2010 {
+	if all, err := ParseSlopes([]byte(goodSlope)); err != nil || len(all) != 1 || all[0].ValueAt(10) != 2010 {
 		t.Fatalf("%v, %v", all, err)
 	}
 	if all, err := ParseSlopes(nil); err != nil || len(all) != 0 {
@@ -480,7 +480,7 @@
 func TestSlopesAreWrittenAndReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, measured := drawSlopes(t, "before"), drawSlopes(t, "measured")
-		all := Replaced(before, measured)
+		all := MergeSlopes(before, measured)
 		text, err := FormatSlopes(all)
 		if err != nil {
 			t.Fatal(err)
@@ -521,12 +521,12 @@
 		s := slope(id, number("at0", 1e6), 0, number("from", 100), 200+number("to", 1e6))
 		s.Form = rapid.SampledFrom([]Form{Constant, Linear, Quadratic}).Draw(t, id+" form")
 		if s.Form != Constant {
-			s.Slope = number("slope", 1e4)
+			s.LinearCoef = number("slope", 1e4)
 		}
 		if s.Form == Quadratic {
-			s.Square = number("square", 1)
+			s.QuadraticCoef = number("square", 1)
 		}
-		s.Spread = number("spread", 1)
+		s.StdErr = number("spread", 1)
 		all = append(all, s)
 	}
 	return all
@@ -537,15 +537,15 @@
 	target := theTarget(t)
 	rapid.Check(t, func(t *rapid.T) {
 		slopes := drawSlopes(t, "slopes")
-		before := Work(target, slopes)
+		before := Compute(target, slopes)
 		times := rapid.Float64Range(1, 50).Draw(t, "times")
 		steeper := slices.Clone(slopes)
 		for i := range steeper {
-			steeper[i].At0 *= times
-			steeper[i].Slope *= times
-			steeper[i].Square *= times
+			steeper[i].Intercept *= times
+			steeper[i].LinearCoef *= times
+			steeper[i].QuadraticCoef *= times
 		}
-		after := Work(target, steeper)
+		after := Compute(target, steeper)
 		for i, l := range before.Lines {
 			a := after.Lines[i]
 			if l.Figure != nil && a.Figure.Value < l.Figure.Value {
@@ -555,8 +555,8 @@
 				t.Fatalf("%s: ends at %v, and with steeper slopes at %v", l.ID, *l.End.Share, *a.End.Share)
 			}
 		}
-		axis := rapid.SampledFrom([]Axis{ByDestinations, ByNodes, ByEvents, ByHeld, ByChanges, ByAlone}).Draw(t, "axis")
-		for i, g := range Work(target.Grown(axis, times), slopes).Lines {
+		axis := rapid.SampledFrom([]Axis{ByDestinations, ByNodes, ByEvents, ByBacklog, ByChanges, ByTimeAlone}).Draw(t, "axis")
+		for i, g := range Compute(target.Scaled(axis, times), slopes).Lines {
 			// A node's part of a limit is the only figure that shrinks as the fleet grows.
 			if l := before.Lines[i]; l.Axis == axis && l.Figure != nil && l.ID != "control.state.limits" && g.Figure.Value < l.Figure.Value*(1-1e-9) {
 				t.Fatalf("%s: %v, and with %v times the %s %v", l.ID, l.Figure, times, axis, g.Figure)
@@ -570,7 +570,7 @@
 		richer.Own.HeldMemoryBytes *= times
 		richer.Configuration.InForceS *= times
 		richer.Failures.ReadyS *= times
-		for i, l := range Work(richer, slopes).Lines {
+		for i, l := range Compute(richer, slopes).Lines {
 			if b := before.Lines[i]; b.End.Share != nil && *l.End.Share < *b.End.Share*(1-1e-6) {
 				t.Fatalf("%s: ends at %v, and with a larger budget at %v", l.ID, *b.End.Share, *l.End.Share)
 			}
@@ -585,11 +585,11 @@
 				if amount == nil {
 					amount = w.figure
 				}
-				share, beyond, ok := reach(func(f float64) float64 { return amount(target.Grown(w.axis, f), &reading{slopes: of}) }, b.value(target))
+				share, beyond, ok := reach(func(f float64) float64 { return amount(target.Scaled(w.axis, f), &reading{slopes: of}) }, b.value(target))
 				if !ok || beyond || share == 0 {
 					continue
 				}
-				if at := amount(target.Grown(w.axis, share), &reading{slopes: of}); math.Abs(at-b.value(target)) > 1e-6*b.value(target) {
+				if at := amount(target.Scaled(w.axis, share), &reading{slopes: of}); math.Abs(at-b.value(target)) > 1e-6*b.value(target) {
 					t.Fatalf("%s ends at %v of the target, where its amount is %v of %v", w.id, share, at, b.value(target))
 				}
 			}
@@ -623,11 +623,11 @@
 	sections := []Section{{Name: "one", Table: "| new |\n"}, {Name: "two", Table: "| other |\n"}}
 	page := "# Head\n\nprose\n<!-- capacity:begin one -->\n| old |\n| older |\n<!-- capacity:end -->\nmore\n<!-- capacity:begin two -->\n<!-- capacity:end -->\nlast"
 	want := "# Head\n\nprose\n<!-- capacity:begin one -->\n| new |\n<!-- capacity:end -->\nmore\n<!-- capacity:begin two -->\n| other |\n<!-- capacity:end -->\nlast"
-	got, err := Page([]byte(page), sections)
+	got, err := UpdatePage([]byte(page), sections)
 	if err != nil || string(got) != want {
 		t.Fatalf("%v:\n%s", err, got)
 	}
-	if again, err := Page(got, sections); err != nil || string(again) != want {
+	if again, err := UpdatePage(got, sections); err != nil || string(again) != want {
 		t.Errorf("a page that is up to date was changed: %v:\n%s", err, again)
 	}
 	for _, c := range []struct{ old, new, want string }{
@@ -638,7 +638,7 @@
 		{"prose", "<!-- capacity:end -->", "line 3: end mark without a begin mark"},
 		{"<!-- capacity:begin two -->\n<!-- capacity:end -->", "", `the table "two" has no place`},
 	} {
-		if _, err := Page([]byte(strings.Replace(page, c.old, c.new, 1)), sections); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := UpdatePage([]byte(strings.Replace(page, c.old, c.new, 1)), sections); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q for %q: %v; want %q", c.new, c.old, err, c.want)
 		}
 	}
--- a/fleet/capacity/formats_test.go
+++ b/fleet/capacity/formats_test.go
@@ -63,7 +63,7 @@
 	}
 	fmt.Fprintln(&b, "units", []Unit{Bytes, BytesPerS, Seconds, Cores, Count, CountPerS})
 	fmt.Fprintln(&b, "forms", []Form{Constant, Linear, Quadratic})
-	fmt.Fprintln(&b, "known", []How{Measured, Past, Told, Missing, NoFigure})
-	fmt.Fprintln(&b, "endings", []Ending{ByCap, ByMemory, ByProcessor, ByBytes, ByTime})
+	fmt.Fprintln(&b, "known", []Source{Measured, Extrapolated, FromTarget, Missing, NoFigure})
+	fmt.Fprintln(&b, "endings", []Cause{ByCap, ByMemory, ByProcessor, ByBytes, ByTime})
 	golden.Check(t, "names.txt", b.Bytes())
 }
--- a/fleet/capacity/page.go
+++ b/fleet/capacity/page.go
@@ -15,7 +15,7 @@
 // UpdatePage returns a page with its tables replaced: the lines between the marks of a section become its
 // table, all others stay. Each section must be on the page exactly once. Its errors are of type *Error, all
 // of them joined.
-func Page(page []byte, sections []Section) ([]byte, error) {
+func UpdatePage(page []byte, sections []Section) ([]byte, error) {
 	of := map[string]Section{}
 	for _, s := range sections {
 		of[s.Name] = s
@@ -23,7 +23,7 @@
 	var out strings.Builder
 	var found []error
 	bad := func(line int, format string, args ...any) {
-		found = append(found, &Error{Line: line, Text: fmt.Sprintf(format, args...)})
+		found = append(found, &Error{Line: line, Message: fmt.Sprintf(format, args...)})
 	}
 	seen := map[string]bool{}
 	begun, open := 0, "" // line of a begin mark whose end mark has not been seen; 0: none
--- a/fleet/capacity/print.go
+++ b/fleet/capacity/print.go
@@ -88,11 +88,11 @@
 // figureText returns the text of the "at the target" column.
 func (l Line) figure() string {
 	switch {
-	case l.Figure != nil && l.Error > 0:
-		return l.Figure.String() + " ± " + Quantity{l.Error, l.Figure.Unit}.String()
+	case l.Figure != nil && l.StdErr > 0:
+		return l.Figure.String() + " ± " + Quantity{l.StdErr, l.Figure.Unit}.String()
 	case l.Figure != nil:
 		return l.Figure.String()
-	case l.Known.How == Missing:
+	case l.Provenance.Source == Missing:
 		return "missing"
 	}
 	return "-"
@@ -108,9 +108,9 @@
 // endText returns the text of the "ends at" column.
 func (l Line) end() string {
 	switch {
-	case l.End.Nothing:
+	case l.End.NoMechanism:
 		return "nothing"
-	case l.End.Share == nil && l.Bounded:
+	case l.End.Share == nil && l.HasLimit:
 		return "missing"
 	case l.End.Share == nil:
 		return "-"
@@ -121,9 +121,9 @@
 	}
 	text += " the " + string(l.Axis)
 	switch {
-	case l.End.Beyond:
+	case l.End.BeyondSearch:
 		return "past " + text
-	case l.End.AtMost:
+	case l.End.UpperBound:
 		return "at most " + text
 	}
 	return text
@@ -131,37 +131,37 @@
 
 func (l Line) ending() string {
 	switch {
-	case l.End.Nothing:
-		return l.End.By
-	case l.End.Share == nil, l.End.Beyond:
+	case l.End.NoMechanism:
+		return l.End.Limit
+	case l.End.Share == nil, l.End.BeyondSearch:
 		return "-"
 	}
-	return string(l.End.Ending) + ": " + l.End.By
+	return string(l.End.Cause) + ": " + l.End.Limit
 }
 
 // String returns the text of the "known" column.
-func (k Known) String() string {
-	s := string(k.How)
-	switch k.How {
-	case Past:
-		s = "worked out, " + digits(k.Times) + " times past what was measured"
-		if k.Times == 0 {
-			s = "worked out, " + digits(k.Below) + " times below what was measured"
+func (k Provenance) String() string {
+	s := string(k.Source)
+	switch k.Source {
+	case Extrapolated:
+		s = "worked out, " + digits(k.AboveRange) + " times past what was measured"
+		if k.AboveRange == 0 {
+			s = "worked out, " + digits(k.BelowRange) + " times below what was measured"
 		}
 	case Missing:
 		s = "missing: " + strings.Join(k.Missing, ", ")
 	}
-	if len(k.Guessed) > 0 && k.How != Missing {
-		s = "guessed (" + strings.Join(k.Guessed, ", ") + "); " + s
+	if len(k.Assumptions) > 0 && k.Source != Missing {
+		s = "guessed (" + strings.Join(k.Assumptions, ", ") + "); " + s
 	}
 	return s
 }
 
 func (l Line) what() string {
-	if l.Owned {
+	if l.WithOwnership {
 		return "— with ownership"
 	}
-	return l.What
+	return l.Description
 }
 
 // Section is a table and its name on the page.
@@ -204,7 +204,7 @@
 	var rows [][]string
 	for _, l := range r.Lines {
 		if l.Role == role {
-			rows = append(rows, []string{string(l.Kind), l.what(), l.figure(), l.budget(), l.end(), l.ending(), code(l.Mechanism), l.Known.String(), l.Formula})
+			rows = append(rows, []string{string(l.Kind), l.what(), l.figure(), l.budget(), l.end(), l.ending(), code(l.Mechanism), l.Provenance.String(), l.Formula})
 		}
 	}
 	return table([]string{"kind", "what", "at the target", "budget", "ends at", "what ends it", "carried by", "known", "worked out as"}, rows)
@@ -265,18 +265,18 @@
 	carried := 0
 	for _, l := range lines {
 		switch {
-		case l.End.Share != nil && *l.End.Share >= 1 && !l.End.AtMost:
+		case l.End.Share != nil && *l.End.Share >= 1 && !l.End.UpperBound:
 			carried++
 			continue
-		case l.End.Share == nil && !l.Bounded:
+		case l.End.Share == nil && !l.HasLimit:
 			continue // no known limit ends it
 		}
 		waits := strings.Join(l.WaitsFor, ", ")
 		if waits == "" {
 			waits = "-"
 		}
-		what := l.What
-		if l.Owned {
+		what := l.Description
+		if l.WithOwnership {
 			what += ", with ownership"
 		}
 		rows = append(rows, []string{l.end(), l.ending(), string(l.Role) + ", " + string(l.Kind) + ": " + what, waits})
@@ -288,18 +288,18 @@
 func (r Report) stepsTable() string {
 	var rows [][]string
 	for i, s := range r.Steps {
-		least := percent(s.Least)
+		least := percent(s.MinShare)
 		switch {
 		case len(s.Rows) == 0:
 			least = "-"
-		case s.Least == 0:
+		case s.MinShare == 0:
 			least = "nothing"
 		}
 		needs := strings.Join(s.Needs, ", ")
 		if needs == "" {
 			needs = "-"
 		}
-		rows = append(rows, []string{strconv.Itoa(i + 1), s.Name, code(s.Place), least, strconv.Itoa(len(s.Rows)), strconv.Itoa(s.Near), strconv.Itoa(len(s.Unknown)), needs})
+		rows = append(rows, []string{strconv.Itoa(i + 1), s.Name, code(s.Place), least, strconv.Itoa(len(s.Rows)), strconv.Itoa(s.NearRows), strconv.Itoa(len(s.Unknown)), needs})
 	}
 	return table([]string{"", "mechanism that is missing", "its place", "least end of a row that waits", "rows that wait", "of them under 1%", "rows with unknown end", "needs first"}, rows)
 }
@@ -311,27 +311,27 @@
 	var rows [][]string
 	for _, s := range r.Slopes {
 		y := func(v float64) string { return Quantity{v, s.Unit}.String() }
-		form := y(s.At0)
+		form := y(s.Intercept)
 		if s.Form != Constant {
-			form += " + " + y(s.Slope) + " × x"
+			form += " + " + y(s.LinearCoef) + " × x"
 		}
 		if s.Form == Quadratic {
-			form += " + " + y(s.Square) + " × x²"
+			form += " + " + y(s.QuadraticCoef) + " × x²"
 		}
-		rows = append(rows, []string{s.ID, s.What, form, "± " + y(s.Spread), digits(s.From) + " to " + digits(s.To) + ", " + s.Per,
-			fmt.Sprintf("%d × %d", s.Points, s.Plays), digits(s.Worst*100) + "%", "`" + s.Run + "`", s.Commit})
+		rows = append(rows, []string{s.ID, s.Description, form, "± " + y(s.StdErr), digits(s.From) + " to " + digits(s.To) + ", " + s.XUnit,
+			fmt.Sprintf("%d × %d", s.Points, s.Repeats), digits(s.MaxResidual*100) + "%", "`" + s.Run + "`", s.Commit})
 	}
 	return table([]string{"slope", "of what", "figure at x", "spread", "measured x", "points × plays", "missed by", "run", "build"}, rows)
 }
 
 func (r Report) factsTable() string {
 	var rows [][]string
-	for _, f := range r.Facts {
+	for _, f := range r.Bounds {
 		setting := "constant"
 		if f.Setting != "" {
 			setting = "setting `" + f.Setting + "`"
 		}
-		rows = append(rows, []string{"`" + f.Name + "`", Quantity{f.Value, f.Unit}.String(), f.What, setting, "`" + f.Place + "`"})
+		rows = append(rows, []string{"`" + f.Name + "`", Quantity{f.Value, f.Unit}.String(), f.Description, setting, "`" + f.Place + "`"})
 	}
 	return table([]string{"bound", "value", "of what", "moved by", "place"}, rows)
 }
--- a/fleet/capacity/rows.go
+++ b/fleet/capacity/rows.go
@@ -24,14 +24,14 @@
 )
 
 // Cause is the kind of limit that ends a row.
-type Ending string
+type Cause string
 
 const (
-	ByCap       Ending = "a cap"
-	ByMemory    Ending = "memory"
-	ByProcessor Ending = "processor"
-	ByBytes     Ending = "bytes"
-	ByTime      Ending = "time"
+	ByCap       Cause = "a cap"
+	ByMemory    Cause = "memory"
+	ByProcessor Cause = "processor"
+	ByBytes     Cause = "bytes"
+	ByTime      Cause = "time"
 )
 
 // Mechanism is a part of the program that carries rows, or would carry them beyond their end.
@@ -70,7 +70,7 @@
 
 // limit is a value that a figure must not exceed.
 type limit struct {
-	ending Ending
+	ending Cause
 	what   string
 	value  func(Target) float64
 	amount calc // the amount that is compared with value; nil: the row's figure
@@ -103,12 +103,12 @@
 	limits  []limit
 }
 
-func budgetOf(e Ending, what string, value func(Target) float64) limit {
+func budgetOf(e Cause, what string, value func(Target) float64) limit {
 	return limit{ending: e, what: what, value: value, budget: true}
 }
 
 // capLimit is a bound in the code as a limit; if amount is nil, the row's figure is compared with it.
-func capOf(f Fact, amount calc) limit {
+func capOf(f Bound, amount calc) limit {
 	what := f.Name + " in " + f.Place + ", " + Quantity{f.Value, f.Unit}.String()
 	if f.Setting != "" {
 		what += ", a setting"
@@ -124,7 +124,7 @@
 	heldMemory    = budgetOf(ByMemory, "the budget of an event held", func(t Target) float64 { return t.HeldNode() * t.Own.HeldMemoryBytes })
 	inForce       = budgetOf(ByTime, "in force everywhere by then", func(t Target) float64 { return t.Configuration.InForceS })
 	readyTime     = budgetOf(ByTime, "ready by then", func(t Target) float64 { return t.Failures.ReadyS })
-	oneLoop       = limit{ending: ByProcessor, what: "loop in internal/node/node.go is one goroutine", value: func(Target) float64 { return factLoop.Value }, budget: true}
+	oneLoop       = limit{ending: ByProcessor, what: "loop in internal/node/node.go is one goroutine", value: func(Target) float64 { return boundLoop.Value }, budget: true}
 )
 
 // fromSlope is a figure given by one slope.
@@ -155,18 +155,18 @@
 var rows = []row{
 	// What a node spends on control data.
 	{id: "control.state.endpoints", role: NodeControl, kind: State, what: "endpoints that it knows", unit: Count, axis: ByDestinations,
-		formula: "destinations × endpoints each", figure: told(Target.Endpoints), limits: []limit{capOf(factMembers, nil)},
+		formula: "destinations × endpoints each", figure: told(Target.Endpoints), limits: []limit{capOf(boundMembers, nil)},
 		place: "internal/registry", waits: []string{ownership},
 		owned: &owned{"destinations × endpoints each × owners / nodes", told(func(t Target) float64 { return t.Endpoints() * t.owners() / t.Fleet.Nodes }), nil}},
 	{id: "control.state.remembered", role: NodeControl, kind: State, what: "endpoints that its journal should remember", unit: Count, axis: ByDestinations,
-		formula: "destinations × endpoints each", figure: told(Target.Endpoints), limits: []limit{capOf(factKnown, nil)},
+		formula: "destinations × endpoints each", figure: told(Target.Endpoints), limits: []limit{capOf(boundKnown, nil)},
 		place: "internal/node/journal.go", waits: []string{ownership},
 		owned: &owned{"destinations × endpoints each × owners / nodes", told(func(t Target) float64 { return t.Endpoints() * t.owners() / t.Fleet.Nodes }),
-			[]limit{capOf(factKnown, nil)}}},
+			[]limit{capOf(boundKnown, nil)}}},
 	{id: "control.state.kept", role: NodeControl, kind: State, what: "the kept list", unit: Bytes, axis: ByDestinations,
-		formula: "node.list.bytes" + byDestinations, figure: one("node.list.bytes", Target.destinationsMeasured), limits: []limit{capOf(factKept, nil)},
+		formula: "node.list.bytes" + byDestinations, figure: one("node.list.bytes", Target.destinationsMeasured), limits: []limit{capOf(boundKept, nil)},
 		guess: "that its file is as long as the list on its way", place: "internal/registry/kept.go", waits: []string{ownership},
-		owned: &owned{"owned.list.bytes" + byOwned, one("owned.list.bytes", Target.destinationsOwned), []limit{capOf(factKept, nil)}}},
+		owned: &owned{"owned.list.bytes" + byOwned, one("owned.list.bytes", Target.destinationsOwned), []limit{capOf(boundKept, nil)}}},
 	{id: "control.state.members", role: NodeControl, kind: State, what: "members whose views it compares", unit: Count, axis: ByNodes,
 		formula: "nodes", figure: told(nodesOf), waits: []string{membership}},
 	{id: "control.state.configuration", role: NodeControl, kind: State, what: "changes of its configuration a day, each in force everywhere within the target's seconds", unit: Count, axis: ByChanges,
@@ -175,9 +175,9 @@
 		formula: "calls a second / nodes", figure: told(func(t Target) float64 { return t.Destinations.CallsPerS / t.Fleet.Nodes }), waits: []string{limits},
 		owned: &owned{"calls a second / owners", told(func(t Target) float64 { return t.Destinations.CallsPerS / t.owners() }), nil}},
 	{id: "control.messages.list", role: NodeControl, kind: Messages, what: "a first list, whole", unit: Bytes, axis: ByDestinations,
-		formula: "node.list.bytes" + byDestinations, figure: one("node.list.bytes", Target.destinationsMeasured), limits: []limit{capOf(factList, nil)},
+		formula: "node.list.bytes" + byDestinations, figure: one("node.list.bytes", Target.destinationsMeasured), limits: []limit{capOf(boundList, nil)},
 		place: "internal/registry", waits: []string{ownership},
-		owned: &owned{"owned.list.bytes" + byOwned, one("owned.list.bytes", Target.destinationsOwned), []limit{capOf(factList, nil)}}},
+		owned: &owned{"owned.list.bytes" + byOwned, one("owned.list.bytes", Target.destinationsOwned), []limit{capOf(boundList, nil)}}},
 	{id: "control.messages.idle", role: NodeControl, kind: Messages, what: "a watch on which nothing happens", unit: BytesPerS, axis: ByNodes,
 		formula: "node.watch.bytes(nodes)", figure: one("node.watch.bytes", nodesOf), limits: []limit{controlBytes}, place: "internal/registry"},
 	{id: "control.messages.all", role: NodeControl, kind: Messages, what: "all of it on a mean day: watch, changes, first lists", unit: BytesPerS, axis: ByDestinations,
@@ -260,20 +260,20 @@
 		owned: &owned{"owned.change.step" + byOwned, one("owned.change.step", Target.destinationsOwned), []limit{answerTime}}},
 
 	// What a node spends on events.
-	{id: "own.state.room", role: NodeOwn, kind: State, what: "room that the journal wants for the backlog", unit: Bytes, axis: ByHeld,
-		formula: "2 × backlog / nodes × (body + id and key + " + factReserve.Name + ")",
+	{id: "own.state.room", role: NodeOwn, kind: State, what: "room that the journal wants for the backlog", unit: Bytes, axis: ByBacklog,
+		formula: "2 × backlog / nodes × (body + id and key + " + boundReserve.Name + ")",
 		figure: func(t Target, _ *reading) float64 {
-			return 2 * t.HeldNode() * (t.Events.BodyBytes + t.Events.NameBytes + factReserve.Value)
-		}, limits: []limit{capOf(factDisk, nil)}, place: "internal/node/journal.go", waits: []string{backlog}},
-	{id: "own.state.file", role: NodeOwn, kind: State, what: "file of the journal with the backlog in it", unit: Bytes, axis: ByHeld,
+			return 2 * t.HeldNode() * (t.Events.BodyBytes + t.Events.NameBytes + boundReserve.Value)
+		}, limits: []limit{capOf(boundDisk, nil)}, place: "internal/node/journal.go", waits: []string{backlog}},
+	{id: "own.state.file", role: NodeOwn, kind: State, what: "file of the journal with the backlog in it", unit: Bytes, axis: ByBacklog,
 		formula: "journal.held.file" + byHeld, figure: one("journal.held.file", Target.HeldNode), place: "internal/node/journal.go", waits: []string{backlog}},
-	{id: "own.state.paged", role: NodeOwn, kind: State, what: "events that wait on disk and not in memory", unit: Count, axis: ByHeld,
+	{id: "own.state.paged", role: NodeOwn, kind: State, what: "events that wait on disk and not in memory", unit: Count, axis: ByBacklog,
 		formula: "backlog / nodes", figure: told(Target.HeldNode), waits: []string{backlog}},
 	{id: "own.messages.passed", role: NodeOwn, kind: Messages, what: "events passed on to an owner", unit: CountPerS, axis: ByEvents,
 		formula: "events a second / nodes × (1 - owners / nodes)",
 		figure:  told(func(t Target) float64 { return t.EventsPerSNode() * (1 - t.owners()/t.Fleet.Nodes) }), guess: "that clients hand an event to any node",
 		waits: []string{passing}},
-	{id: "own.processor.events", role: NodeOwn, kind: Processor, what: "events taken with the whole backlog held", unit: Cores, axis: ByHeld,
+	{id: "own.processor.events", role: NodeOwn, kind: Processor, what: "events taken with the whole backlog held", unit: Cores, axis: ByBacklog,
 		formula: "events a second / nodes × module.held.step" + byHeld,
 		figure:  func(t Target, s *reading) float64 { return t.EventsPerSNode() * s.at("module.held.step", t.HeldNode()) }, limits: []limit{oneLoop},
 		place: "choice", waits: []string{backlog}},
@@ -295,26 +295,26 @@
 		place: "choice", waits: []string{probing},
 		owned: &owned{"events a second / nodes × node.down.step(destinations down × owners / nodes)",
 			func(t Target, s *reading) float64 { return t.EventsPerSNode() * s.at("node.down.step", downOwned(t)) }, []limit{oneLoop}}},
-	{id: "own.memory.module", role: NodeOwn, kind: Memory, what: "heap of the module with the backlog held", unit: Bytes, axis: ByHeld,
+	{id: "own.memory.module", role: NodeOwn, kind: Memory, what: "heap of the module with the backlog held", unit: Bytes, axis: ByBacklog,
 		formula: "module.held.heap" + byHeld, figure: one("module.held.heap", Target.HeldNode), limits: []limit{heldMemory}, place: "choice", waits: []string{backlog}},
-	{id: "own.memory.node", role: NodeOwn, kind: Memory, what: "memory of the node with the backlog held, module included", unit: Bytes, axis: ByHeld,
+	{id: "own.memory.node", role: NodeOwn, kind: Memory, what: "memory of the node with the backlog held, module included", unit: Bytes, axis: ByBacklog,
 		formula: "journal.held.rss" + byHeld, figure: one("journal.held.rss", Target.HeldNode), limits: []limit{heldMemory},
 		place: "internal/node/journal.go", waits: []string{backlog}},
-	{id: "own.time.event", role: NodeOwn, kind: Time, what: "its loop stands still for one event with the backlog held", unit: Seconds, axis: ByHeld,
+	{id: "own.time.event", role: NodeOwn, kind: Time, what: "its loop stands still for one event with the backlog held", unit: Seconds, axis: ByBacklog,
 		formula: "module.held.step" + byHeld, figure: one("module.held.step", Target.HeldNode), limits: []limit{answerTime}, place: "choice", waits: []string{backlog}},
-	{id: "own.time.stall", role: NodeOwn, kind: Time, what: "an event's longest wait for its answer, while the journal is written anew", unit: Seconds, axis: ByHeld,
+	{id: "own.time.stall", role: NodeOwn, kind: Time, what: "an event's longest wait for its answer, while the journal is written anew", unit: Seconds, axis: ByBacklog,
 		formula: "journal.stall" + byHeld, figure: one("journal.stall", Target.HeldNode), limits: []limit{answerTime},
 		place: "internal/node/journal.go", waits: []string{backlog}},
 
 	// A replica of the directory.
 	{id: "directory.state.endpoints", role: Directory, kind: State, what: "endpoints of the list", unit: Count, axis: ByDestinations,
-		formula: "destinations × endpoints each", figure: told(Target.Endpoints), limits: []limit{capOf(factMembers, nil)},
+		formula: "destinations × endpoints each", figure: told(Target.Endpoints), limits: []limit{capOf(boundMembers, nil)},
 		place: "fleet/catalog", waits: []string{ownership}},
 	{id: "directory.messages.write", role: Directory, kind: Messages, what: "a whole list written at once", unit: Bytes, axis: ByDestinations,
-		formula: "node.list.bytes" + byDestinations, figure: one("node.list.bytes", Target.destinationsMeasured), limits: []limit{capOf(factWrite, nil)},
+		formula: "node.list.bytes" + byDestinations, figure: one("node.list.bytes", Target.destinationsMeasured), limits: []limit{capOf(boundWrite, nil)},
 		place: "internal/directory"},
 	{id: "directory.messages.watches", role: Directory, kind: Messages, what: "watches of one replica, all nodes at one of them", unit: Count, axis: ByNodes,
-		formula: "nodes", figure: told(nodesOf), limits: []limit{capOf(factWatches, nil)}, place: "internal/directory"},
+		formula: "nodes", figure: told(nodesOf), limits: []limit{capOf(boundWatches, nil)}, place: "internal/directory"},
 	{id: "directory.messages.idle", role: Directory, kind: Messages, what: "all watches on which nothing happens", unit: BytesPerS, axis: ByNodes,
 		formula: "nodes × node.watch.bytes(nodes)", figure: func(t Target, s *reading) float64 { return t.Fleet.Nodes * s.at("node.watch.bytes", t.Fleet.Nodes) },
 		place: "internal/directory"},
@@ -347,7 +347,7 @@
 	// The operators' program.
 	{id: "operators.state", role: Operators, kind: State, what: "it keeps nothing between two calls", axis: ByDestinations, formula: "-", place: "cmd/cottonrack"},
 	{id: "operators.messages.list", role: Operators, kind: Messages, what: "the list, read whole", unit: Bytes, axis: ByDestinations,
-		formula: "node.list.bytes" + byDestinations, figure: one("node.list.bytes", Target.destinationsMeasured), limits: []limit{capOf(factRead, nil)},
+		formula: "node.list.bytes" + byDestinations, figure: one("node.list.bytes", Target.destinationsMeasured), limits: []limit{capOf(boundRead, nil)},
 		place: "internal/directory/operator.go"},
 	{id: "operators.processor.list", role: Operators, kind: Processor, what: "processor time of one `directory list`", unit: Seconds, axis: ByDestinations,
 		formula: "operator.list.cpu" + byDestinations, figure: one("operator.list.cpu", Target.destinationsMeasured), place: "cmd/cottonrack/directory.go"},
@@ -357,10 +357,10 @@
 		formula: "operator.list.time" + byDestinations, figure: one("operator.list.time", Target.destinationsMeasured), place: "cmd/cottonrack/directory.go"},
 
 	// Failures.
-	{id: "failure.start.backlog", role: Failure, kind: Time, what: "a node's start with the whole backlog behind it", unit: Seconds, axis: ByHeld,
+	{id: "failure.start.backlog", role: Failure, kind: Time, what: "a node's start with the whole backlog behind it", unit: Seconds, axis: ByBacklog,
 		formula: "journal.start" + byHeld, figure: one("journal.start", Target.HeldNode), limits: []limit{readyTime},
 		place: "internal/node/journal.go", waits: []string{backlog}},
-	{id: "failure.start.memory", role: Failure, kind: Memory, what: "a node's start with the whole backlog behind it: the most memory that it takes", unit: Bytes, axis: ByHeld,
+	{id: "failure.start.memory", role: Failure, kind: Memory, what: "a node's start with the whole backlog behind it: the most memory that it takes", unit: Bytes, axis: ByBacklog,
 		formula: "journal.start.rss" + byHeld, figure: one("journal.start.rss", Target.HeldNode), limits: []limit{heldMemory},
 		place: "internal/node/journal.go", waits: []string{backlog}},
 	{id: "failure.start.list", role: Failure, kind: Time, what: "a node's first list at the bytes a second that it may spend", unit: Seconds, axis: ByDestinations,
@@ -395,16 +395,16 @@
 		figure: told(func(t Target) float64 {
 			return t.Configuration.ChangesPerDay / secondsADay * t.Failures.RegionAloneS
 		}), waits: []string{configuration, followers}},
-	{id: "failure.alone.limits", role: Failure, kind: State, what: "a region alone: limits kept by sides that don't hear each other", axis: ByAlone, formula: "-",
+	{id: "failure.alone.limits", role: Failure, kind: State, what: "a region alone: limits kept by sides that don't hear each other", axis: ByTimeAlone, formula: "-",
 		waits: []string{limits, membership}},
-	{id: "failure.alone.events", role: Failure, kind: Processor, what: "a region alone: a node that holds all that came meanwhile", unit: Cores, axis: ByAlone,
+	{id: "failure.alone.events", role: Failure, kind: Processor, what: "a region alone: a node that holds all that came meanwhile", unit: Cores, axis: ByTimeAlone,
 		formula: "events a second / nodes × module.held.step(events a second / nodes × time alone)",
 		figure: func(t Target, s *reading) float64 {
 			return t.EventsPerSNode() * s.at("module.held.step", t.EventsPerSNode()*t.Failures.RegionAloneS)
 		}, guess: "that none of them can be sent meanwhile", limits: []limit{oneLoop}, place: "choice", waits: []string{backlog}},
-	{id: "failure.alone.changes", role: Failure, kind: State, what: "a region's return: changes of the list that it has to be told", unit: Count, axis: ByAlone,
+	{id: "failure.alone.changes", role: Failure, kind: State, what: "a region's return: changes of the list that it has to be told", unit: Count, axis: ByTimeAlone,
 		formula: "changes a second × time alone", figure: told(func(t Target) float64 { return changesOf(t) * t.Failures.RegionAloneS }),
-		limits: []limit{capOf(factChanges, nil)}, place: "fleet/catalog"},
+		limits: []limit{capOf(boundChanges, nil)}, place: "fleet/catalog"},
 	{id: "failure.return.ready", role: Failure, kind: Time, what: "a region's return: until its last node knows what it missed", unit: Seconds, axis: ByNodes,
 		formula: "together.ready(nodes / regions)", figure: one("together.ready", Target.NodesRegion), guess: "that a return costs what a start together does",
 		limits: []limit{inForce}, place: "internal/registry", waits: []string{followers}},
@@ -426,7 +426,7 @@
 			return t.Fleet.Nodes * s.at("node.down.probes", t.DestinationsDown())
 		},
 		place: "choice", waits: []string{probing}},
-	{id: "failure.restarts.time", role: Failure, kind: Time, what: "a restart with the whole backlog, against the time until the next one", unit: Seconds, axis: ByHeld,
+	{id: "failure.restarts.time", role: Failure, kind: Time, what: "a restart with the whole backlog, against the time until the next one", unit: Seconds, axis: ByBacklog,
 		formula: "journal.start" + byHeld, figure: one("journal.start", Target.HeldNode),
 		limits: []limit{budgetOf(ByTime, "the next restart comes", func(t Target) float64 { return secondsADay / t.Failures.RestartsPerDay })},
 		place:  "internal/node/journal.go", waits: []string{backlog}},
--- a/fleet/capacity/slope.go
+++ b/fleet/capacity/slope.go
@@ -37,30 +37,30 @@
 
 // Slope is the result of a scale run: how one figure, y, grows with x.
 type Slope struct {
-	ID     string  `toml:"id" json:"id"`
-	What   string  `toml:"what" json:"what"`
-	Per    string  `toml:"per" json:"per"`   // unit of x
-	Unit   Unit    `toml:"unit" json:"unit"` // unit of y
-	Form   Form    `toml:"form" json:"form"`
-	At0    float64 `toml:"at0" json:"at0"`
-	Slope  float64 `toml:"slope" json:"slope"`   // 0 if constant
-	Square float64 `toml:"square" json:"square"` // 0 unless quadratic
-	Spread float64 `toml:"spread" json:"spread"` // standard error of the leading coefficient
-	From   float64 `toml:"from" json:"from"`     // measured range of x
-	To     float64 `toml:"to" json:"to"`
-	Points int     `toml:"points" json:"points"`
-	Plays  int     `toml:"plays" json:"plays"`   // at each point
-	Worst  float64 `toml:"worst" json:"worst"`   // largest relative residual, or the prediction error at a point that was left out of the fit
-	Run    string  `toml:"run" json:"run"`       // committed table with the measurements
-	Commit string  `toml:"commit" json:"commit"` // commit of the measured build
+	ID            string  `toml:"id" json:"id"`
+	Description   string  `toml:"what" json:"what"`
+	XUnit         string  `toml:"per" json:"per"`   // unit of x
+	Unit          Unit    `toml:"unit" json:"unit"` // unit of y
+	Form          Form    `toml:"form" json:"form"`
+	Intercept     float64 `toml:"at0" json:"at0"`
+	LinearCoef    float64 `toml:"slope" json:"slope"`   // 0 if constant
+	QuadraticCoef float64 `toml:"square" json:"square"` // 0 unless quadratic
+	StdErr        float64 `toml:"spread" json:"spread"` // standard error of the leading coefficient
+	From          float64 `toml:"from" json:"from"`     // measured range of x
+	To            float64 `toml:"to" json:"to"`
+	Points        int     `toml:"points" json:"points"`
+	Repeats       int     `toml:"plays" json:"plays"`   // at each point
+	MaxResidual   float64 `toml:"worst" json:"worst"`   // largest relative residual, or the prediction error at a point that was left out of the fit
+	Run           string  `toml:"run" json:"run"`       // committed table with the measurements
+	Commit        string  `toml:"commit" json:"commit"` // commit of the measured build
 }
 
 // ValueAt returns y at x, also outside the measured range.
-func (s Slope) At(x float64) float64 { return s.At0 + s.Slope*x + s.Square*x*x }
+func (s Slope) ValueAt(x float64) float64 { return s.Intercept + s.LinearCoef*x + s.QuadraticCoef*x*x }
 
 // OutsideRange returns how many times x is above the measured range, and how many times below it; 1 if it is
 // not.
-func (s Slope) Past(x float64) (past, below float64) {
+func (s Slope) OutsideRange(x float64) (past, below float64) {
 	past, below = 1, 1
 	switch {
 	case x > s.To:
@@ -75,11 +75,11 @@
 func (s Slope) shifted() Slope {
 	switch s.Form {
 	case Constant:
-		s.At0 += s.Spread
+		s.Intercept += s.StdErr
 	case Linear:
-		s.Slope += s.Spread
+		s.LinearCoef += s.StdErr
 	case Quadratic:
-		s.Square += s.Spread
+		s.QuadraticCoef += s.StdErr
 	}
 	return s
 }
@@ -114,7 +114,7 @@
 	if err := tomlfile.Decode(text, &f, unknown); err != nil {
 		return nil, err
 	}
-	where := tomlfile.Lines(text)
+	where := tomlfile.KeyLines(text)
 	var found []error
 	seen := map[string]bool{}
 	for i, s := range f.Slopes {
@@ -124,11 +124,11 @@
 			if line == 0 {
 				line = where[table]
 			}
-			return &Error{Line: line, Text: fmt.Sprintf("slope %q: ", s.ID) + fmt.Sprintf(format, args...)}
+			return &Error{Line: line, Message: fmt.Sprintf("slope %q: ", s.ID) + fmt.Sprintf(format, args...)}
 		})
 		found = append(found, err)
 		if seen[s.ID] {
-			found = append(found, &Error{Line: where[table+".id"], Text: fmt.Sprintf("duplicate slope %q", s.ID)})
+			found = append(found, &Error{Line: where[table+".id"], Message: fmt.Sprintf("duplicate slope %q", s.ID)})
 		}
 		seen[s.ID] = true
 	}
@@ -145,26 +145,26 @@
 	}
 	finite := func(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 	wrong(!wellFormedID.MatchString(s.ID), "id", "id must be lower-case words with dots between them")
-	wrong(s.What == "", "what", "what is missing")
-	wrong(s.Per == "", "per", "per is missing: the unit of x")
+	wrong(s.Description == "", "what", "what is missing")
+	wrong(s.XUnit == "", "per", "per is missing: the unit of x")
 	wrong(!slices.Contains([]Unit{Bytes, BytesPerS, Seconds, Cores, Count, CountPerS}, s.Unit), "unit",
 		"unit %q is none of B, B/s, s, s/s, count, count/s", s.Unit)
 	want, known := units[s.ID]
 	wrong(known && s.Unit != want, "unit", "unit must be %s, is %q", want, s.Unit)
 	wrong(!slices.Contains([]Form{Constant, Linear, Quadratic}, s.Form), "form", "form %q is none of constant, linear, quadratic", s.Form)
-	wrong(s.Form == Constant && s.Slope != 0, "slope", "slope must be 0 if the form is constant")
-	wrong(s.Form != Quadratic && s.Square != 0, "square", "square must be 0 unless the form is quadratic")
+	wrong(s.Form == Constant && s.LinearCoef != 0, "slope", "slope must be 0 if the form is constant")
+	wrong(s.Form != Quadratic && s.QuadraticCoef != 0, "square", "square must be 0 unless the form is quadratic")
 	for _, c := range []struct {
 		name string
 		v    float64
-	}{{"at0", s.At0}, {"slope", s.Slope}, {"square", s.Square}} {
+	}{{"at0", s.Intercept}, {"slope", s.LinearCoef}, {"square", s.QuadraticCoef}} {
 		wrong(!finite(c.v), c.name, "%s is not a finite number", c.name)
 	}
-	wrong(!(s.Spread >= 0) || !finite(s.Spread), "spread", "spread must be 0 or more")
-	wrong(!(s.Worst >= 0) || !finite(s.Worst), "worst", "worst must be 0 or more")
+	wrong(!(s.StdErr >= 0) || !finite(s.StdErr), "spread", "spread must be 0 or more")
+	wrong(!(s.MaxResidual >= 0) || !finite(s.MaxResidual), "worst", "worst must be 0 or more")
 	wrong(!(s.From >= 0) || !(s.To > s.From) || !finite(s.To), "to", "the measured range from %v to %v is empty or reversed", s.From, s.To)
 	wrong(s.Points < 1, "points", "points must be 1 or more")
-	wrong(s.Plays < 1, "plays", "plays must be 1 or more")
+	wrong(s.Repeats < 1, "plays", "plays must be 1 or more")
 	wrong(s.Run == "", "run", "run is missing: the committed table with the measurements")
 	wrong(s.Commit == "", "commit", "commit is missing: the measured build")
 	return errors.Join(found...)
@@ -190,7 +190,7 @@
 
 // MergeSlopes returns the slopes of both lists, sorted by id; of two with the same id it keeps the measured
 // one.
-func Replaced(before, measured []Slope) []Slope {
+func MergeSlopes(before, measured []Slope) []Slope {
 	of := map[string]Slope{}
 	for _, s := range slices.Concat(before, measured) {
 		of[s.ID] = s
--- a/fleet/capacity/target.go
+++ b/fleet/capacity/target.go
@@ -112,13 +112,13 @@
 	ByDestinations Axis = "destinations"
 	ByNodes        Axis = "nodes" // with their events and backlog, so that the work of a node stays the same
 	ByEvents       Axis = "events a second"
-	ByHeld         Axis = "backlog"
+	ByBacklog      Axis = "backlog"
 	ByChanges      Axis = "changes"
-	ByAlone        Axis = "time alone"
+	ByTimeAlone    Axis = "time alone"
 )
 
 // Scaled returns the target with one property multiplied.
-func (t Target) Grown(by Axis, times float64) Target {
+func (t Target) Scaled(by Axis, times float64) Target {
 	switch by {
 	case ByDestinations:
 		t.Destinations.Count *= times
@@ -128,12 +128,12 @@
 		t.Events.Held *= times
 	case ByEvents:
 		t.Events.PerS *= times
-	case ByHeld:
+	case ByBacklog:
 		t.Events.Held *= times
 	case ByChanges:
 		t.List.ChangesPerS *= times
 		t.Configuration.ChangesPerDay *= times
-	case ByAlone:
+	case ByTimeAlone:
 		t.Failures.RegionAloneS *= times
 	}
 	return t
@@ -149,14 +149,14 @@
 	if err := tomlfile.Decode(text, &t, unknown); err != nil {
 		return t, err
 	}
-	where := tomlfile.Lines(text)
+	where := tomlfile.KeyLines(text)
 	var found []error
 	bad := func(name, format string, args ...any) {
 		line := where[name]
 		if table, _, _ := strings.Cut(name, "."); line == 0 {
 			line = where[table] // the table in which it is missing, or that is written on one line
 		}
-		found = append(found, &Error{Line: line, Text: name + fmt.Sprintf(format, args...)})
+		found = append(found, &Error{Line: line, Message: name + fmt.Sprintf(format, args...)})
 	}
 	names := map[string]bool{}
 	tables := reflect.ValueOf(t)
@@ -180,7 +180,7 @@
 	}
 	for _, name := range t.Guessed {
 		if !names[name] {
-			found = append(found, &Error{Line: where["guessed"], Text: fmt.Sprintf("guessed: there is no setting %q", name)})
+			found = append(found, &Error{Line: where["guessed"], Message: fmt.Sprintf("guessed: there is no setting %q", name)})
 		}
 	}
 	return t, errors.Join(found...)
--- a/fleet/capacity/work.go
+++ b/fleet/capacity/work.go
@@ -15,75 +15,75 @@
 }
 
 // Source is where a figure comes from.
-type How string
+type Source string
 
 const (
-	Measured How = "measured"              // within the measured range
-	Past     How = "past the measurements" // computed outside the measured range
-	Told     How = "from the target"       // needs no slope
-	Missing  How = "missing"               // a slope that it needs is missing
-	NoFigure How = "none"                  // the row has no figure
+	Measured     Source = "measured"              // within the measured range
+	Extrapolated Source = "past the measurements" // computed outside the measured range
+	FromTarget   Source = "from the target"       // needs no slope
+	Missing      Source = "missing"               // a slope that it needs is missing
+	NoFigure     Source = "none"                  // the row has no figure
 )
 
 // Provenance tells where a figure comes from.
-type Known struct {
-	How     How      `json:"how"`
-	Times   float64  `json:"times,omitempty"`   // times above the measured range
-	Below   float64  `json:"below,omitempty"`   // times below it, if nothing is above
-	Missing []string `json:"missing,omitempty"` // ids of slopes
-	Guessed []string `json:"guessed,omitempty"` // assumptions that the figure rests on; with any, it is a guess
+type Provenance struct {
+	Source      Source   `json:"how"`
+	AboveRange  float64  `json:"times,omitempty"`   // times above the measured range
+	BelowRange  float64  `json:"below,omitempty"`   // times below it, if nothing is above
+	Missing     []string `json:"missing,omitempty"` // ids of slopes
+	Assumptions []string `json:"guessed,omitempty"` // assumptions that the figure rests on; with any, it is a guess
 }
 
 // End is where the growth of a row ends.
 type End struct {
-	Share   *float64 `json:"share,omitempty"` // of the target along the row's axis; nil: unknown
-	Nothing bool     `json:"nothing"`         // no mechanism carries the row, and Share is 0
-	AtMost  bool     `json:"at_most"`         // a missing slope may end it earlier
-	Beyond  bool     `json:"beyond"`          // it does not end up to Share, the end of the search
-	Ending  Ending   `json:"ending,omitempty"`
-	By      string   `json:"by,omitempty"`
+	Share        *float64 `json:"share,omitempty"` // of the target along the row's axis; nil: unknown
+	NoMechanism  bool     `json:"nothing"`         // no mechanism carries the row, and Share is 0
+	UpperBound   bool     `json:"at_most"`         // a missing slope may end it earlier
+	BeyondSearch bool     `json:"beyond"`          // it does not end up to Share, the end of the search
+	Cause        Cause    `json:"ending,omitempty"`
+	Limit        string   `json:"by,omitempty"`
 }
 
 // Line is a computed row.
 type Line struct {
-	ID        string    `json:"id"`
-	Role      Role      `json:"role"`
-	Kind      Kind      `json:"kind"`
-	What      string    `json:"what"`
-	Owned     bool      `json:"with_ownership"` // the variant of the row in which each destination has few owners
-	Formula   string    `json:"formula"`
-	Figure    *Quantity `json:"figure,omitempty"` // at the target; nil: missing or none
-	Error     float64   `json:"standard_error,omitempty"`
-	Budget    *Quantity `json:"budget,omitempty"`
-	OwnCost   bool      `json:"own_cost"` // cost of a mechanism that does not exist yet; nothing else waits with it
-	Bounded   bool      `json:"bounded"`  // something is known that may end it
-	Axis      Axis      `json:"axis"`
-	End       End       `json:"end"`
-	Mechanism string    `json:"mechanism"` // package or file that carries it, or "missing"
-	Known     Known     `json:"known"`
-	Slopes    []string  `json:"slopes,omitempty"`
-	Runs      []string  `json:"runs,omitempty"`
-	WaitsFor  []string  `json:"waits_for,omitempty"`
+	ID            string     `json:"id"`
+	Role          Role       `json:"role"`
+	Kind          Kind       `json:"kind"`
+	Description   string     `json:"what"`
+	WithOwnership bool       `json:"with_ownership"` // the variant of the row in which each destination has few owners
+	Formula       string     `json:"formula"`
+	Figure        *Quantity  `json:"figure,omitempty"` // at the target; nil: missing or none
+	StdErr        float64    `json:"standard_error,omitempty"`
+	Budget        *Quantity  `json:"budget,omitempty"`
+	OwnCost       bool       `json:"own_cost"` // cost of a mechanism that does not exist yet; nothing else waits with it
+	HasLimit      bool       `json:"bounded"`  // something is known that may end it
+	Axis          Axis       `json:"axis"`
+	End           End        `json:"end"`
+	Mechanism     string     `json:"mechanism"` // package or file that carries it, or "missing"
+	Provenance    Provenance `json:"known"`
+	Slopes        []string   `json:"slopes,omitempty"`
+	Runs          []string   `json:"runs,omitempty"`
+	WaitsFor      []string   `json:"waits_for,omitempty"`
 }
 
 // Step is a missing mechanism and the rows that wait for it.
 type Step struct {
 	Mechanism
-	Rows    []string `json:"rows"`    // ids of rows that end before the target and wait for it, also indirectly, without those of its own cost
-	Unknown []string `json:"unknown"` // ids of rows that wait for it and whose end is unknown
-	Least   float64  `json:"least"`   // the smallest share at which one of Rows ends; 1 if there is none
-	Near    int      `json:"near"`    // number of Rows that end below NearShare of the target
+	Rows     []string `json:"rows"`    // ids of rows that end before the target and wait for it, also indirectly, without those of its own cost
+	Unknown  []string `json:"unknown"` // ids of rows that wait for it and whose end is unknown
+	MinShare float64  `json:"least"`   // the smallest share at which one of Rows ends; 1 if there is none
+	NearRows int      `json:"near"`    // number of Rows that end below NearShare of the target
 }
 
 // NearShare is the share of the target below which all ends count as equally near.
-const Alike = 0.01
+const NearShare = 0.01
 
 // Report is the result of Compute.
 type Report struct {
 	Target Target  `json:"target"`
 	Lines  []Line  `json:"lines"`
 	Steps  []Step  `json:"steps"` // in the order of the roadmap
-	Facts  []Fact  `json:"facts"`
+	Bounds []Bound `json:"facts"`
 	Slopes []Slope `json:"slopes"`
 }
 
@@ -102,7 +102,7 @@
 	if !ok {
 		return math.NaN()
 	}
-	return s.At(x)
+	return s.ValueAt(x)
 }
 
 // rise returns the increase of a slope's value from 0 to x; NaN if it is missing.
@@ -111,7 +111,7 @@
 	if !ok {
 		return math.NaN()
 	}
-	return s.At(x) - s.At0
+	return s.ValueAt(x) - s.Intercept
 }
 
 func (r *reading) take(id string, x float64) (Slope, bool) {
@@ -119,7 +119,7 @@
 	list := &r.missing
 	if ok {
 		list = &r.used
-		past, below := s.Past(x)
+		past, below := s.OutsideRange(x)
 		r.past, r.below = max(r.past, past), max(r.below, below)
 	}
 	if !slices.Contains(*list, id) {
@@ -139,12 +139,12 @@
 }
 
 // Compute computes the whole table.
-func Work(t Target, slopes []Slope) Report {
+func Compute(t Target, slopes []Slope) Report {
 	of := map[string]Slope{}
 	for _, s := range slopes {
 		of[s.ID] = s
 	}
-	r := Report{Target: t, Facts: Facts(), Slopes: Replaced(nil, slopes)}
+	r := Report{Target: t, Bounds: Bounds(), Slopes: MergeSlopes(nil, slopes)}
 	for _, row := range rows {
 		r.Lines = append(r.Lines, row.line(t, of))
 		if row.owned != nil {
@@ -163,7 +163,7 @@
 		w.place = "missing" // how far it would carry is computed all the same
 	}
 	l := w.line(t, slopes)
-	l.Owned = true
+	l.WithOwnership = true
 	if !carried {
 		l.Mechanism = "missing"
 	}
@@ -172,7 +172,7 @@
 
 // line computes a row.
 func (w row) line(t Target, slopes map[string]Slope) Line {
-	l := Line{ID: w.id, Role: w.role, Kind: w.kind, What: w.what, Formula: w.formula, Axis: w.axis, WaitsFor: w.waits, Mechanism: w.place, OwnCost: w.ownCost, Bounded: w.place == "" || len(w.limits) > 0}
+	l := Line{ID: w.id, Role: w.role, Kind: w.kind, Description: w.what, Formula: w.formula, Axis: w.axis, WaitsFor: w.waits, Mechanism: w.place, OwnCost: w.ownCost, HasLimit: w.place == "" || len(w.limits) > 0}
 	if w.place == "" {
 		l.Mechanism = "missing"
 	}
@@ -182,26 +182,26 @@
 		}
 	}
 	r := &reading{slopes: slopes}
-	l.Known.How = NoFigure
+	l.Provenance.Source = NoFigure
 	if w.figure != nil {
 		v := w.figure(t, r)
 		l.Slopes = slices.Concat(r.used, r.missing)
 		slices.Sort(l.Slopes)
 		switch {
 		case len(r.missing) > 0:
-			l.Known.How, l.Known.Missing = Missing, r.missing
+			l.Provenance.Source, l.Provenance.Missing = Missing, r.missing
 		case len(r.used) == 0:
-			l.Known.How = Told
+			l.Provenance.Source = FromTarget
 		case r.past > 1:
-			l.Known.How, l.Known.Times = Past, r.past
+			l.Provenance.Source, l.Provenance.AboveRange = Extrapolated, r.past
 		case r.below > 1:
-			l.Known.How, l.Known.Below = Past, r.below
+			l.Provenance.Source, l.Provenance.BelowRange = Extrapolated, r.below
 		default:
-			l.Known.How = Measured
+			l.Provenance.Source = Measured
 		}
 		if len(r.missing) == 0 {
 			l.Figure = &Quantity{v, w.unit}
-			l.Error = w.spread(t, r, v)
+			l.StdErr = w.spread(t, r, v)
 		}
 		for _, id := range r.used {
 			if run := slopes[id].Run; !slices.Contains(l.Runs, run) {
@@ -210,7 +210,7 @@
 		}
 	}
 	l.End = w.end(t, slopes)
-	l.Known.Guessed = w.guesses(t, slopes)
+	l.Provenance.Assumptions = w.guesses(t, slopes)
 	return l
 }
 
@@ -280,7 +280,7 @@
 func (w row) end(t Target, slopes map[string]Slope) End {
 	if w.place == "" {
 		none := 0.0
-		return End{Share: &none, Nothing: true, By: "no mechanism"}
+		return End{Share: &none, NoMechanism: true, Limit: "no mechanism"}
 	}
 	var e End
 	for _, b := range w.limits {
@@ -289,16 +289,16 @@
 			amount = w.figure
 		}
 		bound := b.value(t)
-		share, beyond, ok := reach(func(share float64) float64 { return amount(t.Grown(w.axis, share), &reading{slopes: slopes}) }, bound)
+		share, beyond, ok := reach(func(share float64) float64 { return amount(t.Scaled(w.axis, share), &reading{slopes: slopes}) }, bound)
 		switch {
 		case !ok:
-			e.AtMost = true
+			e.UpperBound = true
 		case e.Share == nil || share < *e.Share:
-			e.Share, e.Beyond, e.Ending, e.By = &share, beyond, b.ending, b.what
+			e.Share, e.BeyondSearch, e.Cause, e.Limit = &share, beyond, b.ending, b.what
 		}
 	}
 	if e.Share == nil {
-		e.AtMost = false // nothing is known of its end
+		e.UpperBound = false // nothing is known of its end
 	}
 	return e
 }
@@ -341,8 +341,8 @@
 func best(lines []Line) []Line {
 	var all []Line
 	for _, l := range lines {
-		if l.Owned {
-			if l.Mechanism != "missing" && l.Known.How != Missing {
+		if l.WithOwnership {
+			if l.Mechanism != "missing" && l.Provenance.Source != Missing {
 				all[len(all)-1] = l
 			}
 			continue
@@ -362,32 +362,32 @@
 			continue
 		}
 		m.Needs = slices.DeleteFunc(slices.Clone(m.Needs), built)
-		s := Step{Mechanism: m, Rows: []string{}, Unknown: []string{}, Least: math.MaxFloat64}
+		s := Step{Mechanism: m, Rows: []string{}, Unknown: []string{}, MinShare: math.MaxFloat64}
 		for _, l := range best(lines) {
 			if l.OwnCost || !slices.ContainsFunc(l.WaitsFor, func(name string) bool { return name == m.Name || needs(name, m.Name) }) {
 				continue
 			}
 			switch {
-			case l.End.Share == nil && l.Bounded:
+			case l.End.Share == nil && l.HasLimit:
 				s.Unknown = append(s.Unknown, l.ID)
 			case l.End.Share != nil && *l.End.Share < 1:
 				s.Rows = append(s.Rows, l.ID)
-				s.Least = min(s.Least, *l.End.Share)
-				if *l.End.Share < Alike {
-					s.Near++
+				s.MinShare = min(s.MinShare, *l.End.Share)
+				if *l.End.Share < NearShare {
+					s.NearRows++
 				}
 			}
 		}
 		if len(s.Rows) == 0 {
-			s.Least = 1
+			s.MinShare = 1
 		}
 		all = append(all, s)
 	}
 	near := func(s Step) float64 {
-		if s.Least < Alike {
+		if s.MinShare < NearShare {
 			return 0
 		}
-		return s.Least
+		return s.MinShare
 	}
 	slices.SortStableFunc(all, func(a, b Step) int {
 		return cmp.Or(cmp.Compare(near(a), near(b)), -cmp.Compare(len(a.Rows), len(b.Rows)), -cmp.Compare(len(a.Unknown), len(b.Unknown)))
--- a/fleet/catalog/part_test.go
+++ b/fleet/catalog/part_test.go
@@ -283,7 +283,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "commands") {
 			switch rapid.IntRange(0, 6).Draw(t, "command") {
 			case 0:
-				both(Command{Acquire: &Hold{Name: ownership.Record, Holder: "w", Value: []byte("no map"), SetsVal: rapid.Bool().Draw(t, "sets")}})
+				both(Command{Acquire: &Hold{Name: ownership.RecordName, Holder: "w", Value: []byte("no map"), SetsVal: rapid.Bool().Draw(t, "sets")}})
 			case 1:
 				if h := a.Held(); h != nil {
 					both(Command{Confirm: &Confirm{Number: h.Number}})
--- a/fleet/experiment/check.go
+++ b/fleet/experiment/check.go
@@ -27,9 +27,9 @@
 			key = key[:strings.LastIndex(key, ".")]
 			line = where[key]
 		}
-		found = append(found, &Error{Line: line, Text: fmt.Sprintf(text, args...)})
+		found = append(found, &Error{Line: line, Message: fmt.Sprintf(text, args...)})
 	}
-	number := func(key string, n Number, low, high float64) {
+	number := func(key string, n NumberRange, low, high float64) {
 		if !n.within(low, high) {
 			bad(key, "%s must be from %v to %v", key[strings.LastIndex(key, ".")+1:], low, high)
 		}
@@ -41,28 +41,28 @@
 		bad("length", "length must be from 1s to 1h")
 	}
 	number("fleet.nodes", f.Fleet.Nodes, 1, 5000)
-	number("fleet.uneven", f.Fleet.Uneven, 0, 3)
-	number("fleet.slots_room", f.Fleet.SlotsRoom, 0.1, 100)
-	number("fleet.least_slots", f.Fleet.LeastSlot, 1, 10000)
-	number("fleet.least_open", f.Fleet.LeastOpen, 1, 1e6)
+	number("fleet.uneven", f.Fleet.ZipfExponent, 0, 3)
+	number("fleet.slots_room", f.Fleet.SlotHeadroom, 0.1, 100)
+	number("fleet.least_slots", f.Fleet.MinSlots, 1, 10000)
+	number("fleet.least_open", f.Fleet.MinOpen, 1, 1e6)
 	number("fleet.cores", f.Fleet.Cores, 0.05, 64)
 	number("fleet.memory_mb", f.Fleet.MemoryMB, 16, 1<<20)
 	number("fleet.sockets", f.Fleet.Sockets, 64, 1<<20)
 	number("fleet.disk_mb", f.Fleet.DiskMB, 0.1, 1<<20)
 	number("load.rate", f.Load.Rate, 0.01, 1e6)
-	number("load.clumps", f.Load.Clumps, 0, 0.9)
-	number("load.retries", f.Load.Retries, 0, 20)
+	number("load.clumps", f.Load.ClumpShare, 0, 0.9)
+	number("load.retries", f.Load.MaxRetries, 0, 20)
 	number("discovery.replicas", f.Discovery.Replicas, 0, 5)
 	if n := f.Discovery.Replicas; n.Low != n.High || n.Low > 0 && int(n.Low)%2 == 0 {
 		bad("discovery.replicas", "a directory must have 1, 3 or 5 replicas")
 	}
-	number("load.honour", f.Load.Honour, 0, 1)
-	number("load.rude", f.Load.Rude, 0, 100)
-	number("load.body", f.Load.Body, 0, 60000)
+	number("load.honour", f.Load.HonorRetryAfter, 0, 1)
+	number("load.rude", f.Load.RudePeerRate, 0, 100)
+	number("load.body", f.Load.BodyBytes, 0, 60000)
 	number("network.jitter", f.Network.Jitter, 0, 1)
 	number("rules.max_attempts", f.Rules.MaxAttempts, 1, 100)
-	number("rules.fall_multiple", f.Rules.FallMultiple, 1, 100)
-	number("rules.cold_from", f.Rules.ColdFrom, 0.01, 1)
+	number("rules.fall_multiple", f.Rules.CollapseMultiple, 1, 100)
+	number("rules.cold_from", f.Rules.SlowStartFrom, 0.01, 1)
 	if len(f.Fleet.Zones) == 0 {
 		bad("fleet.zones", "a fleet needs at least one zone")
 	}
@@ -77,29 +77,29 @@
 			bad(key("kind"), "the partner has no kind")
 		}
 		number(key("count"), p.Count, 1, 10000)
-		number(key("traffic"), p.Traffic, 0, 1e6)
-		number(key("uneven"), p.Uneven, 0, 3)
+		number(key("traffic"), p.TrafficWeight, 0, 1e6)
+		number(key("uneven"), p.ZipfExponent, 0, 3)
 		number(key("endpoints"), p.Endpoints, 1, 64)
-		number(key("batch"), p.Batch, 1, 100)
-		number(key("spread"), p.Spread, 0, 10)
-		number(key("item_cost"), p.ItemCost, 0, 1)
-		number(key("spare"), p.Spare, 0.1, 100)
-		number(key("connections"), p.Conns, 0, 1000)
+		number(key("batch"), p.MaxBatch, 1, 100)
+		number(key("spread"), p.ServiceTimeVariation, 0, 10)
+		number(key("item_cost"), p.ExtraItemCost, 0, 1)
+		number(key("spare"), p.CapacityOverLimit, 0.1, 100)
+		number(key("connections"), p.ConnsPerWorker, 0, 1000)
 		number(key("headroom"), p.Headroom, 0.01, 1000)
-		number(key("least_rate"), p.LeastRate, 0, 1e6)
+		number(key("least_rate"), p.MinRate, 0, 1e6)
 		for _, share := range []struct {
 			name string
-			v    Number
-		}{{"tells_wait", p.TellsWait}, {"faults", p.Faults}, {"defers", p.Defers}, {"lost", p.Lost}, {"spoilt", p.Spoilt}} {
+			v    NumberRange
+		}{{"tells_wait", p.RetryAfterShare}, {"faults", p.ErrorShare}, {"defers", p.DeferShare}, {"lost", p.LostAnswerShare}, {"spoilt", p.UnreadableAnswerShare}} {
 			number(key(share.name), share.v, 0, 1)
 		}
-		if p.Pace.Low < time.Millisecond {
+		if p.ServiceTime.Low < time.Millisecond {
 			bad(key("pace"), "pace must be at least 1ms")
 		}
-		if !slices.Contains([]string{"rate", "count", "none"}, p.Limit) {
-			bad(key("limit"), "limit must be \"rate\", \"count\" or \"none\", is %q", p.Limit)
+		if !slices.Contains([]string{"rate", "count", "none"}, p.LimitKind) {
+			bad(key("limit"), "limit must be \"rate\", \"count\" or \"none\", is %q", p.LimitKind)
 		}
-		if p.Limit == "count" && p.LimitSpan.Low < 10*time.Millisecond {
+		if p.LimitKind == "count" && p.LimitWindow.Low < 10*time.Millisecond {
 			bad(key("limit_span"), "limit_span must be at least 10ms")
 		}
 	}
@@ -115,8 +115,8 @@
 		names[c.Name] = true
 		number(key("share"), c.Share, 0, 1e6)
 		number(key("worth"), c.Worth, 0, 1e6)
-		number(key("late_worth"), c.LateWorth, 0, 1)
-		if c.Aim.Low <= 0 || c.Deadline.Low < c.Aim.High {
+		number(key("late_worth"), c.WorthAtDeadline, 0, 1)
+		if c.SoftDeadline.Low <= 0 || c.Deadline.Low < c.SoftDeadline.High {
 			bad(key("deadline"), "the class needs an aim above 0s and a deadline that is not before it")
 		}
 		if !slices.Contains([]string{"safe", "keyed", "unsafe"}, c.Effect) {
@@ -125,16 +125,16 @@
 		if c.Effect == "keyed" && c.Window.Low <= 0 {
 			bad(key("window"), "a keyed class needs a window above 0s")
 		}
-		for _, k := range c.Kinds {
+		for _, k := range c.PartnerKinds {
 			if !kinds[k] {
 				bad(key("kinds"), "there is no [[partner]] of kind %q", k)
 			}
 		}
 	}
-	if len(f.Members) == 0 {
-		f.Members = []Member{{Name: "all", Share: fixed(1)}}
+	if len(f.Tenants) == 0 {
+		f.Tenants = []Tenant{{Name: "all", Share: fixed(1)}}
 	}
-	for i, m := range f.Members {
+	for i, m := range f.Tenants {
 		if m.Name == "" {
 			bad(fmt.Sprintf("member[%d].name", i), "the member has no name")
 		}
@@ -143,7 +143,7 @@
 	for i, x := range f.Faults {
 		f.checkFault(x, func(name, text string, args ...any) { bad(fmt.Sprintf("fault[%d].%s", i, name), text, args...) })
 	}
-	for c := range f.Expect.Class {
+	for c := range f.Expect.MinServedByClass {
 		if !names[c] {
 			bad("expect.class", "there is no [[class]] named %q", c)
 		}
@@ -164,16 +164,16 @@
 	if aim&atReplicas != 0 && f.Discovery.Replicas.Low < 1 {
 		bad("kind", "a fault of kind %q needs a directory: [discovery] replicas = 3", x.Kind)
 	}
-	if aim&atPartners == 0 && (x.Partners != nil || x.Part != nil) {
+	if aim&atPartners == 0 && (x.Partners != nil || x.TrafficShare != nil) {
 		bad("partners", "a fault of kind %q does not target partners", x.Kind)
 	}
-	if aim&atNodes == 0 && (x.Nodes != nil || x.Share != nil || x.Zone != "") {
+	if aim&atNodes == 0 && (x.Nodes != nil || x.NodeShare != nil || x.Zone != "") {
 		bad("nodes", "a fault of kind %q does not target nodes", x.Kind)
 	}
 	if x.Zone != "" && !slices.Contains(f.Fleet.Zones, x.Zone) {
 		bad("zone", "the fleet has no zone %q", x.Zone)
 	}
-	if x.Part != nil && !x.Part.within(0, 1) || x.Share != nil && !x.Share.within(0, 1) {
+	if x.TrafficShare != nil && !x.TrafficShare.within(0, 1) || x.NodeShare != nil && !x.NodeShare.within(0, 1) {
 		bad("part", "part and share must be from 0 to 1")
 	}
 	least := 0
@@ -199,19 +199,19 @@
 	case "rate":
 		low = 1
 	}
-	if x.Size != (Number{}) && !x.Size.within(low, high) {
+	if x.Size != (NumberRange{}) && !x.Size.within(low, high) {
 		bad("size", "size must be from %v to %v for a fault of kind %q", low, high, x.Kind)
 	}
-	if x.Size == (Number{}) && slices.Contains([]string{"slow", "burst", "rate", "delay", "late-list", "loss", "limit"}, x.Kind) {
+	if x.Size == (NumberRange{}) && slices.Contains([]string{"slow", "burst", "rate", "delay", "late-list", "loss", "limit"}, x.Kind) {
 		bad("size", "a fault of kind %q needs a size", x.Kind)
 	}
-	if !slices.Contains([]string{"", "both", "out", "back"}, x.Way) {
-		bad("way", "way must be \"both\", \"out\" or \"back\", is %q", x.Way)
+	if !slices.Contains([]string{"", "both", "out", "back"}, x.Direction) {
+		bad("way", "way must be \"both\", \"out\" or \"back\", is %q", x.Direction)
 	}
-	if !slices.Contains([]string{"", "reset", "resume"}, x.Then) {
-		bad("then", "then must be \"reset\" or \"resume\", is %q", x.Then)
+	if !slices.Contains([]string{"", "reset", "resume"}, x.ConnsAfter) {
+		bad("then", "then must be \"reset\" or \"resume\", is %q", x.ConnsAfter)
 	}
-	if _, isTrouble := partner.ParseTrouble(x.Kind); x.For.Low == 0 && !isTrouble && !slices.Contains([]string{"reset", "move", "replace", "restart"}, x.Kind) {
+	if _, isTrouble := partner.ParseFaultKind(x.Kind); x.Duration.Low == 0 && !isTrouble && !slices.Contains([]string{"reset", "move", "replace", "restart"}, x.Kind) {
 		bad("for", "a fault of kind %q needs a duration: for", x.Kind)
 	}
 }
--- a/fleet/experiment/experiment_test.go
+++ b/fleet/experiment/experiment_test.go
@@ -69,7 +69,7 @@
 }
 
 func TestSameSeedSamePlan(t *testing.T) {
-	a, b, c := parse(t, small).Draw(7, 0), parse(t, small).Draw(7, 0), parse(t, small).Draw(8, 0)
+	a, b, c := parse(t, small).DrawPlan(7, 0), parse(t, small).DrawPlan(7, 0), parse(t, small).DrawPlan(8, 0)
 	if !reflect.DeepEqual(a, b) {
 		t.Error("one seed gave two plans")
 	}
@@ -80,12 +80,12 @@
 
 // A change to one part of an experiment must not change what is drawn for the others.
 func TestPartsAreDrawnApart(t *testing.T) {
-	a := parse(t, small).Draw(7, 0)
-	b := parse(t, small+"[[fault]]\nkind = \"stop\"\nat = \"1s\"\nfor = \"1s\"\nshare = 0.5\n").Draw(7, 0)
+	a := parse(t, small).DrawPlan(7, 0)
+	b := parse(t, small+"[[fault]]\nkind = \"stop\"\nat = \"1s\"\nfor = \"1s\"\nshare = 0.5\n").DrawPlan(7, 0)
 	if !reflect.DeepEqual(a.Arrivals, b.Arrivals) || !reflect.DeepEqual(a.Partners, b.Partners) {
 		t.Error("another fault changed the arrivals or the partners")
 	}
-	more := parse(t, small).Draw(7, 9)
+	more := parse(t, small).DrawPlan(7, 9)
 	if len(more.Nodes) != 9 || !reflect.DeepEqual(a.Partners, more.Partners) {
 		t.Errorf("%d nodes; the partners changed with them: %v", len(more.Nodes), !reflect.DeepEqual(a.Partners, more.Partners))
 	}
@@ -93,7 +93,7 @@
 
 func TestDraw(t *testing.T) {
 	for seed := range uint64(20) {
-		p := parse(t, small).Draw(seed, 0)
+		p := parse(t, small).DrawPlan(seed, 0)
 		if !slices.IsSortedFunc(p.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) }) {
 			t.Fatal("arrivals are out of order")
 		}
@@ -102,12 +102,12 @@
 		}
 		ids := map[string]bool{}
 		for i, a := range p.Arrivals {
-			kind := p.Kinds[p.Partners[a.Dest].Kind]
+			kind := p.PartnerKinds[p.Partners[a.Dest].Kind]
 			if p.Classes[a.Class].Name == "payout" && kind != "bulk" {
 				t.Fatalf("seed %d: a payout for a partner of kind %s", seed, kind)
 			}
 			for try := range 3 {
-				ids[p.ID(i+1, try)] = true
+				ids[p.MessageID(i+1, try)] = true
 			}
 		}
 		if len(ids) != 3*len(p.Arrivals) {
@@ -116,10 +116,10 @@
 		sum := 0.0
 		for _, q := range p.Partners {
 			sum += q.Weight
-			if err := q.Model.Check(); err != nil {
+			if err := q.Config.Check(); err != nil {
 				t.Errorf("seed %d: %v", seed, err)
 			}
-			if q.Model.Batch != p.Partners[0].Model.Batch && p.Kinds[q.Kind] == "bulk" {
+			if q.Config.MaxBatch != p.Partners[0].Config.MaxBatch && p.PartnerKinds[q.Kind] == "bulk" {
 				t.Errorf("seed %d: one kind of partner has two batch sizes", seed)
 			}
 		}
@@ -146,7 +146,7 @@
 
 // A node can parse the settings.
 func TestSettings(t *testing.T) {
-	p := parse(t, small).Draw(1, 0)
+	p := parse(t, small).DrawPlan(1, 0)
 	raw, err := p.Settings(1)
 	if err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 	if len(s.Classes) != 2 || s.Classes[1].Effect != choice.AtMostOnce || s.Classes[0].Worth != 2 || s.Classes[0].Deadline != 3*time.Second {
 		t.Errorf("classes %+v", s.Classes)
 	}
-	if len(s.Kinds) != 2 || s.Kinds[0].MaxBatch != p.Partners[0].Model.Batch {
+	if len(s.Kinds) != 2 || s.Kinds[0].MaxBatch != p.Partners[0].Config.MaxBatch {
 		t.Errorf("kinds %+v", s.Kinds)
 	}
 	if !json.Valid(raw) {
@@ -226,7 +226,7 @@
 			t.Errorf("%s is named %q, about %q", path, f.Name, f.About)
 		}
 		for seed := range uint64(5) {
-			if p := f.Draw(seed, 0); len(p.Arrivals) == 0 {
+			if p := f.DrawPlan(seed, 0); len(p.Arrivals) == 0 {
 				t.Errorf("%s, seed %d: no messages", path, seed)
 			}
 		}
@@ -245,7 +245,7 @@
 			return // the plan would take too long to draw
 		}
 		for _, p := range file.Partners {
-			if p.Count.High > 20 || p.LeastRate.High > 1000 || p.Headroom.High > 10 {
+			if p.Count.High > 20 || p.MinRate.High > 1000 || p.Headroom.High > 10 {
 				return
 			}
 		}
@@ -257,6 +257,6 @@
 		if file.Load.ClumpSize.High > time.Minute {
 			return
 		}
-		file.Draw(1, 0)
+		file.DrawPlan(1, 0)
 	})
 }
--- a/fleet/experiment/faults.go
+++ b/fleet/experiment/faults.go
@@ -11,8 +11,8 @@
 
 // FaultKind describes a kind of fault and what it targets.
 type FaultKind struct {
-	About string
-	aim   target
+	Description string
+	aim         target
 }
 
 // FaultKinds holds the kinds of faults by name.
--- a/fleet/experiment/formats_test.go
+++ b/fleet/experiment/formats_test.go
@@ -38,11 +38,11 @@
 		v = v.Elem()
 	}
 	switch x := v.Interface().(type) {
-	case Number:
+	case NumberRange:
 		fmt.Fprintf(b, "%s = \"%v..%v\"\n", key, x.Low, x.High)
-	case Span:
+	case DurationRange:
 		fmt.Fprintf(b, "%s = \"%v..%v\"\n", key, x.Low, x.High)
-	case map[string]Number:
+	case map[string]NumberRange:
 		for name, n := range x {
 			writeKey(b, key+"."+name, reflect.ValueOf(n))
 		}
@@ -71,7 +71,7 @@
 }
 
 func TestSettingsFormat(t *testing.T) {
-	p := parse(t, small).Draw(1, 0)
+	p := parse(t, small).DrawPlan(1, 0)
 	raw, err := p.Settings(1)
 	if err != nil {
 		t.Fatal(err)
--- a/fleet/experiment/plan.go
+++ b/fleet/experiment/plan.go
@@ -22,21 +22,21 @@
 	Seed           uint64
 	Length, Settle time.Duration
 
-	Zones    []string
-	Kinds    []string
-	Nodes    []NodePlan
-	Classes  []ClassPlan
-	Members  []MemberPlan
-	Partners []PartnerPlan
-	Arrivals []Arrival // in order of time
-	Rude     []Rudeness
-	Faults   []FaultPlan // in order of their start
-	Load     LoadPlan
-	Network  NetworkPlan
-	Rules    RulesPlan
-	Replicas int  // of the directory that informs the nodes; 0: the platform does
-	Listing  Span // delay until the platform informs a node of a change
-	Expect   Expect
+	Zones          []string
+	PartnerKinds   []string
+	Nodes          []NodePlan
+	Classes        []ClassPlan
+	Tenants        []TenantPlan
+	Partners       []PartnerPlan
+	Arrivals       []Arrival // in order of time
+	RudePeers      []RudePeer
+	Faults         []FaultPlan // in order of their start
+	Load           LoadPlan
+	Network        NetworkPlan
+	Rules          RulesPlan
+	Replicas       int           // of the directory that informs the nodes; 0: the platform does
+	DiscoveryDelay DurationRange // delay until the platform informs a node of a change
+	Expect         Expect
 }
 
 // NodePlan describes one node.
@@ -55,19 +55,19 @@
 
 // ClassPlan describes one message class.
 type ClassPlan struct {
-	Name      string
-	Share     float64
-	Aim       time.Duration
-	Deadline  time.Duration
-	Worth     float64
-	LateWorth float64
-	Effect    judge.Effect
-	Window    time.Duration
-	Kinds     []int // none: all
+	Name            string
+	Share           float64
+	SoftDeadline    time.Duration
+	Deadline        time.Duration
+	Worth           float64
+	WorthAtDeadline float64
+	Effect          judge.Effect
+	Window          time.Duration
+	PartnerKinds    []int // none: all
 }
 
 // TenantPlan describes one tenant.
-type MemberPlan struct {
+type TenantPlan struct {
 	Name      string
 	Share     float64
 	Allowance float64 // messages a second
@@ -78,69 +78,69 @@
 	Kind   int
 	Weight float64 // share of the traffic
 	Zones  []int   // of its endpoints
-	Model  partner.Config
+	Config partner.Config
 	Seed   uint64
 }
 
 // LoadPlan describes the clients.
 type LoadPlan struct {
-	Retries  int
-	Backoff  Span
-	Honour   float64
-	Again    Span
-	Patience time.Duration
-	Body     int
+	MaxRetries      int
+	Backoff         DurationRange
+	HonorRetryAfter float64
+	ResubmitDelay   DurationRange
+	AnswerTimeout   time.Duration
+	BodyBytes       int
 }
 
 // NetworkPlan holds the one-way delays between nodes and partners.
 type NetworkPlan struct {
-	Same, Cross time.Duration
-	Jitter      float64
+	SameZone, CrossZone time.Duration
+	Jitter              float64
 }
 
 // RulesPlan holds the parameters that the settings tell the nodes.
 type RulesPlan struct {
-	MaxAttempts  int
-	DrainGrace   time.Duration
-	FallMultiple float64
-	Fall         time.Duration
-	ColdFrom     float64
-	WarmWithin   time.Duration
-	DialTimeout  time.Duration
-	ConnIdle     time.Duration
-	MaxWait      time.Duration
+	MaxAttempts       int
+	DrainGrace        time.Duration
+	CollapseMultiple  float64
+	CollapseSpan      time.Duration
+	SlowStartFrom     float64
+	SlowStartDuration time.Duration
+	DialTimeout       time.Duration
+	ConnIdleTimeout   time.Duration
+	MaxRetryAfter     time.Duration
 }
 
 // Arrival is a message that a client submits for the first time. Its message number is its position among the
 // arrivals, from 1.
 type Arrival struct {
-	At     time.Duration
-	Node   int
-	Class  int
-	Member int
-	Dest   int
-	Over   bool // beyond its tenant's share
+	At        time.Duration
+	Node      int
+	Class     int
+	Tenant    int
+	Dest      int
+	OverShare bool // beyond its tenant's share
 }
 
 // RudePeer is a misbehaving peer that connects to a node.
-type Rudeness struct {
-	At   time.Duration
-	Node int
-	Way  int
+type RudePeer struct {
+	At       time.Duration
+	Node     int
+	Behavior int
 }
 
 // FaultPlan is one fault on one or more targets.
 type FaultPlan struct {
-	Kind     string
-	At       time.Duration
-	Until    time.Duration // 0: forever
-	Size     float64
-	Nodes    []int
-	Partners []int
-	Replicas []int
-	Way      string
-	Resume   bool
-	Lose     bool
+	Kind      string
+	At        time.Duration
+	Until     time.Duration // 0: forever
+	Size      float64
+	Nodes     []int
+	Partners  []int
+	Replicas  []int
+	Direction string
+	Resume    bool
+	LoseState bool
 }
 
 func (x FaultPlan) String() string {
@@ -167,27 +167,27 @@
 const OverShareWorth = 0.05
 
 // DrawPlan returns the plan of a seed. If nodes is above 0, the fleet has that many.
-func (f File) Draw(seed uint64, nodes int) Plan {
+func (f File) DrawPlan(seed uint64, nodes int) Plan {
 	d := drawer{f: f, seed: seed}
 	p := Plan{
-		Name: f.Name, About: f.About, Seed: seed, Zones: f.Fleet.Zones, Listing: f.Discovery.Delay, Expect: f.Expect,
+		Name: f.Name, About: f.About, Seed: seed, Zones: f.Fleet.Zones, DiscoveryDelay: f.Discovery.Delay, Expect: f.Expect,
 	}
 	r := d.source("run")
 	p.Length = f.Length.draw(r)
 	rate := f.Load.Rate.draw(r)
 	p.Load = LoadPlan{
-		Retries: f.Load.Retries.whole(r), Backoff: f.Load.Backoff, Honour: f.Load.Honour.draw(r), Again: f.Load.Again,
-		Patience: f.Load.Patience.draw(r), Body: f.Load.Body.whole(r),
+		MaxRetries: f.Load.MaxRetries.whole(r), Backoff: f.Load.Backoff, HonorRetryAfter: f.Load.HonorRetryAfter.draw(r), ResubmitDelay: f.Load.ResubmitDelay,
+		AnswerTimeout: f.Load.AnswerTimeout.draw(r), BodyBytes: f.Load.BodyBytes.whole(r),
 	}
-	p.Network = NetworkPlan{f.Network.Same.draw(r), f.Network.Cross.draw(r), f.Network.Jitter.draw(r)}
+	p.Network = NetworkPlan{f.Network.SameZone.draw(r), f.Network.CrossZone.draw(r), f.Network.Jitter.draw(r)}
 	p.Rules = RulesPlan{
-		MaxAttempts: f.Rules.MaxAttempts.whole(r), DrainGrace: f.Rules.DrainGrace.draw(r), FallMultiple: f.Rules.FallMultiple.draw(r),
-		Fall: f.Rules.Fall.draw(r), ColdFrom: f.Rules.ColdFrom.draw(r), WarmWithin: f.Rules.WarmWithin.draw(r),
-		DialTimeout: f.Rules.DialTimeout.draw(r), ConnIdle: f.Rules.ConnIdle.draw(r), MaxWait: f.Rules.MaxWait.draw(r),
+		MaxAttempts: f.Rules.MaxAttempts.whole(r), DrainGrace: f.Rules.DrainGrace.draw(r), CollapseMultiple: f.Rules.CollapseMultiple.draw(r),
+		CollapseSpan: f.Rules.CollapseSpan.draw(r), SlowStartFrom: f.Rules.SlowStartFrom.draw(r), SlowStartDuration: f.Rules.SlowStartDuration.draw(r),
+		DialTimeout: f.Rules.DialTimeout.draw(r), ConnIdleTimeout: f.Rules.ConnIdleTimeout.draw(r), MaxRetryAfter: f.Rules.MaxRetryAfter.draw(r),
 	}
 	for _, g := range f.Partners {
-		if !slices.Contains(p.Kinds, g.Kind) {
-			p.Kinds = append(p.Kinds, g.Kind)
+		if !slices.Contains(p.PartnerKinds, g.Kind) {
+			p.PartnerKinds = append(p.PartnerKinds, g.Kind)
 		}
 	}
 	d.classes(&p)
@@ -237,11 +237,11 @@
 	for _, c := range d.f.Classes {
 		effect := map[string]judge.Effect{"safe": judge.Safe, "keyed": judge.Keyed, "unsafe": judge.Unsafe}[c.Effect]
 		one := ClassPlan{
-			Name: c.Name, Share: c.Share.draw(r), Aim: c.Aim.draw(r), Deadline: c.Deadline.draw(r), Worth: c.Worth.draw(r),
-			LateWorth: c.LateWorth.draw(r), Effect: effect, Window: c.Window.draw(r),
+			Name: c.Name, Share: c.Share.draw(r), SoftDeadline: c.SoftDeadline.draw(r), Deadline: c.Deadline.draw(r), Worth: c.Worth.draw(r),
+			WorthAtDeadline: c.WorthAtDeadline.draw(r), Effect: effect, Window: c.Window.draw(r),
 		}
-		for _, k := range c.Kinds {
-			one.Kinds = append(one.Kinds, slices.Index(p.Kinds, k))
+		for _, k := range c.PartnerKinds {
+			one.PartnerKinds = append(one.PartnerKinds, slices.Index(p.PartnerKinds, k))
 		}
 		sum += one.Share
 		p.Classes = append(p.Classes, one)
@@ -262,14 +262,14 @@
 func (d drawer) members(p *Plan, rate float64) {
 	r := d.source("members")
 	sum := 0.0
-	for _, m := range d.f.Members {
-		one := MemberPlan{Name: m.Name, Share: m.Share.draw(r), Allowance: m.Allowance.draw(r)}
+	for _, m := range d.f.Tenants {
+		one := TenantPlan{Name: m.Name, Share: m.Share.draw(r), Allowance: m.Allowance.draw(r)}
 		sum += one.Share
-		p.Members = append(p.Members, one)
+		p.Tenants = append(p.Tenants, one)
 	}
-	for i := range p.Members {
-		m := &p.Members[i]
-		m.Share = share(m.Share, sum, len(p.Members))
+	for i := range p.Tenants {
+		m := &p.Tenants[i]
+		m.Share = share(m.Share, sum, len(p.Tenants))
 		if m.Allowance == 0 {
 			m.Allowance = m.Share * rate
 		}
@@ -280,23 +280,23 @@
 func (d drawer) partners(p *Plan, rate float64) {
 	r := d.source("partners")
 	type group struct {
-		Partner
+		PartnerGroup
 		from, to int
 	}
 	var groups []group
 	weights := []float64{}
 	for _, g := range d.f.Partners {
 		n := g.Count.whole(r)
-		total := g.Traffic.draw(r)
+		total := g.TrafficWeight.draw(r)
 		groups = append(groups, group{g, len(weights), len(weights) + n})
-		for _, w := range byRank(n, g.Uneven.draw(r)) {
+		for _, w := range byRank(n, g.ZipfExponent.draw(r)) {
 			weights = append(weights, w*total)
 		}
 	}
 	kind := func(i int) int {
 		for _, g := range groups {
 			if i < g.to {
-				return slices.Index(p.Kinds, g.Kind)
+				return slices.Index(p.PartnerKinds, g.Kind)
 			}
 		}
 		return -1
@@ -318,56 +318,58 @@
 	for _, g := range groups {
 		for i := g.from; i < g.to; i++ {
 			calls := traffic[i] * rate
-			limit := max(g.LeastRate.draw(r), g.Headroom.draw(r)*calls)
+			limit := max(g.MinRate.draw(r), g.Headroom.draw(r)*calls)
 			m := partner.Config{
-				Endpoints: g.Endpoints.whole(r), Batch: g.Batch.whole(r), Pace: g.Pace.draw(r), Spread: g.Spread.draw(r),
-				ItemCost: g.ItemCost.draw(r), TellsWait: g.TellsWait.draw(r), Wait: [2]time.Duration{g.Wait.Low, g.Wait.High},
-				Faults: g.Faults.draw(r), Defers: g.Defers.draw(r), Lost: g.Lost.draw(r), Spoilt: g.Spoilt.draw(r),
-				ColdFrom: p.Rules.ColdFrom, WarmWithin: p.Rules.WarmWithin, FallMultiple: p.Rules.FallMultiple, Fall: p.Rules.Fall,
+				Endpoints: g.Endpoints.whole(r), MaxBatch: g.MaxBatch.whole(r), ServiceTime: g.ServiceTime.draw(r), ServiceTimeVariation: g.ServiceTimeVariation.draw(r),
+				ExtraItemCost: g.ExtraItemCost.draw(r), RetryAfterShare: g.RetryAfterShare.draw(r), RetryAfterRange: [2]time.Duration{g.RetryAfterRange.Low, g.RetryAfterRange.High},
+				ErrorShare: g.ErrorShare.draw(r), DeferShare: g.DeferShare.draw(r), LostAnswerShare: g.LostAnswerShare.draw(r), UnreadableAnswerShare: g.UnreadableAnswerShare.draw(r),
+				SlowStartFrom: p.Rules.SlowStartFrom, SlowStartDuration: p.Rules.SlowStartDuration, CollapseMultiple: p.Rules.CollapseMultiple, CollapseSpan: p.Rules.CollapseSpan,
 			}
 			for _, c := range p.Classes {
 				if c.Effect == judge.Keyed {
-					m.Window = max(m.Window, c.Window)
+					m.DedupWindow = max(m.DedupWindow, c.Window)
 				}
 			}
-			span := g.LimitSpan.draw(r)
-			switch g.Limit {
+			span := g.LimitWindow.draw(r)
+			switch g.LimitKind {
 			case "rate":
 				m.Limit = partner.Limit{PerSecond: limit, Burst: time.Second, CountsRefused: g.CountsRefused}
 			case "count":
-				m.Limit = partner.Limit{PerSecond: limit, Span: span, CountsRefused: g.CountsRefused}
+				m.Limit = partner.Limit{PerSecond: limit, Window: span, CountsRefused: g.CountsRefused}
 			}
-			capacity := limit * g.Spare.draw(r)
-			m.Workers = max(1, int(math.Ceil(capacity*m.Pace.Seconds()/float64(m.Endpoints))))
-			m.Queue = max(1, int(g.Queue.draw(r).Seconds()*capacity/float64(m.Endpoints)))
-			if conns := g.Conns.draw(r); conns > 0 {
-				m.Conns = max(6, int(conns*float64(m.Workers)))
+			capacity := limit * g.CapacityOverLimit.draw(r)
+			m.Workers = max(1, int(math.Ceil(capacity*m.ServiceTime.Seconds()/float64(m.Endpoints))))
+			m.QueueLength = max(1, int(g.QueueTime.draw(r).Seconds()*capacity/float64(m.Endpoints)))
+			if conns := g.ConnsPerWorker.draw(r); conns > 0 {
+				m.MaxConns = max(6, int(conns*float64(m.Workers)))
 			}
-			one := PartnerPlan{Kind: kind(i), Weight: traffic[i], Model: m, Seed: r.Uint64()}
+			one := PartnerPlan{Kind: kind(i), Weight: traffic[i], Config: m, Seed: r.Uint64()}
 			for range m.Endpoints {
 				one.Zones = append(one.Zones, r.IntN(len(p.Zones)))
 			}
 			p.Partners = append(p.Partners, one)
 		}
 	}
-	most := make([]int, len(p.Kinds)) // the settings tell the nodes one batch size for each kind
+	most := make([]int, len(p.PartnerKinds)) // the settings tell the nodes one batch size for each kind
 	for _, q := range p.Partners {
-		most[q.Kind] = max(most[q.Kind], q.Model.Batch)
+		most[q.Kind] = max(most[q.Kind], q.Config.MaxBatch)
 	}
 	for i := range p.Partners {
-		p.Partners[i].Model.Batch = most[p.Partners[i].Kind]
+		p.Partners[i].Config.MaxBatch = most[p.Partners[i].Kind]
 	}
 }
 
-func (c ClassPlan) takes(kind int) bool { return len(c.Kinds) == 0 || slices.Contains(c.Kinds, kind) }
+func (c ClassPlan) takes(kind int) bool {
+	return len(c.PartnerKinds) == 0 || slices.Contains(c.PartnerKinds, kind)
+}
 
 // TotalRate returns the rate limit that the list of endpoints tells of a partner, or else its capacity: calls
 // a second from all nodes together.
-func (p PartnerPlan) Rate() float64 {
-	if p.Model.Limit.PerSecond > 0 {
-		return p.Model.Limit.PerSecond
+func (p PartnerPlan) TotalRate() float64 {
+	if p.Config.Limit.PerSecond > 0 {
+		return p.Config.Limit.PerSecond
 	}
-	return p.Model.Capacity()
+	return p.Config.Capacity()
 }
 
 func (d drawer) nodes(p *Plan, rate float64, count int) {
@@ -375,18 +377,18 @@
 	if drawn := d.f.Fleet.Nodes.whole(r); count <= 0 {
 		count = drawn
 	}
-	weights := byRank(count, d.f.Fleet.Uneven.draw(r))
+	weights := byRank(count, d.f.Fleet.ZipfExponent.draw(r))
 	r.Shuffle(count, func(i, j int) { weights[i], weights[j] = weights[j], weights[i] })
 	out := 0.0 // mean time that a call is in flight, in seconds
 	for _, q := range p.Partners {
-		out += q.Weight * (q.Model.Pace + p.Network.Same + p.Network.Cross).Seconds()
+		out += q.Weight * (q.Config.ServiceTime + p.Network.SameZone + p.Network.CrossZone).Seconds()
 	}
-	room, hold := d.f.Fleet.SlotsRoom.draw(r), d.f.Fleet.Hold.draw(r).Seconds()
+	room, hold := d.f.Fleet.SlotHeadroom.draw(r), d.f.Fleet.HoldTime.draw(r).Seconds()
 	for i, w := range weights {
 		p.Nodes = append(p.Nodes, NodePlan{
 			Name: fmt.Sprintf("n%d", i), Zone: i % len(p.Zones), Weight: w,
-			Slots:   max(d.f.Fleet.LeastSlot.whole(r), int(math.Ceil(w*rate*out*room))),
-			MaxOpen: max(d.f.Fleet.LeastOpen.whole(r), int(w*rate*hold)),
+			Slots:   max(d.f.Fleet.MinSlots.whole(r), int(math.Ceil(w*rate*out*room))),
+			MaxOpen: max(d.f.Fleet.MinOpen.whole(r), int(w*rate*hold)),
 			Cores:   d.f.Fleet.Cores.draw(r), MemoryMB: d.f.Fleet.MemoryMB.whole(r), Sockets: d.f.Fleet.Sockets.whole(r),
 			DiskMB: d.f.Fleet.DiskMB.draw(r), Seed: r.Uint64(),
 		})
@@ -397,15 +399,15 @@
 	for i, x := range d.f.Faults {
 		r := d.source(fmt.Sprintf("fault %d", i))
 		one := FaultPlan{
-			Kind: x.Kind, At: x.At.draw(r), Size: x.Size.draw(r), Way: cmp.Or(x.Way, "both"), Resume: x.Then == "resume", Lose: x.Lose,
+			Kind: x.Kind, At: x.At.draw(r), Size: x.Size.draw(r), Direction: cmp.Or(x.Direction, "both"), Resume: x.ConnsAfter == "resume", LoseState: x.LoseState,
 		}
-		if x.Size == (Number{}) && slices.Contains([]string{"failing", "lossy", "silent", "swallow"}, x.Kind) {
+		if x.Size == (NumberRange{}) && slices.Contains([]string{"failing", "lossy", "silent", "swallow"}, x.Kind) {
 			one.Size = 1
 		}
-		if last := x.For.draw(r); last > 0 {
+		if last := x.Duration.draw(r); last > 0 {
 			one.Until = one.At + last
 		}
-		step := x.Step.draw(r)
+		step := x.StepInterval.draw(r)
 		partners, nodes := d.aimPartners(r, x, p), d.aimNodes(r, x, p)
 		var replicas []int
 		if FaultKinds[x.Kind].aim&atReplicas != 0 {
@@ -452,8 +454,8 @@
 		return nil
 	case x.Partners != nil:
 		return x.Partners
-	case x.Part != nil:
-		want, sum := x.Part.draw(r), 0.0
+	case x.TrafficShare != nil:
+		want, sum := x.TrafficShare.draw(r), 0.0
 		for i, n := range order {
 			if sum += p.Partners[n].Weight; sum >= want {
 				return slices.Sorted(slices.Values(order[:i+1]))
@@ -479,8 +481,8 @@
 			}
 		}
 		return in
-	case x.Share != nil:
-		order = order[:max(1, int(math.Round(x.Share.draw(r)*float64(len(order)))))]
+	case x.NodeShare != nil:
+		order = order[:max(1, int(math.Round(x.NodeShare.draw(r)*float64(len(order)))))]
 	}
 	return slices.Sorted(slices.Values(order))
 }
@@ -489,7 +491,7 @@
 // clumps.
 func (d drawer) arrivals(p *Plan, rate float64) {
 	r := d.source("arrivals")
-	clumps := d.f.Load.Clumps.draw(r)
+	clumps := d.f.Load.ClumpShare.draw(r)
 	lift := func(at time.Duration) float64 {
 		by := 1.0
 		for _, x := range p.Faults {
@@ -505,11 +507,11 @@
 			top = max(top, lift(x.At))
 		}
 	}
-	nodes, members, classes := make([]float64, len(p.Nodes)), make([]float64, len(p.Members)), make([]float64, len(p.Classes))
+	nodes, members, classes := make([]float64, len(p.Nodes)), make([]float64, len(p.Tenants)), make([]float64, len(p.Classes))
 	for i, n := range p.Nodes {
 		nodes[i] = n.Weight
 	}
-	for i, m := range p.Members {
+	for i, m := range p.Tenants {
 		members[i] = m.Share
 	}
 	for i, c := range p.Classes {
@@ -531,12 +533,12 @@
 			continue
 		}
 		c := pick(r, classes)
-		p.Arrivals = append(p.Arrivals, Arrival{At: at, Node: pick(r, nodes), Class: c, Member: pick(r, members), Dest: pick(r, dests[c])})
+		p.Arrivals = append(p.Arrivals, Arrival{At: at, Node: pick(r, nodes), Class: c, Tenant: pick(r, members), Dest: pick(r, dests[c])})
 	}
 	if clumps > 0 {
 		weights := make([]float64, len(p.Partners))
 		mean := 0.0
-		size := func(q PartnerPlan, s time.Duration) float64 { return max(1, q.Rate()*s.Seconds()) }
+		size := func(q PartnerPlan, s time.Duration) float64 { return max(1, q.TotalRate()*s.Seconds()) }
 		for i, q := range p.Partners {
 			weights[i] = q.Weight
 			mean += q.Weight * size(q, (d.f.Load.ClumpSize.Low+d.f.Load.ClumpSize.High)/2)
@@ -545,14 +547,14 @@
 		for at := next(r, every); at < p.Length; at += next(r, every) {
 			dest := pick(r, weights)
 			node, member := pick(r, nodes), pick(r, members)
-			over := d.f.Load.ClumpOver.draw(r)
+			over := d.f.Load.ClumpDuration.draw(r)
 			for range int(size(p.Partners[dest], d.f.Load.ClumpSize.draw(r))) {
 				c := pick(r, classes)
 				if !p.Classes[c].takes(p.Partners[dest].Kind) {
 					continue
 				}
 				p.Arrivals = append(p.Arrivals, Arrival{
-					At: at + time.Duration(r.Float64()*float64(over)), Node: node, Class: c, Member: member, Dest: dest,
+					At: at + time.Duration(r.Float64()*float64(over)), Node: node, Class: c, Tenant: member, Dest: dest,
 				})
 			}
 		}
@@ -560,9 +562,9 @@
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	p.Arrivals = slices.DeleteFunc(p.Arrivals, func(a Arrival) bool { return a.At >= p.Length })
 	overShare(p)
-	if rude := d.f.Load.Rude.draw(r); rude > 0 {
+	if rude := d.f.Load.RudePeerRate.draw(r); rude > 0 {
 		for at := next(r, rude); at < p.Length; at += next(r, rude) {
-			p.Rude = append(p.Rude, Rudeness{At: at, Node: r.IntN(len(p.Nodes)), Way: r.IntN(1 << 20)})
+			p.RudePeers = append(p.RudePeers, RudePeer{At: at, Node: r.IntN(len(p.Nodes)), Behavior: r.IntN(1 << 20)})
 		}
 	}
 }
@@ -570,18 +572,18 @@
 // markOverShare marks arrivals beyond a tenant's share: more than its allowance of the last two seconds.
 func overShare(p *Plan) {
 	const span = 2 * time.Second
-	room := make([]float64, len(p.Members))
-	last := make([]time.Duration, len(p.Members))
-	for i, m := range p.Members {
+	room := make([]float64, len(p.Tenants))
+	last := make([]time.Duration, len(p.Tenants))
+	for i, m := range p.Tenants {
 		room[i] = m.Allowance * span.Seconds()
 	}
 	for i := range p.Arrivals {
 		a := &p.Arrivals[i]
-		m := p.Members[a.Member]
-		room[a.Member] = min(max(m.Allowance*span.Seconds(), 1), room[a.Member]+m.Allowance*(a.At-last[a.Member]).Seconds())
-		last[a.Member] = a.At
-		if a.Over = room[a.Member] < 1; !a.Over {
-			room[a.Member]--
+		m := p.Tenants[a.Tenant]
+		room[a.Tenant] = min(max(m.Allowance*span.Seconds(), 1), room[a.Tenant]+m.Allowance*(a.At-last[a.Tenant]).Seconds())
+		last[a.Tenant] = a.At
+		if a.OverShare = room[a.Tenant] < 1; !a.OverShare {
+			room[a.Tenant]--
 		}
 	}
 }
@@ -610,7 +612,7 @@
 }
 
 // IdempotencyKey returns the idempotency key of a message, "" if its class has none.
-func (p *Plan) Key(c int) string {
+func (p *Plan) IdempotencyKey(c int) string {
 	if p.Classes[p.Arrivals[c-1].Class].Effect != judge.Keyed {
 		return ""
 	}
@@ -618,16 +620,16 @@
 }
 
 // MessageID returns the id for the n-th submission of a message.
-func (p *Plan) ID(c, n int) string {
+func (p *Plan) MessageID(c, n int) string {
 	return fmt.Sprintf("%08x%02x%06x", c, n&0xff, xxhash.Sum64String(fmt.Sprintf("id %d %d %d", p.Seed, c, n))&0xffffff)
 }
 
 // EndTime returns when the run ends.
-func (p *Plan) End() time.Duration { return p.Length + p.Settle }
+func (p *Plan) EndTime() time.Duration { return p.Length + p.Settle }
 
 // JudgeConfig returns the configuration for the judge.
-func (p *Plan) Judge() judge.Terms {
-	t := judge.DefaultTerms()
+func (p *Plan) JudgeConfig() judge.Config {
+	t := judge.DefaultConfig()
 	t.MaxAttempts, t.DrainGrace = p.Rules.MaxAttempts, p.Rules.DrainGrace
 	for _, c := range p.Classes {
 		t.Classes = append(t.Classes, judge.Class{Name: c.Name, Effect: c.Effect, Window: c.Window})
@@ -639,18 +641,18 @@
 }
 
 // TallyConfig returns the configuration for the tally.
-func (p *Plan) Tally() tally.Terms {
-	t := tally.Terms{Partners: len(p.Partners), Weight: func(c int) float64 {
-		if c >= 1 && c <= len(p.Arrivals) && p.Arrivals[c-1].Over {
+func (p *Plan) TallyConfig() tally.Config {
+	t := tally.Config{Partners: len(p.Partners), Weight: func(c int) float64 {
+		if c >= 1 && c <= len(p.Arrivals) && p.Arrivals[c-1].OverShare {
 			return OverShareWorth
 		}
 		return 1
 	}}
 	for _, c := range p.Classes {
-		t.Classes = append(t.Classes, tally.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Worth: c.Worth, LateWorth: c.LateWorth})
+		t.Classes = append(t.Classes, tally.Class{Name: c.Name, SoftDeadline: c.SoftDeadline, Deadline: c.Deadline, Worth: c.Worth, WorthAtDeadline: c.WorthAtDeadline})
 	}
-	for _, m := range p.Members {
-		t.Members = append(t.Members, m.Name)
+	for _, m := range p.Tenants {
+		t.Tenants = append(t.Tenants, m.Name)
 	}
 	for _, n := range p.Nodes {
 		t.Nodes = append(t.Nodes, n.Name)
--- a/fleet/experiment/settings.go
+++ b/fleet/experiment/settings.go
@@ -18,20 +18,20 @@
 	var classes, members []object
 	for _, c := range p.Classes {
 		classes = append(classes, object{
-			"name": c.Name, "aim": ms(c.Aim), "deadline": ms(c.Deadline), "effect": effects[c.Effect], "group": "all",
-			"lateWorth": c.LateWorth, "stream": false, "window": ms(c.Window), "worth": c.Worth,
+			"name": c.Name, "aim": ms(c.SoftDeadline), "deadline": ms(c.Deadline), "effect": effects[c.Effect], "group": "all",
+			"lateWorth": c.WorthAtDeadline, "stream": false, "window": ms(c.Window), "worth": c.Worth,
 		})
 	}
-	for _, m := range p.Members {
+	for _, m := range p.Tenants {
 		members = append(members, object{"name": m.Name, "share": m.Share, "allowancePerS": m.Allowance})
 	}
-	batch, apart := make([]int, len(p.Kinds)), make([]bool, len(p.Kinds))
+	batch, apart := make([]int, len(p.PartnerKinds)), make([]bool, len(p.PartnerKinds))
 	for _, q := range p.Partners {
-		batch[q.Kind] = max(batch[q.Kind], q.Model.Batch, 1)
+		batch[q.Kind] = max(batch[q.Kind], q.Config.MaxBatch, 1)
 	}
 	raw, err := json.Marshal(object{
 		"fleetSize": len(p.Nodes), "myNumber": node, "zone": n.Zone, "categories": classes, "customers": members,
-		"failureDomains": p.Zones, "flavors": p.Kinds, "discovery": "pushed", "weights": "nominal", "worthBy": "request",
+		"failureDomains": p.Zones, "flavors": p.PartnerKinds, "discovery": "pushed", "weights": "nominal", "worthBy": "request",
 		"overShareWorth": OverShareWorth, "tick": 5.0, "kindOfService": "deliver",
 		"report": object{"how": "silent", "fields": []string{}},
 		"domain": object{
@@ -39,13 +39,13 @@
 			"refusedPrice": 0.05,
 		},
 		"limits": object{
-			"cancel": true, "connIdle": ms(p.Rules.ConnIdle), "dialTimeout": ms(p.Rules.DialTimeout), "maxAttempts": p.Rules.MaxAttempts,
-			"maxOpen": n.MaxOpen, "maxRetryAfter": ms(p.Rules.MaxWait), "mayDuplicate": false, "probes": true, "retryAfter": true,
+			"cancel": true, "connIdle": ms(p.Rules.ConnIdleTimeout), "dialTimeout": ms(p.Rules.DialTimeout), "maxAttempts": p.Rules.MaxAttempts,
+			"maxOpen": n.MaxOpen, "maxRetryAfter": ms(p.Rules.MaxRetryAfter), "mayDuplicate": false, "probes": true, "retryAfter": true,
 			"streamsPerConn": 1,
 		},
 		"contract": object{
-			"coldFrom": p.Rules.ColdFrom, "fall": ms(p.Rules.Fall), "fallMultiple": p.Rules.FallMultiple, "graceToAnswer": 20.0,
-			"mustAskIn": 10000.0, "stopSendingWithin": ms(p.Rules.DrainGrace), "warmWithin": ms(p.Rules.WarmWithin),
+			"coldFrom": p.Rules.SlowStartFrom, "fall": ms(p.Rules.CollapseSpan), "fallMultiple": p.Rules.CollapseMultiple, "graceToAnswer": 20.0,
+			"mustAskIn": 10000.0, "stopSendingWithin": ms(p.Rules.DrainGrace), "warmWithin": ms(p.Rules.SlowStartDuration),
 		},
 	})
 	if err != nil {
--- a/fleet/experiment/value.go
+++ b/fleet/experiment/value.go
@@ -9,10 +9,10 @@
 )
 
 // NumberRange is a number or a range "LOW..HIGH", from which each seed draws a number uniformly.
-type Number struct{ Low, High float64 }
+type NumberRange struct{ Low, High float64 }
 
 // UnmarshalText parses a number or a range.
-func (n *Number) UnmarshalText(text []byte) error {
+func (n *NumberRange) UnmarshalText(text []byte) error {
 	low, high, ranged := strings.Cut(string(text), "..")
 	var err error
 	if n.Low, err = strconv.ParseFloat(strings.TrimSpace(low), 64); err != nil {
@@ -30,23 +30,23 @@
 	return nil
 }
 
-func (n Number) draw(r *rand.Rand) float64 { return n.Low + (n.High-n.Low)*r.Float64() }
+func (n NumberRange) draw(r *rand.Rand) float64 { return n.Low + (n.High-n.Low)*r.Float64() }
 
 // drawInt draws an integer; both ends are as likely as the others.
-func (n Number) whole(r *rand.Rand) int {
+func (n NumberRange) whole(r *rand.Rand) int {
 	low, high := int(n.Low+0.5), int(n.High+0.5)
 	return low + r.IntN(high-low+1)
 }
 
-func (n Number) within(low, high float64) bool { return n.Low >= low && n.High <= high }
+func (n NumberRange) within(low, high float64) bool { return n.Low >= low && n.High <= high }
 
-func fixed(v float64) Number { return Number{v, v} }
+func fixed(v float64) NumberRange { return NumberRange{v, v} }
 
 // DurationRange is a duration like "1.5s", or a range "1s..2s", from which each seed draws one uniformly.
-type Span struct{ Low, High time.Duration }
+type DurationRange struct{ Low, High time.Duration }
 
 // UnmarshalText parses a duration or a range.
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *DurationRange) UnmarshalText(text []byte) error {
 	low, high, ranged := strings.Cut(string(text), "..")
 	var err error
 	if s.Low, err = time.ParseDuration(strings.TrimSpace(low)); err != nil {
@@ -64,8 +64,8 @@
 	return nil
 }
 
-func (s Span) draw(r *rand.Rand) time.Duration {
+func (s DurationRange) draw(r *rand.Rand) time.Duration {
 	return s.Low + time.Duration(r.Float64()*float64(s.High-s.Low))
 }
 
-func fixedSpan(d time.Duration) Span { return Span{d, d} }
+func fixedSpan(d time.Duration) DurationRange { return DurationRange{d, d} }
--- a/fleet/history/formats_test.go
+++ b/fleet/history/formats_test.go
@@ -25,18 +25,18 @@
 func TestNames(t *testing.T) {
 	var b bytes.Buffer
 	for _, kind := range []Kind{
-		HandedIn, Answered, CallBegan, CallEnded, Ran, Opened, Unreached, Noticed, Told, Started, Ready, Term, Killed, Stopped, Resumed, Exited, Lost,
-		Exceeds, OutageBegan, OutageEnded, Fell, Fault, End,
+		Submitted, Answered, CallStarted, CallEnded, Executed, Connected, ConnectFailed, NoticeReceived, ChangeAnnounced, Started, Ready, TermSent, Killed, Stopped, Resumed, Exited, StateLost,
+		LimitExceeded, OutageBegan, OutageEnded, Collapsed, Fault, RunEnded,
 	} {
 		fmt.Fprintln(&b, "kind", kind)
 	}
 	for _, state := range []string{
-		Taken, Refused, Failed, Unheard, Broken, Unsent, Returned, Accepted, Errored, Above, Turned, Full, Crowded, GivenUp, AnswerCut, Spoilt,
-		Serving, Draining, Deleted, Asked, Crashed,
+		Taken, Refused, Failed, ClientTimedOut, ConnectionLost, Unsent, Returned, Accepted, Errored, AboveLimit, Rejected, QueueFull, TooManyConns, Abandoned, AnswerLost, AnswerUnreadable,
+		Serving, Draining, Deleted, ExitRequested, Crashed,
 	} {
 		fmt.Fprintln(&b, "state", state)
 	}
-	for _, fate := range []string{FateAccepted, FateFault, FateDeferred} {
+	for _, fate := range []string{OutcomeAccepted, OutcomeFailed, OutcomeDeferred} {
 		fmt.Fprintln(&b, "fate", fate)
 	}
 	golden.Check(t, "names.txt", b.Bytes())
--- a/fleet/history/history.go
+++ b/fleet/history/history.go
@@ -19,69 +19,69 @@
 
 // The trailing comments name the fields that each kind uses.
 const (
-	HandedIn Kind = "handed_in" // a client began to write a request: ID, MessageNumber, Class, Tenant, Dest, Key, ExpiresIn, Resubmitted, FirstAt (when it was due)
-	Answered Kind = "answered"  // how the submission ended: ID, State, RetryAfter
-
-	CallBegan Kind = "call_began" // the last byte of a call has arrived: Call, Partner, Endpoint, IDs, FirstAt (when its first byte arrived)
-	CallEnded Kind = "call_ended" // the call no longer holds a slot: Call, Partner, State, Outcomes, RetryAfter
-	Ran       Kind = "ran"        // a message has taken effect: Call, Partner, ID
-	Opened    Kind = "opened"     // a connection to an endpoint was established: Partner, Endpoint
-	Unreached Kind = "unreached"  // a connection was not established, or was refused: Partner, Endpoint
-
-	Noticed Kind = "noticed" // the platform has received the notice of a message's end: ID, State, RetryAfter
-	Told    Kind = "told"    // the platform has announced a change of an endpoint, or it counts as announced: Endpoint, State
-
-	Started Kind = "started" // a process; Note holds its id
-	Ready   Kind = "ready"
-	Term    Kind = "term"      // SIGTERM was sent
-	Killed  Kind = "killed"    // SIGKILL was sent
-	Stopped Kind = "stopped"   // SIGSTOP was sent
-	Resumed Kind = "continued" // SIGCONT was sent
-	Exited  Kind = "exited"    // State: ExitRequested or Crashed
-	Lost    Kind = "lost"      // the node's state directory was lost
-	Exceeds Kind = "exceeds"   // of a resource; Note tells which
+	Submitted Kind = "handed_in" // a client began to write a request: ID, MessageNumber, Class, Tenant, Dest, Key, ExpiresIn, Resubmitted, FirstAt (when it was due)
+	Answered  Kind = "answered"  // how the submission ended: ID, State, RetryAfter
+
+	CallStarted   Kind = "call_began" // the last byte of a call has arrived: Call, Partner, Endpoint, IDs, FirstAt (when its first byte arrived)
+	CallEnded     Kind = "call_ended" // the call no longer holds a slot: Call, Partner, State, Outcomes, RetryAfter
+	Executed      Kind = "ran"        // a message has taken effect: Call, Partner, ID
+	Connected     Kind = "opened"     // a connection to an endpoint was established: Partner, Endpoint
+	ConnectFailed Kind = "unreached"  // a connection was not established, or was refused: Partner, Endpoint
+
+	NoticeReceived  Kind = "noticed" // the platform has received the notice of a message's end: ID, State, RetryAfter
+	ChangeAnnounced Kind = "told"    // the platform has announced a change of an endpoint, or it counts as announced: Endpoint, State
+
+	Started       Kind = "started" // a process; Note holds its id
+	Ready         Kind = "ready"
+	TermSent      Kind = "term"      // SIGTERM was sent
+	Killed        Kind = "killed"    // SIGKILL was sent
+	Stopped       Kind = "stopped"   // SIGSTOP was sent
+	Resumed       Kind = "continued" // SIGCONT was sent
+	Exited        Kind = "exited"    // State: ExitRequested or Crashed
+	StateLost     Kind = "lost"      // the node's state directory was lost
+	LimitExceeded Kind = "exceeds"   // of a resource; Note tells which
 
 	OutageBegan Kind = "outage_began" // of a partner
 	OutageEnded Kind = "outage_ended"
-	Fell        Kind = "fell" // a partner in slow start was overloaded: Partner, CallsBySender
+	Collapsed   Kind = "fell" // a partner in slow start was overloaded: Partner, CallsBySender
 
-	Fault Kind = "fault" // a fault of the plan begins or ends: Note
-	End   Kind = "end"   // of the experiment
+	Fault    Kind = "fault" // a fault of the plan begins or ends: Note
+	RunEnded Kind = "end"   // of the experiment
 )
 
 // States of Answered, CallEnded, NoticeReceived and ChangeAnnounced.
 const (
-	Taken    = "taken"
-	Refused  = "refused"
-	Failed   = "failed"
-	Unheard  = "unheard" // the client stopped waiting for the answer
-	Broken   = "broken"  // the connection ended without an answer
-	Unsent   = "unsent"  // the request was never sent completely
-	Returned = "returned"
-
-	Accepted  = "accepted" // status 200; Outcomes tells more
-	Errored   = "errored"
-	Above     = "above_limit"
-	Turned    = "turned_away"
-	Full      = "full"
-	Crowded   = "crowded"
-	GivenUp   = "given_up" // by the node
-	AnswerCut = "answer_cut"
-	Spoilt    = "spoilt"
+	Taken          = "taken"
+	Refused        = "refused"
+	Failed         = "failed"
+	ClientTimedOut = "unheard" // the client stopped waiting for the answer
+	ConnectionLost = "broken"  // the connection ended without an answer
+	Unsent         = "unsent"  // the request was never sent completely
+	Returned       = "returned"
+
+	Accepted         = "accepted" // status 200; Outcomes tells more
+	Errored          = "errored"
+	AboveLimit       = "above_limit"
+	Rejected         = "turned_away"
+	QueueFull        = "full"
+	TooManyConns     = "crowded"
+	Abandoned        = "given_up" // by the node
+	AnswerLost       = "answer_cut"
+	AnswerUnreadable = "spoilt"
 
 	Serving  = "SERVING"
 	Draining = "DRAINING"
 	Deleted  = "DELETED"
 
-	Asked   = "asked"
-	Crashed = "crashed"
+	ExitRequested = "asked"
+	Crashed       = "crashed"
 )
 
 // Outcomes of the messages of a call that was answered with status 200.
 const (
-	FateAccepted = "accepted"
-	FateFault    = "fault"
-	FateDeferred = "deferred"
+	OutcomeAccepted = "accepted"
+	OutcomeFailed   = "fault"
+	OutcomeDeferred = "deferred"
 )
 
 // Event is one observation. Times are relative to the start of the run. Node is the node concerned, or -1;
@@ -92,23 +92,23 @@
 	Node    int           `json:"node"`
 	Partner int           `json:"partner"`
 
-	ID       string          `json:"id,omitempty"`
-	Case     int             `json:"case,omitempty"` // number of the message, the same for all ids it was submitted under; from 1
-	Class    int             `json:"class,omitempty"`
-	Member   int             `json:"member,omitempty"`
-	Dest     int             `json:"dest,omitempty"`
-	Key      string          `json:"key,omitempty"`
-	Life     time.Duration   `json:"life,omitempty"`
-	Again    bool            `json:"again,omitempty"`
-	First    time.Duration   `json:"first,omitempty"`
-	Call     uint64          `json:"call,omitempty"`
-	Endpoint string          `json:"endpoint,omitempty"`
-	IDs      []string        `json:"ids,omitempty"`
-	Fates    []string        `json:"fates,omitempty"`
-	State    string          `json:"state,omitempty"`
-	Wait     time.Duration   `json:"wait,omitempty"`
-	Pushes   map[int]float64 `json:"pushes,omitempty"`
-	Note     string          `json:"note,omitempty"`
+	ID            string          `json:"id,omitempty"`
+	MessageNumber int             `json:"case,omitempty"` // number of the message, the same for all ids it was submitted under; from 1
+	Class         int             `json:"class,omitempty"`
+	Tenant        int             `json:"member,omitempty"`
+	Dest          int             `json:"dest,omitempty"`
+	Key           string          `json:"key,omitempty"`
+	ExpiresIn     time.Duration   `json:"life,omitempty"`
+	Resubmitted   bool            `json:"again,omitempty"`
+	FirstAt       time.Duration   `json:"first,omitempty"`
+	Call          uint64          `json:"call,omitempty"`
+	Endpoint      string          `json:"endpoint,omitempty"`
+	IDs           []string        `json:"ids,omitempty"`
+	Outcomes      []string        `json:"fates,omitempty"`
+	State         string          `json:"state,omitempty"`
+	RetryAfter    time.Duration   `json:"wait,omitempty"`
+	CallsBySender map[int]float64 `json:"pushes,omitempty"`
+	Note          string          `json:"note,omitempty"`
 }
 
 // Sort sorts events by time; events of the same time keep their order.
--- a/fleet/history/history_test.go
+++ b/fleet/history/history_test.go
@@ -10,12 +10,12 @@
 
 func TestWriteAndRead(t *testing.T) {
 	events := []Event{
-		{At: 2, Kind: CallEnded, Node: 1, Partner: 3, Call: 9, State: Accepted, Fates: []string{FateAccepted}, Wait: time.Second},
-		{At: 1, Kind: Fell, Node: -1, Pushes: map[int]float64{2: 1.5}},
+		{At: 2, Kind: CallEnded, Node: 1, Partner: 3, Call: 9, State: Accepted, Outcomes: []string{OutcomeAccepted}, RetryAfter: time.Second},
+		{At: 1, Kind: Collapsed, Node: -1, CallsBySender: map[int]float64{2: 1.5}},
 		{At: 2, Kind: Started, Note: "after the first of its time"},
 	}
 	Sort(events)
-	if events[0].Kind != Fell || events[2].Kind != Started {
+	if events[0].Kind != Collapsed || events[2].Kind != Started {
 		t.Errorf("sorted as %v", events)
 	}
 	var b bytes.Buffer
--- a/fleet/judge/formats_test.go
+++ b/fleet/judge/formats_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestBreachFormat(t *testing.T) {
-	var breach, got Breach
+	var breach, got Violation
 	golden.Fill(&breach)
 	raw, err := json.MarshalIndent(breach, "", " ")
 	if err != nil {
--- a/fleet/judge/judge.go
+++ b/fleet/judge/judge.go
@@ -17,23 +17,23 @@
 type Rule string
 
 const (
-	OneEnd   Rule = "one-end"  // each accepted message has one final answer, in time
-	Over     Rule = "over"     // a message is not sent after its final answer
-	OneCopy  Rule = "one-copy" // no two attempts of a message are in flight at once
-	Once     Rule = "once"     // a message that must not run twice is not sent, returned or run again once it may have run
-	Window   Rule = "window"   // keyed messages are repeated within their deduplication window or not at all
-	Drain    Rule = "drain"    // no new calls to an endpoint that drains or is deleted, one second after the change was announced
-	Wait     Rule = "wait"     // a partner that told a retry-after gets no calls until it has passed
-	Cold     Rule = "cold"     // no partner in slow start collapses by calls from nodes that saw its outage
-	Attempts Rule = "attempts" // a message has at most so many attempts
-	Slots    Rule = "slots"    // a node has at most so many calls in flight
-	Foreign  Rule = "foreign"  // a partner gets only messages that were submitted for it
-	Answer   Rule = "answer"   // a client that sent a complete request gets an answer
-	Alive    Rule = "alive"    // no crash, no failed start, no resource limit exceeded
+	OneFinalAnswer    Rule = "one-end"  // each accepted message has one final answer, in time
+	NothingAfterEnd   Rule = "over"     // a message is not sent after its final answer
+	OneAttemptAtATime Rule = "one-copy" // no two attempts of a message are in flight at once
+	AtMostOnce        Rule = "once"     // a message that must not run twice is not sent, returned or run again once it may have run
+	KeyWindow         Rule = "window"   // keyed messages are repeated within their deduplication window or not at all
+	Drain             Rule = "drain"    // no new calls to an endpoint that drains or is deleted, one second after the change was announced
+	RetryAfter        Rule = "wait"     // a partner that told a retry-after gets no calls until it has passed
+	SlowStart         Rule = "cold"     // no partner in slow start collapses by calls from nodes that saw its outage
+	MaxAttempts       Rule = "attempts" // a message has at most so many attempts
+	Slots             Rule = "slots"    // a node has at most so many calls in flight
+	WrongPartner      Rule = "foreign"  // a partner gets only messages that were submitted for it
+	AnswerGiven       Rule = "answer"   // a client that sent a complete request gets an answer
+	Alive             Rule = "alive"    // no crash, no failed start, no resource limit exceeded
 )
 
 // Rules lists all rules.
-var Rules = []Rule{OneEnd, Over, OneCopy, Once, Window, Drain, Wait, Cold, Attempts, Slots, Foreign, Answer, Alive}
+var Rules = []Rule{OneFinalAnswer, NothingAfterEnd, OneAttemptAtATime, AtMostOnce, KeyWindow, Drain, RetryAfter, SlowStart, MaxAttempts, Slots, WrongPartner, AnswerGiven, Alive}
 
 // Effect is what a repeat of a message may do.
 type Effect uint8
@@ -52,43 +52,43 @@
 }
 
 // Config holds the parameters of the rules. A zero slack means none.
-type Terms struct {
-	Classes      []Class
-	MaxAttempts  int // 0: unlimited
-	Slots        []int
-	DrainGrace   time.Duration // after a drain was announced
-	Slack        time.Duration // added to every time limit
-	EndSlack     time.Duration // after a message's deadline, for its final answer
-	RestartSlack time.Duration // after a restarted node is ready, for final answers that are overdue
-	WaitGrace    time.Duration // calls that start so soon after a retry-after was told are allowed
-	CopySlack    time.Duration // shorter overlaps may come from delays of the observer
+type Config struct {
+	Classes          []Class
+	MaxAttempts      int // 0: unlimited
+	Slots            []int
+	DrainGrace       time.Duration // after a drain was announced
+	Slack            time.Duration // added to every time limit
+	FinalAnswerSlack time.Duration // after a message's deadline, for its final answer
+	RestartSlack     time.Duration // after a restarted node is ready, for final answers that are overdue
+	RetryAfterGrace  time.Duration // calls that start so soon after a retry-after was told are allowed
+	OverlapSlack     time.Duration // shorter overlaps may come from delays of the observer
 }
 
 // DefaultConfig returns the values of the protocol.
-func DefaultTerms() Terms {
+func DefaultConfig() Config {
 	const ms = time.Millisecond
-	return Terms{
-		MaxAttempts: 6, DrainGrace: 1000 * ms, Slack: 50 * ms, EndSlack: 300 * ms, RestartSlack: 1500 * ms, WaitGrace: 100 * ms,
-		CopySlack: 20 * ms,
+	return Config{
+		MaxAttempts: 6, DrainGrace: 1000 * ms, Slack: 50 * ms, FinalAnswerSlack: 300 * ms, RestartSlack: 1500 * ms, RetryAfterGrace: 100 * ms,
+		OverlapSlack: 20 * ms,
 	}
 }
 
 // Violation is a broken rule.
-type Breach struct {
-	Rule  Rule            `json:"rule"`
-	Node  int             `json:"node"`
-	ID    string          `json:"id,omitempty"`
-	At    time.Duration   `json:"at"`
-	Why   string          `json:"why"`
-	Proof []history.Event `json:"proof"`
+type Violation struct {
+	Rule     Rule            `json:"rule"`
+	Node     int             `json:"node"`
+	ID       string          `json:"id,omitempty"`
+	At       time.Duration   `json:"at"`
+	Reason   string          `json:"why"`
+	Evidence []history.Event `json:"proof"`
 }
 
-func (b Breach) String() string {
+func (b Violation) String() string {
 	s := fmt.Sprintf("%s: node %d at %v", b.Rule, b.Node, b.At.Round(time.Millisecond))
 	if b.ID != "" {
 		s += ", message " + b.ID
 	}
-	return s + ": " + b.Why
+	return s + ": " + b.Reason
 }
 
 // call is one call as the observers saw it.
@@ -114,14 +114,14 @@
 	}
 	switch c.ended.State {
 	case history.Accepted:
-		for i, f := range c.ended.Fates {
+		for i, f := range c.ended.Outcomes {
 			if i < len(c.began.IDs) && c.began.IDs[i] == id {
 				counts := len(c.began.IDs) == 1 || c.ended.At <= c.over
-				return f == history.FateAccepted && counts, f != history.FateDeferred
+				return f == history.OutcomeAccepted && counts, f != history.OutcomeDeferred
 			}
 		}
 		return false, true
-	case history.Above, history.Turned, history.Full, history.Crowded:
+	case history.AboveLimit, history.Rejected, history.QueueFull, history.TooManyConns:
 		return false, false
 	}
 	return false, true
@@ -141,7 +141,7 @@
 type span struct{ from, to time.Duration }
 
 type judge struct {
-	terms    Terms
+	terms    Config
 	events   []history.Event
 	messages map[string]*message
 	ids      []string // of messages, in the order of their submission
@@ -151,11 +151,11 @@
 	starts   map[int][]time.Duration
 	lost     map[int][]time.Duration
 	end      time.Duration
-	found    []Breach
+	found    []Violation
 }
 
 // FindViolations checks a history, which must be in order of time. It returns the violations in order of time.
-func Find(terms Terms, events []history.Event) []Breach {
+func FindViolations(terms Config, events []history.Event) []Violation {
 	j := &judge{
 		terms: terms, events: events, messages: map[string]*message{}, calls: map[uint64]*call{}, excused: map[int][]span{},
 		starts: map[int][]time.Duration{}, lost: map[int][]time.Duration{},
@@ -176,12 +176,12 @@
 	j.waits()
 	j.slots()
 	j.colds()
-	slices.SortStableFunc(j.found, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(j.found, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return j.found
 }
 
 func (j *judge) breach(rule Rule, node int, id string, at time.Duration, proof []history.Event, why string, args ...any) {
-	j.found = append(j.found, Breach{Rule: rule, Node: node, ID: id, At: at, Why: fmt.Sprintf(why, args...), Proof: proof})
+	j.found = append(j.found, Violation{Rule: rule, Node: node, ID: id, At: at, Reason: fmt.Sprintf(why, args...), Evidence: proof})
 }
 
 // index groups the events by message and call.
@@ -192,7 +192,7 @@
 	// A call that was abandoned on its way ends before it starts at the partner, so the starts are read
 	// first.
 	for _, e := range j.events {
-		if e.Kind == history.CallBegan {
+		if e.Kind == history.CallStarted {
 			c := &call{began: e, open: true}
 			j.calls[e.Call] = c
 			j.order = append(j.order, c)
@@ -200,7 +200,7 @@
 	}
 	for _, e := range j.events {
 		switch e.Kind {
-		case history.HandedIn:
+		case history.Submitted:
 			if j.messages[e.ID] == nil {
 				j.ids = append(j.ids, e.ID)
 			}
@@ -209,12 +209,12 @@
 			if m := j.messages[e.ID]; m != nil {
 				m.answered = &e
 			}
-		case history.CallBegan:
+		case history.CallStarted:
 			c := j.calls[e.Call]
 			for _, id := range e.IDs {
 				if m := j.messages[id]; m != nil {
 					m.calls = append(m.calls, c)
-					if up := m.in.At + m.in.Life + j.terms.Slack; c.over == 0 || up < c.over {
+					if up := m.in.At + m.in.ExpiresIn + j.terms.Slack; c.over == 0 || up < c.over {
 						c.over = up
 					}
 				}
@@ -223,17 +223,17 @@
 			if c := j.calls[e.Call]; c != nil && c.open {
 				c.ended, c.open = e, false
 			}
-		case history.Ran:
+		case history.Executed:
 			if m := j.messages[e.ID]; m != nil {
 				m.ran = append(m.ran, e)
 			}
-		case history.Noticed:
+		case history.NoticeReceived:
 			if m := j.messages[e.ID]; m != nil {
 				m.notices = append(m.notices, e)
 			}
 		}
 	}
-	byFirst := func(a, b *call) int { return cmp.Compare(a.began.First, b.began.First) }
+	byFirst := func(a, b *call) int { return cmp.Compare(a.began.FirstAt, b.began.FirstAt) }
 	slices.SortStableFunc(j.order, byFirst)
 	for _, m := range j.messages {
 		slices.SortStableFunc(m.calls, byFirst)
@@ -253,7 +253,7 @@
 				since[e.Node] = e.At
 			}
 			asked[e.Node] = false
-		case history.Term, history.Killed:
+		case history.TermSent, history.Killed:
 			if _, out := since[e.Node]; !out {
 				since[e.Node] = e.At
 			}
@@ -274,9 +274,9 @@
 			if e.State == history.Crashed {
 				j.breach(Alive, e.Node, "", e.At, []history.Event{e}, "the process exited without being told to: %s", e.Note)
 			}
-		case history.Exceeds:
+		case history.LimitExceeded:
 			j.breach(Alive, e.Node, "", e.At, []history.Event{e}, "%s", e.Note)
-		case history.Lost:
+		case history.StateLost:
 			j.lost[e.Node] = append(j.lost[e.Node], e.At)
 		}
 	}
@@ -328,19 +328,19 @@
 	}
 	// A call that is in flight at the deadline may end the message then; the slack covers the delay of the
 	// notice.
-	due := j.excusedUntil(m.in.Node, m.in.At+m.in.Life+j.terms.EndSlack+j.terms.Slack)
+	due := j.excusedUntil(m.in.Node, m.in.At+m.in.ExpiresIn+j.terms.FinalAnswerSlack+j.terms.Slack)
 	end, ok := j.ended(m)
 	proof := []history.Event{m.in, *m.answered}
 	switch {
 	case !ok && due < j.end:
-		j.breach(OneEnd, m.in.Node, m.in.ID, due, append(proof, callEvents(m)...), "it was accepted and never had a final answer")
+		j.breach(OneFinalAnswer, m.in.Node, m.in.ID, due, append(proof, callEvents(m)...), "it was accepted and never had a final answer")
 	case ok && end.At > due:
-		j.breach(OneEnd, m.in.Node, m.in.ID, end.At, append(proof, end), "its final answer came %v too late", (end.At - due).Round(time.Millisecond))
+		j.breach(OneFinalAnswer, m.in.Node, m.in.ID, end.At, append(proof, end), "its final answer came %v too late", (end.At - due).Round(time.Millisecond))
 	}
 	// Delivered messages need no notice, and one does no harm. But two notices must not disagree.
 	for i := 1; i < len(m.notices); i++ {
 		if m.notices[i].State != m.notices[0].State {
-			j.breach(OneEnd, m.in.Node, m.in.ID, m.notices[i].At, append(proof, m.notices[0], m.notices[i]), "it ended as %s and then as %s",
+			j.breach(OneFinalAnswer, m.in.Node, m.in.ID, m.notices[i].At, append(proof, m.notices[0], m.notices[i]), "it ended as %s and then as %s",
 				m.notices[0].State, m.notices[i].State)
 			break
 		}
@@ -366,12 +366,12 @@
 	for _, c := range m.calls {
 		// If a process is killed before it has recorded a delivery, the message may be sent once more, as its
 		// class permits; checkRepeats covers that. After a notice no attempt may follow.
-		if c.began.First <= end.At+j.terms.CopySlack {
+		if c.began.FirstAt <= end.At+j.terms.OverlapSlack {
 			continue
 		}
-		if end.Kind == history.Noticed || !j.restarted(m.in.Node, end.At, c.began.First) {
-			j.breach(Over, m.in.Node, m.in.ID, c.began.First, []history.Event{m.in, end, c.began}, "it was sent %v after its final answer",
-				(c.began.First - end.At).Round(time.Millisecond))
+		if end.Kind == history.NoticeReceived || !j.restarted(m.in.Node, end.At, c.began.FirstAt) {
+			j.breach(NothingAfterEnd, m.in.Node, m.in.ID, c.began.FirstAt, []history.Event{m.in, end, c.began}, "it was sent %v after its final answer",
+				(c.began.FirstAt - end.At).Round(time.Millisecond))
 			return
 		}
 	}
@@ -379,7 +379,7 @@
 
 func (j *judge) attempts(m *message) {
 	if most := j.terms.MaxAttempts; most > 0 && len(m.calls) > most {
-		j.breach(Attempts, m.in.Node, m.in.ID, m.calls[most].began.First, callEvents(m), "%d attempts, %d are allowed", len(m.calls), most)
+		j.breach(MaxAttempts, m.in.Node, m.in.ID, m.calls[most].began.FirstAt, callEvents(m), "%d attempts, %d are allowed", len(m.calls), most)
 	}
 }
 
@@ -392,27 +392,27 @@
 	copies, once, window := false, false, false
 	for i, c := range m.calls {
 		for _, before := range m.calls[:i] {
-			if !copies && before.end() > c.began.First+j.terms.CopySlack {
+			if !copies && before.end() > c.began.FirstAt+j.terms.OverlapSlack {
 				copies = true
 				proof := []history.Event{m.in, before.began, c.began}
 				if !before.open {
 					proof = append(proof, before.ended)
 				}
-				j.breach(OneCopy, m.in.Node, m.in.ID, c.began.First, proof, "call %d started while call %d was in flight", c.began.Call, before.began.Call)
+				j.breach(OneAttemptAtATime, m.in.Node, m.in.ID, c.began.FirstAt, proof, "call %d started while call %d was in flight", c.began.Call, before.began.Call)
 			}
 			if _, may := before.fate(m.in.ID); !may {
 				continue
 			}
 			proof := []history.Event{m.in, before.began, before.ended, c.began}
-			late := c.began.First - before.began.First - class.Window - j.terms.Slack
+			late := c.began.FirstAt - before.began.FirstAt - class.Window - j.terms.Slack
 			switch {
 			case class.Effect == Unsafe && !once:
 				once = true
-				j.breach(Once, m.in.Node, m.in.ID, c.began.First, proof, "it was sent again although call %d may have run it (%s)", before.began.Call,
+				j.breach(AtMostOnce, m.in.Node, m.in.ID, c.began.FirstAt, proof, "it was sent again although call %d may have run it (%s)", before.began.Call,
 					state(before))
 			case class.Effect == Keyed && late > 0 && !window:
 				window = true
-				j.breach(Window, m.in.Node, m.in.ID, c.began.First, proof, "it was sent again %v after its deduplication window",
+				j.breach(KeyWindow, m.in.Node, m.in.ID, c.began.FirstAt, proof, "it was sent again %v after its deduplication window",
 					late.Round(time.Millisecond))
 			}
 		}
@@ -425,8 +425,8 @@
 			continue
 		}
 		for _, c := range m.calls {
-			if _, may := c.fate(m.in.ID); may && c.began.First < n.At {
-				j.breach(Once, m.in.Node, m.in.ID, n.At, []history.Event{m.in, c.began, c.ended, n}, "it was returned although call %d may have run it (%s)",
+			if _, may := c.fate(m.in.ID); may && c.began.FirstAt < n.At {
+				j.breach(AtMostOnce, m.in.Node, m.in.ID, n.At, []history.Event{m.in, c.began, c.ended, n}, "it was returned although call %d may have run it (%s)",
 					c.began.Call, state(c))
 				return
 			}
@@ -453,7 +453,7 @@
 		m := j.messages[id]
 		if m.in.Class < len(j.terms.Classes) && j.terms.Classes[m.in.Class].Effect == Unsafe {
 			for _, r := range m.ran {
-				byCase[m.in.Case] = append(byCase[m.in.Case], run{m, r})
+				byCase[m.in.MessageNumber] = append(byCase[m.in.MessageNumber], run{m, r})
 			}
 		}
 	}
@@ -464,17 +464,17 @@
 			continue
 		}
 		a, b := runs[0], runs[1]
-		j.breach(Once, b.m.in.Node, b.m.in.ID, b.at.At, []history.Event{a.m.in, a.at, b.m.in, b.at}, "it took effect twice: in call %d and in call %d",
+		j.breach(AtMostOnce, b.m.in.Node, b.m.in.ID, b.at.At, []history.Event{a.m.in, a.at, b.m.in, b.at}, "it took effect twice: in call %d and in call %d",
 			a.at.Call, b.at.Call)
 	}
 }
 
 func (j *judge) answer(m *message) {
 	e := m.answered
-	if e == nil || e.State != history.Broken || j.excusedUntil(m.in.Node, e.At) != e.At || j.excusedUntil(m.in.Node, m.in.At) != m.in.At {
+	if e == nil || e.State != history.ConnectionLost || j.excusedUntil(m.in.Node, e.At) != e.At || j.excusedUntil(m.in.Node, m.in.At) != m.in.At {
 		return
 	}
-	j.breach(Answer, m.in.Node, m.in.ID, e.At, []history.Event{m.in, *e}, "the connection ended without an answer")
+	j.breach(AnswerGiven, m.in.Node, m.in.ID, e.At, []history.Event{m.in, *e}, "the connection ended without an answer")
 }
 
 func (j *judge) foreign() {
@@ -483,14 +483,14 @@
 			m := j.messages[id]
 			switch {
 			case m == nil:
-				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{c.began}, "no client submitted it")
+				j.breach(WrongPartner, c.began.Node, id, c.began.At, []history.Event{c.began}, "no client submitted it")
 			case m.in.Dest != c.began.Partner:
-				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it is for partner %d but was sent to partner %d", m.in.Dest,
+				j.breach(WrongPartner, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it is for partner %d but was sent to partner %d", m.in.Dest,
 					c.began.Partner)
 			case m.in.Node != c.began.Node:
-				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it was submitted to node %d", m.in.Node)
+				j.breach(WrongPartner, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it was submitted to node %d", m.in.Node)
 			case slices.Contains(c.began.IDs[:i], id):
-				j.breach(OneCopy, c.began.Node, id, c.began.At, []history.Event{c.began}, "it is twice in one call")
+				j.breach(OneAttemptAtATime, c.began.Node, id, c.began.At, []history.Event{c.began}, "it is twice in one call")
 			}
 		}
 	}
@@ -504,7 +504,7 @@
 	told := map[place]history.Event{}
 	at := map[place][]history.Event{}
 	for _, e := range j.events {
-		if e.Kind == history.Told {
+		if e.Kind == history.ChangeAnnounced {
 			p := place{e.Node, e.Endpoint}
 			at[p] = append(at[p], e)
 		}
@@ -514,7 +514,7 @@
 			continue // a probe delivers no message
 		}
 		p := place{c.began.Node, c.began.Endpoint}
-		for len(at[p]) > 0 && at[p][0].At <= c.began.First {
+		for len(at[p]) > 0 && at[p][0].At <= c.began.FirstAt {
 			e := at[p][0]
 			at[p] = at[p][1:]
 			if e.State == history.Serving {
@@ -529,8 +529,8 @@
 		}
 		// A process that is stopped learns of a change when it resumes.
 		heard := j.stoppedUntil(p.node, e.At)
-		if late := c.began.First - heard - j.terms.DrainGrace - j.terms.Slack; late > 0 {
-			j.breach(Drain, p.node, first(c.began.IDs), c.began.First, []history.Event{e, c.began}, "a call to %s started %v too late after the endpoint was announced as %s",
+		if late := c.began.FirstAt - heard - j.terms.DrainGrace - j.terms.Slack; late > 0 {
+			j.breach(Drain, p.node, first(c.began.IDs), c.began.FirstAt, []history.Event{e, c.began}, "a call to %s started %v too late after the endpoint was announced as %s",
 				p.endpoint, late.Round(time.Millisecond), e.State)
 		}
 	}
@@ -557,7 +557,7 @@
 	type place struct{ node, partner int }
 	told := map[place][]history.Event{}
 	for _, e := range j.events {
-		if e.Kind == history.CallEnded && e.Wait > 0 && e.State != history.GivenUp {
+		if e.Kind == history.CallEnded && e.RetryAfter > 0 && e.State != history.Abandoned {
 			p := place{e.Node, e.Partner}
 			told[p] = append(told[p], e)
 		}
@@ -568,15 +568,15 @@
 		}
 		p := place{c.began.Node, c.began.Partner}
 		for _, e := range told[p] {
-			if e.At > c.began.First {
+			if e.At > c.began.FirstAt {
 				break
 			}
 			heard := j.stoppedUntil(p.node, e.At)
-			if c.began.First <= heard+j.terms.WaitGrace || c.began.First >= e.At+e.Wait-j.terms.Slack || j.restarted(p.node, e.At, c.began.First) {
+			if c.began.FirstAt <= heard+j.terms.RetryAfterGrace || c.began.FirstAt >= e.At+e.RetryAfter-j.terms.Slack || j.restarted(p.node, e.At, c.began.FirstAt) {
 				continue
 			}
-			j.breach(Wait, p.node, first(c.began.IDs), c.began.First, []history.Event{e, c.began}, "partner %d had told a retry-after %v before, of %v",
-				p.partner, (c.began.First - e.At).Round(time.Millisecond), e.Wait.Round(time.Millisecond))
+			j.breach(RetryAfter, p.node, first(c.began.IDs), c.began.FirstAt, []history.Event{e, c.began}, "partner %d had told a retry-after %v before, of %v",
+				p.partner, (c.began.FirstAt - e.At).Round(time.Millisecond), e.RetryAfter.Round(time.Millisecond))
 			break
 		}
 	}
@@ -598,9 +598,9 @@
 			continue // a probe takes no slot
 		}
 		n := c.began.Node
-		byNode[n] = append(byNode[n], edge{c.began.First + j.terms.CopySlack, 1, c})
+		byNode[n] = append(byNode[n], edge{c.began.FirstAt + j.terms.OverlapSlack, 1, c})
 		if !c.open {
-			byNode[n] = append(byNode[n], edge{max(c.ended.At, c.began.First+j.terms.CopySlack), -1, c})
+			byNode[n] = append(byNode[n], edge{max(c.ended.At, c.began.FirstAt+j.terms.OverlapSlack), -1, c})
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(byNode)) {
@@ -631,23 +631,23 @@
 			}
 		case history.OutageEnded:
 			out[e.Partner] = false
-		case history.CallEnded, history.Unreached:
+		case history.CallEnded, history.ConnectFailed:
 			if good := e.State == history.Accepted; !good && out[e.Partner] {
 				if _, before := saw[e.Partner][e.Node]; !before {
 					saw[e.Partner][e.Node] = e
 				}
 			}
-		case history.Fell:
+		case history.Collapsed:
 			proof, all, knew := []history.Event{e}, 0.0, 0.0
-			for _, n := range slices.Sorted(maps.Keys(e.Pushes)) {
-				all += e.Pushes[n]
+			for _, n := range slices.Sorted(maps.Keys(e.CallsBySender)) {
+				all += e.CallsBySender[n]
 				if s, ok := saw[e.Partner][n]; ok {
-					knew += e.Pushes[n]
+					knew += e.CallsBySender[n]
 					proof = append(proof, s)
 				}
 			}
 			if all > 0 && knew >= all*2/3 {
-				j.breach(Cold, -1, "", e.At, proof, "partner %d collapsed in slow start, %.0f of %.0f calls came from nodes that had seen its outage", e.Partner, knew, all)
+				j.breach(SlowStart, -1, "", e.At, proof, "partner %d collapsed in slow start, %.0f of %.0f calls came from nodes that had seen its outage", e.Partner, knew, all)
 			}
 		}
 	}
--- a/fleet/judge/judge_test.go
+++ b/fleet/judge/judge_test.go
@@ -15,8 +15,8 @@
 	unsafe = 2
 )
 
-func terms() Terms {
-	t := DefaultTerms()
+func terms() Config {
+	t := DefaultConfig()
 	t.Classes = []Class{{"notice", Safe, 0}, {"order", Keyed, 2 * time.Second}, {"payout", Unsafe, 0}}
 	t.Slots = []int{2, 2}
 	return t
@@ -31,22 +31,22 @@
 func (s *story) add(e history.Event) { s.events = append(s.events, e) }
 
 func (s *story) taken(at time.Duration, id string, class int) {
-	s.add(history.Event{At: at, Kind: history.HandedIn, Partner: -1, ID: id, Case: len(id), Class: class, Life: 4 * time.Second})
+	s.add(history.Event{At: at, Kind: history.Submitted, Partner: -1, ID: id, MessageNumber: len(id), Class: class, ExpiresIn: 4 * time.Second})
 	s.add(history.Event{At: at + ms, Kind: history.Answered, Partner: -1, ID: id, State: history.Taken})
 }
 
 func (s *story) call(at time.Duration, ids ...string) uint64 {
 	s.calls++
-	s.add(history.Event{At: at + ms, Kind: history.CallBegan, Call: s.calls, Endpoint: "e", IDs: ids, First: at})
+	s.add(history.Event{At: at + ms, Kind: history.CallStarted, Call: s.calls, Endpoint: "e", IDs: ids, FirstAt: at})
 	return s.calls
 }
 
 func (s *story) end(at time.Duration, call uint64, state string, wait time.Duration, fates ...string) {
-	s.add(history.Event{At: at, Kind: history.CallEnded, Call: call, State: state, Wait: wait, Fates: fates})
+	s.add(history.Event{At: at, Kind: history.CallEnded, Call: call, State: state, RetryAfter: wait, Outcomes: fates})
 }
 
 func (s *story) notice(at time.Duration, id, state string) {
-	s.add(history.Event{At: at, Kind: history.Noticed, Partner: -1, ID: id, State: state})
+	s.add(history.Event{At: at, Kind: history.NoticeReceived, Partner: -1, ID: id, State: state})
 }
 
 func (s *story) node(at time.Duration, k history.Kind, state string) {
@@ -54,10 +54,10 @@
 }
 
 func (s *story) told(at time.Duration, state string) {
-	s.add(history.Event{At: at, Kind: history.Told, Endpoint: "e", State: state})
+	s.add(history.Event{At: at, Kind: history.ChangeAnnounced, Endpoint: "e", State: state})
 }
 
-const ok = history.FateAccepted
+const ok = history.OutcomeAccepted
 
 type told struct {
 	name string
@@ -72,10 +72,10 @@
 	return []told{
 		{"delivered", nil, func(s *story) { s.taken(0, "a", unsafe); deliver(s, 10*ms, "a") }},
 		{"failed with a notice", nil, func(s *story) { s.taken(0, "a", safe); s.notice(4200*ms, "a", history.Failed) }},
-		{"no final answer", []Rule{OneEnd}, func(s *story) { s.taken(0, "a", safe) }},
-		{"a late final answer", []Rule{OneEnd}, func(s *story) { s.taken(0, "a", safe); s.notice(4500*ms, "a", history.Failed) }},
+		{"no final answer", []Rule{OneFinalAnswer}, func(s *story) { s.taken(0, "a", safe) }},
+		{"a late final answer", []Rule{OneFinalAnswer}, func(s *story) { s.taken(0, "a", safe); s.notice(4500*ms, "a", history.Failed) }},
 		{"a final answer just in time", nil, func(s *story) { s.taken(0, "a", safe); s.notice(4340*ms, "a", history.Failed) }},
-		{"answered together with an expired message", []Rule{OneEnd}, func(s *story) {
+		{"answered together with an expired message", []Rule{OneFinalAnswer}, func(s *story) {
 			s.taken(0, "a", safe)
 			s.taken(time.Second, "bb", unsafe)
 			both := s.call(1100*ms, "a", "bb")
@@ -91,18 +91,18 @@
 			s.notice(4070*ms, "bb", history.Failed)
 		}},
 		{"no final answer, not accepted", nil, func(s *story) {
-			s.add(history.Event{Kind: history.HandedIn, Partner: -1, ID: "a", Case: 1, Life: time.Second})
+			s.add(history.Event{Kind: history.Submitted, Partner: -1, ID: "a", MessageNumber: 1, ExpiresIn: time.Second})
 			s.add(history.Event{At: ms, Kind: history.Answered, Partner: -1, ID: "a", State: history.Refused})
 		}},
 		{"a final answer delayed by a restart", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.node(3900*ms, history.Killed, "")
-			s.node(3901*ms, history.Exited, history.Asked)
+			s.node(3901*ms, history.Exited, history.ExitRequested)
 			s.node(4900*ms, history.Started, "")
 			s.node(5*time.Second, history.Ready, "")
 			s.notice(6400*ms, "a", history.Failed)
 		}},
-		{"too late after a restart", []Rule{OneEnd}, func(s *story) {
+		{"too late after a restart", []Rule{OneFinalAnswer}, func(s *story) {
 			s.taken(0, "a", safe)
 			s.node(3900*ms, history.Killed, "")
 			s.node(4900*ms, history.Started, "")
@@ -112,9 +112,9 @@
 		{"no final answer, state directory lost", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.node(ms*100, history.Killed, "")
-			s.node(101*ms, history.Lost, "")
+			s.node(101*ms, history.StateLost, "")
 		}},
-		{"two notices that disagree", []Rule{OneEnd}, func(s *story) {
+		{"two notices that disagree", []Rule{OneFinalAnswer}, func(s *story) {
 			s.taken(0, "a", safe)
 			s.notice(time.Second, "a", history.Failed)
 			s.notice(2*time.Second, "a", history.Returned)
@@ -129,12 +129,12 @@
 			deliver(s, 10*ms, "a")
 			s.notice(time.Second, "a", history.Failed)
 		}},
-		{"sent after its notice", []Rule{Over}, func(s *story) {
+		{"sent after its notice", []Rule{NothingAfterEnd}, func(s *story) {
 			s.taken(0, "a", safe)
 			s.notice(time.Second, "a", history.Failed)
 			deliver(s, 1100*ms, "a")
 		}},
-		{"sent after it was delivered", []Rule{Over}, func(s *story) { s.taken(0, "a", safe); deliver(s, 10*ms, "a"); deliver(s, time.Second, "a") }},
+		{"sent after it was delivered", []Rule{NothingAfterEnd}, func(s *story) { s.taken(0, "a", safe); deliver(s, 10*ms, "a"); deliver(s, time.Second, "a") }},
 		{"sent again after a restart", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			deliver(s, 10*ms, "a")
@@ -142,77 +142,77 @@
 			s.node(900*ms, history.Started, "")
 			deliver(s, time.Second, "a")
 		}},
-		{"two attempts in flight", []Rule{OneCopy}, func(s *story) {
+		{"two attempts in flight", []Rule{OneAttemptAtATime}, func(s *story) {
 			s.taken(0, "a", safe)
 			first := s.call(10*ms, "a")
 			second := s.call(100*ms, "a")
-			s.end(200*ms, first, history.GivenUp, 0)
+			s.end(200*ms, first, history.Abandoned, 0)
 			s.end(300*ms, second, history.Accepted, 0, ok)
 		}},
 		{"one attempt after the other", nil, func(s *story) {
 			s.taken(0, "a", safe)
-			s.end(99*ms, s.call(10*ms, "a"), history.GivenUp, 0)
+			s.end(99*ms, s.call(10*ms, "a"), history.Abandoned, 0)
 			deliver(s, 100*ms, "a")
 		}},
-		{"an attempt while a call has no end", []Rule{OneCopy}, func(s *story) { s.taken(0, "a", safe); s.call(10*ms, "a"); deliver(s, 100*ms, "a") }},
+		{"an attempt while a call has no end", []Rule{OneAttemptAtATime}, func(s *story) { s.taken(0, "a", safe); s.call(10*ms, "a"); deliver(s, 100*ms, "a") }},
 		{"a call abandoned on its way, and another one", nil, func(s *story) {
 			s.taken(0, "a", safe)
 			s.calls++
-			s.add(history.Event{At: 500 * ms, Kind: history.CallBegan, Call: s.calls, Endpoint: "e", IDs: []string{"a"}, First: 10 * ms})
-			s.end(100*ms, s.calls, history.GivenUp, 0)
+			s.add(history.Event{At: 500 * ms, Kind: history.CallStarted, Call: s.calls, Endpoint: "e", IDs: []string{"a"}, FirstAt: 10 * ms})
+			s.end(100*ms, s.calls, history.Abandoned, 0)
 			deliver(s, 110*ms, "a")
 		}},
-		{"twice in one call", []Rule{OneCopy}, func(s *story) {
+		{"twice in one call", []Rule{OneAttemptAtATime}, func(s *story) {
 			s.taken(0, "a", safe)
 			s.end(60*ms, s.call(10*ms, "a", "a"), history.Accepted, 0, ok, ok)
 		}},
-		{"a payout again that may have run", []Rule{Once}, func(s *story) {
+		{"a payout again that may have run", []Rule{AtMostOnce}, func(s *story) {
 			s.taken(0, "a", unsafe)
-			s.end(60*ms, s.call(10*ms, "a"), history.AnswerCut, 0)
+			s.end(60*ms, s.call(10*ms, "a"), history.AnswerLost, 0)
 			deliver(s, 100*ms, "a")
 		}},
-		{"a payout again after a fault in a batch", []Rule{Once}, func(s *story) {
+		{"a payout again after a fault in a batch", []Rule{AtMostOnce}, func(s *story) {
 			s.taken(0, "a", unsafe)
-			s.end(60*ms, s.call(10*ms, "a"), history.Accepted, 0, history.FateFault)
+			s.end(60*ms, s.call(10*ms, "a"), history.Accepted, 0, history.OutcomeFailed)
 			deliver(s, 100*ms, "a")
 		}},
 		{"a payout again that was refused", nil, func(s *story) {
 			s.taken(0, "a", unsafe)
-			s.end(60*ms, s.call(10*ms, "a"), history.Full, 0)
-			s.end(160*ms, s.call(100*ms, "a"), history.Accepted, 0, history.FateDeferred)
+			s.end(60*ms, s.call(10*ms, "a"), history.QueueFull, 0)
+			s.end(160*ms, s.call(100*ms, "a"), history.Accepted, 0, history.OutcomeDeferred)
 			deliver(s, 200*ms, "a")
 		}},
-		{"a payout returned that may have run", []Rule{Once}, func(s *story) {
+		{"a payout returned that may have run", []Rule{AtMostOnce}, func(s *story) {
 			s.taken(0, "a", unsafe)
-			s.end(60*ms, s.call(10*ms, "a"), history.GivenUp, 0)
+			s.end(60*ms, s.call(10*ms, "a"), history.Abandoned, 0)
 			s.notice(time.Second, "a", history.Returned)
 		}},
 		{"a payout failed that may have run", nil, func(s *story) {
 			s.taken(0, "a", unsafe)
-			s.end(60*ms, s.call(10*ms, "a"), history.GivenUp, 0)
+			s.end(60*ms, s.call(10*ms, "a"), history.Abandoned, 0)
 			s.notice(time.Second, "a", history.Failed)
 		}},
-		{"a payout that took effect twice, under two ids", []Rule{Once}, func(s *story) {
+		{"a payout that took effect twice, under two ids", []Rule{AtMostOnce}, func(s *story) {
 			s.taken(0, "a", unsafe)
 			deliver(s, 10*ms, "a")
-			s.add(history.Event{At: 30 * ms, Kind: history.Ran, Call: 1, ID: "a"})
+			s.add(history.Event{At: 30 * ms, Kind: history.Executed, Call: 1, ID: "a"})
 			s.taken(time.Second, "b", unsafe)
 			deliver(s, 1100*ms, "b")
-			s.add(history.Event{At: 1130 * ms, Kind: history.Ran, Call: 2, ID: "b"})
+			s.add(history.Event{At: 1130 * ms, Kind: history.Executed, Call: 2, ID: "b"})
 		}},
 		{"an order again inside its window", nil, func(s *story) {
 			s.taken(0, "a", keyed)
-			s.end(60*ms, s.call(10*ms, "a"), history.GivenUp, 0)
+			s.end(60*ms, s.call(10*ms, "a"), history.Abandoned, 0)
 			deliver(s, 2*time.Second, "a")
 		}},
-		{"an order again after its window", []Rule{Window}, func(s *story) {
+		{"an order again after its window", []Rule{KeyWindow}, func(s *story) {
 			s.taken(0, "a", keyed)
-			s.end(60*ms, s.call(10*ms, "a"), history.GivenUp, 0)
+			s.end(60*ms, s.call(10*ms, "a"), history.Abandoned, 0)
 			deliver(s, 2100*ms, "a")
 		}},
 		{"an order again, refused before", nil, func(s *story) {
 			s.taken(0, "a", keyed)
-			s.end(60*ms, s.call(10*ms, "a"), history.Above, 0)
+			s.end(60*ms, s.call(10*ms, "a"), history.AboveLimit, 0)
 			deliver(s, 3*time.Second, "a")
 		}},
 		{"to an endpoint that drains", []Rule{Drain}, func(s *story) {
@@ -234,51 +234,51 @@
 			s.taken(5100*ms, "a", safe)
 			deliver(s, 5200*ms, "a")
 		}},
-		{"a retry-after ignored", []Rule{Wait}, func(s *story) {
+		{"a retry-after ignored", []Rule{RetryAfter}, func(s *story) {
 			s.taken(0, "a", safe)
-			s.end(60*ms, s.call(10*ms, "a"), history.Above, 500*ms)
+			s.end(60*ms, s.call(10*ms, "a"), history.AboveLimit, 500*ms)
 			deliver(s, 300*ms, "a")
 		}},
 		{"a call on its way when the retry-after was told", nil, func(s *story) {
 			s.taken(0, "a", safe)
-			s.end(60*ms, s.call(10*ms, "a"), history.Above, 500*ms)
+			s.end(60*ms, s.call(10*ms, "a"), history.AboveLimit, 500*ms)
 			deliver(s, 150*ms, "a")
 		}},
 		{"after the retry-after", nil, func(s *story) {
 			s.taken(0, "a", safe)
-			s.end(60*ms, s.call(10*ms, "a"), history.Above, 500*ms)
+			s.end(60*ms, s.call(10*ms, "a"), history.AboveLimit, 500*ms)
 			deliver(s, 561*ms, "a")
 		}},
 		{"a retry-after ended by a restart", nil, func(s *story) {
 			s.taken(0, "a", safe)
-			s.end(60*ms, s.call(10*ms, "a"), history.Above, 2*time.Second)
+			s.end(60*ms, s.call(10*ms, "a"), history.AboveLimit, 2*time.Second)
 			s.node(100*ms, history.Killed, "")
 			s.node(700*ms, history.Started, "")
 			deliver(s, 800*ms, "a")
 		}},
 		{"a probe during a retry-after", nil, func(s *story) {
 			s.taken(0, "a", safe)
-			s.end(60*ms, s.call(10*ms, "a"), history.Above, 500*ms)
+			s.end(60*ms, s.call(10*ms, "a"), history.AboveLimit, 500*ms)
 			s.end(310*ms, s.call(300*ms), history.Accepted, 0)
 			deliver(s, 600*ms, "a")
 		}},
-		{"a collapse caused by nodes that saw the outage", []Rule{Cold}, func(s *story) {
+		{"a collapse caused by nodes that saw the outage", []Rule{SlowStart}, func(s *story) {
 			s.add(history.Event{Kind: history.OutageBegan, Node: -1})
-			s.add(history.Event{At: 10 * ms, Kind: history.Unreached, Node: 0})
+			s.add(history.Event{At: 10 * ms, Kind: history.ConnectFailed, Node: 0})
 			s.add(history.Event{At: time.Second, Kind: history.OutageEnded, Node: -1})
-			s.add(history.Event{At: 2 * time.Second, Kind: history.Fell, Node: -1, Pushes: map[int]float64{0: 20, 1: 10}})
+			s.add(history.Event{At: 2 * time.Second, Kind: history.Collapsed, Node: -1, CallsBySender: map[int]float64{0: 20, 1: 10}})
 		}},
 		{"a collapse caused by other nodes", nil, func(s *story) {
 			s.add(history.Event{Kind: history.OutageBegan, Node: -1})
-			s.add(history.Event{At: 10 * ms, Kind: history.Unreached, Node: 0})
+			s.add(history.Event{At: 10 * ms, Kind: history.ConnectFailed, Node: 0})
 			s.add(history.Event{At: time.Second, Kind: history.OutageEnded, Node: -1})
-			s.add(history.Event{At: 2 * time.Second, Kind: history.Fell, Node: -1, Pushes: map[int]float64{0: 10, 1: 20}})
+			s.add(history.Event{At: 2 * time.Second, Kind: history.Collapsed, Node: -1, CallsBySender: map[int]float64{0: 10, 1: 20}})
 		}},
-		{"seven attempts", []Rule{Attempts}, func(s *story) {
+		{"seven attempts", []Rule{MaxAttempts}, func(s *story) {
 			s.taken(0, "a", safe)
 			for i := range 6 {
 				at := time.Duration(100*i) * ms
-				s.end(at+60*ms, s.call(at+10*ms, "a"), history.Full, 0)
+				s.end(at+60*ms, s.call(at+10*ms, "a"), history.QueueFull, 0)
 			}
 			deliver(s, 700*ms, "a")
 		}},
@@ -286,7 +286,7 @@
 			s.taken(0, "a", safe)
 			for i := range 5 {
 				at := time.Duration(100*i) * ms
-				s.end(at+60*ms, s.call(at+10*ms, "a"), history.Full, 0)
+				s.end(at+60*ms, s.call(at+10*ms, "a"), history.QueueFull, 0)
 			}
 			deliver(s, 700*ms, "a")
 		}},
@@ -305,24 +305,24 @@
 				deliver(s, time.Duration(60*i+10)*ms, id)
 			}
 		}},
-		{"a message that nobody submitted", []Rule{Foreign}, func(s *story) { deliver(s, 10*ms, "a") }},
-		{"a message to another partner", []Rule{Foreign}, func(s *story) {
-			s.add(history.Event{Kind: history.HandedIn, Partner: -1, ID: "a", Case: 1, Dest: 1, Life: time.Second})
+		{"a message that nobody submitted", []Rule{WrongPartner}, func(s *story) { deliver(s, 10*ms, "a") }},
+		{"a message to another partner", []Rule{WrongPartner}, func(s *story) {
+			s.add(history.Event{Kind: history.Submitted, Partner: -1, ID: "a", MessageNumber: 1, Dest: 1, ExpiresIn: time.Second})
 			s.add(history.Event{At: ms, Kind: history.Answered, Partner: -1, ID: "a", State: history.Taken})
 			deliver(s, 10*ms, "a")
 		}},
-		{"a client without an answer", []Rule{Answer}, func(s *story) {
-			s.add(history.Event{Kind: history.HandedIn, Partner: -1, ID: "a", Case: 1, Life: time.Second})
-			s.add(history.Event{At: ms, Kind: history.Answered, Partner: -1, ID: "a", State: history.Broken})
+		{"a client without an answer", []Rule{AnswerGiven}, func(s *story) {
+			s.add(history.Event{Kind: history.Submitted, Partner: -1, ID: "a", MessageNumber: 1, ExpiresIn: time.Second})
+			s.add(history.Event{At: ms, Kind: history.Answered, Partner: -1, ID: "a", State: history.ConnectionLost})
 		}},
 		{"a client without an answer, node killed", nil, func(s *story) {
-			s.add(history.Event{Kind: history.HandedIn, Partner: -1, ID: "a", Case: 1, Life: time.Second})
+			s.add(history.Event{Kind: history.Submitted, Partner: -1, ID: "a", MessageNumber: 1, ExpiresIn: time.Second})
 			s.node(ms, history.Killed, "")
-			s.add(history.Event{At: 2 * ms, Kind: history.Answered, Partner: -1, ID: "a", State: history.Broken})
+			s.add(history.Event{At: 2 * ms, Kind: history.Answered, Partner: -1, ID: "a", State: history.ConnectionLost})
 		}},
 		{"a crash", []Rule{Alive}, func(s *story) { s.node(time.Second, history.Exited, history.Crashed) }},
-		{"a requested exit", nil, func(s *story) { s.node(time.Second, history.Exited, history.Asked) }},
-		{"a resource limit exceeded", []Rule{Alive}, func(s *story) { s.add(history.Event{At: 1, Kind: history.Exceeds, Note: "memory"}) }},
+		{"a requested exit", nil, func(s *story) { s.node(time.Second, history.Exited, history.ExitRequested) }},
+		{"a resource limit exceeded", []Rule{Alive}, func(s *story) { s.add(history.Event{At: 1, Kind: history.LimitExceeded, Note: "memory"}) }},
 	}
 }
 
@@ -331,19 +331,19 @@
 		t.Run(test.name, func(t *testing.T) {
 			var s story
 			test.tell(&s)
-			s.add(history.Event{At: 20 * time.Second, Kind: history.End, Node: -1, Partner: -1})
+			s.add(history.Event{At: 20 * time.Second, Kind: history.RunEnded, Node: -1, Partner: -1})
 			history.Sort(s.events)
 			var got []Rule
-			for _, b := range Find(terms(), s.events) {
+			for _, b := range FindViolations(terms(), s.events) {
 				if !slices.Contains(got, b.Rule) {
 					got = append(got, b.Rule)
 				}
-				if b.Why == "" || len(b.Proof) == 0 {
+				if b.Reason == "" || len(b.Evidence) == 0 {
 					t.Errorf("%v has no evidence", b)
 				}
 			}
 			if !slices.Equal(got, test.want) {
-				t.Errorf("found %v, want %v: %v", got, test.want, Find(terms(), s.events))
+				t.Errorf("found %v, want %v: %v", got, test.want, FindViolations(terms(), s.events))
 			}
 		})
 	}
--- a/fleet/ownership/agree.go
+++ b/fleet/ownership/agree.go
@@ -16,7 +16,7 @@
 // Second, a write whose answer was lost may still take effect, so nothing else is written under its token.
 // The record is acquired again, which invalidates the old token, and a fresh read then tells for certain
 // whether the write took effect.
-type Agreement struct {
+type Publisher struct {
 	// Plan makes the map with the given number from the previous one (nil: there is none). It may refuse with
 	// an error, and it returns the previous map itself if nothing has to change. It is called again if
 	// another map was written meanwhile.
@@ -24,7 +24,7 @@
 	// AboveNumber is a number that the new map's number must exceed, in addition to the record's. It is meant
 	// for a record that was set back (a restored backup) or can't be decoded: only if it is set is an
 	// undecodable record replaced, by a first map. 0: none.
-	Above int64
+	AboveNumber int64
 
 	state   stage
 	seq     int
@@ -52,10 +52,10 @@
 // Action is what the caller has to do next; its Answer repeats Seq. All actions but End are requests to the
 // directory.
 type Action struct {
-	Seq   int
-	Do    Verb
-	Token int64  // of Update and Release
-	Value []byte // of Update
+	Seq       int
+	Operation Operation
+	Token     int64  // of Update and Release
+	Value     []byte // of Update
 	// For End: the map that this publisher put in force (or that was in force when read, if nothing had to
 	// change). If Map is nil, Err tells why; it is ErrAmbiguous if a map may have been written, or may yet
 	// be.
@@ -64,95 +64,95 @@
 }
 
 // Operation is the kind of an action.
-type Verb int
+type Operation int
 
 const (
-	Acquire Verb = iota + 1 // acquire the record, with a lease
-	Read                    // read the record; the read must include each write that was acknowledged before it
-	Update                  // write the record's value under the token
-	Release                 // release the record under the token; the result does not matter
-	End                     // nothing more to do
+	Acquire Operation = iota + 1 // acquire the record, with a lease
+	Read                         // read the record; the read must include each write that was acknowledged before it
+	Update                       // write the record's value under the token
+	Release                      // release the record under the token; the result does not matter
+	End                          // nothing more to do
 )
 
 // Answer is the result of an action.
 type Answer struct {
-	Seq   int
-	Came  Outcome
-	Token int64  // of Acquire
-	Value []byte // of Read; nil: the record was never written
-	Err   error  // of Refused
+	Seq     int
+	Outcome Outcome
+	Token   int64  // of Acquire
+	Value   []byte // of Read; nil: the record was never written
+	Err     error  // of Refused
 }
 
 // Outcome tells what is known of an action.
 type Outcome int
 
 const (
-	Done    Outcome = iota + 1
-	Refused         // it did not take effect and never will
-	Lost            // it may have taken effect, or may yet do so
-	Lapsed          // for Read and Update, before or instead of an answer: the lease can't be relied on; the action may have taken effect
-	GaveUp          // for all actions: the caller has no time left; the action may have taken effect
+	Done      Outcome = iota + 1
+	Refused           // it did not take effect and never will
+	Ambiguous         // it may have taken effect, or may yet do so
+	LeaseLost         // for Read and Update, before or instead of an answer: the lease can't be relied on; the action may have taken effect
+	TimedOut          // for all actions: the caller has no time left; the action may have taken effect
 )
 
 // ErrAmbiguous says that a map may have been written, or may yet be.
-var ErrUnknown = errors.New("a map may have been written, or may yet be written")
+var ErrAmbiguous = errors.New("a map may have been written, or may yet be written")
 
 // Begin returns the first action.
-func (a *Agreement) Begin() Action { return a.next(acquiring) }
+func (a *Publisher) Begin() Action { return a.next(acquiring) }
 
 // enter returns the action that begins a stage.
-func (a *Agreement) next(s stage) Action {
+func (a *Publisher) next(s stage) Action {
 	a.state = s
 	a.seq++
 	switch s {
 	case acquiring:
 		a.token = 0
-		return Action{Seq: a.seq, Do: Acquire}
+		return Action{Seq: a.seq, Operation: Acquire}
 	case reading:
-		return Action{Seq: a.seq, Do: Read}
+		return Action{Seq: a.seq, Operation: Read}
 	case updating:
-		return Action{Seq: a.seq, Do: Update, Token: a.token, Value: a.raw}
+		return Action{Seq: a.seq, Operation: Update, Token: a.token, Value: a.raw}
 	case releasing:
 		if a.token != 0 {
-			return Action{Seq: a.seq, Do: Release, Token: a.token}
+			return Action{Seq: a.seq, Operation: Release, Token: a.token}
 		}
 	}
 	a.state = ended
-	return Action{Seq: a.seq, Do: End, Map: a.done, Err: a.err}
+	return Action{Seq: a.seq, Operation: End, Map: a.done, Err: a.err}
 }
 
 // Step takes an answer and returns the next action; false if the answer is not for the action in progress.
-func (a *Agreement) Step(ans Answer) (Action, bool) {
+func (a *Publisher) Step(ans Answer) (Action, bool) {
 	if ans.Seq != a.seq || a.state == idle || a.state == ended {
 		return Action{}, false
 	}
-	if ans.Came == GaveUp && a.state != releasing {
+	if ans.Outcome == TimedOut && a.state != releasing {
 		return a.giveUp(), true
 	}
 	switch a.state {
 	case acquiring:
-		if ans.Came != Done {
+		if ans.Outcome != Done {
 			a.why = ans.Err
 			return a.next(acquiring), true
 		}
 		a.token = ans.Token
 		return a.next(reading), true
 	case reading:
-		switch ans.Came {
+		switch ans.Outcome {
 		case Done:
 			return a.plan(ans.Value), true
-		case Lapsed:
+		case LeaseLost:
 			return a.next(acquiring), true
 		}
 		return a.next(reading), true
 	case updating:
-		switch ans.Came {
+		switch ans.Outcome {
 		case Done:
 			a.done, a.err = a.sought, nil
 			return a.next(releasing), true
 		case Refused:
 			a.raw, a.sought, a.why = nil, nil, ans.Err
-			if errors.Is(ans.Err, ErrBad) {
+			if errors.Is(ans.Err, ErrInvalid) {
 				return a.fail(ans.Err), true
 			}
 		}
@@ -161,7 +161,7 @@
 	return a.next(ended), true // was releasing
 }
 
-func (a *Agreement) giveUp() Action {
+func (a *Publisher) giveUp() Action {
 	if a.sought != nil {
 		a.unsure = a.sought.Number
 	}
@@ -172,23 +172,23 @@
 	return a.fail(err)
 }
 
-func (a *Agreement) fail(err error) Action {
+func (a *Publisher) fail(err error) Action {
 	a.err = err
 	if a.unsure > 0 {
-		a.err = fmt.Errorf("%w; map %d: %w", err, a.unsure, ErrUnknown)
+		a.err = fmt.Errorf("%w; map %d: %w", err, a.unsure, ErrAmbiguous)
 	}
 	return a.next(releasing)
 }
 
 // planNext continues from the value that was read under the current token.
-func (a *Agreement) plan(value []byte) Action {
+func (a *Publisher) plan(value []byte) Action {
 	if a.sought != nil && bytes.Equal(value, a.raw) {
 		a.done = a.sought
 		return a.next(releasing)
 	}
 	var before *Map
 	var unread error
-	number := a.Above
+	number := a.AboveNumber
 	if value != nil {
 		if before, unread = Decode(value); unread == nil {
 			number = max(number, before.Number)
@@ -197,8 +197,8 @@
 	if a.sought != nil && value != nil && (before == nil || before.Number >= a.sought.Number) {
 		a.unsure = a.sought.Number // another map was written after it; otherwise it did not take effect and, its token being invalid, never will
 	}
-	if unread != nil && a.Above == 0 {
-		return a.fail(fmt.Errorf("decode record %s: %w", Record, unread))
+	if unread != nil && a.AboveNumber == 0 {
+		return a.fail(fmt.Errorf("decode record %s: %w", RecordName, unread))
 	}
 	a.raw, a.sought = nil, nil
 	m, err := a.Plan(number+1, before)
--- a/fleet/ownership/agree_test.go
+++ b/fleet/ownership/agree_test.go
@@ -92,7 +92,7 @@
 func (w *world) do(i int, a Action) {
 	p := &w.all[i]
 	p.waiting = a
-	if a.Do != End {
+	if a.Operation != End {
 		w.asks = append(w.asks, sent{who: i, life: p.life, holder: p.holder, action: a})
 		return
 	}
@@ -105,7 +105,7 @@
 		if err != nil || !bytes.Equal(w.given[a.Map.Number], raw) {
 			w.bad = append(w.bad, fmt.Sprintf("controller %d reports that it wrote map %d, which was not written (%v)", i, a.Map.Number, err))
 		}
-	case errors.Is(a.Err, ErrUnknown):
+	case errors.Is(a.Err, ErrAmbiguous):
 		w.count["ended ambiguous"]++
 	case a.Err != nil:
 		w.count["ended without a map"]++
@@ -120,28 +120,28 @@
 
 // serve carries out a request at the directory.
 func (w *world) serve(s sent) Answer {
-	ans := Answer{Seq: s.action.Seq, Came: Done}
+	ans := Answer{Seq: s.action.Seq, Outcome: Done}
 	var r catalog.Result
-	switch s.action.Do {
+	switch s.action.Operation {
 	case Acquire:
-		r = w.state.Apply(catalog.Command{Acquire: &catalog.Hold{Name: Record, Holder: s.holder, TTL: 10_000}})
+		r = w.state.Apply(catalog.Command{Acquire: &catalog.Hold{Name: RecordName, Holder: s.holder, TTL: 10_000}})
 		ans.Token = r.Token
 	case Read:
-		record, ok := w.state.Record(Record)
+		record, ok := w.state.Record(RecordName)
 		if !ok {
 			r.Err = catalog.ErrUnknown
 		}
 		ans.Value = record.Value
 	case Update:
-		r = w.state.Apply(catalog.Command{Update: &catalog.Hold{Name: Record, Token: s.action.Token, Value: s.action.Value}})
+		r = w.state.Apply(catalog.Command{Update: &catalog.Hold{Name: RecordName, Token: s.action.Token, Value: s.action.Value}})
 		if r.Err == nil {
 			w.written(s)
 		}
 	case Release:
-		r = w.state.Apply(catalog.Command{Release: &catalog.Hold{Name: Record, Token: s.action.Token}})
+		r = w.state.Apply(catalog.Command{Release: &catalog.Hold{Name: RecordName, Token: s.action.Token}})
 	}
 	if r.Err != nil {
-		ans.Came, ans.Err = Refused, r.Err
+		ans.Outcome, ans.Err = Refused, r.Err
 	}
 	return ans
 }
@@ -184,19 +184,19 @@
 	i := w.rng.IntN(2)
 	p := &w.all[i]
 	if w.rng.Float64() < faults {
-		stage := p.waiting.Do
+		stage := p.waiting.Operation
 		switch w.rng.IntN(8) {
 		case 0:
 			w.count[fmt.Sprint("killed at ", stage)]++
 			w.restart(i)
 		case 1: // the controller gives up waiting for the answer; the request may still be on its way
 			w.count[fmt.Sprint("lost at ", stage)]++
-			w.tell(i, Answer{Seq: p.waiting.Seq, Came: Lost})
+			w.tell(i, Answer{Seq: p.waiting.Seq, Outcome: Ambiguous})
 		case 2:
-			w.tell(i, Answer{Seq: p.waiting.Seq, Came: Lapsed})
+			w.tell(i, Answer{Seq: p.waiting.Seq, Outcome: LeaseLost})
 		case 3:
 			if w.rng.IntN(4) == 0 {
-				w.tell(i, Answer{Seq: p.waiting.Seq, Came: GaveUp})
+				w.tell(i, Answer{Seq: p.waiting.Seq, Outcome: TimedOut})
 			}
 		case 4:
 			if len(w.asks) > 0 {
@@ -209,12 +209,12 @@
 		case 6:
 			if len(w.asks) > 0 { // answered by a replica that knows no leader
 				s := pull(&w.asks)
-				w.answers = append(w.answers, sent{who: s.who, life: s.life, answer: Answer{Seq: s.action.Seq, Came: Refused, Err: errors.New("no leader")}})
+				w.answers = append(w.answers, sent{who: s.who, life: s.life, answer: Answer{Seq: s.action.Seq, Outcome: Refused, Err: errors.New("no leader")}})
 			}
 		case 7:
-			if r, ok := w.state.Record(Record); ok && r.Holder != "" {
+			if r, ok := w.state.Record(RecordName); ok && r.Holder != "" {
 				w.count["lapsed"]++
-				w.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: Record, Token: r.Token}}}})
+				w.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
 			}
 		}
 		return
@@ -234,13 +234,13 @@
 
 // newPublisher returns a correct Publisher; now and then its plan changes nothing or is refused.
 func careful(w *world) writer {
-	a := &Agreement{}
+	a := &Publisher{}
 	a.Plan = func(number int64, before *Map) (*Map, error) {
 		switch k := w.rng.IntN(12); {
 		case k == 0 && before != nil:
 			return before, nil
 		case k == 1:
-			return nil, ErrLarge
+			return nil, ErrLargeChange
 		}
 		return w.variant(number), nil
 	}
@@ -288,7 +288,7 @@
 			t.Errorf("%q happened only %d times", what, count[what])
 		}
 	}
-	for _, stage := range []Verb{Acquire, Read, Update, Release, End} {
+	for _, stage := range []Operation{Acquire, Read, Update, Release, End} {
 		if what := fmt.Sprint("killed at ", stage); count[what] < 20 {
 			t.Errorf("%q happened only %d times", what, count[what])
 		}
@@ -328,13 +328,13 @@
 		for len(w.asks) > 0 {
 			w.step(0)
 		}
-		if r, _ := w.state.Record(Record); r.Holder != "" {
-			w.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: Record, Token: r.Token}}}})
+		if r, _ := w.state.Record(RecordName); r.Holder != "" {
+			w.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
 		}
-		a := &Agreement{Plan: func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }}
+		a := &Publisher{Plan: func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }}
 		next, did := a.Begin(), ""
-		for next.Do != End {
-			did += fmt.Sprint(next.Do)
+		for next.Operation != End {
+			did += fmt.Sprint(next.Operation)
 			var ok bool
 			if next, ok = a.Step(w.serve(sent{who: 0, life: -1, holder: "quiet", action: next})); !ok {
 				t.Fatalf("seed %d: Step ignored an answer", seed)
@@ -372,20 +372,20 @@
 	} {
 		var number int64
 		var before *Map
-		a := &Agreement{Above: c.above, Plan: func(n int64, b *Map) (*Map, error) {
+		a := &Publisher{AboveNumber: c.above, Plan: func(n int64, b *Map) (*Map, error) {
 			number, before = n, b
 			return Make(n, 2, Fleet(5, 2), b)
 		}}
 		next := a.Begin()
-		next, _ = a.Step(Answer{Seq: next.Seq, Came: Done, Token: 5})
-		next, _ = a.Step(Answer{Seq: next.Seq, Came: Done, Value: c.value})
+		next, _ = a.Step(Answer{Seq: next.Seq, Outcome: Done, Token: 5})
+		next, _ = a.Step(Answer{Seq: next.Seq, Outcome: Done, Value: c.value})
 		if number != c.want || (c.want > 0 && (before == nil) != c.first) {
 			t.Errorf("%s: number %d from %v", c.what, number, before)
 		}
-		if c.want == 0 && (next.Do != Release || next.Token != 5) {
+		if c.want == 0 && (next.Operation != Release || next.Token != 5) {
 			t.Errorf("%s: %+v", c.what, next)
 		}
-		if c.want > 0 && (next.Do != Update || next.Token != 5) {
+		if c.want > 0 && (next.Operation != Update || next.Token != 5) {
 			t.Errorf("%s: %+v", c.what, next)
 		}
 	}
--- a/fleet/ownership/code.go
+++ b/fleet/ownership/code.go
@@ -13,7 +13,7 @@
 
 // MaxEncodedBytes is the size limit of an encoded map, given by the size of a directory record. With 2,000
 // members there is room for names of about 18 bytes, with 820 members for about 50.
-const MaxBytes = 64 << 10
+const MaxEncodedBytes = 64 << 10
 
 // An encoded map consists of a magic string, the hash of the body, and the body in CBOR.
 const (
@@ -60,7 +60,7 @@
 
 // Encode returns the encoded map. A map of more than MaxEncodedBytes is an error: its names are too long.
 func (m *Map) Encode() ([]byte, error) {
-	c := coded{Number: m.Number, Copies: m.Copies, Zones: []string{}, Members: []codedMember{}}
+	c := coded{Number: m.Number, Copies: m.OwnersPerPartition, Zones: []string{}, Members: []codedMember{}}
 	for _, member := range m.Members {
 		c.Zones = append(c.Zones, member.Zone)
 	}
@@ -83,8 +83,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode ownership map: %w", err)
 	}
-	if sealLen+len(body) > MaxBytes {
-		return nil, fmt.Errorf("%w: encoded size %d exceeds %d bytes; use shorter member names", ErrBad, sealLen+len(body), MaxBytes)
+	if sealLen+len(body) > MaxEncodedBytes {
+		return nil, fmt.Errorf("%w: encoded size %d exceeds %d bytes; use shorter member names", ErrInvalid, sealLen+len(body), MaxEncodedBytes)
 	}
 	out := append(make([]byte, 0, sealLen+len(body)), mark...)
 	out = binary.BigEndian.AppendUint64(out, xxhash.Sum64(body))
@@ -95,30 +95,30 @@
 // checks that the owners of a partition are distinct and as many as required; it does not check zones and
 // loads, so that a map made by the different rules of a later build can be followed. Errors are ErrInvalid.
 func Decode(raw []byte) (*Map, error) {
-	if len(raw) > MaxBytes || len(raw) < sealLen || string(raw[:len(mark)]) != mark {
-		return nil, fmt.Errorf("%w: wrong magic or size of %d bytes", ErrBad, len(raw))
+	if len(raw) > MaxEncodedBytes || len(raw) < sealLen || string(raw[:len(mark)]) != mark {
+		return nil, fmt.Errorf("%w: wrong magic or size of %d bytes", ErrInvalid, len(raw))
 	}
 	body := raw[sealLen:]
 	if binary.BigEndian.Uint64(raw[len(mark):]) != xxhash.Sum64(body) {
-		return nil, fmt.Errorf("%w: hash mismatch", ErrBad)
+		return nil, fmt.Errorf("%w: hash mismatch", ErrInvalid)
 	}
 	var c coded
 	if err := decoding.Unmarshal(body, &c); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrBad, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	m := &Map{Number: c.Number, Copies: c.Copies, Members: make([]Member, 0, len(c.Members))}
+	m := &Map{Number: c.Number, OwnersPerPartition: c.Copies, Members: make([]Member, 0, len(c.Members))}
 	for _, member := range c.Members {
 		if member.Zone < 0 || member.Zone >= len(c.Zones) {
-			return nil, fmt.Errorf("%w: member %.40q: zone index %d of %d zones", ErrBad, member.Name, member.Zone, len(c.Zones))
+			return nil, fmt.Errorf("%w: member %.40q: zone index %d of %d zones", ErrInvalid, member.Name, member.Zone, len(c.Zones))
 		}
 		m.Members = append(m.Members, Member{Name: member.Name, Zone: c.Zones[member.Zone], Weight: member.Weight})
 	}
-	if err := check(m.Number, m.Copies, m.Members); err != nil {
+	if err := check(m.Number, m.OwnersPerPartition, m.Members); err != nil {
 		return nil, err
 	}
-	wide, all := width(len(m.Members)), Partitions*m.per()
+	wide, all := width(len(m.Members)), PartitionCount*m.per()
 	if len(c.Owners) != (all*wide+7)/8 {
-		return nil, fmt.Errorf("%w: owners have %d bytes, want %d", ErrBad, len(c.Owners), (all*wide+7)/8)
+		return nil, fmt.Errorf("%w: owners have %d bytes, want %d", ErrInvalid, len(c.Owners), (all*wide+7)/8)
 	}
 	m.owners = make([]uint16, all)
 	at := 0
@@ -128,16 +128,16 @@
 			at++
 		}
 	}
-	for p := range Partitions {
+	for p := range PartitionCount {
 		owners := m.of(p)
 		for i, o := range owners {
 			if int(o) >= len(m.Members) || slices.Contains(owners[:i], o) {
-				return nil, fmt.Errorf("%w: an owner of partition %d is duplicate or not a member", ErrBad, p)
+				return nil, fmt.Errorf("%w: an owner of partition %d is duplicate or not a member", ErrInvalid, p)
 			}
 		}
 	}
 	if again, err := m.Encode(); err != nil || !bytes.Equal(again, raw) {
-		return nil, fmt.Errorf("%w: not in canonical encoding", ErrBad)
+		return nil, fmt.Errorf("%w: not in canonical encoding", ErrInvalid)
 	}
 	return m, nil
 }
