--- a/fleet/ownership/make.go
+++ b/fleet/ownership/make.go
@@ -16,9 +16,9 @@
 
 // Limits on input.
 const (
-	MaxCopies  = 5
-	MaxMembers = 4096 // beyond this, a member's fair share is 3 assignments and loads are no longer even
-	MaxName    = 200  // of a member's name or a zone
+	MaxOwners    = 5
+	MaxMembers   = 4096 // beyond this, a member's fair share is 3 assignments and loads are no longer even
+	MaxNameBytes = 200  // of a member's name or a zone
 )
 
 // Bounds of a member's load, as multiples of its fair share; one assignment is added to each because
@@ -33,7 +33,7 @@
 )
 
 // ErrInvalid says that no map can be made of the members, or that a map is invalid.
-var ErrBad = errors.New("invalid ownership map")
+var ErrInvalid = errors.New("invalid ownership map")
 
 // Make assigns owners to each partition: copies of them, or all members if there are fewer, in as many zones
 // as there are. It ranks the members for a partition by weighted rendezvous hashing and bounds the load of
@@ -47,11 +47,11 @@
 		return nil, err
 	}
 	if before != nil && before.Number >= number {
-		return nil, fmt.Errorf("%w: number %d is not above the previous map's number %d", ErrBad, number, before.Number)
+		return nil, fmt.Errorf("%w: number %d is not above the previous map's number %d", ErrInvalid, number, before.Number)
 	}
 	k := newMaker(copies, members)
 	came := k.keep(before)
-	for p := range Partitions {
+	for p := range PartitionCount {
 		for len(k.owners[p]) < k.per && k.offer(p, came) {
 		}
 	}
@@ -60,7 +60,7 @@
 			k.arrive(m, came)
 		}
 	}
-	for p := range Partitions { // only where zones are nearly full
+	for p := range PartitionCount { // only where zones are nearly full
 		for len(k.owners[p]) < k.per {
 			k.force(p, came)
 		}
@@ -68,7 +68,7 @@
 	for m := range members {
 		k.shed(m, came)
 	}
-	out := &Map{Number: number, Copies: copies, Members: members, owners: make([]uint16, 0, Partitions*k.per)}
+	out := &Map{Number: number, OwnersPerPartition: copies, Members: members, owners: make([]uint16, 0, PartitionCount*k.per)}
 	for p, owners := range k.owners {
 		slices.SortFunc(owners, func(a, b int) int { return k.compare(b, a, p) })
 		for _, o := range owners {
@@ -79,7 +79,7 @@
 }
 
 // CheckMembers validates the copies and members that a map is to be made of. Errors are ErrInvalid.
-func Check(copies int, members []Member) error { return check(1, copies, inOrder(members)) }
+func CheckMembers(copies int, members []Member) error { return check(1, copies, inOrder(members)) }
 
 func inOrder(members []Member) []Member {
 	return slices.SortedFunc(slices.Values(members), func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
@@ -89,29 +89,29 @@
 func check(number int64, copies int, members []Member) error {
 	switch {
 	case number < 1:
-		return fmt.Errorf("%w: number %d is below 1", ErrBad, number)
-	case copies < 1 || copies > MaxCopies:
-		return fmt.Errorf("%w: %d owners of each partition, must be 1 to %d", ErrBad, copies, MaxCopies)
+		return fmt.Errorf("%w: number %d is below 1", ErrInvalid, number)
+	case copies < 1 || copies > MaxOwners:
+		return fmt.Errorf("%w: %d owners of each partition, must be 1 to %d", ErrInvalid, copies, MaxOwners)
 	case len(members) == 0 || len(members) > MaxMembers:
-		return fmt.Errorf("%w: %d members, must be 1 to %d", ErrBad, len(members), MaxMembers)
+		return fmt.Errorf("%w: %d members, must be 1 to %d", ErrInvalid, len(members), MaxMembers)
 	}
 	for i, m := range members {
 		if err := errors.Join(checkName("name", m.Name), checkName("zone", m.Zone)); err != nil {
-			return fmt.Errorf("%w: member %.40q: %w", ErrBad, m.Name, err)
+			return fmt.Errorf("%w: member %.40q: %w", ErrInvalid, m.Name, err)
 		}
 		if !(m.Weight > 0) || math.IsInf(m.Weight, 0) {
-			return fmt.Errorf("%w: member %q: weight %v is not finite and above 0", ErrBad, m.Name, m.Weight)
+			return fmt.Errorf("%w: member %q: weight %v is not finite and above 0", ErrInvalid, m.Name, m.Weight)
 		}
 		if i > 0 && members[i-1].Name >= m.Name {
-			return fmt.Errorf("%w: member %q is duplicate or out of order", ErrBad, m.Name)
+			return fmt.Errorf("%w: member %q is duplicate or out of order", ErrInvalid, m.Name)
 		}
 	}
 	return nil
 }
 
 func checkName(what, s string) error {
-	if s == "" || len(s) > MaxName || strings.ContainsFunc(s, func(r rune) bool { return r == utf8.RuneError || unicode.IsSpace(r) || unicode.IsControl(r) }) {
-		return fmt.Errorf("%s %.40q: must be 1 to %d bytes without spaces and control characters", what, s, MaxName)
+	if s == "" || len(s) > MaxNameBytes || strings.ContainsFunc(s, func(r rune) bool { return r == utf8.RuneError || unicode.IsSpace(r) || unicode.IsControl(r) }) {
+		return fmt.Errorf("%s %.40q: must be 1 to %d bytes without spaces and control characters", what, s, MaxNameBytes)
 	}
 	return nil
 }
@@ -157,16 +157,16 @@
 		for _, i := range of[z] {
 			zw[z] += w[i]
 		}
-		hi[z] = Partitions
+		hi[z] = PartitionCount
 		if zones < per {
-			lo[z], hi[z] = Partitions, Partitions*float64(len(of[z]))
+			lo[z], hi[z] = PartitionCount, PartitionCount*float64(len(of[z]))
 		}
 	}
 	out := make([]float64, len(members))
-	for z, share := range divide(Partitions*float64(per), zw, lo, hi) {
+	for z, share := range divide(PartitionCount*float64(per), zw, lo, hi) {
 		mw, lo, hi := make([]float64, len(of[z])), make([]float64, len(of[z])), make([]float64, len(of[z]))
 		for j, i := range of[z] {
-			mw[j], hi[j] = w[i], Partitions
+			mw[j], hi[j] = w[i], PartitionCount
 		}
 		for j, v := range divide(share, mw, lo, hi) {
 			out[of[z][j]] = v
@@ -250,10 +250,10 @@
 	}
 	for _, s := range k.share {
 		k.even = append(k.even, int(s))
-		k.fill = append(k.fill, min(int(fillTo*s+1), Partitions))
-		k.bound = append(k.bound, min(int(keepTo*s+1), Partitions))
+		k.fill = append(k.fill, min(int(fillTo*s+1), PartitionCount))
+		k.bound = append(k.bound, min(int(keepTo*s+1), PartitionCount))
 	}
-	k.owners = make([][]int, Partitions)
+	k.owners = make([][]int, PartitionCount)
 	k.held, k.load, k.scores = make([]Set, len(members)), make([]int, len(members)), make([]float64, len(members))
 	return k
 }
@@ -290,7 +290,7 @@
 // (-1: none).
 func (k *maker) zonesBut(p, without, with int) int {
 	n := 0
-	var seen [MaxCopies + 1]int
+	var seen [MaxOwners + 1]int
 	count := func(m int) {
 		if !slices.Contains(seen[:n], k.zone[m]) {
 			seen[n] = k.zone[m]
@@ -339,7 +339,7 @@
 			now[i] = m
 		}
 	}
-	for p := range Partitions {
+	for p := range PartitionCount {
 		for _, o := range before.of(p) {
 			if now[o] >= 0 {
 				k.give(p, now[o])
@@ -426,7 +426,7 @@
 		by      float64
 	}
 	var parts []part
-	for p := range Partitions {
+	for p := range PartitionCount {
 		if k.held[m].Has(p) {
 			continue
 		}
@@ -474,7 +474,7 @@
 			}
 		}
 	}
-	for i := 0; k.load[m] > k.bound[m] && i < Partitions && k.chain(-1, m); i++ {
+	for i := 0; k.load[m] > k.bound[m] && i < PartitionCount && k.chain(-1, m); i++ {
 	}
 }
 
--- a/fleet/ownership/ownership.go
+++ b/fleet/ownership/ownership.go
@@ -19,22 +19,22 @@
 // PartitionCount can't be changed: with another value every destination would fall into another partition.
 // With 820 nodes and 3 owners a node has about 15 of 12,288 assignments, enough to keep loads even within a
 // few assignments, and a map still fits into a record of the directory.
-const Partitions = 4096
+const PartitionCount = 4096
 
 // RecordName is the name of the directory record whose value is the newest map, encoded by Encode.
-const Record = "ownership.map"
+const RecordName = "ownership.map"
 
 // PartitionOf returns the partition of a destination. It hashes the number in decimal, so that programs in
 // any language can compute it.
 func PartitionOf(dest int) int {
-	return int(xxhash.Sum64String(strconv.Itoa(dest)) % Partitions)
+	return int(xxhash.Sum64String(strconv.Itoa(dest)) % PartitionCount)
 }
 
 // Set is a set of partitions. It is comparable; the zero value is empty.
-type Set [Partitions / 64]uint64
+type Set [PartitionCount / 64]uint64
 
 // Has reports whether p is in the set; false if p is not a partition.
-func (s Set) Has(p int) bool { return p >= 0 && p < Partitions && s[p/64]&(1<<(p%64)) != 0 }
+func (s Set) Has(p int) bool { return p >= 0 && p < PartitionCount && s[p/64]&(1<<(p%64)) != 0 }
 
 // Add adds a partition, 0 to PartitionCount-1; it panics on any other number.
 func (s *Set) Add(p int) { s[p/64] |= 1 << (p % 64) }
@@ -83,7 +83,7 @@
 // "" for the empty set.
 func (s Set) String() string {
 	var b strings.Builder
-	for p := 0; p < Partitions; p++ {
+	for p := 0; p < PartitionCount; p++ {
 		if !s.Has(p) {
 			continue
 		}
@@ -119,8 +119,8 @@
 		}
 		a, err := strconv.ParseUint(from, 10, 16)
 		b, err2 := strconv.ParseUint(to, 10, 16)
-		if err != nil || err2 != nil || a > b || b >= Partitions {
-			return Set{}, fmt.Errorf("%w: %.40q: must be numbers from 0 to %d or ranges of them", errSet, part, Partitions-1)
+		if err != nil || err2 != nil || a > b || b >= PartitionCount {
+			return Set{}, fmt.Errorf("%w: %.40q: must be numbers from 0 to %d or ranges of them", errSet, part, PartitionCount-1)
 		}
 		for p := a; p <= b; p++ {
 			s.Add(int(p))
@@ -141,15 +141,15 @@
 
 // Map says which members own which partitions. It is immutable and may be read concurrently.
 type Map struct {
-	Number  int64    // unique; the larger number is the newer map
-	Copies  int      // or all members if there are fewer; 1 to 5
-	Members []Member // sorted by name
+	Number             int64    // unique; the larger number is the newer map
+	OwnersPerPartition int      // or all members if there are fewer; 1 to 5
+	Members            []Member // sorted by name
 
 	owners []uint16 // ownersEach() of each partition, in order of preference: indexes into Members
 }
 
 // ownersEach returns the number of owners of each partition.
-func (m *Map) per() int { return min(m.Copies, len(m.Members)) }
+func (m *Map) per() int { return min(m.OwnersPerPartition, len(m.Members)) }
 
 func (m *Map) of(p int) []uint16 {
 	n := m.per()
@@ -158,7 +158,7 @@
 
 // Owners returns the names of a partition's owners in order of preference; nil if p is not a partition.
 func (m *Map) Owners(p int) []string {
-	if p < 0 || p >= Partitions {
+	if p < 0 || p >= PartitionCount {
 		return nil
 	}
 	var names []string
@@ -174,7 +174,7 @@
 }
 
 // PartitionsOf returns the partitions that a member owns; false if it is not in the map.
-func (m *Map) Of(member string) (Set, bool) {
+func (m *Map) PartitionsOf(member string) (Set, bool) {
 	var s Set
 	at, ok := m.find(member)
 	if !ok {
@@ -200,47 +200,47 @@
 
 // FairShares returns the members' fair shares in assignments, in the order of Members: proportional to
 // weight, as far as the owners of a partition can be distinct and in different zones.
-func (m *Map) Shares() []float64 { return shares(m.Members, m.per()) }
+func (m *Map) FairShares() []float64 { return shares(m.Members, m.per()) }
 
 // Change describes the difference between two maps.
 type Change struct {
-	Parts   int      `json:"parts"`   // of the later map: partitions times owners of each
-	Moved   int      `json:"moved"`   // assignments whose owner did not have that partition before
-	Bare    int      `json:"bare"`    // partitions that keep none of their owners
-	Members int      `json:"members"` // number of members of the earlier map; 0: there was none
-	Came    []string `json:"came"`    // sorted
-	Gone    []string `json:"gone"`
-	Most    int      `json:"most"`    // highest load of a member of the later map
-	MostOf  string   `json:"most_of"` // the member with that load
+	Assignments   int      `json:"parts"`   // of the later map: partitions times owners of each
+	Moved         int      `json:"moved"`   // assignments whose owner did not have that partition before
+	NoOwnerKept   int      `json:"bare"`    // partitions that keep none of their owners
+	MembersBefore int      `json:"members"` // number of members of the earlier map; 0: there was none
+	Added         []string `json:"came"`    // sorted
+	Removed       []string `json:"gone"`
+	MaxLoad       int      `json:"most"`    // highest load of a member of the later map
+	MaxLoadMember string   `json:"most_of"` // the member with that load
 }
 
 // Diff returns the change from a to b. a may be nil; then all of b is new.
 func Diff(a, b *Map) Change {
-	c := Change{Parts: len(b.owners), Came: []string{}, Gone: []string{}}
+	c := Change{Assignments: len(b.owners), Added: []string{}, Removed: []string{}}
 	for i, n := range b.Loads() {
-		if n > c.Most {
-			c.Most, c.MostOf = n, b.Members[i].Name
+		if n > c.MaxLoad {
+			c.MaxLoad, c.MaxLoadMember = n, b.Members[i].Name
 		}
 	}
 	if a == nil {
 		a = &Map{}
 	}
-	c.Members = len(a.Members)
+	c.MembersBefore = len(a.Members)
 	at := make([]int, len(b.Members)) // index of each member of b in a; -1: not in a
 	for i, m := range b.Members {
 		j, ok := a.find(m.Name)
 		if !ok {
 			j = -1
-			c.Came = append(c.Came, m.Name)
+			c.Added = append(c.Added, m.Name)
 		}
 		at[i] = j
 	}
 	for _, m := range a.Members {
 		if _, ok := b.find(m.Name); !ok {
-			c.Gone = append(c.Gone, m.Name)
+			c.Removed = append(c.Removed, m.Name)
 		}
 	}
-	for p := range Partitions {
+	for p := range PartitionCount {
 		stay := 0
 		for _, o := range b.of(p) {
 			if at[o] >= 0 && slices.Contains(a.of(p), uint16(at[o])) {
@@ -250,26 +250,26 @@
 			}
 		}
 		if stay == 0 {
-			c.Bare++
+			c.NoOwnerKept++
 		}
 	}
 	return c
 }
 
 // ErrLargeChange says that a change is too large to be made without confirmation.
-var ErrLarge = errors.New("change too large without confirmation")
+var ErrLargeChange = errors.New("change too large without confirmation")
 
 // CheckSize refuses, with ErrLargeChange, a change that is more likely a mistake than intended: more than
 // half of the members removed, or more than half of all assignments moved. A fleet that doubles just passes.
 // The first map always passes.
-func (c Change) Guard() error {
+func (c Change) CheckSize() error {
 	switch {
-	case c.Members == 0:
+	case c.MembersBefore == 0:
 		return nil
-	case 2*len(c.Gone) > c.Members:
-		return fmt.Errorf("%w: %d of %d members would be removed", ErrLarge, len(c.Gone), c.Members)
-	case 2*c.Moved > c.Parts:
-		return fmt.Errorf("%w: %d of %d assignments would move", ErrLarge, c.Moved, c.Parts)
+	case 2*len(c.Removed) > c.MembersBefore:
+		return fmt.Errorf("%w: %d of %d members would be removed", ErrLargeChange, len(c.Removed), c.MembersBefore)
+	case 2*c.Moved > c.Assignments:
+		return fmt.Errorf("%w: %d of %d assignments would move", ErrLargeChange, c.Moved, c.Assignments)
 	}
 	return nil
 }
--- a/fleet/ownership/ownership_test.go
+++ b/fleet/ownership/ownership_test.go
@@ -33,7 +33,7 @@
 // fair shares itself.
 func audit(before, after *Map) error {
 	all := after.Members
-	per := min(after.Copies, len(all))
+	per := min(after.OwnersPerPartition, len(all))
 	zoneNumber := map[string]int{}
 	zone := make([]int, len(all))
 	for i, m := range all {
@@ -53,7 +53,7 @@
 		return len(in)
 	}
 	load := make([]int, len(all))
-	at := make([][]int, Partitions)
+	at := make([][]int, PartitionCount)
 	for p := range at {
 		for _, o := range after.of(p) {
 			if int(o) >= len(all) || slices.Contains(at[p], int(o)) {
@@ -67,7 +67,7 @@
 		}
 	}
 	bound := make([]int, len(all))
-	for i, share := range after.Shares() {
+	for i, share := range after.FairShares() {
 		bound[i] = int(1.15*share + 1)
 		if load[i] > bound[i] {
 			return fmt.Errorf("%s has %d assignments, its share is %.2f and its bound %d", all[i].Name, load[i], share, bound[i])
@@ -160,14 +160,14 @@
 func TestMaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
-		copies := rapid.IntRange(1, MaxCopies).Draw(t, "copies")
+		copies := rapid.IntRange(1, MaxOwners).Draw(t, "copies")
 		var before, m *Map
 		next := 0
 		for i := range rapid.IntRange(1, 4).Draw(t, "maps") {
 			if i > 0 {
 				members = changed(t, members, &next)
 				if rapid.IntRange(0, 9).Draw(t, "other copies") == 0 {
-					copies = rapid.IntRange(1, MaxCopies).Draw(t, "copies")
+					copies = rapid.IntRange(1, MaxOwners).Draw(t, "copies")
 				}
 			}
 			var err error
@@ -212,13 +212,13 @@
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
-		copies := rapid.IntRange(1, MaxCopies).Draw(t, "copies")
+		copies := rapid.IntRange(1, MaxOwners).Draw(t, "copies")
 		per := min(copies, len(members))
 		all := shares(members, per)
 		sum := 0.0
 		for i, s := range all {
 			sum += s
-			if !(s >= 0) || s > Partitions {
+			if !(s >= 0) || s > PartitionCount {
 				t.Fatalf("member %d has a share of %v", i, s)
 			}
 			for j, o := range all {
@@ -227,8 +227,8 @@
 				}
 			}
 		}
-		if math.Abs(sum-float64(Partitions*per)) > 1e-3 {
-			t.Fatalf("the shares sum to %v, want %d", sum, Partitions*per)
+		if math.Abs(sum-float64(PartitionCount*per)) > 1e-3 {
+			t.Fatalf("the shares sum to %v, want %d", sum, PartitionCount*per)
 		}
 	})
 	for _, c := range []struct {
@@ -325,7 +325,7 @@
 // movedBetweenStaying counts the assignments that went to a member of the earlier map.
 func between(a, b *Map) int {
 	n := 0
-	for p := range Partitions {
+	for p := range PartitionCount {
 		then := a.Owners(p)
 		for _, o := range b.Owners(p) {
 			if _, there := a.find(o); there && !slices.Contains(then, o) {
@@ -346,16 +346,16 @@
 	for range 12 { // one leaves: only its own assignments move
 		i := rng.IntN(len(members))
 		m := must(t, 2, slices.Delete(slices.Clone(members), i, i+1), first)
-		if c := Diff(first, m); c.Moved != loads[i] || c.Bare != 0 {
-			t.Errorf("%s owned %d partitions and leaves: %d assignments move, %d partitions keep no owner", members[i].Name, loads[i], c.Moved, c.Bare)
+		if c := Diff(first, m); c.Moved != loads[i] || c.NoOwnerKept != 0 {
+			t.Errorf("%s owned %d partitions and leaves: %d assignments move, %d partitions keep no owner", members[i].Name, loads[i], c.Moved, c.NoOwnerKept)
 		}
 	}
 	for i := range 12 { // one joins: it is given its fair share, and nothing moves between others
 		came := Member{Name: fmt.Sprint("new", i), Zone: fmt.Sprint("z", i%6), Weight: 1}
 		m := must(t, 2, append(slices.Clone(members), came), first)
 		c := Diff(first, m)
-		own, _ := m.Of(came.Name)
-		if n := between(first, m); n != 0 || c.Moved != own.Len() || c.Moved < 12 || c.Moved > 15 || c.Bare != 0 {
+		own, _ := m.PartitionsOf(came.Name)
+		if n := between(first, m); n != 0 || c.Moved != own.Len() || c.Moved < 12 || c.Moved > 15 || c.NoOwnerKept != 0 {
 			t.Errorf("%s joins, its share is 14.97: %d assignments move, %d of them between others", came.Name, c.Moved, n)
 		}
 	}
@@ -378,8 +378,8 @@
 	}
 	less := must(t, 2, gone, first)
 	c := Diff(first, less)
-	if c.Moved != owned || c.Bare != 0 {
-		t.Errorf("a zone of %d assignments leaves: %d move, %d partitions keep no owner", owned, c.Moved, c.Bare)
+	if c.Moved != owned || c.NoOwnerKept != 0 {
+		t.Errorf("a zone of %d assignments leaves: %d move, %d partitions keep no owner", owned, c.Moved, c.NoOwnerKept)
 	}
 	back := must(t, 3, members, less)
 	c2 := Diff(less, back)
@@ -407,7 +407,7 @@
 		}
 		m := must(t, int64(i+2), next, before)
 		moved += Diff(before, m).Moved
-		owned += Partitions * 3 / len(next)
+		owned += PartitionCount * 3 / len(next)
 		before, members = m, next
 	}
 	loads := before.Loads()
@@ -428,15 +428,15 @@
 			t.Fatal(err)
 		}
 		t.Logf("%d members with names of %d bytes: %d bytes", c.members, c.name, len(raw))
-		if len(raw) > MaxBytes {
-			t.Errorf("%d bytes, limit %d", len(raw), MaxBytes)
+		if len(raw) > MaxEncodedBytes {
+			t.Errorf("%d bytes, limit %d", len(raw), MaxEncodedBytes)
 		}
 	}
 	var all []Member
 	for i := range 500 {
 		all = append(all, Member{Name: fmt.Sprintf("%0200d", i), Zone: "z", Weight: 1})
 	}
-	if _, err := must(t, 1, all, nil).Encode(); !errors.Is(err, ErrBad) {
+	if _, err := must(t, 1, all, nil).Encode(); !errors.Is(err, ErrInvalid) {
 		t.Errorf("500 names of 200 bytes: %v", err)
 	}
 }
@@ -471,7 +471,7 @@
 		"weight infinite":  {6, 3, []Member{{Name: "a", Zone: "z", Weight: math.Inf(1)}}, nil},
 		"too many members": {6, 3, fleet(MaxMembers+1, 3), nil},
 	} {
-		if _, err := Make(c.number, c.copies, c.members, c.before); !errors.Is(err, ErrBad) {
+		if _, err := Make(c.number, c.copies, c.members, c.before); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -489,18 +489,18 @@
 		t.Fatal(err)
 	}
 	for n := range len(raw) {
-		if _, err := Decode(raw[:n]); !errors.Is(err, ErrBad) {
+		if _, err := Decode(raw[:n]); !errors.Is(err, ErrInvalid) {
 			t.Fatalf("truncated to %d bytes: %v", n, err)
 		}
 	}
 	for bit := range len(raw) * 8 {
 		raw[bit/8] ^= 1 << (bit % 8)
-		if _, err := Decode(raw); !errors.Is(err, ErrBad) {
+		if _, err := Decode(raw); !errors.Is(err, ErrInvalid) {
 			t.Fatalf("bit %d: %v", bit, err)
 		}
 		raw[bit/8] ^= 1 << (bit % 8)
 	}
-	if _, err := Decode(append(slices.Clone(raw), 0)); !errors.Is(err, ErrBad) {
+	if _, err := Decode(append(slices.Clone(raw), 0)); !errors.Is(err, ErrInvalid) {
 		t.Fatalf("one byte more: %v", err)
 	}
 	// Correct magic and hash, but not a valid map.
@@ -536,15 +536,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Decode(sealed(body)); !errors.Is(err, ErrBad) {
+		if _, err := Decode(sealed(body)); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	for name, body := range map[string][]byte{
 		"empty": {}, "an array that does not end": {0x9f}, "a number": {0x01}, "a long array": {0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
-		"bytes after it": append(slices.Clone(raw[sealLen:]), 0xf6), "too large": bytes.Repeat([]byte{0}, MaxBytes+1),
+		"bytes after it": append(slices.Clone(raw[sealLen:]), 0xf6), "too large": bytes.Repeat([]byte{0}, MaxEncodedBytes+1),
 	} {
-		if _, err := Decode(sealed(body)); !errors.Is(err, ErrBad) {
+		if _, err := Decode(sealed(body)); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -569,7 +569,7 @@
 		}
 		m, err := Decode(sealed(body)) // with a valid hash, which would stop nearly all inputs
 		if err != nil {
-			if !errors.Is(err, ErrBad) {
+			if !errors.Is(err, ErrInvalid) {
 				t.Fatal(err)
 			}
 			return
@@ -577,8 +577,8 @@
 		if raw, err := m.Encode(); err != nil || !bytes.Equal(raw, sealed(body)) {
 			t.Fatalf("the map encodes differently: %v", err)
 		}
-		for p := range Partitions {
-			if n := len(m.Owners(p)); n != min(m.Copies, len(m.Members)) {
+		for p := range PartitionCount {
+			if n := len(m.Owners(p)); n != min(m.OwnersPerPartition, len(m.Members)) {
 				t.Fatalf("partition %d has %d owners", p, n)
 			}
 		}
@@ -590,8 +590,8 @@
 		want := map[int]bool{}
 		var s Set
 		for range rapid.IntRange(0, 40).Draw(t, "runs") {
-			from := rapid.IntRange(0, Partitions-1).Draw(t, "from")
-			for p := from; p < min(from+rapid.IntRange(1, 70).Draw(t, "run"), Partitions); p++ {
+			from := rapid.IntRange(0, PartitionCount-1).Draw(t, "from")
+			for p := from; p < min(from+rapid.IntRange(1, 70).Draw(t, "run"), PartitionCount); p++ {
 				want[p] = true
 				s.Add(p)
 			}
@@ -599,7 +599,7 @@
 		if all := slices.Collect(s.All()); s.Len() != len(want) || !slices.Equal(all, slices.Sorted(maps.Keys(want))) {
 			t.Fatalf("%v holds %v", want, all)
 		}
-		for p := -2; p < Partitions+2; p++ {
+		for p := -2; p < PartitionCount+2; p++ {
 			if s.Has(p) != want[p] {
 				t.Fatalf("has %d: %v", p, s.Has(p))
 			}
@@ -647,7 +647,7 @@
 
 // The partition of a destination is a format that other programs may compute, so it must never change.
 func TestPartitionOf(t *testing.T) {
-	seen := make([]int, Partitions)
+	seen := make([]int, PartitionCount)
 	for d := range 380_000 {
 		p := PartitionOf(d)
 		if want := int(xxhash.Sum64([]byte(fmt.Sprint(d))) % 4096); p != want {
@@ -669,38 +669,38 @@
 
 func TestDiff(t *testing.T) {
 	a := must(t, 1, fleet(10, 3), nil)
-	if c := Diff(nil, a); c.Moved != c.Parts || c.Parts != 3*Partitions || c.Bare != Partitions || len(c.Came) != 10 || c.Guard() != nil {
-		t.Errorf("the first map: %+v, %v", c, c.Guard())
+	if c := Diff(nil, a); c.Moved != c.Assignments || c.Assignments != 3*PartitionCount || c.NoOwnerKept != PartitionCount || len(c.Added) != 10 || c.CheckSize() != nil {
+		t.Errorf("the first map: %+v, %v", c, c.CheckSize())
 	}
-	if c := Diff(a, a); c.Moved != 0 || c.Bare != 0 || len(c.Came)+len(c.Gone) != 0 || c.Most != slices.Max(a.Loads()) || c.Guard() != nil {
+	if c := Diff(a, a); c.Moved != 0 || c.NoOwnerKept != 0 || len(c.Added)+len(c.Removed) != 0 || c.MaxLoad != slices.Max(a.Loads()) || c.CheckSize() != nil {
 		t.Errorf("no change: %+v", c)
 	}
 	for _, left := range []int{9, 5, 4, 1} {
 		c := Diff(a, must(t, 2, fleet(left, 3), a))
-		err := c.Guard()
-		if len(c.Gone) != 10-left || (left == 9 && err != nil) || (left < 5 && !errors.Is(err, ErrLarge)) {
+		err := c.CheckSize()
+		if len(c.Removed) != 10-left || (left == 9 && err != nil) || (left < 5 && !errors.Is(err, ErrLargeChange)) {
 			t.Errorf("%d of 10 left: %+v, %v", left, c, err)
 		}
 	}
 	b := must(t, 2, append([]Member{{Name: "b", Zone: "z0", Weight: 1}}, fleet(10, 3)[1:]...), a)
-	if c := Diff(a, b); !slices.Equal(c.Came, []string{"b"}) || !slices.Equal(c.Gone, []string{"n0000"}) {
+	if c := Diff(a, b); !slices.Equal(c.Added, []string{"b"}) || !slices.Equal(c.Removed, []string{"n0000"}) {
 		t.Errorf("one for another: %+v", c)
 	}
-	if _, ok := b.Of("n0000"); ok {
+	if _, ok := b.PartitionsOf("n0000"); ok {
 		t.Error("a member that left is in the map")
 	}
 	for i, m := range b.Members {
-		own, ok := b.Of(m.Name)
+		own, ok := b.PartitionsOf(m.Name)
 		if !ok || own.Len() != b.Loads()[i] {
 			t.Errorf("%s owns %d partitions, want %d", m.Name, own.Len(), b.Loads()[i])
 		}
-		for p := range Partitions {
+		for p := range PartitionCount {
 			if own.Has(p) != slices.Contains(b.Owners(p), m.Name) {
 				t.Fatalf("%s and partition %d: %v", m.Name, p, own.Has(p))
 			}
 		}
 	}
-	if b.Owners(-1) != nil || b.Owners(Partitions) != nil {
+	if b.Owners(-1) != nil || b.Owners(PartitionCount) != nil {
 		t.Error("an invalid partition has owners")
 	}
 }
@@ -735,7 +735,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Of("n0400")
+		m.PartitionsOf("n0400")
 	}
 }
 
--- a/fleet/partner/formats_test.go
+++ b/fleet/partner/formats_test.go
@@ -8,5 +8,5 @@
 )
 
 func TestTroubleNames(t *testing.T) {
-	golden.Check(t, "troubles.txt", fmt.Appendln(nil, Slow, Lossy, Failing, Shut, Silent, Down))
+	golden.Check(t, "troubles.txt", fmt.Appendln(nil, Slow, Lossy, Failing, Rejecting, Silent, Down))
 }
--- a/fleet/partner/partner.go
+++ b/fleet/partner/partner.go
@@ -21,37 +21,37 @@
 // Limit is the rate limit that a partner applies to all senders together.
 type Limit struct {
 	PerSecond     float64       // calls a second; 0: limited by capacity only
-	Span          time.Duration // count calls in fixed windows of this length; 0: a token bucket
+	Window        time.Duration // count calls in fixed windows of this length; 0: a token bucket
 	Burst         time.Duration // of a token bucket: the bucket holds the calls of this time, at least one call
 	CountsRefused bool          // refused calls count against the limit as well
 }
 
 // Config is the behavior of a partner. A zero share or variation disables that behavior.
 type Config struct {
-	Endpoints int // at the start, at least 1
-	Workers   int // of each endpoint: calls served at once, at least 1
-	Queue     int // of each endpoint: maximum number of calls that wait for a worker
-	Conns     int // of each endpoint: maximum number of connections, idle ones included; 0: unlimited
-	Batch     int // maximum number of messages in a call; 0 and 1: no batches
+	Endpoints   int // at the start, at least 1
+	Workers     int // of each endpoint: calls served at once, at least 1
+	QueueLength int // of each endpoint: maximum number of calls that wait for a worker
+	MaxConns    int // of each endpoint: maximum number of connections, idle ones included; 0: unlimited
+	MaxBatch    int // maximum number of messages in a call; 0 and 1: no batches
 
-	Pace     time.Duration // mean time to serve a call of one message
-	Spread   float64       // coefficient of variation of the service time
-	ItemCost float64       // cost of each further message in a call, as a share of the first one's
+	ServiceTime          time.Duration // mean time to serve a call of one message
+	ServiceTimeVariation float64       // coefficient of variation of the service time
+	ExtraItemCost        float64       // cost of each further message in a call, as a share of the first one's
 
-	Limit     Limit
-	TellsWait float64          // share of the calls refused above the limit or while rejecting whose refusal tells how long to wait
-	Wait      [2]time.Duration // range of the waits that a token bucket tells
-	Window    time.Duration    // a repeat under the same key is dropped for this long
+	Limit           Limit
+	RetryAfterShare float64          // share of the calls refused above the limit or while rejecting whose refusal tells how long to wait
+	RetryAfterRange [2]time.Duration // range of the waits that a token bucket tells
+	DedupWindow     time.Duration    // a repeat under the same key is dropped for this long
 
-	Faults float64 // share of messages that end as an error
-	Defers float64 // share of messages in batches that are deferred without having run
-	Lost   float64 // share of calls that run and whose answer is lost
-	Spoilt float64 // share of calls that run and whose answer can't be parsed
+	ErrorShare            float64 // share of messages that end as an error
+	DeferShare            float64 // share of messages in batches that are deferred without having run
+	LostAnswerShare       float64 // share of calls that run and whose answer is lost
+	UnreadableAnswerShare float64 // share of calls that run and whose answer can't be parsed
 
-	ColdFrom     float64       // share of its capacity right after an outage, above 0
-	WarmWithin   time.Duration // time until it has its full capacity again
-	FallMultiple float64       // a partner in slow start that is sent more than this multiple of its current capacity
-	Fall         time.Duration // within any period of this length collapses; 0: it never does
+	SlowStartFrom     float64       // share of its capacity right after an outage, above 0
+	SlowStartDuration time.Duration // time until it has its full capacity again
+	CollapseMultiple  float64       // a partner in slow start that is sent more than this multiple of its current capacity
+	CollapseSpan      time.Duration // within any period of this length collapses; 0: it never does
 }
 
 // Check validates the Config.
@@ -59,7 +59,7 @@
 	for _, share := range []struct {
 		name string
 		v    float64
-	}{{"tells_wait", c.TellsWait}, {"faults", c.Faults}, {"defers", c.Defers}, {"lost", c.Lost}, {"spoilt", c.Spoilt}} {
+	}{{"tells_wait", c.RetryAfterShare}, {"faults", c.ErrorShare}, {"defers", c.DeferShare}, {"lost", c.LostAnswerShare}, {"spoilt", c.UnreadableAnswerShare}} {
 		if !(share.v >= 0 && share.v <= 1) {
 			return fmt.Errorf("%s must be a share from 0 to 1, is %v", share.name, share.v)
 		}
@@ -67,64 +67,64 @@
 	switch {
 	case c.Endpoints < 1 || c.Workers < 1:
 		return fmt.Errorf("a partner needs at least one endpoint and one worker, has %d and %d", c.Endpoints, c.Workers)
-	case c.Pace <= 0:
-		return fmt.Errorf("pace must be above 0, is %v", c.Pace)
-	case c.Queue < 0 || c.Conns < 0 || c.Spread < 0 || c.ItemCost < 0 || c.Limit.PerSecond < 0 || c.Limit.Span < 0 || c.Limit.Burst < 0:
+	case c.ServiceTime <= 0:
+		return fmt.Errorf("pace must be above 0, is %v", c.ServiceTime)
+	case c.QueueLength < 0 || c.MaxConns < 0 || c.ServiceTimeVariation < 0 || c.ExtraItemCost < 0 || c.Limit.PerSecond < 0 || c.Limit.Window < 0 || c.Limit.Burst < 0:
 		return fmt.Errorf("a count, spread, cost or limit is below 0")
-	case c.Wait[0] < 0 || c.Wait[1] < c.Wait[0]:
-		return fmt.Errorf("wait %v is not a range from 0 upwards", c.Wait)
-	case c.Fall > 0 && !(c.ColdFrom > 0 && c.ColdFrom <= 1):
-		return fmt.Errorf("cold_from must be above 0 and at most 1, is %v", c.ColdFrom)
+	case c.RetryAfterRange[0] < 0 || c.RetryAfterRange[1] < c.RetryAfterRange[0]:
+		return fmt.Errorf("wait %v is not a range from 0 upwards", c.RetryAfterRange)
+	case c.CollapseSpan > 0 && !(c.SlowStartFrom > 0 && c.SlowStartFrom <= 1):
+		return fmt.Errorf("cold_from must be above 0 and at most 1, is %v", c.SlowStartFrom)
 	}
 	return nil
 }
 
 // Capacity returns the calls of one message that all endpoints serve in a second at full capacity.
 func (c Config) Capacity() float64 {
-	return float64(c.Endpoints*c.Workers) / c.Pace.Seconds()
+	return float64(c.Endpoints*c.Workers) / c.ServiceTime.Seconds()
 }
 
 // FaultKind is what a fault does to an endpoint.
-type Trouble uint8
+type FaultKind uint8
 
 // All but Slow and Lossy are outages: the endpoint is in slow start when they end.
 const (
-	Slow    Trouble = iota // serves Size times slower
-	Lossy                  // loses the share Size of its answers
-	Failing                // answers the share Size with an error
-	Shut                   // refuses all calls, and may tell until when
-	Silent                 // accepts calls, runs the share Size of their messages, and answers none
-	Down                   // its connections are reset, and new ones refused
+	Slow      FaultKind = iota // serves Size times slower
+	Lossy                      // loses the share Size of its answers
+	Failing                    // answers the share Size with an error
+	Rejecting                  // refuses all calls, and may tell until when
+	Silent                     // accepts calls, runs the share Size of their messages, and answers none
+	Down                       // its connections are reset, and new ones refused
 )
 
-var troubles = [...]string{Slow: "slow", Lossy: "lossy", Failing: "failing", Shut: "shut", Silent: "silent", Down: "down"}
+var troubles = [...]string{Slow: "slow", Lossy: "lossy", Failing: "failing", Rejecting: "shut", Silent: "silent", Down: "down"}
 
-func (t Trouble) String() string { return troubles[t] }
+func (t FaultKind) String() string { return troubles[t] }
 
 // ParseFaultKind parses the name of a FaultKind.
-func ParseTrouble(name string) (Trouble, bool) {
+func ParseFaultKind(name string) (FaultKind, bool) {
 	i := slices.Index(troubles[:], name)
-	return Trouble(max(i, 0)), i >= 0
+	return FaultKind(max(i, 0)), i >= 0
 }
 
 // Event is an input of a partner.
 type Event interface{ event() }
 
 // ConnOpened says that a sender opened a connection. Conn is its number and is never reused.
-type Opened struct {
+type ConnOpened struct {
 	Conn     uint64
 	Endpoint int
 }
 
 // ConnClosed says that a connection ended. Calls being served on it continue; their answers are lost.
-type Closed struct{ Conn uint64 }
+type ConnClosed struct{ Conn uint64 }
 
 // Item is a message in a call.
 type Item struct{ ID, Key string }
 
 // CallReceived is a call whose last byte has arrived. Call is its number and is never reused. A call without
 // items is a probe.
-type Called struct {
+type CallReceived struct {
 	Call, Conn uint64
 	Endpoint   int
 	Sender     int
@@ -132,55 +132,55 @@
 }
 
 // FaultStarted starts a fault, which lasts until Until, or forever if that is 0. Faults may overlap.
-type Troubled struct {
+type FaultStarted struct {
 	Endpoint int // -1: all present endpoints
-	What     Trouble
+	Kind     FaultKind
 	Size     float64
 	Until    time.Duration
 }
 
 // EndpointAdded brings an endpoint into service; endpoints are numbered in the order in which they are added.
-type Added struct{}
+type EndpointAdded struct{}
 
 // LimitChanged sets the rate limit to a share of the configured one.
-type Limited struct{ Share float64 }
+type LimitChanged struct{ Share float64 }
 
 // Tick says only that time has passed.
 type Tick struct{}
 
-func (Opened) event()   {}
-func (Closed) event()   {}
-func (Called) event()   {}
-func (Troubled) event() {}
-func (Added) event()    {}
-func (Limited) event()  {}
-func (Tick) event()     {}
+func (ConnOpened) event()    {}
+func (ConnClosed) event()    {}
+func (CallReceived) event()  {}
+func (FaultStarted) event()  {}
+func (EndpointAdded) event() {}
+func (LimitChanged) event()  {}
+func (Tick) event()          {}
 
 // Status is how a call was answered.
 type Status uint8
 
 // Only the statuses up to TooManyConns prove that nothing has run.
 const (
-	AboveLimit   Status = iota // above the rate limit, with a retry-after or without
-	TurnedAway                 // the partner refuses all calls, see Rejecting
-	Full                       // the endpoint's queue is full
-	Crowded                    // the endpoint has too many connections
-	Delivered                  // with an outcome for each message
-	Errored                    // the call as a whole failed
-	LostAnswer                 // the messages ran, and the connection was reset before the answer
-	SpoiltAnswer               // the messages ran, and the answer can't be parsed
+	AboveLimit       Status = iota // above the rate limit, with a retry-after or without
+	Rejected                       // the partner refuses all calls, see Rejecting
+	QueueFull                      // the endpoint's queue is full
+	TooManyConns                   // the endpoint has too many connections
+	Served                         // with an outcome for each message
+	Errored                        // the call as a whole failed
+	AnswerLost                     // the messages ran, and the connection was reset before the answer
+	AnswerUnreadable               // the messages ran, and the answer can't be parsed
 )
 
 // Refused reports that nothing of the call has run.
-func (s Status) Refused() bool { return s <= Crowded }
+func (s Status) Refused() bool { return s <= TooManyConns }
 
 // Outcome is how one message of a call ended.
-type Fate uint8
+type Outcome uint8
 
 const (
-	Accepted Fate = iota
-	Fault         // it may have run
-	Deferred      // it never ran
+	Accepted Outcome = iota
+	Failed           // it may have run
+	Deferred         // it never ran
 )
 
 // Action is an output of a partner.
@@ -188,49 +188,49 @@
 
 // Answer ends a call. If its connection has ended, nobody receives it.
 type Answer struct {
-	Call   uint64
-	Status Status
-	Fates  []Fate        // of Served
-	Wait   time.Duration // told with a refusal; 0: none
+	Call       uint64
+	Status     Status
+	Outcomes   []Outcome     // of Served
+	RetryAfter time.Duration // told with a refusal; 0: none
 }
 
 // Executed says that a message has taken effect.
-type Ran struct {
-	Call   uint64
-	ID     string
-	Before bool // it is a repeat without a key, or under a key whose deduplication window is over
+type Executed struct {
+	Call     uint64
+	ID       string
+	Repeated bool // it is a repeat without a key, or under a key whose deduplication window is over
 }
 
 // ConnsReset says that an endpoint's connections were reset, and that it accepts none until EndpointRestored.
-type Reset struct{ Endpoint int }
+type ConnsReset struct{ Endpoint int }
 
 // EndpointRestored says that an endpoint accepts connections again.
-type Restored struct{ Endpoint int }
+type EndpointRestored struct{ Endpoint int }
 
 // Collapsed says that the partner was sent more than it can carry in slow start. It stays down.
-type Fell struct {
-	Pushes map[int]float64 // calls within CollapseSpan by sender
-	Budget float64
+type Collapsed struct {
+	CallsBySender map[int]float64 // calls within CollapseSpan by sender
+	Budget        float64
 }
 
-func (Answer) action()   {}
-func (Ran) action()      {}
-func (Reset) action()    {}
-func (Restored) action() {}
-func (Fell) action()     {}
+func (Answer) action()           {}
+func (Executed) action()         {}
+func (ConnsReset) action()       {}
+func (EndpointRestored) action() {}
+func (Collapsed) action()        {}
 
 type endpoint struct {
 	conns    int
 	busy     int
 	waiting  []uint64 // numbers of calls, oldest first
-	spells   []Troubled
+	spells   []FaultStarted
 	out      bool          // in an outage
 	cold     bool          // has returned from an outage,
 	returned time.Duration // at this time
 }
 
 type job struct {
-	Called
+	CallReceived
 	ends    time.Duration
 	running bool
 	place   int // index in the heap; -1: it never ends by itself
@@ -279,7 +279,7 @@
 }
 
 // NextTick returns when the partner needs a Tick; false if it needs none.
-func (p *Partner) Next() (time.Duration, bool) {
+func (p *Partner) NextTick() (time.Duration, bool) {
 	next, ok := time.Duration(math.MaxInt64), false
 	if len(p.due) > 0 {
 		next, ok = p.due[0].ends, true
@@ -295,21 +295,21 @@
 }
 
 // IsDown reports that an endpoint accepts no connections.
-func (p *Partner) Down(endpoint int) bool { return p.endpoints[endpoint].has(Down) != nil }
+func (p *Partner) IsDown(endpoint int) bool { return p.endpoints[endpoint].has(Down) != nil }
 
 // HasCollapsed reports that the partner has collapsed.
-func (p *Partner) Fallen() bool { return p.fallen }
+func (p *Partner) HasCollapsed() bool { return p.fallen }
 
 // CallsInFlight returns the number of calls that are queued or being served.
-func (p *Partner) Out() int { return len(p.jobs) }
+func (p *Partner) CallsInFlight() int { return len(p.jobs) }
 
 // CurrentCapacity returns the calls of one message that the partner can now serve in a second.
-func (p *Partner) PresentCapacity() float64 {
+func (p *Partner) CurrentCapacity() float64 {
 	sum := 0.0
 	for i := range p.endpoints {
 		sum += p.warmth(&p.endpoints[i])
 	}
-	return sum * float64(p.cfg.Workers) / p.cfg.Pace.Seconds()
+	return sum * float64(p.cfg.Workers) / p.cfg.ServiceTime.Seconds()
 }
 
 // Step handles an event at a time that is not before that of the last event. It first handles everything that
@@ -317,7 +317,7 @@
 func (p *Partner) Step(now time.Duration, ev Event) []Action {
 	var acts []Action
 	for {
-		next, ok := p.Next()
+		next, ok := p.NextTick()
 		if !ok || next > now {
 			break
 		}
@@ -326,27 +326,27 @@
 	}
 	p.now = max(p.now, now)
 	switch ev := ev.(type) {
-	case Opened:
+	case ConnOpened:
 		e := &p.endpoints[ev.Endpoint]
 		e.conns++
-		p.conns[ev.Conn] = conn{ev.Endpoint, p.cfg.Conns > 0 && e.conns > p.cfg.Conns}
-	case Closed:
+		p.conns[ev.Conn] = conn{ev.Endpoint, p.cfg.MaxConns > 0 && e.conns > p.cfg.MaxConns}
+	case ConnClosed:
 		if c, ok := p.conns[ev.Conn]; ok {
 			delete(p.conns, ev.Conn)
 			p.endpoints[c.endpoint].conns--
 		}
 		p.abandon(ev.Conn)
-	case Called:
+	case CallReceived:
 		acts = p.call(ev, acts)
-	case Troubled:
+	case FaultStarted:
 		for i := range p.endpoints {
 			if ev.Endpoint == i || ev.Endpoint < 0 {
 				acts = p.begin(i, ev, acts)
 			}
 		}
-	case Added:
+	case EndpointAdded:
 		p.endpoints = append(p.endpoints, endpoint{})
-	case Limited:
+	case LimitChanged:
 		p.fill()
 		p.share = ev.Share
 		p.tokens = min(p.tokens, p.burst())
@@ -361,7 +361,7 @@
 		e := &p.endpoints[i]
 		was := e.has(Down) != nil
 		n := len(e.spells)
-		e.spells = slices.DeleteFunc(e.spells, func(s Troubled) bool { return s.Until > 0 && s.Until <= p.now })
+		e.spells = slices.DeleteFunc(e.spells, func(s FaultStarted) bool { return s.Until > 0 && s.Until <= p.now })
 		if n == len(e.spells) {
 			continue
 		}
@@ -369,7 +369,7 @@
 			e.out, e.cold, e.returned = false, true, p.now
 		}
 		if was && e.has(Down) == nil {
-			acts = append(acts, Restored{i})
+			acts = append(acts, EndpointRestored{i})
 		}
 	}
 	for len(p.due) > 0 && p.due[0].ends <= p.now {
@@ -379,12 +379,12 @@
 	return acts
 }
 
-func (p *Partner) begin(i int, t Troubled, acts []Action) []Action {
+func (p *Partner) begin(i int, t FaultStarted, acts []Action) []Action {
 	e := &p.endpoints[i]
 	down := e.has(Down) != nil
 	e.spells = append(e.spells, t)
 	e.out = e.out || e.inOutage()
-	if t.What == Down && !down {
+	if t.Kind == Down && !down {
 		for id, c := range p.conns {
 			if c.endpoint == i {
 				delete(p.conns, id)
@@ -396,39 +396,39 @@
 				p.drop(id, j)
 			}
 		}
-		acts = append(acts, Reset{i})
+		acts = append(acts, ConnsReset{i})
 	}
 	return acts
 }
 
-func (p *Partner) call(c Called, acts []Action) []Action {
+func (p *Partner) call(c CallReceived, acts []Action) []Action {
 	e := &p.endpoints[c.Endpoint]
 	acts = p.pushed(c, acts)
 	refuse := func(s Status, wait time.Duration) []Action {
-		return append(acts, Answer{Call: c.Call, Status: s, Wait: wait})
+		return append(acts, Answer{Call: c.Call, Status: s, RetryAfter: wait})
 	}
 	if e.has(Down) != nil {
-		return append(acts, Answer{Call: c.Call, Status: LostAnswer})
+		return append(acts, Answer{Call: c.Call, Status: AnswerLost})
 	}
 	if e.has(Silent) == nil {
 		if p.conns[c.Conn].over {
-			return refuse(Crowded, 0)
+			return refuse(TooManyConns, 0)
 		}
-		if s := e.has(Shut); s != nil {
+		if s := e.has(Rejecting); s != nil {
 			wait := time.Duration(0)
-			if s.Until > 0 && p.chance(p.cfg.TellsWait) {
+			if s.Until > 0 && p.chance(p.cfg.RetryAfterShare) {
 				wait = s.Until - p.now
 			}
-			return refuse(TurnedAway, wait)
+			return refuse(Rejected, wait)
 		}
 	}
 	if ok, wait := p.admit(); !ok {
 		return refuse(AboveLimit, wait)
 	}
-	if e.busy >= p.cfg.Workers && len(e.waiting) >= p.cfg.Queue {
-		return refuse(Full, 0)
+	if e.busy >= p.cfg.Workers && len(e.waiting) >= p.cfg.QueueLength {
+		return refuse(QueueFull, 0)
 	}
-	j := &job{Called: c, place: -1}
+	j := &job{CallReceived: c, place: -1}
 	p.jobs[c.Call] = j
 	if e.busy >= p.cfg.Workers {
 		e.waiting = append(e.waiting, c.Call)
@@ -442,10 +442,10 @@
 func (p *Partner) serve(e *endpoint, j *job) {
 	e.busy++
 	j.running = true
-	weight := 1 + p.cfg.ItemCost*float64(max(len(j.Items), 1)-1)
-	took := p.cfg.Pace.Seconds() * weight * p.vary() / p.warmth(e)
+	weight := 1 + p.cfg.ExtraItemCost*float64(max(len(j.Items), 1)-1)
+	took := p.cfg.ServiceTime.Seconds() * weight * p.vary() / p.warmth(e)
 	for _, s := range e.spells {
-		if s.What == Slow {
+		if s.Kind == Slow {
 			took *= max(s.Size, 1)
 		}
 	}
@@ -473,34 +473,34 @@
 		}
 		return append(acts, Answer{Call: j.Call, Status: Errored})
 	}
-	fates := make([]Fate, len(j.Items))
+	fates := make([]Outcome, len(j.Items))
 	for i, it := range j.Items {
 		switch {
-		case len(j.Items) > 1 && p.chance(p.cfg.Defers):
+		case len(j.Items) > 1 && p.chance(p.cfg.DeferShare):
 			fates[i] = Deferred
 			continue
-		case p.chance(p.cfg.Faults):
-			fates[i] = Fault
+		case p.chance(p.cfg.ErrorShare):
+			fates[i] = Failed
 			if p.chance(0.5) {
 				continue
 			}
 		}
 		acts = p.run(j, it, acts)
 	}
-	status := Delivered
-	lost := p.cfg.Lost
+	status := Served
+	lost := p.cfg.LostAnswerShare
 	if s := e.has(Lossy); s != nil {
 		lost = max(lost, s.Size)
 	}
 	switch {
 	case p.chance(lost):
-		status = LostAnswer
-	case p.chance(p.cfg.Spoilt):
-		status = SpoiltAnswer
-	case len(fates) == 1 && fates[0] == Fault:
+		status = AnswerLost
+	case p.chance(p.cfg.UnreadableAnswerShare):
+		status = AnswerUnreadable
+	case len(fates) == 1 && fates[0] == Failed:
 		status = Errored
 	}
-	return append(acts, Answer{Call: j.Call, Status: status, Fates: fates})
+	return append(acts, Answer{Call: j.Call, Status: status, Outcomes: fates})
 }
 
 // serveNext hands a free worker to the call that has waited longest.
@@ -541,11 +541,11 @@
 		name = "key " + it.Key
 	}
 	first, before := p.seen[name]
-	if before && it.Key != "" && p.now-first < p.cfg.Window {
+	if before && it.Key != "" && p.now-first < p.cfg.DedupWindow {
 		return acts
 	}
 	p.seen[name] = p.now
-	return append(acts, Ran{Call: j.Call, ID: it.ID, Before: before})
+	return append(acts, Executed{Call: j.Call, ID: it.ID, Repeated: before})
 }
 
 // admit counts a call against the rate limit. A refused call may be told a retry-after, at the end of which
@@ -555,18 +555,18 @@
 	switch {
 	case l.PerSecond <= 0:
 		return true, 0
-	case l.Span > 0:
-		if span := int64(p.now / l.Span); span != p.span {
+	case l.Window > 0:
+		if span := int64(p.now / l.Window); span != p.span {
 			p.span, p.spanUsed = span, 0
 		}
-		if p.spanUsed < math.Max(1, math.Round(l.PerSecond*p.share*l.Span.Seconds())) {
+		if p.spanUsed < math.Max(1, math.Round(l.PerSecond*p.share*l.Window.Seconds())) {
 			p.spanUsed++
 			return true, 0
 		}
-		if !p.chance(p.cfg.TellsWait) {
+		if !p.chance(p.cfg.RetryAfterShare) {
 			return false, 0
 		}
-		return false, time.Duration(p.span+1)*l.Span - p.now
+		return false, time.Duration(p.span+1)*l.Window - p.now
 	}
 	p.fill()
 	if p.tokens >= 1 {
@@ -576,10 +576,10 @@
 	if l.CountsRefused {
 		p.tokens = max(p.tokens-1, -p.burst())
 	}
-	if !p.chance(p.cfg.TellsWait) {
+	if !p.chance(p.cfg.RetryAfterShare) {
 		return false, 0
 	}
-	wait := p.cfg.Wait[0] + time.Duration(p.rand.Float64()*float64(p.cfg.Wait[1]-p.cfg.Wait[0]))
+	wait := p.cfg.RetryAfterRange[0] + time.Duration(p.rand.Float64()*float64(p.cfg.RetryAfterRange[1]-p.cfg.RetryAfterRange[0]))
 	room := time.Duration((1 - p.tokens) / (l.PerSecond * p.share) * float64(time.Second))
 	return false, max(wait, room+time.Millisecond)
 }
@@ -595,11 +595,11 @@
 
 // trackCollapse counts a call that reaches a partner in slow start, and lets the partner collapse if the
 // calls exceed its budget.
-func (p *Partner) pushed(c Called, acts []Action) []Action {
-	if p.cfg.Fall <= 0 || p.fallen {
+func (p *Partner) pushed(c CallReceived, acts []Action) []Action {
+	if p.cfg.CollapseSpan <= 0 || p.fallen {
 		return acts
 	}
-	p.pushes = slices.DeleteFunc(p.pushes, func(q push) bool { return q.at <= p.now-p.cfg.Fall })
+	p.pushes = slices.DeleteFunc(p.pushes, func(q push) bool { return q.at <= p.now-p.cfg.CollapseSpan })
 	cold := false
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
@@ -612,12 +612,12 @@
 		p.pushes = nil
 		return acts
 	}
-	p.pushes = append(p.pushes, push{p.now, c.Sender, 1 + p.cfg.ItemCost*float64(max(len(c.Items), 1)-1)})
+	p.pushes = append(p.pushes, push{p.now, c.Sender, 1 + p.cfg.ExtraItemCost*float64(max(len(c.Items), 1)-1)})
 	sum := 0.0
 	for _, q := range p.pushes {
 		sum += q.weight
 	}
-	budget := p.cfg.FallMultiple * p.PresentCapacity() * p.cfg.Fall.Seconds()
+	budget := p.cfg.CollapseMultiple * p.CurrentCapacity() * p.cfg.CollapseSpan.Seconds()
 	if budget += 2 + math.Sqrt(budget); sum <= budget { // allow for random variation
 		return acts
 	}
@@ -626,38 +626,40 @@
 	for _, q := range p.pushes {
 		by[q.sender] += q.weight
 	}
-	acts = append(acts, Fell{Pushes: by, Budget: budget})
+	acts = append(acts, Collapsed{CallsBySender: by, Budget: budget})
 	for i := range p.endpoints {
-		acts = p.begin(i, Troubled{Endpoint: i, What: Down}, acts)
+		acts = p.begin(i, FaultStarted{Endpoint: i, Kind: Down}, acts)
 	}
 	return acts
 }
 
-func (p *Partner) isCold(e *endpoint) bool { return e.cold && p.now < e.returned+p.cfg.WarmWithin }
+func (p *Partner) isCold(e *endpoint) bool {
+	return e.cold && p.now < e.returned+p.cfg.SlowStartDuration
+}
 
 // capacityShare returns the share of its full capacity that an endpoint has now.
 func (p *Partner) warmth(e *endpoint) float64 {
 	if !p.isCold(e) {
 		return 1
 	}
-	return p.cfg.ColdFrom + (1-p.cfg.ColdFrom)*float64(p.now-e.returned)/float64(p.cfg.WarmWithin)
+	return p.cfg.SlowStartFrom + (1-p.cfg.SlowStartFrom)*float64(p.now-e.returned)/float64(p.cfg.SlowStartDuration)
 }
 
 // randomFactor draws a lognormal factor of mean 1.
 func (p *Partner) vary() float64 {
-	if p.cfg.Spread == 0 {
+	if p.cfg.ServiceTimeVariation == 0 {
 		return 1
 	}
-	s2 := math.Log(1 + p.cfg.Spread*p.cfg.Spread)
+	s2 := math.Log(1 + p.cfg.ServiceTimeVariation*p.cfg.ServiceTimeVariation)
 	return math.Exp(p.rand.NormFloat64()*math.Sqrt(s2) - s2/2)
 }
 
 func (p *Partner) chance(share float64) bool { return share > 0 && p.rand.Float64() < share }
 
 // activeFault returns the endpoint's latest fault of a kind, or nil.
-func (e *endpoint) has(t Trouble) *Troubled {
+func (e *endpoint) has(t FaultKind) *FaultStarted {
 	for i := len(e.spells) - 1; i >= 0; i-- {
-		if e.spells[i].What == t {
+		if e.spells[i].Kind == t {
 			return &e.spells[i]
 		}
 	}
@@ -668,7 +670,7 @@
 // is not an outage.
 func (e *endpoint) inOutage() bool {
 	f := e.has(Failing)
-	return e.has(Down) != nil || e.has(Silent) != nil || e.has(Shut) != nil || (f != nil && f.Size >= 0.5)
+	return e.has(Down) != nil || e.has(Silent) != nil || e.has(Rejecting) != nil || (f != nil && f.Size >= 0.5)
 }
 
 // jobQueue is a heap of calls by end time, ties by number.
--- a/fleet/partner/partner_test.go
+++ b/fleet/partner/partner_test.go
@@ -17,15 +17,15 @@
 func drawConfig(t *rapid.T) Config {
 	c := Config{
 		Endpoints: rapid.IntRange(1, 3).Draw(t, "endpoints"), Workers: rapid.IntRange(1, 4).Draw(t, "workers"),
-		Queue: rapid.IntRange(0, 5).Draw(t, "queue"), Batch: rapid.IntRange(1, 5).Draw(t, "batch"),
-		Pace: time.Duration(rapid.IntRange(1, 300).Draw(t, "pace")) * ms, Spread: rapid.Float64Range(0, 1).Draw(t, "spread"),
-		ItemCost:  rapid.Float64Range(0, 0.5).Draw(t, "item cost"),
-		Limit:     Limit{PerSecond: float64(rapid.IntRange(0, 30).Draw(t, "limit")), CountsRefused: rapid.Bool().Draw(t, "counts refused")},
-		TellsWait: rapid.Float64Range(0, 1).Draw(t, "tells wait"), Wait: [2]time.Duration{100 * ms, 400 * ms}, Window: 2 * time.Second,
-		ColdFrom: 0.2, WarmWithin: 5 * time.Second, FallMultiple: 2, Fall: 2 * time.Second,
+		QueueLength: rapid.IntRange(0, 5).Draw(t, "queue"), MaxBatch: rapid.IntRange(1, 5).Draw(t, "batch"),
+		ServiceTime: time.Duration(rapid.IntRange(1, 300).Draw(t, "pace")) * ms, ServiceTimeVariation: rapid.Float64Range(0, 1).Draw(t, "spread"),
+		ExtraItemCost:   rapid.Float64Range(0, 0.5).Draw(t, "item cost"),
+		Limit:           Limit{PerSecond: float64(rapid.IntRange(0, 30).Draw(t, "limit")), CountsRefused: rapid.Bool().Draw(t, "counts refused")},
+		RetryAfterShare: rapid.Float64Range(0, 1).Draw(t, "tells wait"), RetryAfterRange: [2]time.Duration{100 * ms, 400 * ms}, DedupWindow: 2 * time.Second,
+		SlowStartFrom: 0.2, SlowStartDuration: 5 * time.Second, CollapseMultiple: 2, CollapseSpan: 2 * time.Second,
 	}
 	if rapid.Bool().Draw(t, "in spans") {
-		c.Limit.Span = time.Duration(rapid.IntRange(1, 4).Draw(t, "span")) * 500 * ms
+		c.Limit.Window = time.Duration(rapid.IntRange(1, 4).Draw(t, "span")) * 500 * ms
 	} else {
 		c.Limit.Burst = time.Duration(rapid.IntRange(0, 2).Draw(t, "burst")) * time.Second
 	}
@@ -52,19 +52,19 @@
 			next++
 			at0[next] = rapid.IntRange(0, c.Endpoints-1).Draw(t, "endpoint")
 			conns = append(conns, next)
-			out = append(out, timed{at, Opened{Conn: next, Endpoint: at0[next]}})
+			out = append(out, timed{at, ConnOpened{Conn: next, Endpoint: at0[next]}})
 		case kind == 1 && troubles:
-			out = append(out, timed{at, Troubled{
-				Endpoint: -1, What: Trouble(rapid.IntRange(int(Slow), int(Down)).Draw(t, "trouble")), Size: rapid.Float64Range(0, 3).Draw(t, "size"),
+			out = append(out, timed{at, FaultStarted{
+				Endpoint: -1, Kind: FaultKind(rapid.IntRange(int(Slow), int(Down)).Draw(t, "trouble")), Size: rapid.Float64Range(0, 3).Draw(t, "size"),
 				Until: at + time.Duration(rapid.IntRange(1, 3000).Draw(t, "for"))*ms,
 			}})
 		case kind == 2 && troubles:
-			out = append(out, timed{at, Closed{Conn: conns[0]}})
+			out = append(out, timed{at, ConnClosed{Conn: conns[0]}})
 			conns = conns[1:]
 		default:
 			conn := rapid.SampledFrom(conns).Draw(t, "conn")
-			call := Called{Call: uint64(1000 + i), Conn: conn, Endpoint: at0[conn], Sender: rapid.IntRange(0, 2).Draw(t, "sender")}
-			for k := range rapid.IntRange(1, c.Batch).Draw(t, "items") {
+			call := CallReceived{Call: uint64(1000 + i), Conn: conn, Endpoint: at0[conn], Sender: rapid.IntRange(0, 2).Draw(t, "sender")}
+			for k := range rapid.IntRange(1, c.MaxBatch).Draw(t, "items") {
 				call.Items = append(call.Items, Item{ID: fmt.Sprintf("m%d-%d", i, k), Key: fmt.Sprintf("k%d", rapid.IntRange(0, 20).Draw(t, "key"))})
 			}
 			out = append(out, timed{at, call})
@@ -89,7 +89,7 @@
 	}
 	for _, e := range events {
 		for { // like a driver: everything at its due time
-			next, ok := p.Next()
+			next, ok := p.NextTick()
 			if !ok || next >= e.at {
 				break
 			}
@@ -98,7 +98,7 @@
 		step(e.at, e.ev)
 	}
 	for {
-		next, ok := p.Next()
+		next, ok := p.NextTick()
 		if !ok {
 			return out
 		}
@@ -119,12 +119,12 @@
 					t.Fatalf("call %d was answered twice", a.Call)
 				}
 				answers[a.Call] = a
-			case Ran:
+			case Executed:
 				ran[a.Call] = true
 			}
 		}
 		for _, e := range events {
-			if call, ok := e.ev.(Called); ok {
+			if call, ok := e.ev.(CallReceived); ok {
 				a, ok := answers[call.Call]
 				if !ok {
 					t.Fatalf("call %d had no answer", call.Call)
@@ -145,7 +145,7 @@
 		events := drawTraffic(t, c, true)
 		keys := map[string]string{}
 		for _, e := range events {
-			if call, ok := e.ev.(Called); ok {
+			if call, ok := e.ev.(CallReceived); ok {
 				for _, it := range call.Items {
 					keys[it.ID] = it.Key
 				}
@@ -160,9 +160,9 @@
 					t.Fatalf("call %d was answered twice", act.Call)
 				}
 				answered[act.Call] = true
-			case Ran:
-				if before, ok := last[keys[act.ID]]; ok && a.at-before < c.Window {
-					t.Fatalf("%s ran at %v and %v, within the window of %v", keys[act.ID], before, a.at, c.Window)
+			case Executed:
+				if before, ok := last[keys[act.ID]]; ok && a.at-before < c.DedupWindow {
+					t.Fatalf("%s ran at %v and %v, within the window of %v", keys[act.ID], before, a.at, c.DedupWindow)
 				}
 				last[keys[act.ID]] = a.at
 			}
@@ -189,7 +189,7 @@
 		events := drawTraffic(t, c, false)
 		began := map[uint64]time.Duration{}
 		for _, e := range events {
-			if call, ok := e.ev.(Called); ok {
+			if call, ok := e.ev.(CallReceived); ok {
 				began[call.Call] = e.at
 			}
 		}
@@ -211,11 +211,11 @@
 					}
 				}
 				var most float64
-				if c.Limit.Span > 0 {
-					if from/c.Limit.Span != to/c.Limit.Span {
+				if c.Limit.Window > 0 {
+					if from/c.Limit.Window != to/c.Limit.Window {
 						continue
 					}
-					most = max(1, math.Round(c.Limit.PerSecond*c.Limit.Span.Seconds()))
+					most = max(1, math.Round(c.Limit.PerSecond*c.Limit.Window.Seconds()))
 				} else {
 					most = max(1, c.Limit.PerSecond*c.Limit.Burst.Seconds()) + c.Limit.PerSecond*(to-from).Seconds() + 1e-6
 				}
@@ -231,22 +231,22 @@
 func TestWaitsAreHonest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
-		c.TellsWait, c.Limit.PerSecond = 1, max(c.Limit.PerSecond, 1)
+		c.RetryAfterShare, c.Limit.PerSecond = 1, max(c.Limit.PerSecond, 1)
 		p := New(c, rand.New(rand.NewPCG(3, 4)))
-		p.Step(0, Opened{Conn: 1})
+		p.Step(0, ConnOpened{Conn: 1})
 		at := time.Duration(rapid.IntRange(0, 3000).Draw(t, "start")) * ms
 		for i := range 200 {
-			for _, a := range p.Step(at, Called{Call: uint64(i), Conn: 1}) {
+			for _, a := range p.Step(at, CallReceived{Call: uint64(i), Conn: 1}) {
 				ans, ok := a.(Answer)
 				if !ok || ans.Call != uint64(i) || ans.Status != AboveLimit {
 					continue
 				}
-				if ans.Wait <= 0 {
+				if ans.RetryAfter <= 0 {
 					t.Fatalf("no retry-after was told")
 				}
-				for _, b := range p.Step(at+ans.Wait, Called{Call: 1000, Conn: 1}) {
+				for _, b := range p.Step(at+ans.RetryAfter, CallReceived{Call: 1000, Conn: 1}) {
 					if again, ok := b.(Answer); ok && again.Call == 1000 && again.Status == AboveLimit {
-						t.Fatalf("refused again after the retry-after of %v", ans.Wait)
+						t.Fatalf("refused again after the retry-after of %v", ans.RetryAfter)
 					}
 				}
 				return
@@ -259,7 +259,7 @@
 // A partner in slow start collapses above its budget, and never below it.
 func TestColdReturn(t *testing.T) {
 	c := Config{
-		Endpoints: 2, Workers: 5, Queue: 1000, Pace: 100 * ms, ColdFrom: 0.2, WarmWithin: 10 * time.Second, FallMultiple: 2, Fall: 2 * time.Second,
+		Endpoints: 2, Workers: 5, QueueLength: 1000, ServiceTime: 100 * ms, SlowStartFrom: 0.2, SlowStartDuration: 10 * time.Second, CollapseMultiple: 2, CollapseSpan: 2 * time.Second,
 	} // 100 calls a second at full capacity, 20 right after an outage
 	for _, test := range []struct {
 		perSecond int
@@ -267,22 +267,22 @@
 	}{{20, false}, {30, false}, {90, true}} {
 		t.Run(fmt.Sprint(test.perSecond), func(t *testing.T) {
 			p := New(c, rand.New(rand.NewPCG(5, 6)))
-			p.Step(0, Opened{Conn: 1})
-			p.Step(time.Second, Troubled{Endpoint: -1, What: Shut, Until: 3 * time.Second})
-			var fell *Fell
+			p.Step(0, ConnOpened{Conn: 1})
+			p.Step(time.Second, FaultStarted{Endpoint: -1, Kind: Rejecting, Until: 3 * time.Second})
+			var fell *Collapsed
 			for i := range 2 * test.perSecond {
 				at := 3*time.Second + time.Duration(i)*time.Second/time.Duration(test.perSecond)
-				for _, a := range p.Step(at, Called{Call: uint64(i), Conn: 1, Sender: 7}) {
-					if f, ok := a.(Fell); ok {
+				for _, a := range p.Step(at, CallReceived{Call: uint64(i), Conn: 1, Sender: 7}) {
+					if f, ok := a.(Collapsed); ok {
 						fell = &f
 					}
 				}
 			}
-			if (fell != nil) != test.falls || p.Fallen() != test.falls {
+			if (fell != nil) != test.falls || p.HasCollapsed() != test.falls {
 				t.Fatalf("collapsed: %v, want %v", fell, test.falls)
 			}
-			if fell != nil && (fell.Pushes[7] <= fell.Budget || !p.Down(0)) {
-				t.Errorf("calls by sender %v, budget %v, down %v", fell.Pushes, fell.Budget, p.Down(0))
+			if fell != nil && (fell.CallsBySender[7] <= fell.Budget || !p.IsDown(0)) {
+				t.Errorf("calls by sender %v, budget %v, down %v", fell.CallsBySender, fell.Budget, p.IsDown(0))
 			}
 		})
 	}
@@ -290,15 +290,15 @@
 
 // In slow start a partner serves slower, and gets faster with time.
 func TestWarmsWithTime(t *testing.T) {
-	c := Config{Endpoints: 1, Workers: 1, Pace: 100 * ms, ColdFrom: 0.25, WarmWithin: 10 * time.Second}
+	c := Config{Endpoints: 1, Workers: 1, ServiceTime: 100 * ms, SlowStartFrom: 0.25, SlowStartDuration: 10 * time.Second}
 	p := New(c, rand.New(rand.NewPCG(7, 8)))
-	p.Step(0, Troubled{Endpoint: -1, What: Silent, Until: time.Second})
+	p.Step(0, FaultStarted{Endpoint: -1, Kind: Silent, Until: time.Second})
 	for _, test := range []struct {
 		at   time.Duration
 		want float64
 	}{{time.Second, 2.5}, {6 * time.Second, 6.25}, {11 * time.Second, 10}} {
 		p.Step(test.at, Tick{})
-		if got := p.PresentCapacity(); math.Abs(got-test.want) > 1e-9 {
+		if got := p.CurrentCapacity(); math.Abs(got-test.want) > 1e-9 {
 			t.Errorf("at %v: %v calls a second, want %v", test.at, got, test.want)
 		}
 	}
@@ -306,12 +306,12 @@
 
 // An endpoint with the maximum number of connections refuses further ones until one closes.
 func TestConnections(t *testing.T) {
-	c := Config{Endpoints: 1, Workers: 10, Conns: 2, Pace: 10 * ms}
+	c := Config{Endpoints: 1, Workers: 10, MaxConns: 2, ServiceTime: 10 * ms}
 	p := New(c, rand.New(rand.NewPCG(9, 10)))
 	status := func(call, conn uint64, at time.Duration) Status {
 		t.Helper()
-		acts := p.Step(at, Called{Call: call, Conn: conn})
-		for next, ok := p.Next(); ok; next, ok = p.Next() {
+		acts := p.Step(at, CallReceived{Call: call, Conn: conn})
+		for next, ok := p.NextTick(); ok; next, ok = p.NextTick() {
 			acts = append(acts, p.Step(next, Tick{})...)
 		}
 		for _, a := range acts {
@@ -323,45 +323,45 @@
 		return 0
 	}
 	for conn := uint64(1); conn <= 3; conn++ {
-		p.Step(0, Opened{Conn: conn})
+		p.Step(0, ConnOpened{Conn: conn})
 	}
-	if got := status(1, 2, 0); got != Delivered {
+	if got := status(1, 2, 0); got != Served {
 		t.Errorf("within the maximum: %v", got)
 	}
-	if got := status(2, 3, time.Second); got != Crowded {
+	if got := status(2, 3, time.Second); got != TooManyConns {
 		t.Errorf("beyond the maximum: %v", got)
 	}
-	p.Step(2*time.Second, Closed{Conn: 1})
-	p.Step(2*time.Second, Closed{Conn: 3})
-	p.Step(2*time.Second, Opened{Conn: 4})
-	if got := status(3, 4, 3*time.Second); got != Delivered {
+	p.Step(2*time.Second, ConnClosed{Conn: 1})
+	p.Step(2*time.Second, ConnClosed{Conn: 3})
+	p.Step(2*time.Second, ConnOpened{Conn: 4})
+	if got := status(3, 4, 3*time.Second); got != Served {
 		t.Errorf("after one closed: %v", got)
 	}
 }
 
 // Each message of a batch has its own outcome; lost and unreadable answers come after the messages ran.
 func TestFatesAndLostAnswers(t *testing.T) {
-	base := Config{Endpoints: 1, Workers: 100, Pace: 10 * ms, Batch: 10}
-	count := func(c Config) (statuses map[Status]int, fates map[Fate]int, ran int) {
+	base := Config{Endpoints: 1, Workers: 100, ServiceTime: 10 * ms, MaxBatch: 10}
+	count := func(c Config) (statuses map[Status]int, fates map[Outcome]int, ran int) {
 		p := New(c, rand.New(rand.NewPCG(11, 12)))
-		p.Step(0, Opened{Conn: 1})
-		statuses, fates = map[Status]int{}, map[Fate]int{}
+		p.Step(0, ConnOpened{Conn: 1})
+		statuses, fates = map[Status]int{}, map[Outcome]int{}
 		for i := range 100 {
-			call := Called{Call: uint64(i), Conn: 1}
+			call := CallReceived{Call: uint64(i), Conn: 1}
 			for k := range 10 {
 				call.Items = append(call.Items, Item{ID: fmt.Sprintf("%d-%d", i, k)})
 			}
 			p.Step(0, call)
 		}
-		for next, ok := p.Next(); ok; next, ok = p.Next() {
+		for next, ok := p.NextTick(); ok; next, ok = p.NextTick() {
 			for _, a := range p.Step(next, Tick{}) {
 				switch a := a.(type) {
 				case Answer:
 					statuses[a.Status]++
-					for _, f := range a.Fates {
+					for _, f := range a.Outcomes {
 						fates[f]++
 					}
-				case Ran:
+				case Executed:
 					ran++
 				}
 			}
@@ -369,34 +369,34 @@
 		return statuses, fates, ran
 	}
 	c := base
-	c.Faults, c.Defers = 0.2, 0.3
-	if _, fates, ran := count(c); fates[Accepted] == 0 || fates[Fault] == 0 || fates[Deferred] == 0 || ran < fates[Accepted] || ran > fates[Accepted]+fates[Fault] {
+	c.ErrorShare, c.DeferShare = 0.2, 0.3
+	if _, fates, ran := count(c); fates[Accepted] == 0 || fates[Failed] == 0 || fates[Deferred] == 0 || ran < fates[Accepted] || ran > fates[Accepted]+fates[Failed] {
 		t.Errorf("outcomes %v, %d ran", fates, ran)
 	}
 	c = base
-	c.Lost = 1
-	if statuses, _, ran := count(c); statuses[LostAnswer] != 100 || ran != 1000 {
+	c.LostAnswerShare = 1
+	if statuses, _, ran := count(c); statuses[AnswerLost] != 100 || ran != 1000 {
 		t.Errorf("lost answers: %v, %d ran", statuses, ran)
 	}
 	c = base
-	c.Spoilt = 1
-	if statuses, _, ran := count(c); statuses[SpoiltAnswer] != 100 || ran != 1000 {
+	c.UnreadableAnswerShare = 1
+	if statuses, _, ran := count(c); statuses[AnswerUnreadable] != 100 || ran != 1000 {
 		t.Errorf("unreadable answers: %v, %d ran", statuses, ran)
 	}
 }
 
 func TestCheck(t *testing.T) {
-	good := Config{Endpoints: 1, Workers: 1, Pace: ms}
+	good := Config{Endpoints: 1, Workers: 1, ServiceTime: ms}
 	if err := good.Check(); err != nil {
 		t.Error(err)
 	}
 	for name, change := range map[string]func(*Config){
 		"no endpoint":     func(c *Config) { c.Endpoints = 0 },
-		"no pace":         func(c *Config) { c.Pace = 0 },
-		"a share over 1":  func(c *Config) { c.Lost = 1.5 },
-		"a share of NaN":  func(c *Config) { c.Faults = math.NaN() },
-		"waits reversed":  func(c *Config) { c.Wait = [2]time.Duration{2, 1} },
-		"cold from 0":     func(c *Config) { c.Fall = time.Second },
+		"no pace":         func(c *Config) { c.ServiceTime = 0 },
+		"a share over 1":  func(c *Config) { c.LostAnswerShare = 1.5 },
+		"a share of NaN":  func(c *Config) { c.ErrorShare = math.NaN() },
+		"waits reversed":  func(c *Config) { c.RetryAfterRange = [2]time.Duration{2, 1} },
+		"cold from 0":     func(c *Config) { c.CollapseSpan = time.Second },
 		"a limit under 0": func(c *Config) { c.Limit.PerSecond = -1 },
 	} {
 		c := good
--- a/fleet/tally/tally.go
+++ b/fleet/tally/tally.go
@@ -12,33 +12,33 @@
 )
 
 // Interval is the length of the intervals that service is reported for.
-const Stretch = 5 * time.Second
+const Interval = 5 * time.Second
 
 // Class is what a message earns: Worth until SoftDeadline after it was first due, then linearly decreasing to
 // the share WorthAtDeadline of it at Deadline, then nothing.
 type Class struct {
-	Name          string
-	Aim, Deadline time.Duration
-	Worth         float64
-	LateWorth     float64
+	Name                   string
+	SoftDeadline, Deadline time.Duration
+	Worth                  float64
+	WorthAtDeadline        float64
 }
 
 // WorthAfter returns the worth of a message delivered at the given time after it was first due.
-func (c Class) Earns(took time.Duration) float64 {
+func (c Class) WorthAfter(took time.Duration) float64 {
 	switch {
-	case took <= c.Aim:
+	case took <= c.SoftDeadline:
 		return c.Worth
 	case took >= c.Deadline:
 		return 0
 	}
-	past := float64(took-c.Aim) / float64(c.Deadline-c.Aim)
-	return c.Worth * (1 - (1-c.LateWorth)*past)
+	past := float64(took-c.SoftDeadline) / float64(c.Deadline-c.SoftDeadline)
+	return c.Worth * (1 - (1-c.WorthAtDeadline)*past)
 }
 
 // Config says what is counted.
-type Terms struct {
+type Config struct {
 	Classes  []Class
-	Members  []string
+	Tenants  []string
 	Nodes    []string
 	Partners int
 	// Weight returns the factor on the worth of a message: 1 within its tenant's share, less above it; nil:
@@ -48,35 +48,35 @@
 
 // Line is the service of a part of the traffic.
 type Line struct {
-	Name      string  `json:"name"`
-	Messages  int     `json:"messages"`
-	Delivered int     `json:"delivered"`
-	Refused   int     `json:"refused"` // at the last submission, or returned and not submitted again
-	Failed    int     `json:"failed"`
-	Unheard   int     `json:"unheard"` // no answer, or no end seen
-	Asked     float64 `json:"worth_asked"`
-	Served    float64 `json:"worth_served"`
+	Name        string  `json:"name"`
+	Messages    int     `json:"messages"`
+	Delivered   int     `json:"delivered"`
+	Refused     int     `json:"refused"` // at the last submission, or returned and not submitted again
+	Failed      int     `json:"failed"`
+	Unknown     int     `json:"unheard"` // no answer, or no end seen
+	WorthAsked  float64 `json:"worth_asked"`
+	WorthServed float64 `json:"worth_served"`
 }
 
 // Share returns the worth served divided by the worth asked for, or 1 if none was asked for.
 func (l Line) Share() float64 {
-	if l.Asked == 0 {
+	if l.WorthAsked == 0 {
 		return 1
 	}
-	return l.Served / l.Asked
+	return l.WorthServed / l.WorthAsked
 }
 
 // PartnerLine counts what reached a partner.
 type PartnerLine struct {
-	Partner  int            `json:"partner"`
-	Calls    int            `json:"calls"`
-	Messages int            `json:"messages"`
-	Opened   int            `json:"connections"` // newly opened
-	Ends     map[string]int `json:"ends"`        // number of calls by their end, in the states of package history
+	Partner     int            `json:"partner"`
+	Calls       int            `json:"calls"`
+	Messages    int            `json:"messages"`
+	Connections int            `json:"connections"` // newly opened
+	CallEnds    map[string]int `json:"ends"`        // number of calls by their end, in the states of package history
 }
 
 // Percentiles summarizes a set of recorded times.
-type Times struct {
+type Percentiles struct {
 	Count int64         `json:"count"`
 	P50   time.Duration `json:"p50"`
 	P90   time.Duration `json:"p90"`
@@ -97,9 +97,9 @@
 }
 
 // Percentiles returns the percentiles of the recorded times.
-func (r Recorder) Times() Times {
+func (r Recorder) Percentiles() Percentiles {
 	at := func(q float64) time.Duration { return time.Duration(r.h.ValueAtQuantile(q)) * time.Microsecond }
-	t := Times{Count: r.h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: time.Duration(r.h.Max()) * time.Microsecond}
+	t := Percentiles{Count: r.h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: time.Duration(r.h.Max()) * time.Microsecond}
 	if whole, err := r.h.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil && t.Count > 0 {
 		t.HDR = string(whole)
 	}
@@ -108,19 +108,19 @@
 
 // Report is the result of Count.
 type Report struct {
-	All       Line          `json:"all"`
-	Classes   []Line        `json:"classes"`
-	Members   []Line        `json:"members"`
-	Nodes     []Line        `json:"nodes"`
-	Stretches []Line        `json:"stretches"`
-	Partners  []PartnerLine `json:"partners"`
-	Handed    int           `json:"handed_in"` // of all messages, resubmissions included
-	Tries     int           `json:"tries"`     // messages in calls
-	Opened    int           `json:"connections"`
-	Above     int           `json:"calls_above_limit"`
-	Doubled   int           `json:"ran_twice"` // messages that ran more than once, whatever their class
-	Answers   Times         `json:"time_to_answer"`
-	Delivery  Times         `json:"time_to_delivery"`
+	All             Line          `json:"all"`
+	Classes         []Line        `json:"classes"`
+	Tenants         []Line        `json:"members"`
+	Nodes           []Line        `json:"nodes"`
+	Intervals       []Line        `json:"stretches"`
+	Partners        []PartnerLine `json:"partners"`
+	Submissions     int           `json:"handed_in"` // of all messages, resubmissions included
+	Attempts        int           `json:"tries"`     // messages in calls
+	Connections     int           `json:"connections"`
+	CallsAboveLimit int           `json:"calls_above_limit"`
+	RanTwice        int           `json:"ran_twice"` // messages that ran more than once, whatever their class
+	TimeToAnswer    Percentiles   `json:"time_to_answer"`
+	TimeToDelivery  Percentiles   `json:"time_to_delivery"`
 }
 
 type message struct {
@@ -132,22 +132,22 @@
 }
 
 // Count counts a history, which must be in order of time.
-func Count(terms Terms, events []history.Event) Report {
+func Count(terms Config, events []history.Event) Report {
 	r := Report{
-		Classes: make([]Line, len(terms.Classes)), Members: make([]Line, len(terms.Members)), Nodes: make([]Line, len(terms.Nodes)),
+		Classes: make([]Line, len(terms.Classes)), Tenants: make([]Line, len(terms.Tenants)), Nodes: make([]Line, len(terms.Nodes)),
 		Partners: make([]PartnerLine, terms.Partners),
 	}
 	for i, c := range terms.Classes {
 		r.Classes[i].Name = c.Name
 	}
-	for i, name := range terms.Members {
-		r.Members[i].Name = name
+	for i, name := range terms.Tenants {
+		r.Tenants[i].Name = name
 	}
 	for i, name := range terms.Nodes {
 		r.Nodes[i].Name = name
 	}
 	for i := range r.Partners {
-		r.Partners[i] = PartnerLine{Partner: i, Ends: map[string]int{}}
+		r.Partners[i] = PartnerLine{Partner: i, CallEnds: map[string]int{}}
 	}
 	answers, delivery := NewRecorder(), NewRecorder()
 	cases, order := map[int]*message{}, []int{}
@@ -170,14 +170,14 @@
 	}
 	for _, e := range events {
 		switch e.Kind {
-		case history.HandedIn:
-			r.Handed++
-			ids[e.ID], handed[e.ID] = e.Case, e.At
-			m := cases[e.Case]
+		case history.Submitted:
+			r.Submissions++
+			ids[e.ID], handed[e.ID] = e.MessageNumber, e.At
+			m := cases[e.MessageNumber]
 			if m == nil {
-				m = &message{in: e, due: e.First}
-				cases[e.Case] = m
-				order = append(order, e.Case)
+				m = &message{in: e, due: e.FirstAt}
+				cases[e.MessageNumber] = m
+				order = append(order, e.MessageNumber)
 			}
 			if !m.done {
 				m.state = ""
@@ -192,44 +192,44 @@
 					deliver(e.ID, at)
 				}
 			}
-			if e.State != history.Unheard && e.State != history.Broken {
+			if e.State != history.ClientTimedOut && e.State != history.ConnectionLost {
 				answers.Record(e.At - handed[e.ID])
 			}
-		case history.Noticed:
+		case history.NoticeReceived:
 			if m := cases[ids[e.ID]]; m != nil && !m.done {
 				m.state = e.State
 			}
-		case history.Opened:
-			r.Opened++
+		case history.Connected:
+			r.Connections++
 			if e.Partner >= 0 && e.Partner < len(r.Partners) {
-				r.Partners[e.Partner].Opened++
+				r.Partners[e.Partner].Connections++
 			}
-		case history.CallBegan:
+		case history.CallStarted:
 			began[e.Call] = e.IDs
-			r.Tries += len(e.IDs)
+			r.Attempts += len(e.IDs)
 			if e.Partner >= 0 && e.Partner < len(r.Partners) {
 				r.Partners[e.Partner].Calls++
 				r.Partners[e.Partner].Messages += len(e.IDs)
 			}
 		case history.CallEnded:
 			if e.Partner >= 0 && e.Partner < len(r.Partners) {
-				r.Partners[e.Partner].Ends[e.State]++
+				r.Partners[e.Partner].CallEnds[e.State]++
 			}
-			if e.State == history.Above {
-				r.Above++
+			if e.State == history.AboveLimit {
+				r.CallsAboveLimit++
 			}
 			if e.State == history.Accepted {
 				for i, id := range began[e.Call] {
-					if i < len(e.Fates) && e.Fates[i] == history.FateAccepted {
+					if i < len(e.Outcomes) && e.Outcomes[i] == history.OutcomeAccepted {
 						deliver(id, e.At)
 					}
 				}
 			}
 			delete(began, e.Call)
-		case history.Ran:
+		case history.Executed:
 			if c := ids[e.ID]; c != 0 {
 				if ran[c]++; ran[c] == 2 {
-					r.Doubled++
+					r.RanTwice++
 				}
 			}
 		}
@@ -242,46 +242,46 @@
 		if terms.Weight != nil {
 			weight = terms.Weight(c)
 		}
-		lines := []*Line{&r.All, &r.Classes[m.in.Class], &r.Members[m.in.Member], r.stretch(m.due)}
+		lines := []*Line{&r.All, &r.Classes[m.in.Class], &r.Tenants[m.in.Tenant], r.stretch(m.due)}
 		if n := m.in.Node; n >= 0 && n < len(r.Nodes) {
 			lines = append(lines, &r.Nodes[n])
 		}
 		for _, l := range lines {
 			l.Messages++
-			l.Asked += class.Worth * weight
+			l.WorthAsked += class.Worth * weight
 			switch {
 			case m.done:
 				l.Delivered++
-				l.Served += class.Earns(m.took) * weight
+				l.WorthServed += class.WorthAfter(m.took) * weight
 			case m.state == history.Refused || m.state == history.Returned:
 				l.Refused++
 			case m.state == history.Failed:
 				l.Failed++
 			default:
-				l.Unheard++
+				l.Unknown++
 			}
 		}
 	}
-	r.Answers, r.Delivery = answers.Times(), delivery.Times()
+	r.TimeToAnswer, r.TimeToDelivery = answers.Percentiles(), delivery.Percentiles()
 	return r
 }
 
 // interval returns the line of the interval that contains a time.
 func (r *Report) stretch(at time.Duration) *Line {
-	i := int(max(at, 0) / Stretch)
-	for len(r.Stretches) <= i {
-		r.Stretches = append(r.Stretches, Line{Name: (time.Duration(len(r.Stretches)) * Stretch).String()})
+	i := int(max(at, 0) / Interval)
+	for len(r.Intervals) <= i {
+		r.Intervals = append(r.Intervals, Line{Name: (time.Duration(len(r.Intervals)) * Interval).String()})
 	}
-	return &r.Stretches[i]
+	return &r.Intervals[i]
 }
 
 // WorstInterval returns the interval with the lowest share of worth served, among those with at least a fifth
 // of the mean number of messages.
-func (r *Report) Worst() (Line, bool) {
+func (r *Report) WorstInterval() (Line, bool) {
 	var worst Line
 	found := false
-	for _, l := range r.Stretches {
-		if l.Messages*5*len(r.Stretches) >= r.All.Messages && (!found || l.Share() < worst.Share()) {
+	for _, l := range r.Intervals {
+		if l.Messages*5*len(r.Intervals) >= r.All.Messages && (!found || l.Share() < worst.Share()) {
 			worst, found = l, true
 		}
 	}
@@ -289,7 +289,7 @@
 }
 
 // FindLine returns the line with the given name.
-func Find(lines []Line, name string) (Line, bool) {
+func FindLine(lines []Line, name string) (Line, bool) {
 	i := slices.IndexFunc(lines, func(l Line) bool { return l.Name == name })
 	if i < 0 {
 		return Line{}, false
--- a/fleet/tomlfile/tomlfile.go
+++ b/fleet/tomlfile/tomlfile.go
@@ -14,15 +14,15 @@
 
 // Error is an error in a file and its place.
 type Error struct {
-	Line int // 0: unknown, or the whole file
-	Text string
+	Line    int // 0: unknown, or the whole file
+	Message string
 }
 
 func (e *Error) Error() string {
 	if e.Line == 0 {
-		return e.Text
+		return e.Message
 	}
-	return fmt.Sprintf("line %d: %s", e.Line, e.Text)
+	return fmt.Sprintf("line %d: %s", e.Line, e.Message)
 }
 
 // Decode decodes a text into the value that into points to. Its errors are of type *Error, all of them
@@ -50,7 +50,7 @@
 
 // KeyLines returns the line of each key of a text that Decode accepted, by names like "fault[1].kind"; a
 // table has the line of its header.
-func Lines(text []byte) map[string]int {
+func KeyLines(text []byte) map[string]int {
 	where, count, table := map[string]int{}, map[string]int{}, ""
 	var p unstable.Parser
 	p.Reset(text)
--- a/fleet/tomlfile/tomlfile_test.go
+++ b/fleet/tomlfile/tomlfile_test.go
@@ -21,10 +21,10 @@
 
 func TestLines(t *testing.T) {
 	want := map[string]int{"name": 1, "fleet": 3, "fleet.nodes": 4, "fault[0]": 5, "fault[0].kind": 6, "fault[1]": 7, "fault[1].at": 9, "fault.who": 10, "fault.who.node": 11}
-	if got := Lines([]byte(text)); !maps.Equal(got, want) {
+	if got := KeyLines([]byte(text)); !maps.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	if got := Lines(nil); len(got) != 0 {
+	if got := KeyLines(nil); len(got) != 0 {
 		t.Errorf("empty text: %v", got)
 	}
 }
--- a/internal/directory/ledger.go
+++ b/internal/directory/ledger.go
@@ -69,7 +69,7 @@
 }
 
 // setsMap tells whether a command may have written the record of the map of partitions.
-func setsMap(h *catalog.Hold) bool { return h != nil && h.Name == ownership.Record }
+func setsMap(h *catalog.Hold) bool { return h != nil && h.Name == ownership.RecordName }
 
 // publish encodes what changed for all watches; the lock is held.
 func (l *ledger) publish(before int64) {
--- a/internal/directory/parts.go
+++ b/internal/directory/parts.go
@@ -136,7 +136,7 @@
 	if h := l.state.History(); h != l.mapped.history {
 		l.mapped = mapState{history: h}
 	}
-	r, ok := l.state.Record(ownership.Record)
+	r, ok := l.state.Record(ownership.RecordName)
 	if !ok || len(r.Value) == 0 && l.mapped.number == 0 { // nothing was written yet
 		l.mapped.wrong = ""
 		return
@@ -164,10 +164,10 @@
 func (l *ledger) checkMap(value []byte) error {
 	m, err := ownership.Decode(value)
 	if err != nil {
-		return fmt.Errorf("record %s: %w", ownership.Record, err)
+		return fmt.Errorf("record %s: %w", ownership.RecordName, err)
 	}
 	if has := l.theMap().number; m.Number <= has {
-		return fmt.Errorf("record %s: the map's number is %d, and %d was given", ownership.Record, m.Number, has)
+		return fmt.Errorf("record %s: the map's number is %d, and %d was given", ownership.RecordName, m.Number, has)
 	}
 	return nil
 }
--- a/internal/directory/parts_test.go
+++ b/internal/directory/parts_test.go
@@ -115,11 +115,11 @@
 	t.Helper()
 	op := o.operator()
 	var w Written
-	if err := op.into(t.Context(), &w, http.MethodPut, "/records/"+ownership.Record, "", holdAsk{Holder: "w"}); err != nil {
+	if err := op.into(t.Context(), &w, http.MethodPut, "/records/"+ownership.RecordName, "", holdAsk{Holder: "w"}); err != nil {
 		t.Fatal(err)
 	}
-	err := op.into(t.Context(), nil, http.MethodPost, "/records/"+ownership.Record, "", holdAsk{Token: w.Token, Value: aMap(t, number)})
-	if err2 := op.into(t.Context(), nil, http.MethodDelete, "/records/"+ownership.Record, "", holdAsk{Token: w.Token}); err2 != nil {
+	err := op.into(t.Context(), nil, http.MethodPost, "/records/"+ownership.RecordName, "", holdAsk{Token: w.Token, Value: aMap(t, number)})
+	if err2 := op.into(t.Context(), nil, http.MethodDelete, "/records/"+ownership.RecordName, "", holdAsk{Token: w.Token}); err2 != nil {
 		t.Fatal(err2)
 	}
 	return err
@@ -420,7 +420,7 @@
 	o := replicas(t, 1, func(c *Config) { c.Snapshot.Every, c.Snapshot.Interval.Duration = 1, 20*time.Millisecond })[0]
 	op := o.operator()
 	put(t, o, "*", of("a", 1))
-	record := "/records/" + ownership.Record
+	record := "/records/" + ownership.RecordName
 	bad := func(method string, ask holdAsk, what string) {
 		t.Helper()
 		var no *Refusal
@@ -474,7 +474,7 @@
 	// An older leader takes anything. The map stays in force, and everyone is told.
 	past := func(value []byte, why string) {
 		t.Helper()
-		res, err := o.r.propose(catalog.Command{Update: &catalog.Hold{Name: ownership.Record, Token: w.Token, Value: value}})
+		res, err := o.r.propose(catalog.Command{Update: &catalog.Hold{Name: ownership.RecordName, Token: w.Token, Value: value}})
 		if err := errors.Join(err, res.Err); err != nil {
 			t.Fatal(err)
 		}
@@ -631,7 +631,7 @@
 				switch rapid.IntRange(0, 7).Draw(rt, "command") {
 				case 0:
 					number++
-					told(t, l, catalog.Command{Acquire: &catalog.Hold{Name: ownership.Record, Holder: "w", Value: aMap(t, number), SetsVal: true}})
+					told(t, l, catalog.Command{Acquire: &catalog.Hold{Name: ownership.RecordName, Holder: "w", Value: aMap(t, number), SetsVal: true}})
 				case 1: // another replica's snapshot
 					other := newTold(t)
 					raw, err := EncodeBackup(l.state.Image())
@@ -784,7 +784,7 @@
 			for i := range sets {
 				sets[i] = &ownership.Set{}
 				for k := range 15 {
-					sets[i].Add((i*15 + k) % ownership.Partitions)
+					sets[i].Add((i*15 + k) % ownership.PartitionCount)
 				}
 			}
 			c := write(of("e0", 1))
--- a/internal/directory/reads.go
+++ b/internal/directory/reads.go
@@ -95,7 +95,7 @@
 // markPart tells that an answer is of some partitions alone. It has no ETag: no write of a whole list may rest on a part.
 func markPart(w http.ResponseWriter, number int64) {
 	h := w.Header()
-	h.Set(HeaderPartitions, strconv.Itoa(ownership.Partitions))
+	h.Set(HeaderPartitions, strconv.Itoa(ownership.PartitionCount))
 	h.Set(HeaderMap, strconv.FormatInt(number, 10))
 	h.Del("ETag")
 }
--- a/internal/directory/records.go
+++ b/internal/directory/records.go
@@ -49,7 +49,7 @@
 	if !ok {
 		return
 	}
-	isMap := req.PathValue("name") == ownership.Record
+	isMap := req.PathValue("name") == ownership.RecordName
 	if isMap {
 		if s.passOn(w, req, raw) {
 			return
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -56,16 +56,16 @@
 	}{
 		{"worth served", func(r *Result) float64 { return r.Tally.All.Share() }},
 		{"worst five seconds", func(r *Result) float64 {
-			l, _ := r.Tally.Worst()
+			l, _ := r.Tally.WorstInterval()
 			return l.Share()
 		}},
 		{"refused, a message", func(r *Result) float64 { return part(r.Tally.All.Refused, r.Tally.All.Messages) }},
 		{"failed, a message", func(r *Result) float64 { return part(r.Tally.All.Failed, r.Tally.All.Messages) }},
-		{"tries, a message", func(r *Result) float64 { return part(r.Tally.Tries, r.Tally.All.Messages) }},
-		{"new connections, a message", func(r *Result) float64 { return part(r.Tally.Opened, r.Tally.All.Messages) }},
-		{"calls above limits, a message", func(r *Result) float64 { return part(r.Tally.Above, r.Tally.All.Messages) }},
-		{"median time to delivery, s", func(r *Result) float64 { return r.Tally.Delivery.P50.Seconds() }},
-		{"99th percentile of it, s", func(r *Result) float64 { return r.Tally.Delivery.P99.Seconds() }},
+		{"tries, a message", func(r *Result) float64 { return part(r.Tally.Attempts, r.Tally.All.Messages) }},
+		{"new connections, a message", func(r *Result) float64 { return part(r.Tally.Connections, r.Tally.All.Messages) }},
+		{"calls above limits, a message", func(r *Result) float64 { return part(r.Tally.CallsAboveLimit, r.Tally.All.Messages) }},
+		{"median time to delivery, s", func(r *Result) float64 { return r.Tally.TimeToDelivery.P50.Seconds() }},
+		{"99th percentile of it, s", func(r *Result) float64 { return r.Tally.TimeToDelivery.P99.Seconds() }},
 		{"CPU of the nodes, s", func(r *Result) float64 {
 			sum := 0.0
 			for _, u := range r.Use {
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -61,7 +61,7 @@
 }
 
 func (r *run) carryOut(ctx context.Context, x *experiment.FaultPlan, ends bool) {
-	if t, ok := partner.ParseTrouble(x.Kind); ok {
+	if t, ok := partner.ParseFaultKind(x.Kind); ok {
 		for _, p := range x.Partners {
 			if !ends {
 				r.partners[p].Trouble(t, x.Size, x.Until)
@@ -108,7 +108,7 @@
 		if ends {
 			r.each(x, "start", func(n *node) error { return n.revive(ctx) })
 		} else {
-			r.each(x, "kill", func(n *node) error { return n.kill(x.Lose) })
+			r.each(x, "kill", func(n *node) error { return n.kill(x.LoseState) })
 		}
 	case "restart":
 		if !ends {
@@ -165,8 +165,8 @@
 			return err
 		}
 		member := standin.Member{
-			ID: old.ID, Locality: r.plan.Zones[old.Zone], Flavor: r.plan.Kinds[r.plan.Partners[number].Kind], Cell: number,
-			Phase: history.Draining, Size: r.plan.Partners[number].Rate(),
+			ID: old.ID, Locality: r.plan.Zones[old.Zone], Flavor: r.plan.PartnerKinds[r.plan.Partners[number].Kind], Cell: number,
+			Phase: history.Draining, Size: r.plan.Partners[number].TotalRate(),
 		}
 		r.platform.Put(member, nil, false)
 		if !observe.SleepUntil(ctx, time.Now().Add(drain)) {
@@ -208,9 +208,9 @@
 
 // weather is what a link has to be like now; the lock is held.
 func (r *run) weather(node, number, zone int) relay.Weather {
-	w := relay.Weather{Delay: r.plan.Network.Cross, Jitter: r.plan.Network.Jitter}
+	w := relay.Weather{Delay: r.plan.Network.CrossZone, Jitter: r.plan.Network.Jitter}
 	if r.plan.Nodes[node].Zone == zone {
-		w.Delay = r.plan.Network.Same
+		w.Delay = r.plan.Network.SameZone
 	}
 	for _, x := range r.linkFault {
 		if !slices.Contains(x.Nodes, node) || !slices.Contains(x.Partners, number) {
@@ -218,8 +218,8 @@
 		}
 		switch x.Kind {
 		case "cut":
-			w.CutOut = w.CutOut || x.Way != "back"
-			w.CutBack = w.CutBack || x.Way != "out"
+			w.CutOut = w.CutOut || x.Direction != "back"
+			w.CutBack = w.CutBack || x.Direction != "out"
 		case "delay":
 			w.Delay += time.Duration(x.Size * float64(time.Millisecond))
 		case "loss":
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f.Draw(1, 0)
+	return f.DrawPlan(1, 0)
 }
 
 func sendWith(t *testing.T, fault string) Options {
@@ -105,18 +105,18 @@
 		fault judge.Rule
 		text  string
 	}{
-		{judge.OneEnd, base},
-		{judge.Over, base},
-		{judge.OneCopy, base},
-		{judge.Once, base + lossy},
-		{judge.Window, base + lossy},
+		{judge.OneFinalAnswer, base},
+		{judge.NothingAfterEnd, base},
+		{judge.OneAttemptAtATime, base},
+		{judge.AtMostOnce, base + lossy},
+		{judge.KeyWindow, base + lossy},
 		{judge.Drain, base + replace},
-		{judge.Wait, base + shut},
-		{judge.Cold, base + cold},
-		{judge.Attempts, silentWait + shut},
+		{judge.RetryAfter, base + shut},
+		{judge.SlowStart, base + cold},
+		{judge.MaxAttempts, silentWait + shut},
 		{judge.Slots, base + slow},
-		{judge.Foreign, base},
-		{judge.Answer, base},
+		{judge.WrongPartner, base},
+		{judge.AnswerGiven, base},
 		{judge.Alive, base},
 	} {
 		t.Run("fault "+string(test.fault), func(t *testing.T) {
@@ -125,10 +125,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if res.Kinds[string(history.HandedIn)] < 30 {
+			if res.Kinds[string(history.Submitted)] < 30 {
 				t.Fatalf("hardly anything happened: %v", res.Kinds)
 			}
-			found := slices.ContainsFunc(res.Breaches, func(b judge.Breach) bool { return b.Rule == test.fault })
+			found := slices.ContainsFunc(res.Breaches, func(b judge.Violation) bool { return b.Rule == test.fault })
 			if !found {
 				t.Errorf("the breach of %s was not found among %v", test.fault, res.Breaches)
 			}
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -158,7 +158,7 @@
 	if n.over {
 		return
 	}
-	state := history.Asked
+	state := history.ExitRequested
 	if !n.asked {
 		state = history.Crashed
 	}
@@ -223,7 +223,7 @@
 	if n.p == nil || n.over {
 		return nil, nil
 	}
-	if kind == history.Term || kind == history.Killed {
+	if kind == history.TermSent || kind == history.Killed {
 		n.asked = true
 	}
 	n.paused = kind == history.Stopped
@@ -252,7 +252,7 @@
 	if !lose {
 		return nil
 	}
-	n.event(history.Lost, "", "")
+	n.event(history.StateLost, "", "")
 	state := filepath.Join(n.dir, "state")
 	if err := os.RemoveAll(state); err != nil {
 		return err
@@ -275,14 +275,14 @@
 	wait, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	if err := n.awaitReady(wait); err != nil && ctx.Err() == nil {
-		n.event(history.Exceeds, "", fmt.Sprintf("it was not ready within %v: %v", readyWithin, err))
+		n.event(history.LimitExceeded, "", fmt.Sprintf("it was not ready within %v: %v", readyWithin, err))
 	}
 	return nil
 }
 
 // restart ends the process as the platform does in a planned restart, and starts it again.
 func (n *node) restart(ctx context.Context) error {
-	p, err := n.signal(syscall.SIGTERM, history.Term)
+	p, err := n.signal(syscall.SIGTERM, history.TermSent)
 	if err != nil || p == nil {
 		return err
 	}
@@ -352,7 +352,7 @@
 	}
 	if over != "" && !n.asked {
 		n.asked = true
-		n.event(history.Exceeds, "", over)
+		n.event(history.LimitExceeded, "", over)
 		n.p.Signal(syscall.SIGKILL)
 	}
 }
--- a/internal/lab/observe/observe.go
+++ b/internal/lab/observe/observe.go
@@ -115,19 +115,19 @@
 }
 
 // Lateness is how late each part of the lab was so far.
-func (l *Log) Lateness() map[Part]tally.Times {
+func (l *Log) Lateness() map[Part]tally.Percentiles {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := map[Part]tally.Times{}
+	out := map[Part]tally.Percentiles{}
 	for part, r := range l.late {
-		out[part] = r.Times()
+		out[part] = r.Percentiles()
 	}
 	return out
 }
 
 // Latest is the lateness of the part that was latest, by the 99th percentile.
-func Latest(all map[Part]tally.Times) tally.Times {
-	var worst tally.Times
+func Latest(all map[Part]tally.Percentiles) tally.Percentiles {
+	var worst tally.Percentiles
 	for _, t := range all {
 		if t.P99 > worst.P99 {
 			worst = t
@@ -149,7 +149,7 @@
 	defer l.mu.Unlock()
 	out := slices.Concat(l.events...)
 	history.Sort(out)
-	if i := slices.IndexFunc(out, func(e history.Event) bool { return e.Kind == history.End }); i >= 0 {
+	if i := slices.IndexFunc(out, func(e history.Event) bool { return e.Kind == history.RunEnded }); i >= 0 {
 		out = out[:i+1]
 	}
 	return out
--- a/internal/lab/replicas.go
+++ b/internal/lab/replicas.go
@@ -85,7 +85,7 @@
 
 // calm is the weather between replicas, and between them and nodes.
 func (r *run) calm() relay.Weather {
-	return relay.Weather{Delay: r.plan.Network.Same, Jitter: r.plan.Network.Jitter}
+	return relay.Weather{Delay: r.plan.Network.SameZone, Jitter: r.plan.Network.Jitter}
 }
 
 // keepList writes the list as the platform has it to the directory, again and again until it is there.
@@ -140,7 +140,7 @@
 		case "replica-cut":
 			for _, l := range d.Links {
 				w := r.calm()
-				w.CutOut, w.CutBack = !ends && x.Way != "back", !ends && x.Way != "out"
+				w.CutOut, w.CutBack = !ends && x.Direction != "back", !ends && x.Direction != "out"
 				l.Set(w)
 				if ends {
 					l.Reset()
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -69,10 +69,10 @@
 	}
 	b.WriteString("![worth served by five seconds](service.svg)\n\n")
 	lines(&b, "class", res.Tally.Classes)
-	lines(&b, "member", res.Tally.Members)
+	lines(&b, "member", res.Tally.Tenants)
 	lines(&b, "node", res.Tally.Nodes)
 	fmt.Fprintf(&b, "Time to answer: median %v, 99th percentile %v. Time to delivery: median %v, 99th percentile %v, longest %v.\n",
-		res.Tally.Answers.P50, res.Tally.Answers.P99, res.Tally.Delivery.P50, res.Tally.Delivery.P99, res.Tally.Delivery.Max)
+		res.Tally.TimeToAnswer.P50, res.Tally.TimeToAnswer.P99, res.Tally.TimeToDelivery.P50, res.Tally.TimeToDelivery.P99, res.Tally.TimeToDelivery.Max)
 	b.WriteString("\n## Partners\n\n")
 	if events != nil {
 		if err := callsPlot(filepath.Join(dir, "calls.svg"), events); err != nil {
@@ -82,9 +82,9 @@
 	}
 	b.WriteString("| partner | connections | calls | messages | accepted | above its limit | other refusals | given up | errors |\n|" + strings.Repeat(" --- |", 9) + "\n")
 	for _, p := range res.Tally.Partners {
-		e := p.Ends
-		fmt.Fprintf(&b, "| %d | %d | %d | %d | %d | %d | %d | %d | %d |\n", p.Partner, p.Opened, p.Calls, p.Messages, e[history.Accepted], e[history.Above],
-			e[history.Turned]+e[history.Full]+e[history.Crowded], e[history.GivenUp], e[history.Errored]+e[history.AnswerCut]+e[history.Spoilt])
+		e := p.CallEnds
+		fmt.Fprintf(&b, "| %d | %d | %d | %d | %d | %d | %d | %d | %d |\n", p.Partner, p.Connections, p.Calls, p.Messages, e[history.Accepted], e[history.AboveLimit],
+			e[history.Rejected]+e[history.QueueFull]+e[history.TooManyConns], e[history.Abandoned], e[history.Errored]+e[history.AnswerLost]+e[history.AnswerUnreadable])
 	}
 	b.WriteString("\n## Processes\n\n| node | starts | CPU | most memory, MB | most descriptors | most disk, KB |\n|" + strings.Repeat(" --- |", 6) + "\n")
 	for _, u := range res.Use {
@@ -106,7 +106,7 @@
 func lines(b *strings.Builder, what string, all []tally.Line) {
 	fmt.Fprintf(b, "| %s | messages | worth served | delivered | refused | failed | unheard |\n|%s\n", what, strings.Repeat(" --- |", 7))
 	for _, l := range all {
-		fmt.Fprintf(b, "| %s | %d | %.3f | %d | %d | %d | %d |\n", l.Name, l.Messages, l.Share(), l.Delivered, l.Refused, l.Failed, l.Unheard)
+		fmt.Fprintf(b, "| %s | %d | %.3f | %d | %d | %d | %d |\n", l.Name, l.Messages, l.Share(), l.Delivered, l.Refused, l.Failed, l.Unknown)
 	}
 	b.WriteString("\n")
 }
@@ -125,8 +125,8 @@
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "share"
 	p.Y.Min, p.Y.Max = 0, 1
 	var points plotter.XYs
-	for i, l := range res.Tally.Stretches {
-		points = append(points, plotter.XY{X: (float64(i) + 0.5) * tally.Stretch.Seconds(), Y: l.Share()})
+	for i, l := range res.Tally.Intervals {
+		points = append(points, plotter.XY{X: (float64(i) + 0.5) * tally.Interval.Seconds(), Y: l.Share()})
 	}
 	if len(points) > 0 {
 		if err := plotutil.AddLinePoints(p, "served", points); err != nil {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -42,16 +42,16 @@
 	Kept         bool          `json:"kept"` // all expectations
 	Expectations []Expectation `json:"expectations"`
 	// Spoilt says that the lab itself was too late or failed: what the run shows of the nodes is not to be trusted.
-	Spoilt   []string                     `json:"spoilt,omitempty"`
-	Breaches []judge.Breach               `json:"breaches"`
-	Tally    tally.Report                 `json:"tally"`
-	Lateness tally.Times                  `json:"lateness"` // of the lab: its part that was latest
-	LateBy   map[observe.Part]tally.Times `json:"lateness_by"`
-	Use      []ProcessUse                 `json:"processes"`
-	Rude     standin.RudeCount            `json:"rude_peers"`
-	Faults   []string                     `json:"faults"`
-	Kinds    map[string]int               `json:"events"`
-	Limits   map[string]float64           `json:"limits"` // of partners, calls a second
+	Spoilt   []string                           `json:"spoilt,omitempty"`
+	Breaches []judge.Violation                  `json:"breaches"`
+	Tally    tally.Report                       `json:"tally"`
+	Lateness tally.Percentiles                  `json:"lateness"` // of the lab: its part that was latest
+	LateBy   map[observe.Part]tally.Percentiles `json:"lateness_by"`
+	Use      []ProcessUse                       `json:"processes"`
+	Rude     standin.RudeCount                  `json:"rude_peers"`
+	Faults   []string                           `json:"faults"`
+	Kinds    map[string]int                     `json:"events"`
+	Limits   map[string]float64                 `json:"limits"` // of partners, calls a second
 
 	Events []history.Event `json:"-"`
 }
@@ -68,13 +68,13 @@
 	events := r.log.Events()
 	res := &Result{
 		Experiment: r.plan.Name, About: r.plan.About, Seed: r.plan.Seed, Command: r.opts.Command, Began: began, Took: time.Since(began),
-		Length: r.plan.End(), Nodes: len(r.plan.Nodes), Cores: runtime.NumCPU(), Breaches: judge.Find(r.plan.Judge(), events),
-		Tally: tally.Count(r.plan.Tally(), events), LateBy: r.log.Lateness(), Rude: r.clients.Rude(), Spoilt: r.failed, Events: events,
+		Length: r.plan.EndTime(), Nodes: len(r.plan.Nodes), Cores: runtime.NumCPU(), Breaches: judge.FindViolations(r.plan.JudgeConfig(), events),
+		Tally: tally.Count(r.plan.TallyConfig(), events), LateBy: r.log.Lateness(), Rude: r.clients.Rude(), Spoilt: r.failed, Events: events,
 		Kinds: map[string]int{}, Limits: map[string]float64{},
 	}
 	res.Lateness = observe.Latest(res.LateBy)
 	if res.Breaches == nil {
-		res.Breaches = []judge.Breach{} // a list in JSON, too
+		res.Breaches = []judge.Violation{} // a list in JSON, too
 	}
 	for _, e := range events {
 		res.Kinds[string(e.Kind)]++
@@ -86,7 +86,7 @@
 		res.Faults = append(res.Faults, fmt.Sprintf("%v: %v", x.At.Round(time.Millisecond), x))
 	}
 	for i, p := range r.plan.Partners {
-		res.Limits[fmt.Sprint(i)] = p.Model.Limit.PerSecond
+		res.Limits[fmt.Sprint(i)] = p.Config.Limit.PerSecond
 	}
 	res.judge(r.plan.Expect)
 	return res
@@ -103,14 +103,14 @@
 	}
 	others := 0
 	for rule, n := range broken {
-		if !slices.Contains(x.Broken, rule) {
+		if !slices.Contains(x.BrokenRules, rule) {
 			others += n
 		}
 	}
-	if len(x.Broken) == 0 {
+	if len(x.BrokenRules) == 0 {
 		expect(others == 0, "no rule broken", "%d breaches", others)
 	} else {
-		for _, rule := range x.Broken {
+		for _, rule := range x.BrokenRules {
 			expect(broken[rule] > 0, fmt.Sprintf("rule %s broken", rule), "%d breaches", broken[rule])
 		}
 		expect(others == 0, "no other rule broken", "%d breaches", others)
@@ -120,27 +120,27 @@
 			expect(l.Share() >= want, fmt.Sprintf("%s served %.3g at least", what, want), "%.3f", l.Share())
 		}
 	}
-	least("worth", x.Served.Low, res.Tally.All)
-	for _, name := range sortedKeys(x.Class) {
-		if l, ok := tally.Find(res.Tally.Classes, name); ok {
-			least("class "+name, x.Class[name].Low, l)
+	least("worth", x.MinServed.Low, res.Tally.All)
+	for _, name := range sortedKeys(x.MinServedByClass) {
+		if l, ok := tally.FindLine(res.Tally.Classes, name); ok {
+			least("class "+name, x.MinServedByClass[name].Low, l)
 		}
 	}
-	if l, ok := res.Tally.Worst(); ok {
-		least("worst five seconds", x.Worst.Low, l)
+	if l, ok := res.Tally.WorstInterval(); ok {
+		least("worst five seconds", x.MinWorstInterval.Low, l)
 	}
-	if most := x.AboveMost; most != nil {
-		got := float64(res.Tally.Above) / float64(max(res.Tally.All.Messages, 1))
+	if most := x.MaxAboveLimit; most != nil {
+		got := float64(res.Tally.CallsAboveLimit) / float64(max(res.Tally.All.Messages, 1))
 		expect(got <= most.High, fmt.Sprintf("calls above limits, a message, %.3g at most", most.High), "%.3f", got)
 	}
-	if want := int(x.Delivered.Low); want > 0 {
+	if want := int(x.MinDelivered.Low); want > 0 {
 		expect(res.Tally.All.Delivered >= want, fmt.Sprintf("%d messages delivered at least", want), "%d", res.Tally.All.Delivered)
 	}
 	if res.Rude.Came > 0 {
 		bad := res.Rude.Unanswered + res.Rude.TakenOn
 		expect(bad == 0, "rude peers get an error or a close in time", "%d of %d did not", bad, res.Rude.Came)
 	}
-	if most := x.Lateness.High; most > 0 {
+	if most := x.MaxLateness.High; most > 0 {
 		kept := res.Lateness.P99 <= most
 		expect(kept, fmt.Sprintf("the lab itself at most %v late (99th percentile)", most), "%v", res.Lateness.P99)
 		if !kept {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -129,14 +129,14 @@
 	parts.Go(func() { r.timeline(running) })
 	parts.Go(func() { r.sample(running) })
 	parts.Go(func() { r.tell(running) })
-	ended := observe.SleepUntil(ctx, r.log.Wall(r.plan.End()))
+	ended := observe.SleepUntil(ctx, r.log.Wall(r.plan.EndTime()))
 	if ended {
-		r.log.Add(history.Event{Kind: history.End, Node: -1, Partner: -1})
+		r.log.Add(history.Event{Kind: history.RunEnded, Node: -1, Partner: -1})
 	}
 	stop()
 	parts.Wait()
 	if !ended {
-		return fmt.Errorf("the run was ended after %v of %v: %w", r.log.Now().Round(time.Millisecond), r.plan.End(), context.Cause(ctx))
+		return fmt.Errorf("the run was ended after %v of %v: %w", r.log.Now().Round(time.Millisecond), r.plan.EndTime(), context.Cause(ctx))
 	}
 	return nil
 }
@@ -149,11 +149,11 @@
 // build makes the stand-ins and the nodes' folders.
 func (r *run) build() error {
 	p := r.plan
-	r.platform = standin.NewPlatform(len(p.Nodes), p.Listing.Low, p.Listing.High, p.Seed, r.log,
+	r.platform = standin.NewPlatform(len(p.Nodes), p.DiscoveryDelay.Low, p.DiscoveryDelay.High, p.Seed, r.log,
 		func(node int, id, state string, after time.Duration) { r.clients.Heard(node, id, state, after) })
 	r.clients = standin.NewClients(p, func(n int) string { return r.addr(n, clientPort) }, func(n int) bool { return r.nodes[n].up() }, r.log)
 	for i, q := range p.Partners {
-		one := standin.NewPartner(i, q.Model, q.Seed, len(p.Nodes), p.Rules.ConnIdle, r.log, r.clients.Saw)
+		one := standin.NewPartner(i, q.Config, q.Seed, len(p.Nodes), p.Rules.ConnIdleTimeout, r.log, r.clients.Saw)
 		r.partners = append(r.partners, one)
 		for _, zone := range q.Zones {
 			if err := r.addEndpoint(i, zone, true); err != nil {
@@ -196,7 +196,7 @@
 	}
 	q := r.plan.Partners[number]
 	r.platform.Put(standin.Member{
-		ID: id, Locality: r.plan.Zones[zone], Flavor: r.plan.Kinds[q.Kind], Cell: number, Phase: history.Serving, Size: q.Rate(), UpSince: up,
+		ID: id, Locality: r.plan.Zones[zone], Flavor: r.plan.PartnerKinds[q.Kind], Cell: number, Phase: history.Serving, Size: q.TotalRate(), UpSince: up,
 	}, one.Addr, atOnce)
 	return nil
 }
@@ -253,8 +253,8 @@
 			}
 		}
 		r.progress(Progress{
-			At: r.log.Now(), End: r.plan.End(), Handed: r.log.Count(history.HandedIn), Calls: r.log.Count(history.CallBegan),
-			Notices: r.log.Count(history.Noticed), Ready: up, Lateness: observe.Latest(r.log.Lateness()).P99,
+			At: r.log.Now(), End: r.plan.EndTime(), Handed: r.log.Count(history.Submitted), Calls: r.log.Count(history.CallStarted),
+			Notices: r.log.Count(history.NoticeReceived), Ready: up, Lateness: observe.Latest(r.log.Lateness()).P99,
 		})
 	}
 }
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -95,7 +95,7 @@
 	f := File{
 		Name: t.Name, About: t.About, Points: t.Points, Plays: t.Plays, Seed: uint64(t.Seed), Limit: time.Duration(t.Limit), Hash: hex.EncodeToString(sum[:]),
 	}
-	where := tomlfile.Lines(raw)
+	where := tomlfile.KeyLines(raw)
 	var found []error
 	bad := func(key, form string, args ...any) {
 		line := where[key]
@@ -103,7 +103,7 @@
 			key = key[:strings.LastIndex(key, ".")]
 			line = where[key]
 		}
-		found = append(found, &tomlfile.Error{Line: line, Text: fmt.Sprintf(form, args...)})
+		found = append(found, &tomlfile.Error{Line: line, Message: fmt.Sprintf(form, args...)})
 	}
 	if !nameForm.MatchString(t.Name) {
 		bad("name", "name is of small letters, digits and dashes, since the results' files are called so")
--- a/internal/lab/scale/hollow/load.go
+++ b/internal/lab/scale/hollow/load.go
@@ -63,10 +63,10 @@
 	if err != nil {
 		return nil, err
 	}
-	l = &load{plan: f.Draw(s.Seed, real), log: observe.NewLog()}
+	l = &load{plan: f.DrawPlan(s.Seed, real), log: observe.NewLog()}
 	l.clients = standin.NewClients(&l.plan, func(n int) string { return realAddress(svc, n, realPort) }, func(int) bool { return true }, l.log)
 	for i, q := range l.plan.Partners {
-		p := standin.NewPartner(i, q.Model, q.Seed, 1, l.plan.Rules.ConnIdle, l.log, l.clients.Saw)
+		p := standin.NewPartner(i, q.Config, q.Seed, 1, l.plan.Rules.ConnIdleTimeout, l.log, l.clients.Saw)
 		l.partners = append(l.partners, p)
 		for n, zone := range q.Zones {
 			at := net.JoinHostPort(svc.block.IP(partnerHost, i+1), strconv.Itoa(loadPartner+n))
@@ -76,7 +76,7 @@
 				return nil, err
 			}
 			l.list = append(l.list, catalog.Endpoint{
-				ID: e.ID, Addr: e.Addr(0), Locality: zones[zone], Flavor: l.plan.Kinds[q.Kind], Cell: i, Phase: catalog.Serving, Size: q.Rate(),
+				ID: e.ID, Addr: e.Addr(0), Locality: zones[zone], Flavor: l.plan.PartnerKinds[q.Kind], Cell: i, Phase: catalog.Serving, Size: q.TotalRate(),
 			})
 		}
 	}
@@ -121,6 +121,6 @@
 	}
 	r.Count("load.asked", float64(asked))
 	r.Count("load.taken", float64(taken))
-	r.Count("load.delivered", float64(l.log.Count(history.Ran)))
+	r.Count("load.delivered", float64(l.log.Count(history.Executed)))
 	r.Count("load.seconds", l.log.Now().Round(time.Millisecond).Seconds())
 }
--- a/internal/lab/scale/hollow/owned.go
+++ b/internal/lab/scale/hollow/owned.go
@@ -86,13 +86,13 @@
 	if r.owners, err = ownership.Make(1, ownersEach, members, nil); err != nil {
 		return nil, err
 	}
-	var held [ownership.Partitions]int
+	var held [ownership.PartitionCount]int
 	for d := range destinations {
 		held[ownership.PartitionOf(firstCell+d)]++
 	}
 	best := math.Inf(1)
 	for n := range nodes {
-		set, _ := r.owners.Of(memberName(n))
+		set, _ := r.owners.PartitionsOf(memberName(n))
 		owned := 0
 		for p := range set.All() {
 			owned += held[p]
@@ -144,7 +144,7 @@
 	if err != nil {
 		return 0, err
 	}
-	const path = "/records/" + ownership.Record
+	const path = "/records/" + ownership.RecordName
 	var w directory.Written
 	ask := func(method string, body object) error {
 		raw, err := json.Marshal(body)
@@ -616,7 +616,7 @@
 	r.Count("directory.owned.rss.again", use.rss[0])
 	var set ownership.Set // a third of all
 	told, mine := 0, 0
-	for p := 0; p < ownership.Partitions; p += ownersEach {
+	for p := 0; p < ownership.PartitionCount; p += ownersEach {
 		set.Add(p)
 	}
 	for i := range endpoints {
--- a/internal/lab/scale/hollow/owned_test.go
+++ b/internal/lab/scale/hollow/owned_test.go
@@ -27,7 +27,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set, ok := of.owners.Of(memberName(of.node))
+		set, ok := of.owners.PartitionsOf(memberName(of.node))
 		if !ok || set != of.set || of.owners.Members[0].Zone == "" {
 			t.Errorf("%v: n%d has %v, the map says %v", x, of.node, of.set, set)
 		}
@@ -215,7 +215,7 @@
 func TestSplit(t *testing.T) {
 	t.Parallel()
 	var set, again ownership.Set
-	for p := 0; p < ownership.Partitions; p += 3 {
+	for p := 0; p < ownership.PartitionCount; p += 3 {
 		set.Add(p)
 	}
 	parts := split(set, 500)
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -55,8 +55,8 @@
 	b.WriteString("| figure | what | form | at 0 | slope | square | spread | from | to | points | worst |\n|" + strings.Repeat(" --- |", 11) + "\n")
 	for _, f := range res.Fits {
 		if s := f.Slope; s != nil {
-			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | %s | %.4g | %.4g | %.4g | %.2g | %s | %s | %d | %.1f%% |\n", f.ID, f.What, f.Unit, s.Per, s.Form, s.At0, s.Slope,
-				s.Square, s.Spread, number(s.From), number(s.To), s.Points, 100*s.Worst)
+			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | %s | %.4g | %.4g | %.4g | %.2g | %s | %s | %d | %.1f%% |\n", f.ID, f.What, f.Unit, s.XUnit, s.Form, s.Intercept, s.LinearCoef,
+				s.QuadraticCoef, s.StdErr, number(s.From), number(s.To), s.Points, 100*s.MaxResidual)
 		} else {
 			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | none |%s\n", f.ID, f.What, f.Unit, res.Per, strings.Repeat(" |", 8))
 		}
@@ -231,7 +231,7 @@
 			if logs {
 				x = s.From * math.Pow(s.To/s.From, part)
 			}
-			if y := s.At(x); !logs || y > 0 {
+			if y := s.ValueAt(x); !logs || y > 0 {
 				line = append(line, plotter.XY{X: x, Y: y})
 			}
 		}
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -114,8 +114,8 @@
 			}
 			fit.Why = fd.why
 			fit.Slope = &capacity.Slope{
-				ID: m.ID, What: m.What, Per: f.Axis.Per, Unit: m.Unit, Form: forms[fd.order], At0: fd.c[0], Slope: fd.c[1], Square: fd.c[2],
-				Spread: fd.errors[fd.order], From: samples[0].x, To: samples[len(samples)-1].x, Points: len(samples), Plays: fewest, Worst: fd.worst,
+				ID: m.ID, Description: m.What, XUnit: f.Axis.Per, Unit: m.Unit, Form: forms[fd.order], Intercept: fd.c[0], LinearCoef: fd.c[1], QuadraticCoef: fd.c[2],
+				StdErr: fd.errors[fd.order], From: samples[0].x, To: samples[len(samples)-1].x, Points: len(samples), Repeats: fewest, MaxResidual: fd.worst,
 				Commit: h.Build.Commit,
 			}
 		}
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -275,10 +275,10 @@
 		t.Fatalf("%+v", res)
 	}
 	s := slopeOf(t, res, "stub.bytes")
-	if s == nil || s.Form != Linear || s.Slope < 9.999 || s.Slope > 10.001 || s.From != 1 || s.To != 20 || s.Points != 3 || s.Plays != 3 || s.Commit != "c0ffee" || s.Per != "thing" {
+	if s == nil || s.Form != Linear || s.LinearCoef < 9.999 || s.LinearCoef > 10.001 || s.From != 1 || s.To != 20 || s.Points != 3 || s.Repeats != 3 || s.Commit != "c0ffee" || s.XUnit != "thing" {
 		t.Errorf("slope %+v", s)
 	}
-	if s = slopeOf(t, res, "stub.step"); s == nil || s.Form != Constant || s.Slope != 0 {
+	if s = slopeOf(t, res, "stub.step"); s == nil || s.Form != Constant || s.LinearCoef != 0 {
 		t.Errorf("slope %+v", s)
 	}
 	seeds := map[uint64]bool{}
--- a/internal/lab/scale/slopes.go
+++ b/internal/lab/scale/slopes.go
@@ -30,7 +30,7 @@
 		s.Run = run
 		measured = append(measured, s)
 	}
-	if raw, err = capacity.FormatSlopes(capacity.Replaced(all, measured)); err != nil {
+	if raw, err = capacity.FormatSlopes(capacity.MergeSlopes(all, measured)); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
--- a/internal/lab/scale/slopes_test.go
+++ b/internal/lab/scale/slopes_test.go
@@ -12,17 +12,17 @@
 func TestMergeSlopes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "capacity", "slopes.toml")
 	res := &Result{Fits: []Fit{
-		{ID: "b", Slope: &capacity.Slope{ID: "b", What: "bytes", Per: "thing", Unit: "B", Form: Linear, At0: 1234, Slope: 910, Spread: 35, From: 1000, To: 380000, Points: 5, Plays: 3, Worst: 0.06, Commit: "8af6f88"}},
+		{ID: "b", Slope: &capacity.Slope{ID: "b", Description: "bytes", XUnit: "thing", Unit: "B", Form: Linear, Intercept: 1234, LinearCoef: 910, StdErr: 35, From: 1000, To: 380000, Points: 5, Repeats: 3, MaxResidual: 0.06, Commit: "8af6f88"}},
 		{ID: "none"},
 	}}
 	if err := res.MergeSlopes(path, "docs/scale/one.json"); err != nil {
 		t.Fatal(err)
 	}
-	other := &Result{Fits: []Fit{{ID: "a", Slope: &capacity.Slope{ID: "a", What: "a", Per: "thing", Unit: "B", Form: Constant, From: 1, To: 2, Points: 1, Plays: 1, Commit: "c0ffee"}}, {ID: "c", Slope: &capacity.Slope{ID: "c", What: "c", Per: "thing", Unit: "B", Form: Constant, From: 1, To: 2, Points: 1, Plays: 1, Commit: "c0ffee"}}}}
+	other := &Result{Fits: []Fit{{ID: "a", Slope: &capacity.Slope{ID: "a", Description: "a", XUnit: "thing", Unit: "B", Form: Constant, From: 1, To: 2, Points: 1, Repeats: 1, Commit: "c0ffee"}}, {ID: "c", Slope: &capacity.Slope{ID: "c", Description: "c", XUnit: "thing", Unit: "B", Form: Constant, From: 1, To: 2, Points: 1, Repeats: 1, Commit: "c0ffee"}}}}
 	if err := other.MergeSlopes(path, "docs/scale/two.json"); err != nil {
 		t.Fatal(err)
 	}
-	res.Fits[0].Slope.Slope = 911
+	res.Fits[0].Slope.LinearCoef = 911
 	if err := res.MergeSlopes(path, "docs/scale/one.json"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -78,7 +78,7 @@
 // NewClients makes the clients of a plan.
 func NewClients(plan *experiment.Plan, addr func(int) string, alive func(int) bool, log *observe.Log) *Clients {
 	return &Clients{
-		plan: plan, log: log, addr: addr, alive: alive, body: []byte(strings.Repeat("x", plan.Load.Body)),
+		plan: plan, log: log, addr: addr, alive: alive, body: []byte(strings.Repeat("x", plan.Load.BodyBytes)),
 		rand: rand.New(rand.NewPCG(plan.Seed, 0xc11e)), cases: make([]caseState, len(plan.Arrivals)+1), ids: map[string]int{},
 		idle: make([]idleConns, len(plan.Nodes)),
 	}
@@ -169,7 +169,7 @@
 		}
 		s.taken = false
 		class := c.plan.Classes[c.plan.Arrivals[n-1].Class]
-		wait := c.draw(c.plan.Load.Again)
+		wait := c.draw(c.plan.Load.ResubmitDelay)
 		c.wg.Go(func() {
 			if !observe.SleepUntil(ctx, time.Now().Add(wait)) {
 				return
@@ -193,7 +193,7 @@
 }
 
 // draw draws a time; the lock is held.
-func (c *Clients) draw(s experiment.Span) time.Duration {
+func (c *Clients) draw(s experiment.DurationRange) time.Duration {
 	return s.Low + time.Duration(c.rand.Float64()*float64(s.High-s.Low))
 }
 
@@ -201,14 +201,14 @@
 func (c *Clients) comeAgain(ctx context.Context, n, node int, told time.Duration) {
 	c.mu.Lock()
 	s := &c.cases[n]
-	if s.tries > c.plan.Load.Retries {
+	if s.tries > c.plan.Load.MaxRetries {
 		s.over = true
 		c.mu.Unlock()
 		return
 	}
 	wait := c.draw(c.plan.Load.Backoff)
-	if told > 0 && c.rand.Float64() < c.plan.Load.Honour {
-		wait = min(told, c.plan.Rules.MaxWait)
+	if told > 0 && c.rand.Float64() < c.plan.Load.HonorRetryAfter {
+		wait = min(told, c.plan.Rules.MaxRetryAfter)
 	}
 	c.mu.Unlock()
 	c.wg.Go(func() {
@@ -229,12 +229,12 @@
 	c.mu.Lock()
 	s := &c.cases[n]
 	s.tries++
-	s.id, s.node, s.taken = c.plan.ID(n, s.tries), node, false
+	s.id, s.node, s.taken = c.plan.MessageID(n, s.tries), node, false
 	id, first := s.id, s.tries == 1
 	c.ids[id] = n
 	c.mu.Unlock()
-	words := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", class.Name, c.plan.Members[a.Member].Name, left.Milliseconds(), a.Dest)
-	key := c.plan.Key(n)
+	words := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", class.Name, c.plan.Tenants[a.Tenant].Name, left.Milliseconds(), a.Dest)
+	key := c.plan.IdempotencyKey(n)
 	if key != "" {
 		words += ",k=" + key
 	}
@@ -242,18 +242,18 @@
 		words += ",again=1"
 	}
 	e := history.Event{
-		Kind: history.HandedIn, Node: node, Partner: -1, ID: id, Case: n, Class: a.Class, Member: a.Member, Dest: a.Dest, Key: key,
-		Life: left.Truncate(time.Millisecond), Again: again, First: a.At, At: c.log.Now(),
+		Kind: history.Submitted, Node: node, Partner: -1, ID: id, MessageNumber: n, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest, Key: key,
+		ExpiresIn: left.Truncate(time.Millisecond), Resubmitted: again, FirstAt: a.At, At: c.log.Now(),
 	}
 	if !first {
-		e.First = e.At
+		e.FirstAt = e.At
 	}
 	c.log.Add(e)
 	state, wait := c.ask(ctx, node, command("ENQUEUE", strings.Repeat("0", 16), id, words, string(c.body)))
 	if ctx.Err() != nil {
 		return
 	}
-	c.log.Add(history.Event{Kind: history.Answered, Node: node, Partner: -1, ID: id, State: state, Wait: wait})
+	c.log.Add(history.Event{Kind: history.Answered, Node: node, Partner: -1, ID: id, State: state, RetryAfter: wait})
 	c.mu.Lock()
 	mine := c.cases[n].id == id
 	touched, since := s.touched, c.log.Now()-s.first
@@ -268,7 +268,7 @@
 	switch state {
 	case history.Refused, history.Unsent:
 		c.comeAgain(ctx, n, node, wait)
-	case history.Unheard, history.Broken:
+	case history.ClientTimedOut, history.ConnectionLost:
 		// It may be with the node, and may yet run: only what may be repeated comes again, under a new id.
 		if class.Effect == judge.Safe || class.Effect == judge.Keyed && (!touched || since < class.Window/2) {
 			c.comeAgain(ctx, n, node, 0)
@@ -291,12 +291,12 @@
 // ask sends a request and waits for its answer as long as clients do. One that crosses the close of an idle connection
 // is sent once more.
 func (c *Clients) ask(ctx context.Context, node int, request []byte) (state string, wait time.Duration) {
-	by := time.Now().Add(c.plan.Load.Patience)
+	by := time.Now().Add(c.plan.Load.AnswerTimeout)
 	crossed := false // it has been written to a connection that ended: the node may have read it all the same
 	for {
 		k, err := c.conn(ctx, node)
 		if err != nil && crossed {
-			return history.Broken, 0
+			return history.ConnectionLost, 0
 		}
 		if err != nil {
 			return history.Unsent, 0
@@ -313,14 +313,14 @@
 		k.Close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return history.Unheard, 0
+			return history.ClientTimedOut, 0
 		case used && ctx.Err() == nil:
 			crossed = crossed || wrote
 			continue // the node closed it between requests
 		case !wrote && !crossed:
 			return history.Unsent, 0
 		}
-		return history.Broken, 0
+		return history.ConnectionLost, 0
 	}
 }
 
@@ -378,7 +378,7 @@
 
 // rudePeers come and say nothing, nonsense, too much, or half a request.
 func (c *Clients) rudePeers(ctx context.Context) {
-	for _, r := range c.plan.Rude {
+	for _, r := range c.plan.RudePeers {
 		if !observe.SleepUntil(ctx, c.log.Wall(r.At)) {
 			return
 		}
@@ -386,7 +386,7 @@
 	}
 }
 
-func (c *Clients) beRude(ctx context.Context, r experiment.Rudeness) {
+func (c *Clients) beRude(ctx context.Context, r experiment.RudePeer) {
 	if !c.alive(r.Node) {
 		return // a node that does not run owes it nothing
 	}
@@ -404,7 +404,7 @@
 		"", "\x00\xff\x16\x03\x01nonsense\r\n", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n", "*99999\r\n",
 		"*1\r\n$999999999\r\n", "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$3\r\nabc\r\n$3\r\nc=x\r\n$0\r\n\r\n", strings.Repeat("A", 100_000),
 	}
-	io.WriteString(nc, sayings[r.Way%len(sayings)])
+	io.WriteString(nc, sayings[r.Behavior%len(sayings)])
 	line, err := bufio.NewReader(nc).ReadString('\n')
 	if ctx.Err() != nil || !c.alive(r.Node) {
 		return
--- a/internal/lab/standin/partner.go
+++ b/internal/lab/standin/partner.go
@@ -85,7 +85,7 @@
 	p.mu.Lock()
 	index := len(p.endpoints)
 	if index >= p.model.Endpoints {
-		p.step(partner.Added{})
+		p.step(partner.EndpointAdded{})
 	}
 	e := &Endpoint{ID: id, Zone: zone, of: p, index: index, ln: newFeed(), done: make(chan struct{})}
 	p.endpoints = append(p.endpoints, e)
@@ -118,16 +118,16 @@
 func (e *Endpoint) connect(ctx context.Context, node int, pair *relay.Pair) (net.Conn, error) {
 	p := e.of
 	p.mu.Lock()
-	if p.closed || p.state.Down(e.index) {
+	if p.closed || p.state.IsDown(e.index) {
 		p.mu.Unlock()
-		p.log.Add(history.Event{Kind: history.Unreached, Node: node, Partner: p.number, Endpoint: e.ID})
+		p.log.Add(history.Event{Kind: history.ConnectFailed, Node: node, Partner: p.number, Endpoint: e.ID})
 		return nil, errors.New("the endpoint is down")
 	}
 	here, there := pair.Pipe()
 	s := &served{Conn: there, pair: pair, node: node, number: numbers.Add(1), endpoint: e.index}
 	p.pairs[s.number] = s
-	p.step(partner.Opened{Conn: s.number, Endpoint: e.index})
-	p.log.Add(history.Event{Kind: history.Opened, Node: node, Partner: p.number, Endpoint: e.ID})
+	p.step(partner.ConnOpened{Conn: s.number, Endpoint: e.index})
+	p.log.Add(history.Event{Kind: history.Connected, Node: node, Partner: p.number, Endpoint: e.ID})
 	p.mu.Unlock()
 	if !e.ln.give(ctx, s) {
 		p.closeConn(s)
@@ -149,7 +149,7 @@
 	defer p.mu.Unlock()
 	if p.pairs[s.number] != nil {
 		delete(p.pairs, s.number)
-		p.step(partner.Closed{Conn: s.number})
+		p.step(partner.ConnClosed{Conn: s.number})
 	}
 }
 
@@ -179,7 +179,7 @@
 }
 
 // Trouble begins a spell on all endpoints.
-func (p *Partner) Trouble(what partner.Trouble, size float64, until time.Duration) {
+func (p *Partner) Trouble(what partner.FaultKind, size float64, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if what != partner.Slow && what != partner.Lossy && (what != partner.Failing || size >= 0.5) {
@@ -195,7 +195,7 @@
 			})
 		}
 	}
-	p.step(partner.Troubled{Endpoint: -1, What: what, Size: size, Until: until})
+	p.step(partner.FaultStarted{Endpoint: -1, Kind: what, Size: size, Until: until})
 }
 
 // Wake lets the model catch up with the run's time, once that has begun.
@@ -209,7 +209,7 @@
 func (p *Partner) Limit(share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.step(partner.Limited{Share: share})
+	p.step(partner.LimitChanged{Share: share})
 }
 
 // Close ends the partner and returns when nothing of it is left.
@@ -245,9 +245,9 @@
 				c <- a // it has room for one
 				delete(p.out, a.Call)
 			}
-		case partner.Ran:
-			p.log.Add(history.Event{Kind: history.Ran, Node: -1, Partner: p.number, Call: a.Call, ID: a.ID})
-		case partner.Reset:
+		case partner.Executed:
+			p.log.Add(history.Event{Kind: history.Executed, Node: -1, Partner: p.number, Call: a.Call, ID: a.ID})
+		case partner.ConnsReset:
 			for _, s := range p.pairs {
 				if s.endpoint == a.Endpoint {
 					delete(p.pairs, s.number)
@@ -259,7 +259,7 @@
 					l.Refuse(true)
 				}
 			}
-		case partner.Restored:
+		case partner.EndpointRestored:
 			if a.Endpoint < len(p.endpoints) {
 				for n, l := range p.endpoints[a.Endpoint].links {
 					if err := l.Refuse(false); err != nil {
@@ -267,11 +267,11 @@
 					}
 				}
 			}
-		case partner.Fell:
-			p.log.Add(history.Event{Kind: history.Fell, Node: -1, Partner: p.number, Pushes: a.Pushes})
+		case partner.Collapsed:
+			p.log.Add(history.Event{Kind: history.Collapsed, Node: -1, Partner: p.number, CallsBySender: a.CallsBySender})
 		}
 	}
-	if next, ok := p.state.Next(); ok && !p.closed {
+	if next, ok := p.state.NextTick(); ok && !p.closed {
 		p.due = next
 		p.timer.Reset(time.Until(p.log.Wall(next)))
 	}
@@ -303,7 +303,7 @@
 			http.Error(w, "unreadable", http.StatusBadRequest)
 			return
 		}
-		if len(items) > max(e.of.model.Batch, 1) {
+		if len(items) > max(e.of.model.MaxBatch, 1) {
 			http.Error(w, "too many", http.StatusRequestEntityTooLarge)
 			return
 		}
@@ -318,7 +318,7 @@
 // call passes a call to the model and gives its answer.
 func (e *Endpoint) call(w http.ResponseWriter, req *http.Request, c *served, items []item) {
 	p := e.of
-	call := partner.Called{Call: numbers.Add(1), Conn: c.number, Endpoint: e.index, Sender: c.node}
+	call := partner.CallReceived{Call: numbers.Add(1), Conn: c.number, Endpoint: e.index, Sender: c.node}
 	ids := make([]string, len(items))
 	for i, it := range items {
 		ids[i] = it.ID
@@ -334,7 +334,7 @@
 		return
 	}
 	p.log.Add(history.Event{
-		Kind: history.CallBegan, Node: c.node, Partner: p.number, Endpoint: e.ID, Call: call.Call, IDs: ids, First: p.log.At(c.pair.Began()),
+		Kind: history.CallStarted, Node: c.node, Partner: p.number, Endpoint: e.ID, Call: call.Call, IDs: ids, FirstAt: p.log.At(c.pair.Began()),
 	})
 	p.out[call.Call] = answered
 	p.step(call)
@@ -347,40 +347,40 @@
 		p.mu.Lock()
 		delete(p.out, call.Call)
 		p.mu.Unlock()
-		end.State = history.GivenUp
+		end.State = history.Abandoned
 		if at := c.pair.NearEnded(); !at.IsZero() {
 			end.At = p.log.At(at)
 		} else {
-			end.State = history.AnswerCut
+			end.State = history.AnswerLost
 		}
 		p.log.Add(end)
 	}
 }
 
 var states = map[partner.Status]string{
-	partner.AboveLimit: history.Above, partner.TurnedAway: history.Turned, partner.Full: history.Full, partner.Crowded: history.Crowded,
-	partner.Delivered: history.Accepted, partner.Errored: history.Errored, partner.LostAnswer: history.AnswerCut, partner.SpoiltAnswer: history.Spoilt,
+	partner.AboveLimit: history.AboveLimit, partner.Rejected: history.Rejected, partner.QueueFull: history.QueueFull, partner.TooManyConns: history.TooManyConns,
+	partner.Served: history.Accepted, partner.Errored: history.Errored, partner.AnswerLost: history.AnswerLost, partner.AnswerUnreadable: history.AnswerUnreadable,
 }
 
-var fates = map[partner.Fate]string{
-	partner.Accepted: history.FateAccepted, partner.Fault: history.FateFault, partner.Deferred: history.FateDeferred,
+var fates = map[partner.Outcome]string{
+	partner.Accepted: history.OutcomeAccepted, partner.Failed: history.OutcomeFailed, partner.Deferred: history.OutcomeDeferred,
 }
 
 // answer writes an answer, and notes the call's end when the node has been sent it.
 func (e *Endpoint) answer(w http.ResponseWriter, c *served, items []item, a partner.Answer, end history.Event) {
 	p := e.of
-	end.State, end.Wait = states[a.Status], a.Wait
-	for _, f := range a.Fates {
-		end.Fates = append(end.Fates, fates[f])
+	end.State, end.RetryAfter = states[a.Status], a.RetryAfter
+	for _, f := range a.Outcomes {
+		end.Outcomes = append(end.Outcomes, fates[f])
 	}
 	code, body := http.StatusOK, []byte("ok\n")
 	switch a.Status {
-	case partner.LostAnswer:
+	case partner.AnswerLost:
 		end.At = p.log.Now()
 		p.log.Add(end)
 		c.pair.Reset()
 		return
-	case partner.SpoiltAnswer:
+	case partner.AnswerUnreadable:
 		body = []byte("HTP/9 what?\r\n\r\n")
 		nc, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -390,7 +390,7 @@
 		nc.Write(body)
 		e.note(c, end)
 		return
-	case partner.Delivered:
+	case partner.Served:
 		if len(items) > 1 {
 			type told struct {
 				ID    string `json:"id"`
@@ -398,7 +398,7 @@
 			}
 			list := make([]told, len(items))
 			for i, it := range items {
-				list[i] = told{it.ID, end.Fates[i]}
+				list[i] = told{it.ID, end.Outcomes[i]}
 			}
 			body, _ = json.Marshal(list) // of strings
 		}
@@ -406,9 +406,9 @@
 		code = http.StatusInternalServerError
 	default:
 		code = http.StatusServiceUnavailable
-		if a.Wait > 0 {
+		if a.RetryAfter > 0 {
 			code = http.StatusTooManyRequests
-			w.Header().Set("Retry-After", strconv.FormatFloat(a.Wait.Seconds(), 'f', 3, 64))
+			w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 		}
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -422,7 +422,7 @@
 func (e *Endpoint) note(c *served, end history.Event) {
 	c.pair.WhenReached(func(at time.Time, reached bool) {
 		if !reached {
-			end.State, end.Fates, end.Wait = history.GivenUp, nil, 0
+			end.State, end.Outcomes, end.RetryAfter = history.Abandoned, nil, 0
 		}
 		end.At = e.of.log.At(at)
 		e.of.log.Add(end)
--- a/internal/lab/standin/platform.go
+++ b/internal/lab/standin/platform.go
@@ -212,7 +212,7 @@
 	a.mu.Unlock()
 	if !before {
 		a.platform.log.Add(history.Event{
-			Kind: history.Told, Node: a.node, Partner: c.member.Cell, Endpoint: c.member.ID, State: c.member.Phase, At: max(at, 1),
+			Kind: history.ChangeAnnounced, Node: a.node, Partner: c.member.Cell, Endpoint: c.member.ID, State: c.member.Phase, At: max(at, 1),
 		})
 	}
 }
@@ -422,7 +422,7 @@
 	}
 	for _, n := range all {
 		after := time.Duration(n.After * float64(time.Millisecond))
-		a.platform.log.Add(history.Event{Kind: history.Noticed, Node: a.node, Partner: -1, ID: n.ID, State: n.State, Wait: after})
+		a.platform.log.Add(history.Event{Kind: history.NoticeReceived, Node: a.node, Partner: -1, ID: n.ID, State: n.State, RetryAfter: after})
 		a.heard(n.ID, n.State, after)
 	}
 	return true
--- a/internal/lab/standin/window.go
+++ b/internal/lab/standin/window.go
@@ -147,6 +147,6 @@
 	a.seen[id] = phase
 	a.mu.Unlock()
 	if before != phase {
-		a.platform.log.Add(history.Event{Kind: history.Told, Node: a.node, Partner: cell, Endpoint: id, State: phase, At: max(at, 1)})
+		a.platform.log.Add(history.Event{Kind: history.ChangeAnnounced, Node: a.node, Partner: cell, Endpoint: id, State: phase, At: max(at, 1)})
 	}
 }
--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -385,7 +385,7 @@
 func (t *ownershipTrial) begun(m *ownership.Map, w MapWrite) *Era {
 	e := &Era{Number: w.Number, Sum: w.Sum, Asked: w.Call, Known: never, Owned: map[int]ownership.Set{}}
 	for i := range ownNodes {
-		if s, ok := m.Of(nodeName(i)); ok {
+		if s, ok := m.PartitionsOf(nodeName(i)); ok {
 			e.Owned[i] = s
 		}
 	}
--- a/internal/lab/trial/ownership_check_test.go
+++ b/internal/lab/trial/ownership_check_test.go
@@ -218,7 +218,7 @@
 		{"another knows no time", but(4, h(0, 0, history.Refused, 0, "")), "node 1, destination 2"},
 		{"another calls it unknown", but(4, h(0, 0, history.Failed, 0, unknownDest)), "unknown destination"},
 		{"what is not listed is accepted", but(2, h(0, 0, history.Taken, 0, "")), "listed: false"},
-		{"no answer", but(1, h(0, 0, history.Unheard, 0, "")), "unheard"},
+		{"no answer", but(1, h(0, 0, history.ClientTimedOut, 0, "")), "unheard"},
 		{"never asked", good[1:], "not heard"},
 	} {
 		found(t, c.name, AfterQuiet(last, 2, []int{1, 2, 900}, func(d int) bool { return d < 900 }, c.pass), OwnersOnly, c.says)
@@ -230,7 +230,7 @@
 	unsafe, again, broken := m, m, m
 	unsafe.Unsafe = true
 	again.Again = true
-	broken.State = history.Broken
+	broken.State = history.ConnectionLost
 	end := func(at float64, kind string) End { return End{"m", sec(at), kind} }
 	for _, c := range []struct {
 		name      string
@@ -276,7 +276,7 @@
 		{"failed with another reason", h(900, false, history.Failed, "unknown class"), nil, "unknown class"},
 		{"taken again", h(1, true, history.Taken, ""), over(2), ""},
 		{"over before it came again", h(1, true, history.Refused, ""), over(1), ""},
-		{"no answer", h(1, true, history.Broken, ""), over(2), ""},
+		{"no answer", h(1, true, history.ConnectionLost, ""), over(2), ""},
 		{"refused, and not over", h(1, true, history.Refused, ""), over(2), "said no"},
 		{"failed, and never over", h(1, true, history.Failed, unknownDest), nil, "said no"},
 	} {
--- a/internal/lab/trial/ownership_control.go
+++ b/internal/lab/trial/ownership_control.go
@@ -96,14 +96,14 @@
 	return v, json.Unmarshal(raw, &v)
 }
 
-const mapPath = "/records/" + ownership.Record
+const mapPath = "/records/" + ownership.RecordName
 
 // change makes one new map, of members that come from those of the map before, and returns it. The controller dies or loses what the
 // boundary says.
 func (c *controller) change(ctx context.Context, at boundary, members func([]ownership.Member) []ownership.Member) (*ownership.Map, error) {
 	until := time.Now().Add(changeWait + c.op.Wait)
 	var sought *ownership.Map
-	a := ownership.Agreement{Plan: func(number int64, before *ownership.Map) (m *ownership.Map, err error) {
+	a := ownership.Publisher{Plan: func(number int64, before *ownership.Map) (m *ownership.Map, err error) {
 		var now []ownership.Member
 		if before != nil {
 			now = before.Members
@@ -112,22 +112,22 @@
 		return sought, err
 	}}
 	act := a.Begin()
-	for act.Do != ownership.End {
-		if at.dies(act.Do) {
+	for act.Operation != ownership.End {
+		if at.dies(act.Operation) {
 			c.lives++ // who comes after it has another name, and waits for the lease
 			return nil, errKilled
 		}
 		ans := c.carryOut(ctx, at, act, sought)
 		switch {
-		case at == afterUpdate && act.Do == ownership.Update && ans.Came == ownership.Done, at == inUpdate && act.Do == ownership.Update:
+		case at == afterUpdate && act.Operation == ownership.Update && ans.Outcome == ownership.Done, at == inUpdate && act.Operation == ownership.Update:
 			c.lives++
 			return nil, errKilled
-		case at == answerLost && act.Do == ownership.Update && ans.Came == ownership.Done:
-			ans = ownership.Answer{Seq: act.Seq, Came: ownership.Lost}
+		case at == answerLost && act.Operation == ownership.Update && ans.Outcome == ownership.Done:
+			ans = ownership.Answer{Seq: act.Seq, Outcome: ownership.Ambiguous}
 			at = whole
-		case ans.Came != ownership.Done && time.Now().After(until):
-			ans.Came = ownership.GaveUp
-		case ans.Came == ownership.Refused: // another holds it, or too few replicas are there
+		case ans.Outcome != ownership.Done && time.Now().After(until):
+			ans.Outcome = ownership.TimedOut
+		case ans.Outcome == ownership.Refused: // another holds it, or too few replicas are there
 			registry.Sleep(ctx, operatorPause)
 		}
 		var ok bool
@@ -139,7 +139,7 @@
 }
 
 // dies tells that a controller ends before it does something.
-func (b boundary) dies(before ownership.Verb) bool {
+func (b boundary) dies(before ownership.Operation) bool {
 	switch before {
 	case ownership.Read:
 		return b == afterAcquire
@@ -155,7 +155,7 @@
 func (c *controller) carryOut(ctx context.Context, at boundary, act ownership.Action, sought *ownership.Map) ownership.Answer {
 	var a recordAnswer
 	var err error
-	switch act.Do {
+	switch act.Operation {
 	case ownership.Acquire:
 		a, err = c.ask(ctx, http.MethodPut, mapPath, map[string]any{"holder": fmt.Sprint(c.name, "-", c.lives), "ttl_ms": mapTTL.Milliseconds()})
 	case ownership.Read:
@@ -185,12 +185,12 @@
 	case ownership.Release:
 		_, err = c.ask(ctx, http.MethodDelete, mapPath, map[string]any{"token": act.Token})
 	}
-	ans := ownership.Answer{Seq: act.Seq, Came: ownership.Done, Token: a.Token, Value: a.Value, Err: err}
+	ans := ownership.Answer{Seq: act.Seq, Outcome: ownership.Done, Token: a.Token, Value: a.Value, Err: err}
 	if err != nil {
-		ans.Came = ownership.Refused
+		ans.Outcome = ownership.Refused
 	}
 	if errors.Is(err, directory.ErrUnknown) {
-		ans.Came = ownership.Lost
+		ans.Outcome = ownership.Ambiguous
 	}
 	return ans
 }
--- a/internal/lab/trial/ownership_front.go
+++ b/internal/lab/trial/ownership_front.go
@@ -107,7 +107,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		return
-	case req.Method == http.MethodGet && req.URL.Path == "/records/"+ownership.Record:
+	case req.Method == http.MethodGet && req.URL.Path == "/records/"+ownership.RecordName:
 		raw, err := io.ReadAll(io.LimitReader(resp.Body, maxFrontBody))
 		if err != nil {
 			panic(http.ErrAbortHandler)
--- a/internal/lab/trial/ownership_node.go
+++ b/internal/lab/trial/ownership_node.go
@@ -53,14 +53,14 @@
 // settingsOf is what the platform tells a node as its settings.
 func settingsOf(node int, zones []string, nodes int) (json.RawMessage, error) {
 	class := func(n int, e judge.Effect) experiment.ClassPlan {
-		return experiment.ClassPlan{Name: classNames[n], Aim: time.Second, Deadline: life, Worth: 1, LateWorth: 0.5, Effect: e, Window: time.Minute}
+		return experiment.ClassPlan{Name: classNames[n], SoftDeadline: time.Second, Deadline: life, Worth: 1, WorthAtDeadline: 0.5, Effect: e, Window: time.Minute}
 	}
 	p := experiment.Plan{
-		Zones: zones, Kinds: []string{"hook"}, Members: []experiment.MemberPlan{{Name: "m", Share: 1, Allowance: 1e6}},
+		Zones: zones, PartnerKinds: []string{"hook"}, Tenants: []experiment.TenantPlan{{Name: "m", Share: 1, Allowance: 1e6}},
 		Classes: []experiment.ClassPlan{class(classSafe, judge.Safe), class(classKeyed, judge.Keyed), class(classUnsafe, judge.Unsafe)},
 		Rules: experiment.RulesPlan{
-			MaxAttempts: 6, DrainGrace: time.Second, FallMultiple: 1.5, Fall: 2 * time.Second, ColdFrom: 0.3, WarmWithin: 2 * time.Second,
-			DialTimeout: time.Second, ConnIdle: 5 * time.Second, MaxWait: 3 * time.Second,
+			MaxAttempts: 6, DrainGrace: time.Second, CollapseMultiple: 1.5, CollapseSpan: 2 * time.Second, SlowStartFrom: 0.3, SlowStartDuration: 2 * time.Second,
+			DialTimeout: time.Second, ConnIdleTimeout: 5 * time.Second, MaxRetryAfter: 3 * time.Second,
 		},
 	}
 	for i := range nodes {
@@ -287,14 +287,14 @@
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
 	if _, err := io.WriteString(nc, b.String()); err != nil {
-		return history.Broken, 0, ""
+		return history.ConnectionLost, 0, ""
 	}
 	line, err := bufio.NewReader(nc).ReadString('\n')
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return history.Unheard, 0, ""
+		return history.ClientTimedOut, 0, ""
 	case err != nil:
-		return history.Broken, 0, ""
+		return history.ConnectionLost, 0, ""
 	}
 	line = strings.TrimRight(line, "\r\n")
 	switch {
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -134,11 +134,11 @@
 	name    string
 	path    string
 	log     *slog.Logger
-	longest time.Duration               // the longest deadline of a class
-	latest  [ownership.Partitions]int64 // Unix ns: the deadline of the last message taken on, by partition
-	due     []byte                      // the map, while the folder could not take it
-	listed  ownership.Set               // the list of these was handed to the module,
-	covered ownership.Set               // and it has had it
+	longest time.Duration                   // the longest deadline of a class
+	latest  [ownership.PartitionCount]int64 // Unix ns: the deadline of the last message taken on, by partition
+	due     []byte                          // the map, while the folder could not take it
+	listed  ownership.Set                   // the list of these was handed to the module,
+	covered ownership.Set                   // and it has had it
 	shown   bool
 	follow  follower
 }
@@ -157,7 +157,7 @@
 		log.Warn("the kept map of owners is lost", "err", err)
 	case m != nil:
 		s.number = m.Number
-		s.owned, s.member = m.Of(s.name)
+		s.owned, s.member = m.PartitionsOf(s.name)
 		log.Info("beginning with the kept map of owners", "map", s.number, "member", s.member, "partitions", s.owned.Len())
 	}
 	var owed lost
@@ -242,7 +242,7 @@
 	if err != nil { // it was decoded a moment ago
 		s.log.Error("the map of owners can't be kept", "map", m.Number, "err", err)
 	}
-	owned, member := m.Of(s.name)
+	owned, member := m.PartitionsOf(s.name)
 	followed, _ := s.at(now)
 	gone := s.owned.Without(owned)
 	soon, later := lost{until: now.Add(s.longest)}, lost{}
@@ -373,7 +373,7 @@
 func (f *follower) watch(ctx context.Context, w *registry.Watcher, set ownership.Set, tell func(registry.News) error) {
 	asked, none, heard := set, set.Len() == 0, w.Heard
 	if none {
-		asked.Add(int(crc32.ChecksumIEEE([]byte(f.name)) % ownership.Partitions))
+		asked.Add(int(crc32.ChecksumIEEE([]byte(f.name)) % ownership.PartitionCount))
 	}
 	w.Partitions = &asked
 	w.Heard = func() {
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -54,11 +54,11 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.asks = append(d.asks, req.Method+" "+req.URL.RequestURI())
-		if d.number == 0 || req.PathValue("name") != ownership.Record {
+		if d.number == 0 || req.PathValue("name") != ownership.RecordName {
 			http.Error(w, `{"error":"none","outcome":"refused"}`, http.StatusNotFound)
 			return
 		}
-		json.NewEncoder(w).Encode(catalog.Record{Name: ownership.Record, Token: 1, Value: d.value})
+		json.NewEncoder(w).Encode(catalog.Record{Name: ownership.RecordName, Token: 1, Value: d.value})
 	})
 	mux.HandleFunc("POST /reports", func(w http.ResponseWriter, req *http.Request) {
 		for lines := json.NewDecoder(req.Body); ; {
@@ -93,7 +93,7 @@
 	old, hold, cut := d.old || !q.Has("partitions"), d.hold, d.cut
 	w.Header().Set("Registry-History", strconv.FormatInt(d.history, 10))
 	if !old {
-		w.Header().Set("Registry-Partitions", strconv.Itoa(ownership.Partitions))
+		w.Header().Set("Registry-Partitions", strconv.Itoa(ownership.PartitionCount))
 		w.Header().Set("Registry-Map", strconv.FormatInt(d.number, 10))
 	}
 	d.mu.Unlock()
@@ -247,7 +247,7 @@
 	t.Helper()
 	all = mapOf(t, 1, nil, "n1")
 	half = mapOf(t, 2, all, "n1", "n2")
-	own, _ := half.Of("n1")
+	own, _ := half.PartitionsOf("n1")
 	for d := 1; len(stays) < 5 || len(goes) < 5; d++ {
 		if own.Has(ownership.PartitionOf(d)) {
 			stays = append(stays, d)
@@ -462,7 +462,7 @@
 		t.Errorf("%d endpoints", n)
 	}
 	d.setMap(t, half)
-	own, _ := half.Of("n1")
+	own, _ := half.PartitionsOf("n1")
 	eventually(t, "the smaller set", func() bool {
 		return d.asked("partitions="+own.String()) == 1 && o.n.figures.listed.Load() == 1
 	})
@@ -736,7 +736,7 @@
 		return <-taken
 	}
 	set := func(m *ownership.Map) ownership.Set {
-		own, _ := m.Of("n1")
+		own, _ := m.PartitionsOf("n1")
 		return own
 	}
 	list := func(whole bool, members ...catalog.Endpoint) registry.News {
@@ -769,7 +769,7 @@
 	}
 	// All is gained; the old set's watch says its whole list once more, then the new one's comes.
 	whole := mapOf(t, 3, half, "n1")
-	if f := hand(whole); f.number != 3 || f.owned.Len() != ownership.Partitions {
+	if f := hand(whole); f.number != 3 || f.owned.Len() != ownership.PartitionCount {
 		t.Errorf("got %+v", f.number)
 	}
 	for i, l := range []registry.News{list(true, mine, second), list(false), list(true, mine, second, other)} {
--- a/internal/registry/ownership.go
+++ b/internal/registry/ownership.go
@@ -48,7 +48,7 @@
 func fetchMap(ctx context.Context, client *http.Client, addr string) (*ownership.Map, error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTime)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/records/"+ownership.Record, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/records/"+ownership.RecordName, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/registry/ownership_test.go
+++ b/internal/registry/ownership_test.go
@@ -191,7 +191,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	body, err := json.Marshal(catalog.Record{Name: ownership.Record, Value: raw})
+	body, err := json.Marshal(catalog.Record{Name: ownership.RecordName, Value: raw})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -329,7 +329,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("watch: %s", resp.Status)
 	}
-	if by := resp.Header.Get(partitionsOf); w.Partitions != nil && by != strconv.Itoa(ownership.Partitions) {
+	if by := resp.Header.Get(partitionsOf); w.Partitions != nil && by != strconv.Itoa(ownership.PartitionCount) {
 		return fmt.Errorf("watch: %w: %s is %.40q", ErrCannotPart, partitionsOf, by)
 	}
 	news := News{From: addr, Vouched: resp.Header.Get(vouchedOf) != "no"}
