--- a/fleet/ownership/ownership_test.go
+++ b/fleet/ownership/ownership_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is n members of weight 1 in so many zones.
+// fleet returns n members of weight 1 in the given number of zones.
 func fleet(n, zones int) []Member {
 	var all []Member
 	for i := range n {
@@ -26,13 +26,14 @@
 	return all
 }
 
-// making is Make or a double of it.
+// makeFunc is Make or a faulty version of it.
 type making func(number int64, copies int, members []Member, before *Map) (*Map, error)
 
-// audit holds a map against what Make promises of it; before may be nil. It works out all but the fair shares itself.
+// checkMap checks a map against all that Make promises; before may be nil. It computes everything but the
+// fair shares itself.
 func audit(before, after *Map) error {
 	all := after.Members
-	per := min(after.Copies, len(all))
+	per := min(after.OwnersPerPartition, len(all))
 	zoneNumber := map[string]int{}
 	zone := make([]int, len(all))
 	for i, m := range all {
@@ -52,11 +53,11 @@
 		return len(in)
 	}
 	load := make([]int, len(all))
-	at := make([][]int, Partitions)
+	at := make([][]int, PartitionCount)
 	for p := range at {
 		for _, o := range after.of(p) {
 			if int(o) >= len(all) || slices.Contains(at[p], int(o)) {
-				return fmt.Errorf("partition %d: owner %d is no member or there twice", p, o)
+				return fmt.Errorf("partition %d: owner %d is not a member or duplicate", p, o)
 			}
 			at[p] = append(at[p], int(o))
 			load[o]++
@@ -66,16 +67,16 @@
 		}
 	}
 	bound := make([]int, len(all))
-	for i, share := range after.Shares() {
+	for i, share := range after.FairShares() {
 		bound[i] = int(1.15*share + 1)
 		if load[i] > bound[i] {
-			return fmt.Errorf("%s has %d parts, its share is %.2f and its bound %d", all[i].Name, load[i], share, bound[i])
+			return fmt.Errorf("%s has %d assignments, its share is %.2f and its bound %d", all[i].Name, load[i], share, bound[i])
 		}
 	}
 	if before == nil {
 		return nil
 	}
-	place := make([]int, len(before.Members)) // in after; -1: it has left
+	place := make([]int, len(before.Members)) // indexes into after; -1: it has left
 	came := make([]bool, len(all))            // or is due more
 	for i := range all {
 		came[i] = true
@@ -97,13 +98,13 @@
 			}
 		}
 		vacant, extra := max(per-len(then), 0), max(len(then)-per, 0)
-		crowded := max(zones-distinct(then)-vacant, 0) // that share their zone and make way for a zone that has none
+		crowded := max(zones-distinct(then)-vacant, 0) // owners that share a zone and make way for a zone that has none
 		over, lost, arrived, others := 0, 0, 0, 0
 		for _, o := range then {
 			switch {
 			case slices.Contains(now, o):
 			case had[o] > bound[o] || load[o] >= bound[o]:
-				over++ // it was past its bound, or has taken another in its place and would be
+				over++ // it was above its bound, or took another partition instead and would be above it
 			default:
 				lost++
 			}
@@ -136,7 +137,7 @@
 	return all
 }
 
-// changed draws another fleet from one: members go, come, move and change their weight.
+// changed draws a changed fleet: members leave, join, move to another zone and change their weight.
 func changed(t *rapid.T, members []Member, next *int) []Member {
 	members = slices.Clone(members)
 	for range rapid.IntRange(1, 3).Draw(t, "changes") {
@@ -159,14 +160,14 @@
 func TestMaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
-		copies := rapid.IntRange(1, MaxCopies).Draw(t, "copies")
+		copies := rapid.IntRange(1, MaxOwners).Draw(t, "copies")
 		var before, m *Map
 		next := 0
 		for i := range rapid.IntRange(1, 4).Draw(t, "maps") {
 			if i > 0 {
 				members = changed(t, members, &next)
 				if rapid.IntRange(0, 9).Draw(t, "other copies") == 0 {
-					copies = rapid.IntRange(1, MaxCopies).Draw(t, "copies")
+					copies = rapid.IntRange(1, MaxOwners).Draw(t, "copies")
 				}
 			}
 			var err error
@@ -189,21 +190,21 @@
 			t.Fatal(err)
 		}
 		if raw2, err := again.Encode(); err != nil || !bytes.Equal(raw, raw2) {
-			t.Fatalf("the map hangs on the order of its members (%v)", err)
+			t.Fatalf("the map depends on the order of its members (%v)", err)
 		}
 		read, err := Decode(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(read, m) {
-			t.Fatal("the map reads as another")
+			t.Fatal("the decoded map differs")
 		}
 		same, err := Make(m.Number+1, copies, members, m)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c := Diff(m, same); c.Moved != 0 {
-			t.Fatalf("the map made again moves %d parts", c.Moved)
+			t.Fatalf("the map made again moves %d assignments", c.Moved)
 		}
 	})
 }
@@ -211,13 +212,13 @@
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
-		copies := rapid.IntRange(1, MaxCopies).Draw(t, "copies")
+		copies := rapid.IntRange(1, MaxOwners).Draw(t, "copies")
 		per := min(copies, len(members))
 		all := shares(members, per)
 		sum := 0.0
 		for i, s := range all {
 			sum += s
-			if !(s >= 0) || s > Partitions {
+			if !(s >= 0) || s > PartitionCount {
 				t.Fatalf("member %d has a share of %v", i, s)
 			}
 			for j, o := range all {
@@ -226,8 +227,8 @@
 				}
 			}
 		}
-		if math.Abs(sum-float64(Partitions*per)) > 1e-3 {
-			t.Fatalf("the shares come to %v, not %d", sum, Partitions*per)
+		if math.Abs(sum-float64(PartitionCount*per)) > 1e-3 {
+			t.Fatalf("the shares sum to %v, want %d", sum, PartitionCount*per)
 		}
 	})
 	for _, c := range []struct {
@@ -249,14 +250,14 @@
 		}
 		for i, s := range shares(members, c.copies) {
 			if math.Abs(s-c.want[i]) > 1e-6 {
-				t.Errorf("%s with %d copies: %v, not %v", c.zones, c.copies, shares(members, c.copies), c.want)
+				t.Errorf("%s with %d owners: %v, want %v", c.zones, c.copies, shares(members, c.copies), c.want)
 				break
 			}
 		}
 	}
 }
 
-// TestAuditFindsBreaches plays doubles of Make, each with one fault, as one member after the other leaves.
+// Runs faulty versions of Make while one member after another leaves; checkMap must find each fault.
 func TestAuditFindsBreaches(t *testing.T) {
 	anew := func(number int64, copies int, members []Member, _ *Map) (*Map, error) {
 		return Make(number, copies, members, nil)
@@ -274,7 +275,7 @@
 	}
 	heavy := func(number int64, copies int, members []Member, before *Map) (*Map, error) {
 		m, err := Make(number, copies, members, before)
-		if err == nil { // the first member takes a share of what others in its zone have
+		if err == nil { // the first member takes over assignments of others in its zone
 			for i, o := range m.owners {
 				if m.Members[o].Zone == m.Members[0].Zone && i%20 == 0 {
 					m.owners[i] = 0
@@ -287,7 +288,7 @@
 		what   string
 		double making
 		want   string
-	}{{"made anew each time", anew, "for no reason"}, {"zones not looked at", alike, "zones, not 3 in 3"}, {"bounds not kept", heavy, "its bound"}} {
+	}{{"ignoring the previous map", anew, "for no reason"}, {"ignoring zones", alike, "zones, not 3 in 3"}, {"exceeding the bounds", heavy, "its bound"}} {
 		members := fleet(120, 6)
 		var before *Map
 		var found error
@@ -321,10 +322,10 @@
 	return m
 }
 
-// between counts the parts that went to a member that was there before.
+// movedBetweenStaying counts the assignments that went to a member of the earlier map.
 func between(a, b *Map) int {
 	n := 0
-	for p := range Partitions {
+	for p := range PartitionCount {
 		then := a.Owners(p)
 		for _, o := range b.Owners(p) {
 			if _, there := a.find(o); there && !slices.Contains(then, o) {
@@ -335,39 +336,39 @@
 	return n
 }
 
-// TestTarget is the fleet that decides the design: 820 members in 6 zones.
+// The fleet that decides the design: 820 members in 6 zones.
 func TestTarget(t *testing.T) {
 	members := fleet(820, 6)
 	first := must(t, 1, members, nil)
 	loads := first.Loads()
 	t.Logf("loads %d to %d", slices.Min(loads), slices.Max(loads))
 	rng := rand.New(rand.NewPCG(1, 2))
-	for range 12 { // one leaves: its parts move and no others
+	for range 12 { // one leaves: only its own assignments move
 		i := rng.IntN(len(members))
 		m := must(t, 2, slices.Delete(slices.Clone(members), i, i+1), first)
-		if c := Diff(first, m); c.Moved != loads[i] || c.Bare != 0 {
-			t.Errorf("%s owned %d parts and leaves: %d move, %d partitions keep no owner", members[i].Name, loads[i], c.Moved, c.Bare)
+		if c := Diff(first, m); c.Moved != loads[i] || c.NoOwnerKept != 0 {
+			t.Errorf("%s owned %d partitions and leaves: %d assignments move, %d partitions keep no owner", members[i].Name, loads[i], c.Moved, c.NoOwnerKept)
 		}
 	}
-	for i := range 12 { // one comes: its fair share goes to it, and nothing to others
+	for i := range 12 { // one joins: it is given its fair share, and nothing moves between others
 		came := Member{Name: fmt.Sprint("new", i), Zone: fmt.Sprint("z", i%6), Weight: 1}
 		m := must(t, 2, append(slices.Clone(members), came), first)
 		c := Diff(first, m)
-		own, _ := m.Of(came.Name)
-		if n := between(first, m); n != 0 || c.Moved != own.Len() || c.Moved < 12 || c.Moved > 15 || c.Bare != 0 {
-			t.Errorf("%s comes, its share is 14.97: %d move to it, %d between others", came.Name, c.Moved, n)
+		own, _ := m.PartitionsOf(came.Name)
+		if n := between(first, m); n != 0 || c.Moved != own.Len() || c.Moved < 12 || c.Moved > 15 || c.NoOwnerKept != 0 {
+			t.Errorf("%s joins, its share is 14.97: %d assignments move, %d of them between others", came.Name, c.Moved, n)
 		}
 	}
-	for i := range 12 { // one is replaced by another: that one gets its share of what it had
+	for i := range 12 { // one is replaced: the replacement is given its share of what the old one had
 		j := rng.IntN(len(members))
 		other := slices.Clone(members)
 		other[j].Name = fmt.Sprint("new", i)
 		m := must(t, 2, other, first)
 		if c := Diff(first, m); c.Moved < loads[j] || c.Moved > max(loads[j], 15) || between(first, m) > max(loads[j]-14, 0) {
-			t.Errorf("%s owned %d parts and is replaced: %d move, %d of them between others", members[j].Name, loads[j], c.Moved, between(first, m))
+			t.Errorf("%s owned %d partitions and is replaced: %d assignments move, %d of them between others", members[j].Name, loads[j], c.Moved, between(first, m))
 		}
 	}
-	// A zone goes, and comes back.
+	// A zone leaves and comes back.
 	gone := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Zone == "z3" })
 	owned := 0
 	for i, m := range members {
@@ -377,18 +378,18 @@
 	}
 	less := must(t, 2, gone, first)
 	c := Diff(first, less)
-	if c.Moved != owned || c.Bare != 0 {
-		t.Errorf("a zone of %d parts goes: %d move, %d partitions keep no owner", owned, c.Moved, c.Bare)
+	if c.Moved != owned || c.NoOwnerKept != 0 {
+		t.Errorf("a zone of %d assignments leaves: %d move, %d partitions keep no owner", owned, c.Moved, c.NoOwnerKept)
 	}
 	back := must(t, 3, members, less)
 	c2 := Diff(less, back)
 	if n := between(less, back); n != 0 || c2.Moved < 1800 || c2.Moved > 2053 { // its share is 2,053
-		t.Errorf("a zone comes back: %d parts move, %d of them between others", c2.Moved, n)
+		t.Errorf("a zone comes back: %d assignments move, %d of them between others", c2.Moved, n)
 	}
-	t.Logf("a zone goes: %d parts move; it comes back: %d", c.Moved, c2.Moved)
+	t.Logf("a zone leaves: %d assignments move; it comes back: %d", c.Moved, c2.Moved)
 }
 
-// TestManyChanges plays some days: members are replaced, leave and come, and what moves stays what had to.
+// Members are replaced, leave and join for some days; no more than necessary moves.
 func TestManyChanges(t *testing.T) {
 	members := fleet(200, 6)
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -406,13 +407,13 @@
 		}
 		m := must(t, int64(i+2), next, before)
 		moved += Diff(before, m).Moved
-		owned += Partitions * 3 / len(next)
+		owned += PartitionCount * 3 / len(next)
 		before, members = m, next
 	}
 	loads := before.Loads()
-	t.Logf("%d parts moved where those who came or left were due %d; loads %d to %d", moved, owned, slices.Min(loads), slices.Max(loads))
+	t.Logf("%d assignments moved, %d belonged to members that joined or left; loads %d to %d", moved, owned, slices.Min(loads), slices.Max(loads))
 	if float64(moved) > 1.1*float64(owned) {
-		t.Errorf("%d parts moved where those who came or left were due %d", moved, owned)
+		t.Errorf("%d assignments moved, %d belonged to members that joined or left", moved, owned)
 	}
 }
 
@@ -427,15 +428,15 @@
 			t.Fatal(err)
 		}
 		t.Logf("%d members with names of %d bytes: %d bytes", c.members, c.name, len(raw))
-		if len(raw) > MaxBytes {
-			t.Errorf("%d bytes, %d at most", len(raw), MaxBytes)
+		if len(raw) > MaxEncodedBytes {
+			t.Errorf("%d bytes, limit %d", len(raw), MaxEncodedBytes)
 		}
 	}
 	var all []Member
 	for i := range 500 {
 		all = append(all, Member{Name: fmt.Sprintf("%0200d", i), Zone: "z", Weight: 1})
 	}
-	if _, err := must(t, 1, all, nil).Encode(); !errors.Is(err, ErrBad) {
+	if _, err := must(t, 1, all, nil).Encode(); !errors.Is(err, ErrInvalid) {
 		t.Errorf("500 names of 200 bytes: %v", err)
 	}
 }
@@ -470,13 +471,13 @@
 		"weight infinite":  {6, 3, []Member{{Name: "a", Zone: "z", Weight: math.Inf(1)}}, nil},
 		"too many members": {6, 3, fleet(MaxMembers+1, 3), nil},
 	} {
-		if _, err := Make(c.number, c.copies, c.members, c.before); !errors.Is(err, ErrBad) {
+		if _, err := Make(c.number, c.copies, c.members, c.before); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// sealed puts a body behind its mark and hash.
+// withHeader puts the magic string and the hash before a body.
 func sealed(body []byte) []byte {
 	return append(binary.BigEndian.AppendUint64([]byte(mark), xxhash.Sum64(body)), body...)
 }
@@ -488,21 +489,21 @@
 		t.Fatal(err)
 	}
 	for n := range len(raw) {
-		if _, err := Decode(raw[:n]); !errors.Is(err, ErrBad) {
-			t.Fatalf("cut to %d bytes: %v", n, err)
+		if _, err := Decode(raw[:n]); !errors.Is(err, ErrInvalid) {
+			t.Fatalf("truncated to %d bytes: %v", n, err)
 		}
 	}
 	for bit := range len(raw) * 8 {
 		raw[bit/8] ^= 1 << (bit % 8)
-		if _, err := Decode(raw); !errors.Is(err, ErrBad) {
+		if _, err := Decode(raw); !errors.Is(err, ErrInvalid) {
 			t.Fatalf("bit %d: %v", bit, err)
 		}
 		raw[bit/8] ^= 1 << (bit % 8)
 	}
-	if _, err := Decode(append(slices.Clone(raw), 0)); !errors.Is(err, ErrBad) {
+	if _, err := Decode(append(slices.Clone(raw), 0)); !errors.Is(err, ErrInvalid) {
 		t.Fatalf("one byte more: %v", err)
 	}
-	// Well sealed, and no map.
+	// Correct magic and hash, but not a valid map.
 	var c coded
 	if err := decoding.Unmarshal(raw[sealLen:], &c); err != nil {
 		t.Fatal(err)
@@ -535,15 +536,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Decode(sealed(body)); !errors.Is(err, ErrBad) {
+		if _, err := Decode(sealed(body)); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	for name, body := range map[string][]byte{
 		"empty": {}, "an array that does not end": {0x9f}, "a number": {0x01}, "a long array": {0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
-		"bytes after it": append(slices.Clone(raw[sealLen:]), 0xf6), "too large": bytes.Repeat([]byte{0}, MaxBytes+1),
+		"bytes after it": append(slices.Clone(raw[sealLen:]), 0xf6), "too large": bytes.Repeat([]byte{0}, MaxEncodedBytes+1),
 	} {
-		if _, err := Decode(sealed(body)); !errors.Is(err, ErrBad) {
+		if _, err := Decode(sealed(body)); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -564,20 +565,20 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if _, err := Decode(body); err == nil && !bytes.HasPrefix(body, []byte(mark)) {
-			t.Fatal("a map without its mark")
+			t.Fatal("decoded a map without its magic string")
 		}
-		m, err := Decode(sealed(body)) // past the hash, which would stop nearly all
+		m, err := Decode(sealed(body)) // with a valid hash, which would stop nearly all inputs
 		if err != nil {
-			if !errors.Is(err, ErrBad) {
+			if !errors.Is(err, ErrInvalid) {
 				t.Fatal(err)
 			}
 			return
 		}
 		if raw, err := m.Encode(); err != nil || !bytes.Equal(raw, sealed(body)) {
-			t.Fatalf("it is written otherwise: %v", err)
+			t.Fatalf("the map encodes differently: %v", err)
 		}
-		for p := range Partitions {
-			if n := len(m.Owners(p)); n != min(m.Copies, len(m.Members)) {
+		for p := range PartitionCount {
+			if n := len(m.Owners(p)); n != min(m.OwnersPerPartition, len(m.Members)) {
 				t.Fatalf("partition %d has %d owners", p, n)
 			}
 		}
@@ -589,8 +590,8 @@
 		want := map[int]bool{}
 		var s Set
 		for range rapid.IntRange(0, 40).Draw(t, "runs") {
-			from := rapid.IntRange(0, Partitions-1).Draw(t, "from")
-			for p := from; p < min(from+rapid.IntRange(1, 70).Draw(t, "run"), Partitions); p++ {
+			from := rapid.IntRange(0, PartitionCount-1).Draw(t, "from")
+			for p := from; p < min(from+rapid.IntRange(1, 70).Draw(t, "run"), PartitionCount); p++ {
 				want[p] = true
 				s.Add(p)
 			}
@@ -598,14 +599,14 @@
 		if all := slices.Collect(s.All()); s.Len() != len(want) || !slices.Equal(all, slices.Sorted(maps.Keys(want))) {
 			t.Fatalf("%v holds %v", want, all)
 		}
-		for p := -2; p < Partitions+2; p++ {
+		for p := -2; p < PartitionCount+2; p++ {
 			if s.Has(p) != want[p] {
 				t.Fatalf("has %d: %v", p, s.Has(p))
 			}
 		}
 		text := s.String()
 		if again, err := ParseSet(text); err != nil || again != s {
-			t.Fatalf("%q reads as %q (%v)", text, again, err)
+			t.Fatalf("%q parsed as %q (%v)", text, again, err)
 		}
 		var o Set
 		for p := range want {
@@ -629,7 +630,7 @@
 		"99999999999999999999", "3;4", "1-2-3", "\x00",
 	} {
 		if s, err := ParseSet(text); err == nil || s != (Set{}) {
-			t.Errorf("%q is read as %v", text, s)
+			t.Errorf("%q parsed as %v", text, s)
 		}
 	}
 }
@@ -639,18 +640,18 @@
 	f.Add("0-4095")
 	f.Fuzz(func(t *testing.T, text string) {
 		if s, err := ParseSet(text); err == nil && s.String() != text {
-			t.Fatalf("%q is written %q", text, s)
+			t.Fatalf("%q is formatted as %q", text, s)
 		}
 	})
 }
 
-// TestPartitionOf holds on to the partition of a destination, which is a format: another program may work it out.
+// The partition of a destination is a format that other programs may compute, so it must never change.
 func TestPartitionOf(t *testing.T) {
-	seen := make([]int, Partitions)
+	seen := make([]int, PartitionCount)
 	for d := range 380_000 {
 		p := PartitionOf(d)
 		if want := int(xxhash.Sum64([]byte(fmt.Sprint(d))) % 4096); p != want {
-			t.Fatalf("destination %d is in %d, not %d", d, p, want)
+			t.Fatalf("destination %d is in partition %d, want %d", d, p, want)
 		}
 		seen[p]++
 	}
@@ -661,46 +662,46 @@
 	// XXH64 with seed 0 of "0", "1" and "379999", modulo 4096.
 	for d, want := range map[int]int{0: 4076, 1: 1236, 379_999: 1709} {
 		if p := PartitionOf(d); p != want {
-			t.Errorf("destination %d is in %d, not %d", d, p, want)
+			t.Errorf("destination %d is in partition %d, want %d", d, p, want)
 		}
 	}
 }
 
 func TestDiff(t *testing.T) {
 	a := must(t, 1, fleet(10, 3), nil)
-	if c := Diff(nil, a); c.Moved != c.Parts || c.Parts != 3*Partitions || c.Bare != Partitions || len(c.Came) != 10 || c.Guard() != nil {
-		t.Errorf("the first map: %+v, %v", c, c.Guard())
+	if c := Diff(nil, a); c.Moved != c.Assignments || c.Assignments != 3*PartitionCount || c.NoOwnerKept != PartitionCount || len(c.Added) != 10 || c.CheckSize() != nil {
+		t.Errorf("the first map: %+v, %v", c, c.CheckSize())
 	}
-	if c := Diff(a, a); c.Moved != 0 || c.Bare != 0 || len(c.Came)+len(c.Gone) != 0 || c.Most != slices.Max(a.Loads()) || c.Guard() != nil {
+	if c := Diff(a, a); c.Moved != 0 || c.NoOwnerKept != 0 || len(c.Added)+len(c.Removed) != 0 || c.MaxLoad != slices.Max(a.Loads()) || c.CheckSize() != nil {
 		t.Errorf("no change: %+v", c)
 	}
 	for _, left := range []int{9, 5, 4, 1} {
 		c := Diff(a, must(t, 2, fleet(left, 3), a))
-		err := c.Guard()
-		if len(c.Gone) != 10-left || (left == 9 && err != nil) || (left < 5 && !errors.Is(err, ErrLarge)) {
+		err := c.CheckSize()
+		if len(c.Removed) != 10-left || (left == 9 && err != nil) || (left < 5 && !errors.Is(err, ErrLargeChange)) {
 			t.Errorf("%d of 10 left: %+v, %v", left, c, err)
 		}
 	}
 	b := must(t, 2, append([]Member{{Name: "b", Zone: "z0", Weight: 1}}, fleet(10, 3)[1:]...), a)
-	if c := Diff(a, b); !slices.Equal(c.Came, []string{"b"}) || !slices.Equal(c.Gone, []string{"n0000"}) {
+	if c := Diff(a, b); !slices.Equal(c.Added, []string{"b"}) || !slices.Equal(c.Removed, []string{"n0000"}) {
 		t.Errorf("one for another: %+v", c)
 	}
-	if _, ok := b.Of("n0000"); ok {
-		t.Error("one that left is in the map")
+	if _, ok := b.PartitionsOf("n0000"); ok {
+		t.Error("a member that left is in the map")
 	}
 	for i, m := range b.Members {
-		own, ok := b.Of(m.Name)
+		own, ok := b.PartitionsOf(m.Name)
 		if !ok || own.Len() != b.Loads()[i] {
-			t.Errorf("%s owns %d, not %d", m.Name, own.Len(), b.Loads()[i])
+			t.Errorf("%s owns %d partitions, want %d", m.Name, own.Len(), b.Loads()[i])
 		}
-		for p := range Partitions {
+		for p := range PartitionCount {
 			if own.Has(p) != slices.Contains(b.Owners(p), m.Name) {
 				t.Fatalf("%s and partition %d: %v", m.Name, p, own.Has(p))
 			}
 		}
 	}
-	if b.Owners(-1) != nil || b.Owners(Partitions) != nil {
-		t.Error("what is no partition has owners")
+	if b.Owners(-1) != nil || b.Owners(PartitionCount) != nil {
+		t.Error("an invalid partition has owners")
 	}
 }
 
@@ -734,7 +735,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Of("n0400")
+		m.PartitionsOf("n0400")
 	}
 }
 
