--- a/cmd/coralyard/main.go
+++ b/cmd/coralyard/main.go
@@ -47,9 +47,9 @@
 	for {
 		err := serve(ctx, cfg, log, hup, admin)
 		switch {
-		case ctx.Err() != nil && (errors.Is(err, ctx.Err()) || errors.Is(err, node.ErrHeirGone)):
+		case ctx.Err() != nil && (errors.Is(err, ctx.Err()) || errors.Is(err, node.ErrSuccessorGone)):
 			return nil // told to end while it had nothing to leave
-		case !errors.Is(err, node.ErrHeirGone):
+		case !errors.Is(err, node.ErrSuccessorGone):
 			return err
 		}
 		log.Error("taking the node back", "err", err)
--- a/internal/lab/scale/hollow/destinations.go
+++ b/internal/lab/scale/hollow/destinations.go
@@ -129,7 +129,7 @@
 	defer func() { err = n.close(err) }()
 	took := false
 	err = await(ctx, "the first list", func() bool {
-		at, _ := n.Told()
+		at, _ := n.CurrentList()
 		took = at >= t.first
 		return took || t.src != nil && t.src.asked() > refusals
 	})
@@ -170,7 +170,7 @@
 		loop.take()
 		revision, err := t.change(ctx, turned(i%endpoints, int64(i+1)))
 		if err == nil {
-			err = await(ctx, "a change", func() bool { at, _ := n.Told(); return at >= revision })
+			err = await(ctx, "a change", func() bool { at, _ := n.CurrentList(); return at >= revision })
 		}
 		if err == nil {
 			err = loop.after(ctx, 1)
@@ -207,7 +207,7 @@
 	if err := n.read(&r, "node.destinations"); err != nil {
 		return r, err
 	}
-	if _, have := n.Told(); have != endpoints {
+	if _, have := n.CurrentList(); have != endpoints {
 		return r, fmt.Errorf("the node has %d endpoints, the list %d", have, endpoints)
 	}
 	return r, ctx.Err()
--- a/internal/lab/scale/hollow/fleet.go
+++ b/internal/lab/scale/hollow/fleet.go
@@ -106,7 +106,7 @@
 func (g *group) told(ctx context.Context, revision int64) (time.Time, error) {
 	left := slices.Clone(g.hollow)
 	err := await(ctx, fmt.Sprintf("revision %d at all hollow nodes", revision), func() bool {
-		left = slices.DeleteFunc(left, func(n *Node) bool { at, _ := n.Told(); return at >= revision })
+		left = slices.DeleteFunc(left, func(n *Node) bool { at, _ := n.CurrentList(); return at >= revision })
 		return len(left) == 0
 	})
 	if err != nil {
@@ -137,7 +137,7 @@
 		return err
 	}
 	for _, n := range g.hollow {
-		if _, have := n.Told(); have != endpoints {
+		if _, have := n.CurrentList(); have != endpoints {
 			return fmt.Errorf("%s has %d endpoints at revision %d, the list has %d", n.Spec.Name, have, revision, endpoints)
 		}
 	}
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -158,10 +158,10 @@
 // mustHave waits until a revision with so many endpoints is in force at the node.
 func mustHave(t *testing.T, n *Node, revision int64, endpoints int) {
 	t.Helper()
-	if err := await(t.Context(), "the list", func() bool { at, _ := n.Told(); return at >= revision }); err != nil {
+	if err := await(t.Context(), "the list", func() bool { at, _ := n.CurrentList(); return at >= revision }); err != nil {
 		t.Fatal(err)
 	}
-	if at, have := n.Told(); at != revision || have != endpoints {
+	if at, have := n.CurrentList(); at != revision || have != endpoints {
 		t.Fatalf("the node has %d endpoints at revision %d, want %d at %d", have, at, endpoints, revision)
 	}
 }
@@ -212,7 +212,7 @@
 	mend := cut(link)
 	put(t, op, false, endpoint(10))
 	revision2 := put(t, op, false, endpoint(11))
-	if at, have := n.Told(); at != revision || have != 10 {
+	if at, have := n.CurrentList(); at != revision || have != 10 {
 		t.Errorf("cut off, it has %d endpoints at revision %d, want 10 at %d", have, at, revision)
 	}
 	if err := mend(); err != nil {
--- a/internal/lab/scale/hollow/owned.go
+++ b/internal/lab/scale/hollow/owned.go
@@ -248,7 +248,7 @@
 	n.run()
 	defer func() { err = n.close(err) }()
 	err = await(ctx, "the first list of the share", func() bool {
-		at, have := n.Told()
+		at, have := n.CurrentList()
 		return at >= st.Revision && have == len(of.mine)
 	})
 	if err != nil {
@@ -285,7 +285,7 @@
 		return svc.write(ctx, []catalog.Endpoint{turned(which[i%len(which)], at)}, false)
 	}
 	known := func(revision int64) error {
-		return await(ctx, "a change", func() bool { has, _ := n.Told(); return has >= revision })
+		return await(ctx, "a change", func() bool { has, _ := n.CurrentList(); return has >= revision })
 	}
 	for i := range changes {
 		loop.take()
@@ -375,14 +375,14 @@
 // remembered is how many endpoints of its share a node's journal knows, so that operators can bar them. It also holds the node's
 // count against the share.
 func remembered(ctx context.Context, n *Node, of *realm) (known int, err error) {
-	if _, have := n.Told(); have != len(of.mine) {
+	if _, have := n.CurrentList(); have != len(of.mine) {
 		return 0, fmt.Errorf("the node has %d endpoints, its share %d", have, len(of.mine))
 	}
 	for _, i := range of.mine {
-		switch err := n.Bar(ctx, endpoint(i).ID, true); { // lifts what is not barred: nothing comes of it
+		switch err := n.SetEndpointEnabled(ctx, endpoint(i).ID, true); { // lifts what is not barred: nothing comes of it
 		case err == nil:
 			known++
-		case !errors.Is(err, node.ErrUnknown):
+		case !errors.Is(err, node.ErrUnknownEndpoint):
 			return known, err
 		}
 	}
--- a/internal/lab/scale/hollow/read.go
+++ b/internal/lab/scale/hollow/read.go
@@ -132,7 +132,7 @@
 	s.wg.Go(func() {
 		for ctx.Err() == nil {
 			began := time.Now()
-			n.Bar(ctx, "never-listed", true) // ErrUnknown, which the loop says
+			n.SetEndpointEnabled(ctx, "never-listed", true) // ErrUnknown, which the loop says
 			took := time.Since(began)
 			if ctx.Err() != nil {
 				return
@@ -181,9 +181,9 @@
 func emptyStep(ctx context.Context, n *node.Node) (float64, error) {
 	var took []float64
 	for range emptySteps {
-		n.Bar(ctx, "never-listed", true) // ErrUnknown, as in watchLoop
+		n.SetEndpointEnabled(ctx, "never-listed", true) // ErrUnknown, as in watchLoop
 		began := time.Now()
-		n.Bar(ctx, "never-listed", true)
+		n.SetEndpointEnabled(ctx, "never-listed", true)
 		took = append(took, time.Since(began).Seconds())
 		time.Sleep(askPause)
 		if ctx.Err() != nil {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("operators' address: %w", err)
 	}
-	a.ln = &callers{Listener: ln, most: max(cfg.Limits.Sockets/operatorsPart, 4), open: map[*caller]bool{}}
+	a.ln = &callers{Listener: ln, most: max(cfg.Limits.Sockets/operatorSocketsDivisor, 4), open: map[*caller]bool{}}
 	a.srv = &http.Server{
 		Handler: a.handler(), MaxHeaderBytes: adminHeader,
 		ReadHeaderTimeout: adminHeaderTimeout, ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
@@ -75,7 +75,7 @@
 	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, _ *http.Request) {
 		why := "starting"
 		if n := a.node.Load(); n != nil {
-			why = n.Unready()
+			why = n.NotReadyReason()
 		}
 		if why != "" {
 			http.Error(w, why, http.StatusServiceUnavailable)
@@ -113,8 +113,8 @@
 	}
 	ctx, cancel := context.WithTimeout(req.Context(), orderTimeout)
 	defer cancel()
-	switch err := n.Bar(ctx, req.PathValue("id"), lift); {
-	case errors.Is(err, ErrUnknown):
+	switch err := n.SetEndpointEnabled(ctx, req.PathValue("id"), lift); {
+	case errors.Is(err, ErrUnknownEndpoint):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case err != nil:
 		http.Error(w, "not confirmed in time, it may yet be done: say it again", http.StatusServiceUnavailable)
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(nc, "%s %s HTTP/1.1\r\nHost: node\r\n\r\n", method, target)
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
@@ -72,20 +72,20 @@
 
 func TestFigures(t *testing.T) {
 	t.Parallel()
-	p := newPartner(t, func(nc net.Conn, req *http.Request) bool {
+	p := newFakeEndpoint(t, func(nc net.Conn, req *http.Request) bool {
 		if req.Header.Get("X-Trace-Id") == "fails" {
-			return says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")(nc, req)
+			return respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")(nc, req)
 		}
-		return says(delivered)(nc, req)
+		return respondWith(okResponse)(nc, req)
 	})
-	r := newRegistry(t)
+	r := newFakeRegistry(t)
 	a, admin := openAdmin(t, 256)
 	if code, body := adminCall(t, admin, "GET", "/-/ready"); code != http.StatusServiceUnavailable || body != "starting\n" {
 		t.Errorf("before there is a node: %d %q", code, body)
 	}
 	var n *Node
-	addr, stop := startSeen(t, r, t.TempDir(), func(made *Node) { n = made; a.Serve(made) },
-		serving("e", p.addr(), 7, "SERVING"), serving("off", "127.0.0.1:9", 8, "DRAINING"))
+	addr, stop := startInspectedNode(t, r, t.TempDir(), func(made *Node) { n = made; a.Serve(made) },
+		memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("off", "127.0.0.1:9", 8, "DRAINING"))
 	eventually(t, "ready", func() bool { code, _ := adminCall(t, admin, "GET", "/-/ready"); return code == http.StatusOK })
 	first := figuresAt(t, admin)
 	for _, class := range []string{"status", "order", "payout"} {
@@ -95,8 +95,8 @@
 			}
 		}
 	}
-	mustAnswer(t, addr, enqueue("a", ofStatus, "x"), "+OK")
-	mustAnswer(t, addr, enqueue("fails", ofPayout, "x"), "+OK")
+	mustAnswer(t, addr, enqueue("a", statusFields, "x"), "+OK")
+	mustAnswer(t, addr, enqueue("fails", payoutFields, "x"), "+OK")
 	taken := 0
 	for i := range 6 { // held, for nothing may be sent there
 		if ask(t, addr, enqueue("h"+itoa(i), "c=order,d=50000,dest=8,k=k"+itoa(i), "x")) == "+OK" {
@@ -118,7 +118,7 @@
 		return taken > 0 && taken < 6
 	})
 	stop()
-	if got := n.Unready(); got != "leaving" {
+	if got := n.NotReadyReason(); got != "leaving" {
 		t.Errorf("after the end the node says %q", got)
 	}
 }
@@ -126,14 +126,14 @@
 // A call counts with all its messages, and only once its last byte is written.
 func TestTriesCountWhatIsWrittenWhole(t *testing.T) {
 	t.Parallel()
-	p := newPartner(t, says(delivered))
+	p := newFakeEndpoint(t, respondWith(okResponse))
 	n := &Node{figures: newFigures([]string{"a"})}
-	o := &outgoing{call: testCall(endpointAt(p.addr())), messages: []*past{{}, {}, {class: 7}}}
-	o.wrote = func() { n.wrote(o) }
+	o := &outgoingCall{call: newTestCall(newTestEndpoint(p.addr())), messages: []*past{{}, {}, {class: 7}}}
+	o.onWritten = func() { n.countWritten(o) }
 	for i, addr := range []string{p.addr(), "127.0.0.1:1"} {
-		o.endpoint = endpointAt(addr)
+		o.endpoint = newTestEndpoint(addr)
 		want := []choice.Outcome{choice.Success, choice.Unreachable}[i]
-		if got := testPool().do(t.Context(), o.call); got.outcome != want || n.figures.tries[0].Load() != 2 {
+		if got := newTestPool().do(t.Context(), o.call); got.outcome != want || n.figures.tries[0].Load() != 2 {
 			t.Errorf("got %v, %d tries", got.outcome, n.figures.tries[0].Load())
 		}
 	}
@@ -206,7 +206,7 @@
 		select {
 		case c := <-in:
 			last = append(last, c)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("caller %d is shut out", i)
 		}
 		left[i] = true
@@ -215,7 +215,7 @@
 		select {
 		case i := <-gone:
 			delete(left, i)
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("these hold on to their connections: %v", left)
 		}
 	}
@@ -233,7 +233,7 @@
 	dial(21)
 	select {
 	case <-in:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the place that one left is not given to the next")
 	}
 }
@@ -242,9 +242,9 @@
 // call back. Each call may come again. An ID that was never listed is a no, one that was and has gone is a yes.
 func TestMaintenance(t *testing.T) {
 	t.Parallel()
-	first, second := newPartner(t, says(delivered)), newPartner(t, says(delivered))
-	both := []string{serving("e1", first.addr(), 7, "SERVING"), serving("e2", second.addr(), 7, "SERVING")}
-	r, state := newRegistry(t), t.TempDir()
+	first, second := newFakeEndpoint(t, respondWith(okResponse)), newFakeEndpoint(t, respondWith(okResponse))
+	both := []string{memberJSON("e1", first.addr(), 7, "SERVING"), memberJSON("e2", second.addr(), 7, "SERVING")}
+	r, state := newFakeRegistry(t), t.TempDir()
 	a, admin := openAdmin(t, 256)
 	say := func(id, what string, want int) {
 		t.Helper()
@@ -260,11 +260,11 @@
 		before, _ := first.counts()
 		for i := 0; ; i++ {
 			number++
-			mustAnswer(t, addr, enqueue("m"+itoa(number), ofStatus, "x"), "+OK")
+			mustAnswer(t, addr, enqueue("m"+itoa(number), statusFields, "x"), "+OK")
 			select {
-			case <-first.came:
-			case <-second.came:
-			case <-time.After(patience):
+			case <-first.requests:
+			case <-second.requests:
+			case <-time.After(testTimeout):
 				t.Fatal("no call came")
 			}
 			if now, _ := first.counts(); i >= 25 && (now > before || !want) {
@@ -275,37 +275,37 @@
 			}
 		}
 	}
-	one := begin(t, r, state, "", append(both, serving("old", "127.0.0.1:9", 8, "SERVING"))...)
-	a.node.Store(one.n)
+	one := startProcess(t, r, state, "", append(both, memberJSON("old", "127.0.0.1:9", 8, "SERVING"))...)
+	a.node.Store(one.node)
 	deliver(one.addr, true)
 	say("nobody", "disable", http.StatusNotFound)
 	say("nobody", "enable", http.StatusNotFound)
 	say("e2", "enable", http.StatusOK) // it was not left out
 	say("e1", "disable", http.StatusOK)
 	say("e1", "disable", http.StatusOK)
-	r.tell(listOf(2, true, both...)) // whole, and without the old one
-	eventually(t, "the list", func() bool { return one.n.figures.listed.Load() == 2 })
+	r.publish(listJSON(2, true, both...)) // whole, and without the old one
+	eventually(t, "the list", func() bool { return one.node.figures.listed.Load() == 2 })
 	say("old", "disable", http.StatusOK)
-	if got := one.n.figures.avoided.Load(); got != 1 {
+	if got := one.node.figures.avoided.Load(); got != 1 {
 		t.Errorf("%d avoided of those listed", got)
 	}
 	deliver(one.addr, false)
 
-	two := begin(t, r, state, one.addr, both...)
+	two := startProcess(t, r, state, one.addr, both...)
 	deliver(two.addr, false)
 	say("old", "enable", http.StatusOK) // said to the old process, done by the new one
 	say("nobody", "enable", http.StatusNotFound)
-	one.end()
+	one.cancel()
 	if err := one.wait(t); err != nil {
 		t.Error(err)
 	}
-	two.end()
+	two.cancel()
 	if err := two.wait(t); err != nil {
 		t.Error(err)
 	}
-	three := begin(t, r, state, "", both...)
-	a.node.Store(three.n)
-	if got := three.n.figures.avoided.Load(); got != 1 {
+	three := startProcess(t, r, state, "", both...)
+	a.node.Store(three.node)
+	if got := three.node.figures.avoided.Load(); got != 1 {
 		t.Errorf("after a restart the module avoids %d", got)
 	}
 	deliver(three.addr, false)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -55,13 +55,13 @@
 
 // call is one call to be made, with an attempt for each of its messages.
 type call struct {
-	items    []item
-	endpoint *endpoint
-	notPast  time.Time
-	startBy  time.Time // its first byte goes out before this or not at all, unless zero
-	endBy    time.Time // the time of the first of its messages is up then, and an answer says no longer what is over
-	fresh    bool      // not on a kept connection
-	wrote    func()    // is called once its last byte is written, unless nil
+	items     []item
+	endpoint  *endpoint
+	notPast   time.Time
+	startBy   time.Time // its first byte goes out before this or not at all, unless zero
+	endBy     time.Time // the time of the first of its messages is up then, and an answer says no longer what is over
+	fresh     bool      // not on a kept connection
+	onWritten func()    // is called once its last byte is written, unless nil
 }
 
 // fate is how a call ended for one of its messages.
@@ -256,8 +256,8 @@
 	if n, err := k.Write(request); err != nil && n < len(request) {
 		return result{outcome: choice.Unreachable}, false // without its last byte the endpoint has not begun it
 	}
-	if c.wrote != nil {
-		c.wrote()
+	if c.onWritten != nil {
+		c.onWritten()
 	}
 	res, reuse, err := k.answer(c.items)
 	if err == nil {
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -19,27 +19,27 @@
 	"starlingusher/choice"
 )
 
-const patience = 30 * time.Second // for what must happen; nothing is asserted of how fast
+const testTimeout = 30 * time.Second // for what must happen; nothing is asserted of how fast
 
 // partner is an endpoint on a loopback socket. serve answers each request it reads; false closes the connection.
-type partner struct {
+type fakeEndpoint struct {
 	ln    net.Listener
 	serve func(nc net.Conn, req *http.Request) bool
 	read  func(body []byte) // is told of each request's body, unless nil
 
-	mu    sync.Mutex
-	calls []*http.Request
-	conns int
-	came  chan *http.Request
+	mu       sync.Mutex
+	calls    []*http.Request
+	conns    int
+	requests chan *http.Request
 }
 
-func newPartner(t *testing.T, serve func(nc net.Conn, req *http.Request) bool) *partner {
+func newFakeEndpoint(t *testing.T, serve func(nc net.Conn, req *http.Request) bool) *fakeEndpoint {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &partner{ln: ln, serve: serve, came: make(chan *http.Request, 1000)}
+	p := &fakeEndpoint{ln: ln, serve: serve, requests: make(chan *http.Request, 1000)}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -57,7 +57,7 @@
 	return p
 }
 
-func (p *partner) converse(nc net.Conn) {
+func (p *fakeEndpoint) converse(nc net.Conn) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	for {
@@ -75,53 +75,53 @@
 		p.mu.Lock()
 		p.calls = append(p.calls, req)
 		p.mu.Unlock()
-		p.came <- req
+		p.requests <- req
 		if !p.serve(nc, req) {
 			return
 		}
 	}
 }
 
-func (p *partner) addr() string { return p.ln.Addr().String() }
+func (p *fakeEndpoint) addr() string { return p.ln.Addr().String() }
 
-func (p *partner) counts() (calls, conns int) {
+func (p *fakeEndpoint) counts() (calls, conns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.calls), p.conns
 }
 
 // next waits for the next call.
-func (p *partner) next(t *testing.T) *http.Request {
+func (p *fakeEndpoint) nextRequest(t *testing.T) *http.Request {
 	t.Helper()
 	select {
-	case req := <-p.came:
+	case req := <-p.requests:
 		return req
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no call came")
 		return nil
 	}
 }
 
-func says(text string) func(net.Conn, *http.Request) bool {
+func respondWith(text string) func(net.Conn, *http.Request) bool {
 	return func(nc net.Conn, _ *http.Request) bool {
 		_, err := io.WriteString(nc, text)
 		return err == nil
 	}
 }
 
-const delivered = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // silent takes a request and never answers.
-func silent(nc net.Conn, _ *http.Request) bool {
+func neverAnswer(nc net.Conn, _ *http.Request) bool {
 	io.Copy(io.Discard, nc)
 	return false
 }
 
-func endpointAt(addr string) *endpoint {
+func newTestEndpoint(addr string) *endpoint {
 	return &endpoint{id: "e", addr: addr, wait: new(atomic.Int64)}
 }
 
-func testPool() *pool { return newPool(2*time.Second, time.Minute, 16) }
+func newTestPool() *pool { return newPool(2*time.Second, time.Minute, 16) }
 
 // keptBy counts the connections that a pool keeps.
 func keptBy(p *pool) int {
@@ -130,13 +130,13 @@
 	return p.size
 }
 
-func testCall(e *endpoint) call {
-	return call{items: []item{{"9b1f03aa5c7e2d41", "5c0f", []byte("body\x00")}}, endpoint: e, notPast: time.Now().Add(patience), endBy: time.Now().Add(patience)}
+func newTestCall(e *endpoint) call {
+	return call{items: []item{{"9b1f03aa5c7e2d41", "5c0f", []byte("body\x00")}}, endpoint: e, notPast: time.Now().Add(testTimeout), endBy: time.Now().Add(testTimeout)}
 }
 
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never: " + what)
 		}
@@ -148,12 +148,12 @@
 		name, says string
 		want       result
 	}{
-		{"delivered", delivered, result{outcome: choice.Success, closed: true}},
+		{"delivered", okResponse, result{outcome: choice.Success, closed: true}},
 		{"delivered with a report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n",
 			result{outcome: choice.Success, closed: true, report: choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
 		{"a report that can't be read", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=often,,x1=NaN\r\nContent-Length: 0\r\n\r\n",
 			result{outcome: choice.Success, closed: true}},
-		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + delivered, result{outcome: choice.Success, closed: true}},
+		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, result{outcome: choice.Success, closed: true}},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.ServerError}},
 		{"told to wait", "HTTP/1.1 429 No\r\nRetry-After: 0.35\r\nContent-Length: 0\r\n\r\n",
 			result{outcome: choice.Rejected, wait: 350 * time.Millisecond}},
@@ -167,8 +167,8 @@
 		{"no HTTP", "what?\r\n\r\n", result{outcome: choice.ConnectionBroken}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPartner(t, says(c.says))
-			got := testPool().do(t.Context(), testCall(endpointAt(p.addr())))
+			p := newFakeEndpoint(t, respondWith(c.says))
+			got := newTestPool().do(t.Context(), newTestCall(newTestEndpoint(p.addr())))
 			if got.heard = (time.Time{}); !reflect.DeepEqual(got, c.want) {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
@@ -183,7 +183,7 @@
 			t.Fatal(err)
 		}
 		ln.Close()
-		if got := testPool().do(t.Context(), testCall(endpointAt(ln.Addr().String()))); got.outcome != choice.Unreachable {
+		if got := newTestPool().do(t.Context(), newTestCall(newTestEndpoint(ln.Addr().String()))); got.outcome != choice.Unreachable {
 			t.Errorf("got %+v", got)
 		}
 	})
@@ -199,49 +199,49 @@
 		}
 	})
 	t.Run("ended after the last byte", func(t *testing.T) {
-		p := newPartner(t, func(net.Conn, *http.Request) bool { return false })
-		if got := testPool().do(t.Context(), testCall(endpointAt(p.addr()))); got.outcome != choice.ConnectionBroken {
+		p := newFakeEndpoint(t, func(net.Conn, *http.Request) bool { return false })
+		if got := newTestPool().do(t.Context(), newTestCall(newTestEndpoint(p.addr()))); got.outcome != choice.ConnectionBroken {
 			t.Errorf("got %+v", got)
 		}
 	})
 	t.Run("timed out", func(t *testing.T) {
 		closed := make(chan bool, 1)
-		p := newPartner(t, func(nc net.Conn, _ *http.Request) bool {
+		p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 			_, err := nc.Read(make([]byte, 1))
 			closed <- err != nil // the call is given up by closing its connection
 			return false
 		})
-		c := testCall(endpointAt(p.addr()))
+		c := newTestCall(newTestEndpoint(p.addr()))
 		c.notPast = time.Now().Add(100 * time.Millisecond)
-		if got := testPool().do(t.Context(), c); got.outcome != choice.TimedOut || !<-closed {
+		if got := newTestPool().do(t.Context(), c); got.outcome != choice.TimedOut || !<-closed {
 			t.Errorf("got %+v", got)
 		}
 	})
 	t.Run("called off", func(t *testing.T) {
-		p := newPartner(t, silent)
+		p := newFakeEndpoint(t, neverAnswer)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
-			<-p.came
+			<-p.requests
 			cancel()
 		}()
-		if got := testPool().do(ctx, testCall(endpointAt(p.addr()))); got.outcome != choice.Canceled {
+		if got := newTestPool().do(ctx, newTestCall(newTestEndpoint(p.addr()))); got.outcome != choice.Canceled {
 			t.Errorf("got %+v", got)
 		}
 	})
 	t.Run("over before it began", func(t *testing.T) {
-		p := newPartner(t, says(delivered))
-		c := testCall(endpointAt(p.addr()))
+		p := newFakeEndpoint(t, respondWith(okResponse))
+		c := newTestCall(newTestEndpoint(p.addr()))
 		c.notPast = time.Now().Add(-time.Second)
-		if got := testPool().do(t.Context(), c); got.outcome != choice.Stale {
+		if got := newTestPool().do(t.Context(), c); got.outcome != choice.Stale {
 			t.Errorf("got %+v", got)
 		}
 	})
 }
 
 func TestWhatGoesOut(t *testing.T) {
-	p := newPartner(t, says(delivered))
-	testPool().do(t.Context(), testCall(endpointAt(p.addr())))
-	req := p.next(t)
+	p := newFakeEndpoint(t, respondWith(okResponse))
+	newTestPool().do(t.Context(), newTestCall(newTestEndpoint(p.addr())))
+	req := p.nextRequest(t)
 	left, err := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Expires-In"), "m"))
 	if req.Method != "POST" || req.URL.Path != "/v1/messages" || req.Header.Get("X-Trace-Id") != "9b1f03aa5c7e2d41" ||
 		req.Header.Get("Idempotency-Key") != "5c0f" || req.ContentLength != 5 || err != nil || left < 1 {
@@ -252,19 +252,19 @@
 // A library that sends a request again by itself makes a second effect of it.
 func TestBrokenReusedConnectionIsNotSentAgain(t *testing.T) {
 	first := true
-	p := newPartner(t, func(nc net.Conn, _ *http.Request) bool {
+	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 		if first {
 			first = false
-			io.WriteString(nc, delivered)
+			io.WriteString(nc, okResponse)
 			return true
 		}
 		return false
 	})
-	pool, e := testPool(), endpointAt(p.addr())
-	if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Success {
+	pool, e := newTestPool(), newTestEndpoint(p.addr())
+	if got := pool.do(t.Context(), newTestCall(e)); got.outcome != choice.Success {
 		t.Fatalf("got %+v", got)
 	}
-	if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.ConnectionBroken {
+	if got := pool.do(t.Context(), newTestCall(e)); got.outcome != choice.ConnectionBroken {
 		t.Errorf("got %+v", got)
 	}
 	if calls, conns := p.counts(); calls != 2 || conns != 1 {
@@ -274,13 +274,13 @@
 
 // A request written to a connection that the endpoint has closed is a sure reset.
 func TestServersCloseIsNoticed(t *testing.T) {
-	p := newPartner(t, func(nc net.Conn, _ *http.Request) bool {
-		io.WriteString(nc, delivered)
+	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
+		io.WriteString(nc, okResponse)
 		return false
 	})
-	pool, e := testPool(), endpointAt(p.addr())
+	pool, e := newTestPool(), newTestEndpoint(p.addr())
 	for range 3 {
-		if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Success {
+		if got := pool.do(t.Context(), newTestCall(e)); got.outcome != choice.Success {
 			t.Fatalf("got %+v", got)
 		}
 		eventually(t, "the closed connection is dropped", func() bool {
@@ -290,20 +290,20 @@
 }
 
 func TestIdleConnectionIsDroppedInTime(t *testing.T) {
-	p := newPartner(t, says(delivered))
-	pool, e := newPool(time.Second, 20*time.Millisecond, 16), endpointAt(p.addr())
-	pool.do(t.Context(), testCall(e))
+	p := newFakeEndpoint(t, respondWith(okResponse))
+	pool, e := newPool(time.Second, 20*time.Millisecond, 16), newTestEndpoint(p.addr())
+	pool.do(t.Context(), newTestCall(e))
 	eventually(t, "the idle connection is dropped", func() bool {
 		return keptBy(pool) == 0
 	})
 }
 
 func TestHangUp(t *testing.T) {
-	p := newPartner(t, says(delivered))
-	pool, e := testPool(), endpointAt(p.addr())
-	pool.do(t.Context(), testCall(e))
+	p := newFakeEndpoint(t, respondWith(okResponse))
+	pool, e := newTestPool(), newTestEndpoint(p.addr())
+	pool.do(t.Context(), newTestCall(e))
 	pool.hangUp(e.id, 0)
-	pool.do(t.Context(), testCall(e))
+	pool.do(t.Context(), newTestCall(e))
 	if calls, conns := p.counts(); calls != 2 || conns != 2 {
 		t.Errorf("%d calls on %d connections", calls, conns)
 	}
@@ -319,8 +319,8 @@
 
 // Where kept connections break, a call asks for a new one; it takes the old one's place in the endpoint's table.
 func TestFreshConnection(t *testing.T) {
-	p := newPartner(t, says(delivered))
-	pool, c := testPool(), testCall(endpointAt(p.addr()))
+	p := newFakeEndpoint(t, respondWith(okResponse))
+	pool, c := newTestPool(), newTestCall(newTestEndpoint(p.addr()))
 	for i, step := range []struct{ fresh, kept bool }{{false, false}, {false, true}, {true, false}} {
 		c.fresh = step.fresh
 		if got := pool.do(t.Context(), c); got.outcome != choice.Success || got.kept != step.kept || keptBy(pool) != 1 {
@@ -334,10 +334,10 @@
 
 // Bytes that belong to no call would be taken for the next call's answer.
 func TestMoreThanTheAnswerIsNotReused(t *testing.T) {
-	p := newPartner(t, says(delivered+"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
-	pool, e := testPool(), endpointAt(p.addr())
+	p := newFakeEndpoint(t, respondWith(okResponse+"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
+	pool, e := newTestPool(), newTestEndpoint(p.addr())
 	for range 3 {
-		if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Success {
+		if got := pool.do(t.Context(), newTestCall(e)); got.outcome != choice.Success {
 			t.Errorf("got %+v", got)
 		}
 	}
@@ -345,12 +345,12 @@
 
 // Between the decision and the first byte lies a dial; a drain or a wait told meanwhile must hold the call.
 func TestNothingIsSentToAClosedEndpoint(t *testing.T) {
-	p := newPartner(t, says(delivered))
-	drained, waiting := endpointAt(p.addr()), endpointAt(p.addr())
+	p := newFakeEndpoint(t, respondWith(okResponse))
+	drained, waiting := newTestEndpoint(p.addr()), newTestEndpoint(p.addr())
 	drained.shut.Store(true)
 	waiting.wait.Store(time.Now().Add(time.Hour).UnixNano())
 	for _, e := range []*endpoint{drained, waiting} {
-		if got := testPool().do(t.Context(), testCall(e)); got.outcome != choice.Stale {
+		if got := newTestPool().do(t.Context(), newTestCall(e)); got.outcome != choice.Stale {
 			t.Errorf("got %+v", got)
 		}
 	}
@@ -361,8 +361,8 @@
 
 // A connection may come up after a cut of its path; a repeat whose window has ended meanwhile must not go out on it.
 func TestNothingBeginsAfterItsTime(t *testing.T) {
-	p := newPartner(t, says(delivered))
-	pool, c := testPool(), testCall(endpointAt(p.addr()))
+	p := newFakeEndpoint(t, respondWith(okResponse))
+	pool, c := newTestPool(), newTestCall(newTestEndpoint(p.addr()))
 	c.startBy = time.Now().Add(50 * time.Millisecond)
 	dial := pool.dialer
 	pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -393,13 +393,13 @@
 		} {
 			t.Run(code+" "+c.name, func(t *testing.T) {
 				t.Parallel()
-				p := newPartner(t, func(nc net.Conn, _ *http.Request) bool {
+				p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 					io.WriteString(nc, "HTTP/1.1 "+code+" So\r\n"+loadHeader+": x0=0,x1=0\r\nRetry-After: 9\r\n"+c.rest)
 					io.Copy(io.Discard, nc) // the connection stays open
 					return false
 				})
-				pool := testPool()
-				got := pool.do(t.Context(), testCall(endpointAt(p.addr())))
+				pool := newTestPool()
+				got := pool.do(t.Context(), newTestCall(newTestEndpoint(p.addr())))
 				got.heard = time.Time{}
 				want := result{outcome: choice.ConnectionBroken}
 				if code == "200" {
@@ -443,22 +443,22 @@
 
 // A call may end after its endpoint was shut; nobody would ever take or hang up a connection kept then.
 func TestNothingIsKeptForAShutEndpoint(t *testing.T) {
-	e := endpointAt("")
-	p := newPartner(t, func(nc net.Conn, _ *http.Request) bool {
+	e := newTestEndpoint("")
+	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 		e.shut.Store(true)
-		io.WriteString(nc, delivered)
+		io.WriteString(nc, okResponse)
 		return true
 	})
 	e.addr = p.addr()
-	pool := testPool()
-	if got := pool.do(t.Context(), testCall(e)); got.outcome != choice.Success || keptBy(pool) != 0 {
+	pool := newTestPool()
+	if got := pool.do(t.Context(), newTestCall(e)); got.outcome != choice.Success || keptBy(pool) != 0 {
 		t.Errorf("got %+v, %d kept", got, keptBy(pool))
 	}
 }
 
 // Whatever an endpoint writes, the call ends, and only what reads as a whole answer is believed.
 func FuzzAnswer(f *testing.F) {
-	for _, text := range []string{delivered, "HTTP/1.1 100 Go on\r\n\r\n" + delivered, "HTTP/1.1 429 No\r\nRetry-After: 0.7\r\n\r\n", "\x00"} {
+	for _, text := range []string{okResponse, "HTTP/1.1 100 Go on\r\n\r\n" + okResponse, "HTTP/1.1 429 No\r\nRetry-After: 0.7\r\n\r\n", "\x00"} {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -503,15 +503,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bodies := make(chan string, 1)
-			p := newPartner(t, nil)
+			p := newFakeEndpoint(t, nil)
 			p.serve = func(nc net.Conn, req *http.Request) bool {
 				_, err := io.WriteString(nc, "HTTP/1.1 "+c.head+"\r\nContent-Length: "+strconv.Itoa(len(c.body))+"\r\n\r\n"+c.body)
 				return err == nil
 			}
 			p.read = func(body []byte) { bodies <- string(body) }
-			testee := testCall(endpointAt(p.addr()))
+			testee := newTestCall(newTestEndpoint(p.addr()))
 			testee.items = []item{{"a", "k", []byte("hello")}, {"b", "", []byte{}}, {"c", "", []byte{0, 0xff}}}
-			got := testPool().do(t.Context(), testee)
+			got := newTestPool().do(t.Context(), testee)
 			for i, want := range c.want {
 				if got.of(i) != want {
 					t.Errorf("%d: got %+v, want %+v", i, got.of(i), want)
@@ -520,7 +520,7 @@
 			if got.wait != c.wait {
 				t.Errorf("got a wait of %v", got.wait)
 			}
-			if path := p.next(t).URL.Path; path != "/v1/messages:batch" {
+			if path := p.nextRequest(t).URL.Path; path != "/v1/messages:batch" {
 				t.Errorf("got %q", path)
 			}
 			const want = `[{"id":"a","key":"k","body":"aGVsbG8="},{"id":"b","body":""},{"id":"c","body":"AP8="}]`
@@ -534,7 +534,7 @@
 // What an answer says is done can't be relied on when a message of its call is over; what it says is not done never ran.
 func TestAnswerAfterAMessageIsOver(t *testing.T) {
 	const body = `[{"id":"a","state":"accepted"},{"id":"b","state":"expired"},{"id":"c","state":"deferred"}]`
-	answered := newPartner(t, func(nc net.Conn, _ *http.Request) bool {
+	answered := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 		_, err := io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 		return err == nil
 	})
@@ -546,9 +546,9 @@
 		{"in time", time.Hour, [3]fate{{outcome: choice.Success, closed: true}, {outcome: choice.Stale, closed: true}, {outcome: choice.Rejected}}},
 		{"late", 0, [3]fate{{outcome: choice.Success, unsure: true}, {outcome: choice.Stale, unsure: true}, {outcome: choice.Rejected}}},
 	} {
-		testee := testCall(endpointAt(answered.addr()))
+		testee := newTestCall(newTestEndpoint(answered.addr()))
 		testee.items, testee.endBy = []item{{ID: "a"}, {ID: "b"}, {ID: "c"}}, time.Now().Add(c.endBy)
-		got := testPool().do(t.Context(), testee)
+		got := newTestPool().do(t.Context(), testee)
 		for i, want := range c.want {
 			if got.of(i) != want {
 				t.Errorf("%s, %d: got %+v, want %+v", c.name, i, got.of(i), want)
@@ -559,7 +559,7 @@
 			t.Errorf("%s: an heir is told %+v", c.name, told)
 		}
 		testee.items = testee.items[:1]
-		if got := testPool().do(t.Context(), testee).of(0); got != c.want[0] {
+		if got := newTestPool().do(t.Context(), testee).of(0); got != c.want[0] {
 			t.Errorf("%s, alone: got %+v, want %+v", c.name, got, c.want[0])
 		}
 	}
@@ -605,8 +605,8 @@
 	came := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	partner := newPartner(t, says(delivered))
-	p := testPool()
+	partner := newFakeEndpoint(t, respondWith(okResponse))
+	p := newTestPool()
 	dial := p.dialer
 	p.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := dial(ctx, network, addr)
@@ -626,7 +626,7 @@
 		}()
 		return &stopped{Conn: nc, came: came, wake: make(chan struct{})}, nil
 	}
-	c := testCall(endpointAt(partner.addr()))
+	c := newTestCall(newTestEndpoint(partner.addr()))
 	if calledOff {
 		go func() { // once it is out
 			<-came
@@ -656,7 +656,7 @@
 		n, _ := io.Copy(io.Discard, nc)
 		got <- int(n)
 	}()
-	e := endpointAt(ln.Addr().String())
+	e := newTestEndpoint(ln.Addr().String())
 	p := newPool(time.Second, time.Second, 4)
 	p.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-ctx.Done()
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	if err := nc.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return nc, bufio.NewReader(nc)
@@ -196,7 +196,7 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the node waits")
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -60,7 +60,7 @@
 	if c.Limits.Sockets <= 0 {
 		c.Limits.Sockets = defaultSockets
 	}
-	c.Settings.Slots, _ = descriptors(c.Limits.Sockets, c.Settings.Slots)
+	c.Settings.Slots, _ = splitDescriptors(c.Limits.Sockets, c.Settings.Slots)
 	if c.Names, err = wire.ParseNames(c.RawSettings); err != nil {
 		return c, fmt.Errorf("configuration %s: %w", path, err)
 	}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -100,7 +100,7 @@
 		t.Error(err)
 		return
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		got, b := 0, make([]byte, n)
 		raw.Control(func(fd uintptr) { got, _, _ = syscall.Recvfrom(int(fd), b, syscall.MSG_PEEK|syscall.MSG_DONTWAIT) })
 		if got >= n {
@@ -154,7 +154,7 @@
 // waitFor waits until so many sessions stand in a list.
 func waitFor(t *testing.T, c *clients, list, n int) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c.mu.Lock()
 		have := c.lists[list].Len()
 		c.mu.Unlock()
@@ -169,7 +169,7 @@
 
 // A client whose request crossed the end of its connection as the node leaves comes again on a new one, and is taken on.
 func TestLeavingNodeTakesWhoCrossed(t *testing.T) {
-	c, addr := hooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, func(c *clients) { c.cross = patience })
+	c, addr := hooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, func(c *clients) { c.cross = testTimeout })
 	first, br := dialTest(t, addr)
 	io.WriteString(first, resp("PING"))
 	expect(t, br, "+PONG\r\n")
@@ -206,7 +206,7 @@
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		c.close(patience)
+		c.close(testTimeout)
 	}()
 	for c.mu.Lock(); !c.leaving; c.mu.Lock() {
 		c.mu.Unlock()
@@ -232,7 +232,7 @@
 			<-hold
 		}
 	}}}
-	c, addr := hooked(t, 5, l, func(request) answer { return answer{} }, func(c *clients) { c.request = patience })
+	c, addr := hooked(t, 5, l, func(request) answer { return answer{} }, func(c *clients) { c.request = testTimeout })
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release)
 	nc, br := dialTest(t, addr)
@@ -251,7 +251,7 @@
 	}()
 	select {
 	case <-expired:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the grace does not end")
 	}
 	release()
@@ -262,7 +262,7 @@
 // With all places taken by requests that never end, a proper client is served.
 func TestHalfRequestsGiveWay(t *testing.T) {
 	const most = 3
-	c, addr := hooked(t, most, &hookedListener{}, func(request) answer { return answer{} }, func(c *clients) { c.request = patience })
+	c, addr := hooked(t, most, &hookedListener{}, func(request) answer { return answer{} }, func(c *clients) { c.request = testTimeout })
 	for range most {
 		nc, _ := dialTest(t, addr)
 		io.WriteString(nc, "*5\r\n$7\r\nENQ")
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -12,8 +12,8 @@
 	classes                 []string
 	ok, shed, errors, tries []atomic.Int64 // messages, by class
 	active, listed, avoided atomic.Int64
-	share                   atomic.Pointer[following] // nil: without [ownership]
-	notOwned                atomic.Int64              // requests that are other nodes'
+	share                   atomic.Pointer[followedPartitions] // nil: without [ownership]
+	notOwned                atomic.Int64                       // requests that are other nodes'
 }
 
 func newFigures(classes []string) *figures {
@@ -49,8 +49,8 @@
 	fmt.Fprintf(w, "app.active:%d|g\napp.pool_size:%d|g\napp.pool_ejected:%d|g\n",
 		f.active.Load(), f.listed.Load(), f.avoided.Load())
 	if s := f.share.Load(); s != nil {
-		followed, _ := s.at(time.Now())
+		followed, _ := s.setAt(time.Now())
 		fmt.Fprintf(w, "app.map:%d|g\napp.partitions_owned:%d|g\napp.partitions_lingering:%d|g\napp.not_owned:%d|c\n",
-			s.number, s.owned.Len(), followed.Without(s.owned).Len(), f.notOwned.Load())
+			s.mapNumber, s.owned.Len(), followed.Without(s.owned).Len(), f.notOwned.Load())
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -49,7 +49,7 @@
 }
 
 // Sources are the addresses that tell the list and take notices: discovery's, unless the fleet has a directory.
-func (c *Config) Sources() []string {
+func (c *Config) DiscoveryAddresses() []string {
 	if len(c.Fleet.Registry.Addresses) > 0 {
 		return c.Fleet.Registry.Addresses
 	}
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -18,25 +18,25 @@
 	}
 	dead := ln.Addr().String()
 	ln.Close()
-	p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
-	r.tell(listOf(4, true, serving("e", p.addr(), 7, "SERVING")))
+	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
+	r.publish(listJSON(4, true, memberJSON("e", p.addr(), 7, "SERVING")))
 	with := func(addrs ...string) func(*Config) {
 		return func(c *Config) {
 			c.Discovery, c.Fleet.Registry.Addresses, c.Fleet.Registry.KeepKB = dead, addrs, 64
 			c.Known.Members, c.Known.Revision = nil, 1000 // by the platform's count
 		}
 	}
-	addr, stop := startAltered(t, r, state, with(dead, r.addr()))
+	addr, stop := startConfiguredNode(t, r, state, with(dead, r.addr()))
 	tries := 0
 	eventually(t, "the first message", func() bool {
 		tries++
-		return ask(t, addr, enqueue("a"+itoa(tries), ofStatus, "")) == "+OK"
+		return ask(t, addr, enqueue("a"+itoa(tries), statusFields, "")) == "+OK"
 	})
-	p.next(t)
+	p.nextRequest(t)
 	stop()
-	addr, _ = startAltered(t, r, state, with(dead))
-	mustAnswer(t, addr, enqueue("b", ofStatus, ""), "+OK")
-	p.next(t)
+	addr, _ = startConfiguredNode(t, r, state, with(dead))
+	mustAnswer(t, addr, enqueue("b", statusFields, ""), "+OK")
+	p.nextRequest(t)
 }
 
 func TestFleetFileIsStrict(t *testing.T) {
@@ -74,24 +74,24 @@
 // What a node says of its list is in force in its loop.
 func TestTold(t *testing.T) {
 	t.Parallel()
-	p, r := newPartner(t, says(delivered)), newRegistry(t)
-	r.tell(listOf(4, true, serving("e", p.addr(), 7, "SERVING"), serving("f", p.addr(), 8, "SERVING")))
+	p, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
+	r.publish(listJSON(4, true, memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("f", p.addr(), 8, "SERVING")))
 	var n *Node
-	startWith(t, r, t.TempDir(), nil, func(started *Node) { n = started })
+	startNodeWith(t, r, t.TempDir(), nil, func(started *Node) { n = started })
 	for _, want := range []struct {
 		revision  int64
 		endpoints int
 		tell      string
 	}{
 		{4, 2, ""},
-		{5, 3, listOf(5, false, serving("g", p.addr(), 9, "SERVING"))},
-		{7, 1, listOf(7, true, serving("g", p.addr(), 9, "SERVING"))},
+		{5, 3, listJSON(5, false, memberJSON("g", p.addr(), 9, "SERVING"))},
+		{7, 1, listJSON(7, true, memberJSON("g", p.addr(), 9, "SERVING"))},
 	} {
 		if want.tell != "" {
-			r.tell(want.tell)
+			r.publish(want.tell)
 		}
-		eventually(t, "revision "+itoa(int(want.revision)), func() bool { at, _ := n.Told(); return at >= want.revision })
-		if at, have := n.Told(); at != want.revision || have != want.endpoints {
+		eventually(t, "revision "+itoa(int(want.revision)), func() bool { at, _ := n.CurrentList(); return at >= want.revision })
+		if at, have := n.CurrentList(); at != want.revision || have != want.endpoints {
 			t.Errorf("%d endpoints at revision %d, want %d at %d", have, at, want.endpoints, want.revision)
 		}
 	}
--- a/internal/node/formats_b_test.go
+++ b/internal/node/formats_b_test.go
@@ -39,7 +39,7 @@
 	var items []item
 	golden.Fill(&items)
 	for name, messages := range map[string][]item{"call_single.http": items[:1], "call_batch.http": items} {
-		encoded, err := encodeRequest(call{items: messages, endpoint: endpointAt("192.0.2.1:8080"), notPast: time.Unix(1, 0)})
+		encoded, err := encodeRequest(call{items: messages, endpoint: newTestEndpoint("192.0.2.1:8080"), notPast: time.Unix(1, 0)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -36,7 +36,7 @@
 )
 
 // ErrHeirGone ends Run when the process that had taken over is gone. All that it held is in the journal.
-var ErrHeirGone = errors.New("the process that took over is gone")
+var ErrSuccessorGone = errors.New("the process that took over is gone")
 
 // errSilent says that the holder of the lock lives and does not answer.
 var errSilent = errors.New("the process that holds the lock does not answer")
@@ -443,7 +443,7 @@
 	n.start = time.Now().Add(epoch - from.Clock - time.Since(from.At))
 	n.cfg.Known = catalog.List{Revision: from.Revision, Complete: true, Members: from.Members}
 	n.told = registry.Position{History: from.History, Revision: from.Revision, From: from.ToldBy}
-	if from.History == 0 && !slices.Contains(n.cfg.Sources(), from.ToldBy) { // another server's revisions count something else
+	if from.History == 0 && !slices.Contains(n.cfg.DiscoveryAddresses(), from.ToldBy) { // another server's revisions count something else
 		n.cfg.Known.Revision, n.told = 0, registry.Position{From: n.cfg.Discovery}
 	}
 	n.listed(n.cfg.Known) // the module has it already
@@ -483,8 +483,8 @@
 			parts.Go(func() {
 				within, cancel := context.WithTimeout(ctx, orderTimeout)
 				defer cancel()
-				err := n.Bar(within, m.Order.ID, m.Order.Lift)
-				l.send(message{Answer: &reply{Number: m.Order.Number, Gone: err != nil, Unknown: errors.Is(err, ErrUnknown)}})
+				err := n.SetEndpointEnabled(within, m.Order.ID, m.Order.Lift)
+				l.send(message{Answer: &reply{Number: m.Order.Number, Gone: err != nil, Unknown: errors.Is(err, ErrUnknownEndpoint)}})
 			})
 		}
 	}
@@ -657,9 +657,9 @@
 			asked[n.numbered] = func(r reply) {
 				switch {
 				case r.Unknown:
-					o.reply <- ErrUnknown
+					o.reply <- ErrUnknownEndpoint
 				case r.Gone:
-					o.reply <- ErrHeirGone
+					o.reply <- ErrSuccessorGone
 				default:
 					o.reply <- nil
 				}
@@ -680,7 +680,7 @@
 			forsake()
 			continue
 		case <-down:
-			down, leaves, left, err = nil, true, nil, ErrHeirGone
+			down, leaves, left, err = nil, true, nil, ErrSuccessorGone
 			n.heir.conn.Close()
 			for _, c := range n.out { // what may be repeated must not have two attempts out
 				c.cancel()
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -16,15 +16,15 @@
 )
 
 // life is one process's part of a node, as main would run it.
-type life struct {
-	n     *Node
-	addr  string
-	end   context.CancelFunc
-	ended chan error
+type nodeProcess struct {
+	node   *Node
+	addr   string
+	cancel context.CancelFunc
+	done   chan error
 }
 
 // begin starts a process of the node whose lasting folder is state, at addr if that is not empty.
-func begin(t *testing.T, r *fakeRegistry, state, addr string, known ...string) *life {
+func startProcess(t *testing.T, r *fakeRegistry, state, addr string, known ...string) *nodeProcess {
 	t.Helper()
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -38,28 +38,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &life{n: n, addr: ln.Addr().String(), end: cancel, ended: make(chan error, 1)}
-	go func() { l.ended <- n.Run(ctx, ln) }()
+	l := &nodeProcess{node: n, addr: ln.Addr().String(), cancel: cancel, done: make(chan error, 1)}
+	go func() { l.done <- n.Run(ctx, ln) }()
 	t.Cleanup(cancel)
-	eventually(t, "ready", func() bool { return n.Unready() == "" })
+	eventually(t, "ready", func() bool { return n.NotReadyReason() == "" })
 	return l
 }
 
-func (l *life) wait(t *testing.T) error {
+func (l *nodeProcess) wait(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-l.ended:
+	case err := <-l.done:
 		return err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the process does not end")
 		return nil
 	}
 }
 
 // slowPartner answers a call when its test says so.
-func slowPartner(t *testing.T) (*partner, chan string) {
+func slowPartner(t *testing.T) (*fakeEndpoint, chan string) {
 	answers := make(chan string)
-	return newPartner(t, func(nc net.Conn, _ *http.Request) bool {
+	return newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 		hungUp := make(chan struct{})
 		go func() {
 			nc.Read(make([]byte, 1))
@@ -79,43 +79,43 @@
 func TestHandover(t *testing.T) {
 	t.Parallel()
 	p, answers := slowPartner(t)
-	late := newPartner(t, says(delivered))
-	r, state := newRegistry(t), t.TempDir()
-	old := begin(t, r, state, "", serving("e", p.addr(), 7, "SERVING"), serving("off", "127.0.0.1:9", 8, "DRAINING"))
-	mustAnswer(t, old.addr, enqueue("out", ofPayout, "x"), "+OK")
-	p.next(t)
+	late := newFakeEndpoint(t, respondWith(okResponse))
+	r, state := newFakeRegistry(t), t.TempDir()
+	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("off", "127.0.0.1:9", 8, "DRAINING"))
+	mustAnswer(t, old.addr, enqueue("out", payoutFields, "x"), "+OK")
+	p.nextRequest(t)
 	mustAnswer(t, old.addr, enqueue("held", "c=status,d=50000,dest=8", "x"), "+OK")
 	half, br := dialTest(t, old.addr)
 	text := enqueue("half", "c=order,d=50000,dest=8,k=k", "x")
 	io.WriteString(half, text[:9])
-	eventually(t, "it reads", func() bool { return old.n.stage.Load() == inService })
+	eventually(t, "it reads", func() bool { return old.node.stage.Load() == inService })
 
-	young := begin(t, r, state, old.addr)
-	eventually(t, "handed over", func() bool { return old.n.Unready() == stages[handedOver] })
+	young := startProcess(t, r, state, old.addr)
+	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[handedOver] })
 	io.WriteString(half, text[9:])
 	if line, err := br.ReadString('\n'); line != "+OK\r\n" {
 		t.Errorf("the request that was half read: %q, %v", line, err)
 	}
 	mustAnswer(t, young.addr, enqueue("held", "c=status,d=50000,dest=8", "x"), "+OK") // known, so not taken on again
-	answers <- delivered
-	eventually(t, "the outcome", func() bool { return young.n.figures.ok[2].Load() == 1 })
-	old.end()
+	answers <- okResponse
+	eventually(t, "the outcome", func() bool { return young.node.figures.ok[2].Load() == 1 })
+	old.cancel()
 	if err := old.wait(t); err != nil {
 		t.Error(err)
 	}
-	r.tell(listOf(2, false, serving("late", late.addr(), 8, "SERVING")))
+	r.publish(listJSON(2, false, memberJSON("late", late.addr(), 8, "SERVING")))
 	for range 2 {
-		if id := late.next(t).Header.Get("X-Trace-Id"); id != "held" && id != "half" {
+		if id := late.nextRequest(t).Header.Get("X-Trace-Id"); id != "held" && id != "half" {
 			t.Errorf("got %q", id)
 		}
 	}
 	if calls, _ := p.counts(); calls != 1 {
 		t.Errorf("the payout went out %d times", calls)
 	}
-	if n := old.n.figures.ok[2].Load() + old.n.figures.tries[0].Load() + young.n.figures.tries[2].Load(); n != 0 {
+	if n := old.node.figures.ok[2].Load() + old.node.figures.tries[0].Load() + young.node.figures.tries[2].Load(); n != 0 {
 		t.Errorf("counted in the process that did not know it: %d", n)
 	}
-	young.end()
+	young.cancel()
 	if err := young.wait(t); err != nil {
 		t.Error(err)
 	}
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	l := newLink(conn)
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	if err := l.send(message{Hello: handoverVersion}); err != nil {
 		t.Fatal(err)
 	}
@@ -151,17 +151,17 @@
 // One that asks and dies before it has the node changes nothing.
 func TestHandoverHalfDone(t *testing.T) {
 	t.Parallel()
-	p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
-	old := begin(t, r, state, "", serving("e", p.addr(), 7, "SERVING"))
-	r.tell(listOf(2, false, serving("new", p.addr(), 8, "SERVING")))
-	eventually(t, "the list", func() bool { return old.n.figures.listed.Load() == 2 })
+	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
+	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
+	r.publish(listJSON(2, false, memberJSON("new", p.addr(), 8, "SERVING")))
+	eventually(t, "the list", func() bool { return old.node.figures.listed.Load() == 2 })
 	l, had := knock(t, state)
 	l.conn.Close()
 	if had.Revision != 2 || had.ToldBy != r.addr() || len(had.Members) != 2 {
 		t.Errorf("discovery's news stands at %d of %s, %d listed", had.Revision, had.ToldBy, len(had.Members))
 	}
-	mustAnswer(t, old.addr, enqueue("a", ofStatus, "x"), "+OK")
-	p.next(t)
+	mustAnswer(t, old.addr, enqueue("a", statusFields, "x"), "+OK")
+	p.nextRequest(t)
 	stranger, err := dialDoor(door(state)) // of another version
 	if err != nil {
 		t.Fatal(err)
@@ -171,9 +171,9 @@
 	if _, err := newLink(stranger).receive(); !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("got %v", err)
 	}
-	young := begin(t, r, state, old.addr)
-	mustAnswer(t, young.addr, enqueue("b", ofStatus, "x"), "+OK")
-	p.next(t)
+	young := startProcess(t, r, state, old.addr)
+	mustAnswer(t, young.addr, enqueue("b", statusFields, "x"), "+OK")
+	p.nextRequest(t)
 }
 
 // When the process that took over is gone, the old one calls off what it has out and can start again from the journal.
@@ -181,12 +181,12 @@
 func TestHeirGone(t *testing.T) {
 	t.Parallel()
 	p, _ := slowPartner(t)
-	r, state := newRegistry(t), t.TempDir()
-	old := begin(t, r, state, "", serving("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, old.addr, enqueue("payout", ofPayout, "x"), "+OK")
-	p.next(t)
-	mustAnswer(t, old.addr, enqueue("notice", ofStatus, "x"), "+OK")
-	p.next(t)
+	r, state := newFakeRegistry(t), t.TempDir()
+	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, old.addr, enqueue("payout", payoutFields, "x"), "+OK")
+	p.nextRequest(t)
+	mustAnswer(t, old.addr, enqueue("notice", statusFields, "x"), "+OK")
+	p.nextRequest(t)
 	heir, _ := knock(t, state)
 	if err := heir.send(message{Ready: true}); err != nil {
 		t.Fatal(err)
@@ -195,40 +195,40 @@
 		t.Fatalf("got %v, %v", m, err)
 	}
 	heir.conn.Close()
-	if err := old.wait(t); !errors.Is(err, ErrHeirGone) {
+	if err := old.wait(t); !errors.Is(err, ErrSuccessorGone) {
 		t.Fatalf("got %v", err)
 	}
-	if len(old.n.out) != 0 {
+	if len(old.node.out) != 0 {
 		t.Error("calls are left out")
 	}
-	begin(t, r, state, "", serving("e", p.addr(), 7, "SERVING"))
-	if id := p.next(t).Header.Get("X-Trace-Id"); id != "notice" {
+	startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
+	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "notice" {
 		t.Errorf("got %q", id)
 	}
-	eventually(t, "the payout's notice", func() bool { return r.state("payout") == "failed" })
+	eventually(t, "the payout's notice", func() bool { return r.noticeState("payout") == "failed" })
 }
 
 // When the old process dies with calls out, they may have run.
 func TestForebearGone(t *testing.T) {
 	t.Parallel()
 	p, _ := slowPartner(t)
-	r, state := newRegistry(t), t.TempDir()
-	old := begin(t, r, state, "", serving("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, old.addr, enqueue("payout", ofPayout, "x"), "+OK")
-	p.next(t)
-	mustAnswer(t, old.addr, enqueue("notice", ofStatus, "x"), "+OK")
-	p.next(t)
-	young := begin(t, r, state, old.addr)
-	eventually(t, "handed over", func() bool { return old.n.Unready() == stages[handedOver] })
-	old.n.heir.conn.Close() // as its death does
-	if id := p.next(t).Header.Get("X-Trace-Id"); id != "notice" {
+	r, state := newFakeRegistry(t), t.TempDir()
+	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, old.addr, enqueue("payout", payoutFields, "x"), "+OK")
+	p.nextRequest(t)
+	mustAnswer(t, old.addr, enqueue("notice", statusFields, "x"), "+OK")
+	p.nextRequest(t)
+	young := startProcess(t, r, state, old.addr)
+	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[handedOver] })
+	old.node.heir.conn.Close() // as its death does
+	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "notice" {
 		t.Errorf("got %q", id)
 	}
-	eventually(t, "the payout's notice", func() bool { return r.state("payout") == "failed" })
-	if err := old.wait(t); !errors.Is(err, ErrHeirGone) {
+	eventually(t, "the payout's notice", func() bool { return r.noticeState("payout") == "failed" })
+	if err := old.wait(t); !errors.Is(err, ErrSuccessorGone) {
 		t.Errorf("got %v", err)
 	}
-	young.end()
+	young.cancel()
 	if err := young.wait(t); err != nil {
 		t.Error(err)
 	}
@@ -237,30 +237,30 @@
 // A wait that the new process is told holds back what the old one has not begun to write.
 func TestWaitReachesTheOldProcess(t *testing.T) {
 	t.Parallel()
-	p := newPartner(t, func(nc net.Conn, req *http.Request) bool {
+	p := newFakeEndpoint(t, func(nc net.Conn, req *http.Request) bool {
 		if req.Header.Get("X-Trace-Id") == "told" {
-			return says("HTTP/1.1 429 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")(nc, req)
+			return respondWith("HTTP/1.1 429 No\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n")(nc, req)
 		}
-		return silent(nc, req)
+		return neverAnswer(nc, req)
 	})
-	r, state := newRegistry(t), t.TempDir()
-	old := begin(t, r, state, "", serving("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, old.addr, enqueue("out", ofPayout, "x"), "+OK")
-	p.next(t)
-	young := begin(t, r, state, old.addr)
-	eventually(t, "handed over", func() bool { return old.n.Unready() == stages[handedOver] })
-	e := old.n.eps["e"]
+	r, state := newFakeRegistry(t), t.TempDir()
+	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, old.addr, enqueue("out", payoutFields, "x"), "+OK")
+	p.nextRequest(t)
+	young := startProcess(t, r, state, old.addr)
+	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[handedOver] })
+	e := old.node.eps["e"]
 	if e.closedTo(time.Now()) {
 		t.Fatal("closed before anything was told")
 	}
-	mustAnswer(t, young.addr, enqueue("told", ofStatus, "x"), "+OK")
+	mustAnswer(t, young.addr, enqueue("told", statusFields, "x"), "+OK")
 	eventually(t, "the wait", func() bool { return e.closedTo(time.Now()) })
 }
 
 // A build that knows no lock has the clients' address: the journal is left alone until that is free.
 func TestStartWaitsForAnOlderBuild(t *testing.T) {
 	t.Parallel()
-	r, state := newRegistry(t), t.TempDir()
+	r, state := newFakeRegistry(t), t.TempDir()
 	older, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -336,7 +336,7 @@
 // Where the socket for the next process can't be opened the node says so once, and serves without handover.
 func TestNodeServesWithoutADoor(t *testing.T) {
 	t.Setenv("TMPDIR", filepath.Join(t.TempDir(), "missing"))
-	r := newRegistry(t)
+	r := newFakeRegistry(t)
 	said := make(chan string, 100)
 	log := slog.New(slog.NewTextHandler(writerFunc(func(b []byte) (int, error) {
 		if strings.Contains(string(b), "no other process can take over") {
@@ -344,7 +344,7 @@
 		}
 		return len(b), nil
 	}), nil))
-	cfg, err := LoadConfig(writeConfig(t, "127.0.0.1:0", r.addr(), serving("e", "127.0.0.1:1", 7, "SERVING")), t.TempDir())
+	cfg, err := LoadConfig(writeConfig(t, "127.0.0.1:0", r.addr(), memberJSON("e", "127.0.0.1:1", 7, "SERVING")), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -356,7 +356,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx, ln) }()
-	eventually(t, "ready", func() bool { return n.Unready() == "" })
+	eventually(t, "ready", func() bool { return n.NotReadyReason() == "" })
 	if got := ask(t, ln.Addr().String(), resp("PING")); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,11 +35,11 @@
 
 // Of the descriptors that the process may hold.
 const (
-	defaultSockets = 256 // the least that a platform gives
-	clientsPart    = 2   // the parts of all are halves,
-	operatorsPart  = 16  // and sixteenths
-	ownDescriptors = 24  // journal and its next file, lock, logs, listeners, discovery, notices, the runtime's
-	leastIdle      = 8
+	defaultSockets         = 256 // the least that a platform gives
+	clientSocketsDivisor   = 2   // the parts of all are halves,
+	operatorSocketsDivisor = 16  // and sixteenths
+	ownDescriptors         = 24  // journal and its next file, lock, logs, listeners, discovery, notices, the runtime's
+	leastIdle              = 8
 )
 
 // attempt names a call that is out, by the journal's number of its message: an id may come again while a call
@@ -128,7 +128,7 @@
 )
 
 // ErrUnknown says that no endpoint of that ID was ever listed.
-var ErrUnknown = errors.New("no endpoint of this ID was ever listed")
+var ErrUnknownEndpoint = errors.New("no endpoint of this ID was ever listed")
 
 // The stages of a node's life.
 const (
@@ -150,7 +150,7 @@
 		log.Warn("a part of the journal can't be read; what it may have been about ends as failed", "part", j.spoilt)
 	}
 	told := registry.Position{Revision: cfg.Known.Revision, From: cfg.Discovery}
-	if !slices.Contains(cfg.Sources(), cfg.Discovery) { // the revisions of what tells the list count something else
+	if !slices.Contains(cfg.DiscoveryAddresses(), cfg.Discovery) { // the revisions of what tells the list count something else
 		told = registry.Position{}
 	}
 	kept := openKept(cfg, log)
@@ -162,7 +162,7 @@
 	}
 	own := openShare(cfg, j, log)
 	cfg.Known = own.only(cfg.Known)
-	_, idle := descriptors(max(cfg.Limits.Sockets, 4*leastIdle), cfg.Settings.Slots)
+	_, idle := splitDescriptors(max(cfg.Limits.Sockets, 4*leastIdle), cfg.Settings.Slots)
 	return &Node{
 		told: told, kept: kept, own: own,
 		cfg: cfg, log: log, journal: j, sender: choice.New(cfg.moduleSettings(), seed(cfg.Seed)), start: time.Now(),
@@ -176,8 +176,8 @@
 
 // descriptors shares out what clients, who may fill their half at any time, and operators leave of the process's limit: the
 // node's own get theirs, and what is left holds as many calls at once as there are slots, and connections idle between calls.
-func descriptors(sockets, slots int) (calls, idle int) {
-	left := max(sockets-sockets/clientsPart-sockets/operatorsPart-ownDescriptors, 2*leastIdle)
+func splitDescriptors(sockets, slots int) (calls, idle int) {
+	left := max(sockets-sockets/clientSocketsDivisor-sockets/operatorSocketsDivisor-ownDescriptors, 2*leastIdle)
 	if slots <= 0 || slots > left-leastIdle {
 		slots = left - leastIdle
 	}
@@ -185,7 +185,7 @@
 }
 
 // Unready tells why the node is not ready to serve, "" if it is. It may be called at any time.
-func (n *Node) Unready() string {
+func (n *Node) NotReadyReason() string {
 	if s := n.stage.Load(); s != inService {
 		return stages[s]
 	}
@@ -200,7 +200,7 @@
 
 // Told is the revision of the list that is in force in the loop, by the count of who told it, and how many endpoints that has. It may
 // be called at any time.
-func (n *Node) Told() (revision int64, endpoints int) {
+func (n *Node) CurrentList() (revision int64, endpoints int) {
 	revision = n.revision.Load()
 	return revision, int(n.figures.listed.Load()) // of that revision or a later one
 }
@@ -237,7 +237,7 @@
 	parts.Go(func() { n.consult(news) })
 	n.log.Info("serving", "sockets", n.cfg.Limits.Sockets, "memory_mb", n.cfg.Limits.MemoryMB, "disk_mb", n.cfg.Limits.DiskMB,
 		"cores", n.cfg.Limits.Cores, "slots", n.cfg.Settings.Slots, "max_open", n.cfg.Settings.MaxOpen)
-	clients := newClients(ln, n.cfg.Limits.Sockets/clientsPart, n.cfg.Names, func(q request) answer { return n.hand(life, q) })
+	clients := newClients(ln, n.cfg.Limits.Sockets/clientSocketsDivisor, n.cfg.Names, func(q request) answer { return n.hand(life, q) })
 	parts.Go(func() { clients.serve(life) })
 	if n.forebear != nil {
 		forebear := n.forebear
@@ -308,7 +308,7 @@
 }
 
 // Move tells a running node that what tells the list is at other addresses now. It may be called at any time.
-func (n *Node) Move(addrs ...string) {
+func (n *Node) MoveDiscovery(addrs ...string) {
 	select {
 	case n.moves <- addrs:
 	case <-n.over:
@@ -319,7 +319,7 @@
 // server is asked for all it has, so that nothing is lost; while its list is older than what was told, it is not
 // taken, or a drain could be undone. Notices that were not answered go to the new address.
 func (n *Node) consult(ctx context.Context) {
-	addrs := n.cfg.Sources()
+	addrs := n.cfg.DiscoveryAddresses()
 	track := registry.NewTrack(n.told) // the watch's, of which there is one at a time
 	var unanswered []notice
 	for ctx.Err() == nil {
@@ -660,7 +660,7 @@
 
 // Bar leaves an endpoint out, or with lift lets it serve again. It returns once that is in the journal and the module
 // has it, or when ctx ends; then it may yet be done. It may be called at any time, and again.
-func (n *Node) Bar(ctx context.Context, id string, lift bool) error {
+func (n *Node) SetEndpointEnabled(ctx context.Context, id string, lift bool) error {
 	o := order{id, lift, make(chan error, 1)}
 	select {
 	case n.orders <- o:
@@ -679,7 +679,7 @@
 func (n *Node) bar(o order) []choice.Event {
 	was, known := n.journal.barred[o.id]
 	if !known {
-		o.reply <- ErrUnknown
+		o.reply <- ErrUnknownEndpoint
 		return nil
 	}
 	n.acts = append(n.acts, act{do: func() { o.reply <- nil }})
@@ -777,7 +777,7 @@
 // step lets the module decide and carries out what it says, in order, once the records are written that guard
 // it. fresh are the messages whose clients still wait to hear whether they are taken on.
 func (n *Node) step(ctx context.Context, events []choice.Event, fresh newcomers) {
-	calls := map[uint64]*outgoing{} // by the module's number: those that further sends of this step may join
+	calls := map[uint64]*outgoingCall{} // by the module's number: those that further sends of this step may join
 	for _, a := range n.sender.Step(n.now(), events) {
 		switch a := a.(type) {
 		case choice.Send:
@@ -879,7 +879,7 @@
 }
 
 // outgoing is a call while its step gathers the messages for it.
-type outgoing struct {
+type outgoingCall struct {
 	call
 	attempts []attempt
 	messages []*past
@@ -889,7 +889,7 @@
 
 // send journals an attempt, and makes the call once that is written. What the module sends together travels as one
 // call, as far as its kind and a body have room: the module counts one slot for it, and the endpoint one call.
-func (n *Node) send(ctx context.Context, a choice.Send, calls map[uint64]*outgoing) {
+func (n *Node) send(ctx context.Context, a choice.Send, calls map[uint64]*outgoingCall) {
 	p, e := n.journal.live[seqOf(a.ID)], n.eps[a.Endpoint]
 	if p == nil {
 		return // the module and the journal differ, which only a journal that was lost in a handover can make them
@@ -904,8 +904,8 @@
 	one := item{p.id, p.key, p.body}
 	o := calls[a.Call]
 	if o == nil || len(o.items) >= e.batch || o.room+one.room() > maxBody {
-		o = &outgoing{call: call{endpoint: e}}
-		o.wrote = func() { n.wrote(o) }
+		o = &outgoingCall{call: call{endpoint: e}}
+		o.onWritten = func() { n.countWritten(o) }
 		calls[a.Call] = o
 		o.place = len(n.acts)
 		n.acts = append(n.acts, act{do: func() { n.call(ctx, o) }})
@@ -927,14 +927,14 @@
 }
 
 // wrote counts the messages of a call that is written whole.
-func (n *Node) wrote(o *outgoing) {
+func (n *Node) countWritten(o *outgoingCall) {
 	for _, m := range o.messages {
 		count(n.figures.tries, m.class)
 	}
 }
 
 // call makes a call whose attempts are journaled.
-func (n *Node) call(ctx context.Context, o *outgoing) {
+func (n *Node) call(ctx context.Context, o *outgoingCall) {
 	ctx, cancel := context.WithCancel(ctx)
 	for i, name := range o.attempts {
 		n.out[name] = outCall{m: o.messages[i], cancel: cancel}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -46,7 +46,7 @@
 	cutNow  context.CancelFunc
 }
 
-func newRegistry(t *testing.T) *fakeRegistry {
+func newFakeRegistry(t *testing.T) *fakeRegistry {
 	t.Helper()
 	r := &fakeRegistry{more: make(chan struct{})}
 	r.cut, r.cutNow = context.WithCancel(context.Background())
@@ -104,7 +104,7 @@
 
 func (r *fakeRegistry) addr() string { return r.srv.Listener.Addr().String() }
 
-func (r *fakeRegistry) tell(l string) {
+func (r *fakeRegistry) publish(l string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lists = append(r.lists, l)
@@ -113,7 +113,7 @@
 }
 
 // state is what the notices said of a message, "" while there was none.
-func (r *fakeRegistry) state(id string) string {
+func (r *fakeRegistry) noticeState(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, n := range r.notices {
@@ -124,11 +124,11 @@
 	return ""
 }
 
-func listOf(revision int, complete bool, members ...string) string {
+func listJSON(revision int, complete bool, members ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-func serving(id, addr string, dest int, phase string) string {
+func memberJSON(id, addr string, dest int, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":"m","cell":%d,"phase":%q,"size":1000}`, id, addr, dest, phase)
 }
 
@@ -148,7 +148,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":256,"disk_mb":3},"known":%s,"settings":%s}`,
-		listen, discovery, listOf(1, true, known...), testSettings)
+		listen, discovery, listJSON(1, true, known...), testSettings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -158,24 +158,24 @@
 // startNode runs a node in this process until the test ends or stop is called.
 func startNode(t *testing.T, r *fakeRegistry, state string, known ...string) (addr string, stop func()) {
 	t.Helper()
-	return startWith(t, r, state, nil, nil, known...)
+	return startNodeWith(t, r, state, nil, nil, known...)
 }
 
 // startSeen is startNode with the node shown to see before it runs.
-func startSeen(t *testing.T, r *fakeRegistry, state string, see func(*Node), known ...string) (addr string, stop func()) {
+func startInspectedNode(t *testing.T, r *fakeRegistry, state string, see func(*Node), known ...string) (addr string, stop func()) {
 	t.Helper()
-	return startWith(t, r, state, nil, see, known...)
+	return startNodeWith(t, r, state, nil, see, known...)
 }
 
 // startAltered is startNode with something changed in the configuration.
-func startAltered(
+func startConfiguredNode(
 	t *testing.T, r *fakeRegistry, state string, alter func(*Config), known ...string,
 ) (addr string, stop func()) {
 	t.Helper()
-	return startWith(t, r, state, alter, nil, known...)
+	return startNodeWith(t, r, state, alter, nil, known...)
 }
 
-func startWith(
+func startNodeWith(
 	t *testing.T, r *fakeRegistry, state string, alter func(*Config), see func(*Node), known ...string,
 ) (addr string, stop func()) {
 	t.Helper()
@@ -211,7 +211,7 @@
 	return addr, stop
 }
 
-const ofStatus, ofOrder, ofPayout = "c=status,d=50000,dest=7", "c=order,d=50000,dest=7,k=key", "c=payout,d=50000,dest=7"
+const statusFields, orderFields, payoutFields = "c=status,d=50000,dest=7", "c=order,d=50000,dest=7,k=key", "c=payout,d=50000,dest=7"
 
 func mustAnswer(t *testing.T, addr, text, want string) {
 	t.Helper()
@@ -222,12 +222,12 @@
 
 func TestDeliversAndForgets(t *testing.T) {
 	t.Parallel()
-	p, state := newPartner(t, says(delivered)), t.TempDir()
-	r := newRegistry(t)
-	addr, stop := startNode(t, r, state, serving("e", p.addr(), 7, "SERVING"))
+	p, state := newFakeEndpoint(t, respondWith(okResponse)), t.TempDir()
+	r := newFakeRegistry(t)
+	addr, stop := startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
 	mustAnswer(t, addr, resp("PING"), "+PONG")
-	mustAnswer(t, addr, enqueue("a", ofOrder, "body"), "+OK")
-	if req := p.next(t); req.Header.Get("X-Trace-Id") != "a" || req.Header.Get("Idempotency-Key") != "key" {
+	mustAnswer(t, addr, enqueue("a", orderFields, "body"), "+OK")
+	if req := p.nextRequest(t); req.Header.Get("X-Trace-Id") != "a" || req.Header.Get("Idempotency-Key") != "key" {
 		t.Errorf("got %v", req.Header)
 	}
 	if got := ask(t, addr, enqueue("b", "c=status,d=5000,dest=99", "")); !strings.HasPrefix(got, "-ERR ") {
@@ -240,25 +240,25 @@
 }
 
 // held is the list of a destination that is known and has no endpoint to send to.
-func held() string { return serving("e0", "127.0.0.1:9", 7, "DRAINING") }
+func held() string { return memberJSON("e0", "127.0.0.1:9", 7, "DRAINING") }
 
 func TestHeldMessageIsTakenOnOnceAndRoomIsBounded(t *testing.T) {
 	t.Parallel()
-	p, r := newPartner(t, says(delivered)), newRegistry(t)
+	p, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
 	addr, _ := startNode(t, r, t.TempDir(), held())
-	mustAnswer(t, addr, enqueue("a", ofStatus, "x"), "+OK")
-	mustAnswer(t, addr, enqueue("a", ofStatus, "x"), "+OK") // the same one again
+	mustAnswer(t, addr, enqueue("a", statusFields, "x"), "+OK")
+	mustAnswer(t, addr, enqueue("a", statusFields, "x"), "+OK") // the same one again
 	answers := map[string]int{}
 	for i := range 6 {
-		answers[strings.Fields(ask(t, addr, enqueue("m"+itoa(i), ofStatus, "x")))[0]]++
+		answers[strings.Fields(ask(t, addr, enqueue("m"+itoa(i), statusFields, "x")))[0]]++
 	}
 	if answers["-BUSY"] < 3 || answers["+OK"] < 1 { // four may be held in all
 		t.Errorf("got %v", answers)
 	}
-	r.tell(listOf(2, false, serving("e", p.addr(), 7, "SERVING")))
+	r.publish(listJSON(2, false, memberJSON("e", p.addr(), 7, "SERVING")))
 	seen := map[string]int{}
 	for range 1 + answers["+OK"] {
-		seen[p.next(t).Header.Get("X-Trace-Id")]++
+		seen[p.nextRequest(t).Header.Get("X-Trace-Id")]++
 	}
 	if len(seen) != 1+answers["+OK"] {
 		t.Errorf("got %v", seen)
@@ -267,26 +267,26 @@
 
 func TestDrainAndWholeList(t *testing.T) {
 	t.Parallel()
-	first, second, r := newPartner(t, says(delivered)), newPartner(t, says(delivered)), newRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), serving("e1", first.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("a", ofStatus, ""), "+OK")
-	first.next(t)
+	first, second, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
+	addr, _ := startNode(t, r, t.TempDir(), memberJSON("e1", first.addr(), 7, "SERVING"))
+	mustAnswer(t, addr, enqueue("a", statusFields, ""), "+OK")
+	first.nextRequest(t)
 	for i, l := range []string{
-		listOf(2, false, serving("e1", first.addr(), 7, "DRAINING"), serving("e2", second.addr(), 7, "SERVING")),
-		listOf(3, true, serving("e1", first.addr(), 7, "SERVING")), // e2 is not in it, and so gone
+		listJSON(2, false, memberJSON("e1", first.addr(), 7, "DRAINING"), memberJSON("e2", second.addr(), 7, "SERVING")),
+		listJSON(3, true, memberJSON("e1", first.addr(), 7, "SERVING")), // e2 is not in it, and so gone
 	} {
-		from, other := []*partner{second, first}[i], []*partner{first, second}[i]
+		from, other := []*fakeEndpoint{second, first}[i], []*fakeEndpoint{first, second}[i]
 		before, _ := other.counts()
-		r.tell(l)
+		r.publish(l)
 		sentOn := func() bool {
 			// Until the list has come the other one is right; from the first call on the new one only it is.
-			mustAnswer(t, addr, enqueue(fmt.Sprintf("m%d", time.Now().UnixNano()), ofStatus, ""), "+OK")
+			mustAnswer(t, addr, enqueue(fmt.Sprintf("m%d", time.Now().UnixNano()), statusFields, ""), "+OK")
 			select {
-			case <-from.came:
+			case <-from.requests:
 				return true
-			case <-other.came:
+			case <-other.requests:
 				return false
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("no call came")
 				return false
 			}
@@ -309,7 +309,7 @@
 	const wait = 700 * time.Millisecond
 	var mu sync.Mutex
 	var told time.Time
-	p := newPartner(t, func(nc net.Conn, _ *http.Request) bool {
+	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		if told.IsZero() {
@@ -320,20 +320,20 @@
 		if early := wait - 100*time.Millisecond - time.Since(told); early > 0 { // calls that cross the answer are let through
 			t.Errorf("a call came %v early", early)
 		}
-		return says(delivered)(nc, nil)
+		return respondWith(okResponse)(nc, nil)
 	})
-	r := newRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), serving("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("a", ofPayout, ""), "+OK")
-	p.next(t)
-	mustAnswer(t, addr, enqueue("b", ofStatus, ""), "+OK")
-	p.next(t)
-	p.next(t)
+	r := newFakeRegistry(t)
+	addr, _ := startNode(t, r, t.TempDir(), memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, addr, enqueue("a", payoutFields, ""), "+OK")
+	p.nextRequest(t)
+	mustAnswer(t, addr, enqueue("b", statusFields, ""), "+OK")
+	p.nextRequest(t)
+	p.nextRequest(t)
 }
 
 func TestDiscoverySilentAndBack(t *testing.T) {
 	t.Parallel()
-	p, r := newPartner(t, says(delivered)), newRegistry(t)
+	p, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
 	addr, _ := startNode(t, r, t.TempDir(), held())
 	watching := func(least int) func() bool {
 		return func() bool {
@@ -343,14 +343,14 @@
 		}
 	}
 	eventually(t, "a watch", watching(1))
-	mustAnswer(t, addr, enqueue("a", ofStatus, ""), "+OK") // without discovery all goes on
+	mustAnswer(t, addr, enqueue("a", statusFields, ""), "+OK") // without discovery all goes on
 	r.mu.Lock()
 	r.cutNow()
 	r.cut, r.cutNow = context.WithCancel(context.Background())
 	r.mu.Unlock()
 	eventually(t, "the watch is taken up again", watching(2))
-	r.tell(listOf(2, true, serving("e", p.addr(), 7, "SERVING")))
-	p.next(t)
+	r.publish(listJSON(2, true, memberJSON("e", p.addr(), 7, "SERVING")))
+	p.nextRequest(t)
 }
 
 // Another server may be behind the one before: its older list must not undo a drain, and the newer one must come. One
@@ -377,7 +377,7 @@
 					if c.count != "" {
 						w.Header().Set("Registry-History", c.count)
 					}
-					fmt.Fprintln(w, listOf(revision(), false))
+					fmt.Fprintln(w, listJSON(revision(), false))
 					w.(http.Flusher).Flush()
 					<-req.Context().Done()
 				}))
@@ -394,7 +394,7 @@
 					t.Errorf("list %d: got revision %d, want %d", i, l.Revision, want)
 				}
 				if i == 0 {
-					n.Move(serve(func() int { return c.lists[min(int(watches.Add(1)), len(c.lists))-1] }))
+					n.MoveDiscovery(serve(func() int { return c.lists[min(int(watches.Add(1)), len(c.lists))-1] }))
 				}
 			}
 			cancel()
@@ -407,27 +407,27 @@
 // up: once they looked slow, they took all the slots that slow partners may have, and nothing more was sent.
 func TestLostCallsHoldNobodyUp(t *testing.T) {
 	t.Parallel()
-	answer := says(delivered)
-	p := newPartner(t, func(nc net.Conn, req *http.Request) bool {
+	answer := respondWith(okResponse)
+	p := newFakeEndpoint(t, func(nc net.Conn, req *http.Request) bool {
 		if strings.HasPrefix(req.Header.Get("X-Trace-Id"), "lost") {
-			return silent(nc, req)
+			return neverAnswer(nc, req)
 		}
 		return answer(nc, req)
 	})
-	addr, _ := startAltered(t, newRegistry(t), t.TempDir(), func(c *Config) { c.Settings.Slots = 4 },
-		serving("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("first", ofStatus, ""), "+OK")
-	p.next(t)
+	addr, _ := startConfiguredNode(t, newFakeRegistry(t), t.TempDir(), func(c *Config) { c.Settings.Slots = 4 },
+		memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, addr, enqueue("first", statusFields, ""), "+OK")
+	p.nextRequest(t)
 	for _, id := range []string{"lost1", "lost2"} {
-		mustAnswer(t, addr, enqueue(id, ofPayout, ""), "+OK")
-		p.next(t)
+		mustAnswer(t, addr, enqueue(id, payoutFields, ""), "+OK")
+		p.nextRequest(t)
 	}
 	// Well past the time after which a call looks slow each message still goes out at once: its payouts have 50 s.
 	began, every := time.Now(), time.NewTicker(20*time.Millisecond)
 	defer every.Stop()
 	for i := 0; time.Since(began) < 2*time.Second; i++ {
-		mustAnswer(t, addr, enqueue("m"+itoa(i), ofStatus, ""), "+OK")
-		p.next(t)
+		mustAnswer(t, addr, enqueue("m"+itoa(i), statusFields, ""), "+OK")
+		p.nextRequest(t)
 		<-every.C
 	}
 }
@@ -438,15 +438,15 @@
 	t.Parallel()
 	const refusals = 9
 	var conns atomic.Int32
-	p := newPartner(t, func(nc net.Conn, req *http.Request) bool {
+	p := newFakeEndpoint(t, func(nc net.Conn, req *http.Request) bool {
 		if conns.Add(1) <= refusals {
-			says("HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")(nc, req)
+			respondWith("HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")(nc, req)
 			return false
 		}
-		return says(delivered)(nc, req)
+		return respondWith(okResponse)(nc, req)
 	})
-	addr, _ := startNode(t, newRegistry(t), t.TempDir(), serving("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("a", ofStatus, ""), "+OK")
+	addr, _ := startNode(t, newFakeRegistry(t), t.TempDir(), memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, addr, enqueue("a", statusFields, ""), "+OK")
 	eventually(t, "it is delivered", func() bool {
 		calls, _ := p.counts()
 		return calls > refusals
@@ -455,14 +455,14 @@
 
 func TestNoticeIsRetriedUntilTaken(t *testing.T) {
 	t.Parallel()
-	p, r := newPartner(t, says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), newRegistry(t)
+	p, r := newFakeEndpoint(t, respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), newFakeRegistry(t)
 	r.refuse = 2
 	state := t.TempDir()
-	addr, stop := startNode(t, r, state, serving("e", p.addr(), 7, "SERVING"), serving("h", "127.0.0.1:9", 8, "DRAINING"))
-	mustAnswer(t, addr, enqueue("unsafe", ofPayout, ""), "+OK") // it may have run: failed
+	addr, stop := startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("h", "127.0.0.1:9", 8, "DRAINING"))
+	mustAnswer(t, addr, enqueue("unsafe", payoutFields, ""), "+OK") // it may have run: failed
 	mustAnswer(t, addr, enqueue("short", "c=status,d=300,dest=8", ""), "+OK")
-	eventually(t, "the notice of a failure", func() bool { return r.state("unsafe") == "failed" })
-	eventually(t, "the notice of a refusal", func() bool { return r.state("short") == "returned" })
+	eventually(t, "the notice of a failure", func() bool { return r.noticeState("unsafe") == "failed" })
+	eventually(t, "the notice of a refusal", func() bool { return r.noticeState("short") == "returned" })
 	stop()
 	if calls, _ := p.counts(); calls != 1 {
 		t.Errorf("%d calls", calls)
@@ -547,28 +547,28 @@
 // without another call.
 func TestKilledWhileCallsAreOut(t *testing.T) {
 	t.Parallel()
-	p, r, state := newPartner(t, silent), newRegistry(t), t.TempDir()
-	known := serving("e", p.addr(), 7, "SERVING")
+	p, r, state := newFakeEndpoint(t, neverAnswer), newFakeRegistry(t), t.TempDir()
+	known := memberJSON("e", p.addr(), 7, "SERVING")
 	c := startChild(t, r, state, known)
-	for id, fields := range map[string]string{"safe": ofStatus, "keyed": ofOrder, "unsafe": ofPayout} {
+	for id, fields := range map[string]string{"safe": statusFields, "keyed": orderFields, "unsafe": payoutFields} {
 		mustAnswer(t, c.addr, enqueue(id, fields, "body of "+id), "+OK")
-		if got := p.next(t).Header.Get("X-Trace-Id"); got != id {
+		if got := p.nextRequest(t).Header.Get("X-Trace-Id"); got != id {
 			t.Fatalf("got a call for %q", got)
 		}
 	}
 	c.kill(t)
 
-	q := newPartner(t, says(delivered))
-	startChild(t, r, state, serving("e", q.addr(), 7, "SERVING"))
+	q := newFakeEndpoint(t, respondWith(okResponse))
+	startChild(t, r, state, memberJSON("e", q.addr(), 7, "SERVING"))
 	seen := map[string]string{}
 	for range 2 {
-		req := q.next(t)
+		req := q.nextRequest(t)
 		seen[req.Header.Get("X-Trace-Id")] = req.Header.Get("Idempotency-Key")
 	}
 	if key, ok := seen["keyed"]; !ok || key != "key" || len(seen) != 2 {
 		t.Errorf("delivered: %v", seen)
 	}
-	eventually(t, "the unsafe one fails", func() bool { return r.state("unsafe") == "failed" })
+	eventually(t, "the unsafe one fails", func() bool { return r.noticeState("unsafe") == "failed" })
 	if calls, _ := q.counts(); calls != 2 {
 		t.Errorf("%d calls", calls)
 	}
@@ -577,20 +577,20 @@
 // Killed before anything was sent: all three effects are delivered, once each, in their order.
 func TestKilledWhileMessagesAreHeld(t *testing.T) {
 	t.Parallel()
-	p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
+	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
 	c := startChild(t, r, state, held())
 	ids := []string{"safe", "keyed", "unsafe"}
-	for i, fields := range []string{ofStatus, ofOrder, ofPayout} {
+	for i, fields := range []string{statusFields, orderFields, payoutFields} {
 		mustAnswer(t, c.addr, enqueue(ids[i], fields, ""), "+OK")
 	}
 	c.kill(t)
 	c = startChild(t, r, state, held())
-	mustAnswer(t, c.addr, enqueue("safe", ofStatus, ""), "+OK") // handed in again: no second effect
+	mustAnswer(t, c.addr, enqueue("safe", statusFields, ""), "+OK") // handed in again: no second effect
 	c.kill(t)
-	startChild(t, r, state, serving("e", p.addr(), 7, "SERVING"))
+	startChild(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
 	seen := map[string]int{}
 	for range ids {
-		seen[p.next(t).Header.Get("X-Trace-Id")]++
+		seen[p.nextRequest(t).Header.Get("X-Trace-Id")]++
 	}
 	if len(seen) != 3 {
 		t.Errorf("got %v", seen)
@@ -607,7 +607,7 @@
 		for point, records := range []string{"accepted", "attempt", "not run", "ended"} {
 			t.Run(name+" "+records, func(t *testing.T) {
 				t.Parallel()
-				p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
+				p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
 				j := openTest(t, state, 3)
 				m, err := j.accept(&past{id: "a", key: "k", class: class, dest: 7, deadline: time.Now().Add(50 * time.Second)})
 				if err != nil {
@@ -621,14 +621,14 @@
 					}
 				}
 				mustFlush(t, j)
-				startNode(t, r, state, serving("e", p.addr(), 7, "SERVING"))
+				startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
 				switch {
 				case records == "ended":
-					eventually(t, "the owed notice", func() bool { return r.state("a") == "returned" })
+					eventually(t, "the owed notice", func() bool { return r.noticeState("a") == "returned" })
 				case name == "unsafe" && records == "attempt":
-					eventually(t, "the failure", func() bool { return r.state("a") == "failed" })
+					eventually(t, "the failure", func() bool { return r.noticeState("a") == "failed" })
 				default:
-					p.next(t)
+					p.nextRequest(t)
 					return
 				}
 				if calls, _ := p.counts(); calls != 0 {
@@ -676,7 +676,7 @@
 
 func TestOverdueAndPastTheWindowEndAtOnce(t *testing.T) {
 	t.Parallel()
-	p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
+	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
 	j := openTest(t, state, 3)
 	late, err := j.accept(&past{id: "late", class: 0, dest: 7, deadline: time.Now().Add(-time.Second)})
 	if err != nil {
@@ -689,9 +689,9 @@
 	j.add(attemptRecord(late.seq, time.Now().Add(-time.Minute), 0))
 	j.add(attemptRecord(forgotten.seq, time.Now().Add(-2*time.Minute), 0)) // its key is remembered for one
 	mustFlush(t, j)
-	startNode(t, r, state, serving("e", p.addr(), 7, "SERVING"))
-	eventually(t, "the overdue one's end", func() bool { return r.state("late") == "returned" })
-	eventually(t, "the forgotten key's end", func() bool { return r.state("forgotten") == "failed" })
+	startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
+	eventually(t, "the overdue one's end", func() bool { return r.noticeState("late") == "returned" })
+	eventually(t, "the forgotten key's end", func() bool { return r.noticeState("forgotten") == "failed" })
 	if calls, _ := p.counts(); calls != 0 {
 		t.Errorf("%d calls", calls)
 	}
@@ -705,7 +705,7 @@
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
-	p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
+	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
 	j := openTest(t, state, 3)
 	for id, life := range map[string]time.Duration{"late": -time.Second, "soon": 300 * time.Millisecond} {
 		if _, err := j.accept(&past{id: id, class: 0, dest: 7, deadline: time.Now().Add(life)}); err != nil {
@@ -713,21 +713,21 @@
 		}
 	}
 	mustFlush(t, j)
-	addr, _ := startSeen(t, r, state, func(n *Node) {
+	addr, _ := startInspectedNode(t, r, state, func(n *Node) {
 		n.journal.f = full
 		if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // no compaction either
 			t.Error(err)
 		}
-	}, serving("e", p.addr(), 7, "SERVING"))
-	eventually(t, "the end of the one whose time was up", func() bool { return r.state("late") != "" })
-	eventually(t, "the end of the one that could not be sent", func() bool { return r.state("soon") != "" })
+	}, memberJSON("e", p.addr(), 7, "SERVING"))
+	eventually(t, "the end of the one whose time was up", func() bool { return r.noticeState("late") != "" })
+	eventually(t, "the end of the one that could not be sent", func() bool { return r.noticeState("soon") != "" })
 	if calls, _ := p.counts(); calls != 0 {
 		t.Errorf("%d calls that no record guarded", calls)
 	}
 	if err := os.Remove(j.path() + ".new"); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "messages are taken on again", func() bool { return ask(t, addr, enqueue("a", ofStatus, "x")) == "+OK" })
+	eventually(t, "messages are taken on again", func() bool { return ask(t, addr, enqueue("a", statusFields, "x")) == "+OK" })
 }
 
 // However often a journal can't be written, the log has one line when that begins and one when it ends.
@@ -764,13 +764,13 @@
 // After SIGTERM clients are answered as ever, the process ends well by itself, and the next one has what was held.
 func TestSIGTERM(t *testing.T) {
 	t.Parallel()
-	p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
+	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
 	c := startChild(t, r, state, held())
 	nc, br := dialTest(t, c.addr)
 	if err := c.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for _, m := range []string{enqueue("a", ofStatus, ""), enqueue("b", ofPayout, "")} { // on an old connection
+	for _, m := range []string{enqueue("a", statusFields, ""), enqueue("b", payoutFields, "")} { // on an old connection
 		if _, err := io.WriteString(nc, m); err != nil {
 			t.Fatal(err)
 		}
@@ -778,14 +778,14 @@
 			t.Fatalf("got %q, %v", line, err)
 		}
 	}
-	mustAnswer(t, c.addr, enqueue("c", ofOrder, ""), "+OK") // and on a new one
+	mustAnswer(t, c.addr, enqueue("c", orderFields, ""), "+OK") // and on a new one
 	if err := c.cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	startChild(t, r, state, serving("e", p.addr(), 7, "SERVING"))
+	startChild(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
 	seen := map[string]bool{}
 	for range 3 {
-		seen[p.next(t).Header.Get("X-Trace-Id")] = true
+		seen[p.nextRequest(t).Header.Get("X-Trace-Id")] = true
 	}
 	if len(seen) != 3 {
 		t.Errorf("got %v", seen)
@@ -855,14 +855,14 @@
 
 // An id may come again while a call under it is still out. The two must not be taken for one another.
 func TestAnIDUsedAgainWhileItsCallIsOut(t *testing.T) {
-	p := newPartner(t, silent)
-	n := bareNode(t, serving("e", p.addr(), 7, "SERVING"))
+	p := newFakeEndpoint(t, neverAnswer)
+	n := bareNode(t, memberJSON("e", p.addr(), 7, "SERVING"))
 	n.take(t.Context(), []any{handIn("a", 50*time.Second)})
-	p.next(t)
+	p.nextRequest(t)
 	n.step(t.Context(), []choice.Event{choice.MessageAbandoned{ID: n.messages["a"].name()}}, nil)
 	n.forget(n.messages["a"])
 	n.take(t.Context(), []any{handIn("a", 50*time.Second)})
-	p.next(t)
+	p.nextRequest(t)
 	if len(n.out) != 2 {
 		t.Fatalf("%d calls out", len(n.out))
 	}
@@ -891,14 +891,14 @@
 		serve           func(net.Conn, *http.Request) bool
 		failed, touched bool
 	}{
-		"cut off":      {silent, false, true},
-		"over a limit": {says("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), false, false},
-		"error":        {says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), true, true},
+		"cut off":      {neverAnswer, false, true},
+		"over a limit": {respondWith("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), false, false},
+		"error":        {respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), true, true},
 	} {
-		p := newPartner(t, c.serve)
-		n := bareNode(t, serving("e", p.addr(), 7, "SERVING"))
+		p := newFakeEndpoint(t, c.serve)
+		n := bareNode(t, memberJSON("e", p.addr(), 7, "SERVING"))
 		n.take(t.Context(), []any{handIn("a", 50*time.Second)})
-		p.next(t)
+		p.nextRequest(t)
 		n.take(t.Context(), []any{choice.Stopping{By: 1}})
 		for _, out := range n.out {
 			if name == "cut off" {
@@ -930,7 +930,7 @@
 
 // Endpoints, destinations and ids come and go; what the node keeps of them must not grow.
 func TestNodeForgetsWhatHasGone(t *testing.T) {
-	p := newPartner(t, says(delivered))
+	p := newFakeEndpoint(t, respondWith(okResponse))
 	n := bareNode(t, held())
 	for i := range 2000 {
 		members := []catalog.Endpoint{{ID: "e" + itoa(i), Addr: p.addr(), Cell: i, Phase: "SERVING"}, {ID: "e" + itoa(i-1), Cell: i - 1, Phase: "DELETED"}}
@@ -940,7 +940,7 @@
 		n.take(t.Context(), []any{a})
 		for len(n.out) > 0 {
 			n.take(t.Context(), []any{<-n.events})
-			p.next(t)
+			p.nextRequest(t)
 		}
 	}
 	for what, size := range map[string]int{
@@ -974,12 +974,12 @@
 		{"large bodies", 10, 3, 30 << 10, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPartner(t, silent)
+			p := newFakeEndpoint(t, neverAnswer)
 			n := bareAltered(t, func(cfg *Config) {
 				cfg.Settings.MaxOpen = 100
 				cfg.Settings.Kinds = []choice.Kind{{MaxBatch: c.batch}}
 				cfg.Settings.Slots = 100
-			}, serving("e", p.addr(), 7, "SERVING"))
+			}, memberJSON("e", p.addr(), 7, "SERVING"))
 			var batch []any
 			for i := range c.messages {
 				a := handIn("m"+itoa(i), 50*time.Second)
@@ -988,7 +988,7 @@
 			}
 			n.take(t.Context(), batch)
 			for range c.calls {
-				p.next(t)
+				p.nextRequest(t)
 			}
 			if len(n.out) != c.messages {
 				t.Errorf("%d attempts out", len(n.out))
@@ -1017,7 +1017,7 @@
 // next life knows them all.
 func TestManyEndpoints(t *testing.T) {
 	const partners, each = 512, 3
-	p := newPartner(t, func(nc net.Conn, _ *http.Request) bool { _, err := io.WriteString(nc, delivered); return err == nil })
+	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool { _, err := io.WriteString(nc, okResponse); return err == nil })
 	var members []catalog.Endpoint
 	for i := range partners * each {
 		members = append(members, catalog.Endpoint{ID: "e" + itoa(i), Addr: p.addr(), Locality: "z", Flavor: "m", Cell: i % partners, Phase: "SERVING", Size: 1000})
@@ -1101,8 +1101,8 @@
 func TestDescriptorsAreShared(t *testing.T) {
 	for _, sockets := range []int{256, 384, 512, 1024, 4096} {
 		for _, slots := range []int{0, 1, 8, 60, 300, 5000} {
-			calls, idle := descriptors(sockets, slots)
-			if all := sockets/clientsPart + sockets/operatorsPart + ownDescriptors + calls + idle; calls < 1 || idle < 1 || all > sockets {
+			calls, idle := splitDescriptors(sockets, slots)
+			if all := sockets/clientSocketsDivisor + sockets/operatorSocketsDivisor + ownDescriptors + calls + idle; calls < 1 || idle < 1 || all > sockets {
 				t.Errorf("%d sockets, %d slots: %d calls and %d kept make %d in all", sockets, slots, calls, idle, all)
 			}
 		}
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -89,12 +89,12 @@
 
 // following is what a node follows: the partitions that it owns and, for some time, those that it has lost. It is not
 // changed once it has been handed on.
-type following struct {
-	number int64 // of the map; 0: there is none
-	member bool  // it names this node
-	owned  ownership.Set
-	lost   []lost
-	unkept bool // the folder could not take the map
+type followedPartitions struct {
+	mapNumber int64 // of the map; 0: there is none
+	member    bool  // it names this node
+	owned     ownership.Set
+	lost      []lost
+	unkept    bool // the folder could not take the map
 }
 
 // lost are partitions that are followed on, for what was taken on for them.
@@ -104,7 +104,7 @@
 }
 
 // at is what is followed at a time, and when that becomes less; zero: never.
-func (f *following) at(now time.Time) (set ownership.Set, less time.Time) {
+func (f *followedPartitions) setAt(now time.Time) (set ownership.Set, less time.Time) {
 	set = f.owned
 	for _, l := range f.lost {
 		if now.Before(l.until) {
@@ -118,9 +118,9 @@
 }
 
 // unready tells why it does not serve, "" if it does.
-func (f *following) unready() string {
+func (f *followedPartitions) unready() string {
 	switch {
-	case f.number == 0:
+	case f.mapNumber == 0:
 		return "no map of owners is known"
 	case !f.member:
 		return "not in the map of owners"
@@ -130,7 +130,7 @@
 
 // share is what a node owns. It is the loop's, but for follow.
 type share struct {
-	following
+	followedPartitions
 	name    string
 	path    string
 	log     *slog.Logger
@@ -156,9 +156,9 @@
 	case err != nil:
 		log.Warn("the kept map of owners is lost", "err", err)
 	case m != nil:
-		s.number = m.Number
+		s.mapNumber = m.Number
 		s.owned, s.member = m.PartitionsOf(s.name)
-		log.Info("beginning with the kept map of owners", "map", s.number, "member", s.member, "partitions", s.owned.Len())
+		log.Info("beginning with the kept map of owners", "map", s.mapNumber, "member", s.member, "partitions", s.owned.Len())
 	}
 	var owed lost
 	for _, p := range j.live {
@@ -196,7 +196,7 @@
 	if s == nil {
 		return l
 	}
-	set, _ := s.at(time.Now())
+	set, _ := s.setAt(time.Now())
 	var members []catalog.Endpoint
 	for _, m := range l.Members {
 		if set.Has(ownership.PartitionOf(m.Cell)) {
@@ -226,7 +226,7 @@
 	if err != nil {
 		os.Remove(next)
 		if !s.unkept {
-			s.log.Warn("the map of owners can't be kept", "map", s.number, "err", err)
+			s.log.Warn("the map of owners can't be kept", "map", s.mapNumber, "err", err)
 		}
 		s.unkept = true
 		return fmt.Errorf("map of owners: %w", err)
@@ -243,7 +243,7 @@
 		s.log.Error("the map of owners can't be kept", "map", m.Number, "err", err)
 	}
 	owned, member := m.PartitionsOf(s.name)
-	followed, _ := s.at(now)
+	followed, _ := s.setAt(now)
 	gone := s.owned.Without(owned)
 	soon, later := lost{until: now.Add(s.longest)}, lost{}
 	for p := range gone.All() {
@@ -261,9 +261,9 @@
 			left = append(left, l)
 		}
 	}
-	s.log.Info("a new map of owners", "map", m.Number, "before", s.number, "member", member, "partitions", owned.Len(),
+	s.log.Info("a new map of owners", "map", m.Number, "before", s.mapNumber, "member", member, "partitions", owned.Len(),
 		"gained", owned.Without(s.owned).Len(), "lost", gone.Len())
-	s.number, s.member, s.owned, s.lost, s.shown = m.Number, member, owned, left, false
+	s.mapNumber, s.member, s.owned, s.lost, s.shown = m.Number, member, owned, left, false
 	unlisted := owned.Without(followed)
 	s.listed, s.covered = s.listed.Without(unlisted), s.covered.Without(unlisted)
 	s.due = raw
@@ -273,7 +273,7 @@
 func (s *share) show(f *figures) {
 	s.covered = s.listed
 	if !s.shown {
-		now := s.following
+		now := s.followedPartitions
 		f.share.Store(&now)
 		s.shown = true
 	}
@@ -299,29 +299,29 @@
 	// newMap brings a map, or with none asks again for what is followed.
 	newMap struct {
 		m     *ownership.Map
-		taken chan<- following
+		taken chan<- followedPartitions
 	}
 	// listedOf says of which partitions the list is that came before it.
 	listedOf ownership.Set
 )
 
 func (e newMap) tell(s *share) {
-	if e.m != nil && e.m.Number > s.number {
+	if e.m != nil && e.m.Number > s.mapNumber {
 		s.take(e.m, time.Now())
 	}
 	s.keep() // what it could not do is logged, and asked for again
-	e.taken <- s.following
+	e.taken <- s.followedPartitions
 }
 
 func (e listedOf) tell(s *share) { s.listed = ownership.Set(e) }
 
 // follower watches the list of what the share follows, and keeps the map up to date. One goroutine at a time has it.
 type follower struct {
-	following // as the loop had it last
-	name      string
-	log       *slog.Logger
-	nodes     int
-	unheard   time.Duration // unheardFor, but in tests
+	followedPartitions // as the loop had it last
+	name               string
+	log                *slog.Logger
+	nodes              int
+	unheard            time.Duration // unheardFor, but in tests
 
 	told  atomic.Int64 // shared: number of the map that the list named last; -1: none did
 	heard atomic.Int64 // shared: Unix ns of the last sign of life of a watch
@@ -343,11 +343,11 @@
 	f := &n.own.follow
 	f.heard.Store(time.Now().UnixNano())
 	f.hand(ctx, n, nil)
-	if f.number == 0 {
+	if f.mapNumber == 0 {
 		f.look(time.Now())
 	}
 	for ctx.Err() == nil {
-		set, _ := f.at(time.Now())
+		set, _ := f.setAt(time.Now())
 		here, leave := context.WithCancel(ctx)
 		var parts sync.WaitGroup
 		var whole atomic.Bool
@@ -417,7 +417,7 @@
 			f.look(now)
 		}
 		now = time.Now()
-		next, _ := f.at(now)
+		next, _ := f.setAt(now)
 		if next != set {
 			return
 		}
@@ -433,7 +433,7 @@
 
 // wake is when await has something to do next, later than now once it has done what was due. While a map is looked for, silence is no news.
 func (f *follower) wake(now time.Time) time.Time {
-	_, wake := f.at(now)
+	_, wake := f.setAt(now)
 	due := []time.Time{f.lookAt, f.keepAt}
 	if f.lookAt.IsZero() {
 		due = append(due, time.Unix(0, f.heard.Load()).Add(f.unheard))
@@ -455,11 +455,11 @@
 	}
 	f.seen = told
 	switch {
-	case told > f.number:
+	case told > f.mapNumber:
 		f.look(now)
-	case told < f.number && told != f.older:
+	case told < f.mapNumber && told != f.older:
 		f.older = told
-		f.log.Warn("the directory names an older map of owners; the newer one stays", "map", f.number, "directory", told)
+		f.log.Warn("the directory names an older map of owners; the newer one stays", "map", f.mapNumber, "directory", told)
 	}
 }
 
@@ -475,30 +475,30 @@
 func (f *follower) fetch(ctx context.Context, n *Node, w *registry.Watcher) {
 	within, cancel := context.WithTimeout(ctx, fetchTime)
 	defer cancel()
-	m, err := registry.FetchMap(within, w.Client, w.Addresses, max(f.told.Load(), f.number, 1))
+	m, err := registry.FetchMap(within, w.Client, w.Addresses, max(f.told.Load(), f.mapNumber, 1))
 	switch {
 	case ctx.Err() != nil:
 		return // what is next begins by looking again
 	case err != nil:
 		if f.pause == 0 {
-			f.log.Warn("no map of owners can be had; looking for it again and again", "map", f.number, "err", err)
+			f.log.Warn("no map of owners can be had; looking for it again and again", "map", f.mapNumber, "err", err)
 		}
 		f.pause = min(max(2*f.pause, fetchFirst), fetchLast)
 		f.lookAt = time.Now().Add(f.pause/2 + rand.N(f.pause/2))
 		return
 	}
 	f.pause, f.lookAt = 0, time.Time{}
-	if m.Number > f.number {
+	if m.Number > f.mapNumber {
 		f.hand(ctx, n, m)
 	}
 }
 
 // hand gives the loop a map, if there is one, and takes what follows from it.
 func (f *follower) hand(ctx context.Context, n *Node, m *ownership.Map) {
-	taken := make(chan following, 1)
+	taken := make(chan followedPartitions, 1)
 	n.tell(ctx, newMap{m, taken})
 	select {
-	case f.following = <-taken:
+	case f.followedPartitions = <-taken:
 	case <-ctx.Done():
 		return
 	}
@@ -526,7 +526,7 @@
 		n.log.Error("the old addresses stay: there is no directory among the new ones, and nothing else tells of partitions")
 		return
 	}
-	n.Move(cfg.Sources()...)
+	n.MoveDiscovery(cfg.DiscoveryAddresses()...)
 }
 
 // listDir is where the list is kept. A share's is kept apart: a start without [ownership], also of an older build, would take
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -292,7 +292,7 @@
 
 // owner is a node that is n1, running.
 type owner struct {
-	*life
+	*nodeProcess
 	log  *logged
 	stop func()
 }
@@ -314,7 +314,7 @@
 		addr = "127.0.0.1:0"
 	}
 	cfg := ownerConfig(t, state, addr, alter)
-	o := &owner{life: &life{ended: make(chan error, 1)}, log: &logged{}}
+	o := &owner{nodeProcess: &nodeProcess{done: make(chan error, 1)}, log: &logged{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	n, ln, err := Start(ctx, cfg, slog.New(slog.NewTextHandler(o.log, nil)))
@@ -324,8 +324,8 @@
 	if see != nil {
 		see(n)
 	}
-	o.n, o.addr, o.end = n, ln.Addr().String(), cancel
-	go func() { o.ended <- n.Run(ctx, ln) }()
+	o.node, o.addr, o.cancel = n, ln.Addr().String(), cancel
+	go func() { o.done <- n.Run(ctx, ln) }()
 	o.stop = sync.OnceFunc(func() {
 		cancel()
 		if err := o.wait(t); err != nil {
@@ -337,21 +337,21 @@
 }
 
 // seen is the share as the figures have it.
-func (o *owner) seen() following {
-	if s := o.n.figures.share.Load(); s != nil {
+func (o *owner) seen() followedPartitions {
+	if s := o.node.figures.share.Load(); s != nil {
 		return *s
 	}
-	return following{}
+	return followedPartitions{}
 }
 
 func (o *owner) ready(t *testing.T) {
 	t.Helper()
-	eventually(t, "ready", func() bool { return o.n.Unready() == "" })
+	eventually(t, "ready", func() bool { return o.node.NotReadyReason() == "" })
 }
 
 func (o *owner) awaitMap(t *testing.T, number int64) {
 	t.Helper()
-	eventually(t, fmt.Sprint("map ", number), func() bool { return o.seen().number == number })
+	eventually(t, fmt.Sprint("map ", number), func() bool { return o.seen().mapNumber == number })
 }
 
 // awaitTaken waits until a request is taken on.
@@ -371,21 +371,21 @@
 func TestOwnerTakesOnWhatIsItsOwn(t *testing.T) {
 	t.Parallel()
 	_, half, stays, goes := parting(t)
-	p, d, state := newPartner(t, says(delivered)), newDirectory(t), t.TempDir()
+	p, d, state := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t), t.TempDir()
 	d.put(at("e1", p.addr(), stays[0], "SERVING"), at("e2", p.addr(), goes[0], "SERVING"))
 	o := startOwner(t, state, "", owns(d.addr()), nil)
 	mustAnswer(t, o.addr, enqueue("early", to("status", stays[0]), ""), busy)
-	if why := o.n.Unready(); why != "no map of owners is known" {
+	if why := o.node.NotReadyReason(); why != "no map of owners is known" {
 		t.Errorf("without a map: %q", why)
 	}
 	d.setMap(t, half)
 	o.ready(t)
 	mustAnswer(t, o.addr, enqueue("mine", to("order", stays[0]), ""), "+OK")
-	p.next(t)
+	p.nextRequest(t)
 	mustAnswer(t, o.addr, enqueue("foreign", to("order", goes[0]), ""), busy)
 	mustAnswer(t, o.addr, enqueue("nowhere", to("order", stays[1]), ""), "-ERR unknown destination")
 	var figures strings.Builder
-	o.n.figures.write(&figures)
+	o.node.figures.write(&figures)
 	for _, want := range []string{
 		"app.map:2|g\n", fmt.Sprintf("app.partitions_owned:%d|g\n", o.seen().owned.Len()), "app.partitions_lingering:0|g\n",
 		"app.not_owned:2|c\n", "app.pool_size:1|g\n",
@@ -395,7 +395,7 @@
 		}
 	}
 	d.setMap(t, mapOf(t, 3, half, "n2"))
-	eventually(t, "not in the map", func() bool { return o.n.Unready() == "not in the map of owners" })
+	eventually(t, "not in the map", func() bool { return o.node.NotReadyReason() == "not in the map of owners" })
 	mustAnswer(t, o.addr, enqueue("late", to("order", stays[0]), ""), busy)
 	o.stop()
 	raw, err := os.ReadFile(filepath.Join(state, journalName))
@@ -417,7 +417,7 @@
 func TestLostPartitionsEndByTheirOwnRules(t *testing.T) {
 	t.Parallel()
 	all, half, stays, goes := parting(t)
-	p, d := newPartner(t, says(delivered)), newDirectory(t)
+	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
 	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", p.addr(), stays[0], "SERVING"))
 	d.setMap(t, all)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), func(n *Node) { n.own.longest = 300 * time.Millisecond })
@@ -433,11 +433,11 @@
 		t.Fatalf("followed on: %+v", o.seen().lost)
 	}
 	d.put(at("e3", p.addr(), goes[0], "SERVING"))
-	if id := p.next(t).Header.Get("X-Trace-Id"); id != "a" {
+	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
 		t.Errorf("got %q", id)
 	}
 	mustAnswer(t, o.addr, enqueue("c", to("order", stays[0]), ""), "+OK")
-	p.next(t)
+	p.nextRequest(t)
 	if asks := d.asked("watch=1&after=0&history"); asks+d.asked("watch=1&after=0&part") > 2 { // of the map, and of all
 		t.Errorf("asks %q", d.asks)
 	}
@@ -451,23 +451,23 @@
 func TestLostPartitionsAreLetGoOf(t *testing.T) {
 	t.Parallel()
 	all, half, stays, goes := parting(t)
-	p, d := newPartner(t, says(delivered)), newDirectory(t)
+	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
 	d.put(at("e1", p.addr(), goes[0], "SERVING"), at("e2", p.addr(), stays[0], "SERVING"))
 	d.setMap(t, all)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), func(n *Node) { n.own.longest = 100 * time.Millisecond })
 	o.ready(t)
 	o.awaitTaken(t, enqueue("a", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""))
-	p.next(t)
-	if n := o.n.figures.listed.Load(); n != 2 {
+	p.nextRequest(t)
+	if n := o.node.figures.listed.Load(); n != 2 {
 		t.Errorf("%d endpoints", n)
 	}
 	d.setMap(t, half)
 	own, _ := half.PartitionsOf("n1")
 	eventually(t, "the smaller set", func() bool {
-		return d.asked("partitions="+own.String()) == 1 && o.n.figures.listed.Load() == 1
+		return d.asked("partitions="+own.String()) == 1 && o.node.figures.listed.Load() == 1
 	})
 	mustAnswer(t, o.addr, enqueue("b", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""), "+OK")
-	p.next(t)
+	p.nextRequest(t)
 	if calls, conns := p.counts(); calls != 2 || conns != 1 {
 		t.Errorf("%d calls on %d connections", calls, conns)
 	}
@@ -475,7 +475,7 @@
 	// its own, whose endpoints it passes over.
 	none := mapOf(t, 3, half, "n2")
 	d.setMap(t, none)
-	eventually(t, "nothing", func() bool { return o.seen().number == 3 && o.n.figures.listed.Load() == 0 })
+	eventually(t, "nothing", func() bool { return o.seen().mapNumber == 3 && o.node.figures.listed.Load() == 0 })
 	d.mu.Lock()
 	last := d.asks[len(d.asks)-1]
 	d.mu.Unlock()
@@ -493,12 +493,12 @@
 	eventually(t, "another watch", func() bool { return d.asked("watch=1") > asks })
 	d.setMap(t, mapOf(t, 4, none, "n2", "n3"))
 	o.awaitMap(t, 4)
-	if n := o.n.figures.listed.Load(); n != 0 {
+	if n := o.node.figures.listed.Load(); n != 0 {
 		t.Errorf("%d endpoints of nothing", n)
 	}
 	d.setMap(t, mapOf(t, 5, none, "n1"))
 	o.ready(t)
-	eventually(t, "all", func() bool { return o.n.figures.listed.Load() == 3 })
+	eventually(t, "all", func() bool { return o.node.figures.listed.Load() == 3 })
 }
 
 // A set's watch begins when that of the set before it is over, to its last list: one that came later would be taken for the
@@ -521,8 +521,8 @@
 			select {
 			case e := <-n.events:
 				n.take(ctx, []any{e})
-				if n.own.number != last {
-					last = n.own.number
+				if n.own.mapNumber != last {
+					last = n.own.mapNumber
 					numbers <- last
 				}
 			case <-ctx.Done():
@@ -576,7 +576,7 @@
 func TestShareGivenBack(t *testing.T) {
 	t.Parallel()
 	all, half, _, goes := parting(t)
-	p, d := newPartner(t, says(delivered)), newDirectory(t)
+	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
 	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", "127.0.0.1:9", goes[1], "DRAINING"))
 	d.setMap(t, all)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
@@ -588,7 +588,7 @@
 	o.awaitMap(t, 2)
 	mustAnswer(t, o.addr, enqueue("c", to("order", goes[0]), ""), busy)
 	d.put(at("e3", p.addr(), goes[0], "SERVING"))
-	p.next(t)
+	p.nextRequest(t)
 	d.setMap(t, mapOf(t, 3, half, "n1"))
 	o.awaitMap(t, 3)
 	if len(o.seen().lost) != 0 {
@@ -597,11 +597,11 @@
 	mustAnswer(t, o.addr, enqueue("b", to("payout", goes[1]), ""), "+OK")
 	mustAnswer(t, o.addr, enqueue("c", to("order", goes[0]), ""), "+OK")
 	d.put(at("e4", p.addr(), goes[1], "SERVING"))
-	got := []string{p.next(t).Header.Get("X-Trace-Id"), p.next(t).Header.Get("X-Trace-Id")}
+	got := []string{p.nextRequest(t).Header.Get("X-Trace-Id"), p.nextRequest(t).Header.Get("X-Trace-Id")}
 	if slices.Sort(got); !slices.Equal(got, []string{"b", "c"}) {
 		t.Errorf("got %v", got)
 	}
-	eventually(t, "all delivered", func() bool { return o.n.figures.ok[1].Load() == 2 && o.n.figures.ok[2].Load() == 1 })
+	eventually(t, "all delivered", func() bool { return o.node.figures.ok[1].Load() == 2 && o.node.figures.ok[2].Load() == 1 })
 	if calls, _ := p.counts(); calls != 3 || d.asked("watch=1") != watches || len(d.told()) != 0 {
 		t.Errorf("%d calls, %d watches after %d, notices %v", calls, d.asked("watch=1"), watches, d.told())
 	}
@@ -612,7 +612,7 @@
 func TestRestartBetweenMaps(t *testing.T) {
 	t.Parallel()
 	all, half, stays, goes := parting(t)
-	p, d, state := newPartner(t, says(delivered)), newDirectory(t), t.TempDir()
+	p, d, state := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t), t.TempDir()
 	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", p.addr(), stays[0], "SERVING"), at("e3", p.addr(), goes[1], "SERVING"))
 	d.setMap(t, all)
 	o := startOwner(t, state, "", owns(d.addr()), nil)
@@ -626,23 +626,23 @@
 	dead.close()
 	o = startOwner(t, state, "", owns(dead.addr()), nil)
 	o.ready(t)
-	if s := o.seen(); s.number != 2 || len(s.lost) != 1 || s.lost[0].set.Len() != 1 || time.Until(s.lost[0].until) < 20*time.Second {
-		t.Errorf("got %d, %+v", s.number, s.lost)
+	if s := o.seen(); s.mapNumber != 2 || len(s.lost) != 1 || s.lost[0].set.Len() != 1 || time.Until(s.lost[0].until) < 20*time.Second {
+		t.Errorf("got %d, %+v", s.mapNumber, s.lost)
 	}
-	if listed := o.n.figures.listed.Load(); listed != 2 { // e3's partition is not followed
+	if listed := o.node.figures.listed.Load(); listed != 2 { // e3's partition is not followed
 		t.Errorf("%d endpoints", listed)
 	}
 	mustAnswer(t, o.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
 	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), busy)
 	mustAnswer(t, o.addr, enqueue("c", to("order", stays[0]), ""), "+OK")
-	p.next(t)
+	p.nextRequest(t)
 	mustAnswer(t, o.addr, enqueue("d", to("order", stays[1]), ""), busy) // it may be on the list that nobody tells
 	o.stop()
 
 	o = startOwner(t, state, "", owns(d.addr()), nil)
 	o.ready(t)
 	d.put(at("e4", p.addr(), goes[0], "SERVING"))
-	if id := p.next(t).Header.Get("X-Trace-Id"); id != "a" {
+	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
 		t.Errorf("got %q", id)
 	}
 	if len(d.told()) != 0 {
@@ -655,13 +655,13 @@
 func TestGainedPartitionsWaitForTheirList(t *testing.T) {
 	t.Parallel()
 	_, half, stays, goes := parting(t)
-	p, d := newPartner(t, says(delivered)), newDirectory(t)
+	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
 	d.put(at("e1", p.addr(), stays[0], "SERVING"), at("e2", p.addr(), goes[0], "SERVING"))
 	d.setMap(t, half)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
 	o.ready(t)
 	o.awaitTaken(t, enqueue("a", to("order", stays[0]), ""))
-	p.next(t)
+	p.nextRequest(t)
 	hold, watches := make(chan struct{}), d.asked("watch=1")
 	d.change(func() { d.hold = hold })
 	d.setMap(t, mapOf(t, 3, half, "n1"))
@@ -669,23 +669,23 @@
 	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), busy)
 	mustAnswer(t, o.addr, enqueue("c", to("order", goes[1]), ""), busy)
 	mustAnswer(t, o.addr, enqueue("d", to("order", stays[0]), ""), "+OK")
-	p.next(t)
+	p.nextRequest(t)
 	d.change(func() { d.hold = nil })
 	close(hold)
-	eventually(t, "the list", func() bool { return o.n.figures.listed.Load() == 2 })
+	eventually(t, "the list", func() bool { return o.node.figures.listed.Load() == 2 })
 	eventually(t, "it is known", func() bool {
 		return ask(t, o.addr, enqueue("c", to("order", goes[1]), "")) == "-ERR unknown destination"
 	})
 	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), "+OK")
-	p.next(t)
+	p.nextRequest(t)
 	mustAnswer(t, o.addr, enqueue("e", to("order", stays[0]), ""), "+OK")
-	p.next(t)
+	p.nextRequest(t)
 	if _, conns := p.counts(); conns != 2 { // e1's, which was never hung up, and e2's
 		t.Errorf("%d connections", conns)
 	}
 	// A change reaches the new watch.
 	d.put(at("e3", p.addr(), goes[2], "SERVING"))
-	eventually(t, "a change", func() bool { return o.n.figures.listed.Load() == 3 })
+	eventually(t, "a change", func() bool { return o.node.figures.listed.Load() == 3 })
 }
 
 // A number that a node has known is never undone: not by a replica that is behind, nor by a directory restored from a
@@ -708,15 +708,15 @@
 		eventually(t, "another watch", func() bool { return d.asked("watch=1") > asks })
 	}
 	mustAnswer(t, o.addr, enqueue("a", to("order", goes[0]), ""), busy)
-	if s := o.seen(); s.number != 2 || o.log.with(line) != 1 {
-		t.Errorf("number %d, logged %d times", s.number, o.log.with(line))
+	if s := o.seen(); s.mapNumber != 2 || o.log.with(line) != 1 {
+		t.Errorf("number %d, logged %d times", s.mapNumber, o.log.with(line))
 	}
 	o.stop()
 	o = startOwner(t, state, "", owns(d.addr()), nil)
 	o.ready(t)
 	eventually(t, "it is logged", func() bool { return o.log.with(line) == 1 })
-	if s := o.seen(); s.number != 2 {
-		t.Errorf("number %d", s.number)
+	if s := o.seen(); s.mapNumber != 2 {
+		t.Errorf("number %d", s.mapNumber)
 	}
 	d.setMap(t, mapOf(t, 3, half, "n1"))
 	o.awaitMap(t, 3)
@@ -730,8 +730,8 @@
 	t.Parallel()
 	all, half, stays, goes := parting(t)
 	n := bareAltered(t, owns("127.0.0.1:9"))
-	hand := func(m *ownership.Map) following {
-		taken := make(chan following, 1)
+	hand := func(m *ownership.Map) followedPartitions {
+		taken := make(chan followedPartitions, 1)
 		n.take(t.Context(), []any{newMap{m, taken}})
 		return <-taken
 	}
@@ -750,7 +750,7 @@
 		return a
 	}
 	refused := answer{refused: true, after: 3 * time.Second}
-	if f := hand(half); f.number != 2 || f.owned != set(half) || len(f.lost) != 0 {
+	if f := hand(half); f.mapNumber != 2 || f.owned != set(half) || len(f.lost) != 0 {
 		t.Fatalf("got %+v", f)
 	}
 	// An arrival in the batch that brings its list: the module does not know it yet, and it is not unknown.
@@ -764,13 +764,13 @@
 		t.Errorf("after its list: %+v", got)
 	}
 	e := n.eps["e3"]
-	if f := hand(all); f.number != 2 || f.owned != set(half) {
-		t.Errorf("an older map: %+v", f.number)
+	if f := hand(all); f.mapNumber != 2 || f.owned != set(half) {
+		t.Errorf("an older map: %+v", f.mapNumber)
 	}
 	// All is gained; the old set's watch says its whole list once more, then the new one's comes.
 	whole := mapOf(t, 3, half, "n1")
-	if f := hand(whole); f.number != 3 || f.owned.Len() != ownership.PartitionCount {
-		t.Errorf("got %+v", f.number)
+	if f := hand(whole); f.mapNumber != 3 || f.owned.Len() != ownership.PartitionCount {
+		t.Errorf("got %+v", f.mapNumber)
 	}
 	for i, l := range []registry.News{list(true, mine, second), list(false), list(true, mine, second, other)} {
 		late := arrive("late"+itoa(i), goes[1])
@@ -809,7 +809,7 @@
 func TestHandoverOfAShare(t *testing.T) {
 	t.Parallel()
 	all, half, stays, goes := parting(t)
-	p, d, state := newPartner(t, says(delivered)), newDirectory(t), t.TempDir()
+	p, d, state := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t), t.TempDir()
 	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", p.addr(), stays[0], "SERVING"))
 	d.setMap(t, all)
 	old := startOwner(t, state, "", owns(d.addr()), nil)
@@ -851,20 +851,22 @@
 	}
 
 	young := startOwner(t, state, old.addr, owns(d.addr()), nil)
-	eventually(t, "handed over", func() bool { return old.n.Unready() == stages[handedOver] && young.n.Unready() == "" })
+	eventually(t, "handed over", func() bool {
+		return old.node.NotReadyReason() == stages[handedOver] && young.node.NotReadyReason() == ""
+	})
 	s := young.seen()
-	if s.number != 2 || len(s.lost) != 1 || !s.lost[0].set.Has(ownership.PartitionOf(goes[0])) {
-		t.Errorf("got %d, %+v", s.number, s.lost)
+	if s.mapNumber != 2 || len(s.lost) != 1 || !s.lost[0].set.Has(ownership.PartitionOf(goes[0])) {
+		t.Errorf("got %d, %+v", s.mapNumber, s.lost)
 	}
 	mustAnswer(t, young.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
 	mustAnswer(t, young.addr, enqueue("b", to("order", goes[0]), ""), busy)
 	mustAnswer(t, young.addr, enqueue("c", to("order", stays[0]), ""), "+OK")
-	p.next(t)
+	p.nextRequest(t)
 	d.setMap(t, mapOf(t, 3, half, "n1", "n2", "n3"))
 	young.awaitMap(t, 3)
 	old.stop()
 	d.put(at("e3", p.addr(), goes[0], "SERVING"))
-	if id := p.next(t).Header.Get("X-Trace-Id"); id != "a" {
+	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
 		t.Errorf("got %q", id)
 	}
 	young.stop()
@@ -927,7 +929,7 @@
 	}
 	o := startOwner(t, state, "", owns(d.addr()), nil)
 	eventually(t, "no map", func() bool {
-		return o.n.Unready() == "no map of owners is known" && o.log.with("the kept map of owners is lost") == 1
+		return o.node.NotReadyReason() == "no map of owners is known" && o.log.with("the kept map of owners is lost") == 1
 	})
 	d.setMap(t, half)
 	o.ready(t)
@@ -1001,20 +1003,20 @@
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
 	o.ready(t)
 	const ignored = "a change of ownership is ignored"
-	o.n.Reload(Config{Discovery: "127.0.0.1:9"})
+	o.node.Reload(Config{Discovery: "127.0.0.1:9"})
 	if o.log.with(ignored) != 1 || o.log.with("the old addresses stay") != 1 {
 		t.Errorf("got %q", o.log.all)
 	}
 	var cfg Config
 	owns(next.addr())(&cfg)
 	cfg.Fleet.Ownership.Name = "n2"
-	o.n.Reload(cfg)
+	o.node.Reload(cfg)
 	eventually(t, "the new address", func() bool { return next.asked("partitions=") > 0 })
 	if o.log.with(ignored) != 2 {
 		t.Errorf("got %q", o.log.all)
 	}
 	owns(next.addr())(&cfg)
-	o.n.Reload(cfg)
+	o.node.Reload(cfg)
 	if o.log.with(ignored) != 2 {
 		t.Errorf("the same is no change: %q", o.log.all)
 	}
@@ -1065,8 +1067,8 @@
 		asks = slices.Clone(d.asks)
 		d.mu.Unlock()
 		var figures strings.Builder
-		o.n.figures.write(&figures)
-		if owned := strings.Contains(figures.String(), "app.map"); owned != (o.n.own != nil) {
+		o.node.figures.write(&figures)
+		if owned := strings.Contains(figures.String(), "app.map"); owned != (o.node.own != nil) {
 			t.Errorf("figures: %s", figures.String())
 		}
 		o.stop()
