--- a/internal/node/formats_a_test.go
+++ b/internal/node/formats_a_test.go
@@ -175,12 +175,12 @@
 	f.write(&b)
 	golden.Check(t, "metrics.txt", b.Bytes())
 
-	followed := &following{number: 12, lost: []lost{{until: time.Now().Add(time.Hour)}}}
+	followed := &followedPartitions{mapNumber: 12, lost: []lost{{until: time.Now().Add(time.Hour)}}}
 	for partition := range 3 {
 		followed.owned.Add(partition)
 		followed.lost[0].set.Add(partition)
 	}
-	followed.lost[0].set.Add(ownership.Partitions - 1)
+	followed.lost[0].set.Add(ownership.PartitionCount - 1)
 	f.share.Store(followed)
 	f.notOwned.Store(13)
 	b.Reset()
@@ -195,7 +195,7 @@
 		for o := range n.orders {
 			switch o.id {
 			case "unknown":
-				o.reply <- ErrUnknown
+				o.reply <- ErrUnknownEndpoint
 			case "late": // gets no reply
 			default:
 				o.reply <- nil
