--- a/fleet/catalog/catalog_test.go
+++ b/fleet/catalog/catalog_test.go
@@ -17,7 +17,7 @@
 
 func with(e Endpoint, phase string) Endpoint { e.Phase = phase; return e }
 
-// founded is a state with so many endpoints of partner 0.
+// bootstrapped returns a state with n endpoints of partner 0.
 func founded(t testing.TB, n int) *State {
 	s := New()
 	apply(t, s, Command{At: 1000, Found: &Found{}})
@@ -46,10 +46,10 @@
 	before := s.Revision()
 	r := s.Apply(c)
 	if !errors.Is(r.Err, want) {
-		t.Errorf("%+v: %v, not %v", c, r.Err, want)
+		t.Errorf("%+v: error %v, want %v", c, r.Err, want)
 	}
 	if s.Revision() != before {
-		t.Errorf("%+v was refused and made revision %d", c, s.Revision())
+		t.Errorf("%+v was refused but created revision %d", c, s.Revision())
 	}
 	return r
 }
@@ -61,17 +61,17 @@
 		return Command{Write: &Write{Base: b, Members: []Endpoint{with(endpoint(id, 0), Draining)}}}
 	}
 	apply(t, s, drain("e0", read))
-	apply(t, s, drain("e1", read)) // another endpoint: nothing is undone
+	apply(t, s, drain("e1", read)) // no conflict: another endpoint
 	refused(t, s, Command{Write: &Write{Base: read, Members: []Endpoint{endpoint("e0", 0)}}}, ErrConflict)
 	refused(t, s, Command{Write: &Write{Base: read, Whole: true, Members: []Endpoint{endpoint("e9", 0)}}}, ErrConflict)
 	refused(t, s, drain("e2", Base{Revision: 99}), ErrConflict)
 	refused(t, s, drain("e2", Base{History: 5, Revision: s.Revision()}), ErrConflict)
 	if r := apply(t, s, drain("e0", Base{Any: true})); r.Revision != 3 {
-		t.Errorf("what changes nothing made revision %d", r.Revision)
+		t.Errorf("a write that changes nothing created revision %d", r.Revision)
 	}
 	refused(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("new", 0), {ID: "e2", Phase: "ODD"}}}}, ErrBad)
 	if _, listed := s.i.Entries["new"]; listed {
-		t.Error("half of a write was done")
+		t.Error("a rejected write was partly applied")
 	}
 }
 
@@ -80,11 +80,11 @@
 	shrink := Command{Write: &Write{Base: Base{Any: true}, Whole: true, Guard: 0.5, Members: []Endpoint{endpoint("e0", 0)}}}
 	held := refused(t, s, shrink, ErrHeld).Held
 	if again := refused(t, s, shrink, ErrHeld); again.Held != held {
-		t.Errorf("the same list was held back anew, as %d", again.Held)
+		t.Errorf("the same list was held back again as number %d", again.Held)
 	}
 	k := NewKeeper(0.5, time.Second, time.Minute)
 	if due, wait := k.Due(s, 0); len(due) > 0 || wait != time.Minute {
-		t.Errorf("due at once: %v, %v", due, wait)
+		t.Errorf("due immediately: %v, wait %v", due, wait)
 	}
 	due, _ := k.Due(s, time.Minute)
 	if len(due) != 1 || due[0].Confirm == nil {
@@ -92,19 +92,19 @@
 	}
 	apply(t, s, due[0])
 	if len(s.Entries()) != 1 || s.Held() != nil {
-		t.Errorf("stood for long enough, and the list is %v, held %v", s.Entries(), s.Held())
+		t.Errorf("after the waiting time the list is %v, held %v", s.Entries(), s.Held())
 	}
 	refused(t, s, Command{Confirm: &Confirm{Number: held}}, ErrUnknown)
 	empty := Command{Write: &Write{Base: Base{Any: true}, Whole: true, Guard: 1}}
-	refused(t, s, empty, ErrHeld) // an empty list, whatever the share
+	refused(t, s, empty, ErrHeld) // an empty list is held back at any share
 	empty.Write.Confirmed = true
 	apply(t, s, empty)
 	if len(s.Entries()) != 0 || s.Held() != nil {
-		t.Error("a confirmed list was not taken")
+		t.Error("a confirmed list was not applied")
 	}
 }
 
-// What was written while a list was held back is not undone when that is confirmed.
+// Confirming a held write must not undo writes that were made while it was held.
 func TestConfirmationUndoesNothing(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		s := founded(t, 4)
@@ -118,13 +118,13 @@
 		got := fmt.Sprint(s.Whole().Members)
 		want := fmt.Sprint([]Endpoint{with(endpoint("e0", 0), Draining), with(endpoint("e3", 0), Draining), endpoint("new", 0)})
 		if got != want {
-			t.Errorf("whole %v: the list is %s", whole, got)
+			t.Errorf("complete list %v: the list is %s", whole, got)
 		}
 	}
 }
 
-// A write that is held back is held back whole over a snapshot: else its confirmation would change the list on the replicas that have
-// not restarted since, and on the others not.
+// A snapshot must preserve a held write in full. Otherwise confirming it would change the list on replicas
+// that have not restarted since, and not on the others.
 func TestSnapshotKeepsWhatIsHeldBack(t *testing.T) {
 	s := founded(t, 4)
 	w := Write{Base: Base{Any: true}, Whole: true, Guard: 0.5, Members: []Endpoint{endpoint("e0", 0)}}
@@ -145,7 +145,7 @@
 		apply(t, of, Command{Confirm: &Confirm{Number: held}})
 	}
 	if !reflect.DeepEqual(s.Whole(), restarted.Whole()) || s.Size() != 1 {
-		t.Errorf("after the confirmation the list is %+v, and %+v at a replica that has restarted", s.Whole(), restarted.Whole())
+		t.Errorf("after the confirmation the list is %+v, and %+v at a restarted replica", s.Whole(), restarted.Whole())
 	}
 }
 
@@ -164,7 +164,7 @@
 	if due, _ := k2.Due(s, time.Second); len(due) != 1 || len(due[0].Lapse.Drain) != 3 {
 		t.Errorf("due: %+v", due)
 	} else if id := due[0].Lapse.Drain[0]; !errors.Is(k2.Renew(s, id, time.Second), ErrUnknown) {
-		t.Errorf("%s was renewed while its end was on its way", id)
+		t.Errorf("%s was renewed while its expiry was in flight", id)
 	}
 	step := func(now time.Duration) {
 		due, _ := k.Due(s, now)
@@ -174,14 +174,14 @@
 	}
 	step(999 * time.Millisecond)
 	if s.Revision() != 6 {
-		t.Fatal("a lease lapsed early")
+		t.Fatal("a lease expired early")
 	}
-	step(time.Second) // e1 to e3 of partner 0 and both of partner 1 are out of time; half of each may go
+	step(time.Second) // e1 to e3 of partner 0 and both endpoints of partner 1 have not renewed; half of each partner's may expire
 	if l := s.Since(6); len(l.Members) != 3 {
-		t.Fatalf("lapsed: %+v", l.Members)
+		t.Fatalf("expired: %+v", l.Members)
 	}
 	if err := k.Renew(s, "e1", time.Second); !errors.Is(err, ErrUnknown) {
-		t.Errorf("a lapsed lease was renewed: %v", err)
+		t.Errorf("an expired lease was renewed: %v", err)
 	}
 	for now := time.Second; now < 30*time.Second; now += 500 * time.Millisecond {
 		if err := k.Renew(s, "e0", now); err != nil {
@@ -193,15 +193,15 @@
 	for _, e := range s.Entries() {
 		left[e.Cell]++
 	}
-	if left[0] != 1 || left[1] != 2 { // nobody of partner 1 renews, so more likely nobody can
-		t.Errorf("left: %v", left)
+	if left[0] != 1 || left[1] != 2 { // none of partner 1 renews, so a common cause is more likely
+		t.Errorf("remaining endpoints by partner: %v", left)
 	}
-	// Coming back ends a lapse, but not what an operator wants.
+	// A new registration ends an expiry, but not an operator's drain.
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, TTL: 1000, Members: []Endpoint{endpoint("e4", 1)}}})
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{with(endpoint("e5", 1), Draining)}}})
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, TTL: 1000, Members: []Endpoint{endpoint("e5", 1)}}})
 	if a, b := s.i.Entries["e4"], s.i.Entries["e5"]; a.Phase != Serving || a.Lapsed || b.Phase != Draining || b.TTL != 1000 {
-		t.Errorf("after coming back: %+v, %+v", a, b)
+		t.Errorf("after new registrations: %+v, %+v", a, b)
 	}
 }
 
@@ -216,7 +216,7 @@
 		t.Fatalf("due: %v", due)
 	}
 	if err := k.RenewRecord(s, "r", a, time.Second); !errors.Is(err, ErrTaken) {
-		t.Errorf("renewed while its end is on its way: %v", err)
+		t.Errorf("renewed while its expiry is in flight: %v", err)
 	}
 	apply(t, s, due[0])
 	b := apply(t, s, Command{Acquire: &Hold{Name: "r", Holder: "b"}}).Token
@@ -230,7 +230,7 @@
 	c := apply(t, s, Command{Release: &Hold{Name: "r", Token: b}})
 	_ = c
 	if d := apply(t, s, Command{Acquire: &Hold{Name: "r", Holder: "d"}}).Token; d <= b {
-		t.Errorf("a token came again after a restore: %d after %d", d, b)
+		t.Errorf("a token was reused after a restore: %d after %d", d, b)
 	}
 }
 
@@ -248,8 +248,8 @@
 	refused(t, s, Command{Restore: &image}, ErrBad)
 }
 
-// Whatever is written: replicas agree, also over a snapshot; a follower that takes every change has the list; who
-// resumes anywhere gets there too.
+// Whatever is written, replicas must agree, also across a snapshot, and a follower must end up with the list,
+// whether it applies every change or resumes at any revision.
 func TestEveryWayLeadsToTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
@@ -302,7 +302,7 @@
 			whole[m.ID] = m
 		}
 		if !reflect.DeepEqual(whole, follower) || !reflect.DeepEqual(a.Image(), b.Image()) {
-			t.Fatalf("the list is %v, the follower's %v", whole, follower)
+			t.Fatalf("the list is %v, the follower has %v", whole, follower)
 		}
 	})
 }
@@ -317,10 +317,10 @@
 		apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{with(endpoint("e0", 0), phase)}}})
 	}
 	if changes, all := s.Changes(0); all || len(changes) != MaxChanges {
-		t.Errorf("%d changes are kept, all: %v", len(changes), all)
+		t.Errorf("%d changes are kept, complete: %v", len(changes), all)
 	}
 	if l := s.Since(3); !l.Complete {
-		t.Error("behind what is kept there is more than the whole list")
+		t.Error("a revision before the kept changes got a partial list")
 	}
 	refused(t, s, Command{Write: &Write{Base: Base{Revision: 3}, Members: []Endpoint{endpoint("x", 0)}}}, ErrConflict)
 	if l := s.Since(s.Revision() - 3); l.Complete || len(l.Members) != 1 {
--- a/fleet/catalog/keeper.go
+++ b/fleet/catalog/keeper.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// Keeper is the leader's sense of time: it knows who has renewed, and asks for what time brings. It is not replicated;
-// a new leader begins by taking every lease as renewed, so that a change of leaders takes none away. Its times are those
-// of one clock that only grows, since any point. It is not safe for use by several goroutines at once.
+// LeaseManager is the part of the leader that depends on time: it tracks renewals and proposes commands for
+// leases that have expired and for a held write that is due. It is not replicated. A new leader treats every
+// lease as just renewed, so that a change of leaders expires none. Times are durations of one monotonic clock
+// since an arbitrary origin. It is not safe for concurrent use.
 type Keeper struct {
-	Share float64       // of a partner's endpoints that may have lapsed at once
-	Drain time.Duration // from an endpoint's lapse until it goes
-	Stand time.Duration // after which what is held back happens unconfirmed; 0: never
+	Share float64       // of a partner's endpoints that may be expired at once
+	Drain time.Duration // from the expiry of an endpoint's lease until its removal
+	Stand time.Duration // after which a held write is applied without confirmation; 0: never
 
-	renewed map[string]time.Duration // endpoints with leases, and when they came last
-	changed map[string]int64         // their revision when they were last looked at
-	lapsed  map[string]time.Duration // since when
-	held    map[string]heldSince     // records
-	ending  map[string]time.Duration // endpoints whose lapse was asked for, and when
-	waiting int64                    // number of what is held back
+	renewed map[string]time.Duration // last renewal by endpoint, of those with a lease
+	changed map[string]int64         // entry revision by endpoint, at the last check
+	lapsed  map[string]time.Duration // when each endpoint was first seen as expired
+	held    map[string]heldSince     // last renewal by record
+	ending  map[string]time.Duration // when the expiry of an endpoint's lease was last proposed
+	waiting int64                    // number of the held write
 	since   time.Duration
 }
 
-// endsWithin is how long the end of a lease that was asked for may be on its way. What was renewed meanwhile, and
-// acknowledged, would be taken away all the same.
+// expiryInFlight bounds how long a proposed expiry may take to be applied. A renewal acknowledged during that
+// time would be lost, so it is refused.
 const endsWithin = 5 * time.Second
 
 type heldSince struct {
@@ -32,7 +33,7 @@
 	at    time.Duration
 }
 
-// NewKeeper begins at a time, with all leases of the state renewed.
+// NewLeaseManager treats all leases of the state as just renewed.
 func NewKeeper(share float64, drain, stand time.Duration) *Keeper {
 	return &Keeper{
 		Share: share, Drain: drain, Stand: stand,
@@ -40,41 +41,42 @@
 	}
 }
 
-// Renew notes that an endpoint is still there; of one that has no lease, or has lapsed, it is ErrUnknown: it registers
-// again.
+// Renew records a renewal. If the endpoint has no lease, or it has expired, Renew returns ErrNotFound and the
+// endpoint must register again.
 func (k *Keeper) Renew(s *State, id string, now time.Duration) error {
 	e, ok := s.i.Entries[id]
 	if !ok || e.TTL == 0 || e.Lapsed {
-		return fmt.Errorf("no lease of %.40q, register again: %w", id, ErrUnknown)
+		return fmt.Errorf("endpoint %.40q has no lease, register again: %w", id, ErrUnknown)
 	}
 	if at, asked := k.ending[id]; asked && now < at+endsWithin {
-		return fmt.Errorf("the lease of %.40q has run out, register again: %w", id, ErrUnknown)
+		return fmt.Errorf("the lease of endpoint %.40q has expired, register again: %w", id, ErrUnknown)
 	}
 	k.renewed[id] = now
 	return nil
 }
 
-// Registered notes that an endpoint has just registered: its lease counts from now.
+// NoteRegistration starts the lease of an endpoint that has just registered.
 func (k *Keeper) Registered(id string, now time.Duration) {
 	k.renewed[id] = now
 	delete(k.ending, id)
 }
 
-// RenewRecord notes that the holder of a record is still there; of a token that does not hold it, it is an error.
+// RenewRecord records that the holder of a record is alive. It fails for a token that does not hold the
+// record.
 func (k *Keeper) RenewRecord(s *State, name string, token int64, now time.Duration) error {
 	r, err := s.owned(Hold{Name: name, Token: token})
 	if err != nil {
 		return err
 	}
 	if h, ok := k.held[name]; ok && h.token == token && r.TTL > 0 && now >= h.at+time.Duration(r.TTL)*time.Millisecond {
-		return fmt.Errorf("the lease of record %q has run out: %w", name, ErrTaken) // its end may be on its way
+		return fmt.Errorf("the lease of record %q has expired: %w", name, ErrTaken) // its expiry may already be in the log
 	}
 	k.held[name] = heldSince{r.Token, now}
 	return nil
 }
 
-// Due tells what time has brought, as commands to propose, and how long to wait for more. What is not carried out is
-// asked for again.
+// DueCommands returns the commands to propose now, and how long to wait before the next call. It returns a
+// command again until it has been applied.
 func (k *Keeper) Due(s *State, now time.Duration) ([]Command, time.Duration) {
 	l := Lapse{Share: k.Share}
 	next := time.Hour
@@ -85,12 +87,12 @@
 		next = min(next, at-now)
 		return false
 	}
-	alive := map[int]bool{} // partners of which an endpoint still renews
+	alive := map[int]bool{} // partners with an endpoint that still renews its lease
 	for id, e := range s.i.Entries {
 		if e.TTL == 0 {
 			continue
 		}
-		if _, ok := k.renewed[id]; !ok || k.changed[id] != e.Revision { // it has just registered
+		if _, ok := k.renewed[id]; !ok || k.changed[id] != e.Revision { // just registered
 			k.renewed[id], k.changed[id] = now, e.Revision
 		}
 		if e.Lapsed {
@@ -119,7 +121,8 @@
 			delete(k.lapsed, id)
 			continue
 		}
-		// Where nobody of a partner renews, it is more likely that nobody can.
+		// If no endpoint of a partner renews, a common cause such as a broken network is more likely than
+		// that all are gone.
 		if until(at+k.Drain) && alive[e.Cell] {
 			l.Gone = append(l.Gone, id)
 		}
@@ -142,7 +145,7 @@
 	if len(l.Drain)+len(l.Gone) > 0 {
 		next = min(next, time.Second)
 	}
-	ends := s.lapses(l) // the others may not yet
+	ends := s.lapses(l) // the others must wait because of the share
 	l.Drain, l.Gone = nil, nil
 	for _, e := range ends {
 		if e.Phase == Deleted {
--- a/fleet/catalog/part.go
+++ b/fleet/catalog/part.go
@@ -7,13 +7,14 @@
 	"starlingusher/fleet/ownership"
 )
 
-// Move is an endpoint that has left its partner for another.
+// Move describes an endpoint that was moved to another partner.
 type Move struct {
-	Endpoint // as it was, Deleted
-	To       int
+	Endpoint     // as it was, with phase Deleted
+	To       int `cbor:"To"`
 }
 
-// partIndex finds endpoints by the partition of their partner. It follows from the entries alone and is no part of an Image.
+// partitionIndex finds endpoints by the partition of their partner. It is derived from the entries and not
+// part of an Image.
 type partIndex map[int]map[string]struct{}
 
 func newPartIndex(entries map[string]Entry) partIndex {
@@ -41,7 +42,8 @@
 	}
 }
 
-// Part is the whole list of some partitions. Its work grows with what they hold, not with the list.
+// PartitionList returns the complete list of some partitions. Its cost grows with their size, not with the
+// whole list.
 func (s *State) Part(set ownership.Set) List {
 	l := List{Revision: s.i.Revision, Complete: true, Members: make([]Endpoint, 0, s.partSize(set))}
 	for p := range set.All() {
@@ -60,9 +62,10 @@
 	return n
 }
 
-// PartSince is what changed in some partitions after a revision, each endpoint once; one that has gone to a partner outside of
-// them is Deleted there. It is their whole list where that is not known or no longer. Its work grows with the kept changes
-// after the revision, not with the list.
+// PartitionListSince returns what changed in some partitions after a revision, each endpoint once; an
+// endpoint that moved to a partner outside of them is Deleted. It returns their complete list if those
+// changes are unknown or no longer kept. Its cost grows with the number of kept changes after the revision,
+// not with the list.
 func (s *State) PartSince(after int64, set ownership.Set) List {
 	changes, all := s.Changes(after)
 	if !all || after > s.i.Revision {
@@ -93,21 +96,22 @@
 				tell(m.Endpoint)
 			}
 		}
-		if len(l.Members) > held+100 { // the whole list is shorter
+		if len(l.Members) > held+100 { // the complete list is shorter
 			return s.Part(set)
 		}
 	}
 	return l
 }
 
-// ChangePart is what a change means for one partition.
+// PartitionChange is the effect of a change on one partition.
 type ChangePart struct {
 	Partition int
-	Unless    int // -1; or: not for those who follow this one too, for there the members are as they have become
+	Unless    int // if not -1: not for readers of this partition, who see the moved endpoints there
 	Members   []Endpoint
 }
 
-// Parts is what a change means for each partition that it touches, in their order; false if that is not known.
+// ByPartition splits a change by the partitions that it touches, in ascending order. It returns false if that
+// is unknown.
 func (c Change) Parts() ([]ChangePart, bool) {
 	if c.Moved == nil {
 		return nil, false
--- a/fleet/catalog/part_test.go
+++ b/fleet/catalog/part_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-// partFollower has what it was told of some partitions.
+// partitionFollower holds what it has received of some partitions.
 type partFollower struct {
 	set  ownership.Set
 	at   int64
@@ -40,7 +40,8 @@
 	f.at = l.Revision
 }
 
-// line is a change as a watch of partitions is told it; nil if it is not. It is the order of the pieces that must not matter.
+// update returns a change as a watch of the partitions receives it, or nil. The order of its members must not
+// matter.
 func (f *partFollower) line(c Change) *List {
 	parts, known := c.Parts()
 	if !known {
@@ -58,7 +59,7 @@
 	return &l
 }
 
-// check holds what a follower has against a scan of the whole list.
+// check compares the follower with a scan of the whole list.
 func (f *partFollower) check(s *State) error {
 	want := map[string]Endpoint{}
 	for _, m := range s.Whole().Members {
@@ -67,12 +68,12 @@
 		}
 	}
 	if !maps.Equal(want, f.have) {
-		return fmt.Errorf("at revision %d the partitions %v hold %v, the follower %v", s.Revision(), f.set, want, f.have)
+		return fmt.Errorf("at revision %d the partitions %v contain %v, the follower has %v", s.Revision(), f.set, want, f.have)
 	}
 	return nil
 }
 
-// drawWrite is some write over few endpoints of few partners, which change their partners often.
+// drawWrite draws a write on a few endpoints that often move between a few partners.
 func drawWrite(t *rapid.T, s *State) Write {
 	w := Write{Base: Base{Any: true}, Whole: rapid.IntRange(0, 7).Draw(t, "whole") == 0}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 4, rapid.ID[int]).Draw(t, "ids") {
@@ -85,7 +86,7 @@
 	return w
 }
 
-// reload takes a state through the bytes of a snapshot; without notes as an older build writes it.
+// reload passes a state through an encoded snapshot; without moves as an older build writes it.
 func reload(t fatal, s *State, notes bool) *State {
 	raw, err := cbor.Marshal(s.Image())
 	if err != nil {
@@ -107,8 +108,8 @@
 	return next
 }
 
-// Whoever follows some partitions, change by change or resumed at any position, before and after a snapshot, has exactly what a
-// scan of the whole list finds in them.
+// A follower of some partitions must have exactly what a scan of the whole list finds in them, whether it
+// applies each change or resumes at any revision, before and after a snapshot.
 func TestEveryWayLeadsToTheSamePart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
@@ -167,19 +168,19 @@
 			t.Fatal(err)
 		}
 		if want := newPartIndex(s.i.Entries); !reflect.DeepEqual(want, s.parts) {
-			t.Fatalf("the index is %v, anew it is %v", s.parts, want)
+			t.Fatalf("the index is %v, rebuilt it is %v", s.parts, want)
 		}
 	})
 }
 
-// One change that is left out of the filtered lines is found, whichever it is.
+// The check must notice any single change that the follower does not receive.
 func TestAChangeLeftOutIsFound(t *testing.T) {
 	found := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		apply(t, s, Command{At: 1, Found: &Found{}})
 		f := &partFollower{set: setOf(0, 1, 2), have: map[string]Endpoint{}}
-		skip := rapid.IntRange(0, 5).Draw(t, "left out") // of the lines that change something for the follower
+		skip := rapid.IntRange(0, 5).Draw(t, "left out") // counts updates that change something for the follower
 		for range 40 {
 			before := s.Revision()
 			w := drawWrite(t, s)
@@ -196,7 +197,7 @@
 				}
 				if skip--; skip < 0 {
 					if f.have = was; f.check(s) == nil {
-						t.Fatalf("change %+v was left out and not missed", c)
+						t.Fatalf("the check did not notice that change %+v was left out", c)
 					}
 					found++
 					return
@@ -205,11 +206,12 @@
 		}
 	})
 	if found < 50 {
-		t.Errorf("only %d breaches were tried", found)
+		t.Errorf("only %d omitted changes were tried", found)
 	}
 }
 
-// An endpoint that goes to another partner is gone for those who follow the former one alone, also when they come back later.
+// An endpoint that moves to another partner must be deleted for followers of the former partner only, also if
+// they resume later.
 func TestMovedEndpointIsGoneWhereItWas(t *testing.T) {
 	s := founded(t, 1) // e0 of partner 0
 	at := s.Revision()
@@ -225,24 +227,25 @@
 		{setOf(2), []Endpoint{}},
 	} {
 		if l := s.PartSince(at, c.set); l.Complete || l.Revision != at+1 || !slices.Equal(l.Members, c.want) {
-			t.Errorf("%v is told %+v", c.set, l)
+			t.Errorf("partitions %v get %+v", c.set, l)
 		}
 		if l := reload(t, s, true).PartSince(at, c.set); l.Complete || !slices.Equal(l.Members, c.want) {
-			t.Errorf("%v is told %+v after a snapshot", c.set, l)
+			t.Errorf("partitions %v get %+v after a snapshot", c.set, l)
 		}
 		if l := reload(t, s, false).PartSince(at, c.set); !l.Complete {
-			t.Errorf("%v is told %+v after an older build's snapshot, which does not tell who left", c.set, l)
+			t.Errorf("partitions %v get %+v after an older build's snapshot, which has no moves", c.set, l)
 		}
 	}
-	// What has changed since is known again.
+	// Changes after the older build's snapshot are known again.
 	old := reload(t, s, false)
 	apply(t, old, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("e0", 2)}}})
 	if l := old.PartSince(at+1, setOf(1)); l.Complete || !slices.Equal(l.Members, []Endpoint{with(endpoint("e0", 1), Deleted)}) {
-		t.Errorf("told after a move behind an older build's snapshot: %+v", l)
+		t.Errorf("update after an older build's snapshot: %+v", l)
 	}
 }
 
-// asOlder is an image as an older build, which knows neither notes nor the bound in a write, has it. A slice of nothing is nil.
+// asOlder reduces an image to what an older build has, without moves and without the bound in a write. It
+// turns empty slices into nil.
 func asOlder(i Image) Image {
 	i.Changes = append([]Change(nil), i.Changes...)
 	for n := range i.Changes {
@@ -255,14 +258,15 @@
 	return i
 }
 
-// A replica of an older build, which drops what it does not know of commands and of snapshots, has the same state. (What is held
-// back an older build itself loses with a restart, see TestSnapshotKeepsWhatIsHeldBack; here it does not.)
+// A replica of an older build, which ignores the newer fields of commands and snapshots, must have the same
+// state. (An older build loses a held write when it restarts, see TestSnapshotKeepsHeldWrite; that does not
+// occur here.)
 func TestOlderBuildBesideHasTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
 		both := func(c Command) {
 			older := c
-			if c.Restore != nil { // each reads its own from the log
+			if c.Restore != nil { // each replica reads its own from the log
 				x, y := reload(t, a, true).i, reload(t, a, false).i
 				if rapid.Bool().Draw(t, "older") {
 					x, y = reload(t, b, false).i, reload(t, b, false).i
@@ -276,7 +280,7 @@
 			}
 			ra, rb := a.Apply(c), b.Apply(older)
 			if ra.Revision != rb.Revision || ra.Token != rb.Token || ra.Held != rb.Held || fmt.Sprint(ra.Err) != fmt.Sprint(rb.Err) {
-				t.Fatalf("they answer %+v and %+v", ra, rb)
+				t.Fatalf("the replicas respond %+v and %+v", ra, rb)
 			}
 		}
 		both(Command{At: 1, Found: &Found{}})
@@ -290,7 +294,7 @@
 				}
 			case 2:
 				both(Command{At: 5, Restore: &Image{}})
-			case 3: // the newer one is sent the older one's snapshot, or the other way round
+			case 3: // one replica installs the other's snapshot
 				if rapid.Bool().Draw(t, "up") {
 					a = reload(t, b, false)
 				} else {
@@ -302,7 +306,7 @@
 				both(Command{Write: &w})
 			}
 			if x, y := asOlder(a.Image()), asOlder(b.Image()); !reflect.DeepEqual(x, y) {
-				t.Fatalf("their states differ: %+v %+v, %+v %+v", x, x.Held, y, y.Held)
+				t.Fatalf("the states differ: %+v %+v, %+v %+v", x, x.Held, y, y.Held)
 			}
 		}
 	})
@@ -320,7 +324,7 @@
 	over := more(4, "e0", "e1", "e2", "x", "y")
 	refused(t, s, Command{Write: &over}, ErrFull)
 	if err := s.Fits(over); !errors.Is(err, ErrFull) {
-		t.Errorf("it fits: %v", err)
+		t.Errorf("a write beyond the bound fits: %v", err)
 	}
 	at := more(4, "e0", "e1", "e2", "x")
 	if err := s.Fits(at); err != nil {
@@ -328,9 +332,10 @@
 	}
 	apply(t, s, Command{Write: &at})
 	less := Write{Base: Base{Any: true}, Most: 1, Members: []Endpoint{with(endpoint("x", 0), Draining), with(endpoint("e0", 0), Deleted)}}
-	apply(t, s, Command{Write: &less}) // a list over a bound that was lowered can still shrink
+	apply(t, s, Command{Write: &less}) // a list above a lowered bound can still shrink
 
-	// Without a bound it is what older builds have, so that an older log leads to the same state.
+	// Without a bound in the write, the one of older builds applies, so that an older log yields the same
+	// state.
 	var all []Endpoint
 	for i := range UsualMembers - s.Size() {
 		all = append(all, endpoint(fmt.Sprint("n", i), i))
--- a/fleet/catalog/state.go
+++ b/fleet/catalog/state.go
@@ -9,179 +9,183 @@
 	"slices"
 )
 
-// What is kept of the past, the same on every replica: whether a write may rest on an old revision depends on it.
+// Bounds of the kept history. All replicas must use the same ones: whether a write with an old base revision
+// is accepted depends on which changes are still kept.
 const (
 	MaxChanges  = 10_000
-	MaxMentions = 100_000 // of endpoints in the kept changes
+	MaxMentions = 100_000 // endpoints over all kept changes
 )
 
-// Why a command was not carried out.
+// Reasons why a command was not applied.
 var (
-	ErrConflict = errors.New("what the write rests on has changed")
-	ErrHeld     = errors.New("held back until it is confirmed or has stood for long enough")
-	ErrUnknown  = errors.New("there is none of that name")
-	ErrTaken    = errors.New("another holds it")
-	ErrBad      = errors.New("not well formed")
-	ErrFull     = errors.New("no room")
-	ErrNew      = errors.New("nothing has been founded yet")
+	ErrConflict = errors.New("the list has changed since the base revision")
+	ErrHeld     = errors.New("held back until it is confirmed or the waiting time is over")
+	ErrUnknown  = errors.New("not found")
+	ErrTaken    = errors.New("the caller is not the holder")
+	ErrBad      = errors.New("invalid")
+	ErrFull     = errors.New("too many entries")
+	ErrNew      = errors.New("the service has not been bootstrapped")
 )
 
-// Base is what a write rests on.
+// Base is the revision that a write is based on: optimistic concurrency control.
 type Base struct {
-	Any      bool  `cbor:",omitempty"` // on nothing: it is done whatever others did
-	History  int64 `cbor:",omitempty"` // 0: the present one
+	Any      bool  `cbor:",omitempty"` // matches every state, as If-Match: *
+	History  int64 `cbor:",omitempty"` // 0: the current history
 	Revision int64
 }
 
-// Write changes the list: all of it or nothing.
+// Write changes the list of endpoints atomically.
 type Write struct {
 	Base      Base
-	Whole     bool       `cbor:",omitempty"` // Members are the whole list; what is not among them goes
-	Members   []Endpoint // with phase Deleted: those that go
-	TTL       int64      `cbor:",omitempty"` // ms; more than 0: the members are registered with a lease
-	Guard     float64    `cbor:",omitempty"` // share of the serving endpoints that may go at once unconfirmed
-	Confirmed bool       `cbor:",omitempty"` // the guard has nothing to say
-	Why       string     `cbor:",omitempty"`
-	// Most is how many endpoints the list may hold with it, MaxMembers at most. It stands in the write, as Guard does, so that
-	// all replicas judge alike whatever their settings are. 0: UsualMembers, as builds have it that know no Most.
-	Most int64 `cbor:",omitempty"`
-}
-
-// Hold acquires a record, renews what it holds, or lets go of it.
+	Whole     bool       `cbor:"Whole,omitempty"` // Members are the complete list; all other endpoints are removed
+	Members   []Endpoint // those of phase Deleted are removed
+	TTL       int64      `cbor:",omitempty"`      // ms; above 0: the members are registered with a lease
+	Guard     float64    `cbor:"Guard,omitempty"` // share of the serving endpoints that may be removed at once without confirmation
+	Confirmed bool       `cbor:",omitempty"`      // skips the guard
+	Why       string     `cbor:"Why,omitempty"`
+	// MaxEndpoints bounds the size of the list after the write; the constant MaxEndpoints is its upper limit.
+	// Like GuardShare it is part of the write, so that all replicas decide alike whatever their own settings
+	// are. 0 means DefaultMaxEndpoints, as in builds without this field.
+	Most int64 `cbor:"Most,omitempty"`
+}
+
+// RecordOp acquires, updates or releases a record, or names a record lease.
 type Hold struct {
 	Name    string
 	Holder  string `cbor:",omitempty"`
-	Token   int64  `cbor:",omitempty"` // of Update and Release
-	TTL     int64  `cbor:",omitempty"` // ms; 0: it holds until it is released
+	Token   int64  `cbor:",omitempty"` // fencing token, for Update and Release
+	TTL     int64  `cbor:",omitempty"` // ms; 0: no lease, held until it is released
 	Value   []byte `cbor:",omitempty"`
-	SetsVal bool   `cbor:",omitempty"`
+	SetsVal bool   `cbor:"SetsVal,omitempty"`
 }
 
-// Lapse names leases that were not renewed, and records whose holders did not come back.
+// Expiry lists leases that were not renewed in time.
 type Lapse struct {
-	Drain   []string `cbor:",omitempty"` // endpoints, which drain now
-	Gone    []string `cbor:",omitempty"` // endpoints that have drained
-	Share   float64  // of a partner's endpoints that may have lapsed at once
-	Records []Hold   `cbor:",omitempty"` // by name and token
+	Drain   []string `cbor:",omitempty"`     // endpoints to drain
+	Gone    []string `cbor:"Gone,omitempty"` // drained endpoints to remove
+	Share   float64  `cbor:"Share"`          // of a partner's endpoints that may be expired at once
+	Records []Hold   `cbor:",omitempty"`     // records to free, by name and token
 }
 
-// Replica is where a replica of the service is reached.
+// Replica holds the addresses of one replica of the service.
 type Replica struct {
 	ID   string `json:"id"`
 	HTTP string `json:"http"`
 	Raft string `json:"raft"`
 }
 
-// Command changes the state. One of its pointers is set.
+// Command is a log entry that changes the state. Exactly one of its pointers is set.
 type Command struct {
-	At int64  // Unix ms, as its proposer's clock had it; for people to read, and to number histories
+	At int64  // Unix ms by the proposer's clock; shown to operators, and the source of history numbers
 	By string `cbor:",omitempty"`
 
-	Found   *Found   `cbor:",omitempty"`
+	Found   *Found   `cbor:"Found,omitempty"`
 	Write   *Write   `cbor:",omitempty"`
 	Confirm *Confirm `cbor:",omitempty"`
-	Lapse   *Lapse   `cbor:",omitempty"`
+	Lapse   *Lapse   `cbor:"Lapse,omitempty"`
 	Acquire *Hold    `cbor:",omitempty"`
 	Update  *Hold    `cbor:",omitempty"`
 	Release *Hold    `cbor:",omitempty"`
 	Restore *Image   `cbor:",omitempty"`
-	Invite  *Replica `cbor:",omitempty"`
-	Dismiss *Replica `cbor:",omitempty"`
-	Vouch   *Vouch   `cbor:",omitempty"`
+	Invite  *Replica `cbor:"Invite,omitempty"`
+	Dismiss *Replica `cbor:"Dismiss,omitempty"`
+	Vouch   *Vouch   `cbor:"Vouch,omitempty"`
 }
 
-// Vouch says whether the source that the list is taken from still speaks.
+// SourceStatus reports whether the discovery service that the list is copied from has gone silent.
 type Vouch struct{ Silent bool }
 
-// Found begins the first history.
+// Bootstrap starts the first history.
 type Found struct{ Replicas []Replica }
 
-// Confirm lets what is held back happen, or drops it.
+// Confirm applies the held write, or drops it.
 type Confirm struct {
 	Number int64
 	Drop   bool `cbor:",omitempty"`
 }
 
-// Result is what came of a command.
+// Result is the outcome of a command.
 type Result struct {
-	Revision int64 // of the list, after it
-	Token    int64 // of a record
-	Held     int64 // number of what is held back
-	Err      error // one of the package's, perhaps wrapped
+	Revision int64 // of the list, after the command
+	Token    int64 // fencing token of a record
+	Held     int64 // number of the held write
+	Err      error // wraps one of the package's errors
 }
 
-// Entry is an endpoint on the list.
+// Entry is a listed endpoint with its lease.
 type Entry struct {
 	Endpoint
-	Revision int64 // that changed it last
-	TTL      int64 `cbor:",omitempty" json:",omitempty"` // ms; 0: no lease
-	Lapsed   bool  `cbor:",omitempty" json:",omitempty"` // drains since its lease was not renewed
-	ByHand   bool  `cbor:",omitempty" json:",omitempty"` // drains since somebody wants it to; coming back does not undo that
+	Revision int64 // of its last change
+	TTL      int64 `cbor:",omitempty" json:",omitempty"`             // ms; 0: no lease
+	Lapsed   bool  `cbor:"Lapsed,omitempty" json:"Lapsed,omitempty"` // draining because its lease was not renewed
+	ByHand   bool  `cbor:"ByHand,omitempty" json:"ByHand,omitempty"` // draining on an operator's request; a new registration does not undo that
 }
 
-// Change is one revision.
+// Change holds what one revision changed.
 type Change struct {
 	Revision int64      `json:"revision"`
 	At       int64      `json:"at_ms"`
 	By       string     `json:"by" cbor:",omitempty"`
-	Why      string     `json:"why" cbor:",omitempty"`
+	Why      string     `json:"why" cbor:"Why,omitempty"`
 	Members  []Endpoint `json:"members"`
-	// Moved are those of the members that had another partner before: it is told that they are gone. Nil, and not just empty: not
-	// known, for an older build's snapshot does not tell.
+	// Moved are the members that belonged to another partner before; readers of that partner's list are sent
+	// their deletion. Nil, as opposed to empty, means unknown: the change comes from a snapshot of an older
+	// build.
 	Moved []Move `json:"-" cbor:"Moved"`
 }
 
-// Held is a write that waits.
+// HeldWrite is a write that the guard holds back until it is confirmed.
 type Held struct {
 	Number int64  `json:"number"`
 	At     int64  `json:"at_ms"`
 	By     string `json:"by"`
-	Gone   int    `json:"gone"` // serving endpoints that it would take away
+	Gone   int    `json:"gone"` // serving endpoints that it would remove
 	Of     int    `json:"of"`
-	Write  Write  `json:"-" cbor:"Write"` // without its own tag CBOR would go by JSON's and leave it out
+	Write  Write  `json:"-" cbor:"Write"` // needs a tag of its own: CBOR falls back to the JSON tag, which would omit it
 }
 
-// Record is a small value that one holder at a time may change.
+// Record is a small value that only its current holder may change.
 type Record struct {
 	Name   string `json:"name"`
-	Holder string `json:"holder"` // empty: nobody's
-	Token  int64  `json:"token"`  // grows with each holder, over all records and histories
+	Holder string `json:"holder"` // empty: not held
+	Token  int64  `json:"token"`  // fencing token; increases with each holder, across all records and histories
 	TTL    int64  `json:"ttl_ms"` // 0: no lease
 	Value  []byte `json:"value"`
 }
 
-// Image is the whole state, as snapshots and backups hold it.
+// Image is the complete state, as stored in snapshots and backups.
 type Image struct {
-	History  int64 // grows with each restore; 0: nothing was ever founded
+	History  int64 // increases with each restore; 0: not bootstrapped
 	Revision int64
 	Entries  map[string]Entry
 	Changes  []Change
-	Past     int64 // the changes after this revision are kept
+	Past     int64 `cbor:"Past"` // older changes have been discarded
 	Held     *Held
-	Numbers  int64 // given to what was held back
+	Numbers  int64 `cbor:"Numbers"` // number of the most recent held write
 	Records  map[string]Record
-	Token    int64 // the last one given
+	Token    int64 `cbor:"Token"` // most recent fencing token
 	Replicas map[string]Replica
-	Silent   int64 // Unix ms since when the source of the list says nothing; 0: it speaks, or there is none
+	Silent   int64 `cbor:"Silent"` // Unix ms since when the source of the list has been silent; 0: it is alive, or there is none
 }
 
-// State is the state machine. It is not safe for use by several goroutines at once.
+// State is the replicated state machine. It is not safe for concurrent use.
 type State struct {
 	i        Image
-	mentions int // in the kept changes
+	mentions int // endpoints over all kept changes
 	parts    partIndex
 }
 
-// New is the state before the first command.
+// New returns the state before the first command.
 func New() *State {
 	return &State{i: Image{Entries: map[string]Entry{}, Records: map[string]Record{}, Replicas: map[string]Replica{}}, parts: partIndex{}}
 }
 
-// Load makes a state of an image, which it takes over. One that can't be of this package's making is an error.
+// Load builds a state from an image and takes ownership of it. It rejects an image that no State can have
+// produced.
 func Load(i Image) (*State, error) {
 	if i.Revision < 0 || i.Past < 0 || i.Past > i.Revision || int64(len(i.Changes)) != i.Revision-i.Past || len(i.Entries) > MaxMembers ||
 		len(i.Changes) > MaxChanges || len(i.Records) > MaxRecords || i.History < 0 || i.Token < 0 {
-		return nil, fmt.Errorf("%w: the figures of the image contradict each other", ErrBad)
+		return nil, fmt.Errorf("%w: the counts and revisions of the image are inconsistent", ErrBad)
 	}
 	s := &State{i: i}
 	if s.i.Entries == nil {
@@ -195,7 +199,7 @@
 	}
 	for n, c := range i.Changes {
 		if c.Revision != i.Past+int64(n)+1 {
-			return nil, fmt.Errorf("%w: change %d stands where %d belongs", ErrBad, c.Revision, i.Past+int64(n)+1)
+			return nil, fmt.Errorf("%w: found change %d in place of change %d", ErrBad, c.Revision, i.Past+int64(n)+1)
 		}
 		s.mentions += len(c.Members)
 	}
@@ -213,7 +217,8 @@
 	return s, nil
 }
 
-// Image is a copy of the state. The changes' members and the records' values are shared and never written to.
+// Image copies the state. The members of changes and the values of records are shared; they are never
+// modified.
 func (s *State) Image() Image {
 	i := s.i
 	i.Entries, i.Records, i.Replicas = maps.Clone(i.Entries), maps.Clone(i.Records), maps.Clone(i.Replicas)
@@ -225,47 +230,46 @@
 	return i
 }
 
-// History is the number of the present history; within one, revisions only grow.
+// History returns the number of the current history. Within one history revisions only increase.
 func (s *State) History() int64 { return s.i.History }
 
-// Revision is the list's; 0 until something was written.
+// Revision returns the revision of the list, 0 before the first write.
 func (s *State) Revision() int64 { return s.i.Revision }
 
-// Held is what is held back, or nil.
+// Held returns the write that waits for confirmation, or nil.
 func (s *State) Held() *Held { return s.i.Held }
 
-// Replicas are those that may be part of the service.
+// Replicas returns the replicas that may join the service.
 func (s *State) Replicas() map[string]Replica { return s.i.Replicas }
 
-// Silent is since when the source of the list has said nothing, in Unix ms; 0: the list can be vouched for.
+// SourceSilentSince returns since when the source of the list has been silent, in Unix ms, or 0.
 func (s *State) Silent() int64 { return s.i.Silent }
 
-// Record finds one by its name.
 func (s *State) Record(name string) (Record, bool) {
 	r, ok := s.i.Records[name]
 	return r, ok
 }
 
-// Records are all, in the order of their names.
+// Records returns all records, sorted by name.
 func (s *State) Records() []Record {
 	return slices.SortedFunc(maps.Values(s.i.Records), func(a, b Record) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Entry finds an endpoint by its ID.
+// Entry returns the endpoint with an ID.
 func (s *State) Entry(id string) (Entry, bool) {
 	e, ok := s.i.Entries[id]
 	return e, ok
 }
 
-// Size is how many endpoints are on the list.
+// Size returns the number of listed endpoints.
 func (s *State) Size() int { return len(s.i.Entries) }
 
-// Entries are the endpoints, in the order of their IDs.
+// Entries returns the listed endpoints, sorted by ID.
 func (s *State) Entries() []Entry {
 	return slices.SortedFunc(maps.Values(s.i.Entries), func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Whole is the whole list.
+// FullList returns the complete list.
 func (s *State) Whole() List {
 	l := List{Revision: s.i.Revision, Complete: true, Members: make([]Endpoint, 0, len(s.i.Entries))}
 	for _, e := range s.Entries() {
@@ -274,7 +278,8 @@
 	return l
 }
 
-// Changes are the kept ones after a revision, and whether those are all there were. The caller must not change them.
+// ChangesAfter returns the kept changes after a revision, and whether none of them has been discarded. The
+// caller must not modify them.
 func (s *State) Changes(after int64) ([]Change, bool) {
 	if after < s.i.Past {
 		return s.i.Changes, false
@@ -282,7 +287,8 @@
 	return s.i.Changes[min(after-s.i.Past, int64(len(s.i.Changes))):], true
 }
 
-// Since is what changed after a revision, each endpoint once; the whole list where that is not known or no longer.
+// ListSince returns what changed after a revision, each endpoint once, or the complete list if those changes
+// are unknown or no longer kept.
 func (s *State) Since(after int64) List {
 	changes, all := s.Changes(after)
 	if !all || after > s.i.Revision {
@@ -299,14 +305,14 @@
 			at[m.ID] = len(l.Members)
 			l.Members = append(l.Members, m)
 		}
-		if len(l.Members) > len(s.i.Entries)+100 { // the whole list is shorter
+		if len(l.Members) > len(s.i.Entries)+100 { // the complete list is shorter
 			return s.Whole()
 		}
 	}
 	return l
 }
 
-// Apply carries out a command. It is the only way in which the state changes.
+// Apply applies a command. Nothing else changes the state.
 func (s *State) Apply(c Command) Result {
 	var r Result
 	switch {
@@ -340,7 +346,7 @@
 			s.i.Silent = max(c.At, 1)
 		}
 	default:
-		r.Err = fmt.Errorf("%w: a command that says nothing", ErrBad)
+		r.Err = fmt.Errorf("%w: empty command", ErrBad)
 	}
 	r.Revision = s.i.Revision
 	return r
@@ -348,17 +354,18 @@
 
 func (s *State) found(f Found, at int64) error {
 	if s.i.History != 0 {
-		return fmt.Errorf("%w: it was founded before", ErrConflict)
+		return fmt.Errorf("%w: the service is already bootstrapped", ErrConflict)
 	}
 	s.i.History = max(at, 1)
-	s.i.Token = s.i.History // so that tokens never come again, whatever is restored or lost
+	s.i.Token = s.i.History // fencing tokens never repeat, even after a restore or a loss of data
 	for _, r := range f.Replicas {
 		s.i.Replicas[r.ID] = r
 	}
 	return nil
 }
 
-// restore takes a backup's list and records over. The replicas stay, and nothing that was given out comes again.
+// restore adopts the list and records of a backup. It keeps the replicas, and never reuses a history number
+// or a fencing token.
 func (s *State) restore(i Image, at int64) error {
 	was := s.i
 	next, err := Load(i)
@@ -375,24 +382,24 @@
 	return nil
 }
 
-// checkBase tells whether what a write rests on still stands: for a whole list nothing may have changed, else nothing
-// about the endpoints that it names.
+// checkBase checks the base revision of a write. A write of the complete list requires that nothing has
+// changed since; any other, that none of its own endpoints has.
 func (s *State) checkBase(w Write) error {
 	if w.Base.Any {
 		return nil
 	}
 	if w.Base.History != 0 && w.Base.History != s.i.History {
-		return fmt.Errorf("%w: the list was restored from a backup since", ErrConflict)
+		return fmt.Errorf("%w: the list was restored from a backup", ErrConflict)
 	}
 	if w.Base.Revision > s.i.Revision {
-		return fmt.Errorf("%w: revision %d is not reached, the list is at %d", ErrConflict, w.Base.Revision, s.i.Revision)
+		return fmt.Errorf("%w: base revision %d is ahead of the list's revision %d", ErrConflict, w.Base.Revision, s.i.Revision)
 	}
 	changes, all := s.Changes(w.Base.Revision)
 	if w.Whole && len(changes) > 0 {
-		return fmt.Errorf("%w: the list is at revision %d", ErrConflict, s.i.Revision)
+		return fmt.Errorf("%w: the current revision is %d", ErrConflict, s.i.Revision)
 	}
 	if !all {
-		return fmt.Errorf("%w: revision %d is too old to tell; read the list again", ErrConflict, w.Base.Revision)
+		return fmt.Errorf("%w: base revision %d is older than the kept changes; read the list again", ErrConflict, w.Base.Revision)
 	}
 	named := make(map[string]bool, len(w.Members))
 	for _, m := range w.Members {
@@ -401,7 +408,7 @@
 	for _, c := range changes {
 		for _, m := range c.Members {
 			if named[m.ID] {
-				return fmt.Errorf("%w: endpoint %q at revision %d", ErrConflict, m.ID, c.Revision)
+				return fmt.Errorf("%w: endpoint %q was changed at revision %d", ErrConflict, m.ID, c.Revision)
 			}
 		}
 	}
@@ -415,15 +422,15 @@
 			return 0, fmt.Errorf("%w: %w", ErrBad, err)
 		}
 		if named[m.ID] {
-			return 0, fmt.Errorf("%w: endpoint %q stands there twice", ErrBad, m.ID)
+			return 0, fmt.Errorf("%w: endpoint %q is named twice", ErrBad, m.ID)
 		}
 		named[m.ID] = true
 	}
 	if w.TTL != 0 && (w.TTL < MinTTL || w.TTL > MaxTTL) {
-		return 0, fmt.Errorf("%w: a lease has %d to %d ms", ErrBad, int64(MinTTL), int64(MaxTTL))
+		return 0, fmt.Errorf("%w: the TTL of a lease must be %d to %d ms", ErrBad, int64(MinTTL), int64(MaxTTL))
 	}
 	if len(w.Why) > maxText {
-		return 0, fmt.Errorf("%w: a reason has %d bytes at most", ErrBad, maxText)
+		return 0, fmt.Errorf("%w: the reason exceeds %d bytes", ErrBad, maxText)
 	}
 	if err := s.checkBase(w); err != nil {
 		return 0, err
@@ -431,7 +438,7 @@
 	changed := s.changed(w)
 	if !w.Confirmed && w.Guard > 0 {
 		if gone, of := s.loss(changed); of > 0 && (gone == of || float64(gone) > w.Guard*float64(of)) {
-			if h := s.i.Held; h != nil && sameMembers(h.Write, w) { // it stands since then
+			if h := s.i.Held; h != nil && sameMembers(h.Write, w) { // the same write, held since the first attempt
 				return h.Number, fmt.Errorf("%d of %d serving endpoints would go: %w", gone, of, ErrHeld)
 			}
 			s.i.Numbers++
@@ -439,13 +446,13 @@
 			return s.i.Numbers, fmt.Errorf("%d of %d serving endpoints would go: %w", gone, of, ErrHeld)
 		}
 	}
-	if w.Whole { // a later whole list goes before one that waits
+	if w.Whole { // a newer complete list supersedes the held write
 		s.i.Held = nil
 	}
 	return 0, s.commit(changed, w, c)
 }
 
-// Fits tells whether the list has room for a write, by the write's own bound. What does not fit is ErrFull, here as in Apply.
+// CheckCapacity returns ErrFull if the list has no room for a write, by the same rule as Apply.
 func (s *State) Fits(w Write) error {
 	fresh := 0
 	for _, m := range w.Members {
@@ -456,14 +463,14 @@
 	return s.room(fresh, w.Most)
 }
 
-// room tells whether so many more endpoints fit. A whole list's are counted beside those that go, as ever: what one build
-// refuses the others must.
+// checkCount checks whether the list has room for more endpoints. It counts those of a complete list on top
+// of the ones that the list replaces: builds must not differ in what they accept, and older ones count so.
 func (s *State) room(fresh int, most int64) error {
 	if most <= 0 {
 		most = UsualMembers
 	}
 	if most = min(most, MaxMembers); fresh > 0 && int64(len(s.i.Entries)+fresh) > most {
-		return fmt.Errorf("%w: the list holds %d endpoints at most", ErrFull, most)
+		return fmt.Errorf("%w: the list is limited to %d endpoints", ErrFull, most)
 	}
 	return nil
 }
@@ -474,8 +481,8 @@
 		slices.Equal(slices.SortedFunc(slices.Values(a.Members), byID), slices.SortedFunc(slices.Values(b.Members), byID))
 }
 
-// outlast takes what was changed since out of a write that waits, so that its confirmation does not undo it: a whole list
-// gets it, and changes lose what they would have done to the same endpoints.
+// rebase updates a held write for later changes, so that confirming it does not undo them: a complete list
+// adopts them, a partial write drops its own changes to the same endpoints.
 func (h *Held) outlast(changed []Endpoint) {
 	at := make(map[string]Endpoint, len(changed))
 	for _, m := range changed {
@@ -495,7 +502,7 @@
 	h.Write.Members = members
 }
 
-// changed is what a write changes, in the order of the IDs.
+// effectiveChanges returns the endpoints that a write changes, sorted by ID.
 func (s *State) changed(w Write) []Endpoint {
 	var out []Endpoint
 	named := make(map[string]bool, len(w.Members))
@@ -530,7 +537,7 @@
 	return out
 }
 
-// loss is how many of the serving endpoints a change takes away.
+// servingLoss counts the serving endpoints that a change removes, out of all that serve.
 func (s *State) loss(changed []Endpoint) (gone, of int) {
 	for _, e := range s.i.Entries {
 		if e.Phase == Serving {
@@ -545,7 +552,7 @@
 	return gone, of
 }
 
-// commit makes a revision of a change; what changes nothing makes none.
+// commit records a change as a new revision, unless it is empty.
 func (s *State) commit(changed []Endpoint, w Write, c Command) error {
 	if len(changed) == 0 {
 		return nil
@@ -561,7 +568,7 @@
 	}
 	s.turn(changed, c, w.Why, func(e *Entry) {
 		e.Lapsed = false
-		if w.TTL == 0 { // who writes by hand does not end a lease
+		if w.TTL == 0 { // a write without a lease does not end an existing one
 			e.ByHand = e.Phase == Draining
 		} else {
 			e.TTL = w.TTL
@@ -570,8 +577,8 @@
 	return nil
 }
 
-// turn makes a revision of what has changed, with what else becomes of each entry that stays, and keeps it among the
-// changes, of which it lets go of the oldest beyond the bounds.
+// advance creates the next revision. It lets update set the other fields of each entry that stays, and
+// discards the oldest changes beyond the bounds.
 func (s *State) turn(changed []Endpoint, c Command, why string, also func(*Entry)) {
 	s.i.Revision++
 	moved := []Move{}
@@ -609,14 +616,14 @@
 	if drop > 0 {
 		s.i.Past += int64(drop)
 		clear(s.i.Changes[:drop])
-		s.i.Changes = s.i.Changes[drop:] // append moves the rest to a new array now and then
+		s.i.Changes = s.i.Changes[drop:] // append reallocates from time to time, which frees the discarded part
 	}
 }
 
 func (s *State) confirm(a Confirm, c Command) error {
 	h := s.i.Held
 	if h == nil || h.Number != a.Number {
-		return fmt.Errorf("nothing is held back under number %d: %w", a.Number, ErrUnknown)
+		return fmt.Errorf("held write %d: %w", a.Number, ErrUnknown)
 	}
 	s.i.Held = nil
 	if a.Drop {
@@ -625,8 +632,9 @@
 	return s.commit(s.changed(h.Write), h.Write, c)
 }
 
-// lapses is what becomes of endpoints whose leases ran out: they drain, and go once they have drained. Of a partner no
-// more than the share has lapsed at once, and its last serving endpoint never does.
+// expiredEndpoints returns what becomes of endpoints with expired leases: they drain, and drained ones are
+// removed. At most the given share of a partner's endpoints is expired at once, and never its last serving
+// endpoint.
 func (s *State) lapses(l Lapse) []Endpoint {
 	all, lapsed, serving := map[int]int{}, map[int]int{}, map[int]int{}
 	for _, e := range s.i.Entries {
@@ -661,7 +669,7 @@
 	return changed
 }
 
-// lapse carries that out, and frees records whose holders did not renew.
+// expire drains or removes expired endpoints, and frees records whose holders did not renew.
 func (s *State) lapse(l Lapse, c Command) {
 	if changed := s.lapses(l); len(changed) > 0 {
 		s.turn(changed, c, "leases ran out", func(e *Entry) { e.Lapsed = true })
@@ -679,16 +687,17 @@
 		return 0, fmt.Errorf("%w: %w", ErrBad, err)
 	}
 	if h.TTL != 0 && (h.TTL < MinTTL || h.TTL > MaxTTL) || len(h.Value) > MaxValue {
-		return 0, fmt.Errorf("%w: a record has %d bytes at most and a lease of 0 or %d to %d ms", ErrBad, MaxValue, int64(MinTTL), int64(MaxTTL))
+		return 0, fmt.Errorf("%w: a record is limited to %d bytes, and its lease must be 0 or %d to %d ms", ErrBad, MaxValue, int64(MinTTL), int64(MaxTTL))
 	}
 	r, ok := s.i.Records[h.Name]
 	if !ok && len(s.i.Records) >= MaxRecords {
-		return 0, fmt.Errorf("%w: %d records are kept at most", ErrFull, MaxRecords)
+		return 0, fmt.Errorf("%w: the service is limited to %d records", ErrFull, MaxRecords)
 	}
 	if r.Holder != "" && r.Holder != h.Holder {
 		return r.Token, fmt.Errorf("record %q is held by %q: %w", h.Name, r.Holder, ErrTaken)
 	}
-	// A holder that acquires again has a new token, and its lease anew: the end of the old one may be on its way.
+	// Acquiring again yields a new token and a new lease, because the expiry of the old lease may already be
+	// in the log.
 	s.i.Token++
 	r.Token = s.i.Token
 	r.Name, r.Holder, r.TTL = h.Name, h.Holder, h.TTL
@@ -699,14 +708,14 @@
 	return r.Token, nil
 }
 
-// owned finds a record that the token still holds.
+// heldRecord returns a record if the operation's token is the one that holds it.
 func (s *State) owned(h Hold) (Record, error) {
 	r, ok := s.i.Records[h.Name]
 	switch {
 	case !ok:
 		return r, fmt.Errorf("record %.40q: %w", h.Name, ErrUnknown)
 	case r.Holder == "" || r.Token != h.Token:
-		return r, fmt.Errorf("record %q: token %d does not hold it: %w", h.Name, h.Token, ErrTaken)
+		return r, fmt.Errorf("record %q, token %d: %w", h.Name, h.Token, ErrTaken)
 	}
 	return r, nil
 }
@@ -717,14 +726,14 @@
 		return 0, err
 	}
 	if len(h.Value) > MaxValue {
-		return 0, fmt.Errorf("%w: a record has %d bytes at most", ErrBad, MaxValue)
+		return 0, fmt.Errorf("%w: the value of a record is limited to %d bytes", ErrBad, MaxValue)
 	}
 	r.Value = h.Value
 	s.i.Records[h.Name] = r
 	return r.Token, nil
 }
 
-// release frees a record, whose value stays for the next holder.
+// release frees a record. Its value stays for the next holder.
 func (s *State) release(h Hold) error {
 	r, err := s.owned(h)
 	if err != nil {
--- a/fleet/members/members.go
+++ b/fleet/members/members.go
@@ -1,6 +1,7 @@
-// Package members holds who is in the fleet as one process sees it. It is a pure state machine: what members say of
-// themselves, what a failure detector finds, what the directory lists and the time go in; changes of the view come out.
-// How the statements travel is another package's concern. docs/members.md has the reasons.
+// Package members maintains the membership of the fleet as one process sees it, in the terms of SWIM. It is a
+// pure state machine: statements of members, findings of a failure detector, reads of the directory's record
+// and the time go in, and actions come out. Other packages transport the statements. docs/members.md explains
+// the design.
 package members
 
 import (
@@ -10,26 +11,26 @@
 	"time"
 )
 
-// Stage is how far a member says it is in its life. Within a life it only grows.
+// Stage is the stage of life that a member announces. It never goes back during the life of a process.
 type Stage uint8
 
-// The stages.
+// Stages.
 const (
-	Joining Stage = iota + 1 // it has not heard the others yet, and counts for nothing
+	Joining Stage = iota + 1 // has not heard from the others yet, and is not counted
 	Serving
-	Leaving // it was told to end and still holds messages
-	Gone    // its last words
+	Leaving // was told to stop, but still holds messages
+	Gone    // its last statement
 )
 
-// State is what a view says of a member.
+// State is the state of a member in a view.
 type State uint8
 
-// The states. Counted says which of them are in the fleet's size.
+// States. See Counted for those that count towards the fleet size.
 const (
 	Unknown State = iota
-	NotYet        // it joins
+	NotYet
 	Present
-	Suspect // the detector doubts it, or it has just gone and may be a restart
+	Suspect // in doubt, or just gone and perhaps restarting
 	Departs
 	Left
 	Failed
@@ -39,61 +40,64 @@
 
 func (s State) String() string { return states[s] }
 
-// Counted tells that a member in this state is part of the fleet's size. What may yet send is: a size that is too large
-// makes parts of a limit too small, one that is too small breaks the limit.
+// Counted reports whether members in this state count towards the fleet size: all that may still send. A size
+// that is too large makes each member's part of a limit too small; one that is too small breaks the limit.
 func (s State) Counted() bool { return s == Present || s == Suspect || s == Departs }
 
-// Statement is what a member says of itself. Of two of one name the later one counts; see after.
+// Statement is what a member announces about itself. Of two with the same name the later one wins; see
+// supersedes.
 type Statement struct {
 	Name        string
-	Incarnation uint64 // grows over the lives of a name
-	Count       uint64 // of the statements under this incarnation
-	Life        uint64 // drawn at random by each process; tells two that claim one name apart
-	Born        uint64 // the incarnation that this life began with
+	Incarnation uint64 // increases over the lives of a name
+	Count       uint64 // number of the statement within the incarnation
+	Life        uint64 // random for each process; distinguishes two that claim the same name
+	Born        uint64 // incarnation at the start of this process
 	Addr        string
 	Version     string
-	Can         []string // what the program can do
+	Can         []string // optional features of the program
 	Stage       Stage
-	Held        int    // messages that it holds, while it leaves
-	View        uint64 // Digest of its view
+	Held        int    // messages still held while leaving
+	View        uint64 // digest of its view
 	Epoch       uint64 // of its view
 }
 
-// after orders the statements of a name. Those of two lives under one incarnation are ordered too, so that all who
-// heard both hold the same one.
+// supersedes orders the statements of a name. It also orders those of two processes with the same
+// incarnation, so that all who receive both agree on one.
 func (s Statement) after(o Statement) bool {
 	return cmp.Or(cmp.Compare(s.Incarnation, o.Incarnation), cmp.Compare(s.Life, o.Life), cmp.Compare(s.Count, o.Count)) > 0
 }
 
-// Terms are the times and sizes of a view.
+// Timeouts are the time limits of a view.
 type Terms struct {
-	Grace  time.Duration // a member that has gone is taken for restarting for so long
-	Forget time.Duration // one that has left or failed is remembered for so long; longer than any statement travels
-	Lease  time.Duration // what the witness said counts for so long, and a change of its record only after so long
+	Grace  time.Duration // how long a member that has gone is assumed to be restarting
+	Forget time.Duration // how long one that has left or failed is remembered; must exceed the travel time of any statement
+	Lease  time.Duration // how long a read of the record is valid, and how long a record must be unchanged before it counts
 }
 
-// DefaultTerms suit nodes that are back within seconds of a restart.
+// DefaultTimeouts suit nodes that return within seconds after a restart.
 func DefaultTerms() Terms {
 	return Terms{Grace: 15 * time.Second, Forget: 24 * time.Hour, Lease: 10 * time.Second}
 }
 
-// Event is one piece of news for a view.
+// Event is an input to a view.
 type Event interface{ event() }
 
-// Said brings a statement, of whatever age and in whatever order.
+// StatementReceived brings a statement; they may be old and out of order.
 type Said struct{ Statement }
 
-// Doubted says that the detector has no answer from a member and asks further; Heard that it has one again.
+// Suspected says that the failure detector gets no response from a member and tries other ways. Responded
+// says that it gets one again.
 type (
 	Doubted struct{ Name string }
 	Heard   struct{ Name string }
 )
 
-// Lost says that the detector has given a member up, in the life that it was known in.
+// Unreachable says that the failure detector has given up on a member, in its known life.
 type Lost struct{ Name string }
 
-// Witnessed brings the names of the fleet as the directory's record has them, from a fresh read that was asked for at
-// Asked, and how long they had stood there by the directory's clock. Revision is the record's, 0 if there is none yet.
+// RecordRead brings the fleet's names from a linearizable read of the directory's record. The read was
+// requested at RequestedAt; the names had been unchanged for UnchangedFor by the directory's clock. Revision
+// is that of the record, 0 if there is none yet.
 type Witnessed struct {
 	Names    []string
 	Revision int64
@@ -101,7 +105,7 @@
 	Asked    time.Duration
 }
 
-// Tick is the passing of time alone. Graces and memories end at one, so there should be some a second.
+// Tick marks the passing of time. Timeouts are handled at ticks, so there should be a few per second.
 type Tick struct{}
 
 func (Said) event()      {}
@@ -111,24 +115,24 @@
 func (Witnessed) event() {}
 func (Tick) event()      {}
 
-// Action is what comes of an event.
+// Action is an output of a view.
 type Action interface{ action() }
 
-// Changed says that a member's state is another one.
+// StateChanged reports a member's new state.
 type Changed struct {
 	Name     string
 	From, To State
 	Why      string
 }
 
-// Tell says that the process's own statement is another one, which the others have to hear.
+// Broadcast reports a new statement of this process, which the others must receive.
 type Tell struct{ Statement }
 
-// Remind asks for a statement to be told to the process that now runs under its name: that one has an incarnation which
-// is not above it, so nobody heeds it, and it may not know.
+// SendBack requests to send a statement to the process that now runs under its name. That process has an
+// incarnation that is not larger, so the others ignore it, and it may not know.
 type Remind struct{ Statement }
 
-// Refused says that two processes claim a name, and which of them is to end.
+// NameConflict reports that two processes claim a name, and which of them must end.
 type Refused struct {
 	Name        string
 	Keeps, Ends Statement
@@ -139,32 +143,33 @@
 func (Remind) action()  {}
 func (Refused) action() {}
 
-// Member is what a view holds of one name.
+// Member is a view's knowledge of one name.
 type Member struct {
 	Statement
 	State State
-	Since time.Duration // of the state
-	gone  time.Duration // when it was lost or said its last words; 0: it was not
-	clash uint64        // the life that has claimed the name as well, last; 0: none
+	Since time.Duration // start of the state
+	gone  time.Duration // when it became unreachable or made its last statement; 0: neither
+	clash uint64        // latest other process that has claimed the name; 0: none
 }
 
-// View is the fleet as one process sees it. Its methods are for one goroutine.
+// View is the fleet as seen by one process. It is not safe for concurrent use.
 type View struct {
 	terms   Terms
 	self    Statement
 	now     time.Duration
-	rival   Statement          // the last of another life under the own name that this one went above
-	members map[string]*Member // all others
+	rival   Statement          // latest statement of another process under this process's name, since overtaken
+	members map[string]*Member // all except this process
 	epoch   uint64
 	digest  uint64
-	agreed  time.Duration // since when all that are counted agree; under 0: they don't
-	stale   bool          // the digest is of another view
+	agreed  time.Duration // since when all counted members agree; negative: they do not
+	stale   bool          // the digest is out of date
 	witness Witnessed
 	acts    []Action
 }
 
-// New makes the view of a process that begins to join, with its own first statement. saved is the incarnation that its
-// lasting folder remembers, 0 for none, and wall the wall clock in Unix milliseconds, for a folder that was lost.
+// New creates the view of a process that starts to join, with its first statement. saved is the incarnation
+// from the persistent folder, 0 if there is none; wallMS is the Unix time in ms, which replaces it if the
+// folder was lost.
 func New(terms Terms, self Statement, saved uint64, wall int64, now time.Duration) *View {
 	self.Incarnation, self.Count, self.Stage = max(saved+1, uint64(max(wall, 1))), 1, Joining
 	self.Born = self.Incarnation
@@ -173,10 +178,11 @@
 	return v
 }
 
-// Self is the process's own statement, to be told. Its incarnation has to be kept in the lasting folder before.
+// Self returns the process's current statement. Its incarnation must be saved in the persistent folder before
+// it is sent.
 func (v *View) Self() Statement { return v.self }
 
-// Advance says how far the process itself is, and what it holds. A stage never goes back.
+// Advance sets the stage of this process, which never goes back, and the number of messages that it holds.
 func (v *View) Advance(now time.Duration, stage Stage, held int) []Action {
 	v.begin(now)
 	if stage > v.self.Stage || held != v.self.Held {
@@ -186,7 +192,7 @@
 	return v.end()
 }
 
-// Step takes an event at a time that is not before the last one's.
+// Step handles an event. now must not decrease.
 func (v *View) Step(now time.Duration, ev Event) []Action {
 	v.begin(now)
 	switch ev := ev.(type) {
@@ -198,18 +204,18 @@
 		}
 	case Doubted:
 		if m := v.members[ev.Name]; m != nil && m.State == Present {
-			v.set(m, Suspect, "no answer")
+			v.set(m, Suspect, "no response")
 		}
 	case Heard:
 		if m := v.members[ev.Name]; m != nil && m.Stage < Gone && (m.State == Suspect || m.State == Failed) {
 			m.gone = 0
-			v.set(m, stateOf(m.Stage), "answers again")
+			v.set(m, stateOf(m.Stage), "responds again")
 		}
 	case Lost:
 		if m := v.members[ev.Name]; m != nil && m.gone == 0 && m.State != Failed && m.State != Left {
 			m.gone = max(v.now, 1)
 			if m.State == Present {
-				v.set(m, Suspect, "given up, may be restarting")
+				v.set(m, Suspect, "unreachable, may be restarting")
 			}
 		}
 	case Witnessed:
@@ -224,13 +230,13 @@
 
 func (v *View) begin(now time.Duration) { v.now, v.acts = max(v.now, now), nil }
 
-// end looks at the view as a whole.
+// finish updates what depends on the whole view.
 func (v *View) end() []Action {
 	v.look()
 	return v.acts
 }
 
-// expire lets what has run out do so.
+// expire handles the timeouts that have passed.
 func (v *View) expire() {
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
 		m := v.members[name]
@@ -239,12 +245,12 @@
 			delete(v.members, name)
 		case m.gone > 0 && m.State.Counted() && v.now-m.gone >= v.terms.Grace:
 			if m.Stage >= Leaving {
-				v.set(m, Left, "it said so")
+				v.set(m, Left, "announced")
 			} else {
-				v.set(m, Failed, "given up")
+				v.set(m, Failed, "unreachable")
 			}
 		case m.gone > 0 && m.State == NotYet:
-			v.set(m, Failed, "given up while it joined")
+			v.set(m, Failed, "unreachable while joining")
 		}
 	}
 }
@@ -259,14 +265,14 @@
 	return Departs
 }
 
-// said takes another member's statement.
+// receive handles a statement of another member.
 func (v *View) said(s Statement) {
 	m := v.members[s.Name]
 	if m == nil {
 		m = &Member{Since: v.now}
 		v.members[s.Name] = m
 	} else if !s.after(m.Statement) {
-		if s.Life != m.Life { // a folder and a clock were lost, or this is old news, which does no harm
+		if s.Life != m.Life { // the member has lost its folder and its clock, or the statement is old, which does no harm
 			v.acts = append(v.acts, Remind{m.Statement})
 		}
 		return
@@ -276,14 +282,15 @@
 	v.epoch = max(v.epoch, s.Epoch)
 	switch {
 	case known && s.Life != was.Life:
-		// A new life, or a second process under the name: that shows once the old one speaks again.
+		// This is either a restart, or a second process under the name, which shows when the earlier one
+		// speaks again.
 		if m.clash == s.Life {
 			v.acts = append(v.acts, refusal(was, s))
 		}
 		m.clash = was.Life
 		m.gone = 0
 	case known && s.Incarnation == was.Incarnation && s.Stage == was.Stage:
-		return // news of its view alone; whether it answers is the detector's to say
+		return // only its view has changed; whether it responds is for the failure detector to say
 	}
 	switch {
 	case s.Stage == Gone && m.gone == 0:
@@ -291,18 +298,18 @@
 		if !m.State.Counted() && m.State != Unknown {
 			return
 		}
-		v.set(m, Departs, "its last words")
+		v.set(m, Departs, "announced its end")
 	case s.Stage < Gone:
 		m.gone = 0
-		why := "it says so"
+		why := "announced"
 		if known && s.Incarnation > was.Incarnation {
-			why = "a new life"
+			why = "new process"
 		}
 		v.set(m, stateOf(s.Stage), why)
 	}
 }
 
-// claimed takes a statement under the process's own name that it may have made itself, in this life or another.
+// receiveOwnName handles a statement under this process's name, from this process, an earlier one or a rival.
 func (v *View) claimed(s Statement) {
 	if s.Life == v.self.Life || s.Incarnation < v.self.Incarnation {
 		return
@@ -317,8 +324,8 @@
 	v.restate()
 }
 
-// refusal decides which of two processes of one name ends: the one that has not served yet, else that which began
-// later, so that all who see both decide alike.
+// resolveConflict decides which of two processes with the same name must end: the one that has not served
+// yet, else the one that started later. All who see both decide alike.
 func refusal(a, b Statement) Refused {
 	joins := func(s Statement) int {
 		if s.Stage == Joining {
--- a/fleet/members/members_test.go
+++ b/fleet/members/members_test.go
@@ -13,44 +13,44 @@
 
 const (
 	tick  = 500 * time.Millisecond
-	doubt = 3 // ticks without a way from a member until the detector doubts it,
-	lost  = 8 // and until it gives it up
+	doubt = 3 // ticks without contact to a member after which the detector suspects it
+	lost  = 8 // ticks after which the detector gives up on it
 )
 
 func testTerms() Terms {
 	return Terms{Grace: 6 * time.Second, Forget: time.Hour, Lease: 4 * time.Second}
 }
 
-// process is one process of a name in the fleet below.
+// process is one process of a simulated fleet.
 type process struct {
 	view    *View
 	saved   uint64
-	wall    int64 // its clock's error
+	wall    int64 // error of its clock, in ms
 	up      bool
-	unheard map[int]int // ticks since another was last within reach
+	unheard map[int]int // ticks since the other process was last reachable
 }
 
-// letter is what is on its way to a process.
+// delivery is an event on its way to a process.
 type letter struct {
 	to int
 	at int // tick
 	ev Event
 }
 
-// fleet is some processes, the ways between them and the directory's record, on virtual time.
+// fleet is a set of processes, the links between them and the directory's record, on virtual time.
 type fleet struct {
 	t       interface{ Fatalf(string, ...any) }
-	lies    bool // each reader of the record is told that it has long named its own view
+	lies    bool // each read of the record claims that it has long named the reader's own view
 	rng     *rand.Rand
 	tick    int
 	all     []*process
 	cut     [][]bool // from, to
-	away    []bool   // from the directory
+	away    []bool   // cut off from the directory
 	post    []letter
-	names   []string // of the record
+	names   []string // in the record
 	rev     int64
 	changed int
-	highest map[[2]int]uint64 // incarnation of a member, as a process has seen it
+	highest map[[2]int]uint64 // largest incarnation of a member that a process has seen
 	left    map[[2]int]uint64
 }
 
@@ -58,7 +58,7 @@
 
 func (f *fleet) start(i int, lostFolder bool) {
 	p := f.all[i]
-	for j := range f.all { // it remembers nothing of the others
+	for j := range f.all { // a new process remembers nothing of the others
 		delete(f.highest, [2]int{i, j})
 		delete(f.left, [2]int{i, j})
 	}
@@ -79,7 +79,7 @@
 	for _, a := range p.view.Step(f.now(), ev) {
 		switch a := a.(type) {
 		case Refused:
-			f.t.Fatalf("tick %d: n%d refuses %+v though each name has one process at a time", f.tick, i, a)
+			f.t.Fatalf("tick %d: n%d reports %+v though each name has one process at a time", f.tick, i, a)
 		case Remind:
 			var j int
 			if fmt.Sscanf(a.Name, "n%d", &j); !f.cut[i][j] {
@@ -90,7 +90,8 @@
 	p.saved = p.view.Self().Incarnation
 }
 
-// step is one tick: the detector looks, each process tells one other all that it counts, some read the record.
+// step simulates one tick: failure detectors run, each process sends its statements to one other, and some
+// read the record.
 func (f *fleet) step(loss float64, late int) {
 	f.tick++
 	due := slices.Clone(f.post)
@@ -115,7 +116,7 @@
 				p.unheard[j] = 0
 				continue
 			}
-			switch p.unheard[j]++; p.unheard[j] % lost { // one that it hears of later it looks for as well
+			switch p.unheard[j]++; p.unheard[j] % lost { // the detector also looks for members that it hears of later
 			case doubt:
 				f.give(i, Doubted{fmt.Sprint("n", j)})
 			case 0:
@@ -141,7 +142,7 @@
 	f.check()
 }
 
-// part sets the ways between processes; all reach the directory.
+// setCuts sets the links between processes; all reach the directory again.
 func (f *fleet) part(cut func(from, to int) bool) {
 	for a := range f.all {
 		for b := range f.all {
@@ -167,7 +168,7 @@
 	}
 }
 
-// check holds what is true at any time.
+// check verifies the invariants that hold at any time.
 func (f *fleet) check() {
 	var larger []string
 	for i, p := range f.all {
@@ -179,11 +180,11 @@
 			fmt.Sscanf(m.Name, "n%d", &k)
 			at := [2]int{i, k}
 			if m.Incarnation < f.highest[at] {
-				f.t.Fatalf("tick %d: to n%d the incarnation of %s went back", f.tick, i, m.Name)
+				f.t.Fatalf("tick %d: at n%d the incarnation of %s went back", f.tick, i, m.Name)
 			}
 			f.highest[at] = m.Incarnation
 			if was, ok := f.left[at]; ok && m.State != Left && m.Incarnation <= was {
-				f.t.Fatalf("tick %d: to n%d %s is %v again in the life that it left in", f.tick, i, m.Name, m.State)
+				f.t.Fatalf("tick %d: at n%d %s is %v again in the incarnation in which it left", f.tick, i, m.Name, m.State)
 			}
 			if m.State == Left {
 				f.left[at] = m.Incarnation
@@ -193,7 +194,7 @@
 			continue
 		}
 		if names := p.view.Counted(); larger != nil && !slices.Equal(names, larger) {
-			f.t.Fatalf("tick %d: %v and %v both count as the larger part", f.tick, larger, names)
+			f.t.Fatalf("tick %d: %v and %v are both the larger side", f.tick, larger, names)
 		} else {
 			larger = names
 		}
@@ -209,9 +210,9 @@
 	return f
 }
 
-// Any schedule of cuts (also one way), losses, delays, deaths, restarts with folders and clocks lost, leavings and a
-// directory out of reach: no incarnation goes back, who has left stays away, no two views are the larger part, and some
-// time after the last fault all agree.
+// Under any schedule of cuts (also one-way), losses, delays, crashes, restarts with a lost folder or a wrong
+// clock, departures and an unreachable directory: no incarnation goes back, a member that has left stays
+// away, no two views are SideLarger, and some time after the last fault all agree.
 func TestSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "processes")
@@ -255,18 +256,18 @@
 		}
 		for i, p := range f.all {
 			if share, _ := p.view.Agreement(); p.up && share < 1 {
-				t.Fatalf("40 s after the last fault n%d agrees with %.2f of the others only: %v", i, share, p.view.Counted())
+				t.Fatalf("40 s after the last fault n%d agrees with only %.2f of the others: %v", i, share, p.view.Counted())
 			}
 		}
 	})
 }
 
-// found is told of what check finds.
+// failureRecorder records the last failure that check reports.
 type found struct{ what string }
 
 func (f *found) Fatalf(format string, args ...any) { f.what = fmt.Sprintf(format, args...) }
 
-// The check does find two larger parts where the directory tells each what it would like to hear.
+// The check must find two larger sides if the record tells each process what suits it.
 func TestCheckFindsALyingWitness(t *testing.T) {
 	for seed := range uint64(20) {
 		got := &found{}
@@ -282,10 +283,11 @@
 			return
 		}
 	}
-	t.Error("not found with 20 seeds")
+	t.Error("no two larger sides were found with 20 seeds")
 }
 
-// Two processes that run under one name at a time are found out by both and by the others, and all name the same one.
+// Two processes under one name at the same time must be detected by both and by the others, and all must
+// choose the same one to end.
 func TestTwoProcessesOfOneName(t *testing.T) {
 	at := time.Hour
 	one := New(testTerms(), Statement{Name: "n", Life: 7, Addr: "here"}, 10, 0, at)
@@ -297,7 +299,7 @@
 		for _, a := range acts {
 			if r, ok := a.(Refused); ok {
 				if r.Ends.Addr != "there" {
-					t.Errorf("%s would end the one that serves", who)
+					t.Errorf("%s would end the process that serves", who)
 				}
 				ends[who]++
 			}
@@ -310,11 +312,11 @@
 		note("one", one.Step(at, Said{two.Self()}))
 	}
 	if len(ends) != 3 {
-		t.Errorf("refused by %v", ends)
+		t.Errorf("the conflict was reported by %v", ends)
 	}
 }
 
-// A restart within the grace is no failure and changes no view.
+// A restart within the grace must not count as a failure, and must not change the view.
 func TestRestartWithinTheGrace(t *testing.T) {
 	at := time.Hour
 	v := New(testTerms(), Statement{Name: "me", Life: 1}, 0, 0, at)
@@ -328,11 +330,11 @@
 	v.Step(at+5*time.Second, Said{Statement{Name: "n", Life: 3, Incarnation: 6, Count: 1, Stage: Serving}})
 	v.Step(at+time.Minute, Tick{})
 	if m := v.Members()[0]; m.State != Present || v.digest != digest {
-		t.Errorf("after a restart it is %v", m.State)
+		t.Errorf("after a restart the member is %v", m.State)
 	}
 	v.Step(at+2*time.Minute, Lost{"n"})
 	v.Step(at+3*time.Minute, Tick{})
 	if m := v.Members()[0]; m.State != Failed || v.Size() != 2 || v.Side() != CantTell {
-		t.Errorf("given up for longer it is %v, the size %d, the side %v", m.State, v.Size(), v.Side())
+		t.Errorf("after the grace the member is %v, the size %d, the side %v", m.State, v.Size(), v.Side())
 	}
 }
--- a/fleet/members/view.go
+++ b/fleet/members/view.go
@@ -8,22 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Side is where a process stands when the fleet is in parts.
+// Side is the side of a network partition on which a process is.
 type Side uint8
 
-// The sides. Nobody may take more for itself in CantTell or Smaller than it may in Whole.
+// Sides. With SideUnknown or SideSmaller a process must not take a larger part of a limit than with
+// SideWhole.
 const (
-	Whole    Side = iota // nobody is missing that was not seen to leave
-	Larger               // some are missing, and the witness names this view
-	Smaller              // fewer than half of those known are with it
-	CantTell             // some are missing, and no witness says who is right
+	Whole    Side = iota // no member is missing, except those that have left
+	Larger               // members are missing, and the record names this view
+	Smaller              // fewer than half of the known members are present
+	CantTell             // members are missing, and no record tells which side is the larger one
 )
 
 var sides = [...]string{"whole", "larger", "smaller", "can't tell"}
 
 func (s Side) String() string { return sides[s] }
 
-// look brings the digest and the agreement up to date. A new digest is a new epoch, and is told.
+// updateDigest updates the digest and the agreement. A new digest starts a new epoch and is announced.
 func (v *View) look() {
 	if v.stale {
 		h := xxhash.New()
@@ -46,7 +47,8 @@
 	}
 }
 
-// Counted are the names in the fleet's size, sorted, with the process's own from when it serves until it has gone.
+// Counted returns the sorted names that count towards the fleet size. It includes this process from when it
+// serves until it has exited.
 func (v *View) Counted() []string {
 	var names []string
 	for name, m := range v.members {
@@ -61,7 +63,8 @@
 	return names
 }
 
-// share is the part of the counted others whose view is this one, 1 if there are none.
+// agreementShare returns the share of the other counted members with the same view as this one, 1 if there
+// are none.
 func (v *View) share() float64 {
 	all, same := 0, 0
 	for _, m := range v.members {
@@ -78,8 +81,8 @@
 	return float64(same) / float64(all)
 }
 
-// Agreement tells which part of the counted others hold the same view, and for how long all of them have: 0 while
-// some don't. What they hold is what they said last, so it is as old as their news takes.
+// Agreement returns the share of the other counted members with the same view, and for how long all of them
+// have agreed, 0 if some do not. It is based on their latest statements, and so as old as these.
 func (v *View) Agreement() (share float64, whole time.Duration) {
 	if v.agreed >= 0 {
 		whole = v.now - v.agreed
@@ -87,12 +90,13 @@
 	return v.share(), whole
 }
 
-// Side tells where the process stands. Larger rests on the witness alone, never on counting: two parts that can't hear
-// each other can both count more than half of a fleet that they remember differently. The record names one view at a
-// time, and a change of it counts only when what was read of the one before no longer does, so no two views are Larger
-// at once, whatever the clocks show, as long as they run at about one pace.
+// Side returns the side of this process. SideLarger depends on the record only, never on counting: two sides
+// that can't reach each other may both count more than half of a fleet that they remember differently. The
+// record names one view at a time, and a change counts only when reads of the previous value have expired. So
+// no two views are SideLarger at the same time, whatever the clocks show, as long as they run at about the
+// same rate.
 func (v *View) Side() Side {
-	here, known := 1, 1 // the process itself
+	here, known := 1, 1 // this process
 	for _, m := range v.members {
 		if m.State == Left || m.State == NotYet || m.State == Unknown {
 			continue
@@ -114,9 +118,9 @@
 	return CantTell
 }
 
-// Proposal are the names that this process would have the record hold, if it has any to propose: those of a view that
-// all in it have agreed on for a while, with more than half of those whom the record names. The record has to be
-// written on the revision that was read, or not at all.
+// Proposal returns the names that this process would write to the record, if any: those of a view on which
+// all its members have agreed for a while, with more than half of the names in the record. The write must be
+// conditional on the revision that was read.
 func (v *View) Proposal() (names []string, on int64, ok bool) {
 	names = v.Counted()
 	kept := 0
@@ -131,8 +135,8 @@
 	return names, v.witness.Revision, ok
 }
 
-// Size is the number of members that parts of a limit are made for: the careful side, so in anything but a whole or
-// larger part those count as well that have failed and are not forgotten.
+// EffectiveSize returns the number of members among which limits are divided. It errs on the safe side: on a
+// smaller or unknown side it also counts failed members that are not forgotten yet.
 func (v *View) Size() int {
 	size := len(v.Counted())
 	if side := v.Side(); side == Smaller || side == CantTell {
@@ -145,7 +149,7 @@
 	return max(size, 1)
 }
 
-// Members are all names that the view remembers, the process's own left out, sorted.
+// Members returns all known members except this process, sorted by name.
 func (v *View) Members() []Member {
 	var all []Member
 	for _, name := range slices.Sorted(maps.Keys(v.members)) {
--- a/internal/directory/admin.go
+++ b/internal/directory/admin.go
@@ -15,32 +15,32 @@
 	"starlingusher/fleet/catalog"
 )
 
-// Status is what a replica tells of itself.
+// Status is the status of a replica.
 type Status struct {
 	ID        string        `json:"id"`
-	Founded   bool          `json:"founded"` // it is, or was, part of a service
+	Founded   bool          `json:"founded"` // is or was a member of a service
 	State     string        `json:"state"`   // leader, follower, candidate, shutdown or beginning
-	Leader    string        `json:"leader"`  // empty: none is known
-	Fresh     bool          `json:"fresh"`   // the leader's word as of now
+	Leader    string        `json:"leader"`  // empty: unknown
+	Fresh     bool          `json:"fresh"`   // the replica leads and is current
 	History   int64         `json:"history"`
 	Revision  int64         `json:"revision"`
 	Endpoints int           `json:"endpoints"`
-	AgeMS     int64         `json:"age_ms"` // since the leader was last heard of
+	AgeMS     int64         `json:"age_ms"` // since the last contact with the leader
 	Watches   int           `json:"watches"`
 	Held      *catalog.Held `json:"held,omitempty"`
-	SilentMS  int64         `json:"silent_since_ms,omitempty"` // Unix time since when the source of the list says nothing
+	SilentMS  int64         `json:"silent_since_ms,omitempty"` // Unix ms since when the source of the list has been silent
 	Follows   string        `json:"follows,omitempty"`
-	Map       int64         `json:"map,omitempty"`       // number of the map of partitions in force; 0: none
-	MapWrong  string        `json:"map_wrong,omitempty"` // why the record's present value is not in force
+	Map       int64         `json:"map,omitempty"`       // number of the partition map in force; 0: none
+	MapWrong  string        `json:"map_wrong,omitempty"` // why the current value of the map's record is not in force
 	Applied   uint64        `json:"applied"`
 	Members   []MemberState `json:"members"`
 }
 
-// MemberState is a replica of the service.
+// MemberState is a replica of the service and its role in Raft.
 type MemberState struct {
 	catalog.Replica
 	Votes bool `json:"votes"`
-	In    bool `json:"in"` // Raft counts it; else it is only invited
+	In    bool `json:"in"` // part of Raft's configuration; otherwise it is only allowed to join
 }
 
 func (s *Server) status(w http.ResponseWriter, req *http.Request) {
@@ -83,7 +83,7 @@
 	limit, err2 := number(q.Get("limit"), defaultTurns)
 	if err := errors.Join(err, err2); err != nil || limit < 1 || limit > maxHistory {
 		if err == nil {
-			err = fmt.Errorf("limit is 1 to %d", maxHistory)
+			err = fmt.Errorf("limit must be 1 to %d", maxHistory)
 		}
 		wrong(w, http.StatusBadRequest, err)
 		return
@@ -91,7 +91,7 @@
 	var out Changes
 	s.r.ledger.read(func(c *catalog.State) {
 		out.History, out.Revision = c.History(), c.Revision()
-		if after < 0 { // the last ones
+		if after < 0 { // the latest changes
 			after = max(c.Revision()-limit, 0)
 		}
 		out.Changes, out.All = c.Changes(after)
@@ -100,7 +100,8 @@
 	answer(w, http.StatusOK, out)
 }
 
-// backup hands out the state, as of now if the caller wants that, else as this replica has it.
+// serveBackup sends a backup of the current state if the request asks for a fresh one, else of this replica's
+// state.
 func (s *Server) backup(w http.ResponseWriter, req *http.Request) {
 	if s.elsewhere(w, req) {
 		return
@@ -130,7 +131,7 @@
 	}
 	s.command(w, req, raw, func() (catalog.Command, error) {
 		if n, most := len(image.Entries), s.r.cfg.List.Most; n > most {
-			return catalog.Command{}, fmt.Errorf("%w: the backup has %d endpoints, the list holds %d at most", catalog.ErrFull, n, most)
+			return catalog.Command{}, fmt.Errorf("%w: the backup has %d endpoints, the list is limited to %d", catalog.ErrFull, n, most)
 		}
 		return catalog.Command{Restore: &image}, nil
 	})
@@ -163,7 +164,7 @@
 	}
 }
 
-// invite lets a replica join.
+// serveAddReplica allows a replica to join.
 func (s *Server) invite(w http.ResponseWriter, req *http.Request) {
 	raw, ok := body(w, req, maxWrite)
 	if !ok {
@@ -175,20 +176,20 @@
 			return catalog.Command{}, err
 		}
 		if rep.ID != req.PathValue("id") || rep.HTTP == "" || rep.Raft == "" {
-			return catalog.Command{}, errors.New("id (the path's), http and raft are needed")
+			return catalog.Command{}, errors.New("id (as in the path), http and raft are required")
 		}
 		return catalog.Command{Invite: &rep}, nil
 	})
 }
 
-// dismiss takes a replica out: it may not join again, and Raft no longer counts it.
+// serveRemoveReplica removes a replica from Raft's configuration and forbids it to join again.
 func (s *Server) dismiss(w http.ResponseWriter, req *http.Request) {
 	if s.passOn(w, req, nil) {
 		return
 	}
 	id := req.PathValue("id")
 	if id == s.r.cfg.ID {
-		wrong(w, http.StatusConflict, fmt.Errorf("replica %q leads; end its process first, so that another does", id))
+		wrong(w, http.StatusConflict, fmt.Errorf("replica %q leads; stop its process first, so that another one leads", id))
 		return
 	}
 	s.command(w, req, nil, func() (catalog.Command, error) {
--- a/internal/directory/admit.go
+++ b/internal/directory/admit.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// longestReturn is the most that one who is turned away is told to wait.
+// maxRetryAfter bounds the delay that a refused client is told to wait.
 const longestReturn = 60 * time.Second
 
-// admission lets in so many asks a second, and gives those that it turns away a time of their own to come back at, one
-// behind the other at that rate. It is safe for concurrent use.
+// admission is a token bucket. It also assigns each refused request its own time to retry, spaced by the same
+// rate. It is safe for concurrent use.
 type admission struct {
-	rate  float64 // a second
+	rate  float64 // per second
 	burst float64
 
 	mu     sync.Mutex
 	tokens float64
 	last   time.Time
-	booked time.Time // up to which returns have been given out
+	booked time.Time // end of the retry times assigned so far
 }
 
 func newAdmission(rate float64, burst int) *admission {
 	return &admission{rate: rate, burst: float64(burst), tokens: float64(burst)}
 }
 
-// admit takes an ask of a cost in, or tells when to come back.
+// admit admits a request of a given cost, or returns after which delay to retry.
 func (a *admission) admit(cost float64, now time.Time) (ok bool, back time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -42,5 +42,5 @@
 	return false, min(a.booked.Sub(now), longestReturn)
 }
 
-// retryAfter is the header's form of a pause: whole seconds, 1 at least.
+// retryAfterSeconds rounds a delay up to the whole seconds of a Retry-After header, at least 1.
 func retryAfter(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
--- a/internal/directory/code.go
+++ b/internal/directory/code.go
@@ -12,12 +12,12 @@
 	"starlingusher/fleet/catalog"
 )
 
-// What is kept on a disk stands behind a mark and the hash of its bytes, so that damage is seen as such.
+// Stored data begins with a mark and a hash of its bytes, so that damage is detected.
 const (
 	commandMark = "cmd1"
 	backupMark  = "bak1"
 	sealLen     = 4 + 8
-	maxBackup   = 1 << 30 // bytes; catalog.MaxMembers endpoints of some 170 bytes are a third of it
+	maxBackup   = 1 << 30 // bytes; catalog.MaxEndpoints endpoints of about 170 bytes take a third of it
 	maxCommand  = 64 << 20
 )
 
@@ -28,7 +28,7 @@
 		MaxNestedLevels: 16, MaxArrayElements: 2 * catalog.MaxMembers, MaxMapPairs: 2 * catalog.MaxMembers, DupMapKey: cbor.DupMapKeyEnforcedAPF,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options stand above
+		panic(err) // the options are constants
 	}
 	return m
 }()
@@ -46,11 +46,11 @@
 
 func unseal(mark string, raw []byte, v any) error {
 	if len(raw) < sealLen || string(raw[:4]) != mark {
-		return fmt.Errorf("%w: it does not begin as one of ours", errDamaged)
+		return fmt.Errorf("%w: unknown file type", errDamaged)
 	}
 	body := raw[sealLen:]
 	if binary.BigEndian.Uint64(raw[4:]) != xxhash.Sum64(body) {
-		return fmt.Errorf("%w: its bytes are not those that were written", errDamaged)
+		return fmt.Errorf("%w: checksum mismatch", errDamaged)
 	}
 	if err := decoding.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("%w: %w", errDamaged, err)
@@ -58,10 +58,10 @@
 	return nil
 }
 
-// EncodeBackup writes a state's image as backups and snapshots hold it.
+// EncodeBackup encodes an image for a backup or a snapshot.
 func EncodeBackup(i catalog.Image) ([]byte, error) { return seal(backupMark, i) }
 
-// DecodeBackup reads one. What is damaged, or can't be a state, is an error.
+// DecodeBackup decodes a backup. It rejects damaged data and images that no state can have produced.
 func DecodeBackup(r io.Reader) (catalog.Image, error) {
 	var i catalog.Image
 	raw, err := io.ReadAll(io.LimitReader(r, maxBackup+1))
@@ -69,7 +69,7 @@
 		return i, fmt.Errorf("backup: %w", err)
 	}
 	if len(raw) > maxBackup {
-		return i, fmt.Errorf("backup: more than %d MB", maxBackup>>20)
+		return i, fmt.Errorf("backup: larger than %d MB", maxBackup>>20)
 	}
 	if err := unseal(backupMark, raw, &i); err != nil {
 		return i, fmt.Errorf("backup: %w", err)
@@ -80,7 +80,7 @@
 	return i, nil
 }
 
-// sealed tells whether a command is as it was written.
+// isIntactCommand reports whether an encoded command is undamaged.
 func sealed(raw []byte) bool {
 	return len(raw) >= sealLen && string(raw[:4]) == commandMark && binary.BigEndian.Uint64(raw[4:]) == xxhash.Sum64(raw[sealLen:])
 }
--- a/internal/directory/config.go
+++ b/internal/directory/config.go
@@ -1,5 +1,6 @@
-// Package directory is the list service: replicas that agree by Raft on the state of package catalog, and serve it to
-// nodes and operators. A replica owns its folder, its two addresses and all that it starts, from Open to Close.
+// Package directory implements the list service: replicas that agree on the state of package catalog by means
+// of Raft, and serve it to nodes and operators. From Open to Close a replica owns its folder, its two
+// addresses and everything that it starts.
 package directory
 
 import (
@@ -12,49 +13,49 @@
 	"starlingusher/internal/settings"
 )
 
-// Config is what a replica is told. Its zero values are replaced by Defaults'.
+// Config is the configuration of a replica. Defaults provides the values that a file leaves out.
 type Config struct {
 	ID   string `toml:"id"`
-	HTTP string `toml:"http"` // where nodes, operators and other replicas reach it
-	Raft string `toml:"raft"` // where other replicas reach it; empty: it is alone
+	HTTP string `toml:"http"` // address for nodes, operators and other replicas
+	Raft string `toml:"raft"` // address for other replicas; empty: this is the only replica
 	Data string `toml:"data"` // its folder
-	// Addresses to listen on, where they are not those by which others reach it.
+	// Addresses to listen on, if they differ from those above.
 	BindHTTP string `toml:"bind_http"`
 	BindRaft string `toml:"bind_raft"`
 
 	Peers []Peer `toml:"peer"` // the other replicas
 
 	Watch struct {
-		Lag  int `toml:"lag_kb"` // of changes that a watcher has not read, before it is cut
-		Most int `toml:"most"`   // watches at once
+		Lag  int `toml:"lag_kb"` // changes that a watch may lag behind before it is cut
+		Most int `toml:"most"`   // open watches
 	} `toml:"watch"`
 	List struct {
 		Most int `toml:"most"` // endpoints
 	} `toml:"list"`
 	Asks struct {
-		Rate  float64 `toml:"rate"`  // whole lists and new watches a second
-		Burst int     `toml:"burst"` // at once
+		Rate  float64 `toml:"rate"`  // complete lists and new watches per second
+		Burst int     `toml:"burst"` // burst size of the rate limit
 	} `toml:"asks"`
 	Guard struct {
-		Share float64  `toml:"share"` // of the serving endpoints that may go at once unconfirmed
-		Stand Duration `toml:"stand"` // after which it happens all the same; "0s": never
+		Share float64  `toml:"share"` // of the serving endpoints that may be removed at once without confirmation
+		Stand Duration `toml:"stand"` // after which a held write is applied without confirmation; "0s": never
 	} `toml:"guard"`
 	Lease struct {
-		Share float64  `toml:"share"` // of a partner's endpoints that may have lapsed at once
-		Drain Duration `toml:"drain"` // from an endpoint's lapse until it goes
+		Share float64  `toml:"share"` // of a partner's endpoints that may be expired at once
+		Drain Duration `toml:"drain"` // from the expiry of an endpoint's lease until its removal
 	} `toml:"lease"`
 	Follow struct {
-		Discovery string `toml:"discovery"` // the platform's; empty: the list is kept here
+		Discovery string `toml:"discovery"` // address of the platform's discovery; empty: the list is maintained here
 	} `toml:"follow"`
 	Reports struct {
-		To string `toml:"to"` // HOST:PORT that takes notices; empty: they are kept in the folder
+		To string `toml:"to"` // HOST:PORT that receives notices; empty: they are stored in the folder
 	} `toml:"reports"`
 	Snapshot struct {
-		Every    int      `toml:"every"` // commands
+		Every    int      `toml:"every"` // commands between snapshots
 		Trailing int      `toml:"trailing"`
 		Interval Duration `toml:"interval"`
 	} `toml:"snapshot"`
-	Election Duration `toml:"election"` // without a leader for so long, another is sought
+	Election Duration `toml:"election"` // election timeout
 }
 
 // Peer is another replica.
@@ -64,23 +65,23 @@
 	Raft string `toml:"raft"`
 }
 
-// Duration is a time span as TOML writes it, such as "2s".
+// Duration is a time span in TOML, such as "2s".
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads one.
+// UnmarshalText parses a duration that is not negative.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
 		return err
 	}
 	if v < 0 {
-		return fmt.Errorf("%s is less than nothing", b)
+		return fmt.Errorf("duration %s is negative", b)
 	}
 	d.Duration = v
 	return nil
 }
 
-// Defaults are the settings of one replica alone.
+// Defaults returns the settings of a single replica.
 func Defaults() Config {
 	var c Config
 	c.ID, c.HTTP, c.Data = "directory", "127.0.0.1:8600", "directory-data"
@@ -94,7 +95,8 @@
 	return c
 }
 
-// LoadConfig reads a file over the defaults. An unknown name or a value that can't be is an error with its line.
+// LoadConfig reads a file on top of the defaults. The error for an unknown name or an invalid value contains
+// its line.
 func LoadConfig(path string) (Config, error) {
 	c := Defaults()
 	if err := settings.Load(path, &c); err != nil {
@@ -106,7 +108,7 @@
 	return c, nil
 }
 
-// Check tells all that is wrong with a configuration.
+// Validate returns all errors of a configuration.
 func (c *Config) Check() error {
 	var errs []error
 	wrong := func(is bool, format string, args ...any) {
@@ -122,7 +124,7 @@
 		wrong(err != nil, "%s %q is not HOST:PORT", name, v)
 	}
 	wrong(c.ID == "" || len(c.ID) > catalog.MaxName, "id is missing or too long")
-	wrong(c.Data == "", "data, the folder, is missing")
+	wrong(c.Data == "", "data (the folder) is missing")
 	address("http", c.HTTP, true)
 	address("raft", c.Raft, len(c.Peers) > 0)
 	address("bind_http", c.BindHTTP, false)
@@ -131,19 +133,19 @@
 	address("reports.to", c.Reports.To, false)
 	seen := map[string]bool{c.ID: true}
 	for _, p := range c.Peers {
-		wrong(p.ID == "" || seen[p.ID], "peer %q: its id is missing or another's", p.ID)
+		wrong(p.ID == "" || seen[p.ID], "peer %q: its id is missing or used twice", p.ID)
 		seen[p.ID] = true
 		address("http of peer "+p.ID, p.HTTP, true)
 		address("raft of peer "+p.ID, p.Raft, true)
 	}
-	wrong(len(c.Peers)%2 == 1, "there are %d replicas; an even number survives no more losses than one fewer", len(c.Peers)+1)
-	wrong(c.Watch.Lag < 1 || c.Watch.Most < 1, "watch.lag_kb and watch.most are 1 or more")
-	wrong(c.List.Most < 1 || c.List.Most > catalog.MaxMembers, "list.most is 1 to %d", catalog.MaxMembers)
-	wrong(!(c.Asks.Rate > 0) || c.Asks.Burst < 1, "asks.rate and asks.burst are more than 0")
-	wrong(!(c.Guard.Share > 0 && c.Guard.Share <= 1), "guard.share is more than 0 and at most 1")
-	wrong(!(c.Lease.Share >= 0 && c.Lease.Share <= 1), "lease.share is 0 to 1")
-	wrong(c.Snapshot.Every < 1 || c.Snapshot.Trailing < 0 || c.Snapshot.Interval.Duration <= 0, "snapshot.every and interval are more than 0, trailing 0 or more")
-	wrong(c.Election.Duration < 50*time.Millisecond, "election is 50ms or more")
+	wrong(len(c.Peers)%2 == 1, "there are %d replicas; an even number tolerates no more failures than one fewer", len(c.Peers)+1)
+	wrong(c.Watch.Lag < 1 || c.Watch.Most < 1, "watch.lag_kb and watch.most must be at least 1")
+	wrong(c.List.Most < 1 || c.List.Most > catalog.MaxMembers, "list.most must be 1 to %d", catalog.MaxMembers)
+	wrong(!(c.Asks.Rate > 0) || c.Asks.Burst < 1, "asks.rate and asks.burst must be above 0")
+	wrong(!(c.Guard.Share > 0 && c.Guard.Share <= 1), "guard.share must be above 0 and at most 1")
+	wrong(!(c.Lease.Share >= 0 && c.Lease.Share <= 1), "lease.share must be 0 to 1")
+	wrong(c.Snapshot.Every < 1 || c.Snapshot.Trailing < 0 || c.Snapshot.Interval.Duration <= 0, "snapshot.every and snapshot.interval must be above 0, snapshot.trailing must not be negative")
+	wrong(c.Election.Duration < 50*time.Millisecond, "election must be at least 50ms")
 	return errors.Join(errs...)
 }
 
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -32,12 +32,12 @@
 	goleak.VerifyTestMain(m)
 }
 
-// eventually waits for what must come; the time is only for a test that hangs.
+// eventually waits for a condition. The time limit only ends a test that hangs.
 func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s has not come", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	return ln.Addr().String()
 }
 
-// one is a replica of a test, which may be ended and started again.
+// testReplica is a replica that can be stopped and started again.
 type one struct {
 	t   *testing.T
 	cfg Config
@@ -72,7 +72,7 @@
 	}
 }
 
-// fullStore is a log that can't be written while it is full.
+// fullStore is a log whose writes fail while full is set.
 type fullStore struct {
 	raft.LogStore
 	full *atomic.Bool
@@ -100,7 +100,7 @@
 	return &Operator{Addresses: []string{o.cfg.HTTP}, Wait: 20 * time.Second}
 }
 
-// replicas starts so many, with empty folders.
+// startReplicas starts n replicas with empty folders.
 func replicas(t *testing.T, n int, set func(*Config)) []*one {
 	all := make([]*one, n)
 	for i := range all {
@@ -141,7 +141,7 @@
 	return w
 }
 
-// lines reads a watch's lists as they come.
+// watchLists returns the lists that a watch receives.
 func lines(t *testing.T, o *one, query string) (<-chan catalog.List, func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -185,12 +185,12 @@
 	op.Wait = 0
 	eventually(t, "the leader", o.r.settled)
 	if _, _, _, err := op.List(t.Context(), false); !errors.Is(err, ErrRefused) {
-		t.Errorf("a list that was never written was told: %v", err)
+		t.Errorf("an unwritten list was served: %v", err)
 	}
 	put(t, o, "*", endpoint("a", catalog.Serving), endpoint("b", catalog.Serving))
 	news, end := lines(t, o, "&after=0")
 	if l := <-news; !l.Complete || l.Revision != 1 || len(l.Members) != 2 {
-		t.Errorf("first: %+v", l)
+		t.Errorf("first list: %+v", l)
 	}
 	l, match, _, err := op.List(t.Context(), true)
 	if err != nil || l.Revision != 1 {
@@ -200,13 +200,13 @@
 		t.Fatal(err)
 	}
 	if l := <-news; l.Complete || l.Revision != 2 || len(l.Members) != 1 || l.Members[0].Phase != catalog.Draining {
-		t.Errorf("then: %+v", l)
+		t.Errorf("second list: %+v", l)
 	}
 	if _, err := op.Put(t.Context(), []catalog.Endpoint{endpoint("a", catalog.Serving)}, false, false, match); !errors.Is(err, catalog.ErrConflict) {
-		t.Errorf("a drain was undone by one who did not know of it: %v", err)
+		t.Errorf("a write based on an older list undid a drain: %v", err)
 	}
 	if _, err := op.Put(t.Context(), []catalog.Endpoint{endpoint("c", catalog.Serving)}, true, false, "*"); !errors.Is(err, catalog.ErrHeld) {
-		t.Errorf("a shrunk list was taken: %v", err)
+		t.Errorf("a write that removes most endpoints was accepted: %v", err)
 	}
 	st, err := op.Status(t.Context())
 	if err != nil || st.Held == nil {
@@ -236,26 +236,26 @@
 	news, end = lines(t, o, "&after=10")
 	defer end()
 	if l := <-news; l.Complete || l.Revision != 12 || len(l.Members) != 2 {
-		t.Errorf("resumed over a restart and a snapshot: %+v", l)
+		t.Errorf("resumed across a restart and a snapshot: %+v", l)
 	}
 	if _, err := op.Restore(t.Context(), saved); err != nil {
 		t.Fatal(err)
 	}
 	if _, more := <-news; more {
-		t.Error("a watch went on into another history")
+		t.Error("a watch continued into another history")
 	}
 	again, end2 := lines(t, o, fmt.Sprintf("&after=12&history=%d", image.History))
 	defer end2()
 	if l := <-again; !l.Complete || l.Revision != 2 || len(l.Members) != 2 {
 		t.Errorf("after a restore: %+v", l)
 	}
-	plain, end3 := lines(t, o, "&after=12") // by the platform's protocol alone
+	plain, end3 := lines(t, o, "&after=12") // without a history, as in the platform's protocol
 	defer end3()
 	if l := <-plain; !l.Complete || l.Revision != 2 {
-		t.Errorf("after a restore, to one who knows no history: %+v", l)
+		t.Errorf("after a restore, without a history: %+v", l)
 	}
 	if _, err := op.Restore(t.Context(), saved[:len(saved)-1]); err == nil {
-		t.Error("a damaged backup was taken")
+		t.Error("a damaged backup was accepted")
 	}
 }
 
@@ -272,16 +272,16 @@
 		}
 		return n
 	}
-	eventually(t, "three votes", func() bool { return voters(all[0]) == 3 })
-	for i := range 9 { // to any replica
+	eventually(t, "three voters", func() bool { return voters(all[0]) == 3 })
+	for i := range 9 { // through any replica
 		if w := put(t, all[i%3], "*", endpoint(fmt.Sprint("e", i), catalog.Serving)); w.Revision != int64(i+1) {
-			t.Fatalf("write %d made revision %d", i, w.Revision)
+			t.Fatalf("write %d created revision %d", i, w.Revision)
 		}
 	}
-	for _, o := range all { // a write may rest on what any replica has told
+	for _, o := range all { // a write may be based on a list read from any replica
 		l, match, _, err := o.operator().List(t.Context(), true)
 		if err != nil || match == "" || l.Revision != 9 {
-			t.Errorf("a fresh read at %s: revision %d, to rest on %q, %v", o.cfg.ID, l.Revision, match, err)
+			t.Errorf("a fresh read at %s: revision %d, If-Match %q, %v", o.cfg.ID, l.Revision, match, err)
 		}
 	}
 	lead := func() *one {
@@ -300,11 +300,11 @@
 	old.stop()
 	next := lead()
 	put(t, next, "*", endpoint("late", catalog.Serving))
-	if err := os.RemoveAll(old.cfg.Data); err != nil { // its folder is lost
+	if err := os.RemoveAll(old.cfg.Data); err != nil { // loses its folder
 		t.Fatal(err)
 	}
 	old.start()
-	eventually(t, "the lost one", func() bool { return voters(next) == 3 && old.s.statusNow(false).Revision == 10 })
+	eventually(t, "the replica that lost its folder", func() bool { return voters(next) == 3 && old.s.statusNow(false).Revision == 10 })
 	other := all[0]
 	for _, o := range all {
 		if o != old && o != next {
@@ -321,9 +321,9 @@
 		t.Fatal(err)
 	}
 	other.start()
-	eventually(t, "the one with the damaged log", func() bool { return voters(lead()) == 3 && other.s.statusNow(false).Revision == 10 })
+	eventually(t, "the replica with the damaged log", func() bool { return voters(lead()) == 3 && other.s.statusNow(false).Revision == 10 })
 
-	// One goes for good, and another comes in its place; the one that was taken out ends by itself.
+	// A replica is replaced for good by another one; the removed replica ends by itself.
 	left := lead()
 	out := other
 	if out == left {
@@ -341,10 +341,10 @@
 	}
 	fresh.start()
 	t.Cleanup(fresh.stop)
-	eventually(t, "the new one", func() bool { return voters(lead()) == 3 && fresh.s.statusNow(false).Revision == 10 })
+	eventually(t, "the new replica", func() bool { return voters(lead()) == 3 && fresh.s.statusNow(false).Revision == 10 })
 	out.start()
 	if err := <-out.r.Failed(); !errors.Is(err, ErrRemoved) {
-		t.Errorf("one that was taken out ends with %v", err)
+		t.Errorf("the removed replica ended with %v", err)
 	}
 	out.stop()
 	all = []*one{fresh, left}
@@ -360,7 +360,7 @@
 			o.stop()
 		}
 	}
-	eventually(t, "the end of its lead", func() bool { return !left.r.leads() })
+	eventually(t, "the end of its leadership", func() bool { return !left.r.leads() })
 	op := left.operator()
 	op.Wait = 0
 	if _, err := op.Put(t.Context(), []catalog.Endpoint{endpoint("z", catalog.Serving)}, false, false, "*"); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "no leader") {
@@ -376,11 +376,11 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("one that is behind the caller answers %s", resp.Status)
+		t.Errorf("a replica behind the caller responds %s", resp.Status)
 	}
 }
 
-// A follower whose disk is full falls behind, and catches up once it is not.
+// A follower whose disk is full must catch up once the disk has space again.
 func TestFollowerCatchesUpAfterAFullDisk(t *testing.T) {
 	all := replicas(t, 3, nil)
 	voters := func() (n int, lead *one) {
@@ -396,7 +396,7 @@
 		}
 		return n, lead
 	}
-	eventually(t, "three votes at each", func() bool { n, lead := voters(); return n == 9 && lead != nil })
+	eventually(t, "three voters at each replica", func() bool { n, lead := voters(); return n == 9 && lead != nil })
 	_, lead := voters()
 	follower := all[0]
 	if follower == lead {
@@ -415,7 +415,7 @@
 					t.Error(err)
 				}
 				mu.Unlock()
-				if w == 0 { // it fills, and is cleared, again and again while calls are under way
+				if w == 0 { // the disk fills and is cleared repeatedly while calls are in flight
 					follower.full.Store(i%2 == 0)
 				}
 			}
@@ -426,7 +426,7 @@
 	eventually(t, "the follower", func() bool { at, _ := follower.r.ledger.at(); return at.revision == last })
 }
 
-// A watcher that does not read is cut, and nobody else notices.
+// A watch whose client does not read must be cut, without any effect on others.
 func TestWatcherThatDoesNotReadIsCut(t *testing.T) {
 	o := replicas(t, 1, func(c *Config) { c.Watch.Lag = 64 })[0]
 	big := func(i int) []catalog.Endpoint {
@@ -453,12 +453,12 @@
 	for i := 1; o.s.Watching() == 2; i++ {
 		last = put(t, o, "*", big(i)...).Revision
 		if i > 3000 {
-			t.Fatal("the watcher that does not read is kept")
+			t.Fatal("the watch that does not read was not cut")
 		}
 	}
 	for rev := int64(1); rev <= last; rev++ {
 		if l, ok := <-news; !ok || l.Revision != rev {
-			t.Fatalf("the other watch was told revision %d where %d was due", l.Revision, rev)
+			t.Fatalf("the other watch received revision %d, want %d", l.Revision, rev)
 		}
 	}
 }
@@ -497,32 +497,32 @@
 		})
 		return p
 	}
-	eventually(t, "the end of the one that does not renew", func() bool { return phase("gone") == "" })
+	eventually(t, "the removal of the endpoint that does not renew", func() bool { return phase("gone") == "" })
 	if phase("stays") != catalog.Serving || phase("fixed") != catalog.Serving {
-		t.Errorf("the others: %q, %q", phase("stays"), phase("fixed"))
+		t.Errorf("phases of the other endpoints: %q, %q", phase("stays"), phase("fixed"))
 	}
 	close(stop)
 	<-done
 	if raw, _, err := op.Do(t.Context(), http.MethodGet, "/metrics", "", nil); err != nil || !strings.Contains(string(raw), "directory_revision ") ||
 		!strings.Contains(string(raw), `directory_write_seconds_count{result="done"}`) {
-		t.Errorf("the figures: %.300s, %v", raw, err)
+		t.Errorf("metrics: %.300s, %v", raw, err)
 	}
 	if err := op.into(t.Context(), &w, http.MethodPut, "/records/lead", "", holdAsk{Holder: "a", TTL: 100, Value: []byte("1")}); err != nil {
 		t.Fatal(err)
 	}
 	token := w.Token
-	eventually(t, "the end of a holder that does not renew", func() bool {
+	eventually(t, "the expiry of a holder that does not renew", func() bool {
 		return op.into(t.Context(), &w, http.MethodPut, "/records/lead", "", holdAsk{Holder: "b"}) == nil
 	})
 	if w.Token <= token {
 		t.Errorf("token %d after %d", w.Token, token)
 	}
 	if err := op.into(t.Context(), nil, http.MethodPost, "/records/lead", "", holdAsk{Token: token, Value: []byte("late")}); !errors.Is(err, catalog.ErrTaken) {
-		t.Errorf("an old token wrote: %v", err)
+		t.Errorf("a write with an old token succeeded: %v", err)
 	}
 }
 
-// A replica that follows takes the platform's list over, and marks it while the platform is silent.
+// A replica that copies the platform's list must mark it while the platform is silent.
 func TestFollowMarksWhatItCannotVouchFor(t *testing.T) {
 	talk := make(chan string, 10)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -551,23 +551,23 @@
 		t.Fatalf("%+v, vouched %q, %v", l, header.Get(HeaderVouched), err)
 	}
 	if _, err := op.Drain(t.Context(), "e1"); !errors.Is(err, catalog.ErrTaken) {
-		t.Errorf("a list that is the platform's was written: %v", err)
+		t.Errorf("a list copied from the platform was changed: %v", err)
 	}
 	silent := func() bool { return o.s.statusNow(false).SilentMS > 0 }
 	eventually(t, "the mark", silent)
 	if _, _, header, _ := op.List(t.Context(), false); header.Get(HeaderVouched) != "no" {
-		t.Error("the list is vouched for while its source is silent")
+		t.Error("the list is not marked while its source is silent")
 	}
 	talk <- list
 	eventually(t, "the end of the mark", func() bool { return !silent() })
 }
 
-// Who writes before the service is founded may come again; nothing has gone wrong.
+// A write before the service is bootstrapped must be refused with a Retry-After.
 func TestUnfoundedIsRefused(t *testing.T) {
 	w := &recorder{header: http.Header{}}
 	result(w, catalog.New().Apply(catalog.Command{Write: &catalog.Write{Base: catalog.Base{Any: true}}}), nil)
 	if w.code != http.StatusServiceUnavailable || w.header.Get("Retry-After") == "" {
-		t.Errorf("answered with %d", w.code)
+		t.Errorf("status %d", w.code)
 	}
 }
 
@@ -582,15 +582,15 @@
 			continue
 		}
 		if seen[back] || back > 2*time.Second {
-			t.Fatalf("two are told to return after %v", back)
+			t.Fatalf("two requests got the same delay, or a long one, of %v", back)
 		}
 		seen[back] = true
 	}
 	if in != 50 || len(seen) != 200 {
-		t.Errorf("%d let in, %d turned away", in, len(seen))
+		t.Errorf("%d admitted, %d refused", in, len(seen))
 	}
 	if ok, _ := a.admit(1, now.Add(20*time.Millisecond)); !ok {
-		t.Error("the budget does not fill again")
+		t.Error("the token bucket does not refill")
 	}
 }
 
@@ -608,17 +608,18 @@
 		i, err := DecodeBackup(bytes.NewReader(raw))
 		if err != nil {
 			if strings.Contains(oneLine(err), "\n") {
-				t.Error("not one line")
+				t.Error("the error has several lines")
 			}
 			return
 		}
 		if s, err := catalog.Load(i); err != nil || s.Whole().Revision != i.Revision {
-			t.Errorf("what was read can't be a state: %v", err)
+			t.Errorf("the decoded image is not a valid state: %v", err)
 		}
 	})
 }
 
-// FuzzSealed changes the body under a right hash: the decoder itself meets what it never wrote.
+// FuzzSealed changes the body under a correct hash, so that the decoder receives bytes that no build has
+// written.
 func FuzzSealed(f *testing.F) {
 	f.Add([]byte{0xa1, 0x61, 0x41, 0x01})
 	f.Add([]byte{0xbf, 0xff})
@@ -642,7 +643,7 @@
 	})
 }
 
-// FuzzRequests throws bodies and queries at the handlers of a replica.
+// FuzzRequests sends arbitrary bodies and queries to the handlers of a replica.
 func FuzzRequests(f *testing.F) {
 	dir := f.TempDir()
 	c := Defaults()
@@ -683,7 +684,7 @@
 			t.Errorf("%s %s%s: %d %s", method, path, query, w.code, w.body.Bytes())
 		}
 		if w.code >= 400 && strings.Count(strings.TrimSpace(w.body.String()), "\n") > 0 {
-			t.Errorf("%s %s: more than one line: %s", method, path, w.body.Bytes())
+			t.Errorf("%s %s: the error has several lines: %s", method, path, w.body.Bytes())
 		}
 	})
 }
@@ -705,7 +706,8 @@
 	return raw
 }
 
-// A log that was changed anywhere is told to be damaged, or is as good as it was; it never ends the process.
+// A log that was modified anywhere must be reported as damaged, or be as good as before; it must never end
+// the process.
 func FuzzLog(f *testing.F) {
 	dir := f.TempDir()
 	path := filepath.Join(dir, "log.db")
@@ -743,7 +745,7 @@
 		s, err := openLog(path)
 		if err != nil {
 			if !errors.Is(err, errDamaged) {
-				t.Errorf("not told as damage: %v", err)
+				t.Errorf("the error does not report damage: %v", err)
 			}
 			return
 		}
--- a/internal/directory/follow.go
+++ b/internal/directory/follow.go
@@ -11,12 +11,11 @@
 	"starlingusher/internal/registry"
 )
 
-// sourceSilence is after how much silence of its source the list can't be vouched for any more: two of its empty lines
-// did not come.
+// sourceTimeout is the silence after which the source counts as lost: two of its heartbeats are missing.
 const sourceSilence = 6 * time.Second
 
-// takeOver follows the platform's discovery for as long as this replica leads, and has each change agreed on. While
-// the source is silent the list stands as it is, marked.
+// followSource copies the list of the platform's discovery while this replica leads, and proposes each
+// change. While the source is silent the list stays as it is, and is marked.
 func (r *Replica) takeOver(ctx context.Context) {
 	transport := &http.Transport{DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -24,7 +23,7 @@
 	heard := time.Now()
 	w := registry.Watcher{
 		Addresses: []string{r.cfg.Follow.Discovery}, Nodes: 1, Client: &http.Client{Transport: transport}, Log: r.log,
-		Track: registry.NewTrack(registry.Position{}), // a new leader asks for all there is
+		Track: registry.NewTrack(registry.Position{}), // a new leader requests the complete list
 		Heard: func() {
 			mu.Lock()
 			heard = time.Now()
@@ -41,9 +40,9 @@
 			var marked bool
 			r.ledger.read(func(s *catalog.State) { marked = s.Silent() > 0 })
 			if silent != marked {
-				r.log.Warn("the source of the list", "discovery", r.cfg.Follow.Discovery, "silent", silent)
+				r.log.Warn("the source of the list became silent or active", "discovery", r.cfg.Follow.Discovery, "silent", silent)
 				if _, err := r.propose(catalog.Command{By: r.cfg.ID, Vouch: &catalog.Vouch{Silent: silent}}); err != nil {
-					r.log.Warn("the mark could not be agreed on", "err", err)
+					r.log.Warn("marking the list failed", "err", err)
 					registry.Sleep(ctx, time.Second)
 				}
 			}
@@ -53,9 +52,9 @@
 		wr := catalog.Write{Base: catalog.Base{Any: true}, Whole: n.Complete, Members: n.Members, Guard: r.cfg.Guard.Share, Most: int64(r.cfg.List.Most), Why: "told by " + n.From}
 		res, err := r.propose(catalog.Command{By: "follow", Write: &wr})
 		if errors.Is(res.Err, catalog.ErrHeld) {
-			r.log.Warn("held back until confirmed", "held", res.Held, "err", res.Err)
+			r.log.Warn("write held back until confirmed", "held", res.Held, "err", res.Err)
 			return nil
 		}
-		return errors.Join(err, res.Err) // the watch begins again, with all there is
+		return errors.Join(err, res.Err) // the watch restarts with the complete list
 	})
 }
--- a/internal/directory/lead.go
+++ b/internal/directory/lead.go
@@ -13,7 +13,7 @@
 	"starlingusher/internal/registry"
 )
 
-// watchLead runs the leader's work for as long as this replica leads.
+// runLeadership runs the leader's work while this replica leads.
 func (r *Replica) watchLead(leads <-chan bool) {
 	var work sync.WaitGroup
 	defer work.Wait()
@@ -40,7 +40,7 @@
 	}
 }
 
-// lead founds the service if it is new, and then brings about what only time does.
+// runLeader bootstraps the service if it is new, and then proposes what becomes due over time.
 func (r *Replica) lead(ctx context.Context) {
 	node := r.node()
 	for node.Barrier(proposeWait).Error() != nil {
@@ -80,7 +80,7 @@
 		r.mu.Unlock()
 		for _, c := range due {
 			if res, err := r.propose(c); err != nil || res.Err != nil {
-				r.log.Warn("what is due could not be done", "err", errors.Join(err, res.Err))
+				r.log.Warn("due command failed", "err", errors.Join(err, res.Err))
 			}
 		}
 		t := time.NewTimer(max(wait, tick))
@@ -91,19 +91,19 @@
 		case <-t.C:
 		case <-news:
 			t.Stop()
-			if !registry.Sleep(ctx, tick) { // many changes are looked at together
+			if !registry.Sleep(ctx, tick) { // batches changes
 				return
 			}
 		}
 	}
 }
 
-// propose has a command agreed on and carried out. Only the leader can; an error is ErrRefused or ErrUnknown. Why a
-// command that was agreed on was not carried out stands in the result.
+// propose replicates a command and applies it. Only the leader can; an error is ErrRefused or ErrAmbiguous.
+// The error of a command that was replicated but not applied is in the result.
 func (r *Replica) propose(c catalog.Command) (catalog.Result, error) {
 	node := r.node()
 	if node == nil {
-		return catalog.Result{}, fmt.Errorf("%w: this replica has not begun", ErrRefused)
+		return catalog.Result{}, fmt.Errorf("%w: this replica has not started Raft yet", ErrRefused)
 	}
 	c.At = time.Now().UnixMilli()
 	raw, err := seal(commandMark, c)
@@ -111,36 +111,36 @@
 		return catalog.Result{}, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	if len(raw) > maxCommand {
-		return catalog.Result{}, fmt.Errorf("%w: %d bytes, %d at most", ErrRefused, len(raw), maxCommand)
+		return catalog.Result{}, fmt.Errorf("%w: the command has %d bytes, the limit is %d", ErrRefused, len(raw), maxCommand)
 	}
 	if r.stuck.Load() {
-		return catalog.Result{}, fmt.Errorf("%w: the leader's folder can't be written", ErrRefused)
+		return catalog.Result{}, fmt.Errorf("%w: the leader can't write to its folder", ErrRefused)
 	}
 	f := node.Apply(raw, proposeWait)
 	agreed := make(chan error, 1)
-	go func() { agreed <- f.Error() }() // Raft may hang on its disk
+	go func() { agreed <- f.Error() }() // Raft may block on its disk
 	limit := time.NewTimer(agreeWait)
 	defer limit.Stop()
 	select {
 	case err = <-agreed:
 	case <-limit.C:
-		return catalog.Result{}, fmt.Errorf("%w: nothing was agreed on within %v", ErrUnknown, agreeWait)
+		return catalog.Result{}, fmt.Errorf("%w: no majority within %v", ErrUnknown, agreeWait)
 	}
 	switch {
 	case err == nil:
 		res, ok := f.Response().(catalog.Result)
 		if !ok {
-			return res, fmt.Errorf("%w: the state answered %T", ErrUnknown, f.Response())
+			return res, fmt.Errorf("%w: unexpected result type %T", ErrUnknown, f.Response())
 		}
 		return res, nil
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return catalog.Result{}, fmt.Errorf("%w: %w", ErrRefused, err)
-	default: // the leadership was lost, or the log could not be written, with the command on its way
+	default: // leadership was lost, or the log could not be written, after the command was sent
 		return catalog.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 }
 
-// leader is where the leader is reached; empty if there is none, or none is known.
+// leader returns the leader's ID and HTTP address; the address is empty if no leader is known.
 func (r *Replica) leader() (id, address string) {
 	node := r.node()
 	if node == nil {
@@ -165,14 +165,15 @@
 	return node != nil && node.State() == raft.Leader
 }
 
-// settled tells whether this replica leads and has caught up with what was agreed on before it did.
+// isReadyLeader reports whether this replica leads and has applied everything committed before its term.
 func (r *Replica) settled() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.keeper != nil
 }
 
-// age is for how long nothing was heard of the leader; 0 at the leader, which hears of a majority within its lease.
+// leaderContactAge returns the time since the last contact with the leader. It is 0 at the leader, which has
+// contact with a majority within its lease.
 func (r *Replica) age() time.Duration {
 	node := r.node()
 	if node == nil || node.State() == raft.Leader {
@@ -185,7 +186,7 @@
 	return time.Since(last)
 }
 
-// current makes sure that this replica leads and has carried out all that was agreed on before now.
+// verifyCurrent makes sure that this replica leads and has applied everything committed before the call.
 func (r *Replica) current() error {
 	node := r.node()
 	if node == nil || node.State() != raft.Leader {
@@ -197,8 +198,8 @@
 	return nil
 }
 
-// renew notes that endpoints, and holders of records, are there. This replica must still lead, for another leader
-// would not know of it.
+// renewLeases records renewals of endpoints and records. It fails unless this replica still leads, because
+// another leader would not know of them.
 func (r *Replica) renew(ids []string, records []catalog.Hold) (unknown []string, err error) {
 	node := r.node()
 	if node == nil {
@@ -228,7 +229,7 @@
 	return unknown, nil
 }
 
-// registered lets the lease of an endpoint count from now.
+// noteRegistration starts the lease of an endpoint.
 func (r *Replica) registered(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/directory/ledger.go
+++ b/internal/directory/ledger.go
@@ -12,29 +12,29 @@
 	"starlingusher/fleet/ownership"
 )
 
-// maxLines is how many encoded changes are kept for watches that are behind, beside the bound in bytes.
+// maxLines bounds the encoded changes kept for watches that lag, in addition to the bound in bytes.
 const maxLines = 4096
 
-// line is one change as every watch is told it.
+// changeLine is one change as it is sent to watches of the whole list.
 type line struct {
 	revision int64
 	body     []byte
-	end      int64 // bytes of all lines up to this one
+	end      int64 // bytes of all lines up to the end of this one
 	part     *partLine
 }
 
-// ledger is the replicated state in this process, and its encodings, each made once. Raft alone writes to it; everyone
-// reads it.
+// fsm is Raft's state machine in this process, with the state's encodings, each of which is made once. Only
+// Raft writes to it.
 type ledger struct {
-	lag  int64 // bytes of lines that are kept
+	lag  int64 // limit on kept lines
 	fail func(error)
 
 	mu      sync.RWMutex
 	state   *catalog.State
-	news    chan struct{} // closed when the state changes
-	lines   []line        // appended to, and cut at the front; what a slice of it shows never changes
-	total   int64         // bytes of all lines ever
-	whole   []byte        // the whole list's encoding; nil: not made since the last change
+	news    chan struct{} // closed on the next change of the state
+	lines   []line        // only appended to, or cut at the front, so slices of it stay valid
+	total   int64         // bytes of all lines ever made
+	whole   []byte        // encoding of the complete list; nil: not made since the last change
 	resumes map[int64][]byte
 	mapped  mapState
 }
@@ -43,12 +43,12 @@
 	return &ledger{lag: lag, fail: fail, state: catalog.New(), news: make(chan struct{}), resumes: map[int64][]byte{}}
 }
 
-// Apply carries out a command of the log.
+// Apply applies a log entry.
 func (l *ledger) Apply(entry *raft.Log) any {
 	var c catalog.Command
 	if err := unseal(commandMark, entry.Data, &c); err != nil {
-		err = fmt.Errorf("entry %d of the log: %w", entry.Index, err)
-		l.fail(err) // this replica can't go on; the others' logs are their own
+		err = fmt.Errorf("log entry %d: %w", entry.Index, err)
+		l.fail(err) // this replica can't continue; other replicas read their own logs
 		return catalog.Result{Err: err}
 	}
 	l.mu.Lock()
@@ -68,10 +68,10 @@
 	return r
 }
 
-// setsMap tells whether a command may have written the record of the map of partitions.
+// isMapRecord reports whether an operation may have changed the record of the partition map.
 func setsMap(h *catalog.Hold) bool { return h != nil && h.Name == ownership.Record }
 
-// publish encodes what changed for all watches; the lock is held.
+// encodeChanges encodes the changes after a revision for the watches. The caller holds the lock.
 func (l *ledger) publish(before int64) {
 	l.whole = nil
 	clear(l.resumes)
@@ -79,7 +79,7 @@
 	for _, c := range changes {
 		body, err := json.Marshal(catalog.List{Revision: c.Revision, Members: c.Members})
 		if err != nil {
-			l.fail(fmt.Errorf("revision %d: %w", c.Revision, err))
+			l.fail(fmt.Errorf("encoding revision %d: %w", c.Revision, err))
 			return
 		}
 		body = append(body, '\n')
@@ -93,7 +93,7 @@
 	l.lines = l.lines[drop:]
 }
 
-// begin forgets all encodings: the state is another one. The lock is held.
+// dropEncodings discards all encodings, because the state was replaced. The caller holds the lock.
 func (l *ledger) begin() {
 	l.whole, l.lines = nil, nil
 	clear(l.resumes)
@@ -104,14 +104,14 @@
 	l.news = make(chan struct{})
 }
 
-// Snapshot takes the state as it is.
+// Snapshot returns a snapshot of the state.
 func (l *ledger) Snapshot() (raft.FSMSnapshot, error) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return image(l.state.Image()), nil
 }
 
-// Restore takes the state of a snapshot.
+// Restore replaces the state by that of a snapshot.
 func (l *ledger) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	i, err := DecodeBackup(r)
@@ -128,7 +128,7 @@
 	l.state = state
 	l.readMap()
 	if _, all := state.Changes(before); history == state.History() && all && before <= state.Revision() && before > 0 {
-		l.publish(before) // watches go on
+		l.publish(before) // watches continue
 	} else {
 		l.begin()
 	}
@@ -138,7 +138,7 @@
 
 type image catalog.Image
 
-// Persist writes a snapshot.
+// Persist writes the snapshot.
 func (i image) Persist(sink raft.SnapshotSink) error {
 	raw, err := EncodeBackup(catalog.Image(i))
 	if err == nil {
@@ -151,20 +151,20 @@
 	return sink.Close()
 }
 
-// Release has nothing to let go of.
+// Release does nothing.
 func (image) Release() {}
 
-// position is how far a caller is.
+// position is a revision and the history that it belongs to.
 type position struct{ history, revision int64 }
 
-// at is how far the ledger is, and what is closed when that changes.
+// position returns the current position, and a channel that is closed when the state changes.
 func (l *ledger) at() (position, <-chan struct{}) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return position{l.state.History(), l.state.Revision()}, l.news
 }
 
-// list encodes the list as of now: what changed after a revision, or the whole list.
+// encodeList encodes the changes after a revision, or the complete list.
 func (l *ledger) list(after int64) (body []byte, at position, complete bool, err error) {
 	l.mu.RLock()
 	at = position{l.state.History(), l.state.Revision()}
@@ -184,13 +184,13 @@
 		list = l.state.Since(after)
 	}
 	if body, err = json.Marshal(list); err != nil {
-		return nil, at, false, fmt.Errorf("list: %w", err)
+		return nil, at, false, fmt.Errorf("encoding the list: %w", err)
 	}
 	body = append(body, '\n')
 	if list.Complete {
 		l.whole = body
 		if after > 0 && after <= at.revision && len(l.resumes) < maxLines {
-			l.resumes[after] = nil // known to need the whole list
+			l.resumes[after] = nil // this revision is known to need the complete list
 		}
 	} else if len(l.resumes) < maxLines {
 		l.resumes[after] = body
@@ -198,7 +198,7 @@
 	return body, at, list.Complete, nil
 }
 
-// cached finds an encoding; the lock is held.
+// cachedList returns a cached encoding. The caller holds the lock.
 func (l *ledger) cached(after int64) ([]byte, bool) {
 	if after <= 0 || after > l.state.Revision() {
 		return l.whole, true
@@ -211,8 +211,9 @@
 	return nil, false
 }
 
-// since are the lines after a position, the number of the map of partitions, and what is closed when there are more. It is false for a position of another
-// history, or one so far back that its lines are not kept: such a watch is cut.
+// linesAfter returns the lines after a position, the number of the partition map, and a channel that is
+// closed when there are more. It returns false if the position belongs to another history, or its lines are
+// no longer kept; such a watch is cut.
 func (l *ledger) since(p position) ([]line, int64, <-chan struct{}, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -224,7 +225,7 @@
 	}
 }
 
-// read lets a function look at the state, which it must not keep.
+// view calls a function with the state, which it must not retain.
 func (l *ledger) read(look func(*catalog.State)) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
--- a/internal/directory/members.go
+++ b/internal/directory/members.go
@@ -16,9 +16,9 @@
 	"starlingusher/internal/registry"
 )
 
-// findPlace asks the other replicas what there is, until it is known whether this one founds the service. One that
-// may have been part of it before, and has lost what it knew, has it taken out first: it may have voted, and would
-// vote again for one who knows less.
+// decideBootstrap asks the other replicas about the service until it is clear whether this one must bootstrap
+// it. A replica that may have been a member before, and has lost its data, is removed first: it may have
+// voted, and could vote again for a candidate that has less.
 func (r *Replica) findPlace() (found bool, err error) {
 	if len(r.cfg.Peers) == 0 {
 		return true, nil
@@ -41,12 +41,12 @@
 				return false, nil
 			}
 			if !told {
-				r.log.Warn("can't join yet", "through", p.ID, "err", err)
+				r.log.Warn("joining the service failed", "through", p.ID, "err", err)
 			}
 		}
 		first := !slices.ContainsFunc(r.cfg.Peers, func(p Peer) bool { return p.ID < r.cfg.ID })
 		if first && unfounded == len(r.cfg.Peers) {
-			r.log.Info("founding the service")
+			r.log.Info("bootstrapping the service")
 			return true, nil
 		}
 		if !told {
@@ -58,15 +58,15 @@
 	}
 }
 
-// stay asks to be a part of the service until the leader says that this replica has a vote: what it has itself may be
-// a configuration of before it was taken out.
+// joinUntilVoter asks to join until the leader confirms that this replica is a voter. The replica's own
+// configuration may date from before it was removed.
 func (r *Replica) stay() {
 	for registry.Sleep(r.ctx, askPeers) {
 		for _, p := range r.cfg.Peers {
 			var joined joinReply
 			err := r.ask(http.MethodPost, p.HTTP, "/directory/join", joinAsk{Replica: r.self(), Applied: r.node().AppliedIndex()}, &joined)
 			if errors.Is(err, errForbidden) {
-				r.fail(fmt.Errorf("%w; `cottonrack directory member add` invites it again", ErrRemoved))
+				r.fail(fmt.Errorf("%w; `cottonrack directory member add` allows it to join again", ErrRemoved))
 				return
 			}
 			if joined.Votes {
@@ -75,7 +75,7 @@
 			if err == nil {
 				break
 			}
-			r.log.Debug("not taken in yet", "through", p.ID, "err", err)
+			r.log.Debug("not admitted yet", "through", p.ID, "err", err)
 		}
 	}
 }
@@ -98,16 +98,16 @@
 
 type joinAsk struct {
 	catalog.Replica
-	Fresh   bool   `json:"fresh"`   // it knows nothing, and must be taken out before it begins
-	Applied uint64 `json:"applied"` // how far it is
+	Fresh   bool   `json:"fresh"`   // has no data, and must be removed before it joins
+	Applied uint64 `json:"applied"` // index of the last entry that it has applied
 }
 
 type joinReply struct {
 	Votes bool `json:"votes"`
 }
 
-// join takes a replica in, step by step: out if it is new and was in before, in without a vote, and with one once it
-// is near enough. The leader does it.
+// addMember takes a replica in, one step per call: it removes a fresh one that was a member before, adds it
+// as a nonvoter, and makes it a voter once it has nearly caught up. Only the leader can.
 func (r *Replica) join(a joinAsk) (joinReply, error) {
 	if !r.settled() {
 		return joinReply{}, fmt.Errorf("%w: this replica does not lead yet", ErrRefused)
@@ -115,7 +115,7 @@
 	invited := false
 	r.ledger.read(func(s *catalog.State) { _, invited = s.Replicas()[a.ID] })
 	if !invited {
-		return joinReply{}, fmt.Errorf("replica %.40q is not invited (cottonrack directory member add): %w", a.ID, catalog.ErrUnknown)
+		return joinReply{}, fmt.Errorf("replica %.40q is not allowed to join (see cottonrack directory member add): %w", a.ID, catalog.ErrUnknown)
 	}
 	node := r.node()
 	servers := r.servers()
@@ -126,17 +126,17 @@
 	case a.Fresh && i < 0:
 		return joinReply{}, nil
 	case a.Fresh:
-		r.log.Warn("a replica has lost what it knew; it is taken out and joins anew", "replica", a.ID)
+		r.log.Warn("a replica has lost its data; removing it so that it joins anew", "replica", a.ID)
 		f = node.RemoveServer(id, 0, proposeWait)
 	case i < 0:
-		r.log.Info("a replica joins", "replica", a.ID)
+		r.log.Info("adding a replica without a vote", "replica", a.ID)
 		f = node.AddNonvoter(id, address, 0, proposeWait)
 	case servers[i].Suffrage == raft.Voter:
 		return joinReply{Votes: true}, nil
 	case a.Applied+nearEnough < node.CommitIndex():
 		return joinReply{}, nil
 	default:
-		r.log.Info("a replica has caught up and votes", "replica", a.ID)
+		r.log.Info("a replica has caught up; making it a voter", "replica", a.ID)
 		f = node.AddVoter(id, address, 0, proposeWait)
 	}
 	if err := f.Error(); err != nil {
@@ -145,7 +145,7 @@
 	return joinReply{Votes: i >= 0 && !a.Fresh}, nil
 }
 
-// ask sends another replica something small and reads its answer.
+// callPeer sends a small request to another replica and decodes the response.
 func (r *Replica) ask(method, address, path string, body, into any) error {
 	ctx, cancel := context.WithTimeout(r.ctx, peerTimeout+proposeWait)
 	defer cancel()
--- a/internal/directory/metrics.go
+++ b/internal/directory/metrics.go
@@ -12,7 +12,7 @@
 	"starlingusher/fleet/catalog"
 )
 
-// metrics are a replica's figures in Prometheus' form.
+// metrics are the Prometheus metrics of a replica.
 type metrics struct {
 	registry *prometheus.Registry
 	asks     *prometheus.CounterVec
@@ -24,13 +24,13 @@
 	m := &metrics{
 		registry: prometheus.NewRegistry(),
 		asks: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "directory_asks_total", Help: "Asks for the list and for watches, by what came of them.",
+			Name: "directory_asks_total", Help: "Requests for the list and for watches, by result.",
 		}, []string{"result"}),
 		cuts: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "directory_watch_cuts_total", Help: "Watches that the replica ended, by why.",
+			Name: "directory_watch_cuts_total", Help: "Watches that the replica ended, by reason.",
 		}, []string{"reason"}),
 		writes: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "directory_write_seconds", Help: "Time of writes at the leader, by their result.",
+			Name: "directory_write_seconds", Help: "Duration of writes at the leader, by result.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14),
 		}, []string{"result"}),
 	}
@@ -45,23 +45,23 @@
 	}
 	m.registry.MustRegister(m.asks, m.cuts, m.writes,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
-		gauge("directory_watches", "Watches that are open.", func() float64 { return float64(s.watches.count()) }),
-		gauge("directory_revision", "The list's revision here.", state(func(st *catalog.State) float64 { return float64(st.Revision()) })),
-		gauge("directory_history", "Number of the present history.", state(func(st *catalog.State) float64 { return float64(st.History()) })),
-		gauge("directory_held", "1 if a write is held back until it is confirmed.", state(func(st *catalog.State) float64 {
+		gauge("directory_watches", "Open watches.", func() float64 { return float64(s.watches.count()) }),
+		gauge("directory_revision", "Revision of the list at this replica.", state(func(st *catalog.State) float64 { return float64(st.Revision()) })),
+		gauge("directory_history", "Number of the current history.", state(func(st *catalog.State) float64 { return float64(st.History()) })),
+		gauge("directory_held", "1 if a write awaits confirmation.", state(func(st *catalog.State) float64 {
 			if st.Held() != nil {
 				return 1
 			}
 			return 0
 		})),
-		gauge("directory_vouched", "0 if the source of the list has gone silent.", state(func(st *catalog.State) float64 {
+		gauge("directory_vouched", "0 if the source of the list is silent.", state(func(st *catalog.State) float64 {
 			if st.Silent() > 0 {
 				return 0
 			}
 			return 1
 		})),
-		gauge("directory_map_number", "Number of the map of partitions in force here; 0: none.", func() float64 { return float64(s.r.ledger.theMap().number) }),
-		gauge("directory_map_wrong", "1 if the record of the map holds what can't be in force.", func() float64 {
+		gauge("directory_map_number", "Number of the partition map in force at this replica; 0: none.", func() float64 { return float64(s.r.ledger.theMap().number) }),
+		gauge("directory_map_wrong", "1 if the record of the partition map holds an invalid value.", func() float64 {
 			if s.r.ledger.theMap().wrong != "" {
 				return 1
 			}
@@ -73,7 +73,7 @@
 			}
 			return 0
 		}),
-		gauge("directory_age_seconds", "Time since the leader was last heard of; 0 at the leader.", func() float64 { return s.r.age().Seconds() }),
+		gauge("directory_age_seconds", "Time since the last contact with the leader; 0 at the leader.", func() float64 { return s.r.age().Seconds() }),
 	)
 	return m
 }
--- a/internal/directory/operator.go
+++ b/internal/directory/operator.go
@@ -19,18 +19,18 @@
 	"starlingusher/internal/registry"
 )
 
-// Operator asks the service on somebody's behalf: of whatever replica answers.
+// AdminClient sends requests to any replica that responds.
 type Operator struct {
 	Addresses []string
-	By        string        // who asks, for the history
-	Why       string        // and why
-	Wait      time.Duration // for a replica that can serve; 0: each is asked once
-	Client    *http.Client  // nil: one of its own
+	By        string        // who sends the requests, for the change history
+	Why       string        // for the change history
+	Wait      time.Duration // how long to try for a replica that can serve the request; 0: one try at each
+	Client    *http.Client  // nil: http.DefaultClient
 
-	preferred int // the address that answered last
+	preferred int // index of the address that responded last
 }
 
-// Refusal is the service's no.
+// ResponseError is an error response of the service.
 type Refusal struct {
 	Code     int
 	Reason   string
@@ -41,7 +41,7 @@
 
 func (r *Refusal) Error() string { return r.Reason }
 
-// Unwrap tells ErrUnknown, ErrRefused and those of package catalog apart.
+// Unwrap maps the response to ErrAmbiguous, ErrRefused or an error of package catalog.
 func (r *Refusal) Unwrap() error {
 	switch {
 	case r.Outcome == "unknown":
@@ -56,7 +56,7 @@
 		return catalog.ErrTaken
 	case r.Code == http.StatusBadRequest:
 		return catalog.ErrBad
-	case r.Code == http.StatusInsufficientStorage: // asking again makes no room
+	case r.Code == http.StatusInsufficientStorage: // a retry would not help
 		return catalog.ErrFull
 	}
 	return ErrRefused
@@ -64,11 +64,11 @@
 
 const operatorPause = 100 * time.Millisecond
 
-// Do sends a request to one replica after the other until one serves it, and returns the answer's body. A write whose
-// outcome is not known is not sent again.
+// Do sends a request to one replica after another until one serves it, and returns the response body. It does
+// not repeat a write with an ambiguous outcome.
 func (o *Operator) Do(ctx context.Context, method, path, match string, body []byte) ([]byte, http.Header, error) {
 	if len(o.Addresses) == 0 {
-		return nil, nil, fmt.Errorf("%w: no address of a replica was given", ErrRefused)
+		return nil, nil, fmt.Errorf("%w: no replica address", ErrRefused)
 	}
 	until := time.Now().Add(o.Wait)
 	for {
@@ -125,7 +125,7 @@
 	return nil, resp.Header, &Refusal{resp.StatusCode, p.Error, p.Outcome, p.Revision, p.Held}
 }
 
-// into does a request and reads its answer.
+// call sends a request with a JSON body and decodes the response.
 func (o *Operator) into(ctx context.Context, v any, method, path, match string, body any) error {
 	var raw []byte
 	if body != nil {
@@ -141,14 +141,14 @@
 	return json.Unmarshal(raw, v)
 }
 
-// Status asks one replica about itself.
+// Status returns the status of one replica.
 func (o *Operator) Status(ctx context.Context) (Status, error) {
 	var st Status
 	return st, o.into(ctx, &st, http.MethodGet, "/directory/status", "", nil)
 }
 
-// List reads the whole list and what a write that rests on it says as If-Match. If fresh it holds every write that was
-// acknowledged before; else it is what some replica has.
+// List reads the complete list, and the If-Match value for a write that is based on it. A fresh list includes
+// every write acknowledged before; otherwise it is what some replica has.
 func (o *Operator) List(ctx context.Context, fresh bool) (catalog.List, string, http.Header, error) {
 	path := "/registry/instances"
 	if fresh {
@@ -160,18 +160,19 @@
 	}
 	var l catalog.List
 	if err := json.Unmarshal(raw, &l); err != nil {
-		return l, "", header, fmt.Errorf("list: %w", err)
+		return l, "", header, fmt.Errorf("decoding the list: %w", err)
 	}
 	return l, header.Get("ETag"), header, nil
 }
 
-// Written is the answer to a write.
+// WriteResult is the response to a write.
 type Written struct {
 	Revision int64 `json:"revision"`
 	Token    int64 `json:"token"`
 }
 
-// Put writes endpoints, of phase Deleted those that go; with whole all others go as well. It rests on match.
+// Put writes endpoints, and removes those of phase Deleted; with whole it removes all others as well. match
+// is the If-Match value.
 func (o *Operator) Put(ctx context.Context, members []catalog.Endpoint, whole, confirm bool, match string) (Written, error) {
 	method, path := http.MethodPost, "/registry/instances"
 	if whole {
@@ -184,13 +185,13 @@
 	return w, o.into(ctx, &w, method, path, match, map[string]any{"members": append([]catalog.Endpoint{}, members...)})
 }
 
-// Drain lets an endpoint drain, whatever else has changed.
+// Drain drains an endpoint, whatever else has changed.
 func (o *Operator) Drain(ctx context.Context, id string) (Written, error) {
 	var w Written
 	return w, o.into(ctx, &w, http.MethodPost, "/registry/instances/"+url.PathEscape(id)+"/drain", "*", nil)
 }
 
-// Confirm lets what is held back under a number happen, or drops it.
+// Confirm applies the held write with a number, or drops it.
 func (o *Operator) Confirm(ctx context.Context, number int64, drop bool) error {
 	path := "/directory/held/" + strconv.FormatInt(number, 10)
 	if drop {
@@ -199,21 +200,22 @@
 	return o.into(ctx, nil, http.MethodPost, path, "", nil)
 }
 
-// Changes is the kept history, or a part of it.
+// ChangeHistory holds consecutive changes of the list.
 type Changes struct {
 	History  int64            `json:"history"`
 	Revision int64            `json:"revision"`
-	All      bool             `json:"all"` // nothing older was left out for its age
+	All      bool             `json:"all"` // no requested change had already been discarded
 	Changes  []catalog.Change `json:"changes"`
 }
 
-// History reads changes after a revision; the last ones if that is less than 0.
+// History reads changes after a revision, or the latest ones if it is negative.
 func (o *Operator) History(ctx context.Context, after int64, limit int) (Changes, error) {
 	var c Changes
 	return c, o.into(ctx, &c, http.MethodGet, fmt.Sprintf("/directory/history?after=%d&limit=%d", after, limit), "", nil)
 }
 
-// Backup reads the state, as of now if fresh, else as some replica has it. What comes was looked through.
+// Backup reads and verifies a backup of the state: of the current state if fresh, else of what some replica
+// has.
 func (o *Operator) Backup(ctx context.Context, fresh bool) ([]byte, catalog.Image, error) {
 	path := "/directory/backup"
 	if fresh {
@@ -227,7 +229,7 @@
 	return raw, image, err
 }
 
-// Restore lets the service go on from a backup, as a new history.
+// Restore replaces the list and the records by those of a backup, in a new history.
 func (o *Operator) Restore(ctx context.Context, raw []byte) (Written, error) {
 	if _, err := DecodeBackup(bytes.NewReader(raw)); err != nil {
 		return Written{}, err
@@ -240,17 +242,17 @@
 	return w, json.Unmarshal(answer, &w)
 }
 
-// Invite lets a replica join.
+// AddReplica allows a replica to join the service.
 func (o *Operator) Invite(ctx context.Context, r catalog.Replica) error {
 	return o.into(ctx, nil, http.MethodPut, "/directory/members/"+url.PathEscape(r.ID), "", r)
 }
 
-// Dismiss takes a replica out of the service.
+// RemoveReplica removes a replica from the service.
 func (o *Operator) Dismiss(ctx context.Context, id string) error {
 	return o.into(ctx, nil, http.MethodDelete, "/directory/members/"+url.PathEscape(id), "", nil)
 }
 
-// Difference is what a write would change: each endpoint as it would be, in the order of their IDs.
+// Diff returns the endpoints that a write would change, as they would become, sorted by ID.
 func Difference(now, then []catalog.Endpoint, whole bool) []catalog.Endpoint {
 	was := map[string]catalog.Endpoint{}
 	for _, m := range now {
--- a/internal/directory/parts.go
+++ b/internal/directory/parts.go
@@ -11,26 +11,27 @@
 	"starlingusher/fleet/ownership"
 )
 
-// errPast says that a change came in an older build's snapshot, which does not tell who left a partition by it.
-var errPast = errors.New("it is not known who left a partition by an older build's change")
+// errMovesUnknown reports a change from a snapshot of an older build, which does not record which endpoints
+// left a partition.
+var errPast = errors.New("a change of an older build does not tell which endpoints left a partition")
 
-// partLine is one change as the watches of some partitions are told it. What it means for a partition is found out and encoded
-// once, when the first watch needs it. It is safe for use by several goroutines at once.
+// partitionLine is one change for watches of some partitions. Its effect on each partition is computed and
+// encoded once, when a watch first needs it. It is safe for concurrent use.
 type partLine struct {
-	change catalog.Change // its members are shared with the state, which never writes to them
-	number int64          // of the map of partitions, as of then
+	change catalog.Change // shares its members with the state, which never modifies them
+	number int64          // of the partition map when the change was made
 
 	split  sync.Once
 	known  bool
 	pieces []*piece
 }
 
-// piece is what a change means for one partition.
+// linePiece is the effect of a change on one partition.
 type piece struct {
 	catalog.ChangePart
 	encode sync.Once
-	body   []byte // the endpoints, with commas between
-	line   []byte // the change's whole line, if this is its only piece
+	body   []byte // encoded endpoints, separated by commas
+	line   []byte // the complete line, if the change has only this piece
 	err    error
 }
 
@@ -38,8 +39,9 @@
 	return set.Has(p.Partition) && (p.Unless < 0 || !set.Has(p.Unless))
 }
 
-// of is the change's line for those who follow some partitions; nil if it does not touch them. Its work grows with the
-// partitions that the change touches; nothing is encoded for one watch alone.
+// encodeFor returns the line for watches of some partitions, or nil if the change does not affect them. Its
+// cost grows with the number of partitions that the change affects; no encoding is made for a single watch
+// only.
 func (l *partLine) of(set *ownership.Set) ([]byte, error) {
 	l.split.Do(func() {
 		var parts []catalog.ChangePart
@@ -66,7 +68,7 @@
 		})
 		switch {
 		case p.err != nil:
-			return nil, fmt.Errorf("revision %d: %w", l.change.Revision, p.err)
+			return nil, fmt.Errorf("encoding revision %d: %w", l.change.Revision, p.err)
 		case p.line != nil:
 			return p.line, nil
 		case out == nil:
@@ -82,7 +84,7 @@
 	return l.end(out), nil
 }
 
-// begin and end put a line together as encoding/json writes a catalog.List.
+// newLine and finishLine build a line in the format in which encoding/json writes a catalog.List.
 func (l *partLine) begin(size int) []byte {
 	out := make([]byte, 0, size+100)
 	out = append(out, `{"revision":`...)
@@ -99,13 +101,14 @@
 	return append(out, "}\n"...)
 }
 
-// carryOn is a line without members: it tells the revision and the map's number.
+// emptyUpdate returns a line without members. It announces the revision and the map number.
 func carryOn(revision, number int64) []byte {
 	out := (&partLine{change: catalog.Change{Revision: revision}, number: number})
 	return out.end(out.begin(0))
 }
 
-// part encodes the list of some partitions as of now: what changed after a revision, or all of it. It also tells the map's number.
+// encodePartitions encodes the list of some partitions: the changes after a revision, or the complete list if
+// it is 0. It also returns the map number.
 func (l *ledger) part(after int64, set *ownership.Set) (body []byte, at position, number int64, err error) {
 	var list catalog.List
 	l.mu.RLock()
@@ -118,26 +121,26 @@
 	list.Map = l.mapped.number
 	l.mu.RUnlock()
 	if body, err = json.Marshal(list); err != nil {
-		return nil, at, 0, fmt.Errorf("list: %w", err)
+		return nil, at, 0, fmt.Errorf("encoding the list: %w", err)
 	}
 	return append(body, '\n'), at, list.Map, nil
 }
 
-// mapState is what this replica has of the map of partitions: it follows from the record, and from what stood there before.
+// mapStatus is this replica's knowledge of the partition map. It depends on the record's values so far.
 type mapState struct {
-	history int64  // that it belongs to
-	number  int64  // of the newest one that could be read; 0: none
-	wrong   string // why the record's present value is not in force; empty: it is, or there is none
+	history int64  // that the map belongs to
+	number  int64  // of the newest valid map; 0: none
+	wrong   string // why the record's current value is not in force; empty if it is, or if there is none
 }
 
-// readMap takes what the record of the map holds now. What can't be read, or has a smaller number, is passed over: the older map
-// stays in force. The lock is held.
+// updateMap reads the record of the partition map. It ignores a value that is invalid or has a smaller
+// number, so the older map stays in force. The caller holds the lock.
 func (l *ledger) readMap() {
 	if h := l.state.History(); h != l.mapped.history {
 		l.mapped = mapState{history: h}
 	}
 	r, ok := l.state.Record(ownership.Record)
-	if !ok || len(r.Value) == 0 && l.mapped.number == 0 { // nothing was written yet
+	if !ok || len(r.Value) == 0 && l.mapped.number == 0 { // not written yet
 		l.mapped.wrong = ""
 		return
 	}
@@ -146,28 +149,28 @@
 	case err != nil:
 		l.mapped.wrong = oneLine(err)
 	case m.Number < l.mapped.number:
-		l.mapped.wrong = fmt.Sprintf("its number is %d after %d", m.Number, l.mapped.number)
+		l.mapped.wrong = fmt.Sprintf("map number %d after %d", m.Number, l.mapped.number)
 	default:
 		l.mapped.number, l.mapped.wrong = m.Number, ""
 	}
 }
 
-// theMap is what this replica has of the map of partitions.
+// currentMap returns this replica's knowledge of the partition map.
 func (l *ledger) theMap() mapState {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.mapped
 }
 
-// checkMap tells whether a value may become the record of the map: it is a whole map whose number was not reached. Only the leader
-// can tell, with all carried out that was agreed on before.
+// validateMap checks whether a value may be written to the record of the map: it must be a valid map with a
+// new, larger number. Only the leader can tell, once it has applied everything committed before.
 func (l *ledger) checkMap(value []byte) error {
 	m, err := ownership.Decode(value)
 	if err != nil {
 		return fmt.Errorf("record %s: %w", ownership.Record, err)
 	}
 	if has := l.theMap().number; m.Number <= has {
-		return fmt.Errorf("record %s: the map's number is %d, and %d was given", ownership.Record, m.Number, has)
+		return fmt.Errorf("record %s: map number %d is not above the current %d", ownership.Record, m.Number, has)
 	}
 	return nil
 }
--- a/internal/directory/parts_test.go
+++ b/internal/directory/parts_test.go
@@ -44,7 +44,7 @@
 	return &s
 }
 
-// get reads an answer whole.
+// getList returns a complete response.
 func get(t *testing.T, o *one, query string) (int, http.Header, string) {
 	t.Helper()
 	resp, err := http.Get("http://" + o.cfg.HTTP + "/registry/instances" + query)
@@ -59,7 +59,7 @@
 	return resp.StatusCode, resp.Header, string(raw)
 }
 
-// rawLines reads a watch's lines as they are, the empty ones too.
+// watchLines returns the lines of a watch unchanged, including empty ones.
 func rawLines(t *testing.T, o *one, query string) (http.Header, <-chan string, func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -110,7 +110,7 @@
 	return raw
 }
 
-// putMap writes the record of the map as its only writer does.
+// putMap writes the record of the map in the steps of its regular writer.
 func putMap(t *testing.T, o *one, number int64) error {
 	t.Helper()
 	op := o.operator()
@@ -125,7 +125,7 @@
 	return err
 }
 
-// Who asks for no partitions gets what it got before there were any, whatever the map.
+// Requests without partitions must get the same bytes as in builds without partitions, whatever the map.
 func TestWholeListIsAsBefore(t *testing.T) {
 	o := replicas(t, 1, nil)[0]
 	a, b := of("a", 1), of("b", 2)
@@ -135,7 +135,7 @@
 	head, news, end := rawLines(t, o, "&after=0")
 	defer end()
 	if l := <-news; l != whole {
-		t.Errorf("first: %s", l)
+		t.Errorf("first line: %s", l)
 	}
 	if err := putMap(t, o, 3); err != nil {
 		t.Fatal(err)
@@ -143,14 +143,14 @@
 	put(t, o, "*", gone(b))
 	change := `{"revision":2,"complete":false,"members":[` + fmt.Sprintf(one, "b", 2, "DELETED") + "]}\n"
 	if l := <-news; l != change {
-		t.Errorf("then: %s", l)
+		t.Errorf("second line: %s", l)
 	}
 	if l := <-news; l != "\n" {
-		t.Errorf("as nothing changes: %q", l)
+		t.Errorf("without a change: %q", l)
 	}
 	_, header, body := get(t, o, "?after=1")
 	if body != change {
-		t.Errorf("since 1: %s", body)
+		t.Errorf("changes after 1: %s", body)
 	}
 	for h, more := range map[*http.Header]string{&head: "", &header: "Content-Length "} {
 		names := slices.Sorted(maps.Keys(*h))
@@ -178,14 +178,14 @@
 			t.Fatal(err)
 		}
 		if again, err := json.Marshal(l); err != nil || string(again)+"\n" != raw {
-			t.Errorf("%s is not as a list is encoded, %s", raw, again)
+			t.Errorf("%s differs from an encoded list, %s", raw, again)
 		}
 		return l
 	}
 	want := func(what string, revision, number int64, members ...catalog.Endpoint) {
 		t.Helper()
 		l := next()
-		for l.Revision == 0 { // empty lines, on a slow machine
+		for l.Revision == 0 { // heartbeats, on a slow machine
 			l = next()
 		}
 		if l.Complete != (revision == 1) || l.Revision != revision || l.Map != number || !slices.Equal(l.Members, members) {
@@ -198,17 +198,17 @@
 	want("first", 1, 0, of("a", 1), of("b", 2))
 	put(t, o, "*", of("d", 2))
 	want("a change", 2, 0, of("d", 2))
-	put(t, o, "*", of("e", 3)) // nobody's here
+	put(t, o, "*", of("e", 3)) // outside of the watched partitions
 	put(t, o, "*", of("f", 4))
-	want("carried on", 4, 0)
+	want("a new revision only", 4, 0)
 	if l := next(); l.Revision != 0 {
-		t.Errorf("once it was carried on: %+v", l)
+		t.Errorf("after the new revision: %+v", l)
 	}
 	if err := putMap(t, o, 7); err != nil {
 		t.Fatal(err)
 	}
-	want("a map", 4, 7)
-	put(t, o, "*", of("a", 2), of("b", 3), of("c", 4), of("e", 1)) // within, out, elsewhere, in
+	want("a new map number", 4, 7)
+	put(t, o, "*", of("a", 2), of("b", 3), of("c", 4), of("e", 1)) // moves within the partitions, out, elsewhere, and in
 	l := next()
 	slices.SortFunc(l.Members, func(a, b catalog.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	if l.Revision != 5 || l.Map != 7 || !slices.Equal(l.Members, []catalog.Endpoint{of("a", 2), gone(of("b", 2)), of("e", 1)}) {
@@ -220,7 +220,7 @@
 	resumed, header, body := get(t, o, "?after=4&partitions="+setOf(1, 2).String())
 	if err := json.Unmarshal([]byte(body), &l); err != nil || resumed != 200 || header.Get(HeaderMap) != "7" || header.Get("ETag") != "" ||
 		l.Complete || l.Revision != 6 || l.Map != 7 || len(l.Members) != 3 {
-		t.Errorf("since 4: %d, %v, %s", resumed, header, body)
+		t.Errorf("changes after 4: %d, %v, %s", resumed, header, body)
 	}
 	o.stop()
 	o.start()
@@ -245,11 +245,12 @@
 	}
 	code, _, body := get(t, o, "?partitions=0-4095")
 	if l := (catalog.List{}); code != 200 || json.Unmarshal([]byte(body), &l) != nil || len(l.Members) != 1 {
-		t.Errorf("all of them: %d %s", code, body)
+		t.Errorf("all partitions: %d %s", code, body)
 	}
 }
 
-// olderFront stands in for a replica of an older build: it knows neither the parameter nor the headers.
+// olderReplica is a proxy that behaves like a replica of an older build: it knows neither the parameter nor
+// the headers of partitions.
 func olderFront(t *testing.T, o *one) *httptest.Server {
 	p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: o.cfg.HTTP})
 	p.FlushInterval, p.ErrorLog = -1, slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
@@ -270,7 +271,8 @@
 	return s
 }
 
-// A client of some partitions has exactly their list while replicas stop, start, take snapshots and send them, and one of them is older.
+// A watcher of some partitions must have exactly their list while replicas stop, restart, take and send
+// snapshots, and one of them is of an older build.
 func TestClientOfPartitionsOutlivesReplicas(t *testing.T) {
 	all := replicas(t, 3, func(c *Config) {
 		c.Snapshot.Every, c.Snapshot.Trailing, c.Snapshot.Interval.Duration = 5, 5, 50*time.Millisecond
@@ -300,7 +302,7 @@
 			}
 			for _, m := range n.Members {
 				if !set.Has(ownership.PartitionOf(m.Cell)) {
-					t.Errorf("%+v is of no partition of its own", m)
+					t.Errorf("%+v is outside of the watched partitions", m)
 				}
 				if have[m.ID] = m; m.Phase == catalog.Deleted {
 					delete(have, m.ID)
@@ -355,7 +357,7 @@
 	if st := all[1].s.statusNow(false); st.Map != 5 || st.MapWrong != "" {
 		t.Errorf("the map after a restart: %+v", st)
 	}
-	for _, o := range all { // each by itself
+	for _, o := range all { // each replica on its own
 		m, err := registry.FetchMap(t.Context(), http.DefaultClient, []string{o.cfg.HTTP}, 5)
 		if err != nil || m.Number != 5 {
 			t.Errorf("the map at %s: %v", o.cfg.ID, err)
@@ -379,7 +381,7 @@
 	return l.w.Write(p)
 }
 
-// All replicas are older: nothing is taken, and it is logged once for each.
+// If all replicas are of an older build, the watcher must accept nothing, and log each of them once.
 func TestClientOfPartitionsTakesNothingFromOlderReplicas(t *testing.T) {
 	o := replicas(t, 1, nil)[0]
 	put(t, o, "*", of("a", 1))
@@ -400,19 +402,19 @@
 	var watch sync.WaitGroup
 	watch.Go(func() {
 		w.Watch(ctx, func(n registry.News) error {
-			t.Errorf("taken: %+v", n)
+			t.Errorf("accepted: %+v", n)
 			return nil
 		})
 	})
 	for range 2 {
 		if q := <-asks; !strings.Contains(q, "after=0") || !strings.Contains(q, "partitions=") {
-			t.Errorf("asked %s", q)
+			t.Errorf("unexpected request %s", q)
 		}
 	}
 	cancel()
 	watch.Wait()
 	if n := strings.Count(logged.String(), "would send the whole list"); n != 2 {
-		t.Errorf("logged %d times, two servers: %s", n, logged.String())
+		t.Errorf("logged %d times for two servers: %s", n, logged.String())
 	}
 }
 
@@ -428,7 +430,7 @@
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	bad(http.MethodPut, holdAsk{Holder: "w", Value: []byte("no map")}, "no map, with the acquisition")
+	bad(http.MethodPut, holdAsk{Holder: "w", Value: []byte("no map")}, "an invalid map when acquiring")
 	if err := putMap(t, o, 5); err != nil {
 		t.Fatal(err)
 	}
@@ -436,8 +438,8 @@
 	if err := op.into(t.Context(), &w, http.MethodPut, record, "", holdAsk{Holder: "w"}); err != nil {
 		t.Fatal(err)
 	}
-	bad(http.MethodPut, holdAsk{Holder: "w", Value: aMap(t, 5)}, "the same number, with the acquisition")
-	bad(http.MethodPost, holdAsk{Token: w.Token}, "nothing")
+	bad(http.MethodPut, holdAsk{Holder: "w", Value: aMap(t, 5)}, "the same number when acquiring")
+	bad(http.MethodPost, holdAsk{Token: w.Token}, "an empty value")
 	bad(http.MethodPost, holdAsk{Token: w.Token, Value: []byte("no map")}, "no map")
 	bad(http.MethodPost, holdAsk{Token: w.Token, Value: aMap(t, 5)}, "the same number")
 	bad(http.MethodPost, holdAsk{Token: w.Token, Value: aMap(t, 4)}, "a smaller number")
@@ -452,7 +454,7 @@
 	if st := o.s.statusNow(false); st.Map != 5 || st.MapWrong != "" {
 		t.Errorf("status %+v", st)
 	}
-	// Many at once: each number once.
+	// Of concurrent writes with the same number only one may succeed.
 	var writes sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
@@ -468,10 +470,11 @@
 		})
 	}
 	if writes.Wait(); done != 1 {
-		t.Errorf("number 6 was given %d times", done)
+		t.Errorf("number 6 was accepted %d times", done)
 	}
 
-	// An older leader takes anything. The map stays in force, and everyone is told.
+	// A leader of an older build accepts any value. The previous map must stay in force, and the status must
+	// say why.
 	past := func(value []byte, why string) {
 		t.Helper()
 		res, err := o.r.propose(catalog.Command{Update: &catalog.Hold{Name: ownership.Record, Token: w.Token, Value: value}})
@@ -487,10 +490,10 @@
 	past([]byte("no map"), " ")
 	raw, _, err := op.Do(t.Context(), http.MethodGet, "/metrics", "", nil)
 	if err != nil || !strings.Contains(string(raw), "\ndirectory_map_number 6\n") || !strings.Contains(string(raw), "\ndirectory_map_wrong 1\n") {
-		t.Errorf("figures: %v", err)
+		t.Errorf("metrics: %v", err)
 	}
 	if _, err := registry.FetchMap(t.Context(), http.DefaultClient, []string{o.cfg.HTTP}, 0); err == nil {
-		t.Error("what is no map was fetched")
+		t.Error("an invalid map was fetched")
 	}
 	if err := op.into(t.Context(), nil, http.MethodPost, record, "", holdAsk{Token: w.Token, Value: aMap(t, 7)}); err != nil {
 		t.Error(err)
@@ -541,7 +544,7 @@
 	err = op.into(t.Context(), nil, http.MethodPut, "/registry/registrations/d", "", map[string]any{"member": of("d", 1), "ttl_ms": 1000})
 	full(err, "a registration")
 	if after := o.s.statusNow(false).Applied; after != before {
-		t.Errorf("what was refused was proposed: %d after %d", after, before)
+		t.Errorf("a refused write was proposed: entry %d after %d", after, before)
 	}
 	put(t, o, "*", of("a", 9), gone(of("b", 2)))
 	put(t, o, "*", of("d", 1))
@@ -562,7 +565,7 @@
 	}
 }
 
-// told feeds a ledger a command as Raft does.
+// applyCommand applies a command to a state machine as Raft does.
 func told(t testing.TB, l *ledger, c catalog.Command) catalog.Result {
 	t.Helper()
 	raw, err := seal(commandMark, c)
@@ -586,7 +589,8 @@
 	return catalog.Command{Write: &catalog.Write{Base: catalog.Base{Any: true}, Members: members}}
 }
 
-// A change in one partition is encoded once for all who follow it, and costs those who don't nothing.
+// A change in one partition must be encoded once for all its watches, and cost watches of other partitions
+// nothing.
 func TestLinesOfPartitionsAreShared(t *testing.T) {
 	l := newTold(t)
 	told(t, l, write(of("a", 1), of("b", 1)))
@@ -594,11 +598,11 @@
 	a, err := line.of(setOf(1, 2))
 	b, err2 := line.of(setOf(1, 3))
 	if err := errors.Join(err, err2); err != nil || len(a) == 0 || &a[0] != &b[0] {
-		t.Errorf("%s and %s are not the same bytes: %v", a, b, err)
+		t.Errorf("%s and %s do not share their bytes: %v", a, b, err)
 	}
 	mine, others := setOf(1), setOf(2, 3, 4)
 	if n := testing.AllocsPerRun(100, func() { line.of(mine) }); n > 0 {
-		t.Errorf("a line that is there costs %v allocations", n)
+		t.Errorf("an existing line costs %v allocations", n)
 	}
 	told(t, l, write(of("a", 5), of("b", 6)))
 	line = l.lines[1].part
@@ -606,17 +610,18 @@
 		t.Errorf("%s, %v", out, err)
 	}
 	if n := testing.AllocsPerRun(100, func() { line.of(others) }); n > 0 {
-		t.Errorf("a line for others costs %v allocations", n)
+		t.Errorf("a line of other partitions costs %v allocations", n)
 	}
 	for _, p := range line.pieces {
 		if p.body != nil {
-			t.Errorf("partition %d was encoded though nobody follows it", p.Partition)
+			t.Errorf("partition %d was encoded without a watch", p.Partition)
 		}
 	}
 }
 
-// What watches of partitions are sent is what the pure state says of them, byte for byte as a list is encoded, whatever is
-// written, by whatever map; over snapshots that come while they watch. With one line left out the checker finds it.
+// Watches of partitions must receive exactly what package catalog computes, in the encoding of a list,
+// whatever is written, with any map, and across snapshots that are installed meanwhile. If one line is left
+// out, the check must notice.
 func TestLinesOfPartitionsAreTheList(t *testing.T) {
 	for _, fault := range []bool{false, true} {
 		found := 0
@@ -632,7 +637,7 @@
 				case 0:
 					number++
 					told(t, l, catalog.Command{Acquire: &catalog.Hold{Name: ownership.Record, Holder: "w", Value: aMap(t, number), SetsVal: true}})
-				case 1: // another replica's snapshot
+				case 1: // a snapshot from another replica
 					other := newTold(t)
 					raw, err := EncodeBackup(l.state.Image())
 					if err == nil {
@@ -659,7 +664,7 @@
 				}
 				lines, has, _, ok := l.since(at)
 				if !ok && at.revision > 0 {
-					rt.Fatalf("nothing is known since %+v", at)
+					rt.Fatalf("the lines after %+v are unknown", at)
 				}
 				if !ok { // a snapshot before the first write
 					lines = nil
@@ -673,7 +678,7 @@
 					}
 				}
 				if has != number && ok {
-					rt.Fatalf("the map is %d, told is %d", number, has)
+					rt.Fatalf("the map number is %d, reported is %d", number, has)
 				}
 				for _, one := range lines {
 					raw, err := one.part.of(set)
@@ -689,7 +694,7 @@
 						rt.Fatalf("%s: %v", raw, err)
 					}
 					if again, err := json.Marshal(list); err != nil || string(again)+"\n" != string(raw) || list.Map != one.part.number {
-						rt.Fatalf("%s is not as a list is encoded: %s, %v", raw, again, err)
+						rt.Fatalf("%s differs from an encoded list: %s, %v", raw, again, err)
 					}
 					was := maps.Clone(have)
 					for _, m := range list.Members {
@@ -714,20 +719,21 @@
 						found++
 						return
 					}
-					rt.Fatalf("the watch has %v, the list %v", have, want)
+					rt.Fatalf("the watch has %v, the list has %v", have, want)
 				}
 				if fault && leave < 0 {
-					rt.Fatal("a line was left out and not missed")
+					rt.Fatal("the check did not notice that a line was left out")
 				}
 			}
 		})
 		if fault && found < 50 {
-			t.Errorf("only %d breaches were tried", found)
+			t.Errorf("only %d omitted lines were tried", found)
 		}
 	}
 }
 
-// A change that came in an older build's snapshot does not tell who left a partition: the watch is cut, and the next ask gets all.
+// A change from an older build's snapshot does not record which endpoints left a partition. The watch must be
+// cut, and the next request must get the complete list.
 func TestOlderSnapshotCutsWatchesOfPartitions(t *testing.T) {
 	l := newTold(t)
 	told(t, l, write(of("a", 1)))
@@ -758,15 +764,16 @@
 		t.Fatalf("lines since: %v, %v", lines, ok)
 	}
 	if _, err := lines[0].part.of(setOf(1)); !errors.Is(err, errPast) {
-		t.Errorf("told: %v", err)
+		t.Errorf("error %v, want errMovesUnknown", err)
 	}
 	body, _, _, err := l.part(at.revision, setOf(1))
 	if want := `{"revision":2,"complete":true,"members":[]}` + "\n"; err != nil || string(body) != want {
-		t.Errorf("the next ask gets %s, %v", body, err)
+		t.Errorf("the next request gets %s, %v", body, err)
 	}
 }
 
-// BenchmarkChangeForWatches is one change of one endpoint, told to 820 watches of 15 partitions each, by the size of the list.
+// BenchmarkChangeForWatches sends one change of one endpoint to 820 watches of 15 partitions each, by list
+// size.
 func BenchmarkChangeForWatches(b *testing.B) {
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/directory/reads.go
+++ b/internal/directory/reads.go
@@ -14,7 +14,7 @@
 	"starlingusher/fleet/ownership"
 )
 
-// list serves the whole list and watches.
+// serveList serves lists and watches.
 func (s *Server) list(w http.ResponseWriter, req *http.Request) {
 	at, _ := s.r.ledger.at()
 	w.Header().Set(HeaderHistory, strconv.FormatInt(at.history, 10))
@@ -42,8 +42,8 @@
 	}
 	if ok, back := s.admits.admit(cost, time.Now()); !ok {
 		s.metrics.asked("refused")
-		// Whole seconds are what the header can say; half of the last one is left to chance.
-		later(w, back+rand.N(time.Second/2), "more asks than this replica takes at once")
+		// The header allows only whole seconds; half a second of jitter is added.
+		later(w, back+rand.N(time.Second/2), "too many requests")
 		return
 	}
 	s.metrics.asked("taken")
@@ -73,26 +73,27 @@
 	w.Write(raw)
 }
 
-// partitions reads which partitions an ask is for; nil: for the whole list.
+// parsePartitions returns the requested partitions, or nil for the whole list.
 func partitions(q url.Values) (*ownership.Set, error) {
 	texts, asked := q["partitions"]
 	if !asked {
 		return nil, nil
 	}
 	if len(texts) > 1 {
-		return nil, errors.New("partitions stands there twice")
+		return nil, errors.New("partitions is given twice")
 	}
 	set, err := ownership.ParseSet(texts[0])
 	if err != nil {
 		return nil, fmt.Errorf("partitions: %w", err)
 	}
 	if set.Len() == 0 {
-		return nil, errors.New("partitions: none is named")
+		return nil, errors.New("partitions: the set is empty")
 	}
 	return &set, nil
 }
 
-// markPart tells that an answer is of some partitions alone. It has no ETag: no write of a whole list may rest on a part.
+// setPartitionHeaders marks a response that covers only some partitions. It removes the ETag, because no
+// write of a complete list may be based on a part.
 func markPart(w http.ResponseWriter, number int64) {
 	h := w.Header()
 	h.Set(HeaderPartitions, strconv.Itoa(ownership.Partitions))
@@ -100,8 +101,9 @@
 	h.Del("ETag")
 }
 
-// elsewhere answers an ask for what is fresh, if this replica does not lead: the leader does, or nobody can tell. At the
-// leader it returns once all that was agreed on before is in the state.
+// answeredForFresh handles a request for fresh data at a replica that does not lead: it forwards it to the
+// leader, or refuses it, and returns true. At the leader it returns false once the state includes everything
+// committed before.
 func (s *Server) elsewhere(w http.ResponseWriter, req *http.Request) bool {
 	if req.URL.Query().Get("fresh") != "1" {
 		return false
@@ -127,8 +129,8 @@
 	return n, nil
 }
 
-// reach makes sure that this replica knows what the caller does, waiting a moment for it, and tells after which
-// revision the answer begins; or why there is none. What is older than that is never told as news.
+// waitForPosition waits briefly until this replica has the revision that the caller knows. It returns the
+// revision after which the response starts, or why there is none. An older state is never sent as news.
 func (s *Server) reach(ctx context.Context, after, history int64) (from int64, why string) {
 	limit := time.NewTimer(catchUp)
 	defer limit.Stop()
@@ -136,7 +138,7 @@
 		at, news := s.r.ledger.at()
 		switch {
 		case at.revision > 0 && history > 0 && at.history > history:
-			return -1, "" // restored since: another list altogether
+			return -1, "" // a backup was restored since, so the list is a different one
 		case at.revision > 0 && at.history >= history && at.revision >= after:
 			return after, ""
 		}
@@ -150,13 +152,14 @@
 		case at.revision == 0:
 			return 0, "nothing has been written to this list yet"
 		case history == 0 && s.beyond(after):
-			return -1, "" // it counts by another history, whose number it does not know
+			return -1, "" // the revision belongs to another history, whose number the caller does not know
 		}
-		return 0, fmt.Sprintf("this replica is at history %d, revision %d, behind what the caller knows", at.history, at.revision)
+		return 0, fmt.Sprintf("this replica is at history %d, revision %d, and so behind the caller", at.history, at.revision)
 	}
 }
 
-// beyond tells whether nobody can have been told a revision by the present history: the leader does not have it.
+// aheadOfLeader reports whether a revision can't belong to the current history, because not even the leader
+// has it.
 func (s *Server) beyond(after int64) bool {
 	if s.r.leads() {
 		if s.r.current() != nil {
@@ -175,7 +178,7 @@
 	return err == nil && st.Fresh && st.History == at.history && st.Revision < after
 }
 
-// mark tells what an answer is worth.
+// setPositionHeaders sets the headers that tell the position and the freshness of a response.
 func (s *Server) mark(w http.ResponseWriter, at position) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
--- a/internal/directory/records.go
+++ b/internal/directory/records.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// holdAsk is the body of what is asked of a record.
+// recordRequest is the body of a request that changes a record.
 type holdAsk struct {
 	Holder string `json:"holder"`
 	Token  int64  `json:"token"`
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -24,57 +24,57 @@
 )
 
 const (
-	proposeWait = 2 * time.Second // for room in the queue of writes
-	agreeWait   = 4 * time.Second // for a majority; who waits for an answer has given up by then
+	proposeWait = 2 * time.Second // for a place in Raft's queue
+	agreeWait   = 4 * time.Second // for a majority; whoever waits for the answer gives up later than this
 	tick        = 100 * time.Millisecond
 	askPeers    = 300 * time.Millisecond
 	peerTimeout = 500 * time.Millisecond
-	raftTimeout = 2 * time.Second // of one call between replicas
-	nearEnough  = 64              // entries behind the leader, with which a replica may vote
-	keepLogs    = 2               // snapshots
+	raftTimeout = 2 * time.Second // for one call between replicas
+	nearEnough  = 64              // log entries that a replica may be behind the leader when it becomes a voter
+	keepLogs    = 2
 )
 
-// Why a write has no result.
+// Errors of a write that has no result.
 var (
-	// ErrRefused says that it was surely not done.
+	// ErrRefused means that the write was certainly not done.
 	ErrRefused = errors.New("refused")
-	// ErrUnknown says that it may have been done, or may yet be.
-	ErrUnknown = errors.New("its outcome is not known")
-	// ErrRemoved ends a replica that is no longer part of the service.
+	// ErrAmbiguous means that the write may have been done, or may still be.
+	ErrUnknown = errors.New("the outcome is unknown")
+	// ErrRemoved ends a replica that was removed from the service.
 	ErrRemoved = errors.New("this replica was removed from the service")
 )
 
-// errForbidden says that the leader does not know this replica as one of the service.
-var errForbidden = errors.New("not one of the service")
+// errNotMember means that the leader does not know this replica as a member of the service.
+var errForbidden = errors.New("not a member of the service")
 
-// Replica is one process's part of the service. Open starts it, Close ends all that it started.
+// Replica is one process of the service. Open starts it, and Close ends everything that it started.
 type Replica struct {
 	cfg    Config
 	log    *slog.Logger
 	ledger *ledger
-	client *http.Client // to the other replicas
+	client *http.Client // for the other replicas
 	ctx    context.Context
 	cancel context.CancelFunc
 	parts  sync.WaitGroup
 	opened time.Time
 	stuck  atomic.Bool // the folder can't be written
-	failed chan error  // the first thing that it can't go on after
+	failed chan error  // holds the first error that the replica can't recover from
 
-	mu        sync.Mutex // guards what follows
-	raft      *raft.Raft // nil until it is known what this replica is
+	mu        sync.Mutex // guards the fields below
+	raft      *raft.Raft // nil until the replica has joined or bootstrapped the service
 	store     *raftboltdb.BoltStore
 	transport raft.Transport
-	keeper    *catalog.Keeper // while it leads and has caught up
-	began     time.Time       // of the keeper's clock
+	keeper    *catalog.Keeper // nil unless this replica leads and has caught up
+	began     time.Time       // origin of the lease manager's clock
 }
 
-// Open makes a replica of its folder and starts it. One whose folder is empty founds the service if it is alone, or
-// the first of several that are all new; otherwise it joins what is there.
+// Open starts a replica on its folder. A replica with an empty folder bootstraps the service if it is alone,
+// or if it is the first of several that are all new; otherwise it joins the existing service.
 func Open(cfg Config, log *slog.Logger) (*Replica, error) {
 	return open(cfg, log, func(s raft.LogStore) raft.LogStore { return s })
 }
 
-// open is Open with something between Raft and its log, for tests.
+// open is Open with a wrapper around Raft's log, for tests.
 func open(cfg Config, log *slog.Logger, between func(raft.LogStore) raft.LogStore) (*Replica, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -90,15 +90,15 @@
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	path := filepath.Join(cfg.Data, "log.db")
 	store, err := openLog(path)
-	if errors.Is(err, errDamaged) && len(cfg.Peers) > 0 { // the others have it all
+	if errors.Is(err, errDamaged) && len(cfg.Peers) > 0 { // the other replicas have the data
 		aside := fmt.Sprintf("%s/damaged-%d", cfg.Data, time.Now().UnixMilli())
-		log.Error("the log is damaged; this replica begins anew from the others", "err", err, "kept", aside)
+		log.Error("the log is damaged; starting over with the data of the other replicas", "err", err, "kept", aside)
 		if store, err = beginAnew(cfg.Data, aside); err != nil {
 			return nil, err
 		}
 	}
 	if errors.Is(err, errDamaged) {
-		return nil, fmt.Errorf("%w; move the folder %s away, start, and restore a backup (cottonrack directory restore)", err, cfg.Data)
+		return nil, fmt.Errorf("%w; move the folder %s away, start the replica, and restore a backup (cottonrack directory restore)", err, cfg.Data)
 	}
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 	return r, nil
 }
 
-// beginAnew moves what a folder holds aside and opens a new log in it.
+// resetFolder moves the contents of the folder aside and creates an empty log.
 func beginAnew(data, aside string) (*raftboltdb.BoltStore, error) {
 	if err := os.MkdirAll(aside, 0o700); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
@@ -132,10 +132,10 @@
 	}
 }
 
-// Failed tells, once, why the replica can't go on.
+// Failed returns a channel that receives the error, if any, after which the replica can't continue.
 func (r *Replica) Failed() <-chan error { return r.failed }
 
-// Close ends the replica. Its folder may be used again afterwards.
+// Close ends the replica. Its folder may be reused afterwards.
 func (r *Replica) Close() error {
 	r.cancel()
 	r.mu.Lock()
@@ -147,8 +147,8 @@
 		go func() { done <- node.Shutdown().Error() }()
 		select {
 		case err = <-done:
-		case <-time.After(3 * time.Second): // a full disk may hold it
-			return errors.New("the replica could not end its work")
+		case <-time.After(3 * time.Second): // a full disk may block it
+			return errors.New("raft did not shut down in time")
 		}
 	}
 	if t, ok := transport.(*raft.NetworkTransport); ok {
@@ -160,7 +160,7 @@
 	return errors.Join(err, store.Close())
 }
 
-// begin finds out what this replica is, and starts Raft.
+// startRaft bootstraps or joins the service, if necessary, and starts Raft.
 func (r *Replica) begin(logs raft.LogStore) error {
 	snaps, err := raft.NewFileSnapshotStoreWithLogger(r.cfg.Data, keepLogs, r.raftLog())
 	if err != nil {
@@ -204,7 +204,7 @@
 	if found {
 		only := raft.Configuration{Servers: []raft.Server{{ID: conf.LocalID, Address: address}}}
 		if err := raft.BootstrapCluster(conf, cached, stable, snaps, transport, only); err != nil {
-			return fmt.Errorf("founding: %w", err)
+			return fmt.Errorf("bootstrap: %w", err)
 		}
 	}
 	r.mu.Lock()
@@ -230,8 +230,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("raft: %w", err)
 	}
-	// One call at a time to each replica: with more, a follower that can't store what it is sent leaves the leader waiting
-	// for good (the sender for the decoder, which waits for a reader that has gone).
+	// Only one call at a time to each replica. With more, a follower that can't store entries blocks the
+	// leader for good: the sender waits for the decoder, which waits for a reader that has ended.
 	t, err := raft.NewTCPTransportWithConfig(cmp.Or(r.cfg.BindRaft, r.cfg.Raft), advertise, &raft.NetworkTransportConfig{
 		MaxPool: 3, Timeout: raftTimeout, Logger: r.raftLog(), MaxRPCsInFlight: 1,
 	})
@@ -241,14 +241,14 @@
 	return t, nil
 }
 
-// raftLog hands Raft's lines on to the log.
+// raftLogger forwards Raft's log lines to the replica's log.
 func (r *Replica) raftLog() hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, JSONFormat: true, Output: lineLog{r.log}})
 }
 
 type lineLog struct{ log *slog.Logger }
 
-// Write takes one line of JSON.
+// Write logs one line of JSON.
 func (l lineLog) Write(p []byte) (int, error) {
 	var m map[string]any
 	if json.Unmarshal(p, &m) != nil {
@@ -270,7 +270,7 @@
 	return len(p), nil
 }
 
-// node is Raft, or nil as long as it has not begun.
+// raftNode returns Raft, or nil if it has not started yet.
 func (r *Replica) node() *raft.Raft {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/directory/reports.go
+++ b/internal/directory/reports.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	maxReports   = 256 << 20 // bytes of a file of notices, before another is begun
+	maxReports   = 256 << 20 // bytes after which a new file of notices is started
 	reportsWait  = 2 * time.Second
 	reportsName  = "reports.jsonl"
-	reportsMoved = "reports-%d.jsonl" // Unix ms of when the next one was begun
+	reportsMoved = "reports-%d.jsonl" // Unix ms when its successor was started
 )
 
-// reports takes nodes' notices of the ends of messages: it passes them on, or keeps them in the folder. Who handed
-// them in keeps them until it is told that they are taken.
+// noticeSink receives the notices of nodes about the ends of messages. It forwards them, or stores them in
+// the folder. The sender keeps its notices until they are acknowledged.
 type reports struct {
 	to     string
 	client *http.Client
 	dir    string
 
 	mu   sync.Mutex
-	file *os.File // nil if they are passed on
+	file *os.File // nil if notices are forwarded
 	size int64
 }
 
@@ -67,7 +67,7 @@
 	return s.file.Close()
 }
 
-// checkReports tells whether a body is one of notices, a JSON object a line.
+// validateNotices checks that a body consists of notices, one JSON object per line.
 func checkReports(raw []byte) error {
 	n := 0
 	for line := range bytes.Lines(raw) {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// take returns once the notices are safe elsewhere or on the disk.
+// store returns once the notices have been accepted elsewhere or are on disk.
 func (s *reports) take(ctx context.Context, raw []byte) error {
 	if s.to != "" {
 		return s.passOn(ctx, raw)
@@ -102,7 +102,7 @@
 	if len(raw) > 0 && raw[len(raw)-1] != '\n' {
 		raw = append(raw, '\n')
 	}
-	if _, err := s.file.Write(raw); err != nil { // a part that was written has no end; the next begins a new line
+	if _, err := s.file.Write(raw); err != nil { // cuts off a partial line, so that the next notice starts on a line of its own
 		s.file.Truncate(s.size)
 		return fmt.Errorf("notices: %w", err)
 	}
--- a/internal/directory/server.go
+++ b/internal/directory/server.go
@@ -18,26 +18,26 @@
 	"starlingusher/fleet/catalog"
 )
 
-// The headers of an answer beside the platform's own form.
+// Response headers in addition to those of the platform's discovery.
 const (
 	HeaderHistory    = "Registry-History"    // number of the history that the revisions belong to
-	HeaderRevision   = "Registry-Revision"   // the list's
-	HeaderAge        = "Registry-Age-Ms"     // for how long the replica has heard nothing of a leader
-	HeaderVouched    = "Registry-Vouched"    // "no": the list's source has gone silent
-	HeaderPartitions = "Registry-Partitions" // of an answer to an ask for some of them: by how many it was filtered
-	HeaderMap        = "Registry-Map"        // of the same: the number of the map of partitions, 0 for none
+	HeaderRevision   = "Registry-Revision"   // of the list
+	HeaderAge        = "Registry-Age-Ms"     // time since the replica's last contact with the leader
+	HeaderVouched    = "Registry-Vouched"    // "no": the source of the list has gone silent
+	HeaderPartitions = "Registry-Partitions" // in answers about some partitions: the number of partitions that the filter is based on
+	HeaderMap        = "Registry-Map"        // likewise: the number of the partition map, 0 for none
 	headerPassedOn   = "Registry-Passed-On"
 )
 
 const (
-	maxWrite     = 16 << 20 // bytes of a body
+	maxWrite     = 16 << 20 // of a request body
 	catchUp      = 300 * time.Millisecond
 	passOnWait   = 5 * time.Second
-	resumeCost   = 0.1 // of an ask that gets changes only, against a whole list's 1
+	resumeCost   = 0.1 // admission cost of a request for changes; a complete list costs 1
 	headerWait   = 10 * time.Second
 	idleWait     = 2 * time.Minute
-	sendBuffer   = 64 << 10 // bytes that the kernel holds for one who does not read
-	maxHistory   = 1000     // changes in one answer
+	sendBuffer   = 64 << 10 // kernel buffer for a client that does not read
+	maxHistory   = 1000     // changes in one response
 	defaultTurns = 100
 )
 
@@ -49,12 +49,12 @@
 	metrics *metrics
 	http    http.Server
 	watches watches
-	mapping sync.Mutex // held from the check of a new map of partitions until what came of it
+	mapping sync.Mutex // held from the validation of a new partition map until its outcome
 	parts   sync.WaitGroup
 	end     context.CancelFunc
 }
 
-// Serve opens the replica's address. It works until Close.
+// Serve opens the replica's address and serves it until Close.
 func Serve(r *Replica) (*Server, error) {
 	ln, err := net.Listen("tcp", cmp.Or(r.cfg.BindHTTP, r.cfg.HTTP))
 	if err != nil {
@@ -98,7 +98,7 @@
 		BaseContext: func(net.Listener) context.Context { return life },
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			if t, ok := c.(*net.TCPConn); ok {
-				t.SetWriteBuffer(sendBuffer) // a watcher that does not read shall not fill the machine's memory
+				t.SetWriteBuffer(sendBuffer) // a client that does not read must not use up the machine's memory
 			}
 			return ctx
 		},
@@ -112,7 +112,7 @@
 	return s, nil
 }
 
-// Close ends all connections, watches first.
+// Close ends all watches and connections.
 func (s *Server) Close() error {
 	s.end()
 	err := s.http.Close()
@@ -121,10 +121,10 @@
 	return errors.Join(err, s.reports.close())
 }
 
-// problem is the body of an answer that is a no.
+// errorBody is the body of an error response.
 type problem struct {
 	Error    string `json:"error"`
-	Outcome  string `json:"outcome"` // refused: surely not done; unknown: it may have been; held: it waits
+	Outcome  string `json:"outcome"` // refused: certainly not done; unknown: may have been done; held: awaits confirmation
 	Revision int64  `json:"revision,omitempty"`
 	Held     int64  `json:"held,omitempty"`
 }
@@ -141,13 +141,13 @@
 
 func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
 
-// later turns somebody away for a while.
+// writeRetryLater refuses a request and asks the client to retry after a delay.
 func later(w http.ResponseWriter, d time.Duration, why string) {
 	w.Header().Set("Retry-After", strconv.Itoa(retryAfter(d)))
 	answer(w, http.StatusServiceUnavailable, problem{Error: why, Outcome: "refused"})
 }
 
-// result answers for a command.
+// writeResult writes the response to a command.
 func result(w http.ResponseWriter, res catalog.Result, err error) {
 	switch {
 	case errors.Is(err, ErrUnknown):
@@ -156,7 +156,7 @@
 	case err != nil:
 		later(w, time.Second, oneLine(err))
 		return
-	case errors.Is(res.Err, catalog.ErrNew): // the leader is about to
+	case errors.Is(res.Err, catalog.ErrNew): // the leader is about to bootstrap the service
 		later(w, time.Second, oneLine(res.Err))
 		return
 	case res.Err == nil:
@@ -179,18 +179,19 @@
 	answer(w, code, p)
 }
 
-// passOn hands a request to the leader, if this replica is not it, and tells whether it has been answered.
+// forwardToLeader forwards a request to the leader, unless this replica leads, and reports whether it has
+// responded.
 func (s *Server) passOn(w http.ResponseWriter, req *http.Request, body []byte) bool {
 	if s.r.leads() {
 		return false
 	}
 	if req.Header.Get(headerPassedOn) != "" {
-		later(w, time.Second, "the replica that this was passed on to does not lead")
+		later(w, time.Second, "the replica that this request was forwarded to does not lead")
 		return true
 	}
 	id, address := s.r.leader()
 	if address == "" || id == s.r.cfg.ID {
-		later(w, time.Second, "there is no leader: too few replicas reach each other to agree on a change")
+		later(w, time.Second, "there is no leader: no majority of replicas can reach each other")
 		return true
 	}
 	ctx, cancel := context.WithTimeout(req.Context(), passOnWait)
@@ -210,16 +211,16 @@
 	if err != nil {
 		var dial *net.OpError
 		if errors.As(err, &dial) && dial.Op == "dial" {
-			later(w, time.Second, "the leader, "+id+", can't be reached")
+			later(w, time.Second, "the leader, "+id+", is unreachable")
 			return true
 		}
-		answer(w, http.StatusGatewayTimeout, problem{Error: "the leader, " + id + ", has not answered: " + oneLine(err), Outcome: "unknown"})
+		answer(w, http.StatusGatewayTimeout, problem{Error: "the leader, " + id + ", did not respond: " + oneLine(err), Outcome: "unknown"})
 		return true
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBackup))
 	if err != nil {
-		answer(w, http.StatusGatewayTimeout, problem{Error: "the leader, " + id + ", was cut off while it answered", Outcome: "unknown"})
+		answer(w, http.StatusGatewayTimeout, problem{Error: "the leader, " + id + ", closed the connection during its response", Outcome: "unknown"})
 		return true
 	}
 	for _, h := range []string{"Content-Type", "Retry-After", "ETag", HeaderHistory, HeaderRevision, HeaderAge, HeaderVouched, HeaderPartitions, HeaderMap} {
@@ -232,20 +233,21 @@
 	return true
 }
 
-// body reads a request's, within a bound.
+// readBody reads a request body up to a size limit.
 func body(w http.ResponseWriter, req *http.Request, most int64) ([]byte, bool) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, req.Body, most))
 	var big *http.MaxBytesError
 	switch {
 	case errors.As(err, &big):
-		wrong(w, http.StatusRequestEntityTooLarge, fmt.Errorf("more than %d bytes", most))
+		wrong(w, http.StatusRequestEntityTooLarge, fmt.Errorf("the body exceeds %d bytes", most))
 	case err != nil:
 		wrong(w, http.StatusBadRequest, err)
 	}
 	return raw, err == nil
 }
 
-// leaderReads reads a body at the leader, or answers: elsewhere by passing it on, here for what can't be read.
+// decodeOnLeader decodes a request body if this replica leads. Otherwise it forwards the request, and
+// responds to one that is malformed; it then returns false.
 func (s *Server) leaderReads(w http.ResponseWriter, req *http.Request, into any) bool {
 	raw, ok := body(w, req, maxWrite)
 	if !ok || s.passOn(w, req, raw) {
@@ -258,7 +260,7 @@
 	return true
 }
 
-// command passes a command on to the leader, or has it agreed on here and answers.
+// runCommand forwards the request to the leader, or replicates its command and responds.
 func (s *Server) command(w http.ResponseWriter, req *http.Request, raw []byte, make func() (catalog.Command, error)) {
 	begun := time.Now()
 	if s.passOn(w, req, raw) {
