--- a/internal/directory/start_test.go
+++ b/internal/directory/start_test.go
@@ -13,7 +13,7 @@
 	"starlingusher/fleet/catalog"
 )
 
-// fillLog writes the log of a replica alone that has done so many writes and taken no snapshot.
+// fillLog writes the log of a single replica after a number of writes, without a snapshot.
 func fillLog(b *testing.B, path string, writes int) {
 	s, err := openLog(path)
 	if err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkStartOfAMillion starts from a log of a million changes, then from the snapshot that it makes of them.
+// BenchmarkStartOfAMillion starts from a log of a million changes, and then from the snapshot made from it.
 func BenchmarkStartOfAMillion(b *testing.B) {
 	const writes = 1_000_000
 	dir := b.TempDir()
@@ -77,7 +77,7 @@
 		r, took := start()
 		b.ReportMetric(took.Seconds(), "s/log")
 		b.ReportMetric(float64(info.Size())/(1<<20), "MB/log")
-		for { // a snapshot of almost all, and the log cut behind it
+		for { // wait for a snapshot of almost everything, and for the log to be truncated
 			if first, err := r.store.FirstIndex(); err == nil && first > writes*9/10 {
 				break
 			}
--- a/internal/directory/store.go
+++ b/internal/directory/store.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	lockWait  = 2 * time.Second // for a process that is about to let go of the folder
+	lockWait  = 2 * time.Second // for another process to release the folder
 	retryDisk = 100 * time.Millisecond
 )
 
-// openLog opens the log, after it has been looked through: what follows would not notice damage until it is too late.
-// A damaged one is an errDamaged.
+// openLog verifies the log and opens it. Raft would notice damage only when it is too late. The error for a
+// damaged log wraps errDamaged.
 func openLog(path string) (*raftboltdb.BoltStore, error) {
 	if _, err := os.Stat(path); err == nil {
 		if err := checkFile(path); err != nil {
@@ -41,7 +41,7 @@
 	return s, nil
 }
 
-// guarded turns a panic, and a fault on memory that the file no longer backs, into an error.
+// recoverDamage converts a panic, or a memory fault on a mapped file that was cut, into an error.
 func guarded(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -52,12 +52,12 @@
 	return do()
 }
 
-// checkFile tells whether the file is a whole one.
+// verifyFile checks that the database file is complete.
 func checkFile(path string) error {
 	return guarded(func() error {
 		db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: lockWait})
 		if errors.Is(err, bbolt.ErrTimeout) {
-			return fmt.Errorf("log: another process uses the folder")
+			return fmt.Errorf("log: the folder is in use by another process")
 		}
 		if err != nil {
 			return fmt.Errorf("log: %w: %w", errDamaged, err)
@@ -69,14 +69,14 @@
 				return fmt.Errorf("log: %w", err)
 			}
 			if info.Size() < tx.Size() {
-				return fmt.Errorf("log: %w: %d bytes of %d are there", errDamaged, info.Size(), tx.Size())
+				return fmt.Errorf("log: %w: the file has %d of %d bytes", errDamaged, info.Size(), tx.Size())
 			}
 			return nil
 		})
 	})
 }
 
-// checkLog reads every entry: each one is there, in its place, and as it was written.
+// verifyLog reads every entry and checks its index and its checksum.
 func checkLog(s *raftboltdb.BoltStore) error {
 	return guarded(func() error {
 		first, err := s.FirstIndex()
@@ -93,24 +93,24 @@
 				return fmt.Errorf("log: %w: entry %d: %w", errDamaged, i, err)
 			}
 			if e.Index != i {
-				return fmt.Errorf("log: %w: entry %d stands at %d", errDamaged, e.Index, i)
+				return fmt.Errorf("log: %w: found entry %d at index %d", errDamaged, e.Index, i)
 			}
 			if e.Type == raft.LogCommand && !sealed(e.Data) {
-				return fmt.Errorf("log: %w: entry %d is not as it was written", errDamaged, i)
+				return fmt.Errorf("log: %w: checksum mismatch in entry %d", errDamaged, i)
 			}
 		}
 		return nil
 	})
 }
 
-// patientStore holds Raft's term and vote. A full disk must not end the replica, whose reads go on: a write waits
-// until it is done. Until then this replica neither votes nor leads.
+// retryingStore stores Raft's term and vote, and retries each write until it succeeds. A full disk must not
+// end the replica, which continues to serve reads; meanwhile it neither votes nor leads.
 type patientStore struct {
 	raft.StableStore
 	log  *slog.Logger
 	stop <-chan struct{}
 
-	stuck *atomic.Bool // while a write waits
+	stuck *atomic.Bool // set while a write is being retried
 }
 
 func (p patientStore) insist(write func() error) error {
@@ -119,28 +119,28 @@
 		err := write()
 		if err == nil {
 			if told {
-				p.log.Warn("the folder can be written again")
+				p.log.Warn("the folder is writable again")
 			}
 			return nil
 		}
 		p.stuck.Store(true)
 		if !told {
-			p.log.Error("the folder can't be written; this replica takes no part in votes", "err", err)
+			p.log.Error("writing to the folder failed; this replica does not vote until it succeeds", "err", err)
 		}
 		select {
 		case <-p.stop:
-			select {} // an error would be a panic in Raft; the process is about to end
+			select {} // Raft would panic on an error; the process is about to end
 		case <-time.After(retryDisk):
 		}
 	}
 }
 
-// Set waits until it is written.
+// Set writes a value and retries until it succeeds.
 func (p patientStore) Set(k, v []byte) error {
 	return p.insist(func() error { return p.StableStore.Set(k, v) })
 }
 
-// SetUint64 waits until it is written.
+// SetUint64 writes a value and retries until it succeeds.
 func (p patientStore) SetUint64(k []byte, v uint64) error {
 	return p.insist(func() error { return p.StableStore.SetUint64(k, v) })
 }
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	heartbeat  = 2 * time.Second // an empty line, as long as nothing changes
+	heartbeat  = 2 * time.Second // an empty line is sent if nothing changes for so long
 	sweepEvery = 500 * time.Millisecond
-	writeLimit = 10 * time.Second // for one write to go on its way
+	writeLimit = 10 * time.Second // for a single write
 )
 
-// watcher is one open watch. Its request's goroutine writes to it; the sweep may cut it.
+// watchConn is one open watch. The goroutine of its request writes to it; cutLagging may end it.
 type watcher struct {
-	at   atomic.Int64 // the revision that it has been written
+	at   atomic.Int64 // last revision written to it
 	cut  atomic.Bool
 	conn *http.ResponseController
 }
 
-// watches are all that are open.
+// watchSet is the set of open watches.
 type watches struct {
 	wait sync.WaitGroup
 	mu   sync.Mutex
 	all  map[*watcher]bool
 }
 
-// add takes a watch in, if there is room.
+// add adds a watch if the limit allows it.
 func (w *watches) add(one *watcher, most int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -56,7 +56,8 @@
 	return len(w.all)
 }
 
-// sweep cuts the watches that are too far behind: their writes hang, and what they have not read is not kept for them.
+// cutLagging ends watches whose next lines are no longer kept. Their writes block because the client does not
+// read.
 func (w *watches) sweep(ctx context.Context, s *Server) {
 	for registry.Sleep(ctx, sweepEvery) {
 		oldest := s.r.ledger.oldest()
@@ -71,19 +72,20 @@
 	}
 }
 
-// oldest is the revision up to which a watch must have come: the lines after it are kept.
+// oldestResumable returns the revision that a watch must have reached, because only later lines are kept.
 func (l *ledger) oldest() int64 {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.state.Revision() - int64(len(l.lines))
 }
 
-// watch tells a caller what changes, in some partitions or, if there are none, of the whole list, until one of the two ends it.
+// serveWatch sends the changes in some partitions, or of the whole list if parts is nil, until either side
+// ends the watch.
 func (s *Server) watch(w http.ResponseWriter, req *http.Request, after int64, parts *ownership.Set) {
 	one := &watcher{conn: http.NewResponseController(w)}
 	var body []byte
 	var at position
-	var number int64 // of the map, as the watcher was told it
+	var number int64 // of the partition map that was sent last
 	var err error
 	if parts != nil {
 		body, at, number, err = s.r.ledger.part(after, parts)
@@ -97,7 +99,7 @@
 	one.at.Store(at.revision)
 	if !s.watches.add(one, s.r.cfg.Watch.Most) {
 		s.metrics.asked("refused")
-		later(w, 5*time.Second, "as many watches as this replica takes are open")
+		later(w, 5*time.Second, "the limit of open watches is reached")
 		return
 	}
 	defer s.watches.remove(one)
@@ -133,7 +135,7 @@
 				body := l.body
 				if parts != nil {
 					if body, err = l.part.of(parts); err != nil {
-						s.metrics.cut("position") // the next ask gets the whole list of them
+						s.metrics.cut("position") // the client's next request gets the complete list of its partitions
 						return
 					}
 				}
@@ -160,7 +162,7 @@
 		case <-news:
 		case <-beat.C:
 			sign := []byte("\n")
-			if told < at.revision { // by changes that touched none of its partitions
+			if told < at.revision { // by changes outside of its partitions
 				sign, told = carryOn(at.revision, number), at.revision
 			}
 			if !write(sign) {
@@ -173,5 +175,5 @@
 	}
 }
 
-// Watching is how many watches are open.
+// WatchCount returns the number of open watches.
 func (s *Server) Watching() int { return s.watches.count() }
--- a/internal/directory/writes.go
+++ b/internal/directory/writes.go
@@ -13,10 +13,10 @@
 	"starlingusher/fleet/catalog"
 )
 
-// reader makes a write of a request.
+// writeParser converts a request into a write.
 type reader func(req *http.Request, raw []byte) (catalog.Write, error)
 
-// write serves the requests that change the list.
+// serveWrite serves the requests that change the list.
 func (s *Server) write(read reader) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		raw, ok := body(w, req, maxWrite)
@@ -24,15 +24,15 @@
 			return
 		}
 		if s.r.cfg.Follow.Discovery != "" {
-			wrong(w, http.StatusConflict, errors.New("this directory follows the platform's discovery; change the list there"))
+			wrong(w, http.StatusConflict, errors.New("this directory copies the list of the platform's discovery; change it there"))
 			return
 		}
 		match := req.Header.Get("If-Match")
 		if match == "" && req.PathValue("id") != "" && strings.HasPrefix(req.URL.Path, "/registry/registrations/") {
-			match = "*" // who registers speaks for itself alone
+			match = "*" // a registration concerns only the endpoint itself
 		}
 		if match == "" {
-			wrong(w, http.StatusPreconditionRequired, errors.New(`If-Match is missing: the revision that the write rests on, or "*"`))
+			wrong(w, http.StatusPreconditionRequired, errors.New(`the If-Match header is missing: base revision of the write, or "*"`))
 			return
 		}
 		base, err := readBase(match)
@@ -62,7 +62,7 @@
 	}
 }
 
-// readBase reads If-Match: "*", a revision, or a history and a revision with a point between, in quotes or not.
+// parseIfMatch parses If-Match: "*", REVISION or HISTORY.REVISION, with or without quotes.
 func readBase(match string) (catalog.Base, error) {
 	match = strings.Trim(strings.TrimSpace(match), `"`)
 	if match == "*" {
@@ -75,12 +75,12 @@
 	history, err := strconv.ParseInt(h, 10, 64)
 	revision, err2 := strconv.ParseInt(rev, 10, 64)
 	if err != nil || err2 != nil || history < 0 || revision < 0 {
-		return catalog.Base{}, fmt.Errorf("If-Match %.40q is neither * nor REVISION nor HISTORY.REVISION", match)
+		return catalog.Base{}, fmt.Errorf("If-Match %.40q is not *, REVISION or HISTORY.REVISION", match)
 	}
 	return catalog.Base{History: history, Revision: revision}, nil
 }
 
-// strict reads one JSON value and nothing else.
+// decodeStrict decodes exactly one JSON value without unknown fields.
 func strict(raw []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
@@ -88,7 +88,7 @@
 		return fmt.Errorf("body: %w", err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return errors.New("body: something stands behind its end")
+		return errors.New("body: unexpected data after the JSON value")
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 func readMembers(raw []byte) ([]catalog.Endpoint, error) {
 	var l struct {
 		Members  *[]catalog.Endpoint `json:"members"`
-		Revision int64               `json:"revision"` // as a list that was read has them
+		Revision int64               `json:"revision"` // allowed so that a list can be sent back as it was read
 		Complete bool                `json:"complete"`
 	}
 	if err := strict(raw, &l); err != nil {
@@ -133,7 +133,7 @@
 		return catalog.Write{}, err
 	}
 	if m.ID != req.PathValue("id") {
-		return catalog.Write{}, fmt.Errorf("the body's id is %.40q, the path's %.40q", m.ID, req.PathValue("id"))
+		return catalog.Write{}, fmt.Errorf("the id is %.40q in the body and %.40q in the path", m.ID, req.PathValue("id"))
 	}
 	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Check()
 }
@@ -143,7 +143,7 @@
 	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Check()
 }
 
-// readDrain drains an endpoint as it stands on the list here.
+// parseDrain drains an endpoint as it is listed at this replica.
 func (s *Server) readDrain(req *http.Request, _ []byte) (catalog.Write, error) {
 	var m catalog.Endpoint
 	s.r.ledger.read(func(st *catalog.State) {
@@ -151,7 +151,7 @@
 		m = e.Endpoint
 	})
 	if m.ID == "" {
-		return catalog.Write{}, fmt.Errorf("endpoint %.40q is not on the list here: %w", req.PathValue("id"), catalog.ErrUnknown)
+		return catalog.Write{}, fmt.Errorf("endpoint %.40q is not listed at this replica: %w", req.PathValue("id"), catalog.ErrUnknown)
 	}
 	m.Phase = catalog.Draining
 	return catalog.Write{Members: []catalog.Endpoint{m}}, nil
@@ -166,10 +166,10 @@
 		return catalog.Write{}, err
 	}
 	if reg.Member.ID != req.PathValue("id") || reg.Member.Phase != catalog.Serving {
-		return catalog.Write{}, fmt.Errorf("the member has the path's id and phase %s", catalog.Serving)
+		return catalog.Write{}, fmt.Errorf("the member must have the id of the path and phase %s", catalog.Serving)
 	}
 	if reg.TTL < catalog.MinTTL || reg.TTL > catalog.MaxTTL {
-		return catalog.Write{}, fmt.Errorf("ttl_ms is %d to %d", int64(catalog.MinTTL), int64(catalog.MaxTTL))
+		return catalog.Write{}, fmt.Errorf("ttl_ms must be %d to %d", int64(catalog.MinTTL), int64(catalog.MaxTTL))
 	}
 	return catalog.Write{Members: []catalog.Endpoint{reg.Member}, TTL: reg.TTL}, reg.Member.Check()
 }
--- a/internal/registry/kept.go
+++ b/internal/registry/kept.go
@@ -16,11 +16,11 @@
 
 const keptName = "list.json"
 
-// Kept is the last list in a folder that lasts, for a process that starts while no service can be reached. It is
-// not safe for use by several goroutines at once.
+// ListCache keeps the latest list in a persistent folder, for a process that starts while no service is
+// reachable. It is not safe for concurrent use.
 type Kept struct {
 	path string
-	most int64 // bytes of the file; while it is replaced there are two
+	most int64 // size limit of the file; while it is being replaced there are two
 
 	members map[string]catalog.Endpoint
 	at      Position
@@ -28,7 +28,7 @@
 	due     bool
 }
 
-// keptFile is the file's form.
+// cacheFile is the format of the file.
 type keptFile struct {
 	HeardAt  time.Time          `json:"heard_at"`
 	History  int64              `json:"history"`
@@ -37,25 +37,25 @@
 	Members  []catalog.Endpoint `json:"members"`
 }
 
-// OpenKept reads what a folder keeps; nothing is no error, and neither is what can't be read: it is as if lost. The
-// file will hold so many bytes at most.
+// OpenListCache reads the cache in a folder. A missing file is no error. If the file is unreadable, the cache
+// is usable and empty, and the error says why. maxBytes limits the size of the file.
 func OpenKept(dir string, most int64) (*Kept, error) {
 	k := &Kept{path: filepath.Join(dir, keptName), most: most, members: map[string]catalog.Endpoint{}}
-	os.Remove(k.path + ".new") // of a process that ended while it wrote
+	os.Remove(k.path + ".new") // left by a process that ended while writing
 	raw, err := os.ReadFile(k.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return k, nil
 	}
 	if err != nil {
-		return k, fmt.Errorf("kept list: %w", err)
+		return k, fmt.Errorf("list cache: %w", err)
 	}
 	var f keptFile
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return k, fmt.Errorf("kept list: %w", err)
+		return k, fmt.Errorf("list cache: %w", err)
 	}
 	for _, m := range f.Members {
 		if m.Check() != nil || m.Phase == catalog.Deleted {
-			return k, fmt.Errorf("kept list: endpoint %.40q is not well formed", m.ID)
+			return k, fmt.Errorf("list cache: invalid endpoint %.40q", m.ID)
 		}
 	}
 	for _, m := range f.Members {
@@ -65,7 +65,7 @@
 	return k, nil
 }
 
-// List is the kept list, whole, where it was told, and when; false if there is none.
+// List returns the cached list, its position, and when the service last confirmed it; false if there is none.
 func (k *Kept) List() (catalog.List, Position, time.Time, bool) {
 	l := catalog.List{Revision: k.at.Revision, Complete: true, Members: []catalog.Endpoint{}}
 	for _, m := range k.members {
@@ -75,7 +75,7 @@
 	return l, k.at, k.heard, !k.heard.IsZero()
 }
 
-// Take notes what was told. The file follows by Flush.
+// Apply applies an update in memory. Flush writes it to the file.
 func (k *Kept) Take(n News, now time.Time) {
 	if n.Complete {
 		clear(k.members)
@@ -88,15 +88,15 @@
 	k.at, k.heard, k.due = n.Position(), now, true
 }
 
-// Heard notes that the service still stands by the list.
+// MarkConfirmed notes that the service still confirms the list.
 func (k *Kept) Heard(now time.Time) {
 	if !k.heard.IsZero() {
 		k.heard = now
 	}
 }
 
-// Flush writes the file if there is something new. The file is whole at any time. What can't be written stays due; what is
-// too large does not.
+// Flush writes the file if the list has changed. It replaces the file atomically. After a write error it
+// tries again at the next call, but not if the list is too large.
 func (k *Kept) Flush() error {
 	if !k.due {
 		return nil
@@ -104,11 +104,11 @@
 	l, at, heard, _ := k.List()
 	raw, err := json.Marshal(keptFile{heard, at.History, at.Revision, at.From, l.Members})
 	if err != nil {
-		return fmt.Errorf("kept list: %w", err)
+		return fmt.Errorf("list cache: %w", err)
 	}
 	if int64(len(raw)) > k.most {
 		k.due = false
-		return fmt.Errorf("kept list: %d bytes, %d at most; the older one stays", len(raw), k.most)
+		return fmt.Errorf("list cache: the list has %d bytes, the limit is %d; keeping the older file", len(raw), k.most)
 	}
 	next := k.path + ".new"
 	if err = os.WriteFile(next, raw, 0o600); err == nil {
@@ -116,7 +116,7 @@
 	}
 	if err != nil {
 		os.Remove(next)
-		return fmt.Errorf("kept list: %w", err)
+		return fmt.Errorf("list cache: %w", err)
 	}
 	k.due = false
 	return nil
--- a/internal/registry/ownership.go
+++ b/internal/registry/ownership.go
@@ -13,18 +13,19 @@
 	"starlingusher/fleet/ownership"
 )
 
-// maxMapAnswer is more than the answer of a record: a value of catalog.MaxValue in base64, and what stands around it.
+// maxMapResponse exceeds any response with a record: a value of catalog.MaxValue bytes in base64, and the
+// fields around it.
 const maxMapAnswer = catalog.MaxValue*4/3 + 8<<10
 
-// ErrNoMap says that a server has no map of partitions.
-var ErrNoMap = errors.New("there is no map of partitions yet")
+// ErrNoMap reports that a server has no partition map.
+var ErrNoMap = errors.New("the server has no partition map")
 
-// FetchMap reads the newest map of partitions from one address after the other, beginning at any of them, until one has a
-// number of at least so much. Each address has 2.2 s and is asked once; the error tells what came of each: ErrNoMap, ErrBehind
-// for a smaller number, what ownership.Decode says of a map that can't be read.
+// FetchMap reads the newest partition map from one address after another, starting at a random one, until one
+// returns a map with at least the given number. Each address has 2.2 s and is asked once. The error lists the
+// failure of each address: ErrNoMap, ErrStale for a smaller number, or an error of ownership.Decode.
 func FetchMap(ctx context.Context, client *http.Client, addresses []string, least int64) (*ownership.Map, error) {
 	if len(addresses) == 0 {
-		return nil, errors.New("map of partitions: no address to ask")
+		return nil, errors.New("partition map: no server address")
 	}
 	var errs []error
 	begin := rand.IntN(len(addresses))
@@ -32,12 +33,12 @@
 		addr := addresses[(begin+i)%len(addresses)]
 		m, err := fetchMap(ctx, client, addr)
 		if err == nil && m.Number < least {
-			err = fmt.Errorf("%w: map %d where %d is known", ErrBehind, m.Number, least)
+			err = fmt.Errorf("%w: map number %d is below the known %d", ErrBehind, m.Number, least)
 		}
 		if err == nil {
 			return m, nil
 		}
-		errs = append(errs, fmt.Errorf("map of partitions: %s: %w", addr, err))
+		errs = append(errs, fmt.Errorf("partition map: %s: %w", addr, err))
 		if ctx.Err() != nil {
 			break
 		}
@@ -68,13 +69,13 @@
 		return nil, err
 	}
 	if len(raw) > maxMapAnswer {
-		return nil, fmt.Errorf("more than %d bytes", maxMapAnswer)
+		return nil, fmt.Errorf("the response exceeds %d bytes", maxMapAnswer)
 	}
 	var r catalog.Record
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return nil, err
 	}
-	if len(r.Value) == 0 { // acquired by its first writer, who has not written it yet
+	if len(r.Value) == 0 { // the record was acquired by its first writer, who has not written a map yet
 		return nil, ErrNoMap
 	}
 	return ownership.Decode(r.Value)
--- a/internal/registry/ownership_test.go
+++ b/internal/registry/ownership_test.go
@@ -25,7 +25,7 @@
 	return &s
 }
 
-// said is an answer of a server; what follows its body is silence, or the end.
+// httpResponse returns a response that ends after its body.
 func said(code int, head map[string]string, body string) *http.Response {
 	h := http.Header{}
 	for k, v := range head {
@@ -34,7 +34,7 @@
 	return &http.Response{StatusCode: code, Status: fmt.Sprint(code), Header: h, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-// Who follows the whole list asks as before there were partitions, to the byte, and a header more or less changes nothing.
+// Requests for the whole list must be the same, byte for byte, as in builds without partitions.
 func TestAskForTheWholeListIsAsBefore(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -50,7 +50,7 @@
 		w := Watcher{Addresses: []string{"a:1"}, Nodes: 1, Log: slog.New(slog.DiscardHandler), Track: NewTrack(c.at)}
 		w.Client = &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
 			if req.Method != http.MethodGet || req.URL.String() != c.want || len(req.Header) > 0 || req.Body != nil {
-				t.Errorf("asked %s %s %v", req.Method, req.URL, req.Header)
+				t.Errorf("unexpected request %s %s %v", req.Method, req.URL, req.Header)
 			}
 			return said(200, nil, `{"revision":9,"complete":false,"members":[]}`), nil
 		})}
@@ -61,13 +61,14 @@
 			return nil
 		})
 		if !told {
-			t.Errorf("after %v nothing was told", c.at)
+			t.Errorf("after %v no update was received", c.at)
 		}
 	}
 }
 
-// The first ask of a call is for all there is in the partitions, the later ones go on from there; what was not taken is asked for
-// whole again, and so is what comes in part.
+// The first request of each call of Watch asks for the complete list of the partitions, later ones for
+// changes. A rejected update, or changes where a complete list was requested, lead to a request for the
+// complete list.
 func TestWatchOfPartitionsBeginsWhole(t *testing.T) {
 	t.Parallel()
 	head := map[string]string{"Registry-History": "3", "Registry-Partitions": "4096", "Registry-Map": "6"}
@@ -76,10 +77,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	const set = "&history=3&partitions=3,17,40-42"
 	script := []struct{ ask, answer string }{
-		{"after=0" + set, changes}, // which it can't be
+		{"after=0" + set, changes}, // not the complete list
 		{"after=0" + set, whole(9)},
 		{"after=9" + set, strings.Replace(changes, ":9", ":10", 1)},
-		{"after=10" + set, strings.Replace(changes, ":9", ":11", 1)}, // not taken
+		{"after=10" + set, strings.Replace(changes, ":9", ":11", 1)}, // rejected by handle
 		{"after=0" + set, whole(11)},
 		{"after=11" + set, whole(12)},
 	}
@@ -87,33 +88,33 @@
 	w := Watcher{Addresses: []string{"a:1"}, Nodes: 1, Log: slog.New(slog.DiscardHandler), Track: NewTrack(Position{3, 8, "b:1"}), Partitions: someSet()}
 	w.Client = &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
 		if asks >= len(script) {
-			return nil, errors.New("no more")
+			return nil, errors.New("unexpected request")
 		}
 		if got := strings.TrimPrefix(req.URL.String(), "http://a:1/registry/instances?watch=1&"); got != script[asks].ask {
-			t.Errorf("ask %d is %s, not %s", asks, got, script[asks].ask)
+			t.Errorf("request %d is %s, want %s", asks, got, script[asks].ask)
 		}
 		asks++
 		return said(200, head, script[asks-1].answer), nil
 	})}
 	w.Watch(ctx, func(n News) error {
 		if n.Map != 6 {
-			t.Errorf("the map is %d", n.Map)
+			t.Errorf("the map number is %d", n.Map)
 		}
 		switch {
 		case n.Revision == 11 && !n.Complete:
-			return errors.New("no room")
+			return errors.New("rejected")
 		case n.Revision == 12:
 			cancel()
 		}
 		return nil
 	})
 	if asks != len(script) {
-		t.Errorf("%d asks", asks)
+		t.Errorf("%d requests", asks)
 	}
 }
 
-// What is not proved to be of the partitions is not taken, whoever sends it, and the next address is asked at once; with nobody able
-// the asks are far apart.
+// A list must not be accepted unless the server proves that it has filtered it by the same partitions. The
+// next address is tried at once; if no server filters, requests are far apart.
 func TestWholeListIsNotTakenForAPart(t *testing.T) {
 	t.Parallel()
 	list := `{"revision":9,"complete":true,"members":[{"id":"e1","host_port":"h:1","locality":"a","flavor":"k","cell":3,"phase":"SERVING","size":1}]}`
@@ -137,13 +138,13 @@
 			})}
 			w.Watch(ctx, func(n News) error {
 				if n.From != "c:1" {
-					t.Errorf("taken from %s", n.From)
+					t.Errorf("accepted an update from %s", n.From)
 				}
 				cancel()
 				return nil
 			})
 			if most := 3 * (int(time.Minute/(nextRefusal/2)) + 3); asks < 36 || asks > most {
-				t.Errorf("%d asks in a minute, %d at most", asks, most)
+				t.Errorf("%d requests in a minute, want at most %d", asks, most)
 			}
 			if n := strings.Count(logged.String(), "would send the whole list"); n != 3 {
 				t.Errorf("logged %d times: %s", n, logged.String())
@@ -155,10 +156,10 @@
 	}
 }
 
-// One replica that can't part the list is no delay where another one can.
+// A replica that cannot filter by partitions must not delay the list if another one can.
 func TestOneUnableReplicaIsNoDelay(t *testing.T) {
 	t.Parallel()
-	for range 20 { // the first one asked is left to chance
+	for range 20 { // the first address is random
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			w := Watcher{Addresses: []string{"a:1", "b:1", "c:1"}, Nodes: 820, Log: slog.New(slog.DiscardHandler), Track: NewTrack(Position{}), Partitions: someSet()}
@@ -167,7 +168,7 @@
 				switch req.URL.Host {
 				case "a:1":
 					return said(200, map[string]string{"Registry-History": "3"}, `{"revision":9,"complete":true,"members":[]}`), nil
-				case "b:1": // hangs
+				case "b:1":
 					<-req.Context().Done()
 					return nil, req.Context().Err()
 				}
@@ -175,7 +176,7 @@
 			})}
 			w.Watch(ctx, func(n News) error { cancel(); return nil })
 			if took := time.Since(began); took > answerTime+3*firstBackoff {
-				t.Errorf("told after %v", took)
+				t.Errorf("received after %v", took)
 			}
 		})
 	}
@@ -198,7 +199,7 @@
 	return string(body)
 }
 
-// endless is an answer without end.
+// endless is a body without end.
 type endless struct{}
 
 func (endless) Read(p []byte) (int, error) {
@@ -208,12 +209,13 @@
 	return len(p), nil
 }
 
-// A map is fetched from whoever has it, in bounded time and bytes; else the error tells what came of each address.
+// A map is fetched from any server that has it, within bounded time and size; otherwise the error names the
+// failure of each address.
 func TestFetchMap(t *testing.T) {
 	t.Parallel()
 	old, good := record(t, 4), record(t, 6)
 	servers := map[string]func(req *http.Request) (*http.Response, error){
-		"dead:1": func(*http.Request) (*http.Response, error) { return nil, errors.New("refused by a dead one") },
+		"dead:1": func(*http.Request) (*http.Response, error) { return nil, errors.New("connection refused") },
 		"hangs:1": func(req *http.Request) (*http.Response, error) {
 			<-req.Context().Done()
 			return nil, req.Context().Err()
@@ -232,7 +234,7 @@
 	}
 	client := &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
 		if req.URL.Path != "/records/ownership.map" || req.Method != http.MethodGet {
-			t.Errorf("asked %s %s", req.Method, req.URL)
+			t.Errorf("unexpected request %s %s", req.Method, req.URL)
 		}
 		if req.URL.Host == "good:1" {
 			return said(200, nil, good), nil
@@ -244,21 +246,21 @@
 		for addr := range servers {
 			all = append(all, addr)
 			if m, err := FetchMap(t.Context(), client, []string{addr, "good:1"}, 5); err != nil || m.Number != 6 {
-				t.Errorf("beside %s: %v", addr, err)
+				t.Errorf("next to %s: %v", addr, err)
 			}
 		}
 		began := time.Now()
 		m, err := FetchMap(t.Context(), client, all, 5)
 		if m != nil || !errors.Is(err, ErrBehind) || !errors.Is(err, ErrNoMap) || !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("nobody has it: %v", err)
+			t.Errorf("no server has the map: %v", err)
 		}
 		for _, addr := range all {
 			if !strings.Contains(err.Error(), addr) {
-				t.Errorf("nothing of %s in %v", addr, err)
+				t.Errorf("%s is missing in %v", addr, err)
 			}
 		}
 		if took := time.Since(began); took > answerTime {
-			t.Errorf("it took %v", took)
+			t.Errorf("fetching took %v", took)
 		}
 		if m, err := FetchMap(t.Context(), client, []string{"old:1"}, 0); err != nil || m.Number != 4 {
 			t.Errorf("any map: %v", err)
@@ -269,12 +271,12 @@
 			}
 		}
 		if _, err := FetchMap(t.Context(), client, nil, 0); err == nil {
-			t.Error("fetched from nowhere")
+			t.Error("fetched a map without an address")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if _, err := FetchMap(ctx, client, []string{"hangs:1", "hangs:1"}, 0); !errors.Is(err, context.Canceled) {
-			t.Errorf("after its end: %v", err)
+			t.Errorf("after the context ended: %v", err)
 		}
 	})
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry is the client of a list service, the platform's discovery or our own directory: it follows the list
-// at one of several addresses, never goes back in revisions, and outlives the service. It serves the node and
-// everything else that needs the list.
+// Package registry is the client of a list service, either the platform's discovery or the directory of
+// package directory. It follows the list at one of several addresses, never goes back to an older revision,
+// and survives the loss of any server. The node uses it, as does everything else that needs the list.
 package registry
 
 import (
@@ -20,84 +20,88 @@
 	"starlingusher/fleet/ownership"
 )
 
-// A change counts as told to a node 6 s after the service had it and could be reached, whatever call failed. These add up to
-// less than that at any size of the fleet: see pauses.
+// A node must know a change within 6 s of when the service had it and was reachable, whichever request
+// failed. These times add up to less than that at any fleet size; see retryPolicy.
 const (
-	maxList = 16 << 20 // bytes of one list
-	// An empty line comes every 2 s. A watch without one has died, though its connection may not show it.
+	maxList = 16 << 20
+	// Servers send an empty line every 2 s. A watch without one is dead, even if its connection does not show
+	// it.
 	watchSilence = 2500 * time.Millisecond
-	// A new watch is answered at once. One that does not come so far as its answer's head in this time is asked for anew;
-	// some services say 503 only after 2 s.
+	// Servers respond to a new watch at once. A request without response headers within this time is retried;
+	// some services take 2 s to answer 503.
 	answerTime = 2200 * time.Millisecond
-	// For so long another server that tells no history is given to catch up with what was told; then its revisions are
-	// taken to count something else. What changes counts as told 4 s after a move.
+	// Another server that reports no history has this long to catch up with the revision known here. After
+	// that its revisions are taken to count something else. Changes are expected within 4 s of a change of
+	// servers.
 	catchUpTime = 2 * time.Second
-	// A service that cuts watches or refuses asks has more of them than it can answer, and most nodes of the fleet ask
-	// again then. Between them that should be some asks a second, as far as the 6 s have room for it.
-	askEvery     = 200 * time.Millisecond // of all nodes together
+	// A service that cuts watches or refuses requests has more of them than it can serve, and most nodes of
+	// the fleet then retry. All nodes together should send a few requests a second, as far as the 6 s allow.
+	askEvery     = 200 * time.Millisecond // across all nodes
 	afterCut     = 1500 * time.Millisecond
-	afterSilence = 500 * time.Millisecond // its end is known late enough
-	firstRefusal = 2 * time.Second        // at most after one refusal; it may be a passing one
-	nextRefusal  = 5 * time.Second        // after more of them the service is past its room
-	longestBack  = 3 * time.Second        // that a service may tell to wait; a second is added at random
+	afterSilence = 500 * time.Millisecond // short, because the timeout has already cost time
+	firstRefusal = 2 * time.Second        // at most after one refusal, which may be transient
+	nextRefusal  = 5 * time.Second        // after several refusals the service is overloaded
+	longestBack  = 3 * time.Second        // upper limit of a service's Retry-After; up to a second is added at random
 	firstBackoff = 50 * time.Millisecond
 	lastBackoff  = time.Second
 )
 
-// The headers by which a directory of ours tells more than the platform does. historyOf also tells it apart.
+// Headers in which the directory reports more than the platform does. The history header also tells the two
+// apart.
 const (
 	historyOf    = "Registry-History"
 	vouchedOf    = "Registry-Vouched"
-	partitionsOf = "Registry-Partitions" // by how many partitions an answer was filtered
+	partitionsOf = "Registry-Partitions" // number of partitions that a filtered answer is based on
 )
 
 var (
-	// ErrBehind says that a server has not yet been sent what another one has told.
-	ErrBehind = errors.New("the list is older than what was told before")
-	// ErrRefused says that a server had no room for the ask.
+	// ErrStale reports a server that does not have a revision yet that another server has sent.
+	ErrBehind = errors.New("the list is older than the known one")
+	// ErrRefused reports a server that had no capacity for the request.
 	ErrRefused = errors.New("refused")
-	// ErrCannotPart says that a server does not tell the list of some partitions alone, but would send all of it: it is a
-	// replica of an older build, or counts other partitions.
-	ErrCannotPart = errors.New("it does not part the list by partitions")
-	// errSilent says that a server said nothing for longer than a living one does.
-	errSilent = errors.New("silent")
+	// ErrNoPartitionFilter reports a server that would send the whole list instead of some partitions: a
+	// replica of an older build, or one with another number of partitions.
+	ErrCannotPart = errors.New("the server does not filter the list by partitions")
+	// errSilent reports a watch on which a server sent nothing for longer than a live one does.
+	errSilent = errors.New("no heartbeat")
 )
 
-// Position is how far a caller has been told, and by whose count.
+// Position is the revision that a caller has, and the server and history that it belongs to.
 type Position struct {
-	History  int64 // 0: by a service that tells none
+	History  int64 // 0: the server reports none
 	Revision int64
-	From     string // the address that told it
+	From     string // its address
 }
 
-// News is a list that was told, or what changed of one. Its Map is the number of the newest map of partitions that the server
-// has, 0 where there is none or the ask was for the whole list. It may have no members: then it carries on the revision, or a
-// new number of the map.
+// Update is a list, or the changes to one. Map is the number of the newest partition map that the server has,
+// 0 if there is none or the whole list was requested. An update without members only reports a new revision
+// or map number.
 type News struct {
 	catalog.List
 	History int64  // as in Position
-	From    string // the address that told it
-	Vouched bool   // its service stands by it; the platform's always does
+	From    string // its address
+	Vouched bool   // the directory's own source is alive; always true for the platform
 }
 
-// Position is how far a caller is who has taken the news.
+// Position returns the position after the update.
 func (n News) Position() Position { return Position{n.History, n.Revision, n.From} }
 
-// Track keeps a caller from going back: it knows what was told, and decides what may be taken. It is not safe for use
-// by several goroutines at once.
+// Cursor prevents a caller from going back: it holds the position, and decides which updates are accepted. It
+// is not safe for concurrent use.
 type Track struct {
 	at    Position
-	until time.Time // for so long another server's older revisions are only late
-	left  bool      // the server that told last, by the watch's own choice
+	until time.Time // until then, an older revision of another server only means that the server lags
+	left  bool      // the watch is trying servers and has received no update since it left the last one
 }
 
-// NewTrack begins where the caller is.
+// NewCursor returns a cursor at a position.
 func NewTrack(at Position) *Track { return &Track{at: at} }
 
-// At is how far the caller has been told.
+// Position returns the position of the last accepted update.
 func (t *Track) At() Position { return t.at }
 
-// After is what to ask an address for: nothing but the history where its revisions may count something else.
+// ResumeFrom returns the position from which to request changes of a server. Without a history, revisions of
+// another server may count something else, and the position is 0.
 func (t *Track) After(addr string) (history, revision int64) {
 	if t.at.History > 0 || t.at.From == "" || t.at.From == addr {
 		return t.at.History, t.at.Revision
@@ -105,10 +109,12 @@
 	return 0, 0
 }
 
-// Moved says that another server is asked from now on. One that tells no history has some time to catch up.
+// ServerChanged notes that another server is asked from now on. A server that reports no history gets time to
+// catch up.
 func (t *Track) Moved(now time.Time) { t.until = now.Add(catchUpTime) }
 
-// tryNext is Moved for a watch that goes from server to server until one tells it something: that takes no time away.
+// tryNextServer is ServerChanged for a watch that tries server after server until one sends an update; the
+// time to catch up starts only once.
 func (t *Track) tryNext(now time.Time) {
 	if !t.left {
 		t.left = true
@@ -116,50 +122,52 @@
 	}
 }
 
-// Take takes a list, or says that it is old news.
+// Advance accepts an update, or returns ErrStale.
 func (t *Track) Take(n News, now time.Time) error {
 	switch {
-	case n.History > t.at.History && t.at.History > 0: // restored from a backup since; its revisions begin anew
+	case n.History > t.at.History && t.at.History > 0: // restored from a backup; revisions start anew
 		if !n.Complete {
-			return fmt.Errorf("%w: changes of another history, without its list", ErrBehind)
+			return fmt.Errorf("%w: changes of another history without its complete list", ErrBehind)
 		}
 	case n.History > 0 && n.History < t.at.History, n.History == t.at.History && n.History > 0 && n.Revision < t.at.Revision:
-		return fmt.Errorf("%w: %d.%d after %d.%d", ErrBehind, n.History, n.Revision, t.at.History, t.at.Revision)
-	case n.History != t.at.History || n.History == 0: // nothing but time tells whether they count the same
+		return fmt.Errorf("%w: position %d.%d after %d.%d", ErrBehind, n.History, n.Revision, t.at.History, t.at.Revision)
+	case n.History != t.at.History || n.History == 0: // only time can tell whether the revisions are comparable
 		if n.Revision < t.at.Revision && now.Before(t.until) {
-			return fmt.Errorf("%w: %d after %d", ErrBehind, n.Revision, t.at.Revision)
+			return fmt.Errorf("%w: revision %d after %d", ErrBehind, n.Revision, t.at.Revision)
 		}
 	}
 	t.at, t.left = n.Position(), false
 	return nil
 }
 
-// Backoff is a pause that doubles, with half of it left to chance so that callers don't return in step.
+// Backoff is an exponential backoff. Half of each pause is random, so that callers do not retry in step.
 type Backoff time.Duration
 
-// Next is the next pause, from 25 ms to 1 s.
+// Next returns the next pause, between 25 ms and 1 s.
 func (b *Backoff) Next() time.Duration {
 	*b = min(max(2**b, Backoff(firstBackoff)), Backoff(lastBackoff))
 	return time.Duration(*b)/2 + rand.N(time.Duration(*b)/2)
 }
 
-// pauses are those between a watch's end and the ask for the next one. The longest chains, with the time that an ask may
-// hang: a silence, its pause, an ask that hangs and the first backoff take 5.25 s; a silence, its pause, a refusal and its pause 5 s;
-// a cut, a refusal and theirs 3.5 s. Of a service that went on refusing the news comes 5 s after it has room again, of one that hung or
-// could not be connected to 3.2 s after it can be reached.
+// retryPolicy chooses the pause between the end of a watch and the next request. The longest sequences,
+// including the time for which a request may hang: timeout, pause, hanging request and first backoff take
+// 5.25 s; timeout, pause, refusal and its pause 5 s; cut, pause, refusal and its pause 3.5 s. After a series
+// of refusals the update arrives within 5 s of when the service has capacity again; after hanging or failed
+// connections, within 3.2 s of when it is reachable.
 type pauses struct {
 	nodes    int
 	failed   Backoff
-	refusals int // in a row
+	refusals int // consecutive
 }
 
-// after is the pause after a watch that ended by err; told tells that it had brought something.
+// pauseAfter returns the pause after a watch that ended with err. gotUpdate tells whether it had delivered an
+// update.
 func (p *pauses) after(err error, told bool) time.Duration {
 	apart := time.Duration(p.nodes) * askEvery
 	var back *backError
 	switch {
 	case errors.As(err, &back):
-		return back.after + rand.N(time.Second) // they say whole seconds
+		return back.after + rand.N(time.Second) // the header has whole seconds only
 	case errors.Is(err, ErrRefused):
 		p.refusals++
 		most := min(2*apart, firstRefusal)
@@ -169,16 +177,16 @@
 		return most/2 + rand.N(most/2)
 	case told && errors.Is(err, errSilent):
 		return rand.N(min(apart, afterSilence))
-	case told: // it was cut, and the others' with it
+	case told: // the watch was cut, probably together with those of other nodes
 		return rand.N(min(apart, afterCut))
 	}
 	return p.failed.Next()
 }
 
-// news ends what failures have added up to.
+// reset clears the failure counts.
 func (p *pauses) news() { p.failed, p.refusals = 0, 0 }
 
-// Sleep waits, and tells whether the context is still alive after it.
+// Sleep waits, and reports whether the context is still alive afterwards.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -190,33 +198,35 @@
 	}
 }
 
-// Watcher follows the list.
+// Watcher follows the list of endpoints.
 type Watcher struct {
-	Addresses []string // at least one; they serve the same list
-	Nodes     int      // that follow it in all
+	Addresses []string // at least one; all serve the same list
+	Nodes     int      // number of watchers in total
 	Client    *http.Client
 	Log       *slog.Logger
 	Track     *Track
-	Heard     func() // called for each line that a server sends, also an empty one; may be nil
+	Heard     func() // called for each line that a server sends, including empty ones; may be nil
 
-	// Partitions are those whose list is followed; nil: the whole list. It is not changed while Watch runs: who wants others
-	// calls it anew. The first list of a call is whole, the later ones are as Track has them. A server refuses an empty set;
-	// who owns none follows any one partition, for the map's number.
+	// Partitions selects the partitions to follow; nil: the whole list. It must not be modified while Watch
+	// runs; to follow others, call Watch again. The first list of each call is complete, later ones continue
+	// from Cursor. Servers reject an empty set; a node that owns no partition follows an arbitrary one, for
+	// the map number.
 	Partitions *ownership.Set
 }
 
-// Watch follows the list until the context ends, and hands on what it is told. What is not taken ends its watch, and
-// is asked for again. With several addresses it begins at any of them, and goes on to the next when one fails.
+// Watch follows the list until the context ends, and passes each update to handle. If handle returns an
+// error, Watch ends that watch and requests the update again. It starts at a random address, and moves to the
+// next one on failure.
 func (w *Watcher) Watch(ctx context.Context, tell func(News) error) {
 	pause := pauses{nodes: w.Nodes}
 	n := 0
 	if len(w.Addresses) > 1 {
 		n = rand.IntN(len(w.Addresses))
 	}
-	failed := 0                  // addresses in a row
-	unable := 0                  // of those, for ErrCannotPart
+	failed := 0                  // consecutive addresses
+	unable := 0                  // of those, the ones with ErrNoPartitionFilter
 	whole := w.Partitions != nil // what the caller has may be of other partitions
-	cannot := map[string]bool{}  // addresses that were found unable
+	cannot := map[string]bool{}  // addresses that failed with ErrNoPartitionFilter
 	for ctx.Err() == nil {
 		first := true
 		addr := w.Addresses[n%len(w.Addresses)]
@@ -226,7 +236,7 @@
 		}
 		err := w.once(ctx, addr, history, after, func(l News) error {
 			if whole && !l.Complete {
-				return errors.New("watch: changes, where the whole list was asked for")
+				return errors.New("watch: received changes instead of the complete list")
 			}
 			if err := w.Track.Take(l, time.Now()); err != nil {
 				return err
@@ -235,7 +245,7 @@
 				w.Log.Info("watching", "discovery", addr, "after", after, "revision", l.Revision, "complete", l.Complete, "members", len(l.Members))
 			}
 			if err := tell(l); err != nil {
-				whole = w.Partitions != nil // it lacks these changes
+				whole = w.Partitions != nil // the caller lacks these changes
 				return err
 			}
 			pause.news()
@@ -252,16 +262,16 @@
 		}
 		if is != cannot[addr] && (is || !first) {
 			if cannot[addr] = is; is {
-				w.Log.Warn("not taken: the server would send the whole list", "discovery", addr, "err", err)
+				w.Log.Warn("skipping the server: it would send the whole list instead of some partitions", "discovery", addr, "err", err)
 			} else {
-				w.Log.Info("the server parts the list now", "discovery", addr)
+				w.Log.Info("the server now filters the list by partitions", "discovery", addr)
 			}
 		}
 		wait := pause.after(err, !first)
-		if failed++; failed < len(w.Addresses) { // the next one may do at once
+		if failed++; failed < len(w.Addresses) { // the next address may work, so try it soon
 			wait = rand.N(firstBackoff)
 		} else {
-			if unable == len(w.Addresses) { // nothing but a newer build mends it, and each ask costs a piece of the whole list
+			if unable == len(w.Addresses) { // only a newer build helps, and each request costs part of the whole list
 				wait = nextRefusal/2 + rand.N(nextRefusal/2)
 			}
 			failed, unable = 0, 0
@@ -274,7 +284,7 @@
 	}
 }
 
-// backError is a refusal that tells when to come back.
+// retryAfterError is a refusal with a Retry-After.
 type backError struct {
 	after time.Duration
 	error
@@ -282,7 +292,8 @@
 
 func (b *backError) Unwrap() error { return b.error }
 
-// refusal makes an error of a refusing answer. Only a directory of ours is taken at its word on when to return.
+// refusalError converts a refusal into an error. Only a directory's Retry-After is respected, not the
+// platform's.
 func refusal(resp *http.Response) error {
 	err := fmt.Errorf("watch: %w: %s", ErrRefused, resp.Status)
 	s, bad := strconv.Atoi(resp.Header.Get("Retry-After"))
@@ -292,7 +303,7 @@
 	return &backError{min(time.Duration(s)*time.Second, longestBack), err}
 }
 
-// once follows one watch to its end. One that has gone silent is given up: its machine may be gone.
+// watchOnce runs one watch to its end. It gives up on a silent watch, whose server's machine may be gone.
 func (w *Watcher) once(ctx context.Context, addr string, history, after int64, tell func(News) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -305,7 +316,7 @@
 	return err
 }
 
-// follow takes the lists of one watch; alive is called for each sign that the service is there.
+// readUpdates reads the lists of one watch. It calls alive for each sign that the server is alive.
 func (w *Watcher) follow(ctx context.Context, addr string, history, after int64, alive func(), tell func(News) error) error {
 	url := fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", addr, after)
 	if history > 0 {
@@ -330,12 +341,12 @@
 		return fmt.Errorf("watch: %s", resp.Status)
 	}
 	if by := resp.Header.Get(partitionsOf); w.Partitions != nil && by != strconv.Itoa(ownership.Partitions) {
-		return fmt.Errorf("watch: %w: %s is %.40q", ErrCannotPart, partitionsOf, by)
+		return fmt.Errorf("watch: %w: header %s is %.40q", ErrCannotPart, partitionsOf, by)
 	}
 	news := News{From: addr, Vouched: resp.Header.Get(vouchedOf) != "no"}
 	if h := resp.Header.Get(historyOf); h != "" {
 		if news.History, err = strconv.ParseInt(h, 10, 64); err != nil || news.History <= 0 {
-			return fmt.Errorf("watch: history %.40q", h)
+			return fmt.Errorf("watch: invalid history number %.40q", h)
 		}
 	}
 	alive()
@@ -360,18 +371,18 @@
 	}
 }
 
-// lists reads the body of a watch. A list may stand on one line or on several, so only what stands between two of them is
-// a sign of life; one that trickles is none until it is there.
+// listReader reads the body of a watch. A list may span several lines, so only lines between two lists count
+// as a heartbeat. A list that arrives slowly is no sign of life until it is complete.
 type lists struct {
 	r       io.Reader
-	empty   func() // is called for empty lines
-	between bool   // the last list has ended and the next one has not begun
-	left    int    // bytes that the next list may yet take
+	empty   func() // called for empty lines
+	between bool   // the previous list has ended and the next one has not begun
+	left    int    // bytes that the next list may still use
 }
 
 func (l *lists) Read(p []byte) (int, error) {
 	if l.left <= 0 {
-		return 0, fmt.Errorf("a list of more than %d bytes", maxList)
+		return 0, fmt.Errorf("the list exceeds %d bytes", maxList)
 	}
 	for {
 		n, err := l.r.Read(p[:min(len(p), l.left)])
@@ -384,12 +395,12 @@
 		}
 		if err != nil {
 			return 0, err
-		} // else it is not handed on, for a decoder keeps what stands before a list until that is there
+		} // not passed on: a decoder buffers what precedes a list until the list arrives
 	}
 }
 
-// blank tells that what is left of a decoder's reading is empty lines.
+// isBlank reports whether a decoder has only empty lines left in its buffer.
 func blank(r io.Reader) bool {
-	left, err := io.ReadAll(r) // of memory
+	left, err := io.ReadAll(r) // reads from memory
 	return err == nil && len(bytes.TrimSpace(left)) == 0
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -26,8 +26,8 @@
 	return w
 }
 
-// All nodes of a large fleet that are refused together ask again apart, some asks a second in all as far as the 6 s in which a
-// change counts as told have room for it. A small fleet's nodes are back soon.
+// Many nodes that are refused together must spread their retries: a few requests a second in total, as far as
+// the 6 s within which a change must be known allow. Nodes of a small fleet retry soon.
 func TestRefusedNodesAskApart(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{2, 36, 300} {
@@ -38,23 +38,24 @@
 			for at := time.Duration(0); at < span; asks++ {
 				wait := p.after(ErrRefused, true)
 				if p.refusals == 1 && wait > firstRefusal {
-					t.Errorf("%d nodes wait for %v after one refusal", nodes, wait)
+					t.Errorf("with %d nodes, a node waits %v after one refusal", nodes, wait)
 				}
 				shortest, longest = min(shortest, wait), max(longest, wait)
 				at += wait
 			}
 		}
-		// Each node may ask once in half of the longest pause, whatever their number, and once at the start of it.
+		// Each node may ask once per half of the longest pause, whatever the fleet size, and once more when
+		// it starts.
 		if most := max(int(span/askEvery)*4/3, nodes*(2+int(span/(nextRefusal/2)))); asks > most {
-			t.Errorf("%d nodes ask %d times in %v", nodes, asks, span)
+			t.Errorf("%d nodes send %d requests in %v", nodes, asks, span)
 		}
 		if first := min(time.Duration(nodes)*askEvery, firstRefusal); shortest < first/2 || longest > nextRefusal {
-			t.Errorf("%d nodes wait for %v to %v", nodes, shortest, longest)
+			t.Errorf("with %d nodes, pauses are %v to %v", nodes, shortest, longest)
 		}
 	}
 }
 
-// Nodes whose watches are cut or fall silent together don't ask again in step.
+// Nodes whose watches are cut or time out together must not retry in step.
 func TestCutNodesAskApart(t *testing.T) {
 	t.Parallel()
 	for err, span := range map[error]time.Duration{io.EOF: afterCut, errSilent: afterSilence} {
@@ -63,7 +64,7 @@
 			p := pauses{nodes: 300}
 			switch wait := p.after(err, true); {
 			case wait >= span:
-				t.Errorf("%v: a pause of %v", err, wait)
+				t.Errorf("%v: the pause is %v", err, wait)
 			case wait < span/2:
 				early++
 			default:
@@ -89,8 +90,8 @@
 	}
 }
 
-// A watch may die without a sign. What the list tells meanwhile counts as told all the same, so the silence itself
-// must end it; 8 s is twice the time allowed.
+// A watch may die without any sign on its connection. Changes must reach the node all the same, so the
+// silence itself ends the watch; 8 s is twice the time allowed.
 func TestSilentWatchIsTakenUpAgain(t *testing.T) {
 	t.Parallel()
 	began, watches := time.Now(), make(chan time.Duration, 10)
@@ -108,13 +109,14 @@
 	})
 	<-watches
 	if again := <-watches; again > 8*time.Second {
-		t.Errorf("the silent watch is left after %v", again)
+		t.Errorf("the silent watch was retried after %v", again)
 	}
 	cancel()
 	ended.Wait()
 }
 
-// What was told by one server is never undone by another, whatever their order; a new history is, as such.
+// A server must not take a caller back to an older revision than another server has sent, in any order. A
+// newer history is accepted, as such.
 func TestTrackNeverGoesBack(t *testing.T) {
 	now := time.Now()
 	told := func(from string, history, revision int64, whole bool) News {
@@ -124,19 +126,19 @@
 		name string
 		at   Position
 		news News
-		late time.Duration // after the move to another server
+		late time.Duration // since the change of servers
 		ok   bool
 	}{
-		{"news", Position{7, 5, "a"}, told("b", 7, 6, false), 0, true},
-		{"the same again", Position{7, 5, "a"}, told("b", 7, 5, false), 0, true},
+		{"newer", Position{7, 5, "a"}, told("b", 7, 6, false), 0, true},
+		{"the same", Position{7, 5, "a"}, told("b", 7, 5, false), 0, true},
 		{"older", Position{7, 5, "a"}, told("b", 7, 4, true), time.Hour, false},
 		{"restored", Position{7, 5, "a"}, told("b", 8, 2, true), 0, true},
-		{"restored, without its list", Position{7, 5, "a"}, told("b", 8, 6, false), 0, false},
+		{"restored, without the complete list", Position{7, 5, "a"}, told("b", 8, 6, false), 0, false},
 		{"from before the restore", Position{8, 2, "a"}, told("b", 7, 9, true), time.Hour, false},
-		{"the platform's, older, too soon", Position{0, 5, "a"}, told("b", 0, 4, true), time.Second, false},
-		{"the platform's, older, for long", Position{0, 5, "a"}, told("b", 0, 4, true), 3 * time.Second, true},
-		{"a directory after the platform, too soon", Position{0, 5, "a"}, told("b", 9, 4, true), time.Second, false},
-		{"a directory after the platform", Position{0, 5, "a"}, told("b", 9, 4, true), 3 * time.Second, true},
+		{"older from the platform, too soon", Position{0, 5, "a"}, told("b", 0, 4, true), time.Second, false},
+		{"older from the platform, after a while", Position{0, 5, "a"}, told("b", 0, 4, true), 3 * time.Second, true},
+		{"directory after the platform, too soon", Position{0, 5, "a"}, told("b", 9, 4, true), time.Second, false},
+		{"directory after the platform", Position{0, 5, "a"}, told("b", 9, 4, true), 3 * time.Second, true},
 	} {
 		tr := NewTrack(c.at)
 		tr.Moved(now)
@@ -145,13 +147,13 @@
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if want := c.at; !c.ok && tr.At() != want {
-			t.Errorf("%s: moved to %v", c.name, tr.At())
+			t.Errorf("%s: the cursor moved to %v", c.name, tr.At())
 		}
 	}
 }
 
-// With one server dead, one that refuses and one that is behind, the list still comes from the fourth, and goes on when that
-// one dies too.
+// With a dead server, one that refuses and one that lags, the list must still arrive from the fourth, and
+// updates must continue when that one dies too.
 func TestWatchOutlivesItsServers(t *testing.T) {
 	t.Parallel()
 	answer := func(code int, history string, lines ...string) *httptest.Server {
@@ -193,7 +195,7 @@
 	var last int64
 	w.Watch(ctx, func(n News) error {
 		if n.Revision < 8 || n.Revision < last {
-			t.Errorf("told revision %d after %d", n.Revision, last)
+			t.Errorf("received revision %d after %d", n.Revision, last)
 		}
 		if last = n.Revision; last == 8 {
 			go good.CloseClientConnections()
@@ -204,11 +206,11 @@
 		return nil
 	})
 	if last != 9 {
-		t.Errorf("came to revision %d, the last server was asked %v", last, asked.Load())
+		t.Errorf("reached revision %d, last request to the last server: %v", last, asked.Load())
 	}
 }
 
-// Wherever a watch begins, it comes to the one server that is left.
+// A watch must reach the only live server, wherever it starts.
 func TestWatchComesToTheOneThatIsLeft(t *testing.T) {
 	t.Parallel()
 	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -221,7 +223,7 @@
 	dead.Close()
 	for n := 2; n <= 3; n++ {
 		for left := range n {
-			for range 12 { // the first one asked is left to chance
+			for range 12 { // the first address is random
 				servers := []*httptest.Server{dead, dead, dead}[:n]
 				servers[left] = good
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -232,14 +234,14 @@
 					return nil
 				})
 				if !told {
-					t.Fatalf("the list of server %d of %d was never told", left, n)
+					t.Fatalf("the list of server %d of %d was never received", left, n)
 				}
 			}
 		}
 	}
 }
 
-// What a caller knows from elsewhere keeps a list out for a moment only, however many servers are tried meanwhile.
+// A position from another service delays a list only briefly, however many servers are tried meanwhile.
 func TestTryingServersIsNoDelay(t *testing.T) {
 	t.Parallel()
 	tr, now := NewTrack(Position{Revision: 8, From: "platform"}), time.Now()
@@ -251,7 +253,7 @@
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
-	t.Errorf("after 2.5 s the list is still taken for an old one")
+	t.Errorf("after 2.5 s the list is still rejected as stale")
 }
 
 func TestKeptListComesBack(t *testing.T) {
@@ -261,7 +263,7 @@
 		t.Fatal(err)
 	}
 	if _, _, _, ok := k.List(); ok {
-		t.Error("an empty folder keeps a list")
+		t.Error("an empty folder has a cached list")
 	}
 	at := time.Now().Truncate(time.Second)
 	one := func(id, phase string) catalog.Endpoint {
@@ -278,27 +280,27 @@
 	}
 	l, pos, heard, ok := back.List()
 	if !ok || pos != (Position{2, 5, "x"}) || !heard.Equal(at) || len(l.Members) != 1 || l.Members[0] != one("b", catalog.Draining) {
-		t.Errorf("came back: %+v, %+v, %v, %v", l, pos, heard, ok)
+		t.Errorf("reopened: %+v, %+v, %v, %v", l, pos, heard, ok)
 	}
-	// One that is too large leaves the older one; so does one that can't be written.
+	// A list that is too large, or cannot be written, leaves the older file in place.
 	for i := range 100 {
 		back.Take(News{List: catalog.List{Revision: 6, Members: []catalog.Endpoint{one(fmt.Sprint("c", i), catalog.Serving)}}, History: 2}, at)
 	}
 	if err := back.Flush(); err == nil {
-		t.Error("a list beyond the bound was kept")
+		t.Error("a list beyond the size limit was written")
 	}
 	if again, _ := OpenKept(dir, 4096); again.at.Revision != 5 {
-		t.Errorf("revision %d is left", again.at.Revision)
+		t.Errorf("the file has revision %d", again.at.Revision)
 	}
 	if err := os.WriteFile(back.path, []byte(`{"heard_at":"2026`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if lost, err := OpenKept(dir, 4096); err == nil || len(lost.members) > 0 {
-		t.Error("a spoilt file was taken as a list, or not told of")
+		t.Error("a damaged file was accepted as a list, or not reported")
 	}
 }
 
-// Whatever a server sends, a watch ends with an error and takes nothing that is no list.
+// Whatever a server sends, a watch must end with an error and accept nothing that is not a valid list.
 func FuzzWatch(f *testing.F) {
 	for _, s := range []string{"", "\n\n", "{}", `{"revision":-1,"members":null}`, `{"revision":9e99}`, "[", `{"revision":3,"members":[{"id":1}]}`} {
 		f.Add("1", []byte(s))
@@ -314,13 +316,13 @@
 				return err
 			}
 			if at := w.Track.At(); at.History < before.History || at.History == before.History && at.Revision < before.Revision {
-				t.Errorf("went back from %v to %v", before, at)
+				t.Errorf("the cursor went back from %v to %v", before, at)
 			}
 			before = w.Track.At()
 			return nil
 		})
 		if err == nil {
-			t.Error("a watch has ended without saying why")
+			t.Error("a watch ended without an error")
 		}
 	})
 }
--- a/internal/registry/told_test.go
+++ b/internal/registry/told_test.go
@@ -17,10 +17,11 @@
 	"time"
 )
 
-// A change counts as told so long after the service had it and could be reached.
+// knownWithin is the time within which a node must know a change, from when the service had it and was
+// reachable.
 const toldBy = 6 * time.Second
 
-// service is a list service on a clock of its own, which fails as told.
+// service is a list service in memory whose first responses can be made to fail.
 type service struct {
 	began time.Time
 
@@ -31,10 +32,10 @@
 	dial  func(ask int, c net.Conn) (net.Conn, error)
 }
 
-// answer is what one ask meets; it may write to w, wait, and return.
+// response handles one request; it may write to w, wait, and return.
 type answer func(s *service, w http.ResponseWriter, req *http.Request)
 
-// Accept, Close and Addr make it a listener of pipes.
+// Accept, Close and Addr implement net.Listener over pipes.
 func (s *service) Accept() (net.Conn, error) {
 	c, ok := <-s.conns
 	if !ok {
@@ -51,7 +52,7 @@
 	s.mu.Unlock()
 }
 
-// line is the list as it is now.
+// line returns the current list.
 func (s *service) line() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +64,7 @@
 	w.(http.Flusher).Flush()
 }
 
-// stay says the list, then an empty line each 2 s, and each change at once.
+// serveWatch sends the list, each change at once, and an empty line every 2 s.
 func stay(s *service, w http.ResponseWriter, req *http.Request) {
 	last := ""
 	for beat := 0; ; beat++ {
@@ -83,10 +84,10 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// hang has taken the request and answers nothing.
+// hang accepts the request and never responds.
 func hang(_ *service, _ http.ResponseWriter, req *http.Request) { <-req.Context().Done() }
 
-// changeThen says the list, makes a change that this watch does not tell, and goes on as told.
+// changeThen sends the list, makes a change that this watch does not send, and continues with rest.
 func changeThen(rest answer) answer {
 	return func(s *service, w http.ResponseWriter, req *http.Request) {
 		say(w, s.line()+"\n")
@@ -102,7 +103,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// inPart begins a list and breaks off.
+// cutWithinList sends part of a list and closes the connection.
 func inPart(s *service, w http.ResponseWriter, _ *http.Request) {
 	say(w, s.line()[:20])
 	panic(http.ErrAbortHandler)
@@ -116,27 +117,27 @@
 	}
 }
 
-// Whatever calls fail, and however many nodes there are, a change is known within 6 s of when the service had it and could be
-// reached: its clock begins with the change, or with the last ask that fails.
+// Whichever requests fail, and however many nodes there are, a change must be known within 6 s of when the
+// service had it and was reachable. The time counts from the change, or from the last request that fails.
 func TestChangeIsKnownInTime(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		asks    []answer // the first ones; all later ones are good
-		blocked int      // asks whose connection never comes up, from the second ask on
-		reached int      // from this ask on the service can be reached, though this one fails; 0: all the time
+		asks    []answer // to the first requests; all later ones are served
+		blocked int      // requests whose connection is never established, from the second on
+		reached int      // the service is reachable from this request on, though the request itself fails; 0: always
 	}{
-		{name: "silent just after a change", asks: []answer{changeThen(hang)}},
+		{name: "silent right after a change", asks: []answer{changeThen(hang)}},
 		{name: "cut", asks: []answer{changeThen(cut)}},
 		{name: "cut, then refused", asks: []answer{changeThen(cut), refuse}},
 		{name: "silent, then refused", asks: []answer{changeThen(hang), refuse}},
-		{name: "silent, then an answer without a head", asks: []answer{changeThen(hang), hang}},
-		{name: "silent, then a connection that hangs", asks: []answer{changeThen(hang)}, blocked: 1},
-		{name: "a list in part", asks: []answer{changeThen(inPart)}},
-		{name: "a list in part, twice", asks: []answer{changeThen(inPart), inPart}},
-		{name: "a list that trickles", asks: []answer{changeThen(trickle)}},
-		{name: "refused for long", asks: []answer{changeThen(cut), refuse, refuse, refuse, refuse, refuse}, reached: 6},
-		{name: "without a head for long", asks: []answer{changeThen(cut), hang, hang, hang, hang, hang}, reached: 6},
-		{name: "connections that hang for long", asks: []answer{changeThen(cut)}, blocked: 6, reached: 7},
+		{name: "silent, then no response headers", asks: []answer{changeThen(hang), hang}},
+		{name: "silent, then a hanging connection", asks: []answer{changeThen(hang)}, blocked: 1},
+		{name: "incomplete list", asks: []answer{changeThen(inPart)}},
+		{name: "incomplete list, twice", asks: []answer{changeThen(inPart), inPart}},
+		{name: "list that arrives slowly", asks: []answer{changeThen(trickle)}},
+		{name: "refused for a long time", asks: []answer{changeThen(cut), refuse, refuse, refuse, refuse, refuse}, reached: 6},
+		{name: "no response headers for a long time", asks: []answer{changeThen(cut), hang, hang, hang, hang, hang}, reached: 6},
+		{name: "hanging connections for a long time", asks: []answer{changeThen(cut)}, blocked: 6, reached: 7},
 	} {
 		for _, nodes := range []int{1, 30, 300, 3000} {
 			t.Run(fmt.Sprint(c.name, "/", nodes), func(t *testing.T) {
@@ -146,10 +147,10 @@
 	}
 }
 
-// known follows a service that fails as told, and checks when its change is known.
+// checkChangeKnown watches a service that fails as described, and checks when its change is known.
 func known(t *testing.T, nodes int, asks []answer, blocked, reached int) {
 	s := &service{rev: 1, conns: make(chan net.Conn), began: time.Now()}
-	failed := func(ask int) { // or is about to
+	failed := func(ask int) { // or is about to fail
 		if ask == reached && reached > 0 {
 			s.mu.Lock()
 			s.began = time.Now()
@@ -194,18 +195,19 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if late := time.Since(s.began); late > toldBy-250*time.Millisecond {
-			t.Errorf("known after %v, at ask %d", late, s.asks)
+			t.Errorf("known after %v, at request %d", late, s.asks)
 		}
 		cancel()
 		return nil
 	})
-	close(s.conns) // Accept ends
+	close(s.conns) // ends Accept
 	srv.Close()
 	transport.CloseIdleConnections()
 	parts.Wait()
 }
 
-// A list may come on several lines, and with others in one piece; what stands between lists is a sign of life.
+// A list may span several lines, and arrive in one read with others; empty lines between lists are
+// heartbeats.
 func TestListsOnSeveralLines(t *testing.T) {
 	t.Parallel()
 	body := "\n{\n  \"revision\": 2,\n  \"complete\": true,\n  \"members\": [\n\n  ]\n}\n\n" + `{"revision":3,"members":[]}` + "\n" + `{"revision":4,"members":[]}` + "\n\n"
@@ -221,12 +223,12 @@
 			return nil
 		})
 		if !errors.Is(err, io.EOF) || !slices.Equal(got, []int64{2, 3, 4}) || beats < 3 {
-			t.Errorf("pieces of %d: %v, revisions %v, %d signs of life", size, err, got, beats)
+			t.Errorf("reads of %d bytes: %v, revisions %v, %d heartbeats", size, err, got, beats)
 		}
 	}
 }
 
-// pieces reads in pieces of a size.
+// chunkReader limits the size of each read.
 type pieces struct {
 	io.Reader
 	size int
