--- a/fleet/ownership/doubles_test.go
+++ b/fleet/ownership/doubles_test.go
@@ -1,18 +1,18 @@
 package ownership
 
-// Fleet is for tests outside of the package.
+// Fleet exports fleet to tests outside the package.
 var Fleet = fleet
 
-// Careless is an Agreement that sends a write again when its answer is lost: the same number, made anew.
+// ResendingPublisher is a faulty Publisher that repeats an ambiguous write with another map of the same
+// number.
 type Careless struct {
-	Agreement
+	Publisher
 	Other func(number int64) *Map
 	last  Action
 }
 
-// Step takes an answer.
 func (c *Careless) Step(ans Answer) (Action, bool) {
-	if ans.Seq == c.last.Seq && c.last.Do == Update && ans.Came == Lost {
+	if ans.Seq == c.last.Seq && c.last.Operation == Update && ans.Outcome == Ambiguous {
 		raw, err := c.Other(c.sought.Number).Encode()
 		if err != nil {
 			panic(err)
@@ -21,21 +21,20 @@
 		c.last.Seq, c.last.Value = c.seq, raw
 		return c.last, true
 	}
-	next, ok := c.Agreement.Step(ans)
+	next, ok := c.Publisher.Step(ans)
 	if ok {
 		c.last = next
 	}
 	return next, ok
 }
 
-// Hasty is an Agreement that reads after a lost write without barring it first, and takes what is not there for not
-// done.
-type Hasty struct{ Agreement }
+// UnfencedPublisher is a faulty Publisher that reads after an ambiguous write without invalidating the token
+// first, and takes a map that is not there for one that will never be written.
+type Hasty struct{ Publisher }
 
-// Step takes an answer.
 func (h *Hasty) Step(ans Answer) (Action, bool) {
-	if ans.Seq == h.seq && h.state == updating && ans.Came == Lost {
+	if ans.Seq == h.seq && h.state == updating && ans.Outcome == Ambiguous {
 		return h.next(reading), true
 	}
-	return h.Agreement.Step(ans)
+	return h.Publisher.Step(ans)
 }
--- a/internal/directory/ledger.go
+++ b/internal/directory/ledger.go
@@ -69,7 +69,7 @@
 }
 
 // isMapRecord reports whether an operation may have changed the record of the partition map.
-func setsMap(h *catalog.Hold) bool { return h != nil && h.Name == ownership.Record }
+func setsMap(h *catalog.Hold) bool { return h != nil && h.Name == ownership.RecordName }
 
 // encodeChanges encodes the changes after a revision for the watches. The caller holds the lock.
 func (l *ledger) publish(before int64) {
--- a/internal/directory/reads.go
+++ b/internal/directory/reads.go
@@ -96,7 +96,7 @@
 // write of a complete list may be based on a part.
 func markPart(w http.ResponseWriter, number int64) {
 	h := w.Header()
-	h.Set(HeaderPartitions, strconv.Itoa(ownership.Partitions))
+	h.Set(HeaderPartitions, strconv.Itoa(ownership.PartitionCount))
 	h.Set(HeaderMap, strconv.FormatInt(number, 10))
 	h.Del("ETag")
 }
--- a/internal/lab/scale/hollow/owned.go
+++ b/internal/lab/scale/hollow/owned.go
@@ -86,13 +86,13 @@
 	if r.owners, err = ownership.Make(1, ownersEach, members, nil); err != nil {
 		return nil, err
 	}
-	var held [ownership.Partitions]int
+	var held [ownership.PartitionCount]int
 	for d := range destinations {
 		held[ownership.PartitionOf(firstCell+d)]++
 	}
 	best := math.Inf(1)
 	for n := range nodes {
-		set, _ := r.owners.Of(memberName(n))
+		set, _ := r.owners.PartitionsOf(memberName(n))
 		owned := 0
 		for p := range set.All() {
 			owned += held[p]
@@ -144,7 +144,7 @@
 	if err != nil {
 		return 0, err
 	}
-	const path = "/records/" + ownership.Record
+	const path = "/records/" + ownership.RecordName
 	var w directory.Written
 	ask := func(method string, body object) error {
 		raw, err := json.Marshal(body)
@@ -248,7 +248,7 @@
 	n.run()
 	defer func() { err = n.close(err) }()
 	err = await(ctx, "the first list of the share", func() bool {
-		at, have := n.Told()
+		at, have := n.CurrentList()
 		return at >= st.Revision && have == len(of.mine)
 	})
 	if err != nil {
@@ -285,7 +285,7 @@
 		return svc.write(ctx, []catalog.Endpoint{turned(which[i%len(which)], at)}, false)
 	}
 	known := func(revision int64) error {
-		return await(ctx, "a change", func() bool { has, _ := n.Told(); return has >= revision })
+		return await(ctx, "a change", func() bool { has, _ := n.CurrentList(); return has >= revision })
 	}
 	for i := range changes {
 		loop.take()
@@ -375,14 +375,14 @@
 // remembered is how many endpoints of its share a node's journal knows, so that operators can bar them. It also holds the node's
 // count against the share.
 func remembered(ctx context.Context, n *Node, of *realm) (known int, err error) {
-	if _, have := n.Told(); have != len(of.mine) {
+	if _, have := n.CurrentList(); have != len(of.mine) {
 		return 0, fmt.Errorf("the node has %d endpoints, its share %d", have, len(of.mine))
 	}
 	for _, i := range of.mine {
-		switch err := n.Bar(ctx, endpoint(i).ID, true); { // lifts what is not barred: nothing comes of it
+		switch err := n.SetEndpointEnabled(ctx, endpoint(i).ID, true); { // lifts what is not barred: nothing comes of it
 		case err == nil:
 			known++
-		case !errors.Is(err, node.ErrUnknown):
+		case !errors.Is(err, node.ErrUnknownEndpoint):
 			return known, err
 		}
 	}
@@ -616,7 +616,7 @@
 	r.Count("directory.owned.rss.again", use.rss[0])
 	var set ownership.Set // a third of all
 	told, mine := 0, 0
-	for p := 0; p < ownership.Partitions; p += ownersEach {
+	for p := 0; p < ownership.PartitionCount; p += ownersEach {
 		set.Add(p)
 	}
 	for i := range endpoints {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -36,25 +36,25 @@
 )
 
 // ErrHeirGone ends Run when the process that had taken over is gone. All that it held is in the journal.
-var ErrHeirGone = errors.New("the process that took over is gone")
+var ErrSuccessorGone = errors.New("the process that took over is gone")
 
 // errSilent says that the holder of the lock lives and does not answer.
 var errSilent = errors.New("the process that holds the lock does not answer")
 
 // message is what the two processes say to each other, one JSON value each. One of its fields is set.
 type message struct {
-	Hello  int    `json:",omitempty"` // the new one's version; the listening socket comes before the Legacy
-	Owner  string `json:",omitempty"` // beside Hello: its name in the map of owners
-	Legacy *legacy
-	Ready  bool // the new one has it all
-	Yours  bool // the old one lets go of the lock
+	Hello  int     `json:"Hello,omitempty"` // the new one's version; the listening socket comes before the Legacy
+	Owner  string  `json:",omitempty"`      // beside Hello: its name in the map of owners
+	Legacy *legacy `json:"Legacy"`
+	Ready  bool    // the new one has it all
+	Yours  bool    `json:"Yours"` // the old one lets go of the lock
 
 	Outcome *outcomeOf // of a call in the old process
-	Ask     *question  // a request that the old process read
-	Order   *orderOf   // of the operators, to the old process
+	Ask     *question  `json:"Ask"`   // a request that the old process read
+	Order   *orderOf   `json:"Order"` // of the operators, to the old process
 	Answer  *reply     // to an Ask or an Order
 	Cancel  *outState  // the new process calls an attempt off
-	Shut    string     // an endpoint that calls that have not begun must not go to
+	Shut    string     `json:"Shut"` // an endpoint that calls that have not begun must not go to
 	Wait    *waitOf    // that the new process was told
 }
 
@@ -64,11 +64,11 @@
 	At       time.Time
 	Sender   choice.Saved
 	Revision int64
-	ToldBy   string // the discovery that counts so
+	ToldBy   string `json:"ToldBy"`     // the discovery that counts so
 	History  int64  `json:",omitempty"` // that it counts by, if it tells one
 	Members  []catalog.Endpoint
 	Waits    map[string]int64 // by endpoint; those of one destination share it
-	Out      []outState
+	Out      []outState       `json:"Out"`
 }
 
 // outState names an attempt that is out, and of its message what is needed once the journal has forgotten it.
@@ -81,16 +81,16 @@
 type outcomeOf struct {
 	Attempts []outState
 	Endpoint string
-	Took     time.Duration
+	Took     time.Duration `json:"Took"`
 	Outcome  choice.Outcome
-	Each     []fateOf
+	Each     []fateOf `json:"Each"`
 	Wait     time.Duration
 	NoSlot   bool
-	Closed   bool
-	Unsure   bool // builds of old do not tell
+	Closed   bool `json:"Closed"`
+	Unsure   bool `json:"Unsure"` // builds of old do not tell
 	Report   choice.Report
-	Kept     bool
-	HungUp   bool
+	Kept     bool `json:"Kept"`
+	HungUp   bool `json:"HungUp"`
 }
 
 type waitOf struct {
@@ -100,32 +100,32 @@
 
 type fateOf struct {
 	Outcome choice.Outcome
-	Closed  bool
-	Unsure  bool
+	Closed  bool `json:"Closed"`
+	Unsure  bool `json:"Unsure"`
 }
 
 type question struct {
 	Number              uint64
 	ID, Key             string
 	Class, Dest, Tenant int
-	Life                time.Duration
+	Life                time.Duration `json:"Life"`
 	Body                []byte
-	Came                time.Time
+	Came                time.Time `json:"Came"`
 }
 
 type orderOf struct {
 	Number uint64
 	ID     string
-	Lift   bool
+	Lift   bool `json:"Lift"`
 }
 
 type reply struct {
 	Number  uint64
 	Refused bool
-	After   time.Duration
+	After   time.Duration `json:"After"`
 	Failed  string
-	Gone    bool
-	Unknown bool // an Order's ID
+	Gone    bool `json:"Gone"`
+	Unknown bool `json:"Unknown"` // an Order's ID
 }
 
 // forebearGone is the loop's event of the old process's end.
@@ -443,7 +443,7 @@
 	n.start = time.Now().Add(epoch - from.Clock - time.Since(from.At))
 	n.cfg.Known = catalog.List{Revision: from.Revision, Complete: true, Members: from.Members}
 	n.told = registry.Position{History: from.History, Revision: from.Revision, From: from.ToldBy}
-	if from.History == 0 && !slices.Contains(n.cfg.Sources(), from.ToldBy) { // another server's revisions count something else
+	if from.History == 0 && !slices.Contains(n.cfg.DiscoveryAddresses(), from.ToldBy) { // another server's revisions count something else
 		n.cfg.Known.Revision, n.told = 0, registry.Position{From: n.cfg.Discovery}
 	}
 	n.listed(n.cfg.Known) // the module has it already
@@ -483,8 +483,8 @@
 			parts.Go(func() {
 				within, cancel := context.WithTimeout(ctx, orderTimeout)
 				defer cancel()
-				err := n.Bar(within, m.Order.ID, m.Order.Lift)
-				l.send(message{Answer: &reply{Number: m.Order.Number, Gone: err != nil, Unknown: errors.Is(err, ErrUnknown)}})
+				err := n.SetEndpointEnabled(within, m.Order.ID, m.Order.Lift)
+				l.send(message{Answer: &reply{Number: m.Order.Number, Gone: err != nil, Unknown: errors.Is(err, ErrUnknownEndpoint)}})
 			})
 		}
 	}
@@ -528,7 +528,7 @@
 	var events []choice.Event
 	for name, c := range n.out {
 		if c.remote {
-			broken := called{attempts: []attempt{name}, endpoint: &endpoint{}, result: result{outcome: choice.Cut, kept: true}}
+			broken := called{attempts: []attempt{name}, endpoint: &endpoint{}, result: result{outcome: choice.ConnectionBroken, kept: true}}
 			events = append(events, n.called(broken)...)
 		}
 	}
@@ -657,9 +657,9 @@
 			asked[n.numbered] = func(r reply) {
 				switch {
 				case r.Unknown:
-					o.reply <- ErrUnknown
+					o.reply <- ErrUnknownEndpoint
 				case r.Gone:
-					o.reply <- ErrHeirGone
+					o.reply <- ErrSuccessorGone
 				default:
 					o.reply <- nil
 				}
@@ -680,7 +680,7 @@
 			forsake()
 			continue
 		case <-down:
-			down, leaves, left, err = nil, true, nil, ErrHeirGone
+			down, leaves, left, err = nil, true, nil, ErrSuccessorGone
 			n.heir.conn.Close()
 			for _, c := range n.out { // what may be repeated must not have two attempts out
 				c.cancel()
@@ -689,7 +689,7 @@
 			continue
 		}
 		switch e := e.(type) {
-		case choice.Leaving:
+		case choice.Stopping:
 			leaves = true
 		case called:
 			e.heed()
@@ -745,7 +745,7 @@
 // forHeir is the outcome in words that builds of old, which know of no doubt, take for one that may have run.
 func (f fate) forHeir() choice.Outcome {
 	if f.unsure {
-		return choice.TooSlow
+		return choice.TimedOut
 	}
 	return f.outcome
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns the simulator's JSON lines into the events of package choice and its actions into
-// lines. It decides nothing and supplies no defaults: what a line leaves out stays zero.
+// Package wire converts the simulator's JSON lines to the events of package choice, and its actions to lines.
+// It makes no decisions and has no defaults: a field that a line leaves out stays zero.
 package wire
 
 import (
@@ -11,7 +11,7 @@
 	"starlingusher/choice"
 )
 
-// Line is any line of a batch; Type says which fields count.
+// Line is any line of a batch; Type determines which fields are used.
 type Line struct {
 	Type     string             `json:"event_type"`
 	SimTime  float64            `json:"simTime"`
@@ -51,28 +51,28 @@
 
 const optHint = 1 // bit of opts: the hint is valid
 
-// Time converts milliseconds of the wire; the simulator counts whole microseconds.
+// Time converts milliseconds of the protocol to a duration; the simulator counts whole microseconds.
 func Time(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Parse reads one line of a batch.
+// ParseLine reads one line of a batch.
 func Parse(text []byte) (Line, error) {
 	var l Line
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, fmt.Errorf("malformed line: %w", err)
 	}
 	if l.Type == "" {
-		return l, fmt.Errorf("a line without event_type")
+		return l, fmt.Errorf("line has no event_type")
 	}
 	return l, nil
 }
 
 var outcomes = map[string]choice.Outcome{
-	"pass": choice.Pass, "fault": choice.Fault, "no_room": choice.NoRoom, "too_slow": choice.TooSlow,
-	"no_route": choice.NoRoute, "cut": choice.Cut, "undone": choice.Undone, "stale_send": choice.Stale,
+	"pass": choice.Success, "fault": choice.ServerError, "no_room": choice.Rejected, "too_slow": choice.TimedOut,
+	"no_route": choice.Unreachable, "cut": choice.ConnectionBroken, "undone": choice.Canceled, "stale_send": choice.Stale,
 }
 
 var phases = map[string]choice.Phase{
@@ -94,25 +94,25 @@
 	return list, nil
 }
 
-// Event converts a line addressed to one instance. It returns nil for lines that carry nothing to decide on.
-// An Announce needs the entries of its list, which the caller keeps.
+// ParseEvent converts a line addressed to one instance. It returns nil for lines without an event for package
+// choice. An Announce needs the entries of its list, which the caller keeps.
 func Event(l Line, lists map[int][]choice.Entry) (choice.Event, error) {
 	switch l.Type {
 	case "Announce":
 		if l.Form == "broken" {
-			return choice.Listed{Failed: true}, nil
+			return choice.ListUpdate{Failed: true}, nil
 		}
 		if l.Form != "patch" && l.Form != "whole" && l.Form != "stale_copy" {
-			return nil, fmt.Errorf("Announce of unknown form %q", l.Form)
+			return nil, fmt.Errorf("Announce has unknown form %q", l.Form)
 		}
 		entries, ok := lists[l.Slot]
 		if !ok {
 			return nil, fmt.Errorf("Announce names list %d, which was never sent", l.Slot)
 		}
-		return choice.Listed{Whole: l.Form != "patch", Entries: entries}, nil
+		return choice.ListUpdate{Complete: l.Form != "patch", Entries: entries}, nil
 	case "Query":
-		ev := choice.Arrived{
-			ID: l.Handle, Class: l.Class, Tenant: l.Owner, Dest: l.FarEnd, Key: l.Key, DropDead: Time(l.DropDead),
+		ev := choice.MessageArrived{
+			ID: l.Handle, Class: l.Class, Tenant: l.Owner, Dest: l.FarEnd, Key: l.Key, Deadline: Time(l.DropDead),
 		}
 		if l.Opts&optHint != 0 {
 			ev.Hint = Time(l.Hint)
@@ -121,29 +121,29 @@
 	case "AttemptEnd":
 		o, ok := outcomes[l.Code]
 		if !ok {
-			return nil, fmt.Errorf("AttemptEnd with unknown rc %q", l.Code)
+			return nil, fmt.Errorf("AttemptEnd has unknown rc %q", l.Code)
 		}
-		ev := choice.Ended{
+		ev := choice.AttemptEnded{
 			ID: l.Handle, Attempt: l.Go, Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration),
-			Closed: l.Closed, Report: report(l.Feedback),
+			Final: l.Closed, Report: report(l.Feedback),
 		}
-		if o == choice.NoRoom {
-			ev.Wait = Time(l.Note)
+		if o == choice.Rejected {
+			ev.RetryAfter = Time(l.Note)
 		}
 		ev.NoSlot = o == choice.Stale && l.Note != 0
 		return ev, nil
 	case "Echo":
 		o, ok := outcomes[l.Code]
 		if !ok {
-			return nil, fmt.Errorf("Echo with unknown rc %q", l.Code)
+			return nil, fmt.Errorf("Echo has unknown rc %q", l.Code)
 		}
-		return choice.Probed{
+		return choice.ProbeEnded{
 			Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration), Report: report(l.Feedback),
 		}, nil
 	case "Dropped":
-		return choice.Dropped{ID: l.Handle}, nil
+		return choice.MessageAbandoned{ID: l.Handle}, nil
 	case "Ring":
-		return choice.Rang{Tag: l.Tag}, nil
+		return choice.WakeDue{Tag: l.Tag}, nil
 	case "Memo", "UnderWay":
 		return nil, nil
 	}
@@ -157,14 +157,14 @@
 	return r
 }
 
-// Action converts an action of the instance named node into its line.
+// EncodeAction converts an action of the instance named node to its line.
 func Action(node string, a choice.Action) ([]byte, error) {
 	o := map[string]any{"node": node}
 	switch a := a.(type) {
 	case choice.Send:
 		o["event_type"], o["handle"], o["endpoint"] = "Transmit", a.ID, a.Endpoint
-		o["notPast"] = millis(a.NotPast)
-	case choice.PushBack:
+		o["notPast"] = millis(a.TimeoutAt)
+	case choice.Refuse:
 		o["event_type"], o["handle"], o["holdOff"] = "PushBack", a.ID, millis(a.RetryAfter)
 	case choice.Fail:
 		o["event_type"], o["handle"] = "RespondError", a.ID
@@ -172,13 +172,13 @@
 		o["event_type"], o["handle"], o["go"] = "Recall", a.ID, a.Attempt
 	case choice.Probe:
 		o["event_type"], o["endpoint"] = "Test", a.Endpoint
-	case choice.HangUp:
+	case choice.CloseIdle:
 		o["event_type"], o["endpoint"] = "HangUp", a.Endpoint
 	case choice.Wake:
 		o["event_type"], o["when"], o["tag"] = "Defer", millis(a.At), a.Tag
 	case choice.Watch:
 		o["event_type"], o["enable"] = "Track", true
-	case choice.Note:
+	case choice.LogLine:
 		o["event_type"], o["text"] = "JournalLine", a.Text
 	default:
 		return nil, fmt.Errorf("no line for action %T", a)
@@ -186,7 +186,7 @@
 	return json.Marshal(o)
 }
 
-// Broken is the line that reports a crash of the decision code.
+// BrokenLine reports a crash of the decision module.
 func Broken(node, text string) []byte {
 	b, err := json.Marshal(map[string]string{"event_type": "Broken", "node": node, "text": text})
 	if err != nil {
@@ -195,5 +195,5 @@
 	return b
 }
 
-// Done ends a reply.
+// DoneLine ends a reply.
 const Done = `{"event_type":"Done"}`
