--- a/cmd/coralyard/ownership_test.go
+++ b/cmd/coralyard/ownership_test.go
@@ -76,7 +76,7 @@
 }
 
 // writeMap puts a map into the directory as its writer does: acquired, written by its token, let go of.
-func writeMap(t *testing.T, op *directory.Operator, m *ownership.Map) {
+func writeMap(t *testing.T, op *directory.AdminClient, m *ownership.Map) {
 	t.Helper()
 	value, err := m.Encode()
 	if err != nil {
@@ -173,7 +173,7 @@
 func TestOwners(t *testing.T) {
 	at := addresses(t, 14)
 	addrs, stop := startReplicas(t, at)
-	op := &directory.Operator{Addresses: addrs, Wait: patience}
+	op := &directory.AdminClient{Addresses: addrs, RetryFor: patience}
 	came := make(chan string, 100)
 	partner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		came <- req.Header.Get("X-Trace-Id")
--- a/cmd/cottonrack/capacity_test.go
+++ b/cmd/cottonrack/capacity_test.go
@@ -221,11 +221,11 @@
 		var got float64
 		switch f.Name {
 		case "UsualMembers":
-			got = catalog.UsualMembers
+			got = catalog.DefaultMaxEndpoints
 		case "MaxChanges":
 			got = catalog.MaxChanges
 		case "Watch.Most":
-			got = float64(directory.Defaults().Watch.Most)
+			got = float64(directory.Defaults().Watch.MaxOpen)
 		case "keep_kb": // a setting without a default; the page's example is what is deployed
 			if strings.Contains(read(t, f.Place), "keep_kb = 256 ") {
 				got = 256 << 10
--- a/cmd/cottonrack/directory.go
+++ b/cmd/cottonrack/directory.go
@@ -41,12 +41,12 @@
 	Why  string        `help:"Why, for the history."`
 }
 
-func (c asking) operator() *directory.Operator {
+func (c asking) operator() *directory.AdminClient {
 	by := "unknown"
 	if u, err := user.Current(); err == nil {
 		by = u.Username
 	}
-	return &directory.Operator{Addresses: c.At, By: by, Why: c.Why, Wait: c.Wait}
+	return &directory.AdminClient{Addresses: c.At, By: by, Reason: c.Why, RetryFor: c.Wait}
 }
 
 type serveCmd struct {
@@ -96,7 +96,7 @@
 	bad := 0
 	for _, at := range c.At {
 		o := c.operator()
-		o.Addresses, o.Wait = []string{at}, 0
+		o.Addresses, o.RetryFor = []string{at}, 0
 		ctx, cancel := context.WithTimeout(a.ctx, 3*time.Second)
 		st, err := o.Status(ctx)
 		cancel()
@@ -130,10 +130,10 @@
 			}
 			if h := r.Status.Held; h != nil {
 				fmt.Fprintf(a.out, "held back: number %d, by %s, would take %d of %d serving endpoints away; cottonrack directory confirm %d\n",
-					h.Number, dash(h.By), h.Gone, h.Of, h.Number)
+					h.Number, dash(h.By), h.Removed, h.ServingTotal, h.Number)
 			}
-			if r.Status.SilentMS > 0 {
-				fmt.Fprintf(a.out, "the list's source, %s, has said nothing since %s: the list can't be vouched for\n", r.Status.Follows, clock(r.Status.SilentMS))
+			if r.Status.SourceSilentSinceMS > 0 {
+				fmt.Fprintf(a.out, "the list's source, %s, has said nothing since %s: the list can't be vouched for\n", r.Status.Follows, clock(r.Status.SourceSilentSinceMS))
 			}
 			for _, m := range r.Status.Members {
 				if !m.Votes {
@@ -205,8 +205,8 @@
 	if len(c.At) == 0 {
 		return wrongUse{errors.New("--at names no replica")}
 	}
-	w := registry.Watcher{Addresses: c.At, Nodes: 1, Client: http.DefaultClient, Log: a.log, Track: registry.NewTrack(registry.Position{})}
-	w.Watch(a.ctx, func(n registry.News) error {
+	w := registry.Watcher{Addresses: c.At, FleetSize: 1, Client: http.DefaultClient, Log: a.log, Cursor: registry.NewCursor(registry.Position{})}
+	w.Watch(a.ctx, func(n registry.Update) error {
 		if a.asJSON {
 			return json.NewEncoder(a.out).Encode(n.List)
 		}
@@ -214,7 +214,7 @@
 		if n.Complete {
 			what = "the whole list"
 		}
-		fmt.Fprintf(a.out, "%s  revision %d of history %d, from %s: %s\n", time.Now().Format("15:04:05.000"), n.Revision, n.History, n.From, what)
+		fmt.Fprintf(a.out, "%s  revision %d of history %d, from %s: %s\n", time.Now().Format("15:04:05.000"), n.Revision, n.History, n.Server, what)
 		return printEndpoints(a, n.Members)
 	})
 	return nil
@@ -249,15 +249,15 @@
 		return wrongUse{fmt.Errorf(`%s: "members" is missing`, c.File)}
 	}
 	for i, m := range *file.Members {
-		if err := m.Check(); err != nil {
+		if err := m.Validate(); err != nil {
 			return wrongUse{fmt.Errorf("%s: member %d: %w", c.File, i+1, err)}
 		}
 	}
 	o := c.operator()
 	now, match, _, err := o.List(a.ctx, true)
-	var no *directory.Refusal
+	var no *directory.ResponseError
 	switch {
-	case errors.As(err, &no) && strings.Contains(no.Reason, "nothing has been written"):
+	case errors.As(err, &no) && strings.Contains(no.Message, "nothing has been written"):
 		match = "*"
 	case err != nil:
 		return err
@@ -268,7 +268,7 @@
 	if c.RestsOn != "" {
 		match = c.RestsOn
 	}
-	changes := directory.Difference(now.Members, *file.Members, !c.Partial)
+	changes := directory.Diff(now.Members, *file.Members, !c.Partial)
 	if !a.asJSON {
 		if err := printEndpoints(a, changes); err != nil {
 			return err
@@ -301,14 +301,14 @@
 }
 
 // written tells what came of a write.
-func (a *app) written(w directory.Written, err error) error {
-	var no *directory.Refusal
+func (a *app) written(w directory.WriteResult, err error) error {
+	var no *directory.ResponseError
 	switch {
 	case errors.Is(err, catalog.ErrHeld) && errors.As(err, &no):
 		return fmt.Errorf("%w; cottonrack directory confirm %d", err, no.Held)
 	case errors.Is(err, catalog.ErrConflict):
 		return fmt.Errorf("nothing was written: %w; read the list again", err)
-	case errors.Is(err, directory.ErrUnknown):
+	case errors.Is(err, directory.ErrAmbiguous):
 		return fmt.Errorf("it may or may not have been written: %w; look at the list, and write again with the same --rests-on", err)
 	case err != nil:
 		return fmt.Errorf("nothing was written: %w", err)
@@ -371,7 +371,7 @@
 				what += m.ID + " " + m.Phase + " "
 			}
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", ch.Revision, clock(ch.At), dash(ch.By), strings.TrimSpace(what), ch.Why)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", ch.Revision, clock(ch.At), dash(ch.By), strings.TrimSpace(what), ch.Reason)
 	}
 	return w.Flush()
 }
@@ -436,7 +436,7 @@
 
 // Run invites it.
 func (c *memberAddCmd) Run(a *app) error {
-	return c.operator().Invite(a.ctx, catalog.Replica{ID: c.ID, HTTP: c.HTTP, Raft: c.Raft})
+	return c.operator().AddReplica(a.ctx, catalog.Replica{ID: c.ID, HTTP: c.HTTP, Raft: c.Raft})
 }
 
 type memberRemoveCmd struct {
@@ -445,4 +445,4 @@
 }
 
 // Run takes it out.
-func (c *memberRemoveCmd) Run(a *app) error { return c.operator().Dismiss(a.ctx, c.ID) }
+func (c *memberRemoveCmd) Run(a *app) error { return c.operator().RemoveReplica(a.ctx, c.ID) }
--- a/cmd/cottonrack/ownership.go
+++ b/cmd/cottonrack/ownership.go
@@ -97,7 +97,7 @@
 		path += "?fresh=1"
 	}
 	raw, _, err := c.operator().Do(ctx, http.MethodGet, path, "", nil)
-	if errors.Is(err, catalog.ErrUnknown) {
+	if errors.Is(err, catalog.ErrNotFound) {
 		return nil, nil
 	}
 	if err != nil {
@@ -284,7 +284,7 @@
 // agree carries an agreement out, until it ends, the context does, or nobody can serve for the time to wait.
 func (c asking) agree(ctx context.Context, agreement *ownership.Publisher) (*ownership.Map, error) {
 	o := c.operator()
-	o.Wait = 0 // the agreement's steps are tried again one by one
+	o.RetryFor = 0 // the agreement's steps are tried again one by one
 	holder := fmt.Sprintf("%s.%d.%x", o.By, os.Getpid(), rand.Uint32())
 	const path = "/records/" + ownership.RecordName
 	// What is under way is waited for: an answer that was not taken is one that is not known.
@@ -299,7 +299,7 @@
 			return err
 		}
 		if err := json.Unmarshal(raw, into); err != nil {
-			return fmt.Errorf("%w: %w", directory.ErrUnknown, err)
+			return fmt.Errorf("%w: %w", directory.ErrAmbiguous, err)
 		}
 		return nil
 	}
@@ -307,7 +307,7 @@
 	var held time.Time
 	for next := agreement.Begin(); ; {
 		ans := ownership.Answer{Seq: next.Seq, Outcome: ownership.Done}
-		var w directory.Written
+		var w directory.WriteResult
 		var err error
 		switch next.Operation {
 		case ownership.Acquire:
@@ -331,15 +331,15 @@
 		}
 		switch {
 		case err == nil:
-		case errors.Is(err, directory.ErrUnknown):
+		case errors.Is(err, directory.ErrAmbiguous):
 			ans.Outcome = ownership.Ambiguous
-		case errors.Is(err, catalog.ErrBad):
+		case errors.Is(err, catalog.ErrInvalid):
 			ans.Outcome, ans.Err = ownership.Refused, fmt.Errorf("%w: %w", ownership.ErrInvalid, err)
 		default:
 			ans.Outcome, ans.Err = ownership.Refused, err
 		}
 		limit := c.Wait
-		if errors.Is(err, catalog.ErrTaken) { // somebody writes, or has died
+		if errors.Is(err, catalog.ErrNotHolder) { // somebody writes, or has died
 			limit += applyLease
 		}
 		if ans.Outcome != ownership.Done && (time.Since(begun) > limit || !registry.Sleep(ctx, 100*time.Millisecond)) {
--- a/cmd/cottonrack/ownership_test.go
+++ b/cmd/cottonrack/ownership_test.go
@@ -55,7 +55,7 @@
 		Value  []byte
 	}
 	json.NewDecoder(req.Body).Decode(&ask)
-	hold := catalog.Hold{Name: ownership.RecordName, Holder: ask.Holder, Token: ask.Token, TTL: 5000, Value: ask.Value}
+	hold := catalog.RecordOp{Name: ownership.RecordName, Holder: ask.Holder, Token: ask.Token, TTL: 5000, Value: ask.Value}
 	var r catalog.Result
 	var out any
 	switch req.Method {
@@ -64,7 +64,7 @@
 	case http.MethodPut:
 		r = l.state.Apply(catalog.Command{Acquire: &hold})
 		if r.Err != nil && l.rng.IntN(3) == 0 { // time passes, and its holder has not come back
-			l.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: ownership.RecordName, Token: r.Token}}}})
+			l.state.Apply(catalog.Command{Expire: &catalog.Expiry{Records: []catalog.RecordOp{{Name: ownership.RecordName, Token: r.Token}}}})
 		}
 	case http.MethodPost:
 		if r = l.state.Apply(catalog.Command{Update: &hold}); r.Err == nil {
@@ -98,7 +98,7 @@
 func TestAgreeThroughLosses(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
 	l := &lossy{rng: rand.New(rand.NewPCG(seed, 1)), state: catalog.New(), given: map[int64][]byte{}, lost: map[string]int{}}
-	l.state.Apply(catalog.Command{At: 1, Found: &catalog.Found{}})
+	l.state.Apply(catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
 	server := httptest.NewServer(l)
 	defer server.Close()
 	defer http.DefaultClient.CloseIdleConnections()
--- a/fleet/catalog/catalog_test.go
+++ b/fleet/catalog/catalog_test.go
@@ -20,7 +20,7 @@
 // bootstrapped returns a state with n endpoints of partner 0.
 func founded(t testing.TB, n int) *State {
 	s := New()
-	apply(t, s, Command{At: 1000, Found: &Found{}})
+	apply(t, s, Command{At: 1000, Bootstrap: &Bootstrap{}})
 	if n > 0 {
 		var all []Endpoint
 		for i := range n {
@@ -63,13 +63,13 @@
 	apply(t, s, drain("e0", read))
 	apply(t, s, drain("e1", read)) // no conflict: another endpoint
 	refused(t, s, Command{Write: &Write{Base: read, Members: []Endpoint{endpoint("e0", 0)}}}, ErrConflict)
-	refused(t, s, Command{Write: &Write{Base: read, Whole: true, Members: []Endpoint{endpoint("e9", 0)}}}, ErrConflict)
+	refused(t, s, Command{Write: &Write{Base: read, Replace: true, Members: []Endpoint{endpoint("e9", 0)}}}, ErrConflict)
 	refused(t, s, drain("e2", Base{Revision: 99}), ErrConflict)
 	refused(t, s, drain("e2", Base{History: 5, Revision: s.Revision()}), ErrConflict)
 	if r := apply(t, s, drain("e0", Base{Any: true})); r.Revision != 3 {
 		t.Errorf("a write that changes nothing created revision %d", r.Revision)
 	}
-	refused(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("new", 0), {ID: "e2", Phase: "ODD"}}}}, ErrBad)
+	refused(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("new", 0), {ID: "e2", Phase: "ODD"}}}}, ErrInvalid)
 	if _, listed := s.i.Entries["new"]; listed {
 		t.Error("a rejected write was partly applied")
 	}
@@ -77,16 +77,16 @@
 
 func TestGuardHoldsBack(t *testing.T) {
 	s := founded(t, 4)
-	shrink := Command{Write: &Write{Base: Base{Any: true}, Whole: true, Guard: 0.5, Members: []Endpoint{endpoint("e0", 0)}}}
+	shrink := Command{Write: &Write{Base: Base{Any: true}, Replace: true, GuardShare: 0.5, Members: []Endpoint{endpoint("e0", 0)}}}
 	held := refused(t, s, shrink, ErrHeld).Held
 	if again := refused(t, s, shrink, ErrHeld); again.Held != held {
 		t.Errorf("the same list was held back again as number %d", again.Held)
 	}
-	k := NewKeeper(0.5, time.Second, time.Minute)
-	if due, wait := k.Due(s, 0); len(due) > 0 || wait != time.Minute {
+	k := NewLeaseManager(0.5, time.Second, time.Minute)
+	if due, wait := k.DueCommands(s, 0); len(due) > 0 || wait != time.Minute {
 		t.Errorf("due immediately: %v, wait %v", due, wait)
 	}
-	due, _ := k.Due(s, time.Minute)
+	due, _ := k.DueCommands(s, time.Minute)
 	if len(due) != 1 || due[0].Confirm == nil {
 		t.Fatalf("due after a minute: %+v", due)
 	}
@@ -94,8 +94,8 @@
 	if len(s.Entries()) != 1 || s.Held() != nil {
 		t.Errorf("after the waiting time the list is %v, held %v", s.Entries(), s.Held())
 	}
-	refused(t, s, Command{Confirm: &Confirm{Number: held}}, ErrUnknown)
-	empty := Command{Write: &Write{Base: Base{Any: true}, Whole: true, Guard: 1}}
+	refused(t, s, Command{Confirm: &Confirm{Number: held}}, ErrNotFound)
+	empty := Command{Write: &Write{Base: Base{Any: true}, Replace: true, GuardShare: 1}}
 	refused(t, s, empty, ErrHeld) // an empty list is held back at any share
 	empty.Write.Confirmed = true
 	apply(t, s, empty)
@@ -108,14 +108,14 @@
 func TestConfirmationUndoesNothing(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		s := founded(t, 4)
-		w := Write{Base: Base{Any: true}, Whole: whole, Guard: 0.5, Members: []Endpoint{endpoint("e0", 0)}}
+		w := Write{Base: Base{Any: true}, Replace: whole, GuardShare: 0.5, Members: []Endpoint{endpoint("e0", 0)}}
 		if !whole {
 			w.Members = []Endpoint{with(endpoint("e1", 0), Deleted), with(endpoint("e2", 0), Deleted), with(endpoint("e3", 0), Deleted)}
 		}
 		held := refused(t, s, Command{Write: &w}, ErrHeld).Held
 		apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{with(endpoint("e0", 0), Draining), with(endpoint("e3", 0), Draining), endpoint("new", 0)}}})
 		apply(t, s, Command{Confirm: &Confirm{Number: held}})
-		got := fmt.Sprint(s.Whole().Members)
+		got := fmt.Sprint(s.FullList().Members)
 		want := fmt.Sprint([]Endpoint{with(endpoint("e0", 0), Draining), with(endpoint("e3", 0), Draining), endpoint("new", 0)})
 		if got != want {
 			t.Errorf("complete list %v: the list is %s", whole, got)
@@ -127,7 +127,7 @@
 // that have not restarted since, and not on the others.
 func TestSnapshotKeepsWhatIsHeldBack(t *testing.T) {
 	s := founded(t, 4)
-	w := Write{Base: Base{Any: true}, Whole: true, Guard: 0.5, Members: []Endpoint{endpoint("e0", 0)}}
+	w := Write{Base: Base{Any: true}, Replace: true, GuardShare: 0.5, Members: []Endpoint{endpoint("e0", 0)}}
 	held := refused(t, s, Command{Write: &w}, ErrHeld).Held
 	raw, err := cbor.Marshal(s.Image())
 	if err != nil {
@@ -144,8 +144,8 @@
 	for _, of := range []*State{s, restarted} {
 		apply(t, of, Command{Confirm: &Confirm{Number: held}})
 	}
-	if !reflect.DeepEqual(s.Whole(), restarted.Whole()) || s.Size() != 1 {
-		t.Errorf("after the confirmation the list is %+v, and %+v at a restarted replica", s.Whole(), restarted.Whole())
+	if !reflect.DeepEqual(s.FullList(), restarted.FullList()) || s.Size() != 1 {
+		t.Errorf("after the confirmation the list is %+v, and %+v at a restarted replica", s.FullList(), restarted.FullList())
 	}
 }
 
@@ -154,20 +154,20 @@
 	for i := range 6 {
 		apply(t, s, Command{Write: &Write{Base: Base{Any: true}, TTL: 1000, Members: []Endpoint{endpoint(fmt.Sprint("e", i), i/4)}}})
 	}
-	k := NewKeeper(0.5, 5*time.Second, 0)
-	k.Due(s, 0)
+	k := NewLeaseManager(0.5, 5*time.Second, 0)
+	k.DueCommands(s, 0)
 	if err := k.Renew(s, "e0", 900*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	k2 := NewKeeper(0.5, 5*time.Second, 0)
-	k2.Due(s, 0)
-	if due, _ := k2.Due(s, time.Second); len(due) != 1 || len(due[0].Lapse.Drain) != 3 {
+	k2 := NewLeaseManager(0.5, 5*time.Second, 0)
+	k2.DueCommands(s, 0)
+	if due, _ := k2.DueCommands(s, time.Second); len(due) != 1 || len(due[0].Expire.Drain) != 3 {
 		t.Errorf("due: %+v", due)
-	} else if id := due[0].Lapse.Drain[0]; !errors.Is(k2.Renew(s, id, time.Second), ErrUnknown) {
+	} else if id := due[0].Expire.Drain[0]; !errors.Is(k2.Renew(s, id, time.Second), ErrNotFound) {
 		t.Errorf("%s was renewed while its expiry was in flight", id)
 	}
 	step := func(now time.Duration) {
-		due, _ := k.Due(s, now)
+		due, _ := k.DueCommands(s, now)
 		for _, c := range due {
 			apply(t, s, c)
 		}
@@ -177,10 +177,10 @@
 		t.Fatal("a lease expired early")
 	}
 	step(time.Second) // e1 to e3 of partner 0 and both endpoints of partner 1 have not renewed; half of each partner's may expire
-	if l := s.Since(6); len(l.Members) != 3 {
+	if l := s.ListSince(6); len(l.Members) != 3 {
 		t.Fatalf("expired: %+v", l.Members)
 	}
-	if err := k.Renew(s, "e1", time.Second); !errors.Is(err, ErrUnknown) {
+	if err := k.Renew(s, "e1", time.Second); !errors.Is(err, ErrNotFound) {
 		t.Errorf("an expired lease was renewed: %v", err)
 	}
 	for now := time.Second; now < 30*time.Second; now += 500 * time.Millisecond {
@@ -200,42 +200,42 @@
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, TTL: 1000, Members: []Endpoint{endpoint("e4", 1)}}})
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{with(endpoint("e5", 1), Draining)}}})
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, TTL: 1000, Members: []Endpoint{endpoint("e5", 1)}}})
-	if a, b := s.i.Entries["e4"], s.i.Entries["e5"]; a.Phase != Serving || a.Lapsed || b.Phase != Draining || b.TTL != 1000 {
+	if a, b := s.i.Entries["e4"], s.i.Entries["e5"]; a.Phase != Serving || a.Expired || b.Phase != Draining || b.TTL != 1000 {
 		t.Errorf("after new registrations: %+v, %+v", a, b)
 	}
 }
 
 func TestRecordsAreFenced(t *testing.T) {
 	s := founded(t, 0)
-	a := apply(t, s, Command{Acquire: &Hold{Name: "r", Holder: "a", TTL: 1000, Value: []byte("1"), SetsVal: true}}).Token
-	refused(t, s, Command{Acquire: &Hold{Name: "r", Holder: "b", TTL: 1000}}, ErrTaken)
-	k := NewKeeper(0.5, 0, 0)
-	k.Due(s, 0)
-	due, _ := k.Due(s, time.Second)
+	a := apply(t, s, Command{Acquire: &RecordOp{Name: "r", Holder: "a", TTL: 1000, Value: []byte("1"), SetValue: true}}).Token
+	refused(t, s, Command{Acquire: &RecordOp{Name: "r", Holder: "b", TTL: 1000}}, ErrNotHolder)
+	k := NewLeaseManager(0.5, 0, 0)
+	k.DueCommands(s, 0)
+	due, _ := k.DueCommands(s, time.Second)
 	if len(due) != 1 {
 		t.Fatalf("due: %v", due)
 	}
-	if err := k.RenewRecord(s, "r", a, time.Second); !errors.Is(err, ErrTaken) {
+	if err := k.RenewRecord(s, "r", a, time.Second); !errors.Is(err, ErrNotHolder) {
 		t.Errorf("renewed while its expiry is in flight: %v", err)
 	}
 	apply(t, s, due[0])
-	b := apply(t, s, Command{Acquire: &Hold{Name: "r", Holder: "b"}}).Token
+	b := apply(t, s, Command{Acquire: &RecordOp{Name: "r", Holder: "b"}}).Token
 	if b <= a {
 		t.Errorf("token %d after %d", b, a)
 	}
-	refused(t, s, Command{Update: &Hold{Name: "r", Token: a, Value: []byte("late")}}, ErrTaken)
+	refused(t, s, Command{Update: &RecordOp{Name: "r", Token: a, Value: []byte("late")}}, ErrNotHolder)
 	image := s.Image()
-	apply(t, s, Command{Update: &Hold{Name: "r", Token: b, Value: []byte("2")}})
+	apply(t, s, Command{Update: &RecordOp{Name: "r", Token: b, Value: []byte("2")}})
 	apply(t, s, Command{At: 1, Restore: &image})
-	c := apply(t, s, Command{Release: &Hold{Name: "r", Token: b}})
+	c := apply(t, s, Command{Release: &RecordOp{Name: "r", Token: b}})
 	_ = c
-	if d := apply(t, s, Command{Acquire: &Hold{Name: "r", Holder: "d"}}).Token; d <= b {
+	if d := apply(t, s, Command{Acquire: &RecordOp{Name: "r", Holder: "d"}}).Token; d <= b {
 		t.Errorf("a token was reused after a restore: %d after %d", d, b)
 	}
 }
 
 func TestRestoreBeginsANewHistory(t *testing.T) {
-	refused(t, New(), Command{Write: &Write{Base: Base{Any: true}}}, ErrNew)
+	refused(t, New(), Command{Write: &Write{Base: Base{Any: true}}}, ErrNotBootstrapped)
 	s := founded(t, 2)
 	image, was := s.Image(), s.History()
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{with(endpoint("e0", 0), Deleted)}}})
@@ -245,7 +245,7 @@
 	}
 	refused(t, s, Command{Write: &Write{Base: Base{History: was, Revision: 1}, Members: []Endpoint{endpoint("e1", 0)}}}, ErrConflict)
 	image.Revision = 7
-	refused(t, s, Command{Restore: &image}, ErrBad)
+	refused(t, s, Command{Restore: &image}, ErrInvalid)
 }
 
 // Whatever is written, replicas must agree, also across a snapshot, and a follower must end up with the list,
@@ -264,17 +264,17 @@
 				}
 			}
 		}
-		apply(t, a, Command{At: 1, Found: &Found{}})
-		apply(t, b, Command{At: 1, Found: &Found{}})
+		apply(t, a, Command{At: 1, Bootstrap: &Bootstrap{}})
+		apply(t, b, Command{At: 1, Bootstrap: &Bootstrap{}})
 		at := int64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "writes") {
-			w := Write{Base: Base{Revision: max(a.Revision()-rapid.Int64Range(0, 3).Draw(t, "behind"), 0)}, Whole: rapid.IntRange(0, 5).Draw(t, "whole") == 0}
+			w := Write{Base: Base{Revision: max(a.Revision()-rapid.Int64Range(0, 3).Draw(t, "behind"), 0)}, Replace: rapid.IntRange(0, 5).Draw(t, "whole") == 0}
 			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 4, rapid.ID[int]).Draw(t, "ids") {
 				e := endpoint(fmt.Sprint("e", i), i%2)
 				e.Phase = rapid.SampledFrom([]string{Serving, Draining, Deleted}).Draw(t, "phase")
 				w.Members = append(w.Members, e)
 			}
-			w.Guard = rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "guard")
+			w.GuardShare = rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "guard")
 			w.TTL = rapid.SampledFrom([]int64{0, 1000}).Draw(t, "ttl")
 			before := a.Revision()
 			ra, rb := a.Apply(Command{Write: &w}), b.Apply(Command{Write: &w})
@@ -292,13 +292,13 @@
 				b = next
 			}
 			if rapid.Bool().Draw(t, "follows") {
-				take(a.Since(at))
+				take(a.ListSince(at))
 				at = a.Revision()
 			}
 		}
-		take(a.Since(at))
+		take(a.ListSince(at))
 		whole := map[string]Endpoint{}
-		for _, m := range a.Whole().Members {
+		for _, m := range a.FullList().Members {
 			whole[m.ID] = m
 		}
 		if !reflect.DeepEqual(whole, follower) || !reflect.DeepEqual(a.Image(), b.Image()) {
@@ -316,14 +316,14 @@
 		}
 		apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{with(endpoint("e0", 0), phase)}}})
 	}
-	if changes, all := s.Changes(0); all || len(changes) != MaxChanges {
+	if changes, all := s.ChangesAfter(0); all || len(changes) != MaxChanges {
 		t.Errorf("%d changes are kept, complete: %v", len(changes), all)
 	}
-	if l := s.Since(3); !l.Complete {
+	if l := s.ListSince(3); !l.Complete {
 		t.Error("a revision before the kept changes got a partial list")
 	}
 	refused(t, s, Command{Write: &Write{Base: Base{Revision: 3}, Members: []Endpoint{endpoint("x", 0)}}}, ErrConflict)
-	if l := s.Since(s.Revision() - 3); l.Complete || len(l.Members) != 1 {
+	if l := s.ListSince(s.Revision() - 3); l.Complete || len(l.Members) != 1 {
 		t.Errorf("resumed: %+v", l)
 	}
 }
--- a/fleet/catalog/formats_test.go
+++ b/fleet/catalog/formats_test.go
@@ -36,7 +36,7 @@
 	checkFormat[Command](t, "command.cbor", cbor.Marshal, cbor.Unmarshal, nil)
 	checkFormat[Image](t, "image.cbor", cbor.Marshal, cbor.Unmarshal, nil)
 	checkFormat[Change](t, "change.cbor", cbor.Marshal, cbor.Unmarshal, nil)
-	checkFormat[Held](t, "held.cbor", cbor.Marshal, cbor.Unmarshal, nil)
+	checkFormat[HeldWrite](t, "held.cbor", cbor.Marshal, cbor.Unmarshal, nil)
 	checkFormat[Record](t, "record.cbor", cbor.Marshal, cbor.Unmarshal, nil)
 }
 
@@ -45,7 +45,7 @@
 	checkFormat[List](t, "list.json", encode, json.Unmarshal, nil)
 	checkFormat[Entry](t, "entry.json", encode, json.Unmarshal, nil)
 	checkFormat[Change](t, "change.json", encode, json.Unmarshal, func(c *Change) { c.Moved = nil })
-	checkFormat[Held](t, "held.json", encode, json.Unmarshal, func(h *Held) { h.Write = Write{} })
+	checkFormat[HeldWrite](t, "held.json", encode, json.Unmarshal, func(h *HeldWrite) { h.Write = Write{} })
 	checkFormat[Record](t, "record.json", encode, json.Unmarshal, nil)
 	checkFormat[Replica](t, "replica.json", encode, json.Unmarshal, nil)
 }
--- a/fleet/catalog/list.go
+++ b/fleet/catalog/list.go
@@ -20,17 +20,17 @@
 
 // Bounds on input.
 const (
-	MaxName = 200 // bytes of an ID, a name or a holder
+	MaxNameBytes = 200 // bytes of an ID, a name or a holder
 	// MaxEndpoints bounds the endpoints of an image, and the bound that a write may carry. It exceeds any
 	// need and only prevents unlimited growth. It may be raised only once all replicas run a build with the
 	// new value: an older one would refuse what newer ones accept, and the states would diverge.
-	MaxMembers   = 2_000_000
-	UsualMembers = 50_000 // endpoints, unless configured otherwise
-	MaxRecords   = 10_000
-	MaxValue     = 64 << 10    // bytes of a record's value
-	MaxTTL       = 86_400e3    // ms of a lease
-	MinTTL       = 100         // ms of a lease; leaves time for renewals
-	maxText      = 4 * 1 << 10 // bytes of a reason
+	MaxEndpoints        = 2_000_000
+	DefaultMaxEndpoints = 50_000 // endpoints, unless configured otherwise
+	MaxRecords          = 10_000
+	MaxValueBytes       = 64 << 10    // bytes of a record's value
+	MaxTTLMS            = 86_400e3    // ms of a lease
+	MinTTLMS            = 100         // ms of a lease; leaves time for renewals
+	maxText             = 4 * 1 << 10 // bytes of a reason
 )
 
 // Endpoint is a listed endpoint in the format of the platform's discovery.
@@ -54,7 +54,7 @@
 }
 
 // Validate checks an endpoint that is to be listed.
-func (e Endpoint) Check() error {
+func (e Endpoint) Validate() error {
 	if err := checkName("id", e.ID); err != nil {
 		return err
 	}
@@ -64,21 +64,21 @@
 	if e.Phase != Serving && e.Phase != Draining {
 		return fmt.Errorf("endpoint %q: phase is %q, want %s, %s or %s", e.ID, e.Phase, Serving, Draining, Deleted)
 	}
-	if _, _, err := net.SplitHostPort(e.Addr); err != nil || len(e.Addr) > MaxName {
+	if _, _, err := net.SplitHostPort(e.Addr); err != nil || len(e.Addr) > MaxNameBytes {
 		return fmt.Errorf("endpoint %q: host_port %q is not HOST:PORT", e.ID, e.Addr)
 	}
 	if e.Cell < 0 || e.UpSince < 0 || !(e.Size >= 0) || math.IsInf(e.Size, 0) {
 		return fmt.Errorf("endpoint %q: cell, size and up_since_ms must be finite and not negative", e.ID)
 	}
-	if len(e.Locality) > MaxName || len(e.Flavor) > MaxName {
-		return fmt.Errorf("endpoint %q: locality and flavor are limited to %d bytes", e.ID, MaxName)
+	if len(e.Locality) > MaxNameBytes || len(e.Flavor) > MaxNameBytes {
+		return fmt.Errorf("endpoint %q: locality and flavor are limited to %d bytes", e.ID, MaxNameBytes)
 	}
 	return nil
 }
 
 func checkName(what, s string) error {
-	if s == "" || len(s) > MaxName || strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f || r == '/' || r == 0xfffd }) {
-		return fmt.Errorf("%s %.40q must have 1 to %d bytes without spaces, slashes or control characters", what, s, MaxName)
+	if s == "" || len(s) > MaxNameBytes || strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f || r == '/' || r == 0xfffd }) {
+		return fmt.Errorf("%s %.40q must have 1 to %d bytes without spaces, slashes or control characters", what, s, MaxNameBytes)
 	}
 	return nil
 }
--- a/fleet/catalog/part.go
+++ b/fleet/catalog/part.go
@@ -10,7 +10,7 @@
 // Move describes an endpoint that was moved to another partner.
 type Move struct {
 	Endpoint     // as it was, with phase Deleted
-	To       int `cbor:"To"`
+	ToCell   int `cbor:"To"`
 }
 
 // partitionIndex finds endpoints by the partition of their partner. It is derived from the entries and not
@@ -44,7 +44,7 @@
 
 // PartitionList returns the complete list of some partitions. Its cost grows with their size, not with the
 // whole list.
-func (s *State) Part(set ownership.Set) List {
+func (s *State) PartitionList(set ownership.Set) List {
 	l := List{Revision: s.i.Revision, Complete: true, Members: make([]Endpoint, 0, s.partSize(set))}
 	for p := range set.All() {
 		for id := range s.parts[p] {
@@ -66,10 +66,10 @@
 // endpoint that moved to a partner outside of them is Deleted. It returns their complete list if those
 // changes are unknown or no longer kept. Its cost grows with the number of kept changes after the revision,
 // not with the list.
-func (s *State) PartSince(after int64, set ownership.Set) List {
-	changes, all := s.Changes(after)
+func (s *State) PartitionListSince(after int64, set ownership.Set) List {
+	changes, all := s.ChangesAfter(after)
 	if !all || after > s.i.Revision {
-		return s.Part(set)
+		return s.PartitionList(set)
 	}
 	held := s.partSize(set)
 	at := map[string]int{}
@@ -84,7 +84,7 @@
 	}
 	for _, c := range changes {
 		if c.Moved == nil {
-			return s.Part(set)
+			return s.PartitionList(set)
 		}
 		for _, m := range c.Members {
 			if set.Has(ownership.PartitionOf(m.Cell)) {
@@ -92,31 +92,31 @@
 			}
 		}
 		for _, m := range c.Moved {
-			if set.Has(ownership.PartitionOf(m.Cell)) && !set.Has(ownership.PartitionOf(m.To)) {
+			if set.Has(ownership.PartitionOf(m.Cell)) && !set.Has(ownership.PartitionOf(m.ToCell)) {
 				tell(m.Endpoint)
 			}
 		}
 		if len(l.Members) > held+100 { // the complete list is shorter
-			return s.Part(set)
+			return s.PartitionList(set)
 		}
 	}
 	return l
 }
 
 // PartitionChange is the effect of a change on one partition.
-type ChangePart struct {
-	Partition int
-	Unless    int // if not -1: not for readers of this partition, who see the moved endpoints there
-	Members   []Endpoint
+type PartitionChange struct {
+	Partition       int
+	UnlessFollowing int // if not -1: not for readers of this partition, who see the moved endpoints there
+	Members         []Endpoint
 }
 
 // ByPartition splits a change by the partitions that it touches, in ascending order. It returns false if that
 // is unknown.
-func (c Change) Parts() ([]ChangePart, bool) {
+func (c Change) ByPartition() ([]PartitionChange, bool) {
 	if c.Moved == nil {
 		return nil, false
 	}
-	var out []ChangePart
+	var out []PartitionChange
 	at := map[[2]int]int{}
 	tell := func(m Endpoint, unless int) {
 		key := [2]int{ownership.PartitionOf(m.Cell), unless}
@@ -124,7 +124,7 @@
 		if !ok {
 			n = len(out)
 			at[key] = n
-			out = append(out, ChangePart{Partition: key[0], Unless: unless})
+			out = append(out, PartitionChange{Partition: key[0], UnlessFollowing: unless})
 		}
 		out[n].Members = append(out[n].Members, m)
 	}
@@ -132,12 +132,12 @@
 		tell(m, -1)
 	}
 	for _, m := range c.Moved {
-		if to := ownership.PartitionOf(m.To); to != ownership.PartitionOf(m.Cell) {
+		if to := ownership.PartitionOf(m.ToCell); to != ownership.PartitionOf(m.Cell) {
 			tell(m.Endpoint, to)
 		}
 	}
-	slices.SortFunc(out, func(a, b ChangePart) int {
-		return cmp.Or(cmp.Compare(a.Partition, b.Partition), cmp.Compare(a.Unless, b.Unless))
+	slices.SortFunc(out, func(a, b PartitionChange) int {
+		return cmp.Or(cmp.Compare(a.Partition, b.Partition), cmp.Compare(a.UnlessFollowing, b.UnlessFollowing))
 	})
 	return out, true
 }
--- a/fleet/catalog/part_test.go
+++ b/fleet/catalog/part_test.go
@@ -43,13 +43,13 @@
 // update returns a change as a watch of the partitions receives it, or nil. The order of its members must not
 // matter.
 func (f *partFollower) line(c Change) *List {
-	parts, known := c.Parts()
+	parts, known := c.ByPartition()
 	if !known {
 		return nil
 	}
 	l := List{Revision: c.Revision}
 	for _, p := range parts {
-		if f.set.Has(p.Partition) && (p.Unless < 0 || !f.set.Has(p.Unless)) {
+		if f.set.Has(p.Partition) && (p.UnlessFollowing < 0 || !f.set.Has(p.UnlessFollowing)) {
 			l.Members = append(l.Members, p.Members...)
 		}
 	}
@@ -62,7 +62,7 @@
 // check compares the follower with a scan of the whole list.
 func (f *partFollower) check(s *State) error {
 	want := map[string]Endpoint{}
-	for _, m := range s.Whole().Members {
+	for _, m := range s.FullList().Members {
 		if f.set.Has(ownership.PartitionOf(m.Cell)) {
 			want[m.ID] = m
 		}
@@ -75,13 +75,13 @@
 
 // drawWrite draws a write on a few endpoints that often move between a few partners.
 func drawWrite(t *rapid.T, s *State) Write {
-	w := Write{Base: Base{Any: true}, Whole: rapid.IntRange(0, 7).Draw(t, "whole") == 0}
+	w := Write{Base: Base{Any: true}, Replace: rapid.IntRange(0, 7).Draw(t, "whole") == 0}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 4, rapid.ID[int]).Draw(t, "ids") {
 		e := endpoint(fmt.Sprint("e", i), rapid.IntRange(0, 5).Draw(t, "cell"))
 		e.Phase = rapid.SampledFrom([]string{Serving, Draining, Deleted}).Draw(t, "phase")
 		w.Members = append(w.Members, e)
 	}
-	w.Guard = rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "guard")
+	w.GuardShare = rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "guard")
 	w.TTL = rapid.SampledFrom([]int64{0, 1000}).Draw(t, "ttl")
 	return w
 }
@@ -113,7 +113,7 @@
 func TestEveryWayLeadsToTheSamePart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		apply(t, s, Command{At: 1, Found: &Found{}})
+		apply(t, s, Command{At: 1, Bootstrap: &Bootstrap{}})
 		set := setOf(rapid.SliceOfN(rapid.IntRange(0, 5), 1, 4).Draw(t, "set")...)
 		live := &partFollower{set: set, have: map[string]Endpoint{}}
 		slow := &partFollower{set: set, have: map[string]Endpoint{}}
@@ -126,7 +126,7 @@
 			before := s.Revision()
 			switch rapid.IntRange(0, 9).Draw(t, "command") {
 			case 0:
-				s.Apply(Command{Lapse: &Lapse{Share: 0.5, Drain: []string{"e0", "e1", "e2"}, Gone: []string{"e0", "e3"}}})
+				s.Apply(Command{Expire: &Expiry{MaxShare: 0.5, Drain: []string{"e0", "e1", "e2"}, Remove: []string{"e0", "e3"}}})
 			case 1:
 				if s.Held() != nil {
 					s.Apply(Command{Confirm: &Confirm{Number: s.Held().Number}})
@@ -135,7 +135,7 @@
 				w := drawWrite(t, s)
 				s.Apply(Command{Write: &w})
 			}
-			changes, _ := s.Changes(before)
+			changes, _ := s.ChangesAfter(before)
 			for _, c := range changes {
 				if l := live.line(c); l != nil {
 					live.take(*l)
@@ -148,7 +148,7 @@
 				t.Fatal(err)
 			}
 			if rapid.Bool().Draw(t, "resumes") {
-				slow.take(s.PartSince(slow.at, set))
+				slow.take(s.PartitionListSince(slow.at, set))
 				if err := slow.check(s); err != nil {
 					t.Fatalf("resumed: %v", err)
 				}
@@ -157,13 +157,13 @@
 		}
 		for _, p := range pasts {
 			f := &partFollower{set, p.at, p.have}
-			f.take(s.PartSince(p.at, set))
+			f.take(s.PartitionListSince(p.at, set))
 			if err := f.check(s); err != nil {
 				t.Fatalf("resumed from revision %d: %v", p.at, err)
 			}
 		}
 		whole := &partFollower{set: set, have: map[string]Endpoint{}}
-		whole.take(s.Part(set))
+		whole.take(s.PartitionList(set))
 		if err := whole.check(s); err != nil {
 			t.Fatal(err)
 		}
@@ -178,14 +178,14 @@
 	found := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		apply(t, s, Command{At: 1, Found: &Found{}})
+		apply(t, s, Command{At: 1, Bootstrap: &Bootstrap{}})
 		f := &partFollower{set: setOf(0, 1, 2), have: map[string]Endpoint{}}
 		skip := rapid.IntRange(0, 5).Draw(t, "left out") // counts updates that change something for the follower
 		for range 40 {
 			before := s.Revision()
 			w := drawWrite(t, s)
 			s.Apply(Command{Write: &w})
-			changes, _ := s.Changes(before)
+			changes, _ := s.ChangesAfter(before)
 			for _, c := range changes {
 				l := f.line(c)
 				if l == nil {
@@ -226,20 +226,20 @@
 		{setOf(0, 1), []Endpoint{endpoint("e0", 1)}},
 		{setOf(2), []Endpoint{}},
 	} {
-		if l := s.PartSince(at, c.set); l.Complete || l.Revision != at+1 || !slices.Equal(l.Members, c.want) {
+		if l := s.PartitionListSince(at, c.set); l.Complete || l.Revision != at+1 || !slices.Equal(l.Members, c.want) {
 			t.Errorf("partitions %v get %+v", c.set, l)
 		}
-		if l := reload(t, s, true).PartSince(at, c.set); l.Complete || !slices.Equal(l.Members, c.want) {
+		if l := reload(t, s, true).PartitionListSince(at, c.set); l.Complete || !slices.Equal(l.Members, c.want) {
 			t.Errorf("partitions %v get %+v after a snapshot", c.set, l)
 		}
-		if l := reload(t, s, false).PartSince(at, c.set); !l.Complete {
+		if l := reload(t, s, false).PartitionListSince(at, c.set); !l.Complete {
 			t.Errorf("partitions %v get %+v after an older build's snapshot, which has no moves", c.set, l)
 		}
 	}
 	// Changes after the older build's snapshot are known again.
 	old := reload(t, s, false)
 	apply(t, old, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("e0", 2)}}})
-	if l := old.PartSince(at+1, setOf(1)); l.Complete || !slices.Equal(l.Members, []Endpoint{with(endpoint("e0", 1), Deleted)}) {
+	if l := old.PartitionListSince(at+1, setOf(1)); l.Complete || !slices.Equal(l.Members, []Endpoint{with(endpoint("e0", 1), Deleted)}) {
 		t.Errorf("update after an older build's snapshot: %+v", l)
 	}
 }
@@ -252,7 +252,7 @@
 		i.Changes[n].Moved = nil
 	}
 	if i.Held != nil {
-		i.Held.Write.Most = 0
+		i.Held.Write.MaxEndpoints = 0
 		i.Held.Write.Members = append([]Endpoint(nil), i.Held.Write.Members...)
 	}
 	return i
@@ -275,7 +275,7 @@
 			}
 			if c.Write != nil {
 				w := *c.Write
-				w.Most = 0
+				w.MaxEndpoints = 0
 				older.Write = &w
 			}
 			ra, rb := a.Apply(c), b.Apply(older)
@@ -283,11 +283,11 @@
 				t.Fatalf("the replicas respond %+v and %+v", ra, rb)
 			}
 		}
-		both(Command{At: 1, Found: &Found{}})
+		both(Command{At: 1, Bootstrap: &Bootstrap{}})
 		for range rapid.IntRange(1, 30).Draw(t, "commands") {
 			switch rapid.IntRange(0, 6).Draw(t, "command") {
 			case 0:
-				both(Command{Acquire: &Hold{Name: ownership.RecordName, Holder: "w", Value: []byte("no map"), SetsVal: rapid.Bool().Draw(t, "sets")}})
+				both(Command{Acquire: &RecordOp{Name: ownership.RecordName, Holder: "w", Value: []byte("no map"), SetValue: rapid.Bool().Draw(t, "sets")}})
 			case 1:
 				if h := a.Held(); h != nil {
 					both(Command{Confirm: &Confirm{Number: h.Number}})
@@ -302,7 +302,7 @@
 				}
 			default:
 				w := drawWrite(t, a)
-				w.Most = UsualMembers
+				w.MaxEndpoints = DefaultMaxEndpoints
 				both(Command{Write: &w})
 			}
 			if x, y := asOlder(a.Image()), asOlder(b.Image()); !reflect.DeepEqual(x, y) {
@@ -315,7 +315,7 @@
 func TestWriteCarriesTheListsBound(t *testing.T) {
 	s := founded(t, 3)
 	more := func(most int64, ids ...string) Write {
-		w := Write{Base: Base{Any: true}, Most: most}
+		w := Write{Base: Base{Any: true}, MaxEndpoints: most}
 		for _, id := range ids {
 			w.Members = append(w.Members, endpoint(id, 0))
 		}
@@ -323,27 +323,27 @@
 	}
 	over := more(4, "e0", "e1", "e2", "x", "y")
 	refused(t, s, Command{Write: &over}, ErrFull)
-	if err := s.Fits(over); !errors.Is(err, ErrFull) {
+	if err := s.CheckCapacity(over); !errors.Is(err, ErrFull) {
 		t.Errorf("a write beyond the bound fits: %v", err)
 	}
 	at := more(4, "e0", "e1", "e2", "x")
-	if err := s.Fits(at); err != nil {
+	if err := s.CheckCapacity(at); err != nil {
 		t.Error(err)
 	}
 	apply(t, s, Command{Write: &at})
-	less := Write{Base: Base{Any: true}, Most: 1, Members: []Endpoint{with(endpoint("x", 0), Draining), with(endpoint("e0", 0), Deleted)}}
+	less := Write{Base: Base{Any: true}, MaxEndpoints: 1, Members: []Endpoint{with(endpoint("x", 0), Draining), with(endpoint("e0", 0), Deleted)}}
 	apply(t, s, Command{Write: &less}) // a list above a lowered bound can still shrink
 
 	// Without a bound in the write, the one of older builds applies, so that an older log yields the same
 	// state.
 	var all []Endpoint
-	for i := range UsualMembers - s.Size() {
+	for i := range DefaultMaxEndpoints - s.Size() {
 		all = append(all, endpoint(fmt.Sprint("n", i), i))
 	}
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: all}})
 	one := Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("last", 0)}}
 	refused(t, s, Command{Write: &one}, ErrFull)
-	one.Most = UsualMembers + 1
+	one.MaxEndpoints = DefaultMaxEndpoints + 1
 	apply(t, s, Command{Write: &one})
 	if _, err := Load(s.Image()); err != nil {
 		t.Error(err)
--- a/fleet/ownership/agree_test.go
+++ b/fleet/ownership/agree_test.go
@@ -59,7 +59,7 @@
 		rng: rand.New(rand.NewPCG(seed, 7)), make: make_, state: catalog.New(), variants: variants, given: map[int64][]byte{}, wrote: map[[2]int]bool{},
 		never: map[[2]int]bool{}, count: map[string]int{},
 	}
-	w.state.Apply(catalog.Command{At: 1, Found: &catalog.Found{}})
+	w.state.Apply(catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
 	for i := range w.all {
 		w.restart(i)
 	}
@@ -124,21 +124,21 @@
 	var r catalog.Result
 	switch s.action.Operation {
 	case Acquire:
-		r = w.state.Apply(catalog.Command{Acquire: &catalog.Hold{Name: RecordName, Holder: s.holder, TTL: 10_000}})
+		r = w.state.Apply(catalog.Command{Acquire: &catalog.RecordOp{Name: RecordName, Holder: s.holder, TTL: 10_000}})
 		ans.Token = r.Token
 	case Read:
 		record, ok := w.state.Record(RecordName)
 		if !ok {
-			r.Err = catalog.ErrUnknown
+			r.Err = catalog.ErrNotFound
 		}
 		ans.Value = record.Value
 	case Update:
-		r = w.state.Apply(catalog.Command{Update: &catalog.Hold{Name: RecordName, Token: s.action.Token, Value: s.action.Value}})
+		r = w.state.Apply(catalog.Command{Update: &catalog.RecordOp{Name: RecordName, Token: s.action.Token, Value: s.action.Value}})
 		if r.Err == nil {
 			w.written(s)
 		}
 	case Release:
-		r = w.state.Apply(catalog.Command{Release: &catalog.Hold{Name: RecordName, Token: s.action.Token}})
+		r = w.state.Apply(catalog.Command{Release: &catalog.RecordOp{Name: RecordName, Token: s.action.Token}})
 	}
 	if r.Err != nil {
 		ans.Outcome, ans.Err = Refused, r.Err
@@ -214,7 +214,7 @@
 		case 7:
 			if r, ok := w.state.Record(RecordName); ok && r.Holder != "" {
 				w.count["lapsed"]++
-				w.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
+				w.state.Apply(catalog.Command{Expire: &catalog.Expiry{Records: []catalog.RecordOp{{Name: RecordName, Token: r.Token}}}})
 			}
 		}
 		return
@@ -329,7 +329,7 @@
 			w.step(0)
 		}
 		if r, _ := w.state.Record(RecordName); r.Holder != "" {
-			w.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
+			w.state.Apply(catalog.Command{Expire: &catalog.Expiry{Records: []catalog.RecordOp{{Name: RecordName, Token: r.Token}}}})
 		}
 		a := &Publisher{Plan: func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }}
 		next, did := a.Begin(), ""
--- a/internal/directory/admin.go
+++ b/internal/directory/admin.go
@@ -17,30 +17,30 @@
 
 // Status is the status of a replica.
 type Status struct {
-	ID        string        `json:"id"`
-	Founded   bool          `json:"founded"` // is or was a member of a service
-	State     string        `json:"state"`   // leader, follower, candidate, shutdown or beginning
-	Leader    string        `json:"leader"`  // empty: unknown
-	Fresh     bool          `json:"fresh"`   // the replica leads and is current
-	History   int64         `json:"history"`
-	Revision  int64         `json:"revision"`
-	Endpoints int           `json:"endpoints"`
-	AgeMS     int64         `json:"age_ms"` // since the last contact with the leader
-	Watches   int           `json:"watches"`
-	Held      *catalog.Held `json:"held,omitempty"`
-	SilentMS  int64         `json:"silent_since_ms,omitempty"` // Unix ms since when the source of the list has been silent
-	Follows   string        `json:"follows,omitempty"`
-	Map       int64         `json:"map,omitempty"`       // number of the partition map in force; 0: none
-	MapWrong  string        `json:"map_wrong,omitempty"` // why the current value of the map's record is not in force
-	Applied   uint64        `json:"applied"`
-	Members   []MemberState `json:"members"`
+	ID                  string             `json:"id"`
+	Bootstrapped        bool               `json:"founded"` // is or was a member of a service
+	State               string             `json:"state"`   // leader, follower, candidate, shutdown or beginning
+	Leader              string             `json:"leader"`  // empty: unknown
+	Fresh               bool               `json:"fresh"`   // the replica leads and is current
+	History             int64              `json:"history"`
+	Revision            int64              `json:"revision"`
+	Endpoints           int                `json:"endpoints"`
+	AgeMS               int64              `json:"age_ms"` // since the last contact with the leader
+	Watches             int                `json:"watches"`
+	Held                *catalog.HeldWrite `json:"held,omitempty"`
+	SourceSilentSinceMS int64              `json:"silent_since_ms,omitempty"` // Unix ms since when the source of the list has been silent
+	Follows             string             `json:"follows,omitempty"`
+	MapNumber           int64              `json:"map,omitempty"`       // number of the partition map in force; 0: none
+	MapError            string             `json:"map_wrong,omitempty"` // why the current value of the map's record is not in force
+	Applied             uint64             `json:"applied"`
+	Members             []MemberState      `json:"members"`
 }
 
 // MemberState is a replica of the service and its role in Raft.
 type MemberState struct {
 	catalog.Replica
-	Votes bool `json:"votes"`
-	In    bool `json:"in"` // part of Raft's configuration; otherwise it is only allowed to join
+	Votes  bool `json:"votes"`
+	InRaft bool `json:"in"` // part of Raft's configuration; otherwise it is only allowed to join
 }
 
 func (s *Server) status(w http.ResponseWriter, req *http.Request) {
@@ -49,21 +49,21 @@
 
 func (s *Server) statusNow(fresh bool) Status {
 	r := s.r
-	st := Status{ID: r.cfg.ID, State: "beginning", Watches: s.watches.count(), Follows: r.cfg.Follow.Discovery, AgeMS: r.age().Milliseconds()}
+	st := Status{ID: r.cfg.ID, State: "beginning", Watches: s.watches.count(), Follows: r.cfg.Source.Discovery, AgeMS: r.age().Milliseconds()}
 	servers := map[string]raft.Server{}
 	if node := r.node(); node != nil {
 		st.State, st.Applied = node.State().String(), node.AppliedIndex()
 		for _, srv := range r.servers() {
 			servers[string(srv.ID)] = srv
 		}
-		st.Founded = len(servers) > 0
+		st.Bootstrapped = len(servers) > 0
 		st.Fresh = fresh && r.current() == nil
 	}
 	st.Leader, _ = r.leader()
 	m := r.ledger.theMap()
-	st.Map, st.MapWrong = m.number, m.wrong
+	st.MapNumber, st.MapError = m.number, m.wrong
 	r.ledger.read(func(c *catalog.State) {
-		st.History, st.Revision, st.Endpoints, st.SilentMS = c.History(), c.Revision(), c.Size(), c.Silent()
+		st.History, st.Revision, st.Endpoints, st.SourceSilentSinceMS = c.History(), c.Revision(), c.Size(), c.SourceSilentSince()
 		if h := c.Held(); h != nil {
 			held := *h
 			st.Held = &held
@@ -88,13 +88,13 @@
 		wrong(w, http.StatusBadRequest, err)
 		return
 	}
-	var out Changes
+	var out ChangeHistory
 	s.r.ledger.read(func(c *catalog.State) {
 		out.History, out.Revision = c.History(), c.Revision()
 		if after < 0 { // the latest changes
 			after = max(c.Revision()-limit, 0)
 		}
-		out.Changes, out.All = c.Changes(after)
+		out.Changes, out.All = c.ChangesAfter(after)
 		out.Changes = append([]catalog.Change{}, out.Changes[:min(int64(len(out.Changes)), limit)]...)
 	})
 	answer(w, http.StatusOK, out)
@@ -130,7 +130,7 @@
 		return
 	}
 	s.command(w, req, raw, func() (catalog.Command, error) {
-		if n, most := len(image.Entries), s.r.cfg.List.Most; n > most {
+		if n, most := len(image.Entries), s.r.cfg.List.MaxEndpoints; n > most {
 			return catalog.Command{}, fmt.Errorf("%w: the backup has %d endpoints, the list is limited to %d", catalog.ErrFull, n, most)
 		}
 		return catalog.Command{Restore: &image}, nil
@@ -155,7 +155,7 @@
 	}
 	reply, err := s.r.join(ask)
 	switch {
-	case errors.Is(err, catalog.ErrUnknown):
+	case errors.Is(err, catalog.ErrNotFound):
 		wrong(w, http.StatusForbidden, err)
 	case err != nil:
 		later(w, time.Second, oneLine(err))
@@ -178,7 +178,7 @@
 		if rep.ID != req.PathValue("id") || rep.HTTP == "" || rep.Raft == "" {
 			return catalog.Command{}, errors.New("id (as in the path), http and raft are required")
 		}
-		return catalog.Command{Invite: &rep}, nil
+		return catalog.Command{AddReplica: &rep}, nil
 	})
 }
 
@@ -196,6 +196,6 @@
 		if err := s.r.node().RemoveServer(raft.ServerID(id), 0, proposeWait).Error(); err != nil {
 			return catalog.Command{}, fmt.Errorf("%w: %w", ErrRefused, err)
 		}
-		return catalog.Command{Dismiss: &catalog.Replica{ID: id}}, nil
+		return catalog.Command{RemoveReplica: &catalog.Replica{ID: id}}, nil
 	})
 }
--- a/internal/directory/code.go
+++ b/internal/directory/code.go
@@ -25,7 +25,7 @@
 
 var decoding = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
-		MaxNestedLevels: 16, MaxArrayElements: 2 * catalog.MaxMembers, MaxMapPairs: 2 * catalog.MaxMembers, DupMapKey: cbor.DupMapKeyEnforcedAPF,
+		MaxNestedLevels: 16, MaxArrayElements: 2 * catalog.MaxEndpoints, MaxMapPairs: 2 * catalog.MaxEndpoints, DupMapKey: cbor.DupMapKeyEnforcedAPF,
 	}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
--- a/internal/directory/config.go
+++ b/internal/directory/config.go
@@ -26,29 +26,29 @@
 	Peers []Peer `toml:"peer"` // the other replicas
 
 	Watch struct {
-		Lag  int `toml:"lag_kb"` // changes that a watch may lag behind before it is cut
-		Most int `toml:"most"`   // open watches
+		MaxLagKB int `toml:"lag_kb"` // changes that a watch may lag behind before it is cut
+		MaxOpen  int `toml:"most"`   // open watches
 	} `toml:"watch"`
 	List struct {
-		Most int `toml:"most"` // endpoints
+		MaxEndpoints int `toml:"most"` // endpoints
 	} `toml:"list"`
-	Asks struct {
+	Requests struct {
 		Rate  float64 `toml:"rate"`  // complete lists and new watches per second
 		Burst int     `toml:"burst"` // burst size of the rate limit
 	} `toml:"asks"`
 	Guard struct {
-		Share float64  `toml:"share"` // of the serving endpoints that may be removed at once without confirmation
-		Stand Duration `toml:"stand"` // after which a held write is applied without confirmation; "0s": never
+		MaxRemovedShare float64  `toml:"share"` // of the serving endpoints that may be removed at once without confirmation
+		ConfirmAfter    Duration `toml:"stand"` // after which a held write is applied without confirmation; "0s": never
 	} `toml:"guard"`
 	Lease struct {
-		Share float64  `toml:"share"` // of a partner's endpoints that may be expired at once
-		Drain Duration `toml:"drain"` // from the expiry of an endpoint's lease until its removal
+		MaxExpiredShare float64  `toml:"share"` // of a partner's endpoints that may be expired at once
+		DrainTime       Duration `toml:"drain"` // from the expiry of an endpoint's lease until its removal
 	} `toml:"lease"`
-	Follow struct {
+	Source struct {
 		Discovery string `toml:"discovery"` // address of the platform's discovery; empty: the list is maintained here
 	} `toml:"follow"`
 	Reports struct {
-		To string `toml:"to"` // HOST:PORT that receives notices; empty: they are stored in the folder
+		ForwardTo string `toml:"to"` // HOST:PORT that receives notices; empty: they are stored in the folder
 	} `toml:"reports"`
 	Snapshot struct {
 		Every    int      `toml:"every"` // commands between snapshots
@@ -85,11 +85,11 @@
 func Defaults() Config {
 	var c Config
 	c.ID, c.HTTP, c.Data = "directory", "127.0.0.1:8600", "directory-data"
-	c.Watch.Lag, c.Watch.Most = 1024, 20_000
-	c.List.Most = catalog.UsualMembers
-	c.Asks.Rate, c.Asks.Burst = 2000, 1000
-	c.Guard.Share, c.Guard.Stand.Duration = 0.5, 10*time.Minute
-	c.Lease.Share, c.Lease.Drain.Duration = 0.25, 30*time.Second
+	c.Watch.MaxLagKB, c.Watch.MaxOpen = 1024, 20_000
+	c.List.MaxEndpoints = catalog.DefaultMaxEndpoints
+	c.Requests.Rate, c.Requests.Burst = 2000, 1000
+	c.Guard.MaxRemovedShare, c.Guard.ConfirmAfter.Duration = 0.5, 10*time.Minute
+	c.Lease.MaxExpiredShare, c.Lease.DrainTime.Duration = 0.25, 30*time.Second
 	c.Snapshot.Every, c.Snapshot.Trailing, c.Snapshot.Interval.Duration = 8192, 8192, 30*time.Second
 	c.Election.Duration = 500 * time.Millisecond
 	return c
@@ -102,14 +102,14 @@
 	if err := settings.Load(path, &c); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return c, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
 }
 
 // Validate returns all errors of a configuration.
-func (c *Config) Check() error {
+func (c *Config) Validate() error {
 	var errs []error
 	wrong := func(is bool, format string, args ...any) {
 		if is {
@@ -123,14 +123,14 @@
 		_, _, err := net.SplitHostPort(v)
 		wrong(err != nil, "%s %q is not HOST:PORT", name, v)
 	}
-	wrong(c.ID == "" || len(c.ID) > catalog.MaxName, "id is missing or too long")
+	wrong(c.ID == "" || len(c.ID) > catalog.MaxNameBytes, "id is missing or too long")
 	wrong(c.Data == "", "data (the folder) is missing")
 	address("http", c.HTTP, true)
 	address("raft", c.Raft, len(c.Peers) > 0)
 	address("bind_http", c.BindHTTP, false)
 	address("bind_raft", c.BindRaft, false)
-	address("follow.discovery", c.Follow.Discovery, false)
-	address("reports.to", c.Reports.To, false)
+	address("follow.discovery", c.Source.Discovery, false)
+	address("reports.to", c.Reports.ForwardTo, false)
 	seen := map[string]bool{c.ID: true}
 	for _, p := range c.Peers {
 		wrong(p.ID == "" || seen[p.ID], "peer %q: its id is missing or used twice", p.ID)
@@ -139,11 +139,11 @@
 		address("raft of peer "+p.ID, p.Raft, true)
 	}
 	wrong(len(c.Peers)%2 == 1, "there are %d replicas; an even number tolerates no more failures than one fewer", len(c.Peers)+1)
-	wrong(c.Watch.Lag < 1 || c.Watch.Most < 1, "watch.lag_kb and watch.most must be at least 1")
-	wrong(c.List.Most < 1 || c.List.Most > catalog.MaxMembers, "list.most must be 1 to %d", catalog.MaxMembers)
-	wrong(!(c.Asks.Rate > 0) || c.Asks.Burst < 1, "asks.rate and asks.burst must be above 0")
-	wrong(!(c.Guard.Share > 0 && c.Guard.Share <= 1), "guard.share must be above 0 and at most 1")
-	wrong(!(c.Lease.Share >= 0 && c.Lease.Share <= 1), "lease.share must be 0 to 1")
+	wrong(c.Watch.MaxLagKB < 1 || c.Watch.MaxOpen < 1, "watch.lag_kb and watch.most must be at least 1")
+	wrong(c.List.MaxEndpoints < 1 || c.List.MaxEndpoints > catalog.MaxEndpoints, "list.most must be 1 to %d", catalog.MaxEndpoints)
+	wrong(!(c.Requests.Rate > 0) || c.Requests.Burst < 1, "asks.rate and asks.burst must be above 0")
+	wrong(!(c.Guard.MaxRemovedShare > 0 && c.Guard.MaxRemovedShare <= 1), "guard.share must be above 0 and at most 1")
+	wrong(!(c.Lease.MaxExpiredShare >= 0 && c.Lease.MaxExpiredShare <= 1), "lease.share must be 0 to 1")
 	wrong(c.Snapshot.Every < 1 || c.Snapshot.Trailing < 0 || c.Snapshot.Interval.Duration <= 0, "snapshot.every and snapshot.interval must be above 0, snapshot.trailing must not be negative")
 	wrong(c.Election.Duration < 50*time.Millisecond, "election must be at least 50ms")
 	return errors.Join(errs...)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -96,8 +96,8 @@
 	}
 }
 
-func (o *one) operator() *Operator {
-	return &Operator{Addresses: []string{o.cfg.HTTP}, Wait: 20 * time.Second}
+func (o *one) operator() *AdminClient {
+	return &AdminClient{Addresses: []string{o.cfg.HTTP}, RetryFor: 20 * time.Second}
 }
 
 // startReplicas starts n replicas with empty folders.
@@ -132,7 +132,7 @@
 	return catalog.Endpoint{ID: id, Addr: "10.0.0.1:80", Locality: "a", Flavor: "k", Phase: phase, Size: 1}
 }
 
-func put(t *testing.T, o *one, match string, members ...catalog.Endpoint) Written {
+func put(t *testing.T, o *one, match string, members ...catalog.Endpoint) WriteResult {
 	t.Helper()
 	w, err := o.operator().Put(t.Context(), members, false, true, match)
 	if err != nil {
@@ -182,7 +182,7 @@
 func TestAloneFromFirstWriteToRestore(t *testing.T) {
 	o := replicas(t, 1, func(c *Config) { c.Snapshot.Every, c.Snapshot.Interval.Duration = 4, 20*time.Millisecond })[0]
 	op := o.operator()
-	op.Wait = 0
+	op.RetryFor = 0
 	eventually(t, "the leader", o.r.settled)
 	if _, _, _, err := op.List(t.Context(), false); !errors.Is(err, ErrRefused) {
 		t.Errorf("an unwritten list was served: %v", err)
@@ -331,12 +331,12 @@
 	}
 	out.stop()
 	op0 := left.operator()
-	if err := op0.Dismiss(t.Context(), out.cfg.ID); err != nil {
+	if err := op0.RemoveReplica(t.Context(), out.cfg.ID); err != nil {
 		t.Fatal(err)
 	}
 	fresh := &one{t: t, cfg: out.cfg}
 	fresh.cfg.ID, fresh.cfg.HTTP, fresh.cfg.Raft, fresh.cfg.Data = "d9", free(t), free(t), t.TempDir()
-	if err := op0.Invite(t.Context(), catalog.Replica{ID: "d9", HTTP: fresh.cfg.HTTP, Raft: fresh.cfg.Raft}); err != nil {
+	if err := op0.AddReplica(t.Context(), catalog.Replica{ID: "d9", HTTP: fresh.cfg.HTTP, Raft: fresh.cfg.Raft}); err != nil {
 		t.Fatal(err)
 	}
 	fresh.start()
@@ -362,7 +362,7 @@
 	}
 	eventually(t, "the end of its leadership", func() bool { return !left.r.leads() })
 	op := left.operator()
-	op.Wait = 0
+	op.RetryFor = 0
 	if _, err := op.Put(t.Context(), []catalog.Endpoint{endpoint("z", catalog.Serving)}, false, false, "*"); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "no leader") {
 		t.Errorf("a write with two of three gone: %v", err)
 	}
@@ -428,7 +428,7 @@
 
 // A watch whose client does not read must be cut, without any effect on others.
 func TestWatcherThatDoesNotReadIsCut(t *testing.T) {
-	o := replicas(t, 1, func(c *Config) { c.Watch.Lag = 64 })[0]
+	o := replicas(t, 1, func(c *Config) { c.Watch.MaxLagKB = 64 })[0]
 	big := func(i int) []catalog.Endpoint {
 		var all []catalog.Endpoint
 		for n := range 100 {
@@ -448,9 +448,9 @@
 	fmt.Fprintf(nc, "GET /registry/instances?watch=1&after=1 HTTP/1.1\r\nHost: d\r\n\r\n")
 	news, end := lines(t, o, "&after=1")
 	defer end()
-	eventually(t, "both watches", func() bool { return o.s.Watching() == 2 })
+	eventually(t, "both watches", func() bool { return o.s.WatchCount() == 2 })
 	last := int64(0)
-	for i := 1; o.s.Watching() == 2; i++ {
+	for i := 1; o.s.WatchCount() == 2; i++ {
 		last = put(t, o, "*", big(i)...).Revision
 		if i > 3000 {
 			t.Fatal("the watch that does not read was not cut")
@@ -464,10 +464,10 @@
 }
 
 func TestRegistrationsAndRecordsOverHTTP(t *testing.T) {
-	o := replicas(t, 1, func(c *Config) { c.Lease.Share, c.Lease.Drain.Duration = 0.5, 50*time.Millisecond })[0]
+	o := replicas(t, 1, func(c *Config) { c.Lease.MaxExpiredShare, c.Lease.DrainTime.Duration = 0.5, 50*time.Millisecond })[0]
 	op := o.operator()
 	put(t, o, "*", endpoint("fixed", catalog.Serving))
-	var w Written
+	var w WriteResult
 	register := func(id string) {
 		t.Helper()
 		body := map[string]any{"member": endpoint(id, catalog.Serving), "ttl_ms": 200}
@@ -517,7 +517,7 @@
 	if w.Token <= token {
 		t.Errorf("token %d after %d", w.Token, token)
 	}
-	if err := op.into(t.Context(), nil, http.MethodPost, "/records/lead", "", holdAsk{Token: token, Value: []byte("late")}); !errors.Is(err, catalog.ErrTaken) {
+	if err := op.into(t.Context(), nil, http.MethodPost, "/records/lead", "", holdAsk{Token: token, Value: []byte("late")}); !errors.Is(err, catalog.ErrNotHolder) {
 		t.Errorf("a write with an old token succeeded: %v", err)
 	}
 }
@@ -544,16 +544,16 @@
 	defer srv.Close()
 	list := `{"revision":7,"complete":true,"members":[{"id":"e1","host_port":"h:1","locality":"a","flavor":"k","cell":3,"phase":"SERVING","size":1}]}`
 	talk <- list
-	o := replicas(t, 1, func(c *Config) { c.Follow.Discovery = ln.Addr().String() })[0]
+	o := replicas(t, 1, func(c *Config) { c.Source.Discovery = ln.Addr().String() })[0]
 	op := o.operator()
 	l, _, header, err := op.List(t.Context(), false)
 	if err != nil || len(l.Members) != 1 || header.Get(HeaderVouched) != "" {
 		t.Fatalf("%+v, vouched %q, %v", l, header.Get(HeaderVouched), err)
 	}
-	if _, err := op.Drain(t.Context(), "e1"); !errors.Is(err, catalog.ErrTaken) {
+	if _, err := op.Drain(t.Context(), "e1"); !errors.Is(err, catalog.ErrNotHolder) {
 		t.Errorf("a list copied from the platform was changed: %v", err)
 	}
-	silent := func() bool { return o.s.statusNow(false).SilentMS > 0 }
+	silent := func() bool { return o.s.statusNow(false).SourceSilentSinceMS > 0 }
 	eventually(t, "the mark", silent)
 	if _, _, header, _ := op.List(t.Context(), false); header.Get(HeaderVouched) != "no" {
 		t.Error("the list is not marked while its source is silent")
@@ -596,7 +596,7 @@
 
 func FuzzBackup(f *testing.F) {
 	s := catalog.New()
-	s.Apply(catalog.Command{At: 5, Found: &catalog.Found{}})
+	s.Apply(catalog.Command{At: 5, Bootstrap: &catalog.Bootstrap{}})
 	s.Apply(catalog.Command{Write: &catalog.Write{Base: catalog.Base{Any: true}, Members: []catalog.Endpoint{endpoint("a", catalog.Serving)}}})
 	good, err := EncodeBackup(s.Image())
 	if err != nil {
@@ -612,7 +612,7 @@
 			}
 			return
 		}
-		if s, err := catalog.Load(i); err != nil || s.Whole().Revision != i.Revision {
+		if s, err := catalog.Load(i); err != nil || s.FullList().Revision != i.Revision {
 			t.Errorf("the decoded image is not a valid state: %v", err)
 		}
 	})
@@ -631,13 +631,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Apply(catalog.Command{Write: &catalog.Write{Base: catalog.Base{Any: true}, Whole: true}})
-			s.Since(0)
+			s.Apply(catalog.Command{Write: &catalog.Write{Base: catalog.Base{Any: true}, Replace: true}})
+			s.ListSince(0)
 		}
 		var c catalog.Command
 		if unseal(backupMark, raw, &c) == nil {
 			s := catalog.New()
-			s.Apply(catalog.Command{At: 1, Found: &catalog.Found{}})
+			s.Apply(catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
 			s.Apply(c)
 		}
 	})
@@ -716,7 +716,7 @@
 		f.Fatal(err)
 	}
 	for i := range 40 {
-		raw, err := seal(commandMark, catalog.Command{Vouch: &catalog.Vouch{}})
+		raw, err := seal(commandMark, catalog.Command{SourceStatus: &catalog.SourceStatus{}})
 		if err == nil {
 			err = s.StoreLog(&raft.Log{Index: uint64(i + 1), Term: 1, Type: raft.LogCommand, Data: raw})
 		}
--- a/internal/directory/follow.go
+++ b/internal/directory/follow.go
@@ -22,9 +22,9 @@
 	var mu sync.Mutex
 	heard := time.Now()
 	w := registry.Watcher{
-		Addresses: []string{r.cfg.Follow.Discovery}, Nodes: 1, Client: &http.Client{Transport: transport}, Log: r.log,
-		Track: registry.NewTrack(registry.Position{}), // a new leader requests the complete list
-		Heard: func() {
+		Addresses: []string{r.cfg.Source.Discovery}, FleetSize: 1, Client: &http.Client{Transport: transport}, Log: r.log,
+		Cursor: registry.NewCursor(registry.Position{}), // a new leader requests the complete list
+		OnLine: func() {
 			mu.Lock()
 			heard = time.Now()
 			mu.Unlock()
@@ -38,18 +38,18 @@
 			silent := time.Since(heard) > sourceSilence
 			mu.Unlock()
 			var marked bool
-			r.ledger.read(func(s *catalog.State) { marked = s.Silent() > 0 })
+			r.ledger.read(func(s *catalog.State) { marked = s.SourceSilentSince() > 0 })
 			if silent != marked {
-				r.log.Warn("the source of the list became silent or active", "discovery", r.cfg.Follow.Discovery, "silent", silent)
-				if _, err := r.propose(catalog.Command{By: r.cfg.ID, Vouch: &catalog.Vouch{Silent: silent}}); err != nil {
+				r.log.Warn("the source of the list became silent or active", "discovery", r.cfg.Source.Discovery, "silent", silent)
+				if _, err := r.propose(catalog.Command{By: r.cfg.ID, SourceStatus: &catalog.SourceStatus{Silent: silent}}); err != nil {
 					r.log.Warn("marking the list failed", "err", err)
 					registry.Sleep(ctx, time.Second)
 				}
 			}
 		}
 	})
-	w.Watch(ctx, func(n registry.News) error {
-		wr := catalog.Write{Base: catalog.Base{Any: true}, Whole: n.Complete, Members: n.Members, Guard: r.cfg.Guard.Share, Most: int64(r.cfg.List.Most), Why: "told by " + n.From}
+	w.Watch(ctx, func(n registry.Update) error {
+		wr := catalog.Write{Base: catalog.Base{Any: true}, Replace: n.Complete, Members: n.Members, GuardShare: r.cfg.Guard.MaxRemovedShare, MaxEndpoints: int64(r.cfg.List.MaxEndpoints), Reason: "told by " + n.Server}
 		res, err := r.propose(catalog.Command{By: "follow", Write: &wr})
 		if errors.Is(res.Err, catalog.ErrHeld) {
 			r.log.Warn("write held back until confirmed", "held", res.Held, "err", res.Err)
--- a/internal/directory/formats_test.go
+++ b/internal/directory/formats_test.go
@@ -41,12 +41,12 @@
 
 func TestJSONFormats(t *testing.T) {
 	checkJSON[Status](t, "status.json", func(s *Status) { s.Held.Write = catalog.Write{} })
-	checkJSON[Changes](t, "changes.json", func(c *Changes) {
+	checkJSON[ChangeHistory](t, "changes.json", func(c *ChangeHistory) {
 		for i := range c.Changes {
 			c.Changes[i].Moved = nil
 		}
 	})
-	checkJSON[Written](t, "written.json", nil)
+	checkJSON[WriteResult](t, "written.json", nil)
 	checkJSON[problem](t, "problem.json", nil)
 	checkJSON[holdAsk](t, "record_request.json", nil)
 	checkJSON[joinAsk](t, "join_request.json", nil)
@@ -86,7 +86,7 @@
 // The golden file holds each request of the HTTP interface with its status, headers and body. Numbers stand as #, for they depend
 // on the clock and on ports, and error texts are left out.
 func TestHTTPFormat(t *testing.T) {
-	o := replicas(t, 1, func(c *Config) { c.List.Most = 5 })[0]
+	o := replicas(t, 1, func(c *Config) { c.List.MaxEndpoints = 5 })[0]
 	eventually(t, "the leader", o.r.settled)
 	digits, text := regexp.MustCompile(`[0-9]+`), regexp.MustCompile(`"error":"([^"\\]|\\.)*"`)
 	const a, b = `{"id":"a","host_port":"h:1","locality":"z","flavor":"k","cell":1,"phase":"SERVING","size":1,"up_since_ms":5}`,
--- a/internal/directory/lead.go
+++ b/internal/directory/lead.go
@@ -50,7 +50,7 @@
 	}
 	at, _ := r.ledger.at()
 	for at.history == 0 {
-		if _, err := r.propose(catalog.Command{By: r.cfg.ID, Found: &catalog.Found{Replicas: r.cfg.replicas()}}); err != nil && !registry.Sleep(ctx, tick) {
+		if _, err := r.propose(catalog.Command{By: r.cfg.ID, Bootstrap: &catalog.Bootstrap{Replicas: r.cfg.replicas()}}); err != nil && !registry.Sleep(ctx, tick) {
 			return
 		}
 		at, _ = r.ledger.at()
@@ -58,7 +58,7 @@
 	r.log.Info("leading", "history", at.history, "revision", at.revision)
 	began := time.Now()
 	r.mu.Lock()
-	r.keeper = catalog.NewKeeper(r.cfg.Lease.Share, r.cfg.Lease.Drain.Duration, r.cfg.Guard.Stand.Duration)
+	r.keeper = catalog.NewLeaseManager(r.cfg.Lease.MaxExpiredShare, r.cfg.Lease.DrainTime.Duration, r.cfg.Guard.ConfirmAfter.Duration)
 	r.began = began
 	r.mu.Unlock()
 	defer func() {
@@ -68,7 +68,7 @@
 	}()
 	var source sync.WaitGroup
 	defer source.Wait()
-	if r.cfg.Follow.Discovery != "" {
+	if r.cfg.Source.Discovery != "" {
 		source.Go(func() { r.takeOver(ctx) })
 	}
 	for {
@@ -76,7 +76,7 @@
 		wait := time.Hour
 		_, news := r.ledger.at()
 		r.mu.Lock()
-		r.ledger.read(func(s *catalog.State) { due, wait = r.keeper.Due(s, time.Since(began)) })
+		r.ledger.read(func(s *catalog.State) { due, wait = r.keeper.DueCommands(s, time.Since(began)) })
 		r.mu.Unlock()
 		for _, c := range due {
 			if res, err := r.propose(c); err != nil || res.Err != nil {
@@ -124,19 +124,19 @@
 	select {
 	case err = <-agreed:
 	case <-limit.C:
-		return catalog.Result{}, fmt.Errorf("%w: no majority within %v", ErrUnknown, agreeWait)
+		return catalog.Result{}, fmt.Errorf("%w: no majority within %v", ErrAmbiguous, agreeWait)
 	}
 	switch {
 	case err == nil:
 		res, ok := f.Response().(catalog.Result)
 		if !ok {
-			return res, fmt.Errorf("%w: unexpected result type %T", ErrUnknown, f.Response())
+			return res, fmt.Errorf("%w: unexpected result type %T", ErrAmbiguous, f.Response())
 		}
 		return res, nil
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		return catalog.Result{}, fmt.Errorf("%w: %w", ErrRefused, err)
 	default: // leadership was lost, or the log could not be written, after the command was sent
-		return catalog.Result{}, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return catalog.Result{}, fmt.Errorf("%w: %w", ErrAmbiguous, err)
 	}
 }
 
@@ -200,7 +200,7 @@
 
 // renewLeases records renewals of endpoints and records. It fails unless this replica still leads, because
 // another leader would not know of them.
-func (r *Replica) renew(ids []string, records []catalog.Hold) (unknown []string, err error) {
+func (r *Replica) renew(ids []string, records []catalog.RecordOp) (unknown []string, err error) {
 	node := r.node()
 	if node == nil {
 		return nil, ErrRefused
@@ -234,6 +234,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.keeper != nil {
-		r.keeper.Registered(id, time.Since(r.began))
+		r.keeper.NoteRegistration(id, time.Since(r.began))
 	}
 }
--- a/internal/directory/ledger.go
+++ b/internal/directory/ledger.go
@@ -69,13 +69,13 @@
 }
 
 // isMapRecord reports whether an operation may have changed the record of the partition map.
-func setsMap(h *catalog.Hold) bool { return h != nil && h.Name == ownership.RecordName }
+func setsMap(h *catalog.RecordOp) bool { return h != nil && h.Name == ownership.RecordName }
 
 // encodeChanges encodes the changes after a revision for the watches. The caller holds the lock.
 func (l *ledger) publish(before int64) {
 	l.whole = nil
 	clear(l.resumes)
-	changes, _ := l.state.Changes(before)
+	changes, _ := l.state.ChangesAfter(before)
 	for _, c := range changes {
 		body, err := json.Marshal(catalog.List{Revision: c.Revision, Members: c.Members})
 		if err != nil {
@@ -127,7 +127,7 @@
 	history, before := l.state.History(), l.state.Revision()
 	l.state = state
 	l.readMap()
-	if _, all := state.Changes(before); history == state.History() && all && before <= state.Revision() && before > 0 {
+	if _, all := state.ChangesAfter(before); history == state.History() && all && before <= state.Revision() && before > 0 {
 		l.publish(before) // watches continue
 	} else {
 		l.begin()
@@ -179,9 +179,9 @@
 	if body, complete = l.cached(after); body != nil {
 		return body, at, complete, nil
 	}
-	list := l.state.Whole()
+	list := l.state.FullList()
 	if after > 0 {
-		list = l.state.Since(after)
+		list = l.state.ListSince(after)
 	}
 	if body, err = json.Marshal(list); err != nil {
 		return nil, at, false, fmt.Errorf("encoding the list: %w", err)
--- a/internal/directory/members.go
+++ b/internal/directory/members.go
@@ -30,7 +30,7 @@
 			switch {
 			case err != nil:
 				continue
-			case !st.Founded:
+			case !st.Bootstrapped:
 				unfounded++
 				continue
 			}
@@ -115,7 +115,7 @@
 	invited := false
 	r.ledger.read(func(s *catalog.State) { _, invited = s.Replicas()[a.ID] })
 	if !invited {
-		return joinReply{}, fmt.Errorf("replica %.40q is not allowed to join (see cottonrack directory member add): %w", a.ID, catalog.ErrUnknown)
+		return joinReply{}, fmt.Errorf("replica %.40q is not allowed to join (see cottonrack directory member add): %w", a.ID, catalog.ErrNotFound)
 	}
 	node := r.node()
 	servers := r.servers()
--- a/internal/directory/metrics.go
+++ b/internal/directory/metrics.go
@@ -55,7 +55,7 @@
 			return 0
 		})),
 		gauge("directory_vouched", "0 if the source of the list is silent.", state(func(st *catalog.State) float64 {
-			if st.Silent() > 0 {
+			if st.SourceSilentSince() > 0 {
 				return 0
 			}
 			return 1
@@ -90,7 +90,7 @@
 	switch {
 	case errors.Is(err, catalog.ErrHeld):
 		result = "held"
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrAmbiguous):
 		result = "unknown"
 	case err != nil:
 		result = "refused"
--- a/internal/directory/operator.go
+++ b/internal/directory/operator.go
@@ -20,43 +20,43 @@
 )
 
 // AdminClient sends requests to any replica that responds.
-type Operator struct {
-	Addresses []string
-	By        string        // who sends the requests, for the change history
-	Why       string        // for the change history
-	Wait      time.Duration // how long to try for a replica that can serve the request; 0: one try at each
-	Client    *http.Client  // nil: http.DefaultClient
+type AdminClient struct {
+	Addresses  []string
+	By         string        // who sends the requests, for the change history
+	Reason     string        // for the change history
+	RetryFor   time.Duration // how long to try for a replica that can serve the request; 0: one try at each
+	HTTPClient *http.Client  // nil: http.DefaultClient
 
 	preferred int // index of the address that responded last
 }
 
 // ResponseError is an error response of the service.
-type Refusal struct {
-	Code     int
-	Reason   string
-	Outcome  string
-	Revision int64
-	Held     int64
+type ResponseError struct {
+	StatusCode int
+	Message    string
+	Outcome    string
+	Revision   int64
+	Held       int64
 }
 
-func (r *Refusal) Error() string { return r.Reason }
+func (r *ResponseError) Error() string { return r.Message }
 
 // Unwrap maps the response to ErrAmbiguous, ErrRefused or an error of package catalog.
-func (r *Refusal) Unwrap() error {
+func (r *ResponseError) Unwrap() error {
 	switch {
 	case r.Outcome == "unknown":
-		return ErrUnknown
-	case r.Code == http.StatusPreconditionFailed:
+		return ErrAmbiguous
+	case r.StatusCode == http.StatusPreconditionFailed:
 		return catalog.ErrConflict
-	case r.Code == http.StatusAccepted:
+	case r.StatusCode == http.StatusAccepted:
 		return catalog.ErrHeld
-	case r.Code == http.StatusNotFound:
-		return catalog.ErrUnknown
-	case r.Code == http.StatusConflict:
-		return catalog.ErrTaken
-	case r.Code == http.StatusBadRequest:
-		return catalog.ErrBad
-	case r.Code == http.StatusInsufficientStorage: // a retry would not help
+	case r.StatusCode == http.StatusNotFound:
+		return catalog.ErrNotFound
+	case r.StatusCode == http.StatusConflict:
+		return catalog.ErrNotHolder
+	case r.StatusCode == http.StatusBadRequest:
+		return catalog.ErrInvalid
+	case r.StatusCode == http.StatusInsufficientStorage: // a retry would not help
 		return catalog.ErrFull
 	}
 	return ErrRefused
@@ -66,11 +66,11 @@
 
 // Do sends a request to one replica after another until one serves it, and returns the response body. It does
 // not repeat a write with an ambiguous outcome.
-func (o *Operator) Do(ctx context.Context, method, path, match string, body []byte) ([]byte, http.Header, error) {
+func (o *AdminClient) Do(ctx context.Context, method, path, match string, body []byte) ([]byte, http.Header, error) {
 	if len(o.Addresses) == 0 {
 		return nil, nil, fmt.Errorf("%w: no replica address", ErrRefused)
 	}
-	until := time.Now().Add(o.Wait)
+	until := time.Now().Add(o.RetryFor)
 	for {
 		var errs []error
 		for range o.Addresses {
@@ -88,17 +88,17 @@
 	}
 }
 
-func (o *Operator) once(ctx context.Context, address, method, path, match string, body []byte) ([]byte, http.Header, error) {
+func (o *AdminClient) once(ctx context.Context, address, method, path, match string, body []byte) ([]byte, http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, err
 	}
-	for name, v := range map[string]string{"If-Match": match, "Registry-By": o.By, "Registry-Why": o.Why} {
+	for name, v := range map[string]string{"If-Match": match, "Registry-By": o.By, "Registry-Why": o.Reason} {
 		if v != "" {
 			req.Header.Set(name, v)
 		}
 	}
-	client := o.Client
+	client := o.HTTPClient
 	if client == nil {
 		client = http.DefaultClient
 	}
@@ -108,12 +108,12 @@
 		if method == http.MethodGet || errors.As(err, &dial) && dial.Op == "dial" {
 			return nil, nil, fmt.Errorf("%w: %w", ErrRefused, err)
 		}
-		return nil, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return nil, nil, fmt.Errorf("%w: %w", ErrAmbiguous, err)
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBackup))
 	if err != nil {
-		return nil, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return nil, nil, fmt.Errorf("%w: %w", ErrAmbiguous, err)
 	}
 	if resp.StatusCode/100 == 2 && resp.StatusCode != http.StatusAccepted {
 		return raw, resp.Header, nil
@@ -122,11 +122,11 @@
 	if json.Unmarshal(raw, &p) != nil || p.Error == "" {
 		p.Error = resp.Status
 	}
-	return nil, resp.Header, &Refusal{resp.StatusCode, p.Error, p.Outcome, p.Revision, p.Held}
+	return nil, resp.Header, &ResponseError{resp.StatusCode, p.Error, p.Outcome, p.Revision, p.Held}
 }
 
 // call sends a request with a JSON body and decodes the response.
-func (o *Operator) into(ctx context.Context, v any, method, path, match string, body any) error {
+func (o *AdminClient) into(ctx context.Context, v any, method, path, match string, body any) error {
 	var raw []byte
 	if body != nil {
 		var err error
@@ -142,14 +142,14 @@
 }
 
 // Status returns the status of one replica.
-func (o *Operator) Status(ctx context.Context) (Status, error) {
+func (o *AdminClient) Status(ctx context.Context) (Status, error) {
 	var st Status
 	return st, o.into(ctx, &st, http.MethodGet, "/directory/status", "", nil)
 }
 
 // List reads the complete list, and the If-Match value for a write that is based on it. A fresh list includes
 // every write acknowledged before; otherwise it is what some replica has.
-func (o *Operator) List(ctx context.Context, fresh bool) (catalog.List, string, http.Header, error) {
+func (o *AdminClient) List(ctx context.Context, fresh bool) (catalog.List, string, http.Header, error) {
 	path := "/registry/instances"
 	if fresh {
 		path += "?fresh=1"
@@ -166,14 +166,14 @@
 }
 
 // WriteResult is the response to a write.
-type Written struct {
+type WriteResult struct {
 	Revision int64 `json:"revision"`
 	Token    int64 `json:"token"`
 }
 
 // Put writes endpoints, and removes those of phase Deleted; with whole it removes all others as well. match
 // is the If-Match value.
-func (o *Operator) Put(ctx context.Context, members []catalog.Endpoint, whole, confirm bool, match string) (Written, error) {
+func (o *AdminClient) Put(ctx context.Context, members []catalog.Endpoint, whole, confirm bool, match string) (WriteResult, error) {
 	method, path := http.MethodPost, "/registry/instances"
 	if whole {
 		method = http.MethodPut
@@ -181,18 +181,18 @@
 	if confirm {
 		path += "?confirm=1"
 	}
-	var w Written
+	var w WriteResult
 	return w, o.into(ctx, &w, method, path, match, map[string]any{"members": append([]catalog.Endpoint{}, members...)})
 }
 
 // Drain drains an endpoint, whatever else has changed.
-func (o *Operator) Drain(ctx context.Context, id string) (Written, error) {
-	var w Written
+func (o *AdminClient) Drain(ctx context.Context, id string) (WriteResult, error) {
+	var w WriteResult
 	return w, o.into(ctx, &w, http.MethodPost, "/registry/instances/"+url.PathEscape(id)+"/drain", "*", nil)
 }
 
 // Confirm applies the held write with a number, or drops it.
-func (o *Operator) Confirm(ctx context.Context, number int64, drop bool) error {
+func (o *AdminClient) Confirm(ctx context.Context, number int64, drop bool) error {
 	path := "/directory/held/" + strconv.FormatInt(number, 10)
 	if drop {
 		path += "?drop=1"
@@ -201,7 +201,7 @@
 }
 
 // ChangeHistory holds consecutive changes of the list.
-type Changes struct {
+type ChangeHistory struct {
 	History  int64            `json:"history"`
 	Revision int64            `json:"revision"`
 	All      bool             `json:"all"` // no requested change had already been discarded
@@ -209,14 +209,14 @@
 }
 
 // History reads changes after a revision, or the latest ones if it is negative.
-func (o *Operator) History(ctx context.Context, after int64, limit int) (Changes, error) {
-	var c Changes
+func (o *AdminClient) History(ctx context.Context, after int64, limit int) (ChangeHistory, error) {
+	var c ChangeHistory
 	return c, o.into(ctx, &c, http.MethodGet, fmt.Sprintf("/directory/history?after=%d&limit=%d", after, limit), "", nil)
 }
 
 // Backup reads and verifies a backup of the state: of the current state if fresh, else of what some replica
 // has.
-func (o *Operator) Backup(ctx context.Context, fresh bool) ([]byte, catalog.Image, error) {
+func (o *AdminClient) Backup(ctx context.Context, fresh bool) ([]byte, catalog.Image, error) {
 	path := "/directory/backup"
 	if fresh {
 		path += "?fresh=1"
@@ -230,30 +230,30 @@
 }
 
 // Restore replaces the list and the records by those of a backup, in a new history.
-func (o *Operator) Restore(ctx context.Context, raw []byte) (Written, error) {
+func (o *AdminClient) Restore(ctx context.Context, raw []byte) (WriteResult, error) {
 	if _, err := DecodeBackup(bytes.NewReader(raw)); err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
 	answer, _, err := o.Do(ctx, http.MethodPost, "/directory/restore", "", raw)
 	if err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
-	var w Written
+	var w WriteResult
 	return w, json.Unmarshal(answer, &w)
 }
 
 // AddReplica allows a replica to join the service.
-func (o *Operator) Invite(ctx context.Context, r catalog.Replica) error {
+func (o *AdminClient) AddReplica(ctx context.Context, r catalog.Replica) error {
 	return o.into(ctx, nil, http.MethodPut, "/directory/members/"+url.PathEscape(r.ID), "", r)
 }
 
 // RemoveReplica removes a replica from the service.
-func (o *Operator) Dismiss(ctx context.Context, id string) error {
+func (o *AdminClient) RemoveReplica(ctx context.Context, id string) error {
 	return o.into(ctx, nil, http.MethodDelete, "/directory/members/"+url.PathEscape(id), "", nil)
 }
 
 // Diff returns the endpoints that a write would change, as they would become, sorted by ID.
-func Difference(now, then []catalog.Endpoint, whole bool) []catalog.Endpoint {
+func Diff(now, then []catalog.Endpoint, whole bool) []catalog.Endpoint {
 	was := map[string]catalog.Endpoint{}
 	for _, m := range now {
 		was[m.ID] = m
--- a/internal/directory/parts.go
+++ b/internal/directory/parts.go
@@ -28,7 +28,7 @@
 
 // linePiece is the effect of a change on one partition.
 type piece struct {
-	catalog.ChangePart
+	catalog.PartitionChange
 	encode sync.Once
 	body   []byte // encoded endpoints, separated by commas
 	line   []byte // the complete line, if the change has only this piece
@@ -36,7 +36,7 @@
 }
 
 func (p *piece) isFor(set *ownership.Set) bool {
-	return set.Has(p.Partition) && (p.Unless < 0 || !set.Has(p.Unless))
+	return set.Has(p.Partition) && (p.UnlessFollowing < 0 || !set.Has(p.UnlessFollowing))
 }
 
 // encodeFor returns the line for watches of some partitions, or nil if the change does not affect them. Its
@@ -44,10 +44,10 @@
 // only.
 func (l *partLine) of(set *ownership.Set) ([]byte, error) {
 	l.split.Do(func() {
-		var parts []catalog.ChangePart
-		parts, l.known = l.change.Parts()
+		var parts []catalog.PartitionChange
+		parts, l.known = l.change.ByPartition()
 		for _, p := range parts {
-			l.pieces = append(l.pieces, &piece{ChangePart: p})
+			l.pieces = append(l.pieces, &piece{PartitionChange: p})
 		}
 	})
 	if !l.known {
@@ -114,9 +114,9 @@
 	l.mu.RLock()
 	at = position{l.state.History(), l.state.Revision()}
 	if after > 0 {
-		list = l.state.PartSince(after, *set)
+		list = l.state.PartitionListSince(after, *set)
 	} else {
-		list = l.state.Part(*set)
+		list = l.state.PartitionList(*set)
 	}
 	list.Map = l.mapped.number
 	l.mu.RUnlock()
--- a/internal/directory/parts_test.go
+++ b/internal/directory/parts_test.go
@@ -114,7 +114,7 @@
 func putMap(t *testing.T, o *one, number int64) error {
 	t.Helper()
 	op := o.operator()
-	var w Written
+	var w WriteResult
 	if err := op.into(t.Context(), &w, http.MethodPut, "/records/"+ownership.RecordName, "", holdAsk{Holder: "w"}); err != nil {
 		t.Fatal(err)
 	}
@@ -282,7 +282,7 @@
 	var lines sync.Mutex
 	var logged bytes.Buffer
 	w := registry.Watcher{
-		Nodes: 1, Client: http.DefaultClient, Track: registry.NewTrack(registry.Position{}), Partitions: set,
+		FleetSize: 1, Client: http.DefaultClient, Cursor: registry.NewCursor(registry.Position{}), Partitions: set,
 		Log: slog.New(slog.NewTextHandler(&locked{w: &logged, mu: &lines}, nil)),
 	}
 	for _, o := range all[1:] {
@@ -294,7 +294,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var watch sync.WaitGroup
 	watch.Go(func() {
-		w.Watch(ctx, func(n registry.News) error {
+		w.Watch(ctx, func(n registry.Update) error {
 			mu.Lock()
 			defer mu.Unlock()
 			if n.Complete {
@@ -320,7 +320,7 @@
 		t.Helper()
 		eventually(t, what, func() bool {
 			var want catalog.List
-			o.r.ledger.read(func(s *catalog.State) { want = s.Part(*set) })
+			o.r.ledger.read(func(s *catalog.State) { want = s.PartitionList(*set) })
 			mu.Lock()
 			defer mu.Unlock()
 			if last != want.Revision || len(have) != len(want.Members) {
@@ -354,7 +354,7 @@
 		eventually(t, "the replica", func() bool { return down.s.statusNow(false).Revision == all[0].s.statusNow(false).Revision })
 		same(all[0], "the list with "+down.cfg.ID+" down")
 	}
-	if st := all[1].s.statusNow(false); st.Map != 5 || st.MapWrong != "" {
+	if st := all[1].s.statusNow(false); st.MapNumber != 5 || st.MapError != "" {
 		t.Errorf("the map after a restart: %+v", st)
 	}
 	for _, o := range all { // each replica on its own
@@ -395,13 +395,13 @@
 	}))
 	t.Cleanup(counted.Close)
 	w := registry.Watcher{
-		Addresses: []string{counted.Listener.Addr().String(), front.Listener.Addr().String()}, Nodes: 1, Client: http.DefaultClient,
-		Track: registry.NewTrack(registry.Position{}), Partitions: setOf(1), Log: slog.New(slog.NewTextHandler(&locked{w: &logged, mu: &mu}, nil)),
+		Addresses: []string{counted.Listener.Addr().String(), front.Listener.Addr().String()}, FleetSize: 1, Client: http.DefaultClient,
+		Cursor: registry.NewCursor(registry.Position{}), Partitions: setOf(1), Log: slog.New(slog.NewTextHandler(&locked{w: &logged, mu: &mu}, nil)),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var watch sync.WaitGroup
 	watch.Go(func() {
-		w.Watch(ctx, func(n registry.News) error {
+		w.Watch(ctx, func(n registry.Update) error {
 			t.Errorf("accepted: %+v", n)
 			return nil
 		})
@@ -425,8 +425,8 @@
 	record := "/records/" + ownership.RecordName
 	bad := func(method string, ask holdAsk, what string) {
 		t.Helper()
-		var no *Refusal
-		if err := op.into(t.Context(), nil, method, record, "", ask); !errors.As(err, &no) || no.Code != http.StatusBadRequest || no.Outcome != "refused" {
+		var no *ResponseError
+		if err := op.into(t.Context(), nil, method, record, "", ask); !errors.As(err, &no) || no.StatusCode != http.StatusBadRequest || no.Outcome != "refused" {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -434,7 +434,7 @@
 	if err := putMap(t, o, 5); err != nil {
 		t.Fatal(err)
 	}
-	var w Written
+	var w WriteResult
 	if err := op.into(t.Context(), &w, http.MethodPut, record, "", holdAsk{Holder: "w"}); err != nil {
 		t.Fatal(err)
 	}
@@ -445,13 +445,13 @@
 	bad(http.MethodPost, holdAsk{Token: w.Token, Value: aMap(t, 4)}, "a smaller number")
 	half := aMap(t, 6)
 	bad(http.MethodPost, holdAsk{Token: w.Token, Value: half[:len(half)/2]}, "half a map")
-	if err := op.into(t.Context(), nil, http.MethodPost, record, "", holdAsk{Token: w.Token - 1, Value: aMap(t, 6)}); !errors.Is(err, catalog.ErrTaken) {
+	if err := op.into(t.Context(), nil, http.MethodPost, record, "", holdAsk{Token: w.Token - 1, Value: aMap(t, 6)}); !errors.Is(err, catalog.ErrNotHolder) {
 		t.Errorf("an old token: %v", err)
 	}
-	if err := op.into(t.Context(), nil, http.MethodPost, "/records/other", "", holdAsk{Token: 1, Value: []byte("no map")}); !errors.Is(err, catalog.ErrUnknown) {
+	if err := op.into(t.Context(), nil, http.MethodPost, "/records/other", "", holdAsk{Token: 1, Value: []byte("no map")}); !errors.Is(err, catalog.ErrNotFound) {
 		t.Errorf("another record: %v", err)
 	}
-	if st := o.s.statusNow(false); st.Map != 5 || st.MapWrong != "" {
+	if st := o.s.statusNow(false); st.MapNumber != 5 || st.MapError != "" {
 		t.Errorf("status %+v", st)
 	}
 	// Of concurrent writes with the same number only one may succeed.
@@ -477,12 +477,12 @@
 	// say why.
 	past := func(value []byte, why string) {
 		t.Helper()
-		res, err := o.r.propose(catalog.Command{Update: &catalog.Hold{Name: ownership.RecordName, Token: w.Token, Value: value}})
+		res, err := o.r.propose(catalog.Command{Update: &catalog.RecordOp{Name: ownership.RecordName, Token: w.Token, Value: value}})
 		if err := errors.Join(err, res.Err); err != nil {
 			t.Fatal(err)
 		}
-		if st := o.s.statusNow(false); st.Map != 6 || !strings.Contains(st.MapWrong, why) || why == "" {
-			t.Errorf("%s: status %d, %q", why, st.Map, st.MapWrong)
+		if st := o.s.statusNow(false); st.MapNumber != 6 || !strings.Contains(st.MapError, why) || why == "" {
+			t.Errorf("%s: status %d, %q", why, st.MapNumber, st.MapError)
 		}
 	}
 	past(aMap(t, 3), "3 after 6")
@@ -501,7 +501,7 @@
 	o.stop()
 	o.start()
 	eventually(t, "the leader", o.r.settled)
-	if st := o.s.statusNow(false); st.Map != 7 || st.MapWrong != "" {
+	if st := o.s.statusNow(false); st.MapNumber != 7 || st.MapError != "" {
 		t.Errorf("after a restart: %+v", st)
 	}
 	bad(http.MethodPost, holdAsk{Token: w.Token, Value: aMap(t, 7)}, "the same number after a restart")
@@ -516,18 +516,18 @@
 	if _, err := op.Restore(t.Context(), saved); err != nil {
 		t.Fatal(err)
 	}
-	if st := o.s.statusNow(false); st.Map != 7 || st.MapWrong != "" {
+	if st := o.s.statusNow(false); st.MapNumber != 7 || st.MapError != "" {
 		t.Errorf("after a restore: %+v", st)
 	}
 }
 
 func TestListsBoundAtTheDoor(t *testing.T) {
-	o := replicas(t, 1, func(c *Config) { c.List.Most = 3 })[0]
+	o := replicas(t, 1, func(c *Config) { c.List.MaxEndpoints = 3 })[0]
 	op := o.operator()
 	full := func(err error, what string) {
 		t.Helper()
-		var no *Refusal
-		if !errors.As(err, &no) || no.Code != http.StatusInsufficientStorage || no.Outcome != "refused" || !errors.Is(err, catalog.ErrFull) {
+		var no *ResponseError
+		if !errors.As(err, &no) || no.StatusCode != http.StatusInsufficientStorage || no.Outcome != "refused" || !errors.Is(err, catalog.ErrFull) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -549,16 +549,16 @@
 	put(t, o, "*", of("a", 9), gone(of("b", 2)))
 	put(t, o, "*", of("d", 1))
 	o.stop()
-	o.cfg.List.Most = 2
+	o.cfg.List.MaxEndpoints = 2
 	o.start()
 	eventually(t, "the leader", o.r.settled)
 	_, err = op.Restore(t.Context(), saved)
 	full(err, "a backup")
 	put(t, o, "*", gone(of("d", 1)))
-	for _, most := range []int{0, catalog.MaxMembers + 1} {
+	for _, most := range []int{0, catalog.MaxEndpoints + 1} {
 		if c := o.cfg; true {
-			c.List.Most = most
-			if err := c.Check(); err == nil || !strings.Contains(err.Error(), "list.most") {
+			c.List.MaxEndpoints = most
+			if err := c.Validate(); err == nil || !strings.Contains(err.Error(), "list.most") {
 				t.Errorf("list.most %d: %v", most, err)
 			}
 		}
@@ -581,7 +581,7 @@
 
 func newTold(t testing.TB) *ledger {
 	l := newLedger(1<<20, func(err error) { t.Error(err) })
-	told(t, l, catalog.Command{At: 1, Found: &catalog.Found{}})
+	told(t, l, catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
 	return l
 }
 
@@ -636,7 +636,7 @@
 				switch rapid.IntRange(0, 7).Draw(rt, "command") {
 				case 0:
 					number++
-					told(t, l, catalog.Command{Acquire: &catalog.Hold{Name: ownership.RecordName, Holder: "w", Value: aMap(t, number), SetsVal: true}})
+					told(t, l, catalog.Command{Acquire: &catalog.RecordOp{Name: ownership.RecordName, Holder: "w", Value: aMap(t, number), SetValue: true}})
 				case 1: // a snapshot from another replica
 					other := newTold(t)
 					raw, err := EncodeBackup(l.state.Image())
@@ -709,7 +709,7 @@
 					}
 				}
 				want := map[string]catalog.Endpoint{}
-				for _, m := range l.state.Whole().Members {
+				for _, m := range l.state.FullList().Members {
 					if set.Has(ownership.PartitionOf(m.Cell)) {
 						want[m.ID] = m
 					}
@@ -784,7 +784,7 @@
 					all = append(all, of(fmt.Sprint("e", i), i*10/17))
 				}
 				c := write(all...)
-				c.Write.Most = catalog.MaxMembers
+				c.Write.MaxEndpoints = catalog.MaxEndpoints
 				told(b, l, c)
 			}
 			sets := make([]*ownership.Set, 820)
@@ -795,7 +795,7 @@
 				}
 			}
 			c := write(of("e0", 1))
-			c.Write.Most = catalog.MaxMembers
+			c.Write.MaxEndpoints = catalog.MaxEndpoints
 			b.ResetTimer()
 			for i := range b.N {
 				b.StopTimer()
--- a/internal/directory/reads.go
+++ b/internal/directory/reads.go
@@ -187,7 +187,7 @@
 	h.Set(HeaderAge, strconv.FormatInt(s.r.age().Milliseconds(), 10))
 	h.Set("ETag", fmt.Sprintf(`"%d.%d"`, at.history, at.revision))
 	s.r.ledger.read(func(st *catalog.State) {
-		if st.Silent() > 0 {
+		if st.SourceSilentSince() > 0 {
 			h.Set(HeaderVouched, "no")
 		}
 	})
--- a/internal/directory/records.go
+++ b/internal/directory/records.go
@@ -28,7 +28,7 @@
 	s.mark(w, at)
 	switch {
 	case !found:
-		wrong(w, http.StatusNotFound, fmt.Errorf("record %.40q: %w", name, catalog.ErrUnknown))
+		wrong(w, http.StatusNotFound, fmt.Errorf("record %.40q: %w", name, catalog.ErrNotFound))
 	case name != "":
 		answer(w, http.StatusOK, one)
 	default:
@@ -44,7 +44,7 @@
 	Value  []byte `json:"value"` // base64
 }
 
-func (s *Server) onRecord(w http.ResponseWriter, req *http.Request, make func(catalog.Hold) catalog.Command) {
+func (s *Server) onRecord(w http.ResponseWriter, req *http.Request, make func(catalog.RecordOp) catalog.Command) {
 	raw, ok := body(w, req, maxWrite)
 	if !ok {
 		return
@@ -62,10 +62,10 @@
 		if err := strict(raw, &ask); err != nil {
 			return catalog.Command{}, err
 		}
-		c := make(catalog.Hold{
-			Name: req.PathValue("name"), Holder: ask.Holder, Token: ask.Token, TTL: ask.TTL, Value: ask.Value, SetsVal: ask.Value != nil,
+		c := make(catalog.RecordOp{
+			Name: req.PathValue("name"), Holder: ask.Holder, Token: ask.Token, TTL: ask.TTL, Value: ask.Value, SetValue: ask.Value != nil,
 		})
-		if isMap && (c.Update != nil || c.Acquire != nil && c.Acquire.SetsVal) {
+		if isMap && (c.Update != nil || c.Acquire != nil && c.Acquire.SetValue) {
 			if err := s.r.current(); err != nil {
 				return catalog.Command{}, err
 			}
@@ -78,15 +78,15 @@
 }
 
 func (s *Server) acquire(w http.ResponseWriter, req *http.Request) {
-	s.onRecord(w, req, func(h catalog.Hold) catalog.Command { return catalog.Command{Acquire: &h} })
+	s.onRecord(w, req, func(h catalog.RecordOp) catalog.Command { return catalog.Command{Acquire: &h} })
 }
 
 func (s *Server) update(w http.ResponseWriter, req *http.Request) {
-	s.onRecord(w, req, func(h catalog.Hold) catalog.Command { return catalog.Command{Update: &h} })
+	s.onRecord(w, req, func(h catalog.RecordOp) catalog.Command { return catalog.Command{Update: &h} })
 }
 
 func (s *Server) release(w http.ResponseWriter, req *http.Request) {
-	s.onRecord(w, req, func(h catalog.Hold) catalog.Command { return catalog.Command{Release: &h} })
+	s.onRecord(w, req, func(h catalog.RecordOp) catalog.Command { return catalog.Command{Release: &h} })
 }
 
 func (s *Server) renew(w http.ResponseWriter, req *http.Request) {
@@ -100,9 +100,9 @@
 	if !s.leaderReads(w, req, &ask) {
 		return
 	}
-	var records []catalog.Hold
+	var records []catalog.RecordOp
 	for _, r := range ask.Records {
-		records = append(records, catalog.Hold{Name: r.Name, Token: r.Token})
+		records = append(records, catalog.RecordOp{Name: r.Name, Token: r.Token})
 	}
 	unknown, err := s.r.renew(ask.IDs, records)
 	if err != nil {
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -39,7 +39,7 @@
 	// ErrRefused means that the write was certainly not done.
 	ErrRefused = errors.New("refused")
 	// ErrAmbiguous means that the write may have been done, or may still be.
-	ErrUnknown = errors.New("the outcome is unknown")
+	ErrAmbiguous = errors.New("the outcome is unknown")
 	// ErrRemoved ends a replica that was removed from the service.
 	ErrRemoved = errors.New("this replica was removed from the service")
 )
@@ -64,8 +64,8 @@
 	raft      *raft.Raft // nil until the replica has joined or bootstrapped the service
 	store     *raftboltdb.BoltStore
 	transport raft.Transport
-	keeper    *catalog.Keeper // nil unless this replica leads and has caught up
-	began     time.Time       // origin of the lease manager's clock
+	keeper    *catalog.LeaseManager // nil unless this replica leads and has caught up
+	began     time.Time             // origin of the lease manager's clock
 }
 
 // Open starts a replica on its folder. A replica with an empty folder bootstraps the service if it is alone,
@@ -76,7 +76,7 @@
 
 // open is Open with a wrapper around Raft's log, for tests.
 func open(cfg Config, log *slog.Logger, between func(raft.LogStore) raft.LogStore) (*Replica, error) {
-	if err := cfg.Check(); err != nil {
+	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(cfg.Data, 0o700); err != nil {
@@ -86,7 +86,7 @@
 		DialContext:         (&net.Dialer{Timeout: peerTimeout}).DialContext,
 		MaxIdleConnsPerHost: 64, DisableCompression: true,
 	}}}
-	r.ledger = newLedger(int64(cfg.Watch.Lag)<<10, r.fail)
+	r.ledger = newLedger(int64(cfg.Watch.MaxLagKB)<<10, r.fail)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	path := filepath.Join(cfg.Data, "log.db")
 	store, err := openLog(path)
--- a/internal/directory/reports.go
+++ b/internal/directory/reports.go
@@ -34,9 +34,9 @@
 }
 
 func openReports(r *Replica) (*reports, error) {
-	s := &reports{to: r.cfg.Reports.To, client: r.client, dir: r.cfg.Data}
+	s := &reports{to: r.cfg.Reports.ForwardTo, client: r.client, dir: r.cfg.Data}
 	if s.to == "" {
-		s.to = r.cfg.Follow.Discovery
+		s.to = r.cfg.Source.Discovery
 	}
 	if s.to != "" {
 		return s, nil
--- a/internal/directory/server.go
+++ b/internal/directory/server.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("http: %w", err)
 	}
-	s := &Server{r: r, admits: newAdmission(r.cfg.Asks.Rate, r.cfg.Asks.Burst)}
+	s := &Server{r: r, admits: newAdmission(r.cfg.Requests.Rate, r.cfg.Requests.Burst)}
 	if s.reports, err = openReports(r); err != nil {
 		ln.Close()
 		return nil, err
@@ -150,13 +150,13 @@
 // writeResult writes the response to a command.
 func result(w http.ResponseWriter, res catalog.Result, err error) {
 	switch {
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrAmbiguous):
 		answer(w, http.StatusGatewayTimeout, problem{Error: oneLine(err), Outcome: "unknown"})
 		return
 	case err != nil:
 		later(w, time.Second, oneLine(err))
 		return
-	case errors.Is(res.Err, catalog.ErrNew): // the leader is about to bootstrap the service
+	case errors.Is(res.Err, catalog.ErrNotBootstrapped): // the leader is about to bootstrap the service
 		later(w, time.Second, oneLine(res.Err))
 		return
 	case res.Err == nil:
@@ -165,8 +165,8 @@
 	}
 	code := http.StatusInternalServerError
 	for is, c := range map[error]int{
-		catalog.ErrConflict: http.StatusPreconditionFailed, catalog.ErrHeld: http.StatusAccepted, catalog.ErrUnknown: http.StatusNotFound,
-		catalog.ErrTaken: http.StatusConflict, catalog.ErrBad: http.StatusBadRequest, catalog.ErrFull: http.StatusInsufficientStorage,
+		catalog.ErrConflict: http.StatusPreconditionFailed, catalog.ErrHeld: http.StatusAccepted, catalog.ErrNotFound: http.StatusNotFound,
+		catalog.ErrNotHolder: http.StatusConflict, catalog.ErrInvalid: http.StatusBadRequest, catalog.ErrFull: http.StatusInsufficientStorage,
 	} {
 		if errors.Is(res.Err, is) {
 			code = c
@@ -279,7 +279,7 @@
 		wrong(w, http.StatusBadRequest, err)
 		return
 	}
-	c.By = strings.ToValidUTF8(first(req.Header.Get("Registry-By"), catalog.MaxName), "?")
+	c.By = strings.ToValidUTF8(first(req.Header.Get("Registry-By"), catalog.MaxNameBytes), "?")
 	res, err := s.r.propose(c)
 	s.metrics.wrote(time.Since(begun), errors.Join(err, res.Err))
 	result(w, res, err)
--- a/internal/directory/start_test.go
+++ b/internal/directory/start_test.go
@@ -35,7 +35,7 @@
 			batch = batch[len(batch)-1:]
 		}
 	}
-	add(catalog.Command{At: 1, Found: &catalog.Found{}})
+	add(catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
 	for i := range writes {
 		e := endpoint(fmt.Sprint("s-", i%300), catalog.Serving)
 		e.UpSince = int64(i)
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -97,7 +97,7 @@
 		return
 	}
 	one.at.Store(at.revision)
-	if !s.watches.add(one, s.r.cfg.Watch.Most) {
+	if !s.watches.add(one, s.r.cfg.Watch.MaxOpen) {
 		s.metrics.asked("refused")
 		later(w, 5*time.Second, "the limit of open watches is reached")
 		return
@@ -176,4 +176,4 @@
 }
 
 // WatchCount returns the number of open watches.
-func (s *Server) Watching() int { return s.watches.count() }
+func (s *Server) WatchCount() int { return s.watches.count() }
--- a/internal/directory/writes.go
+++ b/internal/directory/writes.go
@@ -23,7 +23,7 @@
 		if !ok {
 			return
 		}
-		if s.r.cfg.Follow.Discovery != "" {
+		if s.r.cfg.Source.Discovery != "" {
 			wrong(w, http.StatusConflict, errors.New("this directory copies the list of the platform's discovery; change it there"))
 			return
 		}
@@ -41,7 +41,7 @@
 			return
 		}
 		wr, err := read(req, raw)
-		if errors.Is(err, catalog.ErrUnknown) {
+		if errors.Is(err, catalog.ErrNotFound) {
 			wrong(w, http.StatusNotFound, err)
 			return
 		}
@@ -49,11 +49,11 @@
 			wrong(w, http.StatusBadRequest, err)
 			return
 		}
-		wr.Base, wr.Guard, wr.Most = base, s.r.cfg.Guard.Share, int64(s.r.cfg.List.Most)
+		wr.Base, wr.GuardShare, wr.MaxEndpoints = base, s.r.cfg.Guard.MaxRemovedShare, int64(s.r.cfg.List.MaxEndpoints)
 		wr.Confirmed = req.URL.Query().Get("confirm") == "1"
-		wr.Why = strings.ToValidUTF8(first(req.Header.Get("Registry-Why"), 1000), "?")
+		wr.Reason = strings.ToValidUTF8(first(req.Header.Get("Registry-Why"), 1000), "?")
 		s.command(w, req, raw, func() (c catalog.Command, err error) {
-			s.r.ledger.read(func(st *catalog.State) { err = st.Fits(wr) })
+			s.r.ledger.read(func(st *catalog.State) { err = st.CheckCapacity(wr) })
 			return catalog.Command{Write: &wr}, err
 		})
 		if wr.TTL > 0 && len(wr.Members) > 0 {
@@ -110,7 +110,7 @@
 
 func check(all []catalog.Endpoint) error {
 	for _, m := range all {
-		if err := m.Check(); err != nil {
+		if err := m.Validate(); err != nil {
 			return err
 		}
 	}
@@ -124,7 +124,7 @@
 
 func readWhole(_ *http.Request, raw []byte) (catalog.Write, error) {
 	all, err := readMembers(raw)
-	return catalog.Write{Members: all, Whole: true}, err
+	return catalog.Write{Members: all, Replace: true}, err
 }
 
 func readOne(req *http.Request, raw []byte) (catalog.Write, error) {
@@ -135,12 +135,12 @@
 	if m.ID != req.PathValue("id") {
 		return catalog.Write{}, fmt.Errorf("the id is %.40q in the body and %.40q in the path", m.ID, req.PathValue("id"))
 	}
-	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Check()
+	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Validate()
 }
 
 func readDelete(req *http.Request, _ []byte) (catalog.Write, error) {
 	m := catalog.Endpoint{ID: req.PathValue("id"), Phase: catalog.Deleted}
-	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Check()
+	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Validate()
 }
 
 // parseDrain drains an endpoint as it is listed at this replica.
@@ -151,7 +151,7 @@
 		m = e.Endpoint
 	})
 	if m.ID == "" {
-		return catalog.Write{}, fmt.Errorf("endpoint %.40q is not listed at this replica: %w", req.PathValue("id"), catalog.ErrUnknown)
+		return catalog.Write{}, fmt.Errorf("endpoint %.40q is not listed at this replica: %w", req.PathValue("id"), catalog.ErrNotFound)
 	}
 	m.Phase = catalog.Draining
 	return catalog.Write{Members: []catalog.Endpoint{m}}, nil
@@ -168,8 +168,8 @@
 	if reg.Member.ID != req.PathValue("id") || reg.Member.Phase != catalog.Serving {
 		return catalog.Write{}, fmt.Errorf("the member must have the id of the path and phase %s", catalog.Serving)
 	}
-	if reg.TTL < catalog.MinTTL || reg.TTL > catalog.MaxTTL {
-		return catalog.Write{}, fmt.Errorf("ttl_ms must be %d to %d", int64(catalog.MinTTL), int64(catalog.MaxTTL))
+	if reg.TTL < catalog.MinTTLMS || reg.TTL > catalog.MaxTTLMS {
+		return catalog.Write{}, fmt.Errorf("ttl_ms must be %d to %d", int64(catalog.MinTTLMS), int64(catalog.MaxTTLMS))
 	}
-	return catalog.Write{Members: []catalog.Endpoint{reg.Member}, TTL: reg.TTL}, reg.Member.Check()
+	return catalog.Write{Members: []catalog.Endpoint{reg.Member}, TTL: reg.TTL}, reg.Member.Validate()
 }
--- a/internal/lab/replicas.go
+++ b/internal/lab/replicas.go
@@ -94,7 +94,7 @@
 	for _, d := range r.replicas {
 		addresses = append(addresses, d.Reached(replica.HTTP))
 	}
-	op := &directory.Operator{Addresses: addresses, By: "lab", Client: &http.Client{Timeout: writeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+	op := &directory.AdminClient{Addresses: addresses, By: "lab", HTTPClient: &http.Client{Timeout: writeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for {
 		members, news := r.platform.Members()
 		_, err := op.Put(ctx, members, true, true, "*")
--- a/internal/lab/scale/hollow/destinations.go
+++ b/internal/lab/scale/hollow/destinations.go
@@ -60,7 +60,7 @@
 }
 
 func openTeller(ctx context.Context, s play.Spec, endpoints int, r *play.Reading) (*teller, error) {
-	if endpoints <= catalog.UsualMembers && s.Set["stand_in"] == 0 {
+	if endpoints <= catalog.DefaultMaxEndpoints && s.Set["stand_in"] == 0 {
 		svc, err := openService(ctx, s, 1, false, listOf(endpoints))
 		if err != nil {
 			return nil, err
@@ -75,11 +75,11 @@
 				return svc.write(ctx, []catalog.Endpoint{e}, false)
 			}}, nil
 	}
-	if endpoints > catalog.UsualMembers {
+	if endpoints > catalog.DefaultMaxEndpoints {
 		if err := capped(ctx, s, endpoints); err != nil {
 			return nil, err
 		}
-		r.Note("the directory ended before: it takes %d endpoints at most and refused %d (507); a stand-in tells the list", catalog.UsualMembers, endpoints)
+		r.Note("the directory ended before: it takes %d endpoints at most and refused %d (507); a stand-in tells the list", catalog.DefaultMaxEndpoints, endpoints)
 	}
 	src, err := openSource(endpoints)
 	if err != nil {
@@ -98,13 +98,13 @@
 	}
 	defer svc.close()
 	op := svc.operator(svc.replicas...)
-	op.Wait = 0
-	_, err = op.Put(ctx, listOf(min(endpoints, catalog.UsualMembers+1)), true, true, "*")
-	var no *directory.Refusal
-	if errors.As(err, &no) && no.Code == http.StatusInsufficientStorage {
+	op.RetryFor = 0
+	_, err = op.Put(ctx, listOf(min(endpoints, catalog.DefaultMaxEndpoints+1)), true, true, "*")
+	var no *directory.ResponseError
+	if errors.As(err, &no) && no.StatusCode == http.StatusInsufficientStorage {
 		return nil
 	}
-	return fmt.Errorf("a list of more than %d endpoints should have been refused for want of room: %w", catalog.UsualMembers, err)
+	return fmt.Errorf("a list of more than %d endpoints should have been refused for want of room: %w", catalog.DefaultMaxEndpoints, err)
 }
 
 func playDestinations(ctx context.Context, s play.Spec, log *slog.Logger) (r play.Reading, err error) {
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -104,7 +104,7 @@
 }
 
 // newReplica is a real replica of the directory in this process.
-func newReplica(t *testing.T) (address string, op *directory.Operator) {
+func newReplica(t *testing.T) (address string, op *directory.AdminClient) {
 	t.Helper()
 	cfg := directory.Defaults()
 	cfg.HTTP, cfg.Data = place(t), t.TempDir()
@@ -123,7 +123,7 @@
 			t.Error(err)
 		}
 	})
-	return cfg.HTTP, &directory.Operator{Addresses: []string{cfg.HTTP}, Wait: longest, Client: client}
+	return cfg.HTTP, &directory.AdminClient{Addresses: []string{cfg.HTTP}, RetryFor: longest, HTTPClient: client}
 }
 
 // newNode is a hollow node that lives.
@@ -146,7 +146,7 @@
 	return n
 }
 
-func put(t *testing.T, op *directory.Operator, whole bool, members ...catalog.Endpoint) int64 {
+func put(t *testing.T, op *directory.AdminClient, whole bool, members ...catalog.Endpoint) int64 {
 	t.Helper()
 	w, err := op.Put(t.Context(), members, whole, true, "*")
 	if err != nil {
@@ -309,7 +309,7 @@
 	for _, n := range []int{1, 10, 1000, 29_411} {
 		cells := map[int]int{}
 		for _, e := range listOf(endpointsOf(n)) {
-			if err := e.Check(); err != nil {
+			if err := e.Validate(); err != nil {
 				t.Fatal(err)
 			}
 			cells[e.Cell]++
--- a/internal/lab/scale/hollow/owned.go
+++ b/internal/lab/scale/hollow/owned.go
@@ -116,7 +116,7 @@
 
 // openLarge starts one replica whose bound is raised, and writes a list of any length to it; it returns its revision.
 func openLarge(ctx context.Context, s play.Spec, endpoints int) (*service, int64, error) {
-	svc, err := openServiceOf(ctx, s, fmt.Sprintf("[list]\nmost = %d\n", max(endpoints, catalog.UsualMembers)), 1, false, listOf(1))
+	svc, err := openServiceOf(ctx, s, fmt.Sprintf("[list]\nmost = %d\n", max(endpoints, catalog.DefaultMaxEndpoints)), 1, false, listOf(1))
 	if err != nil {
 		return nil, 0, err
 	}
@@ -145,7 +145,7 @@
 		return 0, err
 	}
 	const path = "/records/" + ownership.RecordName
-	var w directory.Written
+	var w directory.WriteResult
 	ask := func(method string, body object) error {
 		raw, err := json.Marshal(body)
 		if err == nil {
@@ -391,7 +391,7 @@
 
 // keptIs holds the list that a node has kept in a folder against its share. The node must have ended.
 func keptIs(dir string, of *realm) error {
-	k, err := registry.OpenKept(dir, math.MaxInt64)
+	k, err := registry.OpenListCache(dir, math.MaxInt64)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/hollow/service.go
+++ b/internal/lab/scale/hollow/service.go
@@ -138,8 +138,8 @@
 	return all
 }
 
-func (s *service) operator(replicas ...*replica.Replica) *directory.Operator {
-	op := &directory.Operator{By: "scale", Wait: serviceWait, Client: s.client}
+func (s *service) operator(replicas ...*replica.Replica) *directory.AdminClient {
+	op := &directory.AdminClient{By: "scale", RetryFor: serviceWait, HTTPClient: s.client}
 	for _, r := range replicas {
 		op.Addresses = append(op.Addresses, r.Own(replica.HTTP))
 	}
@@ -148,7 +148,7 @@
 
 func (s *service) status(ctx context.Context, r *replica.Replica) (directory.Status, error) {
 	op := s.operator(r)
-	op.Wait = 0
+	op.RetryFor = 0
 	return op.Status(ctx)
 }
 
@@ -218,7 +218,7 @@
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, longest, fmt.Errorf("a write was not done within %v", longest))
 	defer cancel()
-	once := func(op *directory.Operator) ([]byte, error) {
+	once := func(op *directory.AdminClient) ([]byte, error) {
 		ctx, cancel := context.WithTimeout(ctx, answerIn)
 		defer cancel()
 		answer, _, err := op.Do(ctx, method, "/registry/instances?confirm=1", "*", raw)
@@ -228,14 +228,14 @@
 		first := try % len(s.replicas)
 		answer, err := once(s.operator(slices.Concat(s.replicas[first:], s.replicas[:first])...))
 		if err == nil {
-			var w directory.Written
+			var w directory.WriteResult
 			err = json.Unmarshal(answer, &w)
 			return w.Revision, err
 		}
 		if cause := context.Cause(ctx); cause != nil {
 			return 0, fmt.Errorf("%w: %w", cause, err)
 		}
-		if !errors.Is(err, directory.ErrUnknown) && !errors.Is(err, directory.ErrRefused) {
+		if !errors.Is(err, directory.ErrAmbiguous) && !errors.Is(err, directory.ErrRefused) {
 			return 0, err
 		}
 		registry.Sleep(ctx, tryAgain)
--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -279,12 +279,12 @@
 		members = append(members, t.endpointAt(fmt.Sprint("s", d), d, d))
 	}
 	op := t.client(99)
-	op.Wait = settleWait
+	op.RetryFor = settleWait
 	if _, err := op.Put(ctx, members, true, true, "*"); err != nil {
 		return fmt.Errorf("the first list: %w", err)
 	}
 	first := t.newController(controllers)
-	first.op.Wait = settleWait
+	first.op.RetryFor = settleWait
 	if _, err := first.change(ctx, whole, func([]ownership.Member) []ownership.Member { return t.members() }); err != nil {
 		return fmt.Errorf("the first map: %w", err)
 	}
@@ -865,7 +865,7 @@
 func (t *ownershipTrial) settle(ctx context.Context) error {
 	out := t.r.IntN(ownNodes)
 	c := t.newController(controllers + 1)
-	c.op.Wait = settleWait
+	c.op.RetryFor = settleWait
 	if t.own.Breach == BreachAccept {
 		t.mu.Lock()
 		t.stubborn = out
@@ -1057,7 +1057,7 @@
 		Given(s.handed, s.ends, func(d int) bool { return d < steadyDests }))
 	if t.own.Breach != BreachNumber { // which makes another history
 		op := t.client(99)
-		op.Wait = settleWait
+		op.RetryFor = settleWait
 		truth, err := t.truth(ctx, op)
 		if err != nil {
 			return err
--- a/internal/lab/trial/ownership_control.go
+++ b/internal/lab/trial/ownership_control.go
@@ -49,12 +49,12 @@
 	name  string
 	lives int
 	r     *rand.Rand
-	op    *directory.Operator
+	op    *directory.AdminClient
 }
 
 func (t *ownershipTrial) newController(n int) *controller {
 	op := t.client(300 + n)
-	op.Client.Timeout = controlWait
+	op.HTTPClient.Timeout = controlWait
 	return &controller{t: t, name: fmt.Sprint("c", n), r: rand.New(rand.NewPCG(t.opts.Seed, uint64(3000+n))), op: op}
 }
 
@@ -101,7 +101,7 @@
 // change makes one new map, of members that come from those of the map before, and returns it. The controller dies or loses what the
 // boundary says.
 func (c *controller) change(ctx context.Context, at boundary, members func([]ownership.Member) []ownership.Member) (*ownership.Map, error) {
-	until := time.Now().Add(changeWait + c.op.Wait)
+	until := time.Now().Add(changeWait + c.op.RetryFor)
 	var sought *ownership.Map
 	a := ownership.Publisher{Plan: func(number int64, before *ownership.Map) (m *ownership.Map, err error) {
 		var now []ownership.Member
@@ -174,7 +174,7 @@
 		_, err = c.ask(ctx, http.MethodPost, mapPath, map[string]any{"token": act.Token, "value": act.Value})
 		w.Return = c.t.now()
 		switch {
-		case err != nil && !errors.Is(err, directory.ErrUnknown):
+		case err != nil && !errors.Is(err, directory.ErrAmbiguous):
 			c.t.dropped(e)
 		case err != nil:
 			w.Outcome = Unknown
@@ -189,7 +189,7 @@
 	if err != nil {
 		ans.Outcome = ownership.Refused
 	}
-	if errors.Is(err, directory.ErrUnknown) {
+	if errors.Is(err, directory.ErrAmbiguous) {
 		ans.Outcome = ownership.Ambiguous
 	}
 	return ans
--- a/internal/lab/trial/size.go
+++ b/internal/lab/trial/size.go
@@ -202,7 +202,7 @@
 		return err
 	}
 	defer p.End(ctx, 3*time.Second)
-	op := &directory.Operator{Addresses: []string{addr}, Wait: settleWait, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	op := &directory.AdminClient{Addresses: []string{addr}, RetryFor: settleWait, HTTPClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	if way != "encode for each" {
 		var all []catalog.Endpoint
 		for n := range o.Endpoints {
@@ -423,7 +423,7 @@
 		parts.Go(func() {
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			defer client.CloseIdleConnections()
-			op := &directory.Operator{Addresses: []string{lead.Own(replica.HTTP)}, Client: client}
+			op := &directory.AdminClient{Addresses: []string{lead.Own(replica.HTTP)}, HTTPClient: client}
 			for i := int64(1); time.Since(begin) < o.Length && ctx.Err() == nil; i++ {
 				at := time.Now()
 				if _, err := op.Put(ctx, []catalog.Endpoint{numbered(w, i)}, false, false, "*"); err == nil {
@@ -455,7 +455,7 @@
 	for _, r := range t.all {
 		addresses = append(addresses, r.Own(replica.HTTP))
 	}
-	op := &directory.Operator{Addresses: addresses, Client: &http.Client{Timeout: opWait, Transport: &http.Transport{DisableKeepAlives: true}}}
+	op := &directory.AdminClient{Addresses: addresses, HTTPClient: &http.Client{Timeout: opWait, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for i := range o.Kills {
 		lead := t.leader(ctx)
 		lead.Process().Signal(syscall.SIGKILL)
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -135,8 +135,8 @@
 }
 
 // operator asks one replica past its links.
-func operator(r *replica.Replica) *directory.Operator {
-	return &directory.Operator{Addresses: []string{r.Own(replica.HTTP)}, Client: &http.Client{Timeout: opWait, Transport: &http.Transport{DisableKeepAlives: true}}}
+func operator(r *replica.Replica) *directory.AdminClient {
+	return &directory.AdminClient{Addresses: []string{r.Own(replica.HTTP)}, HTTPClient: &http.Client{Timeout: opWait, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // leader is the replica that says it leads, or any.
@@ -253,18 +253,18 @@
 }
 
 // client asks by its own connections, at the replicas in an order of its own.
-func (t *trial) client(n int) *directory.Operator {
-	return &directory.Operator{Addresses: t.addresses(uint64(100 + n)), By: fmt.Sprint("writer ", n),
-		Client: &http.Client{Timeout: opWait, Transport: &http.Transport{DisableKeepAlives: true}}}
+func (t *trial) client(n int) *directory.AdminClient {
+	return &directory.AdminClient{Addresses: t.addresses(uint64(100 + n)), By: fmt.Sprint("writer ", n),
+		HTTPClient: &http.Client{Timeout: opWait, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // watch follows the list as every client of the service does.
 func (t *trial) watch(ctx context.Context, n int) {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	w := registry.Watcher{Addresses: t.addresses(uint64(n)), Nodes: 1, Client: &http.Client{Transport: transport}, Log: t.opts.Log,
-		Track: registry.NewTrack(registry.Position{})}
-	w.Watch(ctx, func(l registry.News) error {
+	w := registry.Watcher{Addresses: t.addresses(uint64(n)), FleetSize: 1, Client: &http.Client{Transport: transport}, Log: t.opts.Log,
+		Cursor: registry.NewCursor(registry.Position{})}
+	w.Watch(ctx, func(l registry.Update) error {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		t.told[n] = append(t.told[n], Told{n, l.History, l.List})
@@ -304,7 +304,7 @@
 	}
 }
 
-func (t *trial) read(c *directory.Operator, n int, id string) (value int64, match string, ok bool) {
+func (t *trial) read(c *directory.AdminClient, n int, id string) (value int64, match string, ok bool) {
 	op := Op{Client: n, Kind: Read, ID: id, Outcome: Done, Call: t.now()}
 	l, match, _, err := c.List(context.Background(), !t.opts.Stale)
 	if err != nil {
@@ -320,7 +320,7 @@
 	return 0, "", false
 }
 
-func (t *trial) put(c *directory.Operator, op Op, match string) {
+func (t *trial) put(c *directory.AdminClient, op Op, match string) {
 	op.New, op.Call = t.value.Add(1), t.now()
 	w, err := c.Put(context.Background(), []catalog.Endpoint{t.endpoint(op.ID, op.New)}, false, false, match)
 	switch {
@@ -328,7 +328,7 @@
 		op.Outcome, op.Revision = Done, w.Revision
 	case errors.Is(err, catalog.ErrConflict):
 		op.Outcome = Conflict
-	case errors.Is(err, directory.ErrRefused) && !errors.Is(err, directory.ErrUnknown):
+	case errors.Is(err, directory.ErrRefused) && !errors.Is(err, directory.ErrAmbiguous):
 		t.mu.Lock()
 		t.res.Refusal = max(t.res.Refusal, t.now()-op.Call)
 		t.res.Ops[string(op.Kind)+" refused"]++
@@ -465,8 +465,8 @@
 }
 
 // judge restores a backup as a last thing, waits for the watchers, and checks all that was seen.
-func (t *trial) judge(ctx context.Context, c *directory.Operator, unwatch func()) error {
-	c.Wait = settleWait
+func (t *trial) judge(ctx context.Context, c *directory.AdminClient, unwatch func()) error {
+	c.RetryFor = settleWait
 	truth := map[int64]Truth{}
 	before, err := t.truth(ctx, c)
 	if err != nil {
@@ -500,7 +500,7 @@
 		if err != nil {
 			return err
 		}
-		truth[st.History] = Truth{From: state.Whole()}
+		truth[st.History] = Truth{From: state.FullList()}
 	}
 	truth[before.history] = before.Truth
 	t.res.Histories = len(truth)
@@ -543,14 +543,14 @@
 }
 
 // truth reads all changes from the first on.
-func (t *trial) truth(ctx context.Context, c *directory.Operator) (agreed, error) {
+func (t *trial) truth(ctx context.Context, c *directory.AdminClient) (agreed, error) {
 	a := agreed{Truth: Truth{From: catalog.List{Members: []catalog.Endpoint{}}}}
 	now, _, _, err := c.List(ctx, true)
 	if err != nil {
 		return a, err
 	}
 	lead := operator(t.leader(ctx))
-	lead.Wait = settleWait
+	lead.RetryFor = settleWait
 	for after := int64(0); ; {
 		h, err := lead.History(ctx, after, 1000)
 		if err != nil {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -82,7 +82,7 @@
 	log *slog.Logger
 
 	mu   sync.Mutex
-	kept *registry.Kept
+	kept *registry.ListCache
 }
 
 // openKept reads what the folder keeps; nil if nothing is kept there.
@@ -95,23 +95,23 @@
 		log.Warn("the list can't be kept", "err", err)
 		return nil
 	}
-	kept, err := registry.OpenKept(dir, cfg.Fleet.Registry.KeepKB<<10)
+	kept, err := registry.OpenListCache(dir, cfg.Fleet.Registry.KeepKB<<10)
 	if err != nil {
 		log.Warn("the kept list is lost", "err", err)
 	}
 	return &keptList{log: log, kept: kept}
 }
 
-func (k *keptList) take(n registry.News) {
+func (k *keptList) take(n registry.Update) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.kept.Take(n, time.Now())
+	k.kept.Apply(n, time.Now())
 }
 
 func (k *keptList) heard() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.kept.Heard(time.Now())
+	k.kept.MarkConfirmed(time.Now())
 }
 
 // run writes the file until the context ends. A folder that can't be written costs the list's age, and no more.
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -442,9 +442,9 @@
 	n.sender, n.forebear = sender, l
 	n.start = time.Now().Add(epoch - from.Clock - time.Since(from.At))
 	n.cfg.Known = catalog.List{Revision: from.Revision, Complete: true, Members: from.Members}
-	n.told = registry.Position{History: from.History, Revision: from.Revision, From: from.ToldBy}
+	n.told = registry.Position{History: from.History, Revision: from.Revision, Server: from.ToldBy}
 	if from.History == 0 && !slices.Contains(n.cfg.DiscoveryAddresses(), from.ToldBy) { // another server's revisions count something else
-		n.cfg.Known.Revision, n.told = 0, registry.Position{From: n.cfg.Discovery}
+		n.cfg.Known.Revision, n.told = 0, registry.Position{Server: n.cfg.Discovery}
 	}
 	n.listed(n.cfg.Known) // the module has it already
 	for id, until := range from.Waits {
@@ -576,7 +576,7 @@
 		return fmt.Errorf("handover: %w", err)
 	}
 	from := legacy{
-		Clock: n.now(), At: time.Now(), Sender: saved, ToldBy: n.told.From, Revision: n.told.Revision, History: n.told.History,
+		Clock: n.now(), At: time.Now(), Sender: saved, ToldBy: n.told.Server, Revision: n.told.Revision, History: n.told.History,
 		Members: slices.Collect(maps.Values(n.members)), Waits: map[string]int64{},
 	}
 	for id, e := range n.eps {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -149,7 +149,7 @@
 	if j.spoilt != "" {
 		log.Warn("a part of the journal can't be read; what it may have been about ends as failed", "part", j.spoilt)
 	}
-	told := registry.Position{Revision: cfg.Known.Revision, From: cfg.Discovery}
+	told := registry.Position{Revision: cfg.Known.Revision, Server: cfg.Discovery}
 	if !slices.Contains(cfg.DiscoveryAddresses(), cfg.Discovery) { // the revisions of what tells the list count something else
 		told = registry.Position{}
 	}
@@ -320,7 +320,7 @@
 // taken, or a drain could be undone. Notices that were not answered go to the new address.
 func (n *Node) consult(ctx context.Context) {
 	addrs := n.cfg.DiscoveryAddresses()
-	track := registry.NewTrack(n.told) // the watch's, of which there is one at a time
+	track := registry.NewCursor(n.told) // the watch's, of which there is one at a time
 	var unanswered []notice
 	for ctx.Err() == nil {
 		here, leave := context.WithCancel(ctx)
@@ -328,13 +328,13 @@
 		client := &http.Client{Transport: transport}
 		at := addrs // which change while the parts begin
 		var parts sync.WaitGroup
-		w := registry.Watcher{Addresses: at, Nodes: max(n.cfg.Settings.FleetSize, 1), Client: client, Log: n.log, Track: track}
+		w := registry.Watcher{Addresses: at, FleetSize: max(n.cfg.Settings.FleetSize, 1), Client: client, Log: n.log, Cursor: track}
 		if n.kept != nil {
-			w.Heard = n.kept.heard
+			w.OnLine = n.kept.heard
 			parts.Go(func() { n.kept.run(here) })
 		}
 		parts.Go(func() {
-			n.watch(here, &w, func(l registry.News) error {
+			n.watch(here, &w, func(l registry.Update) error {
 				n.tell(ctx, l)
 				if n.kept != nil {
 					n.kept.take(l)
@@ -359,7 +359,7 @@
 		leave()
 		parts.Wait()
 		transport.CloseIdleConnections()
-		track.Moved(time.Now())
+		track.ServerChanged(time.Now())
 	}
 }
 
@@ -520,7 +520,7 @@
 	fresh := newcomers{}
 	for _, e := range batch {
 		switch e := e.(type) {
-		case registry.News:
+		case registry.Update:
 			n.told = e.Position()
 			events = append(events, n.listed(e.List))
 		case outcomeOf:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -390,7 +390,7 @@
 			var ended sync.WaitGroup
 			ended.Go(func() { n.consult(ctx) })
 			for i, want := range c.want {
-				if l := (<-n.events).(registry.News); l.Revision != want {
+				if l := (<-n.events).(registry.Update); l.Revision != want {
 					t.Errorf("list %d: got revision %d, want %d", i, l.Revision, want)
 				}
 				if i == 0 {
@@ -936,7 +936,7 @@
 		members := []catalog.Endpoint{{ID: "e" + itoa(i), Addr: p.addr(), Cell: i, Phase: "SERVING"}, {ID: "e" + itoa(i-1), Cell: i - 1, Phase: "DELETED"}}
 		a := handIn("m"+itoa(i), 50*time.Second)
 		a.dest = i
-		n.take(t.Context(), []any{registry.News{List: catalog.List{Revision: int64(i), Members: members}}})
+		n.take(t.Context(), []any{registry.Update{List: catalog.List{Revision: int64(i), Members: members}}})
 		n.take(t.Context(), []any{a})
 		for len(n.out) > 0 {
 			n.take(t.Context(), []any{<-n.events})
@@ -952,7 +952,7 @@
 	}
 	n.start = n.start.Add(-time.Hour) // all windows pass
 	for range 2 {
-		n.take(t.Context(), []any{registry.News{List: catalog.List{Complete: true, Members: []catalog.Endpoint{{ID: "last", Addr: p.addr(), Cell: 1e6, Phase: "SERVING"}}}}})
+		n.take(t.Context(), []any{registry.Update{List: catalog.List{Complete: true, Members: []catalog.Endpoint{{ID: "last", Addr: p.addr(), Cell: 1e6, Phase: "SERVING"}}}}})
 	}
 	if len(n.waits) > 2 || n.sender.KnowsDestination(3) {
 		t.Errorf("%d waits", len(n.waits))
@@ -1023,7 +1023,7 @@
 		members = append(members, catalog.Endpoint{ID: "e" + itoa(i), Addr: p.addr(), Locality: "z", Flavor: "m", Cell: i % partners, Phase: "SERVING", Size: 1000})
 	}
 	n := bareAltered(t, func(cfg *Config) { cfg.Settings.MaxOpen, cfg.Settings.Slots = partners, 50 })
-	n.take(t.Context(), []any{registry.News{List: catalog.List{Complete: true, Members: members}}})
+	n.take(t.Context(), []any{registry.Update{List: catalog.List{Complete: true, Members: members}}})
 	var batch []any
 	for i := range partners {
 		a := handIn("m"+itoa(i), 50*time.Second)
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -52,8 +52,8 @@
 // check tells what can't be, and fills in what is not given.
 func (o *Ownership) check(addresses []string) error {
 	switch {
-	case o.Name == "" || len(o.Name) > catalog.MaxName || strings.ContainsFunc(o.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }):
-		return fmt.Errorf("ownership.name has 1 to %d bytes, without spaces and control characters", catalog.MaxName)
+	case o.Name == "" || len(o.Name) > catalog.MaxNameBytes || strings.ContainsFunc(o.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }):
+		return fmt.Errorf("ownership.name has 1 to %d bytes, without spaces and control characters", catalog.MaxNameBytes)
 	case o.Owners < 0 || o.Owners > maxOwners:
 		return fmt.Errorf("ownership.owners is 1 to %d", maxOwners)
 	case len(addresses) == 0:
@@ -335,7 +335,7 @@
 }
 
 // watch is w.Watch; with [ownership] of what the node follows, which it keeps up to date.
-func (n *Node) watch(ctx context.Context, w *registry.Watcher, tell func(registry.News) error) {
+func (n *Node) watch(ctx context.Context, w *registry.Watcher, tell func(registry.Update) error) {
 	if n.own == nil {
 		w.Watch(ctx, tell)
 		return
@@ -353,7 +353,7 @@
 		var whole atomic.Bool
 		one := *w
 		parts.Go(func() {
-			f.watch(here, &one, set, func(l registry.News) error {
+			f.watch(here, &one, set, func(l registry.Update) error {
 				err := tell(l)
 				if err == nil && l.Complete {
 					whole.Store(true)
@@ -370,19 +370,19 @@
 }
 
 // watch follows the list of a set. Of no partition there is none: any one's tells of maps.
-func (f *follower) watch(ctx context.Context, w *registry.Watcher, set ownership.Set, tell func(registry.News) error) {
-	asked, none, heard := set, set.Len() == 0, w.Heard
+func (f *follower) watch(ctx context.Context, w *registry.Watcher, set ownership.Set, tell func(registry.Update) error) {
+	asked, none, heard := set, set.Len() == 0, w.OnLine
 	if none {
 		asked.Add(int(crc32.ChecksumIEEE([]byte(f.name)) % ownership.PartitionCount))
 	}
 	w.Partitions = &asked
-	w.Heard = func() {
+	w.OnLine = func() {
 		f.heard.Store(time.Now().UnixNano())
 		if heard != nil {
 			heard()
 		}
 	}
-	w.Watch(ctx, func(l registry.News) error {
+	w.Watch(ctx, func(l registry.Update) error {
 		if none {
 			l.Members = nil
 		}
@@ -548,5 +548,5 @@
 	if c.Fleet.Ownership == nil {
 		return 0
 	}
-	return 2*catalog.MaxValue>>10 + c.Fleet.Registry.KeepKB
+	return 2*catalog.MaxValueBytes>>10 + c.Fleet.Registry.KeepKB
 }
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -532,11 +532,11 @@
 	})
 	whole, held, release := make(chan int, 10), make(chan struct{}, 10), make(chan struct{})
 	w := registry.Watcher{
-		Addresses: []string{d.addr()}, Nodes: 1, Client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
-		Log: slog.New(slog.DiscardHandler), Track: registry.NewTrack(registry.Position{}),
+		Addresses: []string{d.addr()}, FleetSize: 1, Client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		Log: slog.New(slog.DiscardHandler), Cursor: registry.NewCursor(registry.Position{}),
 	}
 	parts.Go(func() {
-		n.watch(ctx, &w, func(l registry.News) error {
+		n.watch(ctx, &w, func(l registry.Update) error {
 			if l.Complete {
 				whole <- len(l.Members)
 			}
@@ -739,8 +739,8 @@
 		own, _ := m.PartitionsOf("n1")
 		return own
 	}
-	list := func(whole bool, members ...catalog.Endpoint) registry.News {
-		return registry.News{List: catalog.List{Revision: 1, Complete: whole, Members: members}}
+	list := func(whole bool, members ...catalog.Endpoint) registry.Update {
+		return registry.Update{List: catalog.List{Revision: 1, Complete: whole, Members: members}}
 	}
 	mine, other := at("e1", "127.0.0.1:9", stays[0], "DRAINING"), at("e2", "127.0.0.1:9", goes[0], "DRAINING")
 	second := at("e3", "127.0.0.1:9", stays[1], "SERVING")
@@ -772,7 +772,7 @@
 	if f := hand(whole); f.mapNumber != 3 || f.owned.Len() != ownership.PartitionCount {
 		t.Errorf("got %+v", f.mapNumber)
 	}
-	for i, l := range []registry.News{list(true, mine, second), list(false), list(true, mine, second, other)} {
+	for i, l := range []registry.Update{list(true, mine, second), list(false), list(true, mine, second, other)} {
 		late := arrive("late"+itoa(i), goes[1])
 		n.take(t.Context(), []any{l, late})
 		if got := <-late.reply; got != refused {
--- a/internal/registry/formats_test.go
+++ b/internal/registry/formats_test.go
@@ -32,7 +32,7 @@
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	k, err := OpenKept(filepath.Dir(path), 4096)
+	k, err := OpenListCache(filepath.Dir(path), 4096)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	list, at, heard, ok := k.List()
-	k.Take(News{List: list, History: at.History, From: at.From}, heard)
+	k.Apply(Update{List: list, History: at.History, Server: at.Server}, heard)
 	if err := k.Flush(); err != nil || !ok {
 		t.Fatalf("there is a list: %v; %v", ok, err)
 	}
--- a/internal/registry/kept.go
+++ b/internal/registry/kept.go
@@ -18,7 +18,7 @@
 
 // ListCache keeps the latest list in a persistent folder, for a process that starts while no service is
 // reachable. It is not safe for concurrent use.
-type Kept struct {
+type ListCache struct {
 	path string
 	most int64 // size limit of the file; while it is being replaced there are two
 
@@ -39,8 +39,8 @@
 
 // OpenListCache reads the cache in a folder. A missing file is no error. If the file is unreadable, the cache
 // is usable and empty, and the error says why. maxBytes limits the size of the file.
-func OpenKept(dir string, most int64) (*Kept, error) {
-	k := &Kept{path: filepath.Join(dir, keptName), most: most, members: map[string]catalog.Endpoint{}}
+func OpenListCache(dir string, most int64) (*ListCache, error) {
+	k := &ListCache{path: filepath.Join(dir, keptName), most: most, members: map[string]catalog.Endpoint{}}
 	os.Remove(k.path + ".new") // left by a process that ended while writing
 	raw, err := os.ReadFile(k.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -54,7 +54,7 @@
 		return k, fmt.Errorf("list cache: %w", err)
 	}
 	for _, m := range f.Members {
-		if m.Check() != nil || m.Phase == catalog.Deleted {
+		if m.Validate() != nil || m.Phase == catalog.Deleted {
 			return k, fmt.Errorf("list cache: invalid endpoint %.40q", m.ID)
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // List returns the cached list, its position, and when the service last confirmed it; false if there is none.
-func (k *Kept) List() (catalog.List, Position, time.Time, bool) {
+func (k *ListCache) List() (catalog.List, Position, time.Time, bool) {
 	l := catalog.List{Revision: k.at.Revision, Complete: true, Members: []catalog.Endpoint{}}
 	for _, m := range k.members {
 		l.Members = append(l.Members, m)
@@ -76,7 +76,7 @@
 }
 
 // Apply applies an update in memory. Flush writes it to the file.
-func (k *Kept) Take(n News, now time.Time) {
+func (k *ListCache) Apply(n Update, now time.Time) {
 	if n.Complete {
 		clear(k.members)
 	}
@@ -89,7 +89,7 @@
 }
 
 // MarkConfirmed notes that the service still confirms the list.
-func (k *Kept) Heard(now time.Time) {
+func (k *ListCache) MarkConfirmed(now time.Time) {
 	if !k.heard.IsZero() {
 		k.heard = now
 	}
@@ -97,12 +97,12 @@
 
 // Flush writes the file if the list has changed. It replaces the file atomically. After a write error it
 // tries again at the next call, but not if the list is too large.
-func (k *Kept) Flush() error {
+func (k *ListCache) Flush() error {
 	if !k.due {
 		return nil
 	}
 	l, at, heard, _ := k.List()
-	raw, err := json.Marshal(keptFile{heard, at.History, at.Revision, at.From, l.Members})
+	raw, err := json.Marshal(keptFile{heard, at.History, at.Revision, at.Server, l.Members})
 	if err != nil {
 		return fmt.Errorf("list cache: %w", err)
 	}
--- a/internal/registry/ownership.go
+++ b/internal/registry/ownership.go
@@ -15,7 +15,7 @@
 
 // maxMapResponse exceeds any response with a record: a value of catalog.MaxValue bytes in base64, and the
 // fields around it.
-const maxMapAnswer = catalog.MaxValue*4/3 + 8<<10
+const maxMapAnswer = catalog.MaxValueBytes*4/3 + 8<<10
 
 // ErrNoMap reports that a server has no partition map.
 var ErrNoMap = errors.New("the server has no partition map")
@@ -33,7 +33,7 @@
 		addr := addresses[(begin+i)%len(addresses)]
 		m, err := fetchMap(ctx, client, addr)
 		if err == nil && m.Number < least {
-			err = fmt.Errorf("%w: map number %d is below the known %d", ErrBehind, m.Number, least)
+			err = fmt.Errorf("%w: map number %d is below the known %d", ErrStale, m.Number, least)
 		}
 		if err == nil {
 			return m, nil
--- a/internal/registry/ownership_test.go
+++ b/internal/registry/ownership_test.go
@@ -47,7 +47,7 @@
 		{Position{3, 8, "b:1"}, "http://a:1/registry/instances?watch=1&after=8&history=3"},
 	} {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := Watcher{Addresses: []string{"a:1"}, Nodes: 1, Log: slog.New(slog.DiscardHandler), Track: NewTrack(c.at)}
+		w := Watcher{Addresses: []string{"a:1"}, FleetSize: 1, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(c.at)}
 		w.Client = &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
 			if req.Method != http.MethodGet || req.URL.String() != c.want || len(req.Header) > 0 || req.Body != nil {
 				t.Errorf("unexpected request %s %s %v", req.Method, req.URL, req.Header)
@@ -55,7 +55,7 @@
 			return said(200, nil, `{"revision":9,"complete":false,"members":[]}`), nil
 		})}
 		told := false
-		w.Watch(ctx, func(n News) error {
+		w.Watch(ctx, func(n Update) error {
 			told = n.Revision == 9 && n.Map == 0
 			cancel()
 			return nil
@@ -85,7 +85,7 @@
 		{"after=11" + set, whole(12)},
 	}
 	asks := 0
-	w := Watcher{Addresses: []string{"a:1"}, Nodes: 1, Log: slog.New(slog.DiscardHandler), Track: NewTrack(Position{3, 8, "b:1"}), Partitions: someSet()}
+	w := Watcher{Addresses: []string{"a:1"}, FleetSize: 1, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(Position{3, 8, "b:1"}), Partitions: someSet()}
 	w.Client = &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
 		if asks >= len(script) {
 			return nil, errors.New("unexpected request")
@@ -96,7 +96,7 @@
 		asks++
 		return said(200, head, script[asks-1].answer), nil
 	})}
-	w.Watch(ctx, func(n News) error {
+	w.Watch(ctx, func(n Update) error {
 		if n.Map != 6 {
 			t.Errorf("the map number is %d", n.Map)
 		}
@@ -122,7 +122,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			var logged strings.Builder
-			w := Watcher{Addresses: []string{"a:1", "b:1", "c:1"}, Nodes: 820, Log: slog.New(slog.NewTextHandler(&logged, nil)), Track: NewTrack(Position{}), Partitions: someSet()}
+			w := Watcher{Addresses: []string{"a:1", "b:1", "c:1"}, FleetSize: 820, Log: slog.New(slog.NewTextHandler(&logged, nil)), Cursor: NewCursor(Position{}), Partitions: someSet()}
 			upgraded, began := time.Hour, time.Now()
 			asks := 0
 			w.Client = &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
@@ -136,9 +136,9 @@
 				}
 				return said(200, head, list), nil
 			})}
-			w.Watch(ctx, func(n News) error {
-				if n.From != "c:1" {
-					t.Errorf("accepted an update from %s", n.From)
+			w.Watch(ctx, func(n Update) error {
+				if n.Server != "c:1" {
+					t.Errorf("accepted an update from %s", n.Server)
 				}
 				cancel()
 				return nil
@@ -149,7 +149,7 @@
 			if n := strings.Count(logged.String(), "would send the whole list"); n != 3 {
 				t.Errorf("logged %d times: %s", n, logged.String())
 			}
-			if err := w.once(t.Context(), "a:1", 0, 0, nil); !errors.Is(err, ErrCannotPart) {
+			if err := w.once(t.Context(), "a:1", 0, 0, nil); !errors.Is(err, ErrNoPartitionFilter) {
 				t.Errorf("%q: %v", by, err)
 			}
 		})
@@ -162,7 +162,7 @@
 	for range 20 { // the first address is random
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			w := Watcher{Addresses: []string{"a:1", "b:1", "c:1"}, Nodes: 820, Log: slog.New(slog.DiscardHandler), Track: NewTrack(Position{}), Partitions: someSet()}
+			w := Watcher{Addresses: []string{"a:1", "b:1", "c:1"}, FleetSize: 820, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(Position{}), Partitions: someSet()}
 			began := time.Now()
 			w.Client = &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
 				switch req.URL.Host {
@@ -174,7 +174,7 @@
 				}
 				return said(200, map[string]string{"Registry-History": "3", "Registry-Partitions": "4096"}, `{"revision":9,"complete":true,"members":[]}`), nil
 			})}
-			w.Watch(ctx, func(n News) error { cancel(); return nil })
+			w.Watch(ctx, func(n Update) error { cancel(); return nil })
 			if took := time.Since(began); took > answerTime+3*firstBackoff {
 				t.Errorf("received after %v", took)
 			}
@@ -251,7 +251,7 @@
 		}
 		began := time.Now()
 		m, err := FetchMap(t.Context(), client, all, 5)
-		if m != nil || !errors.Is(err, ErrBehind) || !errors.Is(err, ErrNoMap) || !errors.Is(err, context.DeadlineExceeded) {
+		if m != nil || !errors.Is(err, ErrStale) || !errors.Is(err, ErrNoMap) || !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("no server has the map: %v", err)
 		}
 		for _, addr := range all {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -56,12 +56,12 @@
 
 var (
 	// ErrStale reports a server that does not have a revision yet that another server has sent.
-	ErrBehind = errors.New("the list is older than the known one")
+	ErrStale = errors.New("the list is older than the known one")
 	// ErrRefused reports a server that had no capacity for the request.
 	ErrRefused = errors.New("refused")
 	// ErrNoPartitionFilter reports a server that would send the whole list instead of some partitions: a
 	// replica of an older build, or one with another number of partitions.
-	ErrCannotPart = errors.New("the server does not filter the list by partitions")
+	ErrNoPartitionFilter = errors.New("the server does not filter the list by partitions")
 	// errSilent reports a watch on which a server sent nothing for longer than a live one does.
 	errSilent = errors.New("no heartbeat")
 )
@@ -70,40 +70,40 @@
 type Position struct {
 	History  int64 // 0: the server reports none
 	Revision int64
-	From     string // its address
+	Server   string // its address
 }
 
 // Update is a list, or the changes to one. Map is the number of the newest partition map that the server has,
 // 0 if there is none or the whole list was requested. An update without members only reports a new revision
 // or map number.
-type News struct {
+type Update struct {
 	catalog.List
-	History int64  // as in Position
-	From    string // its address
-	Vouched bool   // the directory's own source is alive; always true for the platform
+	History     int64  // as in Position
+	Server      string // its address
+	SourceAlive bool   // the directory's own source is alive; always true for the platform
 }
 
 // Position returns the position after the update.
-func (n News) Position() Position { return Position{n.History, n.Revision, n.From} }
+func (n Update) Position() Position { return Position{n.History, n.Revision, n.Server} }
 
 // Cursor prevents a caller from going back: it holds the position, and decides which updates are accepted. It
 // is not safe for concurrent use.
-type Track struct {
+type Cursor struct {
 	at    Position
 	until time.Time // until then, an older revision of another server only means that the server lags
 	left  bool      // the watch is trying servers and has received no update since it left the last one
 }
 
 // NewCursor returns a cursor at a position.
-func NewTrack(at Position) *Track { return &Track{at: at} }
+func NewCursor(at Position) *Cursor { return &Cursor{at: at} }
 
 // Position returns the position of the last accepted update.
-func (t *Track) At() Position { return t.at }
+func (t *Cursor) Position() Position { return t.at }
 
 // ResumeFrom returns the position from which to request changes of a server. Without a history, revisions of
 // another server may count something else, and the position is 0.
-func (t *Track) After(addr string) (history, revision int64) {
-	if t.at.History > 0 || t.at.From == "" || t.at.From == addr {
+func (t *Cursor) ResumeFrom(addr string) (history, revision int64) {
+	if t.at.History > 0 || t.at.Server == "" || t.at.Server == addr {
 		return t.at.History, t.at.Revision
 	}
 	return 0, 0
@@ -111,29 +111,29 @@
 
 // ServerChanged notes that another server is asked from now on. A server that reports no history gets time to
 // catch up.
-func (t *Track) Moved(now time.Time) { t.until = now.Add(catchUpTime) }
+func (t *Cursor) ServerChanged(now time.Time) { t.until = now.Add(catchUpTime) }
 
 // tryNextServer is ServerChanged for a watch that tries server after server until one sends an update; the
 // time to catch up starts only once.
-func (t *Track) tryNext(now time.Time) {
+func (t *Cursor) tryNext(now time.Time) {
 	if !t.left {
 		t.left = true
-		t.Moved(now)
+		t.ServerChanged(now)
 	}
 }
 
 // Advance accepts an update, or returns ErrStale.
-func (t *Track) Take(n News, now time.Time) error {
+func (t *Cursor) Advance(n Update, now time.Time) error {
 	switch {
 	case n.History > t.at.History && t.at.History > 0: // restored from a backup; revisions start anew
 		if !n.Complete {
-			return fmt.Errorf("%w: changes of another history without its complete list", ErrBehind)
+			return fmt.Errorf("%w: changes of another history without its complete list", ErrStale)
 		}
 	case n.History > 0 && n.History < t.at.History, n.History == t.at.History && n.History > 0 && n.Revision < t.at.Revision:
-		return fmt.Errorf("%w: position %d.%d after %d.%d", ErrBehind, n.History, n.Revision, t.at.History, t.at.Revision)
+		return fmt.Errorf("%w: position %d.%d after %d.%d", ErrStale, n.History, n.Revision, t.at.History, t.at.Revision)
 	case n.History != t.at.History || n.History == 0: // only time can tell whether the revisions are comparable
 		if n.Revision < t.at.Revision && now.Before(t.until) {
-			return fmt.Errorf("%w: revision %d after %d", ErrBehind, n.Revision, t.at.Revision)
+			return fmt.Errorf("%w: revision %d after %d", ErrStale, n.Revision, t.at.Revision)
 		}
 	}
 	t.at, t.left = n.Position(), false
@@ -201,11 +201,11 @@
 // Watcher follows the list of endpoints.
 type Watcher struct {
 	Addresses []string // at least one; all serve the same list
-	Nodes     int      // number of watchers in total
+	FleetSize int      // number of watchers in total
 	Client    *http.Client
 	Log       *slog.Logger
-	Track     *Track
-	Heard     func() // called for each line that a server sends, including empty ones; may be nil
+	Cursor    *Cursor
+	OnLine    func() // called for each line that a server sends, including empty ones; may be nil
 
 	// Partitions selects the partitions to follow; nil: the whole list. It must not be modified while Watch
 	// runs; to follow others, call Watch again. The first list of each call is complete, later ones continue
@@ -217,8 +217,8 @@
 // Watch follows the list until the context ends, and passes each update to handle. If handle returns an
 // error, Watch ends that watch and requests the update again. It starts at a random address, and moves to the
 // next one on failure.
-func (w *Watcher) Watch(ctx context.Context, tell func(News) error) {
-	pause := pauses{nodes: w.Nodes}
+func (w *Watcher) Watch(ctx context.Context, tell func(Update) error) {
+	pause := pauses{nodes: w.FleetSize}
 	n := 0
 	if len(w.Addresses) > 1 {
 		n = rand.IntN(len(w.Addresses))
@@ -230,15 +230,15 @@
 	for ctx.Err() == nil {
 		first := true
 		addr := w.Addresses[n%len(w.Addresses)]
-		history, after := w.Track.After(addr)
+		history, after := w.Cursor.ResumeFrom(addr)
 		if whole {
 			after = 0
 		}
-		err := w.once(ctx, addr, history, after, func(l News) error {
+		err := w.once(ctx, addr, history, after, func(l Update) error {
 			if whole && !l.Complete {
 				return errors.New("watch: received changes instead of the complete list")
 			}
-			if err := w.Track.Take(l, time.Now()); err != nil {
+			if err := w.Cursor.Advance(l, time.Now()); err != nil {
 				return err
 			}
 			if first {
@@ -256,7 +256,7 @@
 			return
 		}
 		w.Log.Debug("watch ended", "discovery", addr, "err", err)
-		is := errors.Is(err, ErrCannotPart)
+		is := errors.Is(err, ErrNoPartitionFilter)
 		if is {
 			unable++
 		}
@@ -278,7 +278,7 @@
 		}
 		if len(w.Addresses) > 1 {
 			n++
-			w.Track.tryNext(time.Now())
+			w.Cursor.tryNext(time.Now())
 		}
 		Sleep(ctx, wait)
 	}
@@ -304,7 +304,7 @@
 }
 
 // watchOnce runs one watch to its end. It gives up on a silent watch, whose server's machine may be gone.
-func (w *Watcher) once(ctx context.Context, addr string, history, after int64, tell func(News) error) error {
+func (w *Watcher) once(ctx context.Context, addr string, history, after int64, tell func(Update) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	silence := time.AfterFunc(answerTime, func() { cancel(errSilent) })
@@ -317,7 +317,7 @@
 }
 
 // readUpdates reads the lists of one watch. It calls alive for each sign that the server is alive.
-func (w *Watcher) follow(ctx context.Context, addr string, history, after int64, alive func(), tell func(News) error) error {
+func (w *Watcher) follow(ctx context.Context, addr string, history, after int64, alive func(), tell func(Update) error) error {
 	url := fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", addr, after)
 	if history > 0 {
 		url += fmt.Sprintf("&history=%d", history)
@@ -341,9 +341,9 @@
 		return fmt.Errorf("watch: %s", resp.Status)
 	}
 	if by := resp.Header.Get(partitionsOf); w.Partitions != nil && by != strconv.Itoa(ownership.PartitionCount) {
-		return fmt.Errorf("watch: %w: header %s is %.40q", ErrCannotPart, partitionsOf, by)
+		return fmt.Errorf("watch: %w: header %s is %.40q", ErrNoPartitionFilter, partitionsOf, by)
 	}
-	news := News{From: addr, Vouched: resp.Header.Get(vouchedOf) != "no"}
+	news := Update{Server: addr, SourceAlive: resp.Header.Get(vouchedOf) != "no"}
 	if h := resp.Header.Get(historyOf); h != "" {
 		if news.History, err = strconv.ParseInt(h, 10, 64); err != nil || news.History <= 0 {
 			return fmt.Errorf("watch: invalid history number %.40q", h)
@@ -352,8 +352,8 @@
 	alive()
 	heard := func() {
 		alive()
-		if w.Heard != nil {
-			w.Heard()
+		if w.OnLine != nil {
+			w.OnLine()
 		}
 	}
 	body := &lists{r: resp.Body, empty: heard}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -19,7 +19,7 @@
 )
 
 func watcher(servers ...*httptest.Server) *Watcher {
-	w := &Watcher{Nodes: 1, Client: http.DefaultClient, Log: slog.New(slog.DiscardHandler), Track: NewTrack(Position{})}
+	w := &Watcher{FleetSize: 1, Client: http.DefaultClient, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(Position{})}
 	for _, s := range servers {
 		w.Addresses = append(w.Addresses, s.Listener.Addr().String())
 	}
@@ -105,7 +105,7 @@
 	defer cancel()
 	var ended sync.WaitGroup
 	ended.Go(func() {
-		watcher(srv).Watch(ctx, func(News) error { return nil })
+		watcher(srv).Watch(ctx, func(Update) error { return nil })
 	})
 	<-watches
 	if again := <-watches; again > 8*time.Second {
@@ -119,13 +119,13 @@
 // newer history is accepted, as such.
 func TestTrackNeverGoesBack(t *testing.T) {
 	now := time.Now()
-	told := func(from string, history, revision int64, whole bool) News {
-		return News{List: catalog.List{Revision: revision, Complete: whole}, History: history, From: from}
+	told := func(from string, history, revision int64, whole bool) Update {
+		return Update{List: catalog.List{Revision: revision, Complete: whole}, History: history, Server: from}
 	}
 	for _, c := range []struct {
 		name string
 		at   Position
-		news News
+		news Update
 		late time.Duration // since the change of servers
 		ok   bool
 	}{
@@ -140,14 +140,14 @@
 		{"directory after the platform, too soon", Position{0, 5, "a"}, told("b", 9, 4, true), time.Second, false},
 		{"directory after the platform", Position{0, 5, "a"}, told("b", 9, 4, true), 3 * time.Second, true},
 	} {
-		tr := NewTrack(c.at)
-		tr.Moved(now)
-		err := tr.Take(c.news, now.Add(c.late))
-		if (err == nil) != c.ok || err != nil && !errors.Is(err, ErrBehind) {
+		tr := NewCursor(c.at)
+		tr.ServerChanged(now)
+		err := tr.Advance(c.news, now.Add(c.late))
+		if (err == nil) != c.ok || err != nil && !errors.Is(err, ErrStale) {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		if want := c.at; !c.ok && tr.At() != want {
-			t.Errorf("%s: the cursor moved to %v", c.name, tr.At())
+		if want := c.at; !c.ok && tr.Position() != want {
+			t.Errorf("%s: the cursor moved to %v", c.name, tr.Position())
 		}
 	}
 }
@@ -189,11 +189,11 @@
 	}))
 	t.Cleanup(next.Close)
 	w := watcher(dead, answer(503, "3"), answer(200, "3", `{"revision":7,"complete":true,"members":[]}`), good, next)
-	w.Track = NewTrack(Position{3, 8, "elsewhere"})
+	w.Cursor = NewCursor(Position{3, 8, "elsewhere"})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	var last int64
-	w.Watch(ctx, func(n News) error {
+	w.Watch(ctx, func(n Update) error {
 		if n.Revision < 8 || n.Revision < last {
 			t.Errorf("received revision %d after %d", n.Revision, last)
 		}
@@ -228,7 +228,7 @@
 				servers[left] = good
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 				told := false
-				watcher(servers...).Watch(ctx, func(News) error {
+				watcher(servers...).Watch(ctx, func(Update) error {
 					told = true
 					cancel()
 					return nil
@@ -244,11 +244,11 @@
 // A position from another service delays a list only briefly, however many servers are tried meanwhile.
 func TestTryingServersIsNoDelay(t *testing.T) {
 	t.Parallel()
-	tr, now := NewTrack(Position{Revision: 8, From: "platform"}), time.Now()
-	news := News{List: catalog.List{Revision: 1, Complete: true}, History: 5, From: "a"}
+	tr, now := NewCursor(Position{Revision: 8, Server: "platform"}), time.Now()
+	news := Update{List: catalog.List{Revision: 1, Complete: true}, History: 5, Server: "a"}
 	for range 25 {
 		tr.tryNext(now)
-		if tr.Take(news, now) == nil {
+		if tr.Advance(news, now) == nil {
 			return
 		}
 		now = now.Add(100 * time.Millisecond)
@@ -258,7 +258,7 @@
 
 func TestKeptListComesBack(t *testing.T) {
 	dir := t.TempDir()
-	k, err := OpenKept(dir, 4096)
+	k, err := OpenListCache(dir, 4096)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,12 +269,12 @@
 	one := func(id, phase string) catalog.Endpoint {
 		return catalog.Endpoint{ID: id, Addr: "h:1", Phase: phase, Size: 1}
 	}
-	k.Take(News{List: catalog.List{Revision: 4, Complete: true, Members: []catalog.Endpoint{one("a", catalog.Serving), one("b", catalog.Serving)}}, History: 2, From: "x"}, at)
-	k.Take(News{List: catalog.List{Revision: 5, Members: []catalog.Endpoint{one("a", catalog.Deleted), one("b", catalog.Draining)}}, History: 2, From: "x"}, at)
+	k.Apply(Update{List: catalog.List{Revision: 4, Complete: true, Members: []catalog.Endpoint{one("a", catalog.Serving), one("b", catalog.Serving)}}, History: 2, Server: "x"}, at)
+	k.Apply(Update{List: catalog.List{Revision: 5, Members: []catalog.Endpoint{one("a", catalog.Deleted), one("b", catalog.Draining)}}, History: 2, Server: "x"}, at)
 	if err := k.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	back, err := OpenKept(dir, 4096)
+	back, err := OpenListCache(dir, 4096)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,18 +284,18 @@
 	}
 	// A list that is too large, or cannot be written, leaves the older file in place.
 	for i := range 100 {
-		back.Take(News{List: catalog.List{Revision: 6, Members: []catalog.Endpoint{one(fmt.Sprint("c", i), catalog.Serving)}}, History: 2}, at)
+		back.Apply(Update{List: catalog.List{Revision: 6, Members: []catalog.Endpoint{one(fmt.Sprint("c", i), catalog.Serving)}}, History: 2}, at)
 	}
 	if err := back.Flush(); err == nil {
 		t.Error("a list beyond the size limit was written")
 	}
-	if again, _ := OpenKept(dir, 4096); again.at.Revision != 5 {
+	if again, _ := OpenListCache(dir, 4096); again.at.Revision != 5 {
 		t.Errorf("the file has revision %d", again.at.Revision)
 	}
 	if err := os.WriteFile(back.path, []byte(`{"heard_at":"2026`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if lost, err := OpenKept(dir, 4096); err == nil || len(lost.members) > 0 {
+	if lost, err := OpenListCache(dir, 4096); err == nil || len(lost.members) > 0 {
 		t.Error("a damaged file was accepted as a list, or not reported")
 	}
 }
@@ -309,16 +309,16 @@
 		rt := roundTrip(func(*http.Request) (*http.Response, error) {
 			return &http.Response{StatusCode: 200, Header: http.Header{"Registry-History": {history}}, Body: io.NopCloser(strings.NewReader(string(body)))}, nil
 		})
-		w := Watcher{Client: &http.Client{Transport: rt}, Log: slog.New(slog.DiscardHandler), Track: NewTrack(Position{1, 5, "a"})}
-		before := w.Track.At()
-		err := w.once(t.Context(), "a:1", 1, 5, func(n News) error {
-			if err := w.Track.Take(n, time.Now()); err != nil {
+		w := Watcher{Client: &http.Client{Transport: rt}, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(Position{1, 5, "a"})}
+		before := w.Cursor.Position()
+		err := w.once(t.Context(), "a:1", 1, 5, func(n Update) error {
+			if err := w.Cursor.Advance(n, time.Now()); err != nil {
 				return err
 			}
-			if at := w.Track.At(); at.History < before.History || at.History == before.History && at.Revision < before.Revision {
+			if at := w.Cursor.Position(); at.History < before.History || at.History == before.History && at.Revision < before.Revision {
 				t.Errorf("the cursor went back from %v to %v", before, at)
 			}
-			before = w.Track.At()
+			before = w.Cursor.Position()
 			return nil
 		})
 		if err == nil {
--- a/internal/registry/told_test.go
+++ b/internal/registry/told_test.go
@@ -187,8 +187,8 @@
 		}
 	}}
 	ctx, cancel := context.WithCancel(t.Context())
-	w := &Watcher{Addresses: []string{"a:1"}, Nodes: nodes, Client: &http.Client{Transport: transport}, Log: slog.New(slog.DiscardHandler), Track: NewTrack(Position{})}
-	w.Watch(ctx, func(n News) error {
+	w := &Watcher{Addresses: []string{"a:1"}, FleetSize: nodes, Client: &http.Client{Transport: transport}, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(Position{})}
+	w.Watch(ctx, func(n Update) error {
 		if n.Revision < 2 {
 			return nil
 		}
@@ -216,9 +216,9 @@
 			return &http.Response{StatusCode: 200, Body: io.NopCloser(pieces{strings.NewReader(body), size})}, nil
 		})
 		beats := 0
-		w := Watcher{Client: &http.Client{Transport: rt}, Log: slog.New(slog.DiscardHandler), Heard: func() { beats++ }}
+		w := Watcher{Client: &http.Client{Transport: rt}, Log: slog.New(slog.DiscardHandler), OnLine: func() { beats++ }}
 		var got []int64
-		err := w.once(t.Context(), "a:1", 0, 0, func(n News) error {
+		err := w.once(t.Context(), "a:1", 0, 0, func(n Update) error {
 			got = append(got, n.Revision)
 			return nil
 		})
