--- a/fleet/catalog/part.go
+++ b/fleet/catalog/part.go
@@ -7,13 +7,14 @@
 	"starlingusher/fleet/ownership"
 )
 
-// Move is an endpoint that has left its partner for another.
+// Move describes an endpoint that was moved to another partner.
 type Move struct {
-	Endpoint // as it was, Deleted
-	To       int
+	Endpoint     // as it was, with phase Deleted
+	ToCell   int `cbor:"To"`
 }
 
-// partIndex finds endpoints by the partition of their partner. It follows from the entries alone and is no part of an Image.
+// partitionIndex finds endpoints by the partition of their partner. It is derived from the entries and not
+// part of an Image.
 type partIndex map[int]map[string]struct{}
 
 func newPartIndex(entries map[string]Entry) partIndex {
@@ -41,8 +42,9 @@
 	}
 }
 
-// Part is the whole list of some partitions. Its work grows with what they hold, not with the list.
-func (s *State) Part(set ownership.Set) List {
+// PartitionList returns the complete list of some partitions. Its cost grows with their size, not with the
+// whole list.
+func (s *State) PartitionList(set ownership.Set) List {
 	l := List{Revision: s.i.Revision, Complete: true, Members: make([]Endpoint, 0, s.partSize(set))}
 	for p := range set.All() {
 		for id := range s.parts[p] {
@@ -60,13 +62,14 @@
 	return n
 }
 
-// PartSince is what changed in some partitions after a revision, each endpoint once; one that has gone to a partner outside of
-// them is Deleted there. It is their whole list where that is not known or no longer. Its work grows with the kept changes
-// after the revision, not with the list.
-func (s *State) PartSince(after int64, set ownership.Set) List {
-	changes, all := s.Changes(after)
+// PartitionListSince returns what changed in some partitions after a revision, each endpoint once; an
+// endpoint that moved to a partner outside of them is Deleted. It returns their complete list if those
+// changes are unknown or no longer kept. Its cost grows with the number of kept changes after the revision,
+// not with the list.
+func (s *State) PartitionListSince(after int64, set ownership.Set) List {
+	changes, all := s.ChangesAfter(after)
 	if !all || after > s.i.Revision {
-		return s.Part(set)
+		return s.PartitionList(set)
 	}
 	held := s.partSize(set)
 	at := map[string]int{}
@@ -81,7 +84,7 @@
 	}
 	for _, c := range changes {
 		if c.Moved == nil {
-			return s.Part(set)
+			return s.PartitionList(set)
 		}
 		for _, m := range c.Members {
 			if set.Has(ownership.PartitionOf(m.Cell)) {
@@ -89,30 +92,31 @@
 			}
 		}
 		for _, m := range c.Moved {
-			if set.Has(ownership.PartitionOf(m.Cell)) && !set.Has(ownership.PartitionOf(m.To)) {
+			if set.Has(ownership.PartitionOf(m.Cell)) && !set.Has(ownership.PartitionOf(m.ToCell)) {
 				tell(m.Endpoint)
 			}
 		}
-		if len(l.Members) > held+100 { // the whole list is shorter
-			return s.Part(set)
+		if len(l.Members) > held+100 { // the complete list is shorter
+			return s.PartitionList(set)
 		}
 	}
 	return l
 }
 
-// ChangePart is what a change means for one partition.
-type ChangePart struct {
-	Partition int
-	Unless    int // -1; or: not for those who follow this one too, for there the members are as they have become
-	Members   []Endpoint
+// PartitionChange is the effect of a change on one partition.
+type PartitionChange struct {
+	Partition       int
+	UnlessFollowing int // if not -1: not for readers of this partition, who see the moved endpoints there
+	Members         []Endpoint
 }
 
-// Parts is what a change means for each partition that it touches, in their order; false if that is not known.
-func (c Change) Parts() ([]ChangePart, bool) {
+// ByPartition splits a change by the partitions that it touches, in ascending order. It returns false if that
+// is unknown.
+func (c Change) ByPartition() ([]PartitionChange, bool) {
 	if c.Moved == nil {
 		return nil, false
 	}
-	var out []ChangePart
+	var out []PartitionChange
 	at := map[[2]int]int{}
 	tell := func(m Endpoint, unless int) {
 		key := [2]int{ownership.PartitionOf(m.Cell), unless}
@@ -120,7 +124,7 @@
 		if !ok {
 			n = len(out)
 			at[key] = n
-			out = append(out, ChangePart{Partition: key[0], Unless: unless})
+			out = append(out, PartitionChange{Partition: key[0], UnlessFollowing: unless})
 		}
 		out[n].Members = append(out[n].Members, m)
 	}
@@ -128,12 +132,12 @@
 		tell(m, -1)
 	}
 	for _, m := range c.Moved {
-		if to := ownership.PartitionOf(m.To); to != ownership.PartitionOf(m.Cell) {
+		if to := ownership.PartitionOf(m.ToCell); to != ownership.PartitionOf(m.Cell) {
 			tell(m.Endpoint, to)
 		}
 	}
-	slices.SortFunc(out, func(a, b ChangePart) int {
-		return cmp.Or(cmp.Compare(a.Partition, b.Partition), cmp.Compare(a.Unless, b.Unless))
+	slices.SortFunc(out, func(a, b PartitionChange) int {
+		return cmp.Or(cmp.Compare(a.Partition, b.Partition), cmp.Compare(a.UnlessFollowing, b.UnlessFollowing))
 	})
 	return out, true
 }
--- a/internal/directory/operator.go
+++ b/internal/directory/operator.go
@@ -19,44 +19,44 @@
 	"starlingusher/internal/registry"
 )
 
-// Operator asks the service on somebody's behalf: of whatever replica answers.
-type Operator struct {
-	Addresses []string
-	By        string        // who asks, for the history
-	Why       string        // and why
-	Wait      time.Duration // for a replica that can serve; 0: each is asked once
-	Client    *http.Client  // nil: one of its own
+// AdminClient sends requests to any replica that responds.
+type AdminClient struct {
+	Addresses  []string
+	By         string        // who sends the requests, for the change history
+	Reason     string        // for the change history
+	RetryFor   time.Duration // how long to try for a replica that can serve the request; 0: one try at each
+	HTTPClient *http.Client  // nil: http.DefaultClient
 
-	preferred int // the address that answered last
+	preferred int // index of the address that responded last
 }
 
-// Refusal is the service's no.
-type Refusal struct {
-	Code     int
-	Reason   string
-	Outcome  string
-	Revision int64
-	Held     int64
+// ResponseError is an error response of the service.
+type ResponseError struct {
+	StatusCode int
+	Message    string
+	Outcome    string
+	Revision   int64
+	Held       int64
 }
 
-func (r *Refusal) Error() string { return r.Reason }
+func (r *ResponseError) Error() string { return r.Message }
 
-// Unwrap tells ErrUnknown, ErrRefused and those of package catalog apart.
-func (r *Refusal) Unwrap() error {
+// Unwrap maps the response to ErrAmbiguous, ErrRefused or an error of package catalog.
+func (r *ResponseError) Unwrap() error {
 	switch {
 	case r.Outcome == "unknown":
-		return ErrUnknown
-	case r.Code == http.StatusPreconditionFailed:
+		return ErrAmbiguous
+	case r.StatusCode == http.StatusPreconditionFailed:
 		return catalog.ErrConflict
-	case r.Code == http.StatusAccepted:
+	case r.StatusCode == http.StatusAccepted:
 		return catalog.ErrHeld
-	case r.Code == http.StatusNotFound:
-		return catalog.ErrUnknown
-	case r.Code == http.StatusConflict:
-		return catalog.ErrTaken
-	case r.Code == http.StatusBadRequest:
-		return catalog.ErrBad
-	case r.Code == http.StatusInsufficientStorage: // asking again makes no room
+	case r.StatusCode == http.StatusNotFound:
+		return catalog.ErrNotFound
+	case r.StatusCode == http.StatusConflict:
+		return catalog.ErrNotHolder
+	case r.StatusCode == http.StatusBadRequest:
+		return catalog.ErrInvalid
+	case r.StatusCode == http.StatusInsufficientStorage: // a retry would not help
 		return catalog.ErrFull
 	}
 	return ErrRefused
@@ -64,13 +64,13 @@
 
 const operatorPause = 100 * time.Millisecond
 
-// Do sends a request to one replica after the other until one serves it, and returns the answer's body. A write whose
-// outcome is not known is not sent again.
-func (o *Operator) Do(ctx context.Context, method, path, match string, body []byte) ([]byte, http.Header, error) {
+// Do sends a request to one replica after another until one serves it, and returns the response body. It does
+// not repeat a write with an ambiguous outcome.
+func (o *AdminClient) Do(ctx context.Context, method, path, match string, body []byte) ([]byte, http.Header, error) {
 	if len(o.Addresses) == 0 {
-		return nil, nil, fmt.Errorf("%w: no address of a replica was given", ErrRefused)
+		return nil, nil, fmt.Errorf("%w: no replica address", ErrRefused)
 	}
-	until := time.Now().Add(o.Wait)
+	until := time.Now().Add(o.RetryFor)
 	for {
 		var errs []error
 		for range o.Addresses {
@@ -88,17 +88,17 @@
 	}
 }
 
-func (o *Operator) once(ctx context.Context, address, method, path, match string, body []byte) ([]byte, http.Header, error) {
+func (o *AdminClient) once(ctx context.Context, address, method, path, match string, body []byte) ([]byte, http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, err
 	}
-	for name, v := range map[string]string{"If-Match": match, "Registry-By": o.By, "Registry-Why": o.Why} {
+	for name, v := range map[string]string{"If-Match": match, "Registry-By": o.By, "Registry-Why": o.Reason} {
 		if v != "" {
 			req.Header.Set(name, v)
 		}
 	}
-	client := o.Client
+	client := o.HTTPClient
 	if client == nil {
 		client = http.DefaultClient
 	}
@@ -108,12 +108,12 @@
 		if method == http.MethodGet || errors.As(err, &dial) && dial.Op == "dial" {
 			return nil, nil, fmt.Errorf("%w: %w", ErrRefused, err)
 		}
-		return nil, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return nil, nil, fmt.Errorf("%w: %w", ErrAmbiguous, err)
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBackup))
 	if err != nil {
-		return nil, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return nil, nil, fmt.Errorf("%w: %w", ErrAmbiguous, err)
 	}
 	if resp.StatusCode/100 == 2 && resp.StatusCode != http.StatusAccepted {
 		return raw, resp.Header, nil
@@ -122,11 +122,11 @@
 	if json.Unmarshal(raw, &p) != nil || p.Error == "" {
 		p.Error = resp.Status
 	}
-	return nil, resp.Header, &Refusal{resp.StatusCode, p.Error, p.Outcome, p.Revision, p.Held}
+	return nil, resp.Header, &ResponseError{resp.StatusCode, p.Error, p.Outcome, p.Revision, p.Held}
 }
 
-// into does a request and reads its answer.
-func (o *Operator) into(ctx context.Context, v any, method, path, match string, body any) error {
+// call sends a request with a JSON body and decodes the response.
+func (o *AdminClient) into(ctx context.Context, v any, method, path, match string, body any) error {
 	var raw []byte
 	if body != nil {
 		var err error
@@ -141,15 +141,15 @@
 	return json.Unmarshal(raw, v)
 }
 
-// Status asks one replica about itself.
-func (o *Operator) Status(ctx context.Context) (Status, error) {
+// Status returns the status of one replica.
+func (o *AdminClient) Status(ctx context.Context) (Status, error) {
 	var st Status
 	return st, o.into(ctx, &st, http.MethodGet, "/directory/status", "", nil)
 }
 
-// List reads the whole list and what a write that rests on it says as If-Match. If fresh it holds every write that was
-// acknowledged before; else it is what some replica has.
-func (o *Operator) List(ctx context.Context, fresh bool) (catalog.List, string, http.Header, error) {
+// List reads the complete list, and the If-Match value for a write that is based on it. A fresh list includes
+// every write acknowledged before; otherwise it is what some replica has.
+func (o *AdminClient) List(ctx context.Context, fresh bool) (catalog.List, string, http.Header, error) {
 	path := "/registry/instances"
 	if fresh {
 		path += "?fresh=1"
@@ -160,19 +160,20 @@
 	}
 	var l catalog.List
 	if err := json.Unmarshal(raw, &l); err != nil {
-		return l, "", header, fmt.Errorf("list: %w", err)
+		return l, "", header, fmt.Errorf("decoding the list: %w", err)
 	}
 	return l, header.Get("ETag"), header, nil
 }
 
-// Written is the answer to a write.
-type Written struct {
+// WriteResult is the response to a write.
+type WriteResult struct {
 	Revision int64 `json:"revision"`
 	Token    int64 `json:"token"`
 }
 
-// Put writes endpoints, of phase Deleted those that go; with whole all others go as well. It rests on match.
-func (o *Operator) Put(ctx context.Context, members []catalog.Endpoint, whole, confirm bool, match string) (Written, error) {
+// Put writes endpoints, and removes those of phase Deleted; with whole it removes all others as well. match
+// is the If-Match value.
+func (o *AdminClient) Put(ctx context.Context, members []catalog.Endpoint, whole, confirm bool, match string) (WriteResult, error) {
 	method, path := http.MethodPost, "/registry/instances"
 	if whole {
 		method = http.MethodPut
@@ -180,18 +181,18 @@
 	if confirm {
 		path += "?confirm=1"
 	}
-	var w Written
+	var w WriteResult
 	return w, o.into(ctx, &w, method, path, match, map[string]any{"members": append([]catalog.Endpoint{}, members...)})
 }
 
-// Drain lets an endpoint drain, whatever else has changed.
-func (o *Operator) Drain(ctx context.Context, id string) (Written, error) {
-	var w Written
+// Drain drains an endpoint, whatever else has changed.
+func (o *AdminClient) Drain(ctx context.Context, id string) (WriteResult, error) {
+	var w WriteResult
 	return w, o.into(ctx, &w, http.MethodPost, "/registry/instances/"+url.PathEscape(id)+"/drain", "*", nil)
 }
 
-// Confirm lets what is held back under a number happen, or drops it.
-func (o *Operator) Confirm(ctx context.Context, number int64, drop bool) error {
+// Confirm applies the held write with a number, or drops it.
+func (o *AdminClient) Confirm(ctx context.Context, number int64, drop bool) error {
 	path := "/directory/held/" + strconv.FormatInt(number, 10)
 	if drop {
 		path += "?drop=1"
@@ -199,22 +200,23 @@
 	return o.into(ctx, nil, http.MethodPost, path, "", nil)
 }
 
-// Changes is the kept history, or a part of it.
-type Changes struct {
+// ChangeHistory holds consecutive changes of the list.
+type ChangeHistory struct {
 	History  int64            `json:"history"`
 	Revision int64            `json:"revision"`
-	All      bool             `json:"all"` // nothing older was left out for its age
+	All      bool             `json:"all"` // no requested change had already been discarded
 	Changes  []catalog.Change `json:"changes"`
 }
 
-// History reads changes after a revision; the last ones if that is less than 0.
-func (o *Operator) History(ctx context.Context, after int64, limit int) (Changes, error) {
-	var c Changes
+// History reads changes after a revision, or the latest ones if it is negative.
+func (o *AdminClient) History(ctx context.Context, after int64, limit int) (ChangeHistory, error) {
+	var c ChangeHistory
 	return c, o.into(ctx, &c, http.MethodGet, fmt.Sprintf("/directory/history?after=%d&limit=%d", after, limit), "", nil)
 }
 
-// Backup reads the state, as of now if fresh, else as some replica has it. What comes was looked through.
-func (o *Operator) Backup(ctx context.Context, fresh bool) ([]byte, catalog.Image, error) {
+// Backup reads and verifies a backup of the state: of the current state if fresh, else of what some replica
+// has.
+func (o *AdminClient) Backup(ctx context.Context, fresh bool) ([]byte, catalog.Image, error) {
 	path := "/directory/backup"
 	if fresh {
 		path += "?fresh=1"
@@ -227,31 +229,31 @@
 	return raw, image, err
 }
 
-// Restore lets the service go on from a backup, as a new history.
-func (o *Operator) Restore(ctx context.Context, raw []byte) (Written, error) {
+// Restore replaces the list and the records by those of a backup, in a new history.
+func (o *AdminClient) Restore(ctx context.Context, raw []byte) (WriteResult, error) {
 	if _, err := DecodeBackup(bytes.NewReader(raw)); err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
 	answer, _, err := o.Do(ctx, http.MethodPost, "/directory/restore", "", raw)
 	if err != nil {
-		return Written{}, err
+		return WriteResult{}, err
 	}
-	var w Written
+	var w WriteResult
 	return w, json.Unmarshal(answer, &w)
 }
 
-// Invite lets a replica join.
-func (o *Operator) Invite(ctx context.Context, r catalog.Replica) error {
+// AddReplica allows a replica to join the service.
+func (o *AdminClient) AddReplica(ctx context.Context, r catalog.Replica) error {
 	return o.into(ctx, nil, http.MethodPut, "/directory/members/"+url.PathEscape(r.ID), "", r)
 }
 
-// Dismiss takes a replica out of the service.
-func (o *Operator) Dismiss(ctx context.Context, id string) error {
+// RemoveReplica removes a replica from the service.
+func (o *AdminClient) RemoveReplica(ctx context.Context, id string) error {
 	return o.into(ctx, nil, http.MethodDelete, "/directory/members/"+url.PathEscape(id), "", nil)
 }
 
-// Difference is what a write would change: each endpoint as it would be, in the order of their IDs.
-func Difference(now, then []catalog.Endpoint, whole bool) []catalog.Endpoint {
+// Diff returns the endpoints that a write would change, as they would become, sorted by ID.
+func Diff(now, then []catalog.Endpoint, whole bool) []catalog.Endpoint {
 	was := map[string]catalog.Endpoint{}
 	for _, m := range now {
 		was[m.ID] = m
