--- a/cmd/coralyard/main.go
+++ b/cmd/coralyard/main.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	admin.Serve(n)
+	admin.SetNode(n)
 	done := make(chan struct{})
 	var reloads sync.WaitGroup
 	reloads.Go(func() { reload(log, hup, done, n) })
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	admin.Serve(n)
+	admin.SetNode(n)
 	return n.Run(ctx, ln)
 }
 
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	adminHeaderTimeout = 2 * time.Second // for a whole request header
-	adminTimeout       = 3 * time.Second
-	adminHeader        = 8 << 10
-	orderTimeout       = 800 * time.Millisecond // answers are due within 1 s
+	adminHeaderTimeout  = 2 * time.Second // for a whole request header
+	adminTimeout        = 3 * time.Second
+	adminHeader         = 8 << 10
+	adminCommandTimeout = 800 * time.Millisecond // answers are due within 1 s
 )
 
 // Admin serves the operators' address, one request on each connection. It exists before its node and outlives
@@ -28,12 +28,12 @@
 	srv     *http.Server
 	ln      net.Listener // nil without an operators' address
 	node    atomic.Pointer[Node]
-	figures *figures // of the process, for each node that it runs
+	metrics *metrics // of the process, for each node that it runs
 }
 
 // ListenAdmin opens the operators' address, if the configuration names one, and serves it until Close.
 func ListenAdmin(cfg Config, log *slog.Logger) (*Admin, error) {
-	a := &Admin{figures: newFigures(cfg.Names.Classes)}
+	a := &Admin{metrics: newMetrics(cfg.Names.Classes)}
 	if cfg.AdminAddr == "" {
 		return a, nil
 	}
@@ -58,8 +58,8 @@
 }
 
 // SetNode sets the node that the answers are about from now on. The node must not run yet.
-func (a *Admin) Serve(n *Node) {
-	n.figures = a.figures
+func (a *Admin) SetNode(n *Node) {
+	n.figures = a.metrics
 	a.node.Store(n)
 }
 
@@ -86,7 +86,7 @@
 	})
 	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		var b bytes.Buffer
-		a.figures.write(&b)
+		a.metrics.write(&b)
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Write(b.Bytes())
 	})
@@ -113,7 +113,7 @@
 		http.Error(w, "starting", http.StatusServiceUnavailable)
 		return
 	}
-	ctx, cancel := context.WithTimeout(req.Context(), orderTimeout)
+	ctx, cancel := context.WithTimeout(req.Context(), adminCommandTimeout)
 	defer cancel()
 	switch err := n.SetEndpointEnabled(ctx, req.PathValue("id"), lift); {
 	case errors.Is(err, ErrUnknownEndpoint):
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -84,7 +84,7 @@
 		t.Errorf("without a node: got %d %q", code, body)
 	}
 	var n *Node
-	addr, stop := startInspectedNode(t, r, t.TempDir(), func(made *Node) { n = made; a.Serve(made) },
+	addr, stop := startInspectedNode(t, r, t.TempDir(), func(made *Node) { n = made; a.SetNode(made) },
 		memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("off", "127.0.0.1:9", 8, "DRAINING"))
 	eventually(t, "ready", func() bool { code, _ := adminCall(t, admin, "GET", "/-/ready"); return code == http.StatusOK })
 	first := figuresAt(t, admin)
@@ -95,11 +95,11 @@
 			}
 		}
 	}
-	mustAnswer(t, addr, enqueue("a", statusFields, "x"), "+OK")
-	mustAnswer(t, addr, enqueue("fails", payoutFields, "x"), "+OK")
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, "x"), "+OK")
+	mustAnswer(t, addr, enqueueCommand("fails", payoutFields, "x"), "+OK")
 	taken := 0
 	for i := range 6 { // held, because nothing may be sent to a draining endpoint
-		if ask(t, addr, enqueue("h"+itoa(i), "c=order,d=50000,dest=8,k=k"+itoa(i), "x")) == "+OK" {
+		if roundTrip(t, addr, enqueueCommand("h"+itoa(i), "c=order,d=50000,dest=8,k=k"+itoa(i), "x")) == "+OK" {
 			taken++
 		}
 	}
@@ -127,8 +127,8 @@
 func TestTriesCountWhatIsWrittenWhole(t *testing.T) {
 	t.Parallel()
 	p := newFakeEndpoint(t, respondWith(okResponse))
-	n := &Node{figures: newFigures([]string{"a"})}
-	o := &outgoingCall{call: newTestCall(newTestEndpoint(p.addr())), messages: []*past{{}, {}, {class: 7}}}
+	n := &Node{figures: newMetrics([]string{"a"})}
+	o := &outgoingCall{call: newTestCall(newTestEndpoint(p.addr())), messages: []*pendingMessage{{}, {}, {class: 7}}}
 	o.onWritten = func() { n.countWritten(o) }
 	for i, addr := range []string{p.addr(), "127.0.0.1:1"} {
 		o.endpoint = newTestEndpoint(addr)
@@ -262,7 +262,7 @@
 		before, _ := first.counts()
 		for i := 0; ; i++ {
 			number++
-			mustAnswer(t, addr, enqueue("m"+itoa(number), statusFields, "x"), "+OK")
+			mustAnswer(t, addr, enqueueCommand("m"+itoa(number), statusFields, "x"), "+OK")
 			select {
 			case <-first.requests:
 			case <-second.requests:
@@ -286,9 +286,9 @@
 	say("e1", "disable", http.StatusOK)
 	say("e1", "disable", http.StatusOK)
 	r.publish(listJSON(2, true, both...)) // a complete list without the old one
-	eventually(t, "the list", func() bool { return one.node.figures.listed.Load() == 2 })
+	eventually(t, "the list", func() bool { return one.node.figures.listedEndpoints.Load() == 2 })
 	say("old", "disable", http.StatusOK)
-	if got := one.node.figures.avoided.Load(); got != 1 {
+	if got := one.node.figures.avoidedEndpoints.Load(); got != 1 {
 		t.Errorf("%d listed endpoints are avoided, want 1", got)
 	}
 	deliver(one.addr, false)
@@ -307,7 +307,7 @@
 	}
 	three := startProcess(t, r, state, "", both...)
 	a.node.Store(three.node)
-	if got := three.node.figures.avoided.Load(); got != 1 {
+	if got := three.node.figures.avoidedEndpoints.Load(); got != 1 {
 		t.Errorf("after a restart %d endpoints are avoided, want 1", got)
 	}
 	deliver(three.addr, false)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -237,7 +237,7 @@
 func (k *conn) Read(p []byte) (int, error) {
 	n, err := k.Conn.Read(p)
 	for look := 0; look < lastLooks && n == 0 && k.givenUp.Load() && errors.Is(err, os.ErrDeadlineExceeded); look++ {
-		if lerr := k.SetReadDeadline(time.Now().Add(lookTime)); lerr != nil {
+		if lerr := k.SetReadDeadline(time.Now().Add(finalReadTimeout)); lerr != nil {
 			break
 		}
 		n, err = k.Conn.Read(p)
@@ -421,7 +421,7 @@
 
 // retryAfter is the wait that an answer tells, 0 for none.
 func retryAfter(resp *http.Response) time.Duration {
-	sec, err := decimal(resp.Header.Get("Retry-After"), math.MaxFloat64)
+	sec, err := parseDecimal(resp.Header.Get("Retry-After"), math.MaxFloat64)
 	if err != nil {
 		return 0
 	}
@@ -440,10 +440,10 @@
 		switch {
 		case name == "x0" && !r.HasLeft:
 			r.HasLeft = true
-			r.Left, err = decimal(value, mostLeft)
+			r.Left, err = parseDecimal(value, mostLeft)
 		case name == "x1" && !r.HasLimit:
 			r.HasLimit = true
-			r.Limit, err = decimal(value, mostLimit)
+			r.Limit, err = parseDecimal(value, mostLimit)
 		default:
 			err = errors.New("no field of a report")
 		}
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -36,18 +36,18 @@
 
 	// A client that sends nothing, or does not complete a request, must get an error or a close within 3 s of
 	// connecting; these two timeouts together ensure that. Other clients give up on a reply after 0.4 s.
-	idleTimeout    = 2 * time.Second
-	acceptPause    = 50 * time.Millisecond  // after a connection could not be accepted
-	requestTimeout = 800 * time.Millisecond // from a request's first byte to its last, and to write a reply
-	crossTime      = 100 * time.Millisecond // for requests that crossed the close of their connection and are sent again on a new one
-	closeGrace     = 200 * time.Millisecond // for requests that are partly read when the node shuts down
-	lingerTimeout  = 300 * time.Millisecond // for a client to read its last reply, and to notice that nothing more is accepted
-	lingerLeaving  = 150 * time.Millisecond // instead of lingerTimeout when the node shuts down
-	lingerAsked    = 5 * time.Millisecond   // instead of lingerTimeout when other clients wait for the connection slot
-	lookTime       = time.Millisecond
-	maxLooks       = 64                     // reads after a deadline, each of what had arrived by then
-	evictPause     = 20 * time.Millisecond  // wait for an evicted connection to give its slot back
-	evictHalf      = 100 * time.Millisecond // time that a request may take before its connection can be evicted
+	idleTimeout      = 2 * time.Second
+	acceptPause      = 50 * time.Millisecond  // after a connection could not be accepted
+	requestTimeout   = 800 * time.Millisecond // from a request's first byte to its last, and to write a reply
+	crossTime        = 100 * time.Millisecond // for requests that crossed the close of their connection and are sent again on a new one
+	shutdownGrace    = 200 * time.Millisecond // for requests that are partly read when the node shuts down
+	lingerTimeout    = 300 * time.Millisecond // for a client to read its last reply, and to notice that nothing more is accepted
+	lingerLeaving    = 150 * time.Millisecond // instead of lingerTimeout when the node shuts down
+	lingerAsked      = 5 * time.Millisecond   // instead of lingerTimeout when other clients wait for the connection slot
+	finalReadTimeout = time.Millisecond
+	maxLooks         = 64                     // reads after a deadline, each of what had arrived by then
+	evictPause       = 20 * time.Millisecond  // wait for an evicted connection to give its slot back
+	evictHalf        = 100 * time.Millisecond // time that a request may take before its connection can be evicted
 )
 
 // request is one message as a client hands it in.
@@ -55,29 +55,29 @@
 	id, key     string
 	class, dest int
 	tenant      int // -1 if it is not in the settings
-	life        time.Duration
+	ttl         time.Duration
 	body        []byte
-	came        time.Time
+	receivedAt  time.Time
 }
 
 // answer is what a client is told: accepted, refused, or failed for a reason.
 type answer struct {
-	refused bool
-	after   time.Duration
-	failed  string
+	refused    bool
+	retryAfter time.Duration
+	failure    string
 
-	gone      bool // the client gets no reply and its connection ends, as in a crash, because whether the message was accepted is not known
-	elsewhere bool // another process gave the answer and has counted it
+	outcomeUnknown   bool // the client gets no reply and its connection ends, as in a crash, because whether the message was accepted is not known
+	countedElsewhere bool // another process gave the answer and has counted it
 }
 
-func (a answer) line() string {
+func (a answer) encode() string {
 	switch {
-	case a.gone:
+	case a.outcomeUnknown:
 		return ""
-	case a.failed != "":
-		return "-ERR " + a.failed + "\r\n"
-	case a.refused && a.after >= time.Millisecond:
-		return "-BUSY " + strconv.FormatInt(a.after.Milliseconds(), 10) + "\r\n"
+	case a.failure != "":
+		return "-ERR " + a.failure + "\r\n"
+	case a.refused && a.retryAfter >= time.Millisecond:
+		return "-BUSY " + strconv.FormatInt(a.retryAfter.Milliseconds(), 10) + "\r\n"
 	case a.refused:
 		return "-BUSY\r\n"
 	}
@@ -188,7 +188,7 @@
 
 // parseDecimal parses a number that is written in digits, with a point or without. ParseFloat alone accepts
 // infinities, hexadecimal and exponents as well.
-func decimal(text string, most float64) (float64, error) {
+func parseDecimal(text string, most float64) (float64, error) {
 	for _, c := range []byte(text) {
 		if (c < '0' || c > '9') && c != '.' {
 			return 0, errors.New("not a plain decimal number")
@@ -225,7 +225,7 @@
 
 // parseEnqueue parses the arguments of an ENQUEUE.
 func parseEnqueue(args [][]byte, names wire.Names, came time.Time) (request, error) {
-	q := request{came: came, class: -1, tenant: -1, dest: -1, life: -1}
+	q := request{receivedAt: came, class: -1, tenant: -1, dest: -1, ttl: -1}
 	if len(args) != 5 {
 		return q, errors.New("wrong number of arguments for 'enqueue' command")
 	}
@@ -246,11 +246,11 @@
 		case "t":
 			q.tenant = slices.Index(names.Tenants, value)
 		case "d":
-			ms, err := decimal(value, float64(maxLife.Milliseconds()))
+			ms, err := parseDecimal(value, float64(maxLife.Milliseconds()))
 			if err != nil {
 				return q, errors.New("d is no time in milliseconds")
 			}
-			q.life = time.Duration(ms * float64(time.Millisecond))
+			q.ttl = time.Duration(ms * float64(time.Millisecond))
 		case "dest":
 			n, err := number(value)
 			if err != nil {
@@ -263,7 +263,7 @@
 			}
 		}
 	}
-	if q.class < 0 || q.life < 0 || q.dest < 0 {
+	if q.class < 0 || q.ttl < 0 || q.dest < 0 {
 		return q, errors.New("c, d and dest are needed")
 	}
 	return q, nil
@@ -302,7 +302,7 @@
 	}
 	n, err := s.Conn.Read(p)
 	for ; n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && s.looks < maxLooks; s.looks++ {
-		if lerr := s.SetReadDeadline(time.Now().Add(lookTime)); lerr != nil {
+		if lerr := s.SetReadDeadline(time.Now().Add(finalReadTimeout)); lerr != nil {
 			return 0, lerr
 		}
 		if n, err = s.Conn.Read(p); n == 0 {
@@ -344,14 +344,14 @@
 )
 
 // clientServer serves the node's clients.
-type clients struct {
+type clientServer struct {
 	ln     net.Listener
 	room   chan struct{} // holds a value for each connection
 	keep   int           // connections that are idle after a request, at most; see markIdle
 	stop   chan struct{}
 	served chan struct{} // closed when no more connections are accepted
 	names  wire.Names
-	hand   func(request) answer
+	handle func(request) answer
 
 	cross, request time.Duration // reconnectTime and requestTimeout, except in tests
 
@@ -364,16 +364,16 @@
 	once    sync.Once
 }
 
-func newClients(ln net.Listener, most int, names wire.Names, hand func(request) answer) *clients {
-	return &clients{
+func newClientServer(ln net.Listener, most int, names wire.Names, hand func(request) answer) *clientServer {
+	return &clientServer{
 		ln: ln, room: make(chan struct{}, max(most, 1)), keep: max(most/3, 1), stop: make(chan struct{}), served: make(chan struct{}),
-		names: names, hand: hand, open: map[*session]bool{}, cross: crossTime, request: requestTimeout,
+		names: names, handle: hand, open: map[*session]bool{}, cross: crossTime, request: requestTimeout,
 	}
 }
 
 // serve accepts connections until the listener is closed. When all slots are taken, it evicts the connection
 // that has been idle longest, and the next connection waits in the backlog until the slot is free.
-func (c *clients) serve(ctx context.Context) {
+func (c *clientServer) serve(ctx context.Context) {
 	defer close(c.served)
 	for last := false; ; {
 		for taken := false; !taken; {
@@ -396,14 +396,14 @@
 			<-c.room
 			switch {
 			case errors.Is(err, os.ErrDeadlineExceeded) && !last: // the node shuts down; connections that have arrived by now are served
-				last = c.acceptUntil(time.Now().Add(lookTime)) == nil
+				last = c.acceptUntil(time.Now().Add(finalReadTimeout)) == nil
 			case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed), !registry.Sleep(ctx, acceptPause):
 				return // any other error most likely means that the process is out of descriptors
 			}
 			continue
 		}
 		if last { // there may be more
-			c.acceptUntil(time.Now().Add(lookTime))
+			c.acceptUntil(time.Now().Add(finalReadTimeout))
 		}
 		c.wg.Go(func() {
 			defer func() { <-c.room }()
@@ -413,7 +413,7 @@
 }
 
 // acceptUntil ends accepting at the given time, if the listener supports that, and otherwise now.
-func (c *clients) acceptUntil(until time.Time) error {
+func (c *clientServer) acceptUntil(until time.Time) error {
 	ln, ok := c.ln.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return c.ln.Close()
@@ -424,7 +424,7 @@
 // evict frees a connection slot. Connections that never sent a request are evicted first, then those idle
 // longest. If there are none, the connection whose request has been open longest is evicted: all open
 // requests may be of a kind that never ends.
-func (c *clients) evict() {
+func (c *clientServer) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.lists {
@@ -438,7 +438,7 @@
 }
 
 // evictFirst ends the connection that a list has held longest. The lock must be held.
-func (c *clients) askBack(list *queue.List) {
+func (c *clientServer) askBack(list *queue.List) {
 	s := list.Front().Value.(*session)
 	c.unplace(s)
 	s.asked = true
@@ -451,7 +451,7 @@
 // evicted once there are more than maxIdle. This also protects against client pools that never shrink;
 // clients that alternate between more connections than that have to reconnect. When the node shuts down, a
 // connection that was accepted since may hand in one request.
-func (c *clients) rest(s *session) bool {
+func (c *clientServer) rest(s *session) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	patience, list := idleTimeout, &c.lists[fresh]
@@ -474,7 +474,7 @@
 }
 
 // markReading moves a connection whose request has begun from the idle ones to those reading.
-func (c *clients) begin(s *session) bool {
+func (c *clientServer) begin(s *session) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unplace(s)
@@ -489,14 +489,14 @@
 
 // markRead removes a connection whose request is read from the lists: it keeps its slot until the request is
 // answered.
-func (c *clients) read(s *session) {
+func (c *clientServer) read(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unplace(s)
 }
 
 // removeFromList removes a connection from its list. The lock must be held.
-func (c *clients) unplace(s *session) {
+func (c *clientServer) unplace(s *session) {
 	if s.place != nil {
 		for i := range c.lists {
 			c.lists[i].Remove(s.place) // has no effect on a list that it is not in
@@ -505,7 +505,7 @@
 	}
 }
 
-func (c *clients) serveConn(nc net.Conn) {
+func (c *clientServer) serveConn(nc net.Conn) {
 	s := &session{Conn: nc}
 	c.mu.Lock()
 	c.open[s] = true
@@ -540,12 +540,12 @@
 		case err == nil:
 			line = c.command(args, came)
 		case errors.Is(err, errTooLarge):
-			line = answer{failed: err.Error()}.line()
+			line = answer{failure: err.Error()}.encode()
 		case errors.Is(err, errProtocol), errors.Is(err, os.ErrDeadlineExceeded):
 			if !errors.Is(err, errProtocol) {
 				err = fmt.Errorf("%w: the request took too long", errProtocol)
 			}
-			if s.say(answer{failed: err.Error()}.line()) == nil {
+			if s.say(answer{failure: err.Error()}.encode()) == nil {
 				c.hangUp(s)
 			}
 			return
@@ -559,25 +559,25 @@
 }
 
 // execute runs one command and returns the reply.
-func (c *clients) command(args [][]byte, came time.Time) string {
+func (c *clientServer) command(args [][]byte, came time.Time) string {
 	switch strings.ToUpper(string(args[0])) {
 	case "PING":
 		return "+PONG\r\n"
 	case "ENQUEUE":
 		q, err := parseEnqueue(args, c.names, came)
 		if err != nil {
-			return answer{failed: err.Error()}.line()
+			return answer{failure: err.Error()}.encode()
 		}
-		return c.hand(q).line()
+		return c.handle(q).encode()
 	}
-	return answer{failed: "unknown command"}.line()
+	return answer{failure: "unknown command"}.encode()
 }
 
 // closeWithLinger ends a connection from this side. It reads and ignores whatever the client has sent since
 // the last read: the client sees that the connection had ended, and sends its request elsewhere. Closing with
 // unread bytes would reset the connection, and the last reply could be lost. Meanwhile the connection can be
 // evicted.
-func (c *clients) hangUp(s *session) {
+func (c *clientServer) hangUp(s *session) {
 	if s.flush() != nil {
 		return
 	}
@@ -606,14 +606,14 @@
 // close stops accepting, closes connections that are between requests, and first answers the requests of the
 // others. A client that is slow to send the rest of its request has the grace for it, so that it can't hold
 // up the node until that is killed.
-func (c *clients) close(grace time.Duration) {
+func (c *clientServer) close(grace time.Duration) {
 	c.once.Do(func() { c.end(grace) })
 }
 
 // shutDown closes the idle connections while the listener still accepts, because a request that crosses such
 // a close is sent again on a new connection. Then it accepts the connections in the backlog, and closes the
 // listener.
-func (c *clients) end(grace time.Duration) {
+func (c *clientServer) end(grace time.Duration) {
 	c.mu.Lock()
 	c.leaving, c.grace = true, grace
 	for _, i := range []int{fresh, idle} {
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -16,25 +16,25 @@
 	"starlingusher/internal/wire"
 )
 
-func serveTest(t *testing.T, most int, hand func(request) answer) (*clients, string) {
+func serveClients(t *testing.T, most int, hand func(request) answer) (*clientServer, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClients(ln, most, wire.Names{Classes: []string{"notice"}, Tenants: []string{"acme", "zen"}}, hand)
+	c := newClientServer(ln, most, wire.Names{Classes: []string{"notice"}, Tenants: []string{"acme", "zen"}}, hand)
 	go c.serve(t.Context())
 	t.Cleanup(func() {
 		select {
 		case <-c.stop:
 		default:
-			c.close(closeGrace)
+			c.close(shutdownGrace)
 		}
 	})
 	return c, ln.Addr().String()
 }
 
-func dialTest(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
+func dialClient(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -48,7 +48,7 @@
 }
 
 // encodeCommand encodes words as an array of bulk strings.
-func resp(words ...string) string {
+func encodeCommand(words ...string) string {
 	var b strings.Builder
 	b.WriteString("*" + itoa(len(words)) + "\r\n")
 	for _, w := range words {
@@ -57,11 +57,13 @@
 	return b.String()
 }
 
-func enqueue(id, fields, body string) string { return resp("ENQUEUE", "0000", id, fields, body) }
+func enqueueCommand(id, fields, body string) string {
+	return encodeCommand("ENQUEUE", "0000", id, fields, body)
+}
 
-func ask(t *testing.T, addr, text string) string {
+func roundTrip(t *testing.T, addr, text string) string {
 	t.Helper()
-	nc, br := dialTest(t, addr)
+	nc, br := dialClient(t, addr)
 	if _, err := io.WriteString(nc, text); err != nil {
 		t.Fatal(err)
 	}
@@ -74,39 +76,39 @@
 
 // Whatever the input, the client gets an error, the node does not crash, and none of it is accepted.
 func TestBadInput(t *testing.T) {
-	_, addr := serveTest(t, 100, func(request) answer {
+	_, addr := serveClients(t, 100, func(request) answer {
 		t.Error("invalid input was accepted")
 		return answer{}
 	})
 	big := strings.Repeat("x", maxBody+1)
 	for _, text := range []string{
-		enqueue("id", "c=notice,d=8000,dest=7", big),
-		enqueue("id", "c=other,d=8000,dest=7", "b"),
-		enqueue("id", "c=notice,d=soon,dest=7", "b"),
-		enqueue("id", "c=notice,d=NaN,dest=7", "b"),
-		enqueue("id", "c=notice,d=-1,dest=7", "b"),
-		enqueue("id", "c=notice,d=1e300,dest=7", "b"),
-		enqueue("id", "c=notice,d=8000,dest=-7", "b"),
-		enqueue("id", "c=notice,d=8000,dest=seven", "b"),
-		enqueue("id", "c=notice,d=8000", "b"),
-		enqueue("", "c=notice,d=8000,dest=7", "b"),
-		enqueue("id\r\nX-Other: 1", "c=notice,d=8000,dest=7", "b"),
-		enqueue("id", "c=notice,d=8000,dest=7,k=a b", "b"),
-		enqueue(strings.Repeat("i", 300), "c=notice,d=8000,dest=7", "b"),
-		enqueue("id", strings.Repeat(",", 2000), "b"),
-		resp("ENQUEUE", "0000", "id"), resp("FLUSHALL"), "GET / HTTP/1.1\r\n",
+		enqueueCommand("id", "c=notice,d=8000,dest=7", big),
+		enqueueCommand("id", "c=other,d=8000,dest=7", "b"),
+		enqueueCommand("id", "c=notice,d=soon,dest=7", "b"),
+		enqueueCommand("id", "c=notice,d=NaN,dest=7", "b"),
+		enqueueCommand("id", "c=notice,d=-1,dest=7", "b"),
+		enqueueCommand("id", "c=notice,d=1e300,dest=7", "b"),
+		enqueueCommand("id", "c=notice,d=8000,dest=-7", "b"),
+		enqueueCommand("id", "c=notice,d=8000,dest=seven", "b"),
+		enqueueCommand("id", "c=notice,d=8000", "b"),
+		enqueueCommand("", "c=notice,d=8000,dest=7", "b"),
+		enqueueCommand("id\r\nX-Other: 1", "c=notice,d=8000,dest=7", "b"),
+		enqueueCommand("id", "c=notice,d=8000,dest=7,k=a b", "b"),
+		enqueueCommand(strings.Repeat("i", 300), "c=notice,d=8000,dest=7", "b"),
+		enqueueCommand("id", strings.Repeat(",", 2000), "b"),
+		encodeCommand("ENQUEUE", "0000", "id"), encodeCommand("FLUSHALL"), "GET / HTTP/1.1\r\n",
 		"*1\r\n$9223372036854775807\r\nPING\r\n", "*1\r\n$-5\r\n", "*2147483647\r\n", "*-3\r\n", "*x\r\n", "*1\r\n:4\r\n",
 		"*1\r\n$3\r\nPINGPONG\r\n", "*1\r\n$99999999999999999999\r\n", strings.Repeat("y", 5000),
 	} {
-		if got := ask(t, addr, text); !strings.HasPrefix(got, "-ERR ") {
+		if got := roundTrip(t, addr, text); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%.60q: got %q", text, got)
 		}
 	}
 	// Part of a command, then a close.
-	nc, _ := dialTest(t, addr)
+	nc, _ := dialClient(t, addr)
 	io.WriteString(nc, "*5\r\n$7\r\nENQ")
 	nc.Close()
-	if got := ask(t, addr, resp("ping")); got != "+PONG" {
+	if got := roundTrip(t, addr, encodeCommand("ping")); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -114,29 +116,29 @@
 // After an error about one request, the connection stays usable if the framing is sound.
 func TestConnectionGoesOnAfterAnOversizedBody(t *testing.T) {
 	var got request
-	_, addr := serveTest(t, 100, func(q request) answer {
+	_, addr := serveClients(t, 100, func(q request) answer {
 		got = q
 		return answer{}
 	})
-	nc, br := dialTest(t, addr)
-	go io.WriteString(nc, enqueue("a", "c=notice,d=8000,dest=7", strings.Repeat("x", maxBody+1))+
-		"PING\r\n"+enqueue("b", "c=notice,t=zen,d=1500.5,dest=7,k=key,r=1", "\r\n\x00$*")+resp("PING"))
+	nc, br := dialClient(t, addr)
+	go io.WriteString(nc, enqueueCommand("a", "c=notice,d=8000,dest=7", strings.Repeat("x", maxBody+1))+
+		"PING\r\n"+enqueueCommand("b", "c=notice,t=zen,d=1500.5,dest=7,k=key,r=1", "\r\n\x00$*")+encodeCommand("PING"))
 	for _, want := range []string{"-ERR a body", "+PONG", "+OK", "+PONG"} {
 		if line, err := br.ReadString('\n'); err != nil || !strings.HasPrefix(line, want) {
 			t.Fatalf("got %q, %v, want %q", line, err, want)
 		}
 	}
-	if got.id != "b" || got.key != "key" || got.tenant != 1 || got.dest != 7 || got.life != 1500500*time.Microsecond || string(got.body) != "\r\n\x00$*" {
+	if got.id != "b" || got.key != "key" || got.tenant != 1 || got.dest != 7 || got.ttl != 1500500*time.Microsecond || string(got.body) != "\r\n\x00$*" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestAnswerLines(t *testing.T) {
 	for want, a := range map[string]answer{
-		"+OK\r\n": {}, "-BUSY\r\n": {refused: true}, "-BUSY 1500\r\n": {refused: true, after: 1500 * time.Millisecond},
-		"-ERR no\r\n": {failed: "no"},
+		"+OK\r\n": {}, "-BUSY\r\n": {refused: true}, "-BUSY 1500\r\n": {refused: true, retryAfter: 1500 * time.Millisecond},
+		"-ERR no\r\n": {failure: "no"},
 	} {
-		if got := a.line(); got != want {
+		if got := a.encode(); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
@@ -145,22 +147,22 @@
 // A request that has been read gets its answer, even while the node closes all connections.
 func TestCloseAnswersWhatWasRead(t *testing.T) {
 	inside, release := make(chan struct{}), make(chan struct{})
-	c, addr := serveTest(t, 100, func(request) answer {
+	c, addr := serveClients(t, 100, func(request) answer {
 		close(inside)
 		<-release
 		return answer{}
 	})
-	idle, idleReader := dialTest(t, addr)
-	io.WriteString(idle, resp("PING"))
+	idle, idleReader := dialClient(t, addr)
+	io.WriteString(idle, encodeCommand("PING"))
 	if _, err := idleReader.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	nc, br := dialTest(t, addr)
-	io.WriteString(nc, enqueue("a", "c=notice,d=8000,dest=7", "b"))
+	nc, br := dialClient(t, addr)
+	io.WriteString(nc, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
 	<-inside
 	done := make(chan struct{})
 	go func() {
-		c.close(closeGrace)
+		c.close(shutdownGrace)
 		close(done)
 	}()
 	if _, err := idleReader.ReadByte(); err != io.EOF {
@@ -176,10 +178,10 @@
 // Neither a partial request nor a client that never stops sending may delay the node's shutdown until it is
 // killed.
 func TestCloseDoesNotWaitForClients(t *testing.T) {
-	c, addr := serveTest(t, 100, func(request) answer { return answer{} })
+	c, addr := serveClients(t, 100, func(request) answer { return answer{} })
 	for _, more := range []string{"*5\r\n$7\r\nENQ", strings.Repeat("PING\r\n", 1000)} {
-		nc, br := dialTest(t, addr)
-		io.WriteString(nc, resp("PING")+more)
+		nc, br := dialClient(t, addr)
+		io.WriteString(nc, encodeCommand("PING")+more)
 		if line, err := br.ReadString('\n'); line != "+PONG\r\n" {
 			t.Fatalf("got %q, %v", line, err)
 		}
@@ -192,7 +194,7 @@
 	}
 	done := make(chan struct{})
 	go func() {
-		c.close(closeGrace)
+		c.close(shutdownGrace)
 		close(done)
 	}()
 	select {
@@ -204,14 +206,14 @@
 
 // Descriptors are limited: a connection beyond the slots waits, and is served when one is free.
 func TestConnectionsAreCapped(t *testing.T) {
-	_, addr := serveTest(t, 1, func(request) answer { return answer{} })
-	first, firstReader := dialTest(t, addr)
-	io.WriteString(first, resp("PING"))
+	_, addr := serveClients(t, 1, func(request) answer { return answer{} })
+	first, firstReader := dialClient(t, addr)
+	io.WriteString(first, encodeCommand("PING"))
 	if _, err := firstReader.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	second, secondReader := dialTest(t, addr)
-	io.WriteString(second, resp("PING"))
+	second, secondReader := dialClient(t, addr)
+	io.WriteString(second, encodeCommand("PING"))
 	first.Close()
 	if line, err := secondReader.ReadString('\n'); line != "+PONG\r\n" {
 		t.Errorf("got %q, %v", line, err)
@@ -221,14 +223,14 @@
 // Clients that send nothing, or nothing whole, are disconnected after a time: they would hold other clients'
 // slots.
 func TestUnfinishedClientsEnd(t *testing.T) {
-	_, addr := serveTest(t, 100, func(request) answer { return answer{} })
+	_, addr := serveClients(t, 100, func(request) answer { return answer{} })
 	for name, text := range map[string]string{
-		"nothing": "", "partial request": "*5\r\n$7\r\nENQ", "partial argument": resp("PING") + "*2\r\n$4\r\nPI", "empty line": "\r\n",
-		"empty commands": strings.Repeat("*0\r\n\r\n", 100), "one request": resp("PING"), "announced 60 MB": "*2\r\n$60000000\r\nxxx",
+		"nothing": "", "partial request": "*5\r\n$7\r\nENQ", "partial argument": encodeCommand("PING") + "*2\r\n$4\r\nPI", "empty line": "\r\n",
+		"empty commands": strings.Repeat("*0\r\n\r\n", 100), "one request": encodeCommand("PING"), "announced 60 MB": "*2\r\n$60000000\r\nxxx",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			nc, br := dialTest(t, addr)
+			nc, br := dialClient(t, addr)
 			io.WriteString(nc, text)
 			if all, err := io.ReadAll(br); err != nil && !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("got %q, %v", all, err)
@@ -241,20 +243,20 @@
 // one with an open request stays.
 func TestIdleClientsGiveWay(t *testing.T) {
 	release := make(chan struct{})
-	_, addr := serveTest(t, 3, func(request) answer {
+	_, addr := serveClients(t, 3, func(request) answer {
 		<-release
 		return answer{}
 	})
-	busy, busyReader := dialTest(t, addr)
-	io.WriteString(busy, enqueue("a", "c=notice,d=8000,dest=7", "b"))
-	asked, askedReader := dialTest(t, addr)
-	io.WriteString(asked, resp("PING"))
+	busy, busyReader := dialClient(t, addr)
+	io.WriteString(busy, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
+	asked, askedReader := dialClient(t, addr)
+	io.WriteString(asked, encodeCommand("PING"))
 	if _, err := askedReader.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	_, silentReader := dialTest(t, addr)
-	next, nextReader := dialTest(t, addr)
-	io.WriteString(next, resp("PING"))
+	_, silentReader := dialClient(t, addr)
+	next, nextReader := dialClient(t, addr)
+	io.WriteString(next, encodeCommand("PING"))
 	if line, err := nextReader.ReadString('\n'); line != "+PONG\r\n" {
 		t.Fatalf("got %q, %v", line, err)
 	}
@@ -271,12 +273,12 @@
 // idle longest are disconnected, and the latest stay usable.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	const most, keep = 30, 10
-	c, addr := serveTest(t, most, func(request) answer { return answer{} })
+	c, addr := serveClients(t, most, func(request) answer { return answer{} })
 	var readers []*bufio.Reader
 	var last net.Conn
 	for i := range 2 * keep {
-		nc, br := dialTest(t, addr)
-		io.WriteString(nc, enqueue("m"+itoa(i), "c=notice,d=8000,dest=7", "b"))
+		nc, br := dialClient(t, addr)
+		io.WriteString(nc, enqueueCommand("m"+itoa(i), "c=notice,d=8000,dest=7", "b"))
 		if line, err := br.ReadString('\n'); line != "+OK\r\n" {
 			t.Fatalf("client %d: %q, %v", i, line, err)
 		}
@@ -291,7 +293,7 @@
 	if _, err := readers[0].ReadByte(); err != io.EOF {
 		t.Errorf("connection idle longest: got %v, want EOF", err)
 	}
-	io.WriteString(last, resp("PING"))
+	io.WriteString(last, encodeCommand("PING"))
 	if line, err := readers[len(readers)-1].ReadString('\n'); line != "+PONG\r\n" {
 		t.Errorf("latest connection: got %q, %v", line, err)
 	}
@@ -299,9 +301,9 @@
 
 // Bytes that have arrived must be read even though the deadline has passed: they may be a whole request.
 func TestLastLook(t *testing.T) {
-	c, addr := serveTest(t, 1, func(request) answer { return answer{} })
-	nc, br := dialTest(t, addr)
-	io.WriteString(nc, resp("PING"))
+	c, addr := serveClients(t, 1, func(request) answer { return answer{} })
+	nc, br := dialClient(t, addr)
+	io.WriteString(nc, encodeCommand("PING"))
 	if line, err := br.ReadString('\n'); line != "+PONG\r\n" {
 		t.Fatalf("got %q, %v", line, err)
 	}
@@ -344,7 +346,7 @@
 
 // Whatever clients write, the reader keeps its limits and terminates.
 func FuzzReadCommand(f *testing.F) {
-	for _, text := range []string{resp("PING"), enqueue("a", "c=notice,d=8000,dest=7", "b"), "*0\r\n", "\r\n", "*9\r\n", "*1\r\n$99999999999\r\n"} {
+	for _, text := range []string{encodeCommand("PING"), enqueueCommand("a", "c=notice,d=8000,dest=7", "b"), "*0\r\n", "\r\n", "*9\r\n", "*1\r\n$99999999999\r\n"} {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -28,11 +28,11 @@
 		Sockets  int     `json:"sockets"`
 		DiskMB   float64 `json:"disk_mb"`
 	} `json:"limits"`
-	Known       catalog.List    `json:"known"`
+	InitialList catalog.List    `json:"known"`
 	RawSettings json.RawMessage `json:"settings"`
 
 	Fleet    Fleet           `json:"-"`
-	State    string          `json:"-"` // the persistent folder
+	StateDir string          `json:"-"` // the persistent folder
 	Settings choice.Settings `json:"-"`
 	Names    wire.Names      `json:"-"`
 }
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return c, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.State = state
+	c.StateDir = state
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
 		return c, fmt.Errorf("configuration %s: discovery: %w", path, err)
 	}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -77,19 +77,19 @@
 }
 
 // serveHooked serves clients on a listener with hooks. It calls configure, if any, before serving.
-func hooked(t *testing.T, most int, l *hookedListener, hand func(request) answer, set func(*clients)) (*clients, string) {
+func hooked(t *testing.T, most int, l *hookedListener, hand func(request) answer, set func(*clientServer)) (*clientServer, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.TCPListener = ln.(*net.TCPListener)
-	c := newClients(l, most, wire.Names{Classes: []string{"notice"}}, hand)
+	c := newClientServer(l, most, wire.Names{Classes: []string{"notice"}}, hand)
 	if set != nil {
 		set(c)
 	}
 	go c.serve(t.Context())
-	t.Cleanup(func() { c.close(closeGrace) })
+	t.Cleanup(func() { c.close(shutdownGrace) })
 	return c, ln.Addr().String()
 }
 
@@ -123,10 +123,10 @@
 // A request that arrives at the moment in which its connection is closed is neither accepted nor answered,
 // and the client sees an end of file, not a reset that could lose its last reply.
 func TestRequestCrossesTheHangUp(t *testing.T) {
-	late := enqueue("late", "c=notice,d=8000,dest=7", "b")
-	for name, hangUp := range map[string]func(*clients){
-		"eviction": func(c *clients) { c.evict() },
-		"shutdown": func(c *clients) { go c.close(closeGrace) },
+	late := enqueueCommand("late", "c=notice,d=8000,dest=7", "b")
+	for name, hangUp := range map[string]func(*clientServer){
+		"eviction": func(c *clientServer) { c.evict() },
+		"shutdown": func(c *clientServer) { go c.close(shutdownGrace) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var client net.Conn
@@ -139,8 +139,8 @@
 				return answer{}
 			}, nil)
 			var br interface{ ReadString(byte) (string, error) }
-			client, br = dialTest(t, addr)
-			io.WriteString(client, resp("PING"))
+			client, br = dialClient(t, addr)
+			io.WriteString(client, encodeCommand("PING"))
 			waitFor(t, c, idle, 1)
 			hangUp(c)
 			expect(t, br, "+PONG\r\n")
@@ -152,7 +152,7 @@
 }
 
 // waitListed waits until a list holds n connections.
-func waitFor(t *testing.T, c *clients, list, n int) {
+func waitFor(t *testing.T, c *clientServer, list, n int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c.mu.Lock()
@@ -170,20 +170,20 @@
 // A client whose request crossed the close of its connection during a shutdown sends it again on a new
 // connection, and it is accepted.
 func TestLeavingNodeTakesWhoCrossed(t *testing.T) {
-	c, addr := hooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, func(c *clients) { c.cross = testTimeout })
-	first, br := dialTest(t, addr)
-	io.WriteString(first, resp("PING"))
+	c, addr := hooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, func(c *clientServer) { c.cross = testTimeout })
+	first, br := dialClient(t, addr)
+	io.WriteString(first, encodeCommand("PING"))
 	expect(t, br, "+PONG\r\n")
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
-		c.close(closeGrace)
+		c.close(shutdownGrace)
 	}()
 	if _, err := br.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("idle connection: got %v, want EOF", err)
 	}
-	again, br := dialTest(t, addr)
-	io.WriteString(again, enqueue("a", "c=notice,d=8000,dest=7", "b"))
+	again, br := dialClient(t, addr)
+	io.WriteString(again, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
 	expect(t, br, "+OK\r\n")
 	if _, err := br.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the reply: got %v, want EOF", err)
@@ -200,10 +200,10 @@
 		accepting <- struct{}{}
 		<-release
 	}}
-	c, addr := hooked(t, 5, l, func(request) answer { return answer{} }, func(c *clients) { c.cross = 0 })
+	c, addr := hooked(t, 5, l, func(request) answer { return answer{} }, func(c *clientServer) { c.cross = 0 })
 	<-accepting // nothing is accepted from now on
-	nc, br := dialTest(t, addr)
-	io.WriteString(nc, enqueue("a", "c=notice,d=8000,dest=7", "b"))
+	nc, br := dialClient(t, addr)
+	io.WriteString(nc, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
@@ -234,11 +234,11 @@
 			<-hold
 		}
 	}}}
-	c, addr := hooked(t, 5, l, func(request) answer { return answer{} }, func(c *clients) { c.request = testTimeout })
+	c, addr := hooked(t, 5, l, func(request) answer { return answer{} }, func(c *clientServer) { c.request = testTimeout })
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release)
-	nc, br := dialTest(t, addr)
-	whole := enqueue("a", "c=notice,d=8000,dest=7", "b")
+	nc, br := dialClient(t, addr)
+	whole := enqueueCommand("a", "c=notice,d=8000,dest=7", "b")
 	io.WriteString(nc, whole[:10])
 	<-held
 	io.WriteString(nc, whole[10:])
@@ -264,14 +264,14 @@
 // When all slots are taken by requests that never end, a well-behaved client is still served.
 func TestHalfRequestsGiveWay(t *testing.T) {
 	const most = 3
-	c, addr := hooked(t, most, &hookedListener{}, func(request) answer { return answer{} }, func(c *clients) { c.request = testTimeout })
+	c, addr := hooked(t, most, &hookedListener{}, func(request) answer { return answer{} }, func(c *clientServer) { c.request = testTimeout })
 	for range most {
-		nc, _ := dialTest(t, addr)
+		nc, _ := dialClient(t, addr)
 		io.WriteString(nc, "*5\r\n$7\r\nENQ")
 	}
 	waitFor(t, c, half, most)
-	nc, br := dialTest(t, addr)
-	io.WriteString(nc, enqueue("a", "c=notice,d=8000,dest=7", "b"))
+	nc, br := dialClient(t, addr)
+	io.WriteString(nc, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
 	expect(t, br, "+OK\r\n")
 }
 
@@ -289,8 +289,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, addr := hooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, nil)
-			client, br := dialTest(t, addr)
-			io.WriteString(client, resp("PING"))
+			client, br := dialClient(t, addr)
+			io.WriteString(client, encodeCommand("PING"))
 			expect(t, br, "+PONG\r\n")
 			waitFor(t, c, idle, 1)
 			c.mu.Lock()
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -15,9 +15,9 @@
 	if got[0].Zone != 1 || got[1].Zone >= 0 || got[2].Zone >= 0 || got[1].Zone == got[2].Zone || got[1].Zone != got[3].Zone {
 		t.Errorf("got %+v", got)
 	}
-	s := pastSend{zone: got[1].Zone}
-	j := &journal{live: map[uint64]*past{1: {seq: 1}}}
-	if j.apply(attemptRecord(1, time.Now(), s.zone)); j.live[1].sends[0].zone != s.zone {
-		t.Errorf("zone %d came back from the journal as %d", s.zone, j.live[1].sends[0].zone)
+	s := pastAttempt{zone: got[1].Zone}
+	j := &journal{live: map[uint64]*pendingMessage{1: {seq: 1}}}
+	if j.apply(attemptRecord(1, time.Now(), s.zone)); j.live[1].attempts[0].zone != s.zone {
+		t.Errorf("zone %d came back from the journal as %d", s.zone, j.live[1].attempts[0].zone)
 	}
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -23,19 +23,19 @@
 	with := func(addrs ...string) func(*Config) {
 		return func(c *Config) {
 			c.Discovery, c.Fleet.Registry.Addresses, c.Fleet.Registry.KeepKB = dead, addrs, 64
-			c.Known.Members, c.Known.Revision = nil, 1000 // a revision of the platform, which does not compare with the directory's
+			c.InitialList.Members, c.InitialList.Revision = nil, 1000 // a revision of the platform, which does not compare with the directory's
 		}
 	}
 	addr, stop := startConfiguredNode(t, r, state, with(dead, r.addr()))
 	tries := 0
 	eventually(t, "the first message", func() bool {
 		tries++
-		return ask(t, addr, enqueue("a"+itoa(tries), statusFields, "")) == "+OK"
+		return roundTrip(t, addr, enqueueCommand("a"+itoa(tries), statusFields, "")) == "+OK"
 	})
 	p.nextRequest(t)
 	stop()
 	addr, _ = startConfiguredNode(t, r, state, with(dead))
-	mustAnswer(t, addr, enqueue("b", statusFields, ""), "+OK")
+	mustAnswer(t, addr, enqueueCommand("b", statusFields, ""), "+OK")
 	p.nextRequest(t)
 }
 
--- a/internal/node/formats_a_test.go
+++ b/internal/node/formats_a_test.go
@@ -23,8 +23,8 @@
 
 func TestJournalFormat(t *testing.T) {
 	at := time.UnixMicro(1_700_000_000_123_456)
-	accepted := func(seq uint64, tenant int) *past {
-		return &past{
+	accepted := func(seq uint64, tenant int) *pendingMessage {
+		return &pendingMessage{
 			seq: seq, id: "id-" + itoa(int(seq)), key: "key-" + itoa(int(seq)), class: 1, tenant: tenant, dest: 300,
 			body: []byte("body\x00\xff"), deadline: at.Add(time.Minute),
 		}
@@ -36,20 +36,20 @@
 		attemptRecord(1, at.Add(time.Second), -5), // of a zone that has no number
 		attemptRecord(1, at.Add(2*time.Second), 0),
 		attemptRecord(1, at.Add(3*time.Second), 1),
-		outcomeRecord(recNotRun, 1, 0),
-		outcomeRecord(recFailed, 1, 1),
-		outcomeRecord(recTurnedAway, 1, 2),
+		outcomeRecord(recordNotRun, 1, 0),
+		outcomeRecord(recordFailed, 1, 1),
+		outcomeRecord(recordRejected, 1, 2),
 		acceptedRecord(accepted(2, -1)),
-		endedRecord(2, ending{failed: true}),
+		finalRecord(2, finalAnswer{failed: true}),
 		acceptedRecord(accepted(300, 0)),
-		endedRecord(300, ending{after: 1500 * time.Millisecond}),
+		finalRecord(300, finalAnswer{retryAfter: 1500 * time.Millisecond}),
 		acceptedRecord(accepted(4, 0)),
-		record(recOver, 4),
-		endpointRecord(recListed, "e1", at),
-		endpointRecord(recBarred, "e1", at),
-		endpointRecord(recListed, "e2", at),
-		endpointRecord(recBarred, "e2", at),
-		endpointRecord(recLifted, "e2", at),
+		newRecord(recordDone, 4),
+		endpointRecord(recordListed, "e1", at),
+		endpointRecord(recordDisabled, "e1", at),
+		endpointRecord(recordListed, "e2", at),
+		endpointRecord(recordDisabled, "e2", at),
+		endpointRecord(recordEnabled, "e2", at),
 	} {
 		raw = appendRecord(raw, payload)
 	}
@@ -59,46 +59,46 @@
 	if err := os.WriteFile(filepath.Join(dir, "journal"), file, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	j := openTest(t, dir, 3)
+	j := openTestJournal(t, dir, 3)
 	withAttempts, failed, returned := accepted(1, 2), accepted(2, -1), accepted(300, 0)
-	withAttempts.sends = []pastSend{
-		{at: at, zone: 3, notRun: true, failed: true},
-		{at: at.Add(time.Second), zone: -5, failed: true},
-		{at: at.Add(2 * time.Second), notRun: true},
-		{at: at.Add(3 * time.Second), zone: 1},
+	withAttempts.attempts = []pastAttempt{
+		{sentAt: at, zone: 3, notRun: true, failed: true},
+		{sentAt: at.Add(time.Second), zone: -5, failed: true},
+		{sentAt: at.Add(2 * time.Second), notRun: true},
+		{sentAt: at.Add(3 * time.Second), zone: 1},
 	}
-	failed.body, failed.ended = nil, &ending{failed: true}
-	returned.body, returned.ended = nil, &ending{after: 1500 * time.Millisecond}
-	sameLive(t, j.live, map[uint64]*past{1: withAttempts, 2: failed, 300: returned})
-	if j.spoilt != "" || j.next != 301 {
-		t.Errorf("spoilt %q, next number %d, want 301", j.spoilt, j.next)
+	failed.body, failed.final = nil, &finalAnswer{failed: true}
+	returned.body, returned.final = nil, &finalAnswer{retryAfter: 1500 * time.Millisecond}
+	sameLive(t, j.live, map[uint64]*pendingMessage{1: withAttempts, 2: failed, 300: returned})
+	if j.corruption != "" || j.nextSeq != 301 {
+		t.Errorf("spoilt %q, next number %d, want 301", j.corruption, j.nextSeq)
 	}
-	if want := map[string]bool{"e1": true, "e2": false}; !reflect.DeepEqual(j.barred, want) || !j.lifted["e2"].Equal(at) {
-		t.Errorf("endpoints %v, want %v; e2 serves again since %v, want %v", j.barred, want, j.lifted["e2"], at)
+	if want := map[string]bool{"e1": true, "e2": false}; !reflect.DeepEqual(j.disabled, want) || !j.enabledAt["e2"].Equal(at) {
+		t.Errorf("endpoints %v, want %v; e2 serves again since %v, want %v", j.disabled, want, j.enabledAt["e2"], at)
 	}
 }
 
 // An older build's record of a message ends before the tenant.
 func TestJournalRecordWithoutTenant(t *testing.T) {
-	p := &past{seq: 1, id: "id", key: "key", class: 1, dest: 7, body: []byte("body"), deadline: time.UnixMicro(1)}
+	p := &pendingMessage{seq: 1, id: "id", key: "key", class: 1, dest: 7, body: []byte("body"), deadline: time.UnixMicro(1)}
 	payload := acceptedRecord(p)
-	j := &journal{live: map[uint64]*past{}}
+	j := &journal{live: map[uint64]*pendingMessage{}}
 	j.apply(payload[:len(payload)-1])
 	p.tenant = -1
-	sameLive(t, j.live, map[uint64]*past{1: p})
+	sameLive(t, j.live, map[uint64]*pendingMessage{1: p})
 }
 
 func TestEnqueueFormat(t *testing.T) {
 	names := wire.Names{Classes: []string{"status", "payout"}, Tenants: []string{"acme", "zen"}}
 	at := time.UnixMicro(1_700_000_000_123_456)
-	text := golden.Check(t, "enqueue.resp", []byte(enqueue("id-1", "c=payout,t=zen,d=1500.5,dest=7,k=key-1", "\r\n\x00$*")))
+	text := golden.Check(t, "enqueue.resp", []byte(enqueueCommand("id-1", "c=payout,t=zen,d=1500.5,dest=7,k=key-1", "\r\n\x00$*")))
 	args, err := readCommand(bufio.NewReader(bytes.NewReader(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := parseEnqueue(args, names, at)
 	want := request{
-		id: "id-1", key: "key-1", class: 1, tenant: 1, dest: 7, life: 1500500 * time.Microsecond, body: []byte("\r\n\x00$*"), came: at,
+		id: "id-1", key: "key-1", class: 1, tenant: 1, dest: 7, ttl: 1500500 * time.Microsecond, body: []byte("\r\n\x00$*"), receivedAt: at,
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, %v, want %+v", got, err, want)
@@ -107,26 +107,26 @@
 
 func TestClientRepliesFormat(t *testing.T) {
 	answers := map[string]answer{
-		"taken": {}, "busy": {refused: true}, "busy-1ms": {refused: true, after: time.Millisecond},
-		"busy-2s": {refused: true, after: 2*time.Second + 900*time.Microsecond}, "failed": {failed: "the reason"},
+		"taken": {}, "busy": {refused: true}, "busy-1ms": {refused: true, retryAfter: time.Millisecond},
+		"busy-2s": {refused: true, retryAfter: 2*time.Second + 900*time.Microsecond}, "failed": {failure: "the reason"},
 	}
-	_, addr := serveTest(t, 100, func(q request) answer { return answers[q.id] })
+	_, addr := serveClients(t, 100, func(q request) answer { return answers[q.id] })
 	const fields = "c=notice,d=8000,dest=7"
 	var replies strings.Builder
 	for _, text := range []string{
-		"PING\r\n", resp("ping"), resp("FLUSHALL"),
-		enqueue("taken", fields, "b"), enqueue("busy", fields, "b"), enqueue("busy-1ms", fields, "b"),
-		enqueue("busy-2s", fields, "b"), enqueue("failed", fields, "b"),
-		resp("ENQUEUE", "0000", "id"),
-		enqueue("a b", fields, "b"),
-		enqueue("id", strings.Repeat(",", maxWord), "b"), enqueue("id", strings.Repeat(",", maxWord+1), "b"),
-		enqueue("id", "c=other,d=8000,dest=7", "b"), enqueue("id", "c=notice,d=soon,dest=7", "b"),
-		enqueue("id", "c=notice,d=8000,dest=seven", "b"), enqueue("id", "c=notice,d=8000,dest=7,k=a b", "b"),
-		enqueue("id", "c=notice,d=8000", "b"), enqueue("id", fields, strings.Repeat("x", maxBody+1)),
+		"PING\r\n", encodeCommand("ping"), encodeCommand("FLUSHALL"),
+		enqueueCommand("taken", fields, "b"), enqueueCommand("busy", fields, "b"), enqueueCommand("busy-1ms", fields, "b"),
+		enqueueCommand("busy-2s", fields, "b"), enqueueCommand("failed", fields, "b"),
+		encodeCommand("ENQUEUE", "0000", "id"),
+		enqueueCommand("a b", fields, "b"),
+		enqueueCommand("id", strings.Repeat(",", maxWord), "b"), enqueueCommand("id", strings.Repeat(",", maxWord+1), "b"),
+		enqueueCommand("id", "c=other,d=8000,dest=7", "b"), enqueueCommand("id", "c=notice,d=soon,dest=7", "b"),
+		enqueueCommand("id", "c=notice,d=8000,dest=seven", "b"), enqueueCommand("id", "c=notice,d=8000,dest=7,k=a b", "b"),
+		enqueueCommand("id", "c=notice,d=8000", "b"), enqueueCommand("id", fields, strings.Repeat("x", maxBody+1)),
 		strings.Repeat("\r\n", maxEmpty), "*x\r\n", "*1\r\n:4\r\n", "*1\r\n$x\r\n", "*1\r\n$2000000\r\n",
 		"*1\r\n$3\r\nPINGPONG\r\n", strings.Repeat("y", maxLine+1) + "\r\n", "*5\r\n$7\r\nENQ",
 	} {
-		fmt.Fprintf(&replies, "%.80q %q\n", text, ask(t, addr, text))
+		fmt.Fprintf(&replies, "%.80q %q\n", text, roundTrip(t, addr, text))
 	}
 	golden.Check(t, "client-replies.txt", []byte(replies.String()))
 }
@@ -134,10 +134,10 @@
 func TestNoticeFormat(t *testing.T) {
 	var lines []byte
 	want := []notice{{ID: "a", State: "failed"}, {ID: "b", State: "returned", AfterMS: 1500}, {ID: "c", State: "returned"}}
-	for _, p := range []*past{
-		{id: "a", ended: &ending{failed: true, after: time.Second}},
-		{id: "b", ended: &ending{after: 1500 * time.Millisecond}},
-		{id: "c", ended: &ending{}},
+	for _, p := range []*pendingMessage{
+		{id: "a", final: &finalAnswer{failed: true, retryAfter: time.Second}},
+		{id: "b", final: &finalAnswer{retryAfter: 1500 * time.Millisecond}},
+		{id: "c", final: &finalAnswer{}},
 	} {
 		line, err := json.Marshal(newNotice(p))
 		if err != nil {
@@ -159,7 +159,7 @@
 }
 
 func TestMetricsFormat(t *testing.T) {
-	f := newFigures([]string{"status", "payout"})
+	f := newMetrics([]string{"status", "payout"})
 	value := int64(0)
 	next := func() int64 { value++; return value }
 	for class := range 2 {
@@ -168,9 +168,9 @@
 		f.errors[class].Store(next())
 		f.tries[class].Store(next())
 	}
-	f.active.Store(next())
-	f.listed.Store(next())
-	f.avoided.Store(next())
+	f.activeMessages.Store(next())
+	f.listedEndpoints.Store(next())
+	f.avoidedEndpoints.Store(next())
 	var b bytes.Buffer
 	f.write(&b)
 	golden.Check(t, "metrics.txt", b.Bytes())
@@ -181,7 +181,7 @@
 		followed.lost[0].set.Add(partition)
 	}
 	followed.lost[0].set.Add(ownership.PartitionCount - 1)
-	f.share.Store(followed)
+	f.ownership.Store(followed)
 	f.notOwned.Store(13)
 	b.Reset()
 	f.write(&b)
@@ -189,7 +189,7 @@
 }
 
 func TestOperatorAnswersFormat(t *testing.T) {
-	a := &Admin{figures: newFigures([]string{"status"})}
+	a := &Admin{metrics: newMetrics([]string{"status"})}
 	n := &Node{orders: make(chan order)}
 	go func() {
 		for o := range n.orders {
@@ -213,11 +213,11 @@
 	call("without a node", "GET", "/-/ready")
 	call("without a node", "GET", "/-/metrics")
 	call("without a node", "POST", "/-/endpoints/e/disable")
-	a.Serve(n)
+	a.SetNode(n)
 	call("at the start", "GET", "/-/ready")
 	n.stage.Store(inService)
 	call("without endpoints", "GET", "/-/ready")
-	n.figures.listed.Store(1)
+	n.figures.listedEndpoints.Store(1)
 	call("in service", "GET", "/-/ready")
 	for _, id := range []string{"e", "unknown", "late"} {
 		call("in service", "POST", "/-/endpoints/"+id+"/disable")
@@ -243,7 +243,7 @@
 	file := golden.Check(t, "config.json", raw)
 
 	want.Name, want.Listen, want.Discovery, want.AdminAddr = filled.Name, filled.Listen, filled.Discovery, filled.AdminAddr
-	want.Seed, want.Limits, want.Known = filled.Seed, filled.Limits, filled.Known
+	want.Seed, want.Limits, want.InitialList = filled.Seed, filled.Limits, filled.InitialList
 	var got Config
 	if err := json.Unmarshal(file, &got); err != nil {
 		t.Fatal(err)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -269,7 +269,7 @@
 // Start makes a node once the lasting folder is this process's own: from a process that hands it over, or from the
 // journal alone. It waits for both as long as ctx lives.
 func Start(ctx context.Context, cfg Config, log *slog.Logger) (n *Node, ln net.Listener, err error) {
-	lock, err := os.OpenFile(filepath.Join(cfg.State, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	lock, err := os.OpenFile(filepath.Join(cfg.StateDir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, nil, fmt.Errorf("lock: %w", err)
 	}
@@ -331,7 +331,7 @@
 
 // takeOver asks the process that holds the lock for the node. One that hangs is killed: its lock is free then.
 func takeOver(ctx context.Context, cfg Config, log *slog.Logger, lock *os.File) (*Node, net.Listener, error) {
-	conn, err := dialDoor(door(cfg.State))
+	conn, err := dialDoor(door(cfg.StateDir))
 	if err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
@@ -342,7 +342,7 @@
 	}
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		err = errors.Join(errSilent, l.fence(door(cfg.State), log))
+		err = errors.Join(errSilent, l.fence(door(cfg.StateDir), log))
 	}
 	conn.Close()
 	return nil, nil, err
@@ -441,12 +441,12 @@
 func (n *Node) inherit(l *link, from *legacy, sender *choice.Sender) {
 	n.sender, n.forebear = sender, l
 	n.start = time.Now().Add(epoch - from.Clock - time.Since(from.At))
-	n.cfg.Known = catalog.List{Revision: from.Revision, Complete: true, Members: from.Members}
+	n.cfg.InitialList = catalog.List{Revision: from.Revision, Complete: true, Members: from.Members}
 	n.told = registry.Position{History: from.History, Revision: from.Revision, Server: from.ToldBy}
 	if from.History == 0 && !slices.Contains(n.cfg.DiscoveryAddresses(), from.ToldBy) { // another server's revisions count something else
-		n.cfg.Known.Revision, n.told = 0, registry.Position{Server: n.cfg.Discovery}
+		n.cfg.InitialList.Revision, n.told = 0, registry.Position{Server: n.cfg.Discovery}
 	}
-	n.listed(n.cfg.Known) // the module has it already
+	n.listed(n.cfg.InitialList) // the module has it already
 	for id, until := range from.Waits {
 		if e := n.eps[id]; e != nil {
 			e.wait.Store(max(until, e.wait.Load()))
@@ -455,7 +455,7 @@
 	for _, o := range from.Out {
 		m := n.journal.live[o.Seq]
 		if m == nil { // over, and forgotten; its outcome is awaited all the same
-			m = &past{seq: o.Seq, dest: o.Dest, class: o.Class, ended: &ending{}}
+			m = &pendingMessage{seq: o.Seq, dest: o.Dest, class: o.Class, final: &finalAnswer{}}
 		}
 		n.out[attempt{o.Seq, o.Attempt}] = outCall{m: m, remote: true, cancel: func() { l.send(message{Cancel: &o}) }}
 	}
@@ -477,11 +477,11 @@
 		case m.Ask != nil: // as many at once as the old process has clients
 			parts.Go(func() {
 				a := n.hand(ctx, m.Ask.request())
-				l.send(message{Answer: &reply{Number: m.Ask.Number, Refused: a.refused, After: a.after, Failed: a.failed, Gone: a.gone}})
+				l.send(message{Answer: &reply{Number: m.Ask.Number, Refused: a.refused, After: a.retryAfter, Failed: a.failure, Gone: a.outcomeUnknown}})
 			})
 		case m.Order != nil: // as many at once as it has callers
 			parts.Go(func() {
-				within, cancel := context.WithTimeout(ctx, orderTimeout)
+				within, cancel := context.WithTimeout(ctx, adminCommandTimeout)
 				defer cancel()
 				err := n.SetEndpointEnabled(within, m.Order.ID, m.Order.Lift)
 				l.send(message{Answer: &reply{Number: m.Order.Number, Gone: err != nil, Unknown: errors.Is(err, ErrUnknownEndpoint)}})
@@ -492,7 +492,7 @@
 
 func (a *question) request() request {
 	return request{
-		id: a.ID, key: a.Key, class: a.Class, dest: a.Dest, tenant: a.Tenant, life: a.Life, body: a.Body, came: a.Came,
+		id: a.ID, key: a.Key, class: a.Class, dest: a.Dest, tenant: a.Tenant, ttl: a.Life, body: a.Body, receivedAt: a.Came,
 	}
 }
 
@@ -565,8 +565,8 @@
 
 // offer hands the node over, between two steps. On an error it is still ours.
 func (n *Node) offer(l *link) error {
-	if len(n.acts) > 0 || n.journal.broken {
-		return errJournalDown // the other process could not write it either
+	if len(n.acts) > 0 || n.journal.incomplete {
+		return errJournalUnavailable // the other process could not write it either
 	}
 	if err := errors.Join(n.journal.flush(), n.own.keep()); err != nil {
 		return err
@@ -613,9 +613,9 @@
 	}
 	n.heir = l
 	n.stage.Store(handedOver)
-	n.figures.active.Store(0)
+	n.figures.activeMessages.Store(0)
 	n.door.Close()
-	n.journal.f.Close()
+	n.journal.file.Close()
 	n.lock.Close() // from here on the other process acts
 	n.lock = nil
 	n.log.Info("handed over", "calls out", len(n.out))
@@ -696,12 +696,12 @@
 			n.heir.send(message{Outcome: n.outcome(e)})
 		case arrival:
 			if err != nil {
-				e.reply <- answer{gone: true, elsewhere: true}
+				e.reply <- answer{outcomeUnknown: true, countedElsewhere: true}
 				continue
 			}
 			n.numbered++
 			asked[n.numbered] = func(r reply) { e.reply <- answer{r.Refused, r.After, r.Failed, r.Gone, true} }
-			n.heir.send(message{Ask: &question{n.numbered, e.id, e.key, e.class, e.dest, e.tenant, e.life, e.body, e.came}})
+			n.heir.send(message{Ask: &question{n.numbered, e.id, e.key, e.class, e.dest, e.tenant, e.ttl, e.body, e.receivedAt}})
 		case message:
 			switch {
 			case e.Answer != nil:
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -82,11 +82,11 @@
 	late := newFakeEndpoint(t, respondWith(okResponse))
 	r, state := newFakeRegistry(t), t.TempDir()
 	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("off", "127.0.0.1:9", 8, "DRAINING"))
-	mustAnswer(t, old.addr, enqueue("out", payoutFields, "x"), "+OK")
+	mustAnswer(t, old.addr, enqueueCommand("out", payoutFields, "x"), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, old.addr, enqueue("held", "c=status,d=50000,dest=8", "x"), "+OK")
-	half, br := dialTest(t, old.addr)
-	text := enqueue("half", "c=order,d=50000,dest=8,k=k", "x")
+	mustAnswer(t, old.addr, enqueueCommand("held", "c=status,d=50000,dest=8", "x"), "+OK")
+	half, br := dialClient(t, old.addr)
+	text := enqueueCommand("half", "c=order,d=50000,dest=8,k=k", "x")
 	io.WriteString(half, text[:9])
 	eventually(t, "it reads", func() bool { return old.node.stage.Load() == inService })
 
@@ -96,7 +96,7 @@
 	if line, err := br.ReadString('\n'); line != "+OK\r\n" {
 		t.Errorf("the request that was half read: %q, %v", line, err)
 	}
-	mustAnswer(t, young.addr, enqueue("held", "c=status,d=50000,dest=8", "x"), "+OK") // known, so not taken on again
+	mustAnswer(t, young.addr, enqueueCommand("held", "c=status,d=50000,dest=8", "x"), "+OK") // known, so not taken on again
 	answers <- okResponse
 	eventually(t, "the outcome", func() bool { return young.node.figures.ok[2].Load() == 1 })
 	old.cancel()
@@ -119,7 +119,7 @@
 	if err := young.wait(t); err != nil {
 		t.Error(err)
 	}
-	if j := openTest(t, state, 3); len(j.live) != 0 {
+	if j := openTestJournal(t, state, 3); len(j.live) != 0 {
 		t.Errorf("%d live in the end", len(j.live))
 	}
 }
@@ -154,13 +154,13 @@
 	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
 	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
 	r.publish(listJSON(2, false, memberJSON("new", p.addr(), 8, "SERVING")))
-	eventually(t, "the list", func() bool { return old.node.figures.listed.Load() == 2 })
+	eventually(t, "the list", func() bool { return old.node.figures.listedEndpoints.Load() == 2 })
 	l, had := knock(t, state)
 	l.conn.Close()
 	if had.Revision != 2 || had.ToldBy != r.addr() || len(had.Members) != 2 {
 		t.Errorf("discovery's news stands at %d of %s, %d listed", had.Revision, had.ToldBy, len(had.Members))
 	}
-	mustAnswer(t, old.addr, enqueue("a", statusFields, "x"), "+OK")
+	mustAnswer(t, old.addr, enqueueCommand("a", statusFields, "x"), "+OK")
 	p.nextRequest(t)
 	stranger, err := dialDoor(door(state)) // of another version
 	if err != nil {
@@ -172,7 +172,7 @@
 		t.Errorf("got %v", err)
 	}
 	young := startProcess(t, r, state, old.addr)
-	mustAnswer(t, young.addr, enqueue("b", statusFields, "x"), "+OK")
+	mustAnswer(t, young.addr, enqueueCommand("b", statusFields, "x"), "+OK")
 	p.nextRequest(t)
 }
 
@@ -183,9 +183,9 @@
 	p, _ := slowPartner(t)
 	r, state := newFakeRegistry(t), t.TempDir()
 	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, old.addr, enqueue("payout", payoutFields, "x"), "+OK")
+	mustAnswer(t, old.addr, enqueueCommand("payout", payoutFields, "x"), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, old.addr, enqueue("notice", statusFields, "x"), "+OK")
+	mustAnswer(t, old.addr, enqueueCommand("notice", statusFields, "x"), "+OK")
 	p.nextRequest(t)
 	heir, _ := knock(t, state)
 	if err := heir.send(message{Ready: true}); err != nil {
@@ -214,9 +214,9 @@
 	p, _ := slowPartner(t)
 	r, state := newFakeRegistry(t), t.TempDir()
 	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, old.addr, enqueue("payout", payoutFields, "x"), "+OK")
+	mustAnswer(t, old.addr, enqueueCommand("payout", payoutFields, "x"), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, old.addr, enqueue("notice", statusFields, "x"), "+OK")
+	mustAnswer(t, old.addr, enqueueCommand("notice", statusFields, "x"), "+OK")
 	p.nextRequest(t)
 	young := startProcess(t, r, state, old.addr)
 	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[handedOver] })
@@ -245,7 +245,7 @@
 	})
 	r, state := newFakeRegistry(t), t.TempDir()
 	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, old.addr, enqueue("out", payoutFields, "x"), "+OK")
+	mustAnswer(t, old.addr, enqueueCommand("out", payoutFields, "x"), "+OK")
 	p.nextRequest(t)
 	young := startProcess(t, r, state, old.addr)
 	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[handedOver] })
@@ -253,7 +253,7 @@
 	if e.closedTo(time.Now()) {
 		t.Fatal("closed before anything was told")
 	}
-	mustAnswer(t, young.addr, enqueue("told", statusFields, "x"), "+OK")
+	mustAnswer(t, young.addr, enqueueCommand("told", statusFields, "x"), "+OK")
 	eventually(t, "the wait", func() bool { return e.closedTo(time.Now()) })
 }
 
@@ -357,7 +357,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx, ln) }()
 	eventually(t, "ready", func() bool { return n.NotReadyReason() == "" })
-	if got := ask(t, ln.Addr().String(), resp("PING")); got != "+PONG" {
+	if got := roundTrip(t, ln.Addr().String(), encodeCommand("PING")); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
 	cancel()
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -21,39 +21,39 @@
 // describes how corrupt records are handled.
 
 const (
-	recAccepted   byte = iota + 1 // a message was accepted
-	recAttempt                    // an attempt is about to be sent
-	recNotRun                     // an attempt failed, as in an outage, and is proven not to have run
-	recFailed                     // an attempt failed and may have run
-	recEnded                      // the final answer, whose notice is still owed
-	recOver                       // nothing is owed any more
-	recTurnedAway                 // an attempt did not run, and its destination works
+	recordAccepted byte = iota + 1 // a message was accepted
+	recordAttempt                  // an attempt is about to be sent
+	recordNotRun                   // an attempt failed, as in an outage, and is proven not to have run
+	recordFailed                   // an attempt failed and may have run
+	recordFinal                    // the final answer, whose notice is still owed
+	recordDone                     // nothing is owed any more
+	recordRejected                 // an attempt did not run, and its destination works
 
 	// These records concern an endpoint and have number 0, which no message has. Older builds skip them.
-	recListed // discovery has listed it
-	recBarred // an operator disabled it
-	recLifted // an operator enabled it again
+	recordListed   // discovery has listed it
+	recordDisabled // an operator disabled it
+	recordEnabled  // an operator enabled it again
 )
 
 const (
-	journalName    = "journal"
-	recordHead     = 8
-	maxRecord      = maxBody + 4*maxWord + 64
-	messageReserve = 700       // bytes for the small records that will follow: 12 attempts at 36 to 45 bytes, and the end
-	minCompact     = 256 << 10 // bytes; a smaller file is not worth compacting
-	defaultDiskMB  = 3
-	compactPause   = 100 * time.Millisecond // after a failed compaction
-	maxKnown       = 2000                   // endpoints that are remembered; the oldest that are not disabled are dropped first
+	journalName       = "journal"
+	recordHead        = 8
+	maxRecord         = maxBody + 4*maxWord + 64
+	messageReserve    = 700       // bytes for the small records that will follow: 12 attempts at 36 to 45 bytes, and the end
+	minCompact        = 256 << 10 // bytes; a smaller file is not worth compacting
+	defaultDiskMB     = 3
+	compactRetryDelay = 100 * time.Millisecond // after a failed compaction
+	maxKnown          = 2000                   // endpoints that are remembered; the oldest that are not disabled are dropped first
 )
 
 var (
-	errDiskBudget  = errors.New("the journal has used up its disk budget")
-	errJournalDown = errors.New("journal: not retried yet after a failed write")
+	errDiskBudget         = errors.New("the journal has used up its disk budget")
+	errJournalUnavailable = errors.New("journal: not retried yet after a failed write")
 )
 
 // pendingMessage is what the journal knows of a message until its delivery, or the acceptance of its notice,
 // is recorded.
-type past struct {
+type pendingMessage struct {
 	seq      uint64
 	id, key  string
 	class    int
@@ -61,29 +61,29 @@
 	dest     int
 	body     []byte
 	deadline time.Time
-	sends    []pastSend
-	ended    *ending
+	attempts []pastAttempt
+	final    *finalAnswer
 }
 
 // pastAttempt is one attempt of a pending message. One without a recorded failure was in flight when the
 // journal ended, and may have run as well.
-type pastSend struct {
-	at             time.Time
+type pastAttempt struct {
+	sentAt         time.Time
 	zone           int
 	notRun, failed bool
 }
 
 // finalAnswer is the final answer of a message that was not delivered.
-type ending struct {
-	failed bool
-	after  time.Duration
+type finalAnswer struct {
+	failed     bool
+	retryAfter time.Duration
 }
 
 // choiceID is what package choice calls the message. Clients may reuse IDs; numbers are unique.
-func (p *past) name() string { return strconv.FormatUint(p.seq, 10) }
+func (p *pendingMessage) choiceID() string { return strconv.FormatUint(p.seq, 10) }
 
 // parseChoiceID returns the number in a choice ID, or 0, which no message has.
-func seqOf(name string) uint64 {
+func parseChoiceID(name string) uint64 {
 	seq, err := strconv.ParseUint(name, 10, 64)
 	if err != nil {
 		return 0
@@ -92,26 +92,26 @@
 }
 
 // size is about the room that a message takes in the journal.
-func (p *past) size() int64 {
+func (p *pendingMessage) size() int64 {
 	return int64(len(p.body)+len(p.id)+len(p.key)) + messageReserve
 }
 
 // journal appends records and keeps the live state, from which it can rewrite the file.
 type journal struct {
-	dir     string
-	budget  int64
-	f       *os.File
-	written int64 // bytes of whole records in the file
-	live    map[uint64]*past
-	known   []string             // IDs of all endpoints that were ever listed, in the order of their first listing
-	barred  map[string]bool      // by the ID of each known endpoint: true while an operator has disabled it
-	lifted  map[string]time.Time // by endpoint ID: when an operator last enabled it again
-	held    int64                // sum of the sizes of all live messages and known endpoints
-	pending []byte               // records not yet in the file
-	next    uint64
-	broken  bool // the file lacks records of the live state; only a new file has them all
-	retryAt time.Time
-	spoilt  string // describes what replay could not read, if anything
+	dir              string
+	budget           int64
+	file             *os.File
+	fileSize         int64 // bytes of whole records in the file
+	live             map[uint64]*pendingMessage
+	knownEndpoints   []string             // IDs of all endpoints that were ever listed, in the order of their first listing
+	disabled         map[string]bool      // by the ID of each known endpoint: true while an operator has disabled it
+	enabledAt        map[string]time.Time // by endpoint ID: when an operator last enabled it again
+	liveSize         int64                // sum of the sizes of all live messages and known endpoints
+	unwritten        []byte               // records not yet in the file
+	nextSeq          uint64
+	incomplete       bool // the file lacks records of the live state; only a new file has them all
+	compactNotBefore time.Time
+	corruption       string // describes what replay could not read, if anything
 }
 
 // openJournal replays the journal in dir, as far as it can be read.
@@ -119,8 +119,8 @@
 	if diskMB <= 0 {
 		diskMB = defaultDiskMB
 	}
-	j := &journal{dir: dir, budget: int64(diskMB*(1<<20)) - 16<<10, live: map[uint64]*past{}, next: 1,
-		barred: map[string]bool{}, lifted: map[string]time.Time{}}
+	j := &journal{dir: dir, budget: int64(diskMB*(1<<20)) - 16<<10, live: map[uint64]*pendingMessage{}, nextSeq: 1,
+		disabled: map[string]bool{}, enabledAt: map[string]time.Time{}}
 	// An interrupted compaction leaves its file; the old one is still whole.
 	if err := os.Remove(j.path() + ".new"); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
@@ -129,14 +129,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	j.f = f
+	j.file = f
 	raw, err := io.ReadAll(f)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("journal: %w", err), f.Close())
 	}
 	j.replay(raw)
-	j.written = int64(len(raw))
-	if j.spoilt != "" {
+	j.fileSize = int64(len(raw))
+	if j.corruption != "" {
 		j.compact() // if it fails, the journal is incomplete and every flush tries again
 	}
 	return j, nil
@@ -160,8 +160,8 @@
 		for next < len(raw) && wholeRecord(raw[next:]) == nil {
 			next++
 		}
-		if j.spoilt == "" {
-			j.spoilt = fmt.Sprintf("%d of %d bytes from offset %d", next-at, len(raw), at)
+		if j.corruption == "" {
+			j.corruption = fmt.Sprintf("%d of %d bytes from offset %d", next-at, len(raw), at)
 		}
 		if next < len(raw) || !j.applyTorn(raw[at:]) {
 			j.endLive()
@@ -199,20 +199,20 @@
 	switch {
 	case f.bad:
 		return false
-	case payload[0] == recAccepted: // it precedes the records of attempts, so none was made
+	case payload[0] == recordAccepted: // it precedes the records of attempts, so none was made
 		if id := f.bytes(); !f.bad {
-			p = &past{seq: seq, id: string(id), tenant: -1, deadline: time.UnixMicro(0), ended: &ending{}}
-			j.next = max(j.next, seq+1)
+			p = &pendingMessage{seq: seq, id: string(id), tenant: -1, deadline: time.UnixMicro(0), final: &finalAnswer{}}
+			j.nextSeq = max(j.nextSeq, seq+1)
 			j.live[seq] = p
-			j.held += p.size()
+			j.liveSize += p.size()
 		}
 	case p == nil: // of an endpoint, or of a message that nothing is owed for
-	case payload[0] == recOver:
-		j.apply(record(recOver, seq))
-	case payload[0] == recAttempt && p.ended == nil: // it may have run, at any time in the past
+	case payload[0] == recordDone:
+		j.apply(newRecord(recordDone, seq))
+	case payload[0] == recordAttempt && p.final == nil: // it may have run, at any time in the past
 		j.apply(attemptRecord(seq, time.UnixMicro(0), 0))
-	case payload[0] == recEnded && p.ended == nil:
-		j.apply(endedRecord(seq, ending{failed: true}))
+	case payload[0] == recordFinal && p.final == nil:
+		j.apply(finalRecord(seq, finalAnswer{failed: true}))
 	} // of the outcome of an attempt nothing is applied: without it the attempt may have run
 	return true
 }
@@ -220,8 +220,8 @@
 // failAllLive ends all live messages as failed. A repeated notice of one that had ended does no harm.
 func (j *journal) endLive() {
 	for seq, p := range j.live {
-		if p.ended == nil {
-			j.apply(endedRecord(seq, ending{failed: true}))
+		if p.final == nil {
+			j.apply(finalRecord(seq, finalAnswer{failed: true}))
 		}
 	}
 }
@@ -267,52 +267,52 @@
 func (j *journal) apply(payload []byte) {
 	f := &fields{b: payload[1:]}
 	seq := f.number()
-	if payload[0] >= recListed {
+	if payload[0] >= recordListed {
 		j.applyEndpoint(payload[0], f)
 		return
 	}
-	j.next = max(j.next, seq+1)
+	j.nextSeq = max(j.nextSeq, seq+1)
 	p := j.live[seq]
-	if p == nil && payload[0] != recAccepted {
+	if p == nil && payload[0] != recordAccepted {
 		return
 	}
 	switch payload[0] {
-	case recAccepted:
-		p = &past{seq: seq, id: string(f.bytes()), key: string(f.bytes()), class: int(f.number()), dest: int(f.number()),
+	case recordAccepted:
+		p = &pendingMessage{seq: seq, id: string(f.bytes()), key: string(f.bytes()), class: int(f.number()), dest: int(f.number()),
 			deadline: f.time(), body: f.bytes(), tenant: -1}
 		if len(f.b) > 0 { // records of older builds end here
 			p.tenant = int(f.number()) - 1
 		}
 		if !f.bad {
 			j.live[seq] = p
-			j.held += p.size()
+			j.liveSize += p.size()
 		}
-	case recAttempt:
-		s := pastSend{at: f.time(), zone: int(f.number())}
-		if !f.bad && p.ended == nil { // a message already has its final answer after a record that can't be read
-			p.sends = append(p.sends, s)
+	case recordAttempt:
+		s := pastAttempt{sentAt: f.time(), zone: int(f.number())}
+		if !f.bad && p.final == nil { // a message already has its final answer after a record that can't be read
+			p.attempts = append(p.attempts, s)
 		}
-	case recNotRun:
-		if n := f.number(); !f.bad && n < uint64(len(p.sends)) {
-			p.sends[n].notRun, p.sends[n].failed = true, true
+	case recordNotRun:
+		if n := f.number(); !f.bad && n < uint64(len(p.attempts)) {
+			p.attempts[n].notRun, p.attempts[n].failed = true, true
 		}
-	case recTurnedAway:
-		if n := f.number(); !f.bad && n < uint64(len(p.sends)) {
-			p.sends[n].notRun = true
+	case recordRejected:
+		if n := f.number(); !f.bad && n < uint64(len(p.attempts)) {
+			p.attempts[n].notRun = true
 		}
-	case recFailed:
-		if n := f.number(); !f.bad && n < uint64(len(p.sends)) {
-			p.sends[n].failed = true
+	case recordFailed:
+		if n := f.number(); !f.bad && n < uint64(len(p.attempts)) {
+			p.attempts[n].failed = true
 		}
-	case recEnded:
-		e := &ending{failed: f.number() == 1, after: time.Duration(f.number()) * time.Millisecond}
+	case recordFinal:
+		e := &finalAnswer{failed: f.number() == 1, retryAfter: time.Duration(f.number()) * time.Millisecond}
 		if !f.bad {
-			j.held -= p.size()
-			p.ended, p.body, p.sends = e, nil, nil // only the notice is owed
-			j.held += p.size()
+			j.liveSize -= p.size()
+			p.final, p.body, p.attempts = e, nil, nil // only the notice is owed
+			j.liveSize += p.size()
 		}
-	case recOver:
-		j.held -= p.size()
+	case recordDone:
+		j.liveSize -= p.size()
 		delete(j.live, seq)
 	}
 }
@@ -323,19 +323,19 @@
 	if f.bad {
 		return
 	}
-	if _, known := j.barred[id]; !known {
-		j.known = append(j.known, id)
-		j.held += endpointSize(id)
-		if i := slices.IndexFunc(j.known, func(id string) bool { return !j.barred[id] }); len(j.known) > maxKnown && i >= 0 {
-			j.held -= endpointSize(j.known[i])
-			delete(j.barred, j.known[i])
-			delete(j.lifted, j.known[i])
-			j.known = slices.Delete(j.known, i, i+1)
+	if _, known := j.disabled[id]; !known {
+		j.knownEndpoints = append(j.knownEndpoints, id)
+		j.liveSize += endpointSize(id)
+		if i := slices.IndexFunc(j.knownEndpoints, func(id string) bool { return !j.disabled[id] }); len(j.knownEndpoints) > maxKnown && i >= 0 {
+			j.liveSize -= endpointSize(j.knownEndpoints[i])
+			delete(j.disabled, j.knownEndpoints[i])
+			delete(j.enabledAt, j.knownEndpoints[i])
+			j.knownEndpoints = slices.Delete(j.knownEndpoints, i, i+1)
 		}
 	}
-	j.barred[id] = kind == recBarred || (kind == recListed && j.barred[id])
-	if kind == recLifted {
-		j.lifted[id] = at
+	j.disabled[id] = kind == recordDisabled || (kind == recordListed && j.disabled[id])
+	if kind == recordEnabled {
+		j.enabledAt[id] = at
 	}
 }
 
@@ -343,12 +343,12 @@
 func endpointSize(id string) int64 { return 2 * int64(recordHead+len(id)+16) }
 
 func endpointRecord(kind byte, id string, at time.Time) []byte {
-	return appendTime(appendBytes(record(kind, 0), []byte(id)), at)
+	return appendTime(appendBytes(newRecord(kind, 0), []byte(id)), at)
 }
 
 // add queues a record for the next flush and updates the live state.
 func (j *journal) add(payload []byte) {
-	j.pending = appendRecord(j.pending, payload)
+	j.unwritten = appendRecord(j.unwritten, payload)
 	j.apply(payload)
 }
 
@@ -358,44 +358,44 @@
 	return append(b, payload...)
 }
 
-func record(kind byte, seq uint64) []byte { return binary.AppendUvarint([]byte{kind}, seq) }
+func newRecord(kind byte, seq uint64) []byte { return binary.AppendUvarint([]byte{kind}, seq) }
 
-func acceptedRecord(p *past) []byte {
-	b := record(recAccepted, p.seq)
+func acceptedRecord(p *pendingMessage) []byte {
+	b := newRecord(recordAccepted, p.seq)
 	b = appendBytes(appendBytes(b, []byte(p.id)), []byte(p.key))
 	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(p.class)), uint64(p.dest))
 	return binary.AppendUvarint(appendBytes(appendTime(b, p.deadline), p.body), uint64(p.tenant+1))
 }
 
 func attemptRecord(seq uint64, at time.Time, zone int) []byte {
-	return binary.AppendUvarint(appendTime(record(recAttempt, seq), at), uint64(zone))
+	return binary.AppendUvarint(appendTime(newRecord(recordAttempt, seq), at), uint64(zone))
 }
 
 // outcomeRecord makes a record of the kind recordNotRun, recordRejected or recordFailed.
 func outcomeRecord(kind byte, seq uint64, attempt int) []byte {
-	return binary.AppendUvarint(record(kind, seq), uint64(attempt))
+	return binary.AppendUvarint(newRecord(kind, seq), uint64(attempt))
 }
 
-func endedRecord(seq uint64, e ending) []byte {
+func finalRecord(seq uint64, e finalAnswer) []byte {
 	failed := uint64(0)
 	if e.failed {
 		failed = 1
 	}
-	b := binary.AppendUvarint(record(recEnded, seq), failed)
-	return binary.AppendUvarint(b, uint64(e.after/time.Millisecond))
+	b := binary.AppendUvarint(newRecord(recordFinal, seq), failed)
+	return binary.AppendUvarint(b, uint64(e.retryAfter/time.Millisecond))
 }
 
 // accept numbers a new message, queues its record and returns what is kept of it. It refuses a message that
 // the disk may have no room for. Twice the live state must fit, because during a compaction the old and the
 // new file both exist.
-func (j *journal) accept(p *past) (*past, error) {
-	if j.broken {
-		return nil, errJournalDown
+func (j *journal) accept(p *pendingMessage) (*pendingMessage, error) {
+	if j.incomplete {
+		return nil, errJournalUnavailable
 	}
-	if 2*(j.held+p.size())+int64(len(j.pending)) > j.budget {
+	if 2*(j.liveSize+p.size())+int64(len(j.unwritten)) > j.budget {
 		return nil, errDiskBudget
 	}
-	p.seq = j.next
+	p.seq = j.nextSeq
 	j.add(acceptedRecord(p))
 	return j.live[p.seq], nil
 }
@@ -403,37 +403,37 @@
 // flush writes the queued records. After an error nothing that they guard may be done. The live state stays
 // correct all the same, and is written to a new file as soon as that is possible.
 func (j *journal) flush() error {
-	if len(j.pending) == 0 && !j.broken {
+	if len(j.unwritten) == 0 && !j.incomplete {
 		return nil
 	}
-	after := j.written + int64(len(j.pending))
-	if j.broken || after+j.held > j.budget || (after > minCompact && after > 4*j.held) {
+	after := j.fileSize + int64(len(j.unwritten))
+	if j.incomplete || after+j.liveSize > j.budget || (after > minCompact && after > 4*j.liveSize) {
 		return j.compact()
 	}
-	if _, err := j.f.WriteAt(j.pending, j.written); err != nil {
+	if _, err := j.file.WriteAt(j.unwritten, j.fileSize); err != nil {
 		// The next start must not find whole records of actions that are not going to be taken.
-		j.pending, j.broken = nil, true
+		j.unwritten, j.incomplete = nil, true
 		return fmt.Errorf("journal: %w", errors.Join(err, j.rewind()))
 	}
-	j.written = after
-	j.pending = j.pending[:0]
+	j.fileSize = after
+	j.unwritten = j.unwritten[:0]
 	return nil
 }
 
 // truncateTail removes whatever follows the last whole record.
 func (j *journal) rewind() error {
-	return j.f.Truncate(j.written)
+	return j.file.Truncate(j.fileSize)
 }
 
 // compact writes the live state, which includes the queued records, to a new file and replaces the old one
 // with it.
 func (j *journal) compact() (err error) {
-	if time.Now().Before(j.retryAt) {
-		return errJournalDown
+	if time.Now().Before(j.compactNotBefore) {
+		return errJournalUnavailable
 	}
 	defer func() {
 		if err != nil { // without a pause, all live state would be written to a full disk again and again
-			j.pending, j.broken, j.retryAt = nil, true, time.Now().Add(compactPause)
+			j.unwritten, j.incomplete, j.compactNotBefore = nil, true, time.Now().Add(compactRetryDelay)
 		}
 	}()
 	f, err := os.OpenFile(j.path()+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -451,29 +451,29 @@
 		n, _ := w.Write(appendRecord(nil, payload)) // w keeps the error
 		size += int64(n)
 	}
-	for _, id := range j.known {
-		put(endpointRecord(recListed, id, time.Now()))
-		if j.barred[id] {
-			put(endpointRecord(recBarred, id, time.Now()))
-		} else if at, ok := j.lifted[id]; ok {
-			put(endpointRecord(recLifted, id, at))
+	for _, id := range j.knownEndpoints {
+		put(endpointRecord(recordListed, id, time.Now()))
+		if j.disabled[id] {
+			put(endpointRecord(recordDisabled, id, time.Now()))
+		} else if at, ok := j.enabledAt[id]; ok {
+			put(endpointRecord(recordEnabled, id, at))
 		}
 	}
 	for _, p := range j.live {
 		put(acceptedRecord(p))
-		for i, s := range p.sends {
-			put(attemptRecord(p.seq, s.at, s.zone))
+		for i, s := range p.attempts {
+			put(attemptRecord(p.seq, s.sentAt, s.zone))
 			switch {
 			case s.notRun && s.failed:
-				put(outcomeRecord(recNotRun, p.seq, i))
+				put(outcomeRecord(recordNotRun, p.seq, i))
 			case s.notRun:
-				put(outcomeRecord(recTurnedAway, p.seq, i))
+				put(outcomeRecord(recordRejected, p.seq, i))
 			case s.failed:
-				put(outcomeRecord(recFailed, p.seq, i))
+				put(outcomeRecord(recordFailed, p.seq, i))
 			}
 		}
-		if p.ended != nil {
-			put(endedRecord(p.seq, *p.ended))
+		if p.final != nil {
+			put(finalRecord(p.seq, *p.final))
 		}
 	}
 	if err := w.Flush(); err != nil {
@@ -482,12 +482,12 @@
 	if err := os.Rename(f.Name(), j.path()); err != nil {
 		return err
 	}
-	old := j.f
-	j.f, j.written, j.pending, j.broken = f, size, nil, false // the buffer may be large, so it is not reused
-	old.Close()                                               // an error is ignored: nothing of the old file is needed any more
+	old := j.file
+	j.file, j.fileSize, j.unwritten, j.incomplete = f, size, nil, false // the buffer may be large, so it is not reused
+	old.Close()                                                         // an error is ignored: nothing of the old file is needed any more
 	return nil
 }
 
 func (j *journal) close() error {
-	return errors.Join(j.flush(), j.f.Close())
+	return errors.Join(j.flush(), j.file.Close())
 }
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-func openTest(t *testing.T, dir string, mb float64) *journal {
+func openTestJournal(t *testing.T, dir string, mb float64) *journal {
 	t.Helper()
 	j, err := openJournal(dir, mb)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { j.f.Close() })
+	t.Cleanup(func() { j.file.Close() })
 	return j
 }
 
@@ -28,9 +28,9 @@
 	}
 }
 
-func mustAccept(t *testing.T, j *journal, id string, body []byte) *past {
+func mustAccept(t *testing.T, j *journal, id string, body []byte) *pendingMessage {
 	t.Helper()
-	p, err := j.accept(&past{
+	p, err := j.accept(&pendingMessage{
 		id: id, key: "k" + id, class: 1, dest: 7, body: body, deadline: time.UnixMicro(time.Now().UnixMicro()),
 	})
 	if err != nil {
@@ -40,23 +40,23 @@
 }
 
 // writeHistory writes records of every kind, and returns the live messages afterwards.
-func history(t *testing.T, j *journal) map[uint64]*past {
+func history(t *testing.T, j *journal) map[uint64]*pendingMessage {
 	t.Helper()
 	now := time.UnixMicro(time.Now().UnixMicro())
 	a, b := mustAccept(t, j, "a", []byte("body of a")), mustAccept(t, j, "b", nil)
 	c, d := mustAccept(t, j, "c", []byte{0, 255}), mustAccept(t, j, "d", []byte("d"))
 	j.add(attemptRecord(a.seq, now, 0))
 	j.add(attemptRecord(a.seq, now.Add(time.Second), 2))
-	j.add(outcomeRecord(recNotRun, a.seq, 0))
-	j.add(outcomeRecord(recFailed, a.seq, 1))
-	j.add(endedRecord(b.seq, ending{after: 500 * time.Millisecond}))
-	j.add(endedRecord(c.seq, ending{failed: true}))
-	j.add(record(recOver, d.seq))
+	j.add(outcomeRecord(recordNotRun, a.seq, 0))
+	j.add(outcomeRecord(recordFailed, a.seq, 1))
+	j.add(finalRecord(b.seq, finalAnswer{retryAfter: 500 * time.Millisecond}))
+	j.add(finalRecord(c.seq, finalAnswer{failed: true}))
+	j.add(newRecord(recordDone, d.seq))
 	mustFlush(t, j)
 	return j.live
 }
 
-func sameLive(t *testing.T, got, want map[uint64]*past) {
+func sameLive(t *testing.T, got, want map[uint64]*pendingMessage) {
 	t.Helper()
 	if len(got) != len(want) {
 		t.Fatalf("%d live messages, want %d", len(got), len(want))
@@ -76,24 +76,24 @@
 
 func TestJournalOutlastsItsProcess(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 3)
+	j := openTestJournal(t, dir, 3)
 	want := history(t, j)
-	again := openTest(t, dir, 3)
+	again := openTestJournal(t, dir, 3)
 	sameLive(t, again.live, want)
-	if again.next != j.next || again.held != j.held {
-		t.Errorf("next number %d, live size %d; want %d, %d", again.next, again.held, j.next, j.held)
+	if again.nextSeq != j.nextSeq || again.liveSize != j.liveSize {
+		t.Errorf("next number %d, live size %d; want %d, %d", again.nextSeq, again.liveSize, j.nextSeq, j.liveSize)
 	}
 	if err := again.compact(); err != nil {
 		t.Fatal(err)
 	}
-	sameLive(t, openTest(t, dir, 3).live, want)
+	sameLive(t, openTestJournal(t, dir, 3).live, want)
 }
 
 // A kill can truncate the last record at any byte. All records before it must be read, and the journal must
 // be readable after further records.
 func TestTornTail(t *testing.T) {
 	dir := t.TempDir()
-	history(t, openTest(t, dir, 3))
+	history(t, openTestJournal(t, dir, 3))
 	whole, err := os.ReadFile(filepath.Join(dir, journalName))
 	if err != nil {
 		t.Fatal(err)
@@ -103,11 +103,11 @@
 		if err := os.WriteFile(filepath.Join(dir, journalName), whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		j := openTest(t, dir, 3)
+		j := openTestJournal(t, dir, 3)
 		before := len(j.live)
 		mustAccept(t, j, "new", []byte("after the truncation"))
 		mustFlush(t, j)
-		if again := openTest(t, dir, 3); len(again.live) != before+1 {
+		if again := openTestJournal(t, dir, 3); len(again.live) != before+1 {
 			t.Fatalf("truncated at %d: %d live messages, want %d", cut, len(again.live), before+1)
 		}
 	}
@@ -118,28 +118,28 @@
 // those that follow.
 func TestSpoiltRecords(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 3)
+	j := openTestJournal(t, dir, 3)
 	history(t, j)
 	whole, err := os.ReadFile(filepath.Join(dir, journalName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	far := func(p *past) (int, bool) { // attempts that may have run, and whether the message has ended
+	far := func(p *pendingMessage) (int, bool) { // attempts that may have run, and whether the message has ended
 		n := 0
-		for _, s := range p.sends {
+		for _, s := range p.attempts {
 			if !s.notRun {
 				n++
 			}
 		}
-		return n, p.ended != nil
+		return n, p.final != nil
 	}
-	check := func(what string, raw []byte, truth map[uint64]*past) {
+	check := func(what string, raw []byte, truth map[uint64]*pendingMessage) {
 		t.Helper()
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, journalName), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		got := openTest(t, dir, 3)
+		got := openTestJournal(t, dir, 3)
 		for seq, g := range got.live {
 			tried, over := far(g)
 			if w := truth[seq]; w == nil && !over {
@@ -152,9 +152,9 @@
 		}
 		mustAccept(t, got, "new", []byte("afterwards"))
 		mustFlush(t, got)
-		again := openTest(t, dir, 3)
-		if sameLive(t, again.live, got.live); again.spoilt != "" {
-			t.Errorf("%s: the compacted file is corrupt: %s", what, again.spoilt)
+		again := openTestJournal(t, dir, 3)
+		if sameLive(t, again.live, got.live); again.corruption != "" {
+			t.Errorf("%s: the compacted file is corrupt: %s", what, again.corruption)
 		}
 	}
 	ends := []int{} // of the records
@@ -163,7 +163,7 @@
 		ends = append(ends, at)
 	}
 	for i, end := range ends {
-		truth := &journal{live: map[uint64]*past{}, barred: map[string]bool{}, lifted: map[string]time.Time{}}
+		truth := &journal{live: map[uint64]*pendingMessage{}, disabled: map[string]bool{}, enabledAt: map[string]time.Time{}}
 		truth.replay(whole[:end])
 		begin := 0
 		if i > 0 {
@@ -185,16 +185,16 @@
 func TestDiskBudgetHoldsWithLargeBodies(t *testing.T) {
 	dir := t.TempDir()
 	const mb = 1
-	j := openTest(t, dir, mb)
+	j := openTestJournal(t, dir, mb)
 	body := make([]byte, maxBody)
-	var held []*past
+	var held []*pendingMessage
 	most, refused := int64(0), 0
 	for i := range 400 {
-		p, err := j.accept(&past{id: fmt.Sprint(i), body: body, deadline: time.Now()})
+		p, err := j.accept(&pendingMessage{id: fmt.Sprint(i), body: body, deadline: time.Now()})
 		switch {
 		case errors.Is(err, errDiskBudget):
 			refused++
-			j.add(record(recOver, held[0].seq))
+			j.add(newRecord(recordDone, held[0].seq))
 			held = held[1:]
 		case err != nil:
 			t.Fatal(err)
@@ -206,49 +206,49 @@
 		for _, p := range j.live {
 			live += int64(len(acceptedRecord(p))) + recordHead + 64
 		}
-		most = max(most, j.written+live)
+		most = max(most, j.fileSize+live)
 		mustFlush(t, j)
 		info, err := os.Stat(j.path())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if info.Size() != j.written {
-			t.Fatalf("the file has %d bytes, but the journal counts %d", info.Size(), j.written)
+		if info.Size() != j.fileSize {
+			t.Fatalf("the file has %d bytes, but the journal counts %d", info.Size(), j.fileSize)
 		}
 	}
 	if refused == 0 || most > mb<<20 {
 		t.Errorf("%d messages were refused, at most %d bytes on disk", refused, most)
 	}
-	if again := openTest(t, dir, mb); len(again.live) != len(held) {
+	if again := openTestJournal(t, dir, mb); len(again.live) != len(held) {
 		t.Errorf("%d live messages, want %d", len(again.live), len(held))
 	}
 }
 
 func TestCompactionDropsWhatIsOver(t *testing.T) {
-	j := openTest(t, t.TempDir(), 3)
+	j := openTestJournal(t, t.TempDir(), 3)
 	body := make([]byte, 1000)
 	for i := range 5000 {
 		p := mustAccept(t, j, fmt.Sprint(i), body)
-		j.add(record(recOver, p.seq))
+		j.add(newRecord(recordDone, p.seq))
 		mustFlush(t, j)
 	}
-	if j.written > 2*minCompact || len(j.live) != 0 || j.held != 0 {
-		t.Errorf("%d bytes in the file, %d live messages, live size %d", j.written, len(j.live), j.held)
+	if j.fileSize > 2*minCompact || len(j.live) != 0 || j.liveSize != 0 {
+		t.Errorf("%d bytes in the file, %d live messages, live size %d", j.fileSize, len(j.live), j.liveSize)
 	}
 }
 
 // A journal that can't be written must not lose what it has, and must not accept more.
 func TestUnwritableJournal(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 3)
+	j := openTestJournal(t, dir, 3)
 	want := history(t, j)
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
-	good := j.f
+	good := j.file
 	defer good.Close()
-	j.f = full
+	j.file = full
 	if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // makes compaction fail too
 		t.Fatal(err)
 	}
@@ -256,8 +256,8 @@
 	if err := j.flush(); err == nil {
 		t.Fatal("a flush to a full disk succeeded")
 	}
-	j.add(record(recOver, p.seq)) // its client is refused
-	if _, err := j.accept(&past{id: "more"}); err == nil {
+	j.add(newRecord(recordDone, p.seq)) // its client is refused
+	if _, err := j.accept(&pendingMessage{id: "more"}); err == nil {
 		t.Error("a message was accepted while the journal could not be written")
 	}
 	if err := j.flush(); err == nil {
@@ -267,7 +267,7 @@
 		t.Fatal(err)
 	}
 	eventually(t, "the journal is written again", func() bool { return j.flush() == nil })
-	sameLive(t, openTest(t, dir, 3).live, want)
+	sameLive(t, openTestJournal(t, dir, 3).live, want)
 }
 
 // The reserve of a message must hold all records that may follow it, or its end could find the disk full.
@@ -276,11 +276,11 @@
 	var all []byte
 	for i := range attempts {
 		all = appendRecord(all, attemptRecord(seq, time.Now(), -1)) // of a zone that has no number
-		all = appendRecord(all, outcomeRecord(recFailed, seq, i))
+		all = appendRecord(all, outcomeRecord(recordFailed, seq, i))
 	}
-	all = appendRecord(all, endedRecord(seq, ending{after: maxLife}))
-	all = appendRecord(all, record(recOver, seq))
-	accepted := appendRecord(nil, acceptedRecord(&past{seq: seq, deadline: time.Now(), class: 9, dest: 1e6}))
+	all = appendRecord(all, finalRecord(seq, finalAnswer{retryAfter: maxLife}))
+	all = appendRecord(all, newRecord(recordDone, seq))
+	accepted := appendRecord(nil, acceptedRecord(&pendingMessage{seq: seq, deadline: time.Now(), class: 9, dest: 1e6}))
 	if got := len(all) + len(accepted); got > messageReserve {
 		t.Errorf("the records take %d bytes, the reserve is %d", got, messageReserve)
 	}
@@ -290,33 +290,33 @@
 // operator has disabled.
 func TestEndpointsAreRemembered(t *testing.T) {
 	dir := t.TempDir()
-	j := openTest(t, dir, 3)
+	j := openTestJournal(t, dir, 3)
 	for i := range maxKnown + 9 {
-		j.add(endpointRecord(recListed, "e"+itoa(i), time.Now()))
+		j.add(endpointRecord(recordListed, "e"+itoa(i), time.Now()))
 		if i == 3 || i == 4 {
-			j.add(endpointRecord(recBarred, "e"+itoa(i), time.Now()))
-			j.add(endpointRecord(recListed, "e"+itoa(i), time.Now()))
+			j.add(endpointRecord(recordDisabled, "e"+itoa(i), time.Now()))
+			j.add(endpointRecord(recordListed, "e"+itoa(i), time.Now()))
 		}
 	}
-	j.add(endpointRecord(recLifted, "e4", time.Now()))
+	j.add(endpointRecord(recordEnabled, "e4", time.Now()))
 	for round := range 3 {
 		if round == 1 {
 			if err := j.compact(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if len(j.known) != maxKnown || len(j.barred) != maxKnown || !j.barred["e3"] || j.barred["e4"] || j.lifted["e4"].IsZero() {
-			t.Errorf("round %d: %d known endpoints, e3 disabled: %v, e4 disabled: %v", round, len(j.known), j.barred["e3"], j.barred["e4"])
+		if len(j.knownEndpoints) != maxKnown || len(j.disabled) != maxKnown || !j.disabled["e3"] || j.disabled["e4"] || j.enabledAt["e4"].IsZero() {
+			t.Errorf("round %d: %d known endpoints, e3 disabled: %v, e4 disabled: %v", round, len(j.knownEndpoints), j.disabled["e3"], j.disabled["e4"])
 		}
-		if _, known := j.barred["e0"]; known {
+		if _, known := j.disabled["e0"]; known {
 			t.Error("the oldest endpoint is still known")
 		}
-		held := j.held
+		held := j.liveSize
 		if err := j.close(); err != nil {
 			t.Fatal(err)
 		}
-		if j = openTest(t, dir, 3); j.held != held || len(j.live) != 0 {
-			t.Errorf("live size %d after a restart, want %d", j.held, held)
+		if j = openTestJournal(t, dir, 3); j.liveSize != held || len(j.live) != 0 {
+			t.Errorf("live size %d after a restart, want %d", j.liveSize, held)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,7 +59,7 @@
 
 // outCall is the call that an attempt is out in; one with several messages stands there for each of them.
 type outCall struct {
-	m      *past
+	m      *pendingMessage
 	cancel context.CancelFunc
 	remote bool // the process that this one took over from has it out
 }
@@ -77,14 +77,14 @@
 	notices  chan []notice
 	moves    chan []string // the new addresses of what tells the list
 	over     chan struct{}
-	messages map[string]*past // all in the journal, by id
+	messages map[string]*pendingMessage // all in the journal, by id
 	out      map[attempt]outCall
 	eps      map[string]*endpoint
 	waits    map[int]*atomic.Int64 // of destinations whose endpoints share them
 	owed     []notice              // not yet handed to the reporter
 	held     int                   // messages without their final answer
 	acts     []act                 // what the records that are not yet written guard, in order
-	figures  *figures
+	figures  *metrics
 	stage    atomic.Int32  // shared
 	revision atomic.Int64  // shared; of the list that the module last took
 	wakeAt   time.Duration // of the module; 0 none
@@ -142,14 +142,14 @@
 
 // New loads the journal. Its folder must be the node's alone.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
-	j, err := openJournal(cfg.State, cfg.journalMB())
+	j, err := openJournal(cfg.StateDir, cfg.journalMB())
 	if err != nil {
 		return nil, err
 	}
-	if j.spoilt != "" {
-		log.Warn("a part of the journal can't be read; what it may have been about ends as failed", "part", j.spoilt)
+	if j.corruption != "" {
+		log.Warn("a part of the journal can't be read; what it may have been about ends as failed", "part", j.corruption)
 	}
-	told := registry.Position{Revision: cfg.Known.Revision, Server: cfg.Discovery}
+	told := registry.Position{Revision: cfg.InitialList.Revision, Server: cfg.Discovery}
 	if !slices.Contains(cfg.DiscoveryAddresses(), cfg.Discovery) { // the revisions of what tells the list count something else
 		told = registry.Position{}
 	}
@@ -157,20 +157,20 @@
 	if kept != nil {
 		if l, at, heard, ok := kept.kept.List(); ok {
 			log.Info("beginning with the kept list", "revision", l.Revision, "endpoints", len(l.Members), "age", time.Since(heard).Round(time.Second))
-			cfg.Known, told = l, at
+			cfg.InitialList, told = l, at
 		}
 	}
 	own := openShare(cfg, j, log)
-	cfg.Known = own.only(cfg.Known)
+	cfg.InitialList = own.only(cfg.InitialList)
 	_, idle := splitDescriptors(max(cfg.Limits.Sockets, 4*leastIdle), cfg.Settings.Slots)
 	return &Node{
 		told: told, kept: kept, own: own,
 		cfg: cfg, log: log, journal: j, sender: choice.New(cfg.moduleSettings(), seed(cfg.Seed)), start: time.Now(),
 		pool:   newPool(cfg.Settings.DialTimeout, cfg.Settings.IdleConnTimeout, idle),
 		events: make(chan any, eventQueue), orders: make(chan order), notices: make(chan []notice), moves: make(chan []string),
-		over: make(chan struct{}), messages: map[string]*past{},
+		over: make(chan struct{}), messages: map[string]*pendingMessage{},
 		out: map[attempt]outCall{}, eps: map[string]*endpoint{}, waits: map[int]*atomic.Int64{},
-		figures: newFigures(cfg.Names.Classes), members: map[string]catalog.Endpoint{}, heirs: make(chan *link),
+		figures: newMetrics(cfg.Names.Classes), members: map[string]catalog.Endpoint{}, heirs: make(chan *link),
 	}, nil
 }
 
@@ -189,10 +189,10 @@
 	if s := n.stage.Load(); s != inService {
 		return stages[s]
 	}
-	if s := n.figures.share.Load(); s != nil && s.unready() != "" {
+	if s := n.figures.ownership.Load(); s != nil && s.unready() != "" {
 		return s.unready()
 	}
-	if n.figures.listed.Load() == 0 {
+	if n.figures.listedEndpoints.Load() == 0 {
 		return "no endpoints are known"
 	}
 	return ""
@@ -202,7 +202,7 @@
 // be called at any time.
 func (n *Node) CurrentList() (revision int64, endpoints int) {
 	revision = n.revision.Load()
-	return revision, int(n.figures.listed.Load()) // of that revision or a later one
+	return revision, int(n.figures.listedEndpoints.Load()) // of that revision or a later one
 }
 
 // seed reads the configuration's hexadecimal seed; any other text serves as well.
@@ -237,7 +237,7 @@
 	parts.Go(func() { n.consult(news) })
 	n.log.Info("serving", "sockets", n.cfg.Limits.Sockets, "memory_mb", n.cfg.Limits.MemoryMB, "disk_mb", n.cfg.Limits.DiskMB,
 		"cores", n.cfg.Limits.Cores, "slots", n.cfg.Settings.Slots, "max_open", n.cfg.Settings.MaxOpen)
-	clients := newClients(ln, n.cfg.Limits.Sockets/clientSocketsDivisor, n.cfg.Names, func(q request) answer { return n.hand(life, q) })
+	clients := newClientServer(ln, n.cfg.Limits.Sockets/clientSocketsDivisor, n.cfg.Names, func(q request) answer { return n.hand(life, q) })
 	parts.Go(func() { clients.serve(life) })
 	if n.forebear != nil {
 		forebear := n.forebear
@@ -245,7 +245,7 @@
 	}
 	if n.lock != nil {
 		var err error
-		if n.door, err = openDoor(door(n.cfg.State)); err != nil {
+		if n.door, err = openDoor(door(n.cfg.StateDir)); err != nil {
 			n.log.Error("no other process can take over from this one", "err", err)
 		} else {
 			parts.Go(func() { n.awaitHeir(life) })
@@ -264,7 +264,7 @@
 		leaveBy := time.Now().Add(leaveAfter)
 		n.tell(life, choice.Stopping{By: n.at(leaveBy)})
 		registry.Sleep(life, closeAfter)
-		clients.close(closeGrace) // those inside a request get their answers from the loop, which still runs
+		clients.close(shutdownGrace) // those inside a request get their answers from the loop, which still runs
 		registry.Sleep(life, time.Until(leaveBy))
 	})
 	n.loop(life, gone)
@@ -276,7 +276,7 @@
 		left := make(chan struct{})
 		parts.Go(func() {
 			defer close(left)
-			clients.close(requestTimeout + closeGrace) // nobody waits for this process, so they may take their time
+			clients.close(requestTimeout + shutdownGrace) // nobody waits for this process, so they may take their time
 		})
 		err = n.relay(life, gone, left)
 	} else {
@@ -343,7 +343,7 @@
 			})
 		})
 		parts.Go(func() {
-			unanswered = report(here, n.log, client, at, unanswered, n.notices, func(b []notice) { n.tell(ctx, settled(b)) })
+			unanswered = reportNotices(here, n.log, client, at, unanswered, n.notices, func(b []notice) { n.tell(ctx, settled(b)) })
 		})
 		for stay := true; stay; { // being told the same again changes nothing
 			select {
@@ -365,7 +365,7 @@
 
 // replayed makes the first events: the list as it was last known, and what the journal says is still owed.
 func (n *Node) replayed() []choice.Event {
-	known := n.cfg.Known
+	known := n.cfg.InitialList
 	known.Complete = true
 	var events []choice.Event
 	if n.forebear == nil { // whom one took over from has told the module
@@ -376,12 +376,12 @@
 	for _, seq := range slices.Sorted(maps.Keys(n.journal.live)) {
 		p := n.journal.live[seq]
 		n.messages[p.id] = p
-		if p.ended != nil {
+		if p.final != nil {
 			n.owed = append(n.owed, newNotice(p))
 			continue
 		}
 		n.held++
-		if !n.sender.HasMessage(p.name()) { // one that was taken over it has
+		if !n.sender.HasMessage(p.choiceID()) { // one that was taken over it has
 			events = append(events, n.resumed(p))
 		}
 	}
@@ -395,12 +395,12 @@
 // ago: that may still be cold.
 func (n *Node) barredBefore() []choice.Event {
 	var events []choice.Event
-	for _, id := range n.journal.known {
-		recent := time.Since(n.journal.lifted[id]) < n.cfg.Settings.SlowStartDuration
-		if n.journal.barred[id] || recent {
+	for _, id := range n.journal.knownEndpoints {
+		recent := time.Since(n.journal.enabledAt[id]) < n.cfg.Settings.SlowStartDuration
+		if n.journal.disabled[id] || recent {
 			events = append(events, choice.EndpointDisabled{Endpoint: id})
 		}
-		if !n.journal.barred[id] && recent {
+		if !n.journal.disabled[id] && recent {
 			events = append(events, choice.EndpointDisabled{Endpoint: id, Lifted: true})
 		}
 	}
@@ -408,12 +408,12 @@
 }
 
 // resumed tells the module of a message's past. An attempt that is not proven not to have run may have.
-func (n *Node) resumed(p *past) choice.MessageResumed {
-	r := choice.MessageResumed{MessageArrived: n.arrived(p, p.deadline), Attempts: len(p.sends)}
-	for _, s := range p.sends {
+func (n *Node) resumed(p *pendingMessage) choice.MessageResumed {
+	r := choice.MessageResumed{MessageArrived: n.arrived(p, p.deadline), Attempts: len(p.attempts)}
+	for _, s := range p.attempts {
 		r.Failed = r.Failed || s.failed
 		if !s.notRun && !r.MayHaveRun {
-			r.MayHaveRun, r.MayHaveRunSince, r.Zone = true, n.at(s.at), s.zone
+			r.MayHaveRun, r.MayHaveRunSince, r.Zone = true, n.at(s.sentAt), s.zone
 		}
 	}
 	return r
@@ -421,8 +421,8 @@
 
 // arrived is the module's event of a message. A deadline that has not been through the journal is on the
 // monotonic clock, so that a step of the wall clock does not move it.
-func (n *Node) arrived(p *past, deadline time.Time) choice.MessageArrived {
-	return choice.MessageArrived{ID: p.name(), Class: p.class, Tenant: p.tenant, Dest: p.dest, Key: p.key, Deadline: n.at(deadline)}
+func (n *Node) arrived(p *pendingMessage, deadline time.Time) choice.MessageArrived {
+	return choice.MessageArrived{ID: p.choiceID(), Class: p.class, Tenant: p.tenant, Dest: p.dest, Key: p.key, Deadline: n.at(deadline)}
 }
 
 // tell hands the loop an event.
@@ -444,11 +444,11 @@
 		select {
 		case r = <-a.reply:
 		default:
-			r = answer{refused: true, after: n.cfg.Settings.MaxRetryAfter} // the loop has ended and did not take it on
+			r = answer{refused: true, retryAfter: n.cfg.Settings.MaxRetryAfter} // the loop has ended and did not take it on
 		}
 	}
-	if (r.refused || r.failed != "") && !r.elsewhere {
-		n.figures.told(q.class, !r.refused)
+	if (r.refused || r.failure != "") && !r.countedElsewhere {
+		n.figures.countUndelivered(q.class, !r.refused)
 	}
 	return r
 }
@@ -499,8 +499,8 @@
 	if n.wakeAt > 0 {
 		wait = max(n.wakeAt-n.now(), 0)
 	}
-	if n.journal.broken {
-		wait = min(wait, compactPause)
+	if n.journal.incomplete {
+		wait = min(wait, compactRetryDelay)
 	}
 	return wait
 }
@@ -533,7 +533,7 @@
 			events = append(events, n.called(e)...)
 		case settled:
 			for _, s := range e {
-				n.forget(s.of)
+				n.forget(s.message)
 			}
 		case choice.Stopping:
 			events = append(events, e)
@@ -541,7 +541,7 @@
 			events = append(events, n.bar(e)...)
 		case arrival:
 			if p := n.accept(e, fresh); p != nil {
-				events = append(events, n.arrived(p, e.came.Add(e.life)))
+				events = append(events, n.arrived(p, e.receivedAt.Add(e.ttl)))
 			}
 		}
 	}
@@ -565,7 +565,7 @@
 }
 
 // accept journals a new message and returns it; one that is not new, or can't be taken on, gets its answer.
-func (n *Node) accept(a arrival, fresh newcomers) *past {
+func (n *Node) accept(a arrival, fresh newcomers) *pendingMessage {
 	p := n.messages[a.id]
 	switch {
 	case p != nil && fresh[p.seq] != nil: // its fate is not known yet
@@ -577,14 +577,14 @@
 	case n.own != nil && n.foreign(a):
 		return nil
 	case !n.sender.KnowsDestination(a.dest):
-		a.reply <- answer{failed: "unknown destination"}
+		a.reply <- answer{failure: "unknown destination"}
 		return nil
 	case n.cfg.Settings.MaxOpen > 0 && n.held >= n.cfg.Settings.MaxOpen:
 		a.reply <- n.turnAway(a)
 		return nil
 	}
 	p, err := n.journal.accept(
-		&past{id: a.id, key: a.key, class: a.class, tenant: a.tenant, dest: a.dest, body: a.body, deadline: a.came.Add(a.life)})
+		&pendingMessage{id: a.id, key: a.key, class: a.class, tenant: a.tenant, dest: a.dest, body: a.body, deadline: a.receivedAt.Add(a.ttl)})
 	if err != nil {
 		a.reply <- n.turnAway(a)
 		return nil
@@ -600,19 +600,19 @@
 
 // turnAway refuses a message for want of room, before the module has heard of it.
 func (n *Node) turnAway(a arrival) answer {
-	return answer{refused: true, after: n.sender.RetryAfterIfFull(a.class, a.dest)}
+	return answer{refused: true, retryAfter: n.sender.RetryAfterIfFull(a.class, a.dest)}
 }
 
 // forget ends all that the node has of a message.
-func (n *Node) forget(p *past) {
+func (n *Node) forget(p *pendingMessage) {
 	if n.messages[p.id] != p {
 		return
 	}
-	if p.ended == nil {
+	if p.final == nil {
 		n.held--
 	}
 	delete(n.messages, p.id)
-	n.journal.add(record(recOver, p.seq))
+	n.journal.add(newRecord(recordDone, p.seq))
 }
 
 // listed brings the endpoints up to date. Calls that have not written their first byte hear of it by shut.
@@ -627,8 +627,8 @@
 		if entries[i].Phase == choice.Gone {
 			delete(n.members, m.ID)
 		}
-		if _, known := n.journal.barred[m.ID]; !known {
-			n.journal.add(endpointRecord(recListed, m.ID, time.Now()))
+		if _, known := n.journal.disabled[m.ID]; !known {
+			n.journal.add(endpointRecord(recordListed, m.ID, time.Now()))
 		}
 		n.place(m, entries[i])
 	}
@@ -646,7 +646,7 @@
 // place opens or shuts the way to an endpoint, as the list and the operators have it.
 func (n *Node) place(m catalog.Endpoint, entry choice.Entry) {
 	e := n.eps[m.ID]
-	if entry.Phase != choice.Ready || n.journal.barred[m.ID] {
+	if entry.Phase != choice.Ready || n.journal.disabled[m.ID] {
 		n.shut(e)
 		return
 	}
@@ -677,7 +677,7 @@
 
 // bar carries out what the operators say of an endpoint. Saying it again changes nothing.
 func (n *Node) bar(o order) []choice.Event {
-	was, known := n.journal.barred[o.id]
+	was, known := n.journal.disabled[o.id]
 	if !known {
 		o.reply <- ErrUnknownEndpoint
 		return nil
@@ -686,9 +686,9 @@
 	if was != o.lift {
 		return nil
 	}
-	kind := recBarred
+	kind := recordDisabled
 	if o.lift {
-		kind = recLifted
+		kind = recordEnabled
 	}
 	n.journal.add(endpointRecord(kind, o.id, time.Now()))
 	n.log.Info("by hand", "endpoint", o.id, "serves", o.lift)
@@ -747,25 +747,25 @@
 		m, fate := n.out[name].m, e.of(i)
 		delete(n.out, name)
 		ended := choice.AttemptEnded{
-			ID: m.name(), Attempt: name.n, Endpoint: e.endpoint.id, Outcome: fate.outcome, Took: e.took, Final: fate.closed, Ambiguous: fate.unsure,
+			ID: m.choiceID(), Attempt: name.n, Endpoint: e.endpoint.id, Outcome: fate.outcome, Took: e.took, Final: fate.closed, Ambiguous: fate.unsure,
 			RetryAfter: e.wait, NoSlot: e.noSlot, Report: e.report, ReusedConn: e.kept, ConnClosed: e.hungUp,
 		}
 		ominous := n.sender.IndicatesOutage(m.dest, ended)
 		switch fate.outcome {
 		case choice.Rejected, choice.Unreachable, choice.Stale:
-			kind := recTurnedAway
+			kind := recordRejected
 			if ominous {
-				kind = recNotRun
+				kind = recordNotRun
 			}
 			n.journal.add(outcomeRecord(kind, name.seq, name.n))
 		default:
 			if ominous {
-				n.journal.add(outcomeRecord(recFailed, name.seq, name.n))
+				n.journal.add(outcomeRecord(recordFailed, name.seq, name.n))
 			}
 		}
-		if fate.closed && m.ended == nil {
+		if fate.closed && m.final == nil {
 			if fate.outcome == choice.Success {
-				count(n.figures.ok, m.class)
+				countClass(n.figures.ok, m.class)
 			}
 			n.forget(m)
 		}
@@ -783,12 +783,12 @@
 		case choice.Send:
 			n.send(ctx, a, calls)
 		case choice.Refuse:
-			n.end(a.ID, ending{after: a.RetryAfter}, fresh)
+			n.end(a.ID, finalAnswer{retryAfter: a.RetryAfter}, fresh)
 		case choice.Fail:
-			n.end(a.ID, ending{failed: true}, fresh)
+			n.end(a.ID, finalAnswer{failed: true}, fresh)
 		case choice.Cancel:
 			n.acts = append(n.acts, act{do: func() {
-				if c, ok := n.out[attempt{seqOf(a.ID), a.Attempt}]; ok {
+				if c, ok := n.out[attempt{parseChoiceID(a.ID), a.Attempt}]; ok {
 					c.cancel()
 				}
 			}})
@@ -846,9 +846,9 @@
 // show brings the figures that the loop alone knows up to date.
 func (n *Node) show() {
 	listed, avoided := n.sender.EndpointCounts()
-	n.figures.active.Store(int64(n.held))
-	n.figures.listed.Store(int64(listed))
-	n.figures.avoided.Store(int64(avoided))
+	n.figures.activeMessages.Store(int64(n.held))
+	n.figures.listedEndpoints.Store(int64(listed))
+	n.figures.avoidedEndpoints.Store(int64(avoided))
 	n.revision.Store(n.told.Revision)
 	if n.own != nil {
 		n.own.show(n.figures)
@@ -856,24 +856,24 @@
 }
 
 // end gives a message its final answer: to its client if that still waits, and by a notice otherwise.
-func (n *Node) end(id string, e ending, fresh newcomers) {
-	p := n.journal.live[seqOf(id)]
-	if p == nil || p.ended != nil {
+func (n *Node) end(id string, e finalAnswer, fresh newcomers) {
+	p := n.journal.live[parseChoiceID(id)]
+	if p == nil || p.final != nil {
 		return
 	}
 	if all, ok := fresh[p.seq]; ok {
 		delete(fresh, p.seq)
 		n.forget(p)
-		reply := answer{refused: true, after: e.after}
+		reply := answer{refused: true, retryAfter: e.retryAfter}
 		if e.failed {
-			reply = answer{failed: "the message failed"}
+			reply = answer{failure: "the message failed"}
 		}
 		n.acts = append(n.acts, act{do: func() { newcomers{p.seq: all}.reply(p.seq, reply) }})
 		return
 	}
 	n.held--
-	n.figures.told(p.class, e.failed)
-	n.journal.add(endedRecord(p.seq, e))
+	n.figures.countUndelivered(p.class, e.failed)
+	n.journal.add(finalRecord(p.seq, e))
 	notice := newNotice(p)
 	n.acts = append(n.acts, act{do: func() { n.owed = append(n.owed, notice) }, free: p.deadline})
 }
@@ -882,7 +882,7 @@
 type outgoingCall struct {
 	call
 	attempts []attempt
-	messages []*past
+	messages []*pendingMessage
 	room     int // what its items take in a batch's body
 	place    int // among the acts
 }
@@ -890,7 +890,7 @@
 // send journals an attempt, and makes the call once that is written. What the module sends together travels as one
 // call, as far as its kind and a body have room: the module counts one slot for it, and the endpoint one call.
 func (n *Node) send(ctx context.Context, a choice.Send, calls map[uint64]*outgoingCall) {
-	p, e := n.journal.live[seqOf(a.ID)], n.eps[a.Endpoint]
+	p, e := n.journal.live[parseChoiceID(a.ID)], n.eps[a.Endpoint]
 	if p == nil {
 		return // the module and the journal differ, which only a journal that was lost in a handover can make them
 	}
@@ -899,7 +899,7 @@
 		e = &endpoint{id: a.Endpoint, wait: new(atomic.Int64)}
 		e.shut.Store(true)
 	}
-	name := attempt{p.seq, len(p.sends)}
+	name := attempt{p.seq, len(p.attempts)}
 	n.journal.add(attemptRecord(p.seq, time.Now(), e.zone))
 	one := item{p.id, p.key, p.body}
 	o := calls[a.Call]
@@ -929,7 +929,7 @@
 // wrote counts the messages of a call that is written whole.
 func (n *Node) countWritten(o *outgoingCall) {
 	for _, m := range o.messages {
-		count(n.figures.tries, m.class)
+		countClass(n.figures.tries, m.class)
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -215,7 +215,7 @@
 
 func mustAnswer(t *testing.T, addr, text, want string) {
 	t.Helper()
-	if got := ask(t, addr, text); got != want {
+	if got := roundTrip(t, addr, text); got != want {
 		t.Fatalf("got %q, want %q", got, want)
 	}
 }
@@ -225,16 +225,16 @@
 	p, state := newFakeEndpoint(t, respondWith(okResponse)), t.TempDir()
 	r := newFakeRegistry(t)
 	addr, stop := startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, resp("PING"), "+PONG")
-	mustAnswer(t, addr, enqueue("a", orderFields, "body"), "+OK")
+	mustAnswer(t, addr, encodeCommand("PING"), "+PONG")
+	mustAnswer(t, addr, enqueueCommand("a", orderFields, "body"), "+OK")
 	if req := p.nextRequest(t); req.Header.Get("X-Trace-Id") != "a" || req.Header.Get("Idempotency-Key") != "key" {
 		t.Errorf("got %v", req.Header)
 	}
-	if got := ask(t, addr, enqueue("b", "c=status,d=5000,dest=99", "")); !strings.HasPrefix(got, "-ERR ") {
+	if got := roundTrip(t, addr, enqueueCommand("b", "c=status,d=5000,dest=99", "")); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("an unknown destination: %q", got)
 	}
 	stop()
-	if j := openTest(t, state, 3); len(j.live) != 0 {
+	if j := openTestJournal(t, state, 3); len(j.live) != 0 {
 		t.Errorf("%d live after delivery", len(j.live))
 	}
 }
@@ -246,11 +246,11 @@
 	t.Parallel()
 	p, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
 	addr, _ := startNode(t, r, t.TempDir(), held())
-	mustAnswer(t, addr, enqueue("a", statusFields, "x"), "+OK")
-	mustAnswer(t, addr, enqueue("a", statusFields, "x"), "+OK") // the same one again
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, "x"), "+OK")
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, "x"), "+OK") // the same one again
 	answers := map[string]int{}
 	for i := range 6 {
-		answers[strings.Fields(ask(t, addr, enqueue("m"+itoa(i), statusFields, "x")))[0]]++
+		answers[strings.Fields(roundTrip(t, addr, enqueueCommand("m"+itoa(i), statusFields, "x")))[0]]++
 	}
 	if answers["-BUSY"] < 3 || answers["+OK"] < 1 { // four may be held in all
 		t.Errorf("got %v", answers)
@@ -269,7 +269,7 @@
 	t.Parallel()
 	first, second, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
 	addr, _ := startNode(t, r, t.TempDir(), memberJSON("e1", first.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("a", statusFields, ""), "+OK")
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, ""), "+OK")
 	first.nextRequest(t)
 	for i, l := range []string{
 		listJSON(2, false, memberJSON("e1", first.addr(), 7, "DRAINING"), memberJSON("e2", second.addr(), 7, "SERVING")),
@@ -280,7 +280,7 @@
 		r.publish(l)
 		sentOn := func() bool {
 			// Until the list has come the other one is right; from the first call on the new one only it is.
-			mustAnswer(t, addr, enqueue(fmt.Sprintf("m%d", time.Now().UnixNano()), statusFields, ""), "+OK")
+			mustAnswer(t, addr, enqueueCommand(fmt.Sprintf("m%d", time.Now().UnixNano()), statusFields, ""), "+OK")
 			select {
 			case <-from.requests:
 				return true
@@ -324,9 +324,9 @@
 	})
 	r := newFakeRegistry(t)
 	addr, _ := startNode(t, r, t.TempDir(), memberJSON("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("a", payoutFields, ""), "+OK")
+	mustAnswer(t, addr, enqueueCommand("a", payoutFields, ""), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, addr, enqueue("b", statusFields, ""), "+OK")
+	mustAnswer(t, addr, enqueueCommand("b", statusFields, ""), "+OK")
 	p.nextRequest(t)
 	p.nextRequest(t)
 }
@@ -343,7 +343,7 @@
 		}
 	}
 	eventually(t, "a watch", watching(1))
-	mustAnswer(t, addr, enqueue("a", statusFields, ""), "+OK") // without discovery all goes on
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, ""), "+OK") // without discovery all goes on
 	r.mu.Lock()
 	r.cutNow()
 	r.cut, r.cutNow = context.WithCancel(context.Background())
@@ -416,17 +416,17 @@
 	})
 	addr, _ := startConfiguredNode(t, newFakeRegistry(t), t.TempDir(), func(c *Config) { c.Settings.Slots = 4 },
 		memberJSON("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("first", statusFields, ""), "+OK")
+	mustAnswer(t, addr, enqueueCommand("first", statusFields, ""), "+OK")
 	p.nextRequest(t)
 	for _, id := range []string{"lost1", "lost2"} {
-		mustAnswer(t, addr, enqueue(id, payoutFields, ""), "+OK")
+		mustAnswer(t, addr, enqueueCommand(id, payoutFields, ""), "+OK")
 		p.nextRequest(t)
 	}
 	// Well past the time after which a call looks slow each message still goes out at once: its payouts have 50 s.
 	began, every := time.Now(), time.NewTicker(20*time.Millisecond)
 	defer every.Stop()
 	for i := 0; time.Since(began) < 2*time.Second; i++ {
-		mustAnswer(t, addr, enqueue("m"+itoa(i), statusFields, ""), "+OK")
+		mustAnswer(t, addr, enqueueCommand("m"+itoa(i), statusFields, ""), "+OK")
 		p.nextRequest(t)
 		<-every.C
 	}
@@ -446,7 +446,7 @@
 		return respondWith(okResponse)(nc, req)
 	})
 	addr, _ := startNode(t, newFakeRegistry(t), t.TempDir(), memberJSON("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("a", statusFields, ""), "+OK")
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, ""), "+OK")
 	eventually(t, "it is delivered", func() bool {
 		calls, _ := p.counts()
 		return calls > refusals
@@ -459,15 +459,15 @@
 	r.refuse = 2
 	state := t.TempDir()
 	addr, stop := startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("h", "127.0.0.1:9", 8, "DRAINING"))
-	mustAnswer(t, addr, enqueue("unsafe", payoutFields, ""), "+OK") // it may have run: failed
-	mustAnswer(t, addr, enqueue("short", "c=status,d=300,dest=8", ""), "+OK")
+	mustAnswer(t, addr, enqueueCommand("unsafe", payoutFields, ""), "+OK") // it may have run: failed
+	mustAnswer(t, addr, enqueueCommand("short", "c=status,d=300,dest=8", ""), "+OK")
 	eventually(t, "the notice of a failure", func() bool { return r.noticeState("unsafe") == "failed" })
 	eventually(t, "the notice of a refusal", func() bool { return r.noticeState("short") == "returned" })
 	stop()
 	if calls, _ := p.counts(); calls != 1 {
 		t.Errorf("%d calls", calls)
 	}
-	if j := openTest(t, state, 3); len(j.live) != 0 {
+	if j := openTestJournal(t, state, 3); len(j.live) != 0 {
 		t.Errorf("%d live after their notices", len(j.live))
 	}
 }
@@ -531,7 +531,7 @@
 		t.Fatal(err)
 	}
 	c := &child{cmd, strings.TrimSpace(addr)}
-	mustAnswer(t, c.addr, resp("PING"), "+PONG")
+	mustAnswer(t, c.addr, encodeCommand("PING"), "+PONG")
 	return c
 }
 
@@ -551,7 +551,7 @@
 	known := memberJSON("e", p.addr(), 7, "SERVING")
 	c := startChild(t, r, state, known)
 	for id, fields := range map[string]string{"safe": statusFields, "keyed": orderFields, "unsafe": payoutFields} {
-		mustAnswer(t, c.addr, enqueue(id, fields, "body of "+id), "+OK")
+		mustAnswer(t, c.addr, enqueueCommand(id, fields, "body of "+id), "+OK")
 		if got := p.nextRequest(t).Header.Get("X-Trace-Id"); got != id {
 			t.Fatalf("got a call for %q", got)
 		}
@@ -581,11 +581,11 @@
 	c := startChild(t, r, state, held())
 	ids := []string{"safe", "keyed", "unsafe"}
 	for i, fields := range []string{statusFields, orderFields, payoutFields} {
-		mustAnswer(t, c.addr, enqueue(ids[i], fields, ""), "+OK")
+		mustAnswer(t, c.addr, enqueueCommand(ids[i], fields, ""), "+OK")
 	}
 	c.kill(t)
 	c = startChild(t, r, state, held())
-	mustAnswer(t, c.addr, enqueue("safe", statusFields, ""), "+OK") // handed in again: no second effect
+	mustAnswer(t, c.addr, enqueueCommand("safe", statusFields, ""), "+OK") // handed in again: no second effect
 	c.kill(t)
 	startChild(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
 	seen := map[string]int{}
@@ -608,13 +608,13 @@
 			t.Run(name+" "+records, func(t *testing.T) {
 				t.Parallel()
 				p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
-				j := openTest(t, state, 3)
-				m, err := j.accept(&past{id: "a", key: "k", class: class, dest: 7, deadline: time.Now().Add(50 * time.Second)})
+				j := openTestJournal(t, state, 3)
+				m, err := j.accept(&pendingMessage{id: "a", key: "k", class: class, dest: 7, deadline: time.Now().Add(50 * time.Second)})
 				if err != nil {
 					t.Fatal(err)
 				}
 				for i, rec := range [][]byte{
-					attemptRecord(m.seq, time.Now(), 0), outcomeRecord(recNotRun, m.seq, 0), endedRecord(m.seq, ending{after: time.Second}),
+					attemptRecord(m.seq, time.Now(), 0), outcomeRecord(recordNotRun, m.seq, 0), finalRecord(m.seq, finalAnswer{retryAfter: time.Second}),
 				} {
 					if i < point {
 						j.add(rec)
@@ -649,12 +649,12 @@
 		failed, touched bool
 	}{
 		{"out at the kill", func(seq uint64) []byte { return nil }, false, true},
-		{"timed out", func(seq uint64) []byte { return outcomeRecord(recFailed, seq, 0) }, true, true},
-		{"no route", func(seq uint64) []byte { return outcomeRecord(recNotRun, seq, 0) }, true, false},
-		{"over a limit", func(seq uint64) []byte { return outcomeRecord(recTurnedAway, seq, 0) }, false, false},
+		{"timed out", func(seq uint64) []byte { return outcomeRecord(recordFailed, seq, 0) }, true, true},
+		{"no route", func(seq uint64) []byte { return outcomeRecord(recordNotRun, seq, 0) }, true, false},
+		{"over a limit", func(seq uint64) []byte { return outcomeRecord(recordRejected, seq, 0) }, false, false},
 	} {
 		dir := t.TempDir()
-		j := openTest(t, dir, 3)
+		j := openTestJournal(t, dir, 3)
 		m := mustAccept(t, j, "a", nil)
 		j.add(attemptRecord(m.seq, time.Now(), 0))
 		if rec := c.records(m.seq); rec != nil {
@@ -665,7 +665,7 @@
 			t.Fatal(err)
 		}
 		n := &Node{start: time.Now()}
-		for _, p := range openTest(t, dir, 3).live {
+		for _, p := range openTestJournal(t, dir, 3).live {
 			r := n.resumed(p)
 			if r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 || (r.MayHaveRun && r.MayHaveRunSince > n.now()) {
 				t.Errorf("%s: got %+v", c.name, r)
@@ -677,12 +677,12 @@
 func TestOverdueAndPastTheWindowEndAtOnce(t *testing.T) {
 	t.Parallel()
 	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
-	j := openTest(t, state, 3)
-	late, err := j.accept(&past{id: "late", class: 0, dest: 7, deadline: time.Now().Add(-time.Second)})
+	j := openTestJournal(t, state, 3)
+	late, err := j.accept(&pendingMessage{id: "late", class: 0, dest: 7, deadline: time.Now().Add(-time.Second)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	forgotten, err := j.accept(&past{id: "forgotten", key: "k", class: 1, dest: 7, deadline: time.Now().Add(time.Minute)})
+	forgotten, err := j.accept(&pendingMessage{id: "forgotten", key: "k", class: 1, dest: 7, deadline: time.Now().Add(time.Minute)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -706,15 +706,15 @@
 		t.Skip("no /dev/full here")
 	}
 	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
-	j := openTest(t, state, 3)
+	j := openTestJournal(t, state, 3)
 	for id, life := range map[string]time.Duration{"late": -time.Second, "soon": 300 * time.Millisecond} {
-		if _, err := j.accept(&past{id: id, class: 0, dest: 7, deadline: time.Now().Add(life)}); err != nil {
+		if _, err := j.accept(&pendingMessage{id: id, class: 0, dest: 7, deadline: time.Now().Add(life)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	mustFlush(t, j)
 	addr, _ := startInspectedNode(t, r, state, func(n *Node) {
-		n.journal.f = full
+		n.journal.file = full
 		if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // no compaction either
 			t.Error(err)
 		}
@@ -727,7 +727,7 @@
 	if err := os.Remove(j.path() + ".new"); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "messages are taken on again", func() bool { return ask(t, addr, enqueue("a", statusFields, "x")) == "+OK" })
+	eventually(t, "messages are taken on again", func() bool { return roundTrip(t, addr, enqueueCommand("a", statusFields, "x")) == "+OK" })
 }
 
 // However often a journal can't be written, the log has one line when that begins and one when it ends.
@@ -735,7 +735,7 @@
 	n := bareNode(t, held())
 	var lines bytes.Buffer
 	n.log = slog.New(slog.NewTextHandler(&lines, nil))
-	good, block := n.journal.f, n.journal.path()+".new"
+	good, block := n.journal.file, n.journal.path()+".new"
 	t.Cleanup(func() { good.Close() })
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
 	if err != nil {
@@ -744,7 +744,7 @@
 	if err := os.Mkdir(block, 0o700); err != nil { // no compaction either
 		t.Fatal(err)
 	}
-	n.journal.f = full
+	n.journal.file = full
 	for i := range 20 {
 		n.take(t.Context(), []any{handIn("a"+itoa(i), time.Minute)})
 	}
@@ -753,7 +753,7 @@
 	}
 	eventually(t, "the journal is written again", func() bool {
 		n.take(t.Context(), nil)
-		return !n.journal.broken
+		return !n.journal.incomplete
 	})
 	got := lines.String()
 	if strings.Count(got, "can't be written") != 1 || strings.Count(got, "written again") != 1 || strings.Count(got, "\n") != 2 {
@@ -766,11 +766,11 @@
 	t.Parallel()
 	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
 	c := startChild(t, r, state, held())
-	nc, br := dialTest(t, c.addr)
+	nc, br := dialClient(t, c.addr)
 	if err := c.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for _, m := range []string{enqueue("a", statusFields, ""), enqueue("b", payoutFields, "")} { // on an old connection
+	for _, m := range []string{enqueueCommand("a", statusFields, ""), enqueueCommand("b", payoutFields, "")} { // on an old connection
 		if _, err := io.WriteString(nc, m); err != nil {
 			t.Fatal(err)
 		}
@@ -778,7 +778,7 @@
 			t.Fatalf("got %q, %v", line, err)
 		}
 	}
-	mustAnswer(t, c.addr, enqueue("c", orderFields, ""), "+OK") // and on a new one
+	mustAnswer(t, c.addr, enqueueCommand("c", orderFields, ""), "+OK") // and on a new one
 	if err := c.cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
@@ -817,7 +817,7 @@
 }
 
 func handIn(id string, life time.Duration) arrival {
-	return arrival{request{id: id, class: 0, dest: 7, life: life, came: time.Now()}, make(chan answer, 1)}
+	return arrival{request{id: id, class: 0, dest: 7, ttl: life, receivedAt: time.Now()}, make(chan answer, 1)}
 }
 
 // An id handed in twice at once must not be taken on for the one and refused for the other, nor before it is written.
@@ -828,12 +828,12 @@
 		want answer
 	}{
 		"taken on":            {50 * time.Second, false, answer{}},
-		"refused":             {0, false, answer{refused: true, after: 3 * time.Second}}, // by the module, out of time
-		"the journal is down": {50 * time.Second, true, answer{refused: true, after: 3 * time.Second}},
+		"refused":             {0, false, answer{refused: true, retryAfter: 3 * time.Second}}, // by the module, out of time
+		"the journal is down": {50 * time.Second, true, answer{refused: true, retryAfter: 3 * time.Second}},
 	} {
 		n := bareNode(t, held())
 		if c.down {
-			n.journal.f.Close()
+			n.journal.file.Close()
 		}
 		all := []arrival{handIn("a", c.life), handIn("a", c.life), handIn("a", c.life)}
 		n.take(t.Context(), []any{all[0], all[1], all[2]})
@@ -859,7 +859,7 @@
 	n := bareNode(t, memberJSON("e", p.addr(), 7, "SERVING"))
 	n.take(t.Context(), []any{handIn("a", 50*time.Second)})
 	p.nextRequest(t)
-	n.step(t.Context(), []choice.Event{choice.MessageAbandoned{ID: n.messages["a"].name()}}, nil)
+	n.step(t.Context(), []choice.Event{choice.MessageAbandoned{ID: n.messages["a"].choiceID()}}, nil)
 	n.forget(n.messages["a"])
 	n.take(t.Context(), []any{handIn("a", 50*time.Second)})
 	p.nextRequest(t)
@@ -920,7 +920,7 @@
 	for i := range 8 {
 		a := handIn(itoa(i), 50*time.Second)
 		n.take(t.Context(), []any{a})
-		if got := <-a.reply; got.refused && got.after <= 0 {
+		if got := <-a.reply; got.refused && got.retryAfter <= 0 {
 			t.Errorf("got %+v", got)
 		} else if i == 7 && !got.refused {
 			t.Errorf("there is room for %d", i)
@@ -1042,8 +1042,8 @@
 	}
 	n.pool.close()
 	n.calls.Wait()
-	if again := openTest(t, n.cfg.State, 3); len(again.known) != len(members) {
-		t.Errorf("the next life knows %d endpoints of %d", len(again.known), len(members))
+	if again := openTestJournal(t, n.cfg.StateDir, 3); len(again.knownEndpoints) != len(members) {
+		t.Errorf("the next life knows %d endpoints of %d", len(again.knownEndpoints), len(members))
 	}
 }
 
@@ -1052,8 +1052,8 @@
 func TestTheTenantReachesTheModule(t *testing.T) {
 	names := wire.Names{Classes: []string{"status"}, Tenants: []string{"acme", "zen"}}
 	dir := t.TempDir()
-	j := openTest(t, dir, 3)
-	n := &Node{start: time.Now(), journal: j, messages: map[string]*past{}, sender: choice.New(choice.Settings{}, 1)}
+	j := openTestJournal(t, dir, 3)
+	n := &Node{start: time.Now(), journal: j, messages: map[string]*pendingMessage{}, sender: choice.New(choice.Settings{}, 1)}
 	n.sender.Step(n.now(), []choice.Event{choice.ListUpdate{Entries: []choice.Entry{{Endpoint: "e", Dest: 7}}}})
 	want := map[string]int{"acme": 0, "zen": 1, "": -1, "other": -1}
 	for tenant, place := range want {
@@ -1067,11 +1067,11 @@
 			t.Errorf("%q: got %d, want %d", tenant, got, place)
 		}
 	}
-	old := acceptedRecord(&past{seq: j.next, id: "of:old", deadline: time.Now()})
+	old := acceptedRecord(&pendingMessage{seq: j.nextSeq, id: "of:old", deadline: time.Now()})
 	j.add(old[:len(old)-1])
 	want["old"] = -1
 	mustFlush(t, j)
-	again := openTest(t, dir, 3)
+	again := openTestJournal(t, dir, 3)
 	for _, p := range again.live {
 		if got, place := n.resumed(p).Tenant, want[strings.TrimPrefix(p.id, "of:")]; got != place {
 			t.Errorf("%q after a restart: got %d, want %d", p.id, got, place)
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -23,7 +23,7 @@
 
 // notice tells the platform how a message ended that was accepted and not delivered.
 type notice struct {
-	of *past
+	message *pendingMessage
 
 	ID      string `json:"id"`
 	State   string `json:"state"`
@@ -31,17 +31,17 @@
 }
 
 // newNotice makes the notice of a message that has its final answer.
-func newNotice(p *past) notice {
-	if p.ended.failed {
-		return notice{of: p, ID: p.id, State: "failed"}
+func newNotice(p *pendingMessage) notice {
+	if p.final.failed {
+		return notice{message: p, ID: p.id, State: "failed"}
 	}
-	return notice{of: p, ID: p.id, State: "returned", AfterMS: p.ended.after.Milliseconds()}
+	return notice{message: p, ID: p.id, State: "returned", AfterMS: p.final.retryAfter.Milliseconds()}
 }
 
 // reportNotices posts the notices that it receives until the context ends, unanswered ones first, and returns
 // those that were not answered. It passes answered ones to done, because the journal may then forget their
 // messages. A post without an answer may have been accepted all the same; repeating a notice does no harm.
-func report(
+func reportNotices(
 	ctx context.Context, log *slog.Logger, client *http.Client, addrs []string,
 	unanswered []notice, more <-chan []notice, done func([]notice),
 ) []notice {
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -39,14 +39,14 @@
 	defer srv.Close()
 	var owed []notice
 	for i := range all {
-		owed = append(owed, newNotice(&past{id: strings.Repeat("i", 200) + itoa(i), ended: &ending{after: time.Second}}))
+		owed = append(owed, newNotice(&pendingMessage{id: strings.Repeat("i", 200) + itoa(i), final: &finalAnswer{retryAfter: time.Second}}))
 	}
 	more := make(chan []notice)
 	ctx, cancel := context.WithCancel(t.Context())
 	var reported sync.WaitGroup
 	var done, left []notice
 	reported.Go(func() {
-		left = report(ctx, slog.New(slog.DiscardHandler), srv.Client(), []string{srv.Listener.Addr().String()}, nil, more,
+		left = reportNotices(ctx, slog.New(slog.DiscardHandler), srv.Client(), []string{srv.Listener.Addr().String()}, nil, more,
 			func(n []notice) { done = append(done, n...) })
 	})
 	more <- owed
@@ -85,8 +85,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	began, told := time.Now(), 0
-	left := report(ctx, slog.New(slog.DiscardHandler), http.DefaultClient, []string{hung.Listener.Addr().String(), good.Listener.Addr().String()},
-		[]notice{newNotice(&past{id: "a", ended: &ending{}})}, nil, func(n []notice) { told = len(n); cancel() })
+	left := reportNotices(ctx, slog.New(slog.DiscardHandler), http.DefaultClient, []string{hung.Listener.Addr().String(), good.Listener.Addr().String()},
+		[]notice{newNotice(&pendingMessage{id: "a", final: &finalAnswer{}})}, nil, func(n []notice) { told = len(n); cancel() })
 	if took := time.Since(began); told != 1 || len(left) != 0 || took >= reportTimeout {
 		t.Errorf("%d done, %d returned, after %v", told, len(left), took)
 	}
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -148,7 +148,7 @@
 	if cfg.Fleet.Ownership == nil {
 		return nil
 	}
-	s := &share{name: cfg.owner(), path: filepath.Join(cfg.State, mapName), log: log}
+	s := &share{name: cfg.owner(), path: filepath.Join(cfg.StateDir, mapName), log: log}
 	for _, c := range cfg.Settings.Classes {
 		s.longest = max(s.longest, c.Deadline)
 	}
@@ -162,7 +162,7 @@
 	}
 	var owed lost
 	for _, p := range j.live {
-		if p.ended != nil {
+		if p.final != nil {
 			continue
 		}
 		if s.took(p); !s.owned.Has(ownership.PartitionOf(p.dest)) {
@@ -208,7 +208,7 @@
 }
 
 // took notes until when a message that was taken on has to be followed.
-func (s *share) took(p *past) {
+func (s *share) took(p *pendingMessage) {
 	last := &s.latest[ownership.PartitionOf(p.dest)]
 	*last = max(*last, p.deadline.UnixNano())
 }
@@ -270,11 +270,11 @@
 }
 
 // show brings the figures up to date after a step, by which the module has had the lists before it.
-func (s *share) show(f *figures) {
+func (s *share) show(f *metrics) {
 	s.covered = s.listed
 	if !s.shown {
 		now := s.followedPartitions
-		f.share.Store(&now)
+		f.ownership.Store(&now)
 		s.shown = true
 	}
 }
@@ -289,7 +289,7 @@
 	case n.own.covered.Has(part), n.sender.KnowsDestination(a.dest):
 		return false
 	}
-	a.reply <- answer{refused: true, after: n.cfg.Settings.MaxRetryAfter}
+	a.reply <- answer{refused: true, retryAfter: n.cfg.Settings.MaxRetryAfter}
 	return true
 }
 
@@ -533,9 +533,9 @@
 // it for the whole one, and go on from its revision.
 func (c *Config) listDir() (string, error) {
 	if c.Fleet.Ownership == nil {
-		return c.State, nil
+		return c.StateDir, nil
 	}
-	dir := filepath.Join(c.State, shareName)
+	dir := filepath.Join(c.StateDir, shareName)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", fmt.Errorf("kept list: %w", err)
 	}
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -338,7 +338,7 @@
 
 // seen is the share as the figures have it.
 func (o *owner) seen() followedPartitions {
-	if s := o.node.figures.share.Load(); s != nil {
+	if s := o.node.figures.ownership.Load(); s != nil {
 		return *s
 	}
 	return followedPartitions{}
@@ -357,7 +357,7 @@
 // awaitTaken waits until a request is taken on.
 func (o *owner) awaitTaken(t *testing.T, text string) {
 	t.Helper()
-	eventually(t, "it is taken on", func() bool { return ask(t, o.addr, text) == "+OK" })
+	eventually(t, "it is taken on", func() bool { return roundTrip(t, o.addr, text) == "+OK" })
 }
 
 func to(class string, dest int) string {
@@ -374,16 +374,16 @@
 	p, d, state := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t), t.TempDir()
 	d.put(at("e1", p.addr(), stays[0], "SERVING"), at("e2", p.addr(), goes[0], "SERVING"))
 	o := startOwner(t, state, "", owns(d.addr()), nil)
-	mustAnswer(t, o.addr, enqueue("early", to("status", stays[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("early", to("status", stays[0]), ""), busy)
 	if why := o.node.NotReadyReason(); why != "no map of owners is known" {
 		t.Errorf("without a map: %q", why)
 	}
 	d.setMap(t, half)
 	o.ready(t)
-	mustAnswer(t, o.addr, enqueue("mine", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("mine", to("order", stays[0]), ""), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, o.addr, enqueue("foreign", to("order", goes[0]), ""), busy)
-	mustAnswer(t, o.addr, enqueue("nowhere", to("order", stays[1]), ""), "-ERR unknown destination")
+	mustAnswer(t, o.addr, enqueueCommand("foreign", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("nowhere", to("order", stays[1]), ""), "-ERR unknown destination")
 	var figures strings.Builder
 	o.node.figures.write(&figures)
 	for _, want := range []string{
@@ -396,7 +396,7 @@
 	}
 	d.setMap(t, mapOf(t, 3, half, "n2"))
 	eventually(t, "not in the map", func() bool { return o.node.NotReadyReason() == "not in the map of owners" })
-	mustAnswer(t, o.addr, enqueue("late", to("order", stays[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("late", to("order", stays[0]), ""), busy)
 	o.stop()
 	raw, err := os.ReadFile(filepath.Join(state, journalName))
 	if err != nil {
@@ -422,11 +422,11 @@
 	d.setMap(t, all)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), func(n *Node) { n.own.longest = 300 * time.Millisecond })
 	o.ready(t)
-	mustAnswer(t, o.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
-	mustAnswer(t, o.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
 	if !slices.ContainsFunc(o.seen().lost, func(l lost) bool { // a has 50 s
 		return l.set.Has(ownership.PartitionOf(goes[0])) && time.Until(l.until) > 20*time.Second
 	}) {
@@ -436,7 +436,7 @@
 	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
 		t.Errorf("got %q", id)
 	}
-	mustAnswer(t, o.addr, enqueue("c", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("c", to("order", stays[0]), ""), "+OK")
 	p.nextRequest(t)
 	if asks := d.asked("watch=1&after=0&history"); asks+d.asked("watch=1&after=0&part") > 2 { // of the map, and of all
 		t.Errorf("asks %q", d.asks)
@@ -456,17 +456,17 @@
 	d.setMap(t, all)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), func(n *Node) { n.own.longest = 100 * time.Millisecond })
 	o.ready(t)
-	o.awaitTaken(t, enqueue("a", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""))
+	o.awaitTaken(t, enqueueCommand("a", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""))
 	p.nextRequest(t)
-	if n := o.node.figures.listed.Load(); n != 2 {
+	if n := o.node.figures.listedEndpoints.Load(); n != 2 {
 		t.Errorf("%d endpoints", n)
 	}
 	d.setMap(t, half)
 	own, _ := half.PartitionsOf("n1")
 	eventually(t, "the smaller set", func() bool {
-		return d.asked("partitions="+own.String()) == 1 && o.node.figures.listed.Load() == 1
+		return d.asked("partitions="+own.String()) == 1 && o.node.figures.listedEndpoints.Load() == 1
 	})
-	mustAnswer(t, o.addr, enqueue("b", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""), "+OK")
 	p.nextRequest(t)
 	if calls, conns := p.counts(); calls != 2 || conns != 1 {
 		t.Errorf("%d calls on %d connections", calls, conns)
@@ -475,7 +475,7 @@
 	// its own, whose endpoints it passes over.
 	none := mapOf(t, 3, half, "n2")
 	d.setMap(t, none)
-	eventually(t, "nothing", func() bool { return o.seen().mapNumber == 3 && o.node.figures.listed.Load() == 0 })
+	eventually(t, "nothing", func() bool { return o.seen().mapNumber == 3 && o.node.figures.listedEndpoints.Load() == 0 })
 	d.mu.Lock()
 	last := d.asks[len(d.asks)-1]
 	d.mu.Unlock()
@@ -493,12 +493,12 @@
 	eventually(t, "another watch", func() bool { return d.asked("watch=1") > asks })
 	d.setMap(t, mapOf(t, 4, none, "n2", "n3"))
 	o.awaitMap(t, 4)
-	if n := o.node.figures.listed.Load(); n != 0 {
+	if n := o.node.figures.listedEndpoints.Load(); n != 0 {
 		t.Errorf("%d endpoints of nothing", n)
 	}
 	d.setMap(t, mapOf(t, 5, none, "n1"))
 	o.ready(t)
-	eventually(t, "all", func() bool { return o.node.figures.listed.Load() == 3 })
+	eventually(t, "all", func() bool { return o.node.figures.listedEndpoints.Load() == 3 })
 }
 
 // A set's watch begins when that of the set before it is over, to its last list: one that came later would be taken for the
@@ -581,12 +581,12 @@
 	d.setMap(t, all)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
 	o.ready(t)
-	o.awaitTaken(t, enqueue("a", to("order", goes[0]), ""))
-	mustAnswer(t, o.addr, enqueue("b", to("payout", goes[1]), ""), "+OK")
+	o.awaitTaken(t, enqueueCommand("a", to("order", goes[0]), ""))
+	mustAnswer(t, o.addr, enqueueCommand("b", to("payout", goes[1]), ""), "+OK")
 	watches := d.asked("watch=1")
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
-	mustAnswer(t, o.addr, enqueue("c", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("c", to("order", goes[0]), ""), busy)
 	d.put(at("e3", p.addr(), goes[0], "SERVING"))
 	p.nextRequest(t)
 	d.setMap(t, mapOf(t, 3, half, "n1"))
@@ -594,8 +594,8 @@
 	if len(o.seen().lost) != 0 {
 		t.Errorf("lost: %+v", o.seen().lost)
 	}
-	mustAnswer(t, o.addr, enqueue("b", to("payout", goes[1]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueue("c", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", to("payout", goes[1]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("c", to("order", goes[0]), ""), "+OK")
 	d.put(at("e4", p.addr(), goes[1], "SERVING"))
 	got := []string{p.nextRequest(t).Header.Get("X-Trace-Id"), p.nextRequest(t).Header.Get("X-Trace-Id")}
 	if slices.Sort(got); !slices.Equal(got, []string{"b", "c"}) {
@@ -617,7 +617,7 @@
 	d.setMap(t, all)
 	o := startOwner(t, state, "", owns(d.addr()), nil)
 	o.ready(t)
-	o.awaitTaken(t, enqueue("a", to("order", goes[0]), ""))
+	o.awaitTaken(t, enqueueCommand("a", to("order", goes[0]), ""))
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
 	o.stop()
@@ -629,14 +629,14 @@
 	if s := o.seen(); s.mapNumber != 2 || len(s.lost) != 1 || s.lost[0].set.Len() != 1 || time.Until(s.lost[0].until) < 20*time.Second {
 		t.Errorf("got %d, %+v", s.mapNumber, s.lost)
 	}
-	if listed := o.node.figures.listed.Load(); listed != 2 { // e3's partition is not followed
+	if listed := o.node.figures.listedEndpoints.Load(); listed != 2 { // e3's partition is not followed
 		t.Errorf("%d endpoints", listed)
 	}
-	mustAnswer(t, o.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), busy)
-	mustAnswer(t, o.addr, enqueue("c", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("c", to("order", stays[0]), ""), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, o.addr, enqueue("d", to("order", stays[1]), ""), busy) // it may be on the list that nobody tells
+	mustAnswer(t, o.addr, enqueueCommand("d", to("order", stays[1]), ""), busy) // it may be on the list that nobody tells
 	o.stop()
 
 	o = startOwner(t, state, "", owns(d.addr()), nil)
@@ -660,32 +660,32 @@
 	d.setMap(t, half)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
 	o.ready(t)
-	o.awaitTaken(t, enqueue("a", to("order", stays[0]), ""))
+	o.awaitTaken(t, enqueueCommand("a", to("order", stays[0]), ""))
 	p.nextRequest(t)
 	hold, watches := make(chan struct{}), d.asked("watch=1")
 	d.change(func() { d.hold = hold })
 	d.setMap(t, mapOf(t, 3, half, "n1"))
 	eventually(t, "the new watch", func() bool { return d.asked("watch=1") > watches })
-	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), busy)
-	mustAnswer(t, o.addr, enqueue("c", to("order", goes[1]), ""), busy)
-	mustAnswer(t, o.addr, enqueue("d", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("c", to("order", goes[1]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("d", to("order", stays[0]), ""), "+OK")
 	p.nextRequest(t)
 	d.change(func() { d.hold = nil })
 	close(hold)
-	eventually(t, "the list", func() bool { return o.node.figures.listed.Load() == 2 })
+	eventually(t, "the list", func() bool { return o.node.figures.listedEndpoints.Load() == 2 })
 	eventually(t, "it is known", func() bool {
-		return ask(t, o.addr, enqueue("c", to("order", goes[1]), "")) == "-ERR unknown destination"
+		return roundTrip(t, o.addr, enqueueCommand("c", to("order", goes[1]), "")) == "-ERR unknown destination"
 	})
-	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, o.addr, enqueue("e", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("e", to("order", stays[0]), ""), "+OK")
 	p.nextRequest(t)
 	if _, conns := p.counts(); conns != 2 { // e1's, which was never hung up, and e2's
 		t.Errorf("%d connections", conns)
 	}
 	// A change reaches the new watch.
 	d.put(at("e3", p.addr(), goes[2], "SERVING"))
-	eventually(t, "a change", func() bool { return o.node.figures.listed.Load() == 3 })
+	eventually(t, "a change", func() bool { return o.node.figures.listedEndpoints.Load() == 3 })
 }
 
 // A number that a node has known is never undone: not by a replica that is behind, nor by a directory restored from a
@@ -707,7 +707,7 @@
 		d.cutWatches()
 		eventually(t, "another watch", func() bool { return d.asked("watch=1") > asks })
 	}
-	mustAnswer(t, o.addr, enqueue("a", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), busy)
 	if s := o.seen(); s.mapNumber != 2 || o.log.with(line) != 1 {
 		t.Errorf("number %d, logged %d times", s.mapNumber, o.log.with(line))
 	}
@@ -749,7 +749,7 @@
 		a.dest = dest
 		return a
 	}
-	refused := answer{refused: true, after: 3 * time.Second}
+	refused := answer{refused: true, retryAfter: 3 * time.Second}
 	if f := hand(half); f.mapNumber != 2 || f.owned != set(half) || len(f.lost) != 0 {
 		t.Fatalf("got %+v", f)
 	}
@@ -785,7 +785,7 @@
 	n.take(t.Context(), []any{listedOf(set(whole))})
 	unknown := arrive("u", goes[1])
 	n.take(t.Context(), []any{unknown})
-	if got := <-unknown.reply; got.failed == "" {
+	if got := <-unknown.reply; got.failure == "" {
 		t.Errorf("owned, listed and not there: %+v", got)
 	}
 	// Lost, with nothing held, and let go of at once; gained anew, nothing is known of it until its list comes.
@@ -814,7 +814,7 @@
 	d.setMap(t, all)
 	old := startOwner(t, state, "", owns(d.addr()), nil)
 	old.ready(t)
-	old.awaitTaken(t, enqueue("a", to("order", goes[0]), ""))
+	old.awaitTaken(t, enqueueCommand("a", to("order", goes[0]), ""))
 	d.setMap(t, half)
 	old.awaitMap(t, 2)
 
@@ -838,7 +838,7 @@
 		if err := <-ended; err == nil {
 			t.Errorf("%s: it has the node", name)
 		}
-		mustAnswer(t, old.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
+		mustAnswer(t, old.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
 	}
 	conn, err := dialDoor(door(state)) // as an older build says it
 	if err != nil {
@@ -858,9 +858,9 @@
 	if s.mapNumber != 2 || len(s.lost) != 1 || !s.lost[0].set.Has(ownership.PartitionOf(goes[0])) {
 		t.Errorf("got %d, %+v", s.mapNumber, s.lost)
 	}
-	mustAnswer(t, young.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
-	mustAnswer(t, young.addr, enqueue("b", to("order", goes[0]), ""), busy)
-	mustAnswer(t, young.addr, enqueue("c", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, young.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, young.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
+	mustAnswer(t, young.addr, enqueueCommand("c", to("order", stays[0]), ""), "+OK")
 	p.nextRequest(t)
 	d.setMap(t, mapOf(t, 3, half, "n1", "n2", "n3"))
 	young.awaitMap(t, 3)
@@ -955,8 +955,8 @@
 	o = startOwner(t, state, "", owns(old.addr()), nil)
 	o.ready(t)
 	eventually(t, "asked", func() bool { return old.asked("partitions=") > asks })
-	mustAnswer(t, o.addr, enqueue("a", to("order", stays[0]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("a", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
 }
 
 // Where no watch tells of a map, it is looked for from time to time.
@@ -1047,7 +1047,7 @@
 			alter(c)
 		}, nil)
 		o.ready(t)
-		o.awaitTaken(t, enqueue("a", to("order", stays[0]), ""))
+		o.awaitTaken(t, enqueueCommand("a", to("order", stays[0]), ""))
 		settled := 0 // in a row
 		eventually(t, "it has settled", func() bool {
 			was := goroutines
