--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -18,17 +18,17 @@
 const (
 	adminHeaderTimeout  = 2 * time.Second // for a whole request header
 	adminTimeout        = 3 * time.Second
-	adminHeader         = 8 << 10
+	adminMaxHeaderSize  = 8 << 10
 	adminCommandTimeout = 800 * time.Millisecond // answers are due within 1 s
 )
 
 // Admin serves the operators' address, one request on each connection. It exists before its node and outlives
 // it.
 type Admin struct {
-	srv     *http.Server
-	ln      net.Listener // nil without an operators' address
-	node    atomic.Pointer[Node]
-	metrics *metrics // of the process, for each node that it runs
+	server   *http.Server
+	listener net.Listener // nil without an operators' address
+	node     atomic.Pointer[Node]
+	metrics  *metrics // of the process, for each node that it runs
 }
 
 // ListenAdmin opens the operators' address, if the configuration names one, and serves it until Close.
@@ -41,16 +41,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("operators' address: %w", err)
 	}
-	a.ln = &callers{Listener: ln, most: max(cfg.Limits.Sockets/operatorSocketsDivisor, 4), open: map[*caller]bool{}}
-	a.srv = &http.Server{
-		Handler: a.handler(), MaxHeaderBytes: adminHeader,
+	a.listener = &cappedListener{Listener: ln, maxConns: max(cfg.Limits.Sockets/operatorSocketsDivisor, 4), conns: map[*operatorConn]bool{}}
+	a.server = &http.Server{
+		Handler: a.handler(), MaxHeaderBytes: adminMaxHeaderSize,
 		ReadHeaderTimeout: adminHeaderTimeout, ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
-		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug), // connections that come and go are not worth a log line
-		ConnContext: func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, callerKey{}, nc) },
+		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug), // connections that come and go are not worth a log line
+		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
+			return context.WithValue(ctx, operatorConnKey{}, nc)
+		},
 	}
-	a.srv.SetKeepAlivesEnabled(false)
+	a.server.SetKeepAlivesEnabled(false)
 	go func() { // until Close
-		if err := a.srv.Serve(a.ln); !errors.Is(err, http.ErrServerClosed) {
+		if err := a.server.Serve(a.listener); !errors.Is(err, http.ErrServerClosed) {
 			log.Error("operators' address is no longer served", "err", err)
 		}
 	}()
@@ -65,21 +67,21 @@
 
 // Close closes the address and all its connections, even during a request.
 func (a *Admin) Close() error {
-	if a.srv == nil {
+	if a.server == nil {
 		return nil
 	}
-	return a.srv.Close()
+	return a.server.Close()
 }
 
 func (a *Admin) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, _ *http.Request) {
-		why := "starting"
+		reason := "starting"
 		if n := a.node.Load(); n != nil {
-			why = n.NotReadyReason()
+			reason = n.NotReadyReason()
 		}
-		if why != "" {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if reason != "" {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprintln(w, "ready")
@@ -90,11 +92,11 @@
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Write(b.Bytes())
 	})
-	mux.HandleFunc("POST /-/endpoints/{id}/disable", func(w http.ResponseWriter, req *http.Request) { a.order(w, req, false) })
-	mux.HandleFunc("POST /-/endpoints/{id}/enable", func(w http.ResponseWriter, req *http.Request) { a.order(w, req, true) })
+	mux.HandleFunc("POST /-/endpoints/{id}/disable", func(w http.ResponseWriter, req *http.Request) { a.setEndpointEnabled(w, req, false) })
+	mux.HandleFunc("POST /-/endpoints/{id}/enable", func(w http.ResponseWriter, req *http.Request) { a.setEndpointEnabled(w, req, true) })
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if c, ok := req.Context().Value(callerKey{}).(*caller); ok {
-			c.called()
+		if c, ok := req.Context().Value(operatorConnKey{}).(*operatorConn); ok {
+			c.markRequestReceived()
 		}
 		// ServeMux would redirect, which neither confirms nor refuses.
 		if p := req.URL.Path; p != path.Clean(p) {
@@ -107,7 +109,7 @@
 
 // setEndpointEnabled passes an operator's command for an endpoint to the node. A success status means that
 // the command is in effect and outlasts a restart.
-func (a *Admin) order(w http.ResponseWriter, req *http.Request, lift bool) {
+func (a *Admin) setEndpointEnabled(w http.ResponseWriter, req *http.Request, enable bool) {
 	n := a.node.Load()
 	if n == nil {
 		http.Error(w, "starting", http.StatusServiceUnavailable)
@@ -115,55 +117,55 @@
 	}
 	ctx, cancel := context.WithTimeout(req.Context(), adminCommandTimeout)
 	defer cancel()
-	switch err := n.SetEndpointEnabled(ctx, req.PathValue("id"), lift); {
+	switch err := n.SetEndpointEnabled(ctx, req.PathValue("id"), enable); {
 	case errors.Is(err, ErrUnknownEndpoint):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case err != nil:
 		http.Error(w, "not confirmed in time, it may yet be done: say it again", http.StatusServiceUnavailable)
-	case lift:
+	case enable:
 		fmt.Fprintln(w, "serves again")
 	default:
 		fmt.Fprintln(w, "left out")
 	}
 }
 
-type callerKey struct{}
+type operatorConnKey struct{}
 
 // cappedListener limits the number of connections. At the limit it closes the connection that has been open
 // longest without a whole request, so that clients that only hold connections can't shut others out.
-type callers struct {
+type cappedListener struct {
 	net.Listener
-	most int
+	maxConns int
 
-	mu     sync.Mutex
-	open   map[*caller]bool
-	silent queue.List // connections without a whole request yet, oldest first
+	mu         sync.Mutex
+	conns      map[*operatorConn]bool
+	incomplete queue.List // connections without a whole request yet, oldest first
 }
 
-type caller struct {
+type operatorConn struct {
 	net.Conn
-	of    *callers
-	place *queue.Element // in incomplete
+	listener *cappedListener
+	element  *queue.Element // in incomplete
 }
 
-func (l *callers) Accept() (net.Conn, error) {
+func (l *cappedListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		c := &caller{Conn: nc, of: l}
+		c := &operatorConn{Conn: nc, listener: l}
 		l.mu.Lock()
-		var oldest *caller
-		full := len(l.open) >= l.most
-		if e := l.silent.Front(); full && e != nil {
-			oldest = e.Value.(*caller)
-			oldest.leave()
+		var oldest *operatorConn
+		full := len(l.conns) >= l.maxConns
+		if e := l.incomplete.Front(); full && e != nil {
+			oldest = e.Value.(*operatorConn)
+			oldest.release()
 			full = false
 		}
 		if !full {
-			l.open[c] = true
-			c.place = l.silent.PushBack(c)
+			l.conns[c] = true
+			c.element = l.incomplete.PushBack(c)
 		}
 		l.mu.Unlock()
 		if oldest != nil {
@@ -177,29 +179,29 @@
 }
 
 // markRequestReceived records that the whole request has arrived.
-func (c *caller) called() {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	c.speak()
+func (c *operatorConn) markRequestReceived() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.removeFromIncomplete()
 }
 
 // removeFromIncomplete removes the connection from the incomplete ones. The lock must be held.
-func (c *caller) speak() {
-	if c.place != nil {
-		c.of.silent.Remove(c.place)
-		c.place = nil
+func (c *operatorConn) removeFromIncomplete() {
+	if c.element != nil {
+		c.listener.incomplete.Remove(c.element)
+		c.element = nil
 	}
 }
 
 // release gives the connection's slot back. The lock must be held.
-func (c *caller) leave() {
-	c.speak()
-	delete(c.of.open, c)
+func (c *operatorConn) release() {
+	c.removeFromIncomplete()
+	delete(c.listener.conns, c)
 }
 
-func (c *caller) Close() error {
-	c.of.mu.Lock()
-	c.leave()
-	c.of.mu.Unlock()
+func (c *operatorConn) Close() error {
+	c.listener.mu.Lock()
+	c.release()
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { a.Close() })
-	return a, a.ln.Addr().String()
+	return a, a.listener.Addr().String()
 }
 
 // adminCall makes one call and returns the status and body of the answer.
@@ -51,7 +51,7 @@
 }
 
 // fetchMetrics fetches the metrics.
-func figuresAt(t *testing.T, addr string) map[string]int {
+func fetchMetrics(t *testing.T, addr string) map[string]int {
 	t.Helper()
 	code, body := adminCall(t, addr, "GET", "/-/metrics")
 	if code != http.StatusOK {
@@ -70,7 +70,7 @@
 	return all
 }
 
-func TestFigures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	t.Parallel()
 	p := newFakeEndpoint(t, func(nc net.Conn, req *http.Request) bool {
 		if req.Header.Get("X-Trace-Id") == "fails" {
@@ -87,7 +87,7 @@
 	addr, stop := startInspectedNode(t, r, t.TempDir(), func(made *Node) { n = made; a.SetNode(made) },
 		memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("off", "127.0.0.1:9", 8, "DRAINING"))
 	eventually(t, "ready", func() bool { code, _ := adminCall(t, admin, "GET", "/-/ready"); return code == http.StatusOK })
-	first := figuresAt(t, admin)
+	first := fetchMetrics(t, admin)
 	for _, class := range []string{"status", "order", "payout"} {
 		for _, name := range []string{"ok", "shed", "errors", "tries"} {
 			if v, ok := first["app."+name+"."+class+"|c"]; !ok || v != 0 {
@@ -109,7 +109,7 @@
 		"app.pool_size|g": 2, "app.pool_ejected|g": 0,
 	}
 	eventually(t, "the metrics", func() bool {
-		got := figuresAt(t, admin)
+		got := fetchMetrics(t, admin)
 		for name, v := range want {
 			if got[name] != v {
 				return false
@@ -124,7 +124,7 @@
 }
 
 // A call counts with all its messages, and only once its last byte is written.
-func TestTriesCountWhatIsWrittenWhole(t *testing.T) {
+func TestTriesCountWhollyWrittenCalls(t *testing.T) {
 	t.Parallel()
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	n := &Node{figures: newMetrics([]string{"a"})}
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestAdminRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestAdminRejectsUnknownRequests(t *testing.T) {
 	t.Parallel()
 	_, addr := openAdmin(t, 256)
 	for _, c := range [][2]string{
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestBadAdminAddressEndsTheStart(t *testing.T) {
+func TestInvalidAdminAddressFailsStart(t *testing.T) {
 	t.Parallel()
 	_, taken := openAdmin(t, 256)
 	for _, addr := range []string{taken, "nowhere", "127.0.0.1:99999"} {
@@ -169,13 +169,13 @@
 
 // Any number of clients that hold connections without a whole request can't shut others out: their
 // connections are closed, oldest first. Connections that are being answered stay open.
-func TestSilentCallersShutNobodyOut(t *testing.T) {
+func TestIncompleteRequestsDoNotBlockOperators(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &callers{Listener: ln, most: 4, open: map[*caller]bool{}}
+	l := &cappedListener{Listener: ln, maxConns: 4, conns: map[*operatorConn]bool{}}
 	defer l.Close()
 	in := make(chan net.Conn, 100)
 	go func() {
@@ -223,7 +223,7 @@
 		if !left[i] {
 			t.Errorf("connection %d was closed before older ones", i)
 		}
-		last[i].(*caller).called()
+		last[i].(*operatorConn).markRequestReceived()
 	}
 	dial(20)
 	if i := <-gone; i != 20 {
@@ -241,7 +241,7 @@
 // A disabled endpoint gets no calls, whatever discovery says, over a restart and over a handover, until it is
 // enabled again. Commands may be repeated. An ID that was never listed is refused; one that was listed and is
 // gone is accepted.
-func TestMaintenance(t *testing.T) {
+func TestDisableAndEnableEndpoint(t *testing.T) {
 	t.Parallel()
 	first, second := newFakeEndpoint(t, respondWith(okResponse)), newFakeEndpoint(t, respondWith(okResponse))
 	both := []string{memberJSON("e1", first.addr(), 7, "SERVING"), memberJSON("e2", second.addr(), 7, "SERVING")}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -330,7 +330,7 @@
 func statusCode(line string) (int, error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	n, err := number(code)
+	n, err := parseDigits(code)
 	if err != nil || len(code) != 3 || n < 100 || (version != "HTTP/1.1" && version != "HTTP/1.0") {
 		return 0, errors.New("no HTTP")
 	}
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -24,30 +24,30 @@
 // the largest integer, loops over any announced array length, and buffers requests without bound.
 
 const (
-	maxBody    = 64 << 10
-	maxWord    = 1 << 10 // bytes of each argument but the body
-	maxArgs    = 8
-	bodyArg    = 4 // index of the body among the arguments of an ENQUEUE
-	maxLine    = 512
-	maxSkipped = 1 << 20 // bytes of arguments that are too large; up to this size they are read and dropped, so that the connection stays usable
-	maxEmpty   = 16      // empty commands ahead of a real one
-	maxLife    = 24 * time.Hour
-	maxUnsent  = 4 << 10 // bytes; replies to pipelined commands are sent together
+	maxBody          = 64 << 10
+	maxArgSize       = 1 << 10 // bytes of each argument but the body
+	maxArgs          = 8
+	bodyArgIndex     = 4 // index of the body among the arguments of an ENQUEUE
+	maxLine          = 512
+	maxSkipped       = 1 << 20 // bytes of arguments that are too large; up to this size they are read and dropped, so that the connection stays usable
+	maxEmptyCommands = 16      // empty commands ahead of a real one
+	maxTTL           = 24 * time.Hour
+	maxUnsent        = 4 << 10 // bytes; replies to pipelined commands are sent together
 
 	// A client that sends nothing, or does not complete a request, must get an error or a close within 3 s of
 	// connecting; these two timeouts together ensure that. Other clients give up on a reply after 0.4 s.
-	idleTimeout      = 2 * time.Second
-	acceptPause      = 50 * time.Millisecond  // after a connection could not be accepted
-	requestTimeout   = 800 * time.Millisecond // from a request's first byte to its last, and to write a reply
-	crossTime        = 100 * time.Millisecond // for requests that crossed the close of their connection and are sent again on a new one
-	shutdownGrace    = 200 * time.Millisecond // for requests that are partly read when the node shuts down
-	lingerTimeout    = 300 * time.Millisecond // for a client to read its last reply, and to notice that nothing more is accepted
-	lingerLeaving    = 150 * time.Millisecond // instead of lingerTimeout when the node shuts down
-	lingerAsked      = 5 * time.Millisecond   // instead of lingerTimeout when other clients wait for the connection slot
-	finalReadTimeout = time.Millisecond
-	maxLooks         = 64                     // reads after a deadline, each of what had arrived by then
-	evictPause       = 20 * time.Millisecond  // wait for an evicted connection to give its slot back
-	evictHalf        = 100 * time.Millisecond // time that a request may take before its connection can be evicted
+	idleTimeout       = 2 * time.Second
+	acceptRetryDelay  = 50 * time.Millisecond  // after a connection could not be accepted
+	requestTimeout    = 800 * time.Millisecond // from a request's first byte to its last, and to write a reply
+	reconnectTime     = 100 * time.Millisecond // for requests that crossed the close of their connection and are sent again on a new one
+	shutdownGrace     = 200 * time.Millisecond // for requests that are partly read when the node shuts down
+	lingerTimeout     = 300 * time.Millisecond // for a client to read its last reply, and to notice that nothing more is accepted
+	lingerShutdown    = 150 * time.Millisecond // instead of lingerTimeout when the node shuts down
+	lingerEvicted     = 5 * time.Millisecond   // instead of lingerTimeout when other clients wait for the connection slot
+	finalReadTimeout  = time.Millisecond
+	maxFinalReads     = 64                     // reads after a deadline, each of what had arrived by then
+	evictWait         = 20 * time.Millisecond  // wait for an evicted connection to give its slot back
+	evictReadingAfter = 100 * time.Millisecond // time that a request may take before its connection can be evicted
 )
 
 // request is one message as a client hands it in.
@@ -92,7 +92,7 @@
 
 // readCommand reads an array of bulk strings or an inline command, within bounds. It skips empty commands.
 func readCommand(r *bufio.Reader) ([][]byte, error) {
-	for range maxEmpty {
+	for range maxEmptyCommands {
 		line, err := readLine(r)
 		if err != nil {
 			return nil, err
@@ -111,7 +111,7 @@
 }
 
 func readArray(r *bufio.Reader, length []byte) ([][]byte, error) {
-	count, err := number(string(length))
+	count, err := parseDigits(string(length))
 	if err != nil || count > maxArgs {
 		return nil, fmt.Errorf("%w: invalid multibulk length", errProtocol)
 	}
@@ -120,25 +120,25 @@
 	for i := range count {
 		line, err := readLine(r)
 		if err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		if len(line) == 0 || line[0] != '$' {
 			return nil, fmt.Errorf("%w: expected '$'", errProtocol)
 		}
-		size, err := number(string(line[1:]))
+		size, err := parseDigits(string(line[1:]))
 		if err != nil {
 			return nil, fmt.Errorf("%w: invalid bulk length", errProtocol)
 		}
-		most := maxWord
-		if i == bodyArg {
-			most = maxBody
+		limit := maxArgSize
+		if i == bodyArgIndex {
+			limit = maxBody
 		}
-		if size > most {
+		if size > limit {
 			if skipped += size; skipped > maxSkipped {
 				return nil, fmt.Errorf("%w: invalid bulk length", errProtocol)
 			}
 			if _, err := r.Discard(size); err != nil {
-				return nil, unexpected(err)
+				return nil, unexpectedEOF(err)
 			}
 			size = 0
 		}
@@ -159,12 +159,12 @@
 func readBulk(r *bufio.Reader, size int) ([]byte, error) {
 	arg := make([]byte, min(size+2, r.Size()))
 	if _, err := io.ReadFull(r, arg); err != nil {
-		return nil, unexpected(err)
+		return nil, unexpectedEOF(err)
 	}
 	for have := len(arg); have < size+2; have = len(arg) {
 		arg = append(arg, make([]byte, min(have, size+2-have))...)
 		if _, err := io.ReadFull(r, arg[have:]); err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 	}
 	if string(arg[size:]) != "\r\n" {
@@ -174,7 +174,7 @@
 }
 
 // parseDigits parses a whole number as the protocol writes it: digits alone.
-func number(text string) (int, error) {
+func parseDigits(text string) (int, error) {
 	if len(text) > 9 {
 		return 0, errors.New("the number has more than 9 digits")
 	}
@@ -188,21 +188,21 @@
 
 // parseDecimal parses a number that is written in digits, with a point or without. ParseFloat alone accepts
 // infinities, hexadecimal and exponents as well.
-func parseDecimal(text string, most float64) (float64, error) {
+func parseDecimal(text string, limit float64) (float64, error) {
 	for _, c := range []byte(text) {
 		if (c < '0' || c > '9') && c != '.' {
 			return 0, errors.New("not a plain decimal number")
 		}
 	}
 	v, err := strconv.ParseFloat(text, 64)
-	if err == nil && v > most {
+	if err == nil && v > limit {
 		err = errors.New("the number is too large")
 	}
 	return v, err
 }
 
 // unexpectedEOF distinguishes the end of a connection inside a request from one between requests.
-func unexpected(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -216,7 +216,7 @@
 	}
 	if err != nil {
 		if len(line) > 0 {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		return nil, err
 	}
@@ -224,8 +224,8 @@
 }
 
 // parseEnqueue parses the arguments of an ENQUEUE.
-func parseEnqueue(args [][]byte, names wire.Names, came time.Time) (request, error) {
-	q := request{receivedAt: came, class: -1, tenant: -1, dest: -1, ttl: -1}
+func parseEnqueue(args [][]byte, names wire.Names, receivedAt time.Time) (request, error) {
+	q := request{receivedAt: receivedAt, class: -1, tenant: -1, dest: -1, ttl: -1}
 	if len(args) != 5 {
 		return q, errors.New("wrong number of arguments for 'enqueue' command")
 	}
@@ -233,7 +233,7 @@
 	if !isToken(q.id) {
 		return q, errors.New("the id can't be used")
 	}
-	if len(args[3]) > maxWord {
+	if len(args[3]) > maxArgSize {
 		return q, errors.New("the fields are too long")
 	}
 	for field := range strings.SplitSeq(string(args[3]), ",") {
@@ -246,13 +246,13 @@
 		case "t":
 			q.tenant = slices.Index(names.Tenants, value)
 		case "d":
-			ms, err := parseDecimal(value, float64(maxLife.Milliseconds()))
+			ms, err := parseDecimal(value, float64(maxTTL.Milliseconds()))
 			if err != nil {
 				return q, errors.New("d is no time in milliseconds")
 			}
 			q.ttl = time.Duration(ms * float64(time.Millisecond))
 		case "dest":
-			n, err := number(value)
+			n, err := parseDigits(value)
 			if err != nil {
 				return q, errors.New("dest is no number")
 			}
@@ -281,27 +281,27 @@
 
 // clientConn is one client's connection. Only its own goroutine reads and writes; the lock of the
 // clientServer guards element.
-type session struct {
+type clientConn struct {
 	net.Conn
-	unsent []byte
-	readAt time.Time // when the last bytes arrived
-	looks  int
-	used   bool           // a reply was sent or queued
-	asked  bool           // other clients wait for its slot
-	begun  time.Time      // when its request began
-	place  *queue.Element // in one of the server's lists
+	unsent       []byte
+	readAt       time.Time // when the last bytes arrived
+	finalReads   int
+	answered     bool           // a reply was sent or queued
+	evicted      bool           // other clients wait for its slot
+	requestBegan time.Time      // when its request began
+	element      *queue.Element // in one of the server's lists
 }
 
 // Read flushes first, because the client may be waiting for the queued replies. A read deadline may have
 // passed while the process did not run, or have been set to evict the connection. Neither means that no bytes
 // have arrived meanwhile, so Read tries again for a moment: a connection must not end with a whole request
 // unread.
-func (s *session) Read(p []byte) (int, error) {
+func (s *clientConn) Read(p []byte) (int, error) {
 	if err := s.flush(); err != nil {
 		return 0, err
 	}
 	n, err := s.Conn.Read(p)
-	for ; n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && s.looks < maxLooks; s.looks++ {
+	for ; n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && s.finalReads < maxFinalReads; s.finalReads++ {
 		if lerr := s.SetReadDeadline(time.Now().Add(finalReadTimeout)); lerr != nil {
 			return 0, lerr
 		}
@@ -313,7 +313,7 @@
 	return n, err
 }
 
-func (s *session) flush() error {
+func (s *clientConn) flush() error {
 	if len(s.unsent) == 0 {
 		return nil
 	}
@@ -326,9 +326,9 @@
 }
 
 // queueReply queues a reply.
-func (s *session) say(line string) error {
+func (s *clientConn) queueReply(line string) error {
 	s.unsent = append(s.unsent, line...)
-	s.used = true
+	s.answered = true
 	if len(s.unsent) < maxUnsent {
 		return nil
 	}
@@ -337,76 +337,76 @@
 
 // The lists of connections, in the order in which connections are evicted from them.
 const (
-	ended = iota // being closed by this side
-	fresh        // without an open request, and never answered
-	idle         // without an open request
-	half         // in the midst of reading one
+	connClosing = iota // being closed by this side
+	connNew            // without an open request, and never answered
+	connIdle           // without an open request
+	connReading        // in the midst of reading one
 )
 
 // clientServer serves the node's clients.
 type clientServer struct {
-	ln     net.Listener
-	room   chan struct{} // holds a value for each connection
-	keep   int           // connections that are idle after a request, at most; see markIdle
-	stop   chan struct{}
-	served chan struct{} // closed when no more connections are accepted
-	names  wire.Names
-	handle func(request) answer
-
-	cross, request time.Duration // reconnectTime and requestTimeout, except in tests
-
-	mu      sync.Mutex
-	open    map[*session]bool
-	lists   [4]queue.List // by the state of their connections, each in the order of entry
-	leaving bool
-	grace   time.Duration // for requests, while closing
-	wg      sync.WaitGroup
-	once    sync.Once
+	listener      net.Listener
+	slots         chan struct{} // holds a value for each connection
+	maxIdle       int           // connections that are idle after a request, at most; see markIdle
+	stopAccepting chan struct{}
+	acceptDone    chan struct{} // closed when no more connections are accepted
+	names         wire.Names
+	handle        func(request) answer
+
+	reconnectTime, requestTimeout time.Duration // reconnectTime and requestTimeout, except in tests
+
+	mu        sync.Mutex
+	conns     map[*clientConn]bool
+	lists     [4]queue.List // by the state of their connections, each in the order of entry
+	closing   bool
+	grace     time.Duration // for requests, while closing
+	wg        sync.WaitGroup
+	closeOnce sync.Once
 }
 
-func newClientServer(ln net.Listener, most int, names wire.Names, hand func(request) answer) *clientServer {
+func newClientServer(listener net.Listener, maxConns int, names wire.Names, handle func(request) answer) *clientServer {
 	return &clientServer{
-		ln: ln, room: make(chan struct{}, max(most, 1)), keep: max(most/3, 1), stop: make(chan struct{}), served: make(chan struct{}),
-		names: names, handle: hand, open: map[*session]bool{}, cross: crossTime, request: requestTimeout,
+		listener: listener, slots: make(chan struct{}, max(maxConns, 1)), maxIdle: max(maxConns/3, 1), stopAccepting: make(chan struct{}), acceptDone: make(chan struct{}),
+		names: names, handle: handle, conns: map[*clientConn]bool{}, reconnectTime: reconnectTime, requestTimeout: requestTimeout,
 	}
 }
 
 // serve accepts connections until the listener is closed. When all slots are taken, it evicts the connection
 // that has been idle longest, and the next connection waits in the backlog until the slot is free.
 func (c *clientServer) serve(ctx context.Context) {
-	defer close(c.served)
-	for last := false; ; {
-		for taken := false; !taken; {
+	defer close(c.acceptDone)
+	for draining := false; ; {
+		for acquired := false; !acquired; {
 			select {
-			case c.room <- struct{}{}:
-				taken = true
+			case c.slots <- struct{}{}:
+				acquired = true
 			default:
 				c.evict()
 				select {
-				case c.room <- struct{}{}:
-					taken = true
-				case <-time.After(evictPause):
-				case <-c.stop:
+				case c.slots <- struct{}{}:
+					acquired = true
+				case <-time.After(evictWait):
+				case <-c.stopAccepting:
 					return
 				}
 			}
 		}
-		nc, err := c.ln.Accept()
+		nc, err := c.listener.Accept()
 		if err != nil {
-			<-c.room
+			<-c.slots
 			switch {
-			case errors.Is(err, os.ErrDeadlineExceeded) && !last: // the node shuts down; connections that have arrived by now are served
-				last = c.acceptUntil(time.Now().Add(finalReadTimeout)) == nil
-			case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed), !registry.Sleep(ctx, acceptPause):
+			case errors.Is(err, os.ErrDeadlineExceeded) && !draining: // the node shuts down; connections that have arrived by now are served
+				draining = c.acceptUntil(time.Now().Add(finalReadTimeout)) == nil
+			case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed), !registry.Sleep(ctx, acceptRetryDelay):
 				return // any other error most likely means that the process is out of descriptors
 			}
 			continue
 		}
-		if last { // there may be more
+		if draining { // there may be more
 			c.acceptUntil(time.Now().Add(finalReadTimeout))
 		}
 		c.wg.Go(func() {
-			defer func() { <-c.room }()
+			defer func() { <-c.slots }()
 			c.serveConn(nc)
 		})
 	}
@@ -414,9 +414,9 @@
 
 // acceptUntil ends accepting at the given time, if the listener supports that, and otherwise now.
 func (c *clientServer) acceptUntil(until time.Time) error {
-	ln, ok := c.ln.(interface{ SetDeadline(time.Time) error })
+	ln, ok := c.listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
-		return c.ln.Close()
+		return c.listener.Close()
 	}
 	return ln.SetDeadline(until)
 }
@@ -429,19 +429,19 @@
 	defer c.mu.Unlock()
 	for i := range c.lists {
 		first := c.lists[i].Front()
-		if first == nil || (i == half && time.Since(first.Value.(*session).begun) < evictHalf) {
+		if first == nil || (i == connReading && time.Since(first.Value.(*clientConn).requestBegan) < evictReadingAfter) {
 			continue
 		}
-		c.askBack(&c.lists[i])
+		c.evictFirst(&c.lists[i])
 		return
 	}
 }
 
 // evictFirst ends the connection that a list has held longest. The lock must be held.
-func (c *clientServer) askBack(list *queue.List) {
-	s := list.Front().Value.(*session)
-	c.unplace(s)
-	s.asked = true
+func (c *clientServer) evictFirst(list *queue.List) {
+	s := list.Front().Value.(*clientConn)
+	c.removeFromList(s)
+	s.evicted = true
 	s.SetReadDeadline(time.Unix(1, 0)) // not closed from here: see Read
 }
 
@@ -451,120 +451,120 @@
 // evicted once there are more than maxIdle. This also protects against client pools that never shrink;
 // clients that alternate between more connections than that have to reconnect. When the node shuts down, a
 // connection that was accepted since may hand in one request.
-func (c *clientServer) rest(s *session) bool {
+func (c *clientServer) markIdle(s *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	patience, list := idleTimeout, &c.lists[fresh]
+	timeout, list := idleTimeout, &c.lists[connNew]
 	switch {
-	case c.leaving && s.used:
+	case c.closing && s.answered:
 		return false
-	case c.leaving:
-		patience = c.grace
-	case s.used:
-		list = &c.lists[idle]
+	case c.closing:
+		timeout = c.grace
+	case s.answered:
+		list = &c.lists[connIdle]
 	}
-	if s.SetReadDeadline(time.Now().Add(patience)) != nil {
+	if s.SetReadDeadline(time.Now().Add(timeout)) != nil {
 		return false
 	}
-	s.place, s.looks, s.asked = list.PushBack(s), 0, false
-	if c.lists[idle].Len() > c.keep {
-		c.askBack(&c.lists[idle])
+	s.element, s.finalReads, s.evicted = list.PushBack(s), 0, false
+	if c.lists[connIdle].Len() > c.maxIdle {
+		c.evictFirst(&c.lists[connIdle])
 	}
 	return true
 }
 
 // markReading moves a connection whose request has begun from the idle ones to those reading.
-func (c *clientServer) begin(s *session) bool {
+func (c *clientServer) markReading(s *clientConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unplace(s)
-	s.looks, s.asked, s.begun = 0, false, time.Now()
-	s.place = c.lists[half].PushBack(s)
-	patience := c.request
-	if c.leaving {
-		patience = min(patience, c.grace)
-	}
-	return s.SetReadDeadline(s.begun.Add(patience)) == nil
+	c.removeFromList(s)
+	s.finalReads, s.evicted, s.requestBegan = 0, false, time.Now()
+	s.element = c.lists[connReading].PushBack(s)
+	timeout := c.requestTimeout
+	if c.closing {
+		timeout = min(timeout, c.grace)
+	}
+	return s.SetReadDeadline(s.requestBegan.Add(timeout)) == nil
 }
 
 // markRead removes a connection whose request is read from the lists: it keeps its slot until the request is
 // answered.
-func (c *clientServer) read(s *session) {
+func (c *clientServer) markRead(s *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unplace(s)
+	c.removeFromList(s)
 }
 
 // removeFromList removes a connection from its list. The lock must be held.
-func (c *clientServer) unplace(s *session) {
-	if s.place != nil {
+func (c *clientServer) removeFromList(s *clientConn) {
+	if s.element != nil {
 		for i := range c.lists {
-			c.lists[i].Remove(s.place) // has no effect on a list that it is not in
+			c.lists[i].Remove(s.element) // has no effect on a list that it is not in
 		}
-		s.place = nil
+		s.element = nil
 	}
 }
 
 func (c *clientServer) serveConn(nc net.Conn) {
-	s := &session{Conn: nc}
+	s := &clientConn{Conn: nc}
 	c.mu.Lock()
-	c.open[s] = true
+	c.conns[s] = true
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		c.unplace(s)
-		delete(c.open, s)
+		c.removeFromList(s)
+		delete(c.conns, s)
 		c.mu.Unlock()
 		nc.Close()
 	}()
 	r := bufio.NewReaderSize(s, 4096)
 	for {
-		if r.Buffered() == 0 && !c.rest(s) {
-			c.hangUp(s) // the node shuts down
+		if r.Buffered() == 0 && !c.markIdle(s) {
+			c.closeWithLinger(s) // the node shuts down
 			return
 		}
 		if _, err := r.Peek(1); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				c.hangUp(s)
+				c.closeWithLinger(s)
 			}
 			return
 		}
-		came := s.readAt
-		if !c.begin(s) {
+		receivedAt := s.readAt
+		if !c.markReading(s) {
 			return
 		}
 		args, err := readCommand(r)
-		c.read(s)
-		var line string
+		c.markRead(s)
+		var reply string
 		switch {
 		case err == nil:
-			line = c.command(args, came)
+			reply = c.execute(args, receivedAt)
 		case errors.Is(err, errTooLarge):
-			line = answer{failure: err.Error()}.encode()
+			reply = answer{failure: err.Error()}.encode()
 		case errors.Is(err, errProtocol), errors.Is(err, os.ErrDeadlineExceeded):
 			if !errors.Is(err, errProtocol) {
 				err = fmt.Errorf("%w: the request took too long", errProtocol)
 			}
-			if s.say(answer{failure: err.Error()}.encode()) == nil {
-				c.hangUp(s)
+			if s.queueReply(answer{failure: err.Error()}.encode()) == nil {
+				c.closeWithLinger(s)
 			}
 			return
 		default:
 			return // the client disconnected inside a request
 		}
-		if line == "" || s.say(line) != nil {
+		if reply == "" || s.queueReply(reply) != nil {
 			return
 		}
 	}
 }
 
 // execute runs one command and returns the reply.
-func (c *clientServer) command(args [][]byte, came time.Time) string {
+func (c *clientServer) execute(args [][]byte, receivedAt time.Time) string {
 	switch strings.ToUpper(string(args[0])) {
 	case "PING":
 		return "+PONG\r\n"
 	case "ENQUEUE":
-		q, err := parseEnqueue(args, c.names, came)
+		q, err := parseEnqueue(args, c.names, receivedAt)
 		if err != nil {
 			return answer{failure: err.Error()}.encode()
 		}
@@ -577,7 +577,7 @@
 // the last read: the client sees that the connection had ended, and sends its request elsewhere. Closing with
 // unread bytes would reset the connection, and the last reply could be lost. Meanwhile the connection can be
 // evicted.
-func (c *clientServer) hangUp(s *session) {
+func (c *clientServer) closeWithLinger(s *clientConn) {
 	if s.flush() != nil {
 		return
 	}
@@ -586,17 +586,17 @@
 		return
 	}
 	c.mu.Lock()
-	patience := lingerTimeout
+	timeout := lingerTimeout
 	switch {
-	case c.leaving:
-		patience = lingerLeaving
-	case s.asked:
-		patience = lingerAsked
+	case c.closing:
+		timeout = lingerShutdown
+	case s.evicted:
+		timeout = lingerEvicted
 	}
 	// The connection may be in the list of idle ones, if it was not evicted.
-	c.unplace(s)
-	s.place = c.lists[ended].PushBack(s) // evicted first
-	err := s.SetReadDeadline(time.Now().Add(patience))
+	c.removeFromList(s)
+	s.element = c.lists[connClosing].PushBack(s) // evicted first
+	err := s.SetReadDeadline(time.Now().Add(timeout))
 	c.mu.Unlock()
 	if err == nil {
 		io.Copy(io.Discard, io.LimitReader(s.Conn, maxSkipped)) // errors don't matter, as the connection ends next
@@ -607,45 +607,45 @@
 // others. A client that is slow to send the rest of its request has the grace for it, so that it can't hold
 // up the node until that is killed.
 func (c *clientServer) close(grace time.Duration) {
-	c.once.Do(func() { c.end(grace) })
+	c.closeOnce.Do(func() { c.shutDown(grace) })
 }
 
 // shutDown closes the idle connections while the listener still accepts, because a request that crosses such
 // a close is sent again on a new connection. Then it accepts the connections in the backlog, and closes the
 // listener.
-func (c *clientServer) end(grace time.Duration) {
+func (c *clientServer) shutDown(grace time.Duration) {
 	c.mu.Lock()
-	c.leaving, c.grace = true, grace
-	for _, i := range []int{fresh, idle} {
+	c.closing, c.grace = true, grace
+	for _, i := range []int{connNew, connIdle} {
 		for e := c.lists[i].Front(); e != nil; e = e.Next() {
-			e.Value.(*session).SetReadDeadline(time.Unix(1, 0)) // see Read
+			e.Value.(*clientConn).SetReadDeadline(time.Unix(1, 0)) // see Read
 		}
 	}
 	c.mu.Unlock()
-	if c.acceptUntil(time.Now().Add(c.cross)) == nil {
+	if c.acceptUntil(time.Now().Add(c.reconnectTime)) == nil {
 		select {
-		case <-c.served:
-		case <-time.After(c.cross + grace): // all slots are taken
+		case <-c.acceptDone:
+		case <-time.After(c.reconnectTime + grace): // all slots are taken
 		}
 	}
-	close(c.stop)
-	c.ln.Close()
-	<-c.served
-	slow := time.AfterFunc(grace, func() {
+	close(c.stopAccepting)
+	c.listener.Close()
+	<-c.acceptDone
+	graceTimer := time.AfterFunc(grace, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for e := c.lists[half].Front(); e != nil; e = e.Next() {
-			e.Value.(*session).SetReadDeadline(time.Unix(1, 0)) // requests that have arrived whole by now are still answered
+		for e := c.lists[connReading].Front(); e != nil; e = e.Next() {
+			e.Value.(*clientConn).SetReadDeadline(time.Unix(1, 0)) // requests that have arrived whole by now are still answered
 		}
 	})
-	defer slow.Stop()
-	stuck := time.AfterFunc(2*grace+lingerLeaving, func() {
+	defer graceTimer.Stop()
+	closeTimer := time.AfterFunc(2*grace+lingerShutdown, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for s := range c.open {
+		for s := range c.conns {
 			s.Close() // the client does not even read its replies
 		}
 	})
-	defer stuck.Stop()
+	defer closeTimer.Stop()
 	c.wg.Wait()
 }
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -16,17 +16,17 @@
 	"starlingusher/internal/wire"
 )
 
-func serveClients(t *testing.T, most int, hand func(request) answer) (*clientServer, string) {
+func serveClients(t *testing.T, maxConns int, handle func(request) answer) (*clientServer, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := newClientServer(ln, most, wire.Names{Classes: []string{"notice"}, Tenants: []string{"acme", "zen"}}, hand)
+	c := newClientServer(ln, maxConns, wire.Names{Classes: []string{"notice"}, Tenants: []string{"acme", "zen"}}, handle)
 	go c.serve(t.Context())
 	t.Cleanup(func() {
 		select {
-		case <-c.stop:
+		case <-c.stopAccepting:
 		default:
 			c.close(shutdownGrace)
 		}
@@ -75,7 +75,7 @@
 }
 
 // Whatever the input, the client gets an error, the node does not crash, and none of it is accepted.
-func TestBadInput(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	_, addr := serveClients(t, 100, func(request) answer {
 		t.Error("invalid input was accepted")
 		return answer{}
@@ -114,7 +114,7 @@
 }
 
 // After an error about one request, the connection stays usable if the framing is sound.
-func TestConnectionGoesOnAfterAnOversizedBody(t *testing.T) {
+func TestConnectionSurvivesOversizedBody(t *testing.T) {
 	var got request
 	_, addr := serveClients(t, 100, func(q request) answer {
 		got = q
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestAnswerLines(t *testing.T) {
+func TestAnswerEncoding(t *testing.T) {
 	for want, a := range map[string]answer{
 		"+OK\r\n": {}, "-BUSY\r\n": {refused: true}, "-BUSY 1500\r\n": {refused: true, retryAfter: 1500 * time.Millisecond},
 		"-ERR no\r\n": {failure: "no"},
@@ -145,7 +145,7 @@
 }
 
 // A request that has been read gets its answer, even while the node closes all connections.
-func TestCloseAnswersWhatWasRead(t *testing.T) {
+func TestCloseAnswersReadRequests(t *testing.T) {
 	inside, release := make(chan struct{}), make(chan struct{})
 	c, addr := serveClients(t, 100, func(request) answer {
 		close(inside)
@@ -222,7 +222,7 @@
 
 // Clients that send nothing, or nothing whole, are disconnected after a time: they would hold other clients'
 // slots.
-func TestUnfinishedClientsEnd(t *testing.T) {
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	_, addr := serveClients(t, 100, func(request) answer { return answer{} })
 	for name, text := range map[string]string{
 		"nothing": "", "partial request": "*5\r\n$7\r\nENQ", "partial argument": encodeCommand("PING") + "*2\r\n$4\r\nPI", "empty line": "\r\n",
@@ -241,7 +241,7 @@
 
 // When all slots are taken, connections that never sent anything are evicted first, then those idle longest;
 // one with an open request stays.
-func TestIdleClientsGiveWay(t *testing.T) {
+func TestIdleClientsAreEvicted(t *testing.T) {
 	release := make(chan struct{})
 	_, addr := serveClients(t, 3, func(request) answer {
 		<-release
@@ -283,7 +283,7 @@
 			t.Fatalf("client %d: %q, %v", i, line, err)
 		}
 		c.mu.Lock()
-		idle := c.lists[idle].Len()
+		idle := c.lists[connIdle].Len()
 		c.mu.Unlock()
 		if idle > keep {
 			t.Fatalf("%d idle connections after client %d, want %d at most", idle, i, keep)
@@ -300,7 +300,7 @@
 }
 
 // Bytes that have arrived must be read even though the deadline has passed: they may be a whole request.
-func TestLastLook(t *testing.T) {
+func TestReadAfterDeadline(t *testing.T) {
 	c, addr := serveClients(t, 1, func(request) answer { return answer{} })
 	nc, br := dialClient(t, addr)
 	io.WriteString(nc, encodeCommand("PING"))
@@ -310,11 +310,11 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	go io.WriteString(far, "x")
-	s := &session{Conn: near}
+	s := &clientConn{Conn: near}
 	// A read from a pipe after its deadline returns no bytes, but Read tries again with a deadline of its
 	// own.
 	for got := 0; got == 0; {
-		s.looks = 0
+		s.finalReads = 0
 		near.SetReadDeadline(time.Unix(1, 0))
 		n, err := s.Read(make([]byte, 1))
 		if got = n; err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -328,7 +328,7 @@
 }
 
 // Memory is allocated for the bytes that have arrived, not for the announced size.
-func TestAnnouncedSizesCostNothing(t *testing.T) {
+func TestAnnouncedSizesAllocateNothing(t *testing.T) {
 	const runs = 100
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -360,7 +360,7 @@
 				t.Fatal("an empty command was returned")
 			}
 			for i, a := range args {
-				if len(a) > maxBody || (i != bodyArg && len(a) > maxWord) {
+				if len(a) > maxBody || (i != bodyArgIndex && len(a) > maxArgSize) {
 					t.Fatalf("argument %d has %d bytes", i, len(a))
 				}
 			}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -16,7 +16,7 @@
 // Hooks in the node's side of real sockets force the crossing.
 
 // connHooks are called from the node's side of a client's connection.
-type hooks struct {
+type connHooks struct {
 	closing func(*net.TCPConn) // before the node closes its sending side, or closes the connection without that
 	reading func()             // before each read
 	expired func()             // after its read deadline was set to a past time
@@ -24,7 +24,7 @@
 
 type hookedListener struct {
 	*net.TCPListener
-	hooks
+	connHooks
 	accepting func() // before each accept
 }
 
@@ -36,12 +36,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return &hookedConn{TCPConn: nc, hooks: l.hooks}, nil
+	return &hookedConn{TCPConn: nc, connHooks: l.connHooks}, nil
 }
 
 type hookedConn struct {
 	*net.TCPConn
-	hooks
+	connHooks
 	once sync.Once
 }
 
@@ -60,33 +60,33 @@
 	return err
 }
 
-func (c *hookedConn) crossed() {
+func (c *hookedConn) callClosing() {
 	if c.closing != nil {
 		c.once.Do(func() { c.closing(c.TCPConn) })
 	}
 }
 
 func (c *hookedConn) CloseWrite() error {
-	c.crossed()
+	c.callClosing()
 	return c.TCPConn.CloseWrite()
 }
 
 func (c *hookedConn) Close() error {
-	c.crossed()
+	c.callClosing()
 	return c.TCPConn.Close()
 }
 
 // serveHooked serves clients on a listener with hooks. It calls configure, if any, before serving.
-func hooked(t *testing.T, most int, l *hookedListener, hand func(request) answer, set func(*clientServer)) (*clientServer, string) {
+func serveHooked(t *testing.T, maxConns int, l *hookedListener, handle func(request) answer, configure func(*clientServer)) (*clientServer, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.TCPListener = ln.(*net.TCPListener)
-	c := newClientServer(l, most, wire.Names{Classes: []string{"notice"}}, hand)
-	if set != nil {
-		set(c)
+	c := newClientServer(l, maxConns, wire.Names{Classes: []string{"notice"}}, handle)
+	if configure != nil {
+		configure(c)
 	}
 	go c.serve(t.Context())
 	t.Cleanup(func() { c.close(shutdownGrace) })
@@ -94,7 +94,7 @@
 }
 
 // waitUnread waits until n unread bytes are in a socket's receive buffer.
-func hasCome(t *testing.T, c *net.TCPConn, n int) {
+func waitUnread(t *testing.T, c *net.TCPConn, n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		t.Error(err)
@@ -113,7 +113,7 @@
 	}
 }
 
-func expect(t *testing.T, r interface{ ReadString(byte) (string, error) }, want string) {
+func expectLine(t *testing.T, r interface{ ReadString(byte) (string, error) }, want string) {
 	t.Helper()
 	if line, err := r.ReadString('\n'); line != want {
 		t.Errorf("got %q, %v, want %q", line, err, want)
@@ -122,7 +122,7 @@
 
 // A request that arrives at the moment in which its connection is closed is neither accepted nor answered,
 // and the client sees an end of file, not a reset that could lose its last reply.
-func TestRequestCrossesTheHangUp(t *testing.T) {
+func TestRequestCrossesClose(t *testing.T) {
 	late := enqueueCommand("late", "c=notice,d=8000,dest=7", "b")
 	for name, hangUp := range map[string]func(*clientServer){
 		"eviction": func(c *clientServer) { c.evict() },
@@ -130,20 +130,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var client net.Conn
-			l := &hookedListener{hooks: hooks{closing: func(server *net.TCPConn) {
+			l := &hookedListener{connHooks: connHooks{closing: func(server *net.TCPConn) {
 				io.WriteString(client, late)
-				hasCome(t, server, len(late))
+				waitUnread(t, server, len(late))
 			}}}
-			c, addr := hooked(t, 5, l, func(q request) answer {
+			c, addr := serveHooked(t, 5, l, func(q request) answer {
 				t.Errorf("message %s was accepted", q.id)
 				return answer{}
 			}, nil)
 			var br interface{ ReadString(byte) (string, error) }
 			client, br = dialClient(t, addr)
 			io.WriteString(client, encodeCommand("PING"))
-			waitFor(t, c, idle, 1)
+			waitListed(t, c, connIdle, 1)
 			hangUp(c)
-			expect(t, br, "+PONG\r\n")
+			expectLine(t, br, "+PONG\r\n")
 			if line, err := br.ReadString('\n'); !errors.Is(err, io.EOF) {
 				t.Errorf("got %q, %v", line, err)
 			}
@@ -152,7 +152,7 @@
 }
 
 // waitListed waits until a list holds n connections.
-func waitFor(t *testing.T, c *clientServer, list, n int) {
+func waitListed(t *testing.T, c *clientServer, list, n int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		c.mu.Lock()
@@ -169,11 +169,11 @@
 
 // A client whose request crossed the close of its connection during a shutdown sends it again on a new
 // connection, and it is accepted.
-func TestLeavingNodeTakesWhoCrossed(t *testing.T) {
-	c, addr := hooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, func(c *clientServer) { c.cross = testTimeout })
+func TestShutdownAcceptsRepeatedRequest(t *testing.T) {
+	c, addr := serveHooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, func(c *clientServer) { c.reconnectTime = testTimeout })
 	first, br := dialClient(t, addr)
 	io.WriteString(first, encodeCommand("PING"))
-	expect(t, br, "+PONG\r\n")
+	expectLine(t, br, "+PONG\r\n")
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
@@ -184,23 +184,23 @@
 	}
 	again, br := dialClient(t, addr)
 	io.WriteString(again, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
-	expect(t, br, "+OK\r\n")
+	expectLine(t, br, "+OK\r\n")
 	if _, err := br.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("after the reply: got %v, want EOF", err)
 	}
-	c.ln.Close()
+	c.listener.Close()
 	<-left
 }
 
 // Connections in the accept queue are served, not reset, when the listener is about to close.
-func TestLeavingNodeEmptiesTheBacklog(t *testing.T) {
+func TestShutdownServesBacklog(t *testing.T) {
 	release := make(chan struct{})
 	accepting := make(chan struct{}, 100)
 	l := &hookedListener{accepting: func() {
 		accepting <- struct{}{}
 		<-release
 	}}
-	c, addr := hooked(t, 5, l, func(request) answer { return answer{} }, func(c *clientServer) { c.cross = 0 })
+	c, addr := serveHooked(t, 5, l, func(request) answer { return answer{} }, func(c *clientServer) { c.reconnectTime = 0 })
 	<-accepting // nothing is accepted from now on
 	nc, br := dialClient(t, addr)
 	io.WriteString(nc, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
@@ -209,7 +209,7 @@
 		defer close(left)
 		c.close(testTimeout)
 	}()
-	for c.mu.Lock(); !c.leaving; c.mu.Lock() {
+	for c.mu.Lock(); !c.closing; c.mu.Lock() {
 		c.mu.Unlock()
 		time.Sleep(time.Millisecond)
 	}
@@ -218,23 +218,23 @@
 		t.Fatal(err)
 	}
 	close(release)
-	expect(t, br, "+OK\r\n")
+	expectLine(t, br, "+OK\r\n")
 	nc.Close()
 	<-left
 }
 
 // A request whose last byte arrived before the grace of a shutdown ended gets its answer, even if the byte
 // had not been read by then.
-func TestGraceEndsOnAWholeRequest(t *testing.T) {
+func TestWholeRequestAnsweredAfterGrace(t *testing.T) {
 	hold, held, expired := make(chan struct{}), make(chan struct{}, 100), make(chan struct{}, 100)
 	reads := 0
-	l := &hookedListener{hooks: hooks{expired: func() { expired <- struct{}{} }, reading: func() {
+	l := &hookedListener{connHooks: connHooks{expired: func() { expired <- struct{}{} }, reading: func() {
 		if reads++; reads == 2 { // the first read got a part of the request
 			held <- struct{}{}
 			<-hold
 		}
 	}}}
-	c, addr := hooked(t, 5, l, func(request) answer { return answer{} }, func(c *clientServer) { c.request = testTimeout })
+	c, addr := serveHooked(t, 5, l, func(request) answer { return answer{} }, func(c *clientServer) { c.requestTimeout = testTimeout })
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release)
 	nc, br := dialClient(t, addr)
@@ -243,9 +243,9 @@
 	<-held
 	io.WriteString(nc, whole[10:])
 	c.mu.Lock()
-	s := c.lists[half].Front().Value.(*session)
+	s := c.lists[connReading].Front().Value.(*clientConn)
 	c.mu.Unlock()
-	hasCome(t, s.Conn.(*hookedConn).TCPConn, len(whole)-10)
+	waitUnread(t, s.Conn.(*hookedConn).TCPConn, len(whole)-10)
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
@@ -257,50 +257,50 @@
 		t.Fatal("the grace period does not end")
 	}
 	release()
-	expect(t, br, "+OK\r\n")
+	expectLine(t, br, "+OK\r\n")
 	<-left
 }
 
 // When all slots are taken by requests that never end, a well-behaved client is still served.
-func TestHalfRequestsGiveWay(t *testing.T) {
+func TestPartialRequestsAreEvicted(t *testing.T) {
 	const most = 3
-	c, addr := hooked(t, most, &hookedListener{}, func(request) answer { return answer{} }, func(c *clientServer) { c.request = testTimeout })
+	c, addr := serveHooked(t, most, &hookedListener{}, func(request) answer { return answer{} }, func(c *clientServer) { c.requestTimeout = testTimeout })
 	for range most {
 		nc, _ := dialClient(t, addr)
 		io.WriteString(nc, "*5\r\n$7\r\nENQ")
 	}
-	waitFor(t, c, half, most)
+	waitListed(t, c, connReading, most)
 	nc, br := dialClient(t, addr)
 	io.WriteString(nc, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
-	expect(t, br, "+OK\r\n")
+	expectLine(t, br, "+OK\r\n")
 }
 
 // However a connection ends, it leaves the lists: the server would try to evict one that stays there again
 // and again.
-func TestEndedSessionsLeaveTheLists(t *testing.T) {
-	for name, end := range map[string]func(net.Conn, *session){
-		"idle timeout":  func(_ net.Conn, s *session) { s.SetReadDeadline(time.Unix(1, 0)) },
-		"client closes": func(client net.Conn, _ *session) { client.Close() },
-		"partial request": func(client net.Conn, s *session) {
+func TestEndedConnectionsLeaveLists(t *testing.T) {
+	for name, end := range map[string]func(net.Conn, *clientConn){
+		"idle timeout":  func(_ net.Conn, s *clientConn) { s.SetReadDeadline(time.Unix(1, 0)) },
+		"client closes": func(client net.Conn, _ *clientConn) { client.Close() },
+		"partial request": func(client net.Conn, s *clientConn) {
 			io.WriteString(client, "*5\r\n$7\r\nENQ")
 			client.(*net.TCPConn).CloseWrite()
 		},
-		"invalid request": func(client net.Conn, _ *session) { io.WriteString(client, "*9\r\n") },
+		"invalid request": func(client net.Conn, _ *clientConn) { io.WriteString(client, "*9\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, addr := hooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, nil)
+			c, addr := serveHooked(t, 5, &hookedListener{}, func(request) answer { return answer{} }, nil)
 			client, br := dialClient(t, addr)
 			io.WriteString(client, encodeCommand("PING"))
-			expect(t, br, "+PONG\r\n")
-			waitFor(t, c, idle, 1)
+			expectLine(t, br, "+PONG\r\n")
+			waitListed(t, c, connIdle, 1)
 			c.mu.Lock()
-			s := c.lists[idle].Front().Value.(*session)
+			s := c.lists[connIdle].Front().Value.(*clientConn)
 			c.mu.Unlock()
 			end(client, s)
 			io.Copy(io.Discard, br)
 			client.Close()
 			for list := range c.lists {
-				waitFor(t, c, list, 0)
+				waitListed(t, c, list, 0)
 			}
 		})
 	}
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -24,34 +24,34 @@
 
 // countClass adds a message to one of the counts. A class that is named in an older journal and no longer in
 // the settings is not counted.
-func countClass(of []atomic.Int64, class int) {
-	if class >= 0 && class < len(of) {
-		of[class].Add(1)
+func countClass(counts []atomic.Int64, class int) {
+	if class >= 0 && class < len(counts) {
+		counts[class].Add(1)
 	}
 }
 
 // countUndelivered counts a message whose end without delivery a client or the platform is told.
-func (f *metrics) countUndelivered(class int, failed bool) {
+func (m *metrics) countUndelivered(class int, failed bool) {
 	if failed {
-		countClass(f.errors, class)
+		countClass(m.errors, class)
 		return
 	}
-	countClass(f.shed, class)
+	countClass(m.shed, class)
 }
 
 // write writes all metrics, one a line.
-func (f *metrics) write(w io.Writer) {
-	for i, class := range f.classes {
-		fmt.Fprintf(w, "app.ok.%s:%d|c\n", class, f.ok[i].Load())
-		fmt.Fprintf(w, "app.shed.%s:%d|c\n", class, f.shed[i].Load())
-		fmt.Fprintf(w, "app.errors.%s:%d|c\n", class, f.errors[i].Load())
-		fmt.Fprintf(w, "app.tries.%s:%d|c\n", class, f.tries[i].Load())
+func (m *metrics) write(w io.Writer) {
+	for i, class := range m.classes {
+		fmt.Fprintf(w, "app.ok.%s:%d|c\n", class, m.ok[i].Load())
+		fmt.Fprintf(w, "app.shed.%s:%d|c\n", class, m.shed[i].Load())
+		fmt.Fprintf(w, "app.errors.%s:%d|c\n", class, m.errors[i].Load())
+		fmt.Fprintf(w, "app.tries.%s:%d|c\n", class, m.tries[i].Load())
 	}
 	fmt.Fprintf(w, "app.active:%d|g\napp.pool_size:%d|g\napp.pool_ejected:%d|g\n",
-		f.activeMessages.Load(), f.listedEndpoints.Load(), f.avoidedEndpoints.Load())
-	if s := f.ownership.Load(); s != nil {
+		m.activeMessages.Load(), m.listedEndpoints.Load(), m.avoidedEndpoints.Load())
+	if s := m.ownership.Load(); s != nil {
 		followed, _ := s.setAt(time.Now())
 		fmt.Fprintf(w, "app.map:%d|g\napp.partitions_owned:%d|g\napp.partitions_lingering:%d|g\napp.not_owned:%d|c\n",
-			s.mapNumber, s.owned.Len(), followed.Without(s.owned).Len(), f.notOwned.Load())
+			s.mapNumber, s.owned.Len(), followed.Without(s.owned).Len(), m.notOwned.Load())
 	}
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -10,7 +10,7 @@
 
 // A node of a fleet follows whichever replica answers. When none does it continues with the last list, even
 // after a restart without any known list.
-func TestNodeOutlivesItsDirectory(t *testing.T) {
+func TestNodeOutlivesDirectory(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,7 +72,7 @@
 }
 
 // The revision and the number of endpoints that a node reports are in force in its event loop.
-func TestTold(t *testing.T) {
+func TestReportedListIsInForce(t *testing.T) {
 	t.Parallel()
 	p, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
 	r.publish(listJSON(4, true, memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("f", p.addr(), 8, "SERVING")))
--- a/internal/node/formats_a_test.go
+++ b/internal/node/formats_a_test.go
@@ -69,7 +69,7 @@
 	}
 	failed.body, failed.final = nil, &finalAnswer{failed: true}
 	returned.body, returned.final = nil, &finalAnswer{retryAfter: 1500 * time.Millisecond}
-	sameLive(t, j.live, map[uint64]*pendingMessage{1: withAttempts, 2: failed, 300: returned})
+	checkLive(t, j.live, map[uint64]*pendingMessage{1: withAttempts, 2: failed, 300: returned})
 	if j.corruption != "" || j.nextSeq != 301 {
 		t.Errorf("spoilt %q, next number %d, want 301", j.corruption, j.nextSeq)
 	}
@@ -85,7 +85,7 @@
 	j := &journal{live: map[uint64]*pendingMessage{}}
 	j.apply(payload[:len(payload)-1])
 	p.tenant = -1
-	sameLive(t, j.live, map[uint64]*pendingMessage{1: p})
+	checkLive(t, j.live, map[uint64]*pendingMessage{1: p})
 }
 
 func TestEnqueueFormat(t *testing.T) {
@@ -119,11 +119,11 @@
 		enqueueCommand("busy-2s", fields, "b"), enqueueCommand("failed", fields, "b"),
 		encodeCommand("ENQUEUE", "0000", "id"),
 		enqueueCommand("a b", fields, "b"),
-		enqueueCommand("id", strings.Repeat(",", maxWord), "b"), enqueueCommand("id", strings.Repeat(",", maxWord+1), "b"),
+		enqueueCommand("id", strings.Repeat(",", maxArgSize), "b"), enqueueCommand("id", strings.Repeat(",", maxArgSize+1), "b"),
 		enqueueCommand("id", "c=other,d=8000,dest=7", "b"), enqueueCommand("id", "c=notice,d=soon,dest=7", "b"),
 		enqueueCommand("id", "c=notice,d=8000,dest=seven", "b"), enqueueCommand("id", "c=notice,d=8000,dest=7,k=a b", "b"),
 		enqueueCommand("id", "c=notice,d=8000", "b"), enqueueCommand("id", fields, strings.Repeat("x", maxBody+1)),
-		strings.Repeat("\r\n", maxEmpty), "*x\r\n", "*1\r\n:4\r\n", "*1\r\n$x\r\n", "*1\r\n$2000000\r\n",
+		strings.Repeat("\r\n", maxEmptyCommands), "*x\r\n", "*1\r\n:4\r\n", "*1\r\n$x\r\n", "*1\r\n$2000000\r\n",
 		"*1\r\n$3\r\nPINGPONG\r\n", strings.Repeat("y", maxLine+1) + "\r\n", "*5\r\n$7\r\nENQ",
 	} {
 		fmt.Fprintf(&replies, "%.80q %q\n", text, roundTrip(t, addr, text))
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -37,10 +37,10 @@
 
 const (
 	journalName       = "journal"
-	recordHead        = 8
-	maxRecord         = maxBody + 4*maxWord + 64
+	recordHeaderSize  = 8
+	maxRecordSize     = maxBody + 4*maxArgSize + 64
 	messageReserve    = 700       // bytes for the small records that will follow: 12 attempts at 36 to 45 bytes, and the end
-	minCompact        = 256 << 10 // bytes; a smaller file is not worth compacting
+	minCompactSize    = 256 << 10 // bytes; a smaller file is not worth compacting
 	defaultDiskMB     = 3
 	compactRetryDelay = 100 * time.Millisecond // after a failed compaction
 	maxKnown          = 2000                   // endpoints that are remembered; the oldest that are not disabled are dropped first
@@ -80,11 +80,11 @@
 }
 
 // choiceID is what package choice calls the message. Clients may reuse IDs; numbers are unique.
-func (p *pendingMessage) choiceID() string { return strconv.FormatUint(p.seq, 10) }
+func (m *pendingMessage) choiceID() string { return strconv.FormatUint(m.seq, 10) }
 
 // parseChoiceID returns the number in a choice ID, or 0, which no message has.
-func parseChoiceID(name string) uint64 {
-	seq, err := strconv.ParseUint(name, 10, 64)
+func parseChoiceID(id string) uint64 {
+	seq, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return 0
 	}
@@ -92,8 +92,8 @@
 }
 
 // size is about the room that a message takes in the journal.
-func (p *pendingMessage) size() int64 {
-	return int64(len(p.body)+len(p.id)+len(p.key)) + messageReserve
+func (m *pendingMessage) size() int64 {
+	return int64(len(m.body)+len(m.id)+len(m.key)) + messageReserve
 }
 
 // journal appends records and keeps the live state, from which it can rewrite the file.
@@ -148,38 +148,38 @@
 // afterwards: an attempt, or an end. If it still identifies its message, that message is taken to have got so
 // far; otherwise all live messages are. Such a message ends as failed, because sending it again could have a
 // second effect or come after its final answer.
-func (j *journal) replay(raw []byte) {
-	for at := 0; at < len(raw); {
-		payload := wholeRecord(raw[at:])
+func (j *journal) replay(data []byte) {
+	for offset := 0; offset < len(data); {
+		payload := recordPayload(data[offset:])
 		if payload != nil {
 			j.apply(bytes.Clone(payload)) // a copy, so that what is kept of it does not keep the whole file in memory
-			at += recordHead + len(payload)
+			offset += recordHeaderSize + len(payload)
 			continue
 		}
-		next := at + 1
-		for next < len(raw) && wholeRecord(raw[next:]) == nil {
+		next := offset + 1
+		for next < len(data) && recordPayload(data[next:]) == nil {
 			next++
 		}
 		if j.corruption == "" {
-			j.corruption = fmt.Sprintf("%d of %d bytes from offset %d", next-at, len(raw), at)
+			j.corruption = fmt.Sprintf("%d of %d bytes from offset %d", next-offset, len(data), offset)
 		}
-		if next < len(raw) || !j.applyTorn(raw[at:]) {
-			j.endLive()
+		if next < len(data) || !j.applyTruncated(data[offset:]) {
+			j.failAllLive()
 		}
-		at = next
+		offset = next
 	}
 }
 
 // recordPayload returns the payload of the record at the start of b, or nil if there is no valid record.
-func wholeRecord(b []byte) []byte {
-	if len(b) <= recordHead {
+func recordPayload(b []byte) []byte {
+	if len(b) <= recordHeaderSize {
 		return nil
 	}
 	n := binary.LittleEndian.Uint32(b)
-	if n == 0 || n > maxRecord || int64(n) > int64(len(b)-recordHead) {
+	if n == 0 || n > maxRecordSize || int64(n) > int64(len(b)-recordHeaderSize) {
 		return nil
 	}
-	payload := b[recordHead : recordHead+int(n)]
+	payload := b[recordHeaderSize : recordHeaderSize+int(n)]
 	if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(b[4:]) {
 		return nil
 	}
@@ -188,72 +188,72 @@
 
 // applyTruncated applies what is left of a file's last record, and reports whether that identified the
 // message.
-func (j *journal) applyTorn(b []byte) bool {
-	if len(b) <= recordHead || int64(binary.LittleEndian.Uint32(b)) <= int64(len(b)-recordHead) {
+func (j *journal) applyTruncated(b []byte) bool {
+	if len(b) <= recordHeaderSize || int64(binary.LittleEndian.Uint32(b)) <= int64(len(b)-recordHeaderSize) {
 		return false // the record is corrupt, not truncated
 	}
-	payload := b[recordHead:]
-	f := &fields{b: payload[1:]}
-	seq := f.number()
-	p := j.live[seq]
+	payload := b[recordHeaderSize:]
+	r := &payloadReader{rest: payload[1:]}
+	seq := r.uvarint()
+	m := j.live[seq]
 	switch {
-	case f.bad:
+	case r.bad:
 		return false
 	case payload[0] == recordAccepted: // it precedes the records of attempts, so none was made
-		if id := f.bytes(); !f.bad {
-			p = &pendingMessage{seq: seq, id: string(id), tenant: -1, deadline: time.UnixMicro(0), final: &finalAnswer{}}
+		if id := r.bytes(); !r.bad {
+			m = &pendingMessage{seq: seq, id: string(id), tenant: -1, deadline: time.UnixMicro(0), final: &finalAnswer{}}
 			j.nextSeq = max(j.nextSeq, seq+1)
-			j.live[seq] = p
-			j.liveSize += p.size()
+			j.live[seq] = m
+			j.liveSize += m.size()
 		}
-	case p == nil: // of an endpoint, or of a message that nothing is owed for
+	case m == nil: // of an endpoint, or of a message that nothing is owed for
 	case payload[0] == recordDone:
 		j.apply(newRecord(recordDone, seq))
-	case payload[0] == recordAttempt && p.final == nil: // it may have run, at any time in the past
+	case payload[0] == recordAttempt && m.final == nil: // it may have run, at any time in the past
 		j.apply(attemptRecord(seq, time.UnixMicro(0), 0))
-	case payload[0] == recordFinal && p.final == nil:
+	case payload[0] == recordFinal && m.final == nil:
 		j.apply(finalRecord(seq, finalAnswer{failed: true}))
 	} // of the outcome of an attempt nothing is applied: without it the attempt may have run
 	return true
 }
 
 // failAllLive ends all live messages as failed. A repeated notice of one that had ended does no harm.
-func (j *journal) endLive() {
-	for seq, p := range j.live {
-		if p.final == nil {
+func (j *journal) failAllLive() {
+	for seq, m := range j.live {
+		if m.final == nil {
 			j.apply(finalRecord(seq, finalAnswer{failed: true}))
 		}
 	}
 }
 
 // payloadReader reads the fields of a payload; bad is set when the payload is too short.
-type fields struct {
-	b   []byte
-	bad bool
+type payloadReader struct {
+	rest []byte
+	bad  bool
 }
 
-func (f *fields) number() uint64 {
-	v, n := binary.Uvarint(f.b)
+func (r *payloadReader) uvarint() uint64 {
+	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
-		f.bad, f.b = true, nil
+		r.bad, r.rest = true, nil
 		return 0
 	}
-	f.b = f.b[n:]
+	r.rest = r.rest[n:]
 	return v
 }
 
-func (f *fields) bytes() []byte {
-	n := f.number()
-	if n > uint64(len(f.b)) {
-		f.bad, f.b = true, nil
+func (r *payloadReader) bytes() []byte {
+	n := r.uvarint()
+	if n > uint64(len(r.rest)) {
+		r.bad, r.rest = true, nil
 		return nil
 	}
-	v := f.b[:n]
-	f.b = f.b[n:]
+	v := r.rest[:n]
+	r.rest = r.rest[n:]
 	return v
 }
 
-func (f *fields) time() time.Time { return time.UnixMicro(int64(f.number())) }
+func (r *payloadReader) time() time.Time { return time.UnixMicro(int64(r.uvarint())) }
 
 func appendBytes(b, v []byte) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(v))), v...)
@@ -265,62 +265,62 @@
 
 // apply updates the live state with one record.
 func (j *journal) apply(payload []byte) {
-	f := &fields{b: payload[1:]}
-	seq := f.number()
+	r := &payloadReader{rest: payload[1:]}
+	seq := r.uvarint()
 	if payload[0] >= recordListed {
-		j.applyEndpoint(payload[0], f)
+		j.applyEndpoint(payload[0], r)
 		return
 	}
 	j.nextSeq = max(j.nextSeq, seq+1)
-	p := j.live[seq]
-	if p == nil && payload[0] != recordAccepted {
+	m := j.live[seq]
+	if m == nil && payload[0] != recordAccepted {
 		return
 	}
 	switch payload[0] {
 	case recordAccepted:
-		p = &pendingMessage{seq: seq, id: string(f.bytes()), key: string(f.bytes()), class: int(f.number()), dest: int(f.number()),
-			deadline: f.time(), body: f.bytes(), tenant: -1}
-		if len(f.b) > 0 { // records of older builds end here
-			p.tenant = int(f.number()) - 1
+		m = &pendingMessage{seq: seq, id: string(r.bytes()), key: string(r.bytes()), class: int(r.uvarint()), dest: int(r.uvarint()),
+			deadline: r.time(), body: r.bytes(), tenant: -1}
+		if len(r.rest) > 0 { // records of older builds end here
+			m.tenant = int(r.uvarint()) - 1
 		}
-		if !f.bad {
-			j.live[seq] = p
-			j.liveSize += p.size()
+		if !r.bad {
+			j.live[seq] = m
+			j.liveSize += m.size()
 		}
 	case recordAttempt:
-		s := pastAttempt{sentAt: f.time(), zone: int(f.number())}
-		if !f.bad && p.final == nil { // a message already has its final answer after a record that can't be read
-			p.attempts = append(p.attempts, s)
+		a := pastAttempt{sentAt: r.time(), zone: int(r.uvarint())}
+		if !r.bad && m.final == nil { // a message already has its final answer after a record that can't be read
+			m.attempts = append(m.attempts, a)
 		}
 	case recordNotRun:
-		if n := f.number(); !f.bad && n < uint64(len(p.attempts)) {
-			p.attempts[n].notRun, p.attempts[n].failed = true, true
+		if n := r.uvarint(); !r.bad && n < uint64(len(m.attempts)) {
+			m.attempts[n].notRun, m.attempts[n].failed = true, true
 		}
 	case recordRejected:
-		if n := f.number(); !f.bad && n < uint64(len(p.attempts)) {
-			p.attempts[n].notRun = true
+		if n := r.uvarint(); !r.bad && n < uint64(len(m.attempts)) {
+			m.attempts[n].notRun = true
 		}
 	case recordFailed:
-		if n := f.number(); !f.bad && n < uint64(len(p.attempts)) {
-			p.attempts[n].failed = true
+		if n := r.uvarint(); !r.bad && n < uint64(len(m.attempts)) {
+			m.attempts[n].failed = true
 		}
 	case recordFinal:
-		e := &finalAnswer{failed: f.number() == 1, retryAfter: time.Duration(f.number()) * time.Millisecond}
-		if !f.bad {
-			j.liveSize -= p.size()
-			p.final, p.body, p.attempts = e, nil, nil // only the notice is owed
-			j.liveSize += p.size()
+		final := &finalAnswer{failed: r.uvarint() == 1, retryAfter: time.Duration(r.uvarint()) * time.Millisecond}
+		if !r.bad {
+			j.liveSize -= m.size()
+			m.final, m.body, m.attempts = final, nil, nil // only the notice is owed
+			j.liveSize += m.size()
 		}
 	case recordDone:
-		j.liveSize -= p.size()
+		j.liveSize -= m.size()
 		delete(j.live, seq)
 	}
 }
 
 // applyEndpoint is apply for the records of endpoints.
-func (j *journal) applyEndpoint(kind byte, f *fields) {
-	id, at := string(f.bytes()), f.time()
-	if f.bad {
+func (j *journal) applyEndpoint(kind byte, r *payloadReader) {
+	id, at := string(r.bytes()), r.time()
+	if r.bad {
 		return
 	}
 	if _, known := j.disabled[id]; !known {
@@ -340,7 +340,7 @@
 }
 
 // endpointSize is the room that an endpoint takes in the journal, including its record as disabled.
-func endpointSize(id string) int64 { return 2 * int64(recordHead+len(id)+16) }
+func endpointSize(id string) int64 { return 2 * int64(recordHeaderSize+len(id)+16) }
 
 func endpointRecord(kind byte, id string, at time.Time) []byte {
 	return appendTime(appendBytes(newRecord(kind, 0), []byte(id)), at)
@@ -360,11 +360,11 @@
 
 func newRecord(kind byte, seq uint64) []byte { return binary.AppendUvarint([]byte{kind}, seq) }
 
-func acceptedRecord(p *pendingMessage) []byte {
-	b := newRecord(recordAccepted, p.seq)
-	b = appendBytes(appendBytes(b, []byte(p.id)), []byte(p.key))
-	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(p.class)), uint64(p.dest))
-	return binary.AppendUvarint(appendBytes(appendTime(b, p.deadline), p.body), uint64(p.tenant+1))
+func acceptedRecord(m *pendingMessage) []byte {
+	b := newRecord(recordAccepted, m.seq)
+	b = appendBytes(appendBytes(b, []byte(m.id)), []byte(m.key))
+	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(m.class)), uint64(m.dest))
+	return binary.AppendUvarint(appendBytes(appendTime(b, m.deadline), m.body), uint64(m.tenant+1))
 }
 
 func attemptRecord(seq uint64, at time.Time, zone int) []byte {
@@ -376,28 +376,28 @@
 	return binary.AppendUvarint(newRecord(kind, seq), uint64(attempt))
 }
 
-func finalRecord(seq uint64, e finalAnswer) []byte {
+func finalRecord(seq uint64, final finalAnswer) []byte {
 	failed := uint64(0)
-	if e.failed {
+	if final.failed {
 		failed = 1
 	}
 	b := binary.AppendUvarint(newRecord(recordFinal, seq), failed)
-	return binary.AppendUvarint(b, uint64(e.retryAfter/time.Millisecond))
+	return binary.AppendUvarint(b, uint64(final.retryAfter/time.Millisecond))
 }
 
 // accept numbers a new message, queues its record and returns what is kept of it. It refuses a message that
 // the disk may have no room for. Twice the live state must fit, because during a compaction the old and the
 // new file both exist.
-func (j *journal) accept(p *pendingMessage) (*pendingMessage, error) {
+func (j *journal) accept(m *pendingMessage) (*pendingMessage, error) {
 	if j.incomplete {
 		return nil, errJournalUnavailable
 	}
-	if 2*(j.liveSize+p.size())+int64(len(j.unwritten)) > j.budget {
+	if 2*(j.liveSize+m.size())+int64(len(j.unwritten)) > j.budget {
 		return nil, errDiskBudget
 	}
-	p.seq = j.nextSeq
-	j.add(acceptedRecord(p))
-	return j.live[p.seq], nil
+	m.seq = j.nextSeq
+	j.add(acceptedRecord(m))
+	return j.live[m.seq], nil
 }
 
 // flush writes the queued records. After an error nothing that they guard may be done. The live state stays
@@ -407,13 +407,13 @@
 		return nil
 	}
 	after := j.fileSize + int64(len(j.unwritten))
-	if j.incomplete || after+j.liveSize > j.budget || (after > minCompact && after > 4*j.liveSize) {
+	if j.incomplete || after+j.liveSize > j.budget || (after > minCompactSize && after > 4*j.liveSize) {
 		return j.compact()
 	}
 	if _, err := j.file.WriteAt(j.unwritten, j.fileSize); err != nil {
 		// The next start must not find whole records of actions that are not going to be taken.
 		j.unwritten, j.incomplete = nil, true
-		return fmt.Errorf("journal: %w", errors.Join(err, j.rewind()))
+		return fmt.Errorf("journal: %w", errors.Join(err, j.truncateTail()))
 	}
 	j.fileSize = after
 	j.unwritten = j.unwritten[:0]
@@ -421,7 +421,7 @@
 }
 
 // truncateTail removes whatever follows the last whole record.
-func (j *journal) rewind() error {
+func (j *journal) truncateTail() error {
 	return j.file.Truncate(j.fileSize)
 }
 
@@ -447,33 +447,33 @@
 	}()
 	w := bufio.NewWriterSize(f, 64<<10)
 	size := int64(0)
-	put := func(payload []byte) {
+	writeRecord := func(payload []byte) {
 		n, _ := w.Write(appendRecord(nil, payload)) // w keeps the error
 		size += int64(n)
 	}
 	for _, id := range j.knownEndpoints {
-		put(endpointRecord(recordListed, id, time.Now()))
+		writeRecord(endpointRecord(recordListed, id, time.Now()))
 		if j.disabled[id] {
-			put(endpointRecord(recordDisabled, id, time.Now()))
+			writeRecord(endpointRecord(recordDisabled, id, time.Now()))
 		} else if at, ok := j.enabledAt[id]; ok {
-			put(endpointRecord(recordEnabled, id, at))
+			writeRecord(endpointRecord(recordEnabled, id, at))
 		}
 	}
-	for _, p := range j.live {
-		put(acceptedRecord(p))
-		for i, s := range p.attempts {
-			put(attemptRecord(p.seq, s.sentAt, s.zone))
+	for _, m := range j.live {
+		writeRecord(acceptedRecord(m))
+		for i, a := range m.attempts {
+			writeRecord(attemptRecord(m.seq, a.sentAt, a.zone))
 			switch {
-			case s.notRun && s.failed:
-				put(outcomeRecord(recordNotRun, p.seq, i))
-			case s.notRun:
-				put(outcomeRecord(recordRejected, p.seq, i))
-			case s.failed:
-				put(outcomeRecord(recordFailed, p.seq, i))
+			case a.notRun && a.failed:
+				writeRecord(outcomeRecord(recordNotRun, m.seq, i))
+			case a.notRun:
+				writeRecord(outcomeRecord(recordRejected, m.seq, i))
+			case a.failed:
+				writeRecord(outcomeRecord(recordFailed, m.seq, i))
 			}
 		}
-		if p.final != nil {
-			put(finalRecord(p.seq, *p.final))
+		if m.final != nil {
+			writeRecord(finalRecord(m.seq, *m.final))
 		}
 	}
 	if err := w.Flush(); err != nil {
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -30,17 +30,17 @@
 
 func mustAccept(t *testing.T, j *journal, id string, body []byte) *pendingMessage {
 	t.Helper()
-	p, err := j.accept(&pendingMessage{
+	m, err := j.accept(&pendingMessage{
 		id: id, key: "k" + id, class: 1, dest: 7, body: body, deadline: time.UnixMicro(time.Now().UnixMicro()),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return m
 }
 
 // writeHistory writes records of every kind, and returns the live messages afterwards.
-func history(t *testing.T, j *journal) map[uint64]*pendingMessage {
+func writeHistory(t *testing.T, j *journal) map[uint64]*pendingMessage {
 	t.Helper()
 	now := time.UnixMicro(time.Now().UnixMicro())
 	a, b := mustAccept(t, j, "a", []byte("body of a")), mustAccept(t, j, "b", nil)
@@ -56,7 +56,7 @@
 	return j.live
 }
 
-func sameLive(t *testing.T, got, want map[uint64]*pendingMessage) {
+func checkLive(t *testing.T, got, want map[uint64]*pendingMessage) {
 	t.Helper()
 	if len(got) != len(want) {
 		t.Fatalf("%d live messages, want %d", len(got), len(want))
@@ -74,26 +74,26 @@
 	}
 }
 
-func TestJournalOutlastsItsProcess(t *testing.T) {
+func TestJournalSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
-	want := history(t, j)
+	want := writeHistory(t, j)
 	again := openTestJournal(t, dir, 3)
-	sameLive(t, again.live, want)
+	checkLive(t, again.live, want)
 	if again.nextSeq != j.nextSeq || again.liveSize != j.liveSize {
 		t.Errorf("next number %d, live size %d; want %d, %d", again.nextSeq, again.liveSize, j.nextSeq, j.liveSize)
 	}
 	if err := again.compact(); err != nil {
 		t.Fatal(err)
 	}
-	sameLive(t, openTestJournal(t, dir, 3).live, want)
+	checkLive(t, openTestJournal(t, dir, 3).live, want)
 }
 
 // A kill can truncate the last record at any byte. All records before it must be read, and the journal must
 // be readable after further records.
-func TestTornTail(t *testing.T) {
+func TestTruncatedJournal(t *testing.T) {
 	dir := t.TempDir()
-	history(t, openTestJournal(t, dir, 3))
+	writeHistory(t, openTestJournal(t, dir, 3))
 	whole, err := os.ReadFile(filepath.Join(dir, journalName))
 	if err != nil {
 		t.Fatal(err)
@@ -116,22 +116,22 @@
 // Whatever a record guarded that can't be read may have been done. So for any byte that the file ends at, and
 // for any byte that is corrupt, no message may look less advanced than it was; whole records count, also
 // those that follow.
-func TestSpoiltRecords(t *testing.T) {
+func TestCorruptRecords(t *testing.T) {
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
-	history(t, j)
+	writeHistory(t, j)
 	whole, err := os.ReadFile(filepath.Join(dir, journalName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	far := func(p *pendingMessage) (int, bool) { // attempts that may have run, and whether the message has ended
+	progress := func(m *pendingMessage) (int, bool) { // attempts that may have run, and whether the message has ended
 		n := 0
-		for _, s := range p.attempts {
+		for _, s := range m.attempts {
 			if !s.notRun {
 				n++
 			}
 		}
-		return n, p.final != nil
+		return n, m.final != nil
 	}
 	check := func(what string, raw []byte, truth map[uint64]*pendingMessage) {
 		t.Helper()
@@ -141,11 +141,11 @@
 		}
 		got := openTestJournal(t, dir, 3)
 		for seq, g := range got.live {
-			tried, over := far(g)
+			tried, over := progress(g)
 			if w := truth[seq]; w == nil && !over {
 				t.Errorf("%s: message %d has ended, but is read as %+v", what, seq, g)
 			} else if w != nil && !over {
-				if wantTried, wantOver := far(w); wantOver || tried < wantTried {
+				if wantTried, wantOver := progress(w); wantOver || tried < wantTried {
 					t.Errorf("%s: message %d is read as %+v, want %+v", what, seq, g, w)
 				}
 			}
@@ -153,13 +153,13 @@
 		mustAccept(t, got, "new", []byte("afterwards"))
 		mustFlush(t, got)
 		again := openTestJournal(t, dir, 3)
-		if sameLive(t, again.live, got.live); again.corruption != "" {
+		if checkLive(t, again.live, got.live); again.corruption != "" {
 			t.Errorf("%s: the compacted file is corrupt: %s", what, again.corruption)
 		}
 	}
 	ends := []int{} // of the records
 	for at := 0; at < len(whole); {
-		at += recordHead + len(wholeRecord(whole[at:]))
+		at += recordHeaderSize + len(recordPayload(whole[at:]))
 		ends = append(ends, at)
 	}
 	for i, end := range ends {
@@ -204,7 +204,7 @@
 		}
 		live := int64(0) // what a compaction would write now, beside the existing file
 		for _, p := range j.live {
-			live += int64(len(acceptedRecord(p))) + recordHead + 64
+			live += int64(len(acceptedRecord(p))) + recordHeaderSize + 64
 		}
 		most = max(most, j.fileSize+live)
 		mustFlush(t, j)
@@ -224,15 +224,15 @@
 	}
 }
 
-func TestCompactionDropsWhatIsOver(t *testing.T) {
+func TestCompactionDropsFinishedMessages(t *testing.T) {
 	j := openTestJournal(t, t.TempDir(), 3)
 	body := make([]byte, 1000)
 	for i := range 5000 {
-		p := mustAccept(t, j, fmt.Sprint(i), body)
-		j.add(newRecord(recordDone, p.seq))
+		m := mustAccept(t, j, fmt.Sprint(i), body)
+		j.add(newRecord(recordDone, m.seq))
 		mustFlush(t, j)
 	}
-	if j.fileSize > 2*minCompact || len(j.live) != 0 || j.liveSize != 0 {
+	if j.fileSize > 2*minCompactSize || len(j.live) != 0 || j.liveSize != 0 {
 		t.Errorf("%d bytes in the file, %d live messages, live size %d", j.fileSize, len(j.live), j.liveSize)
 	}
 }
@@ -241,7 +241,7 @@
 func TestUnwritableJournal(t *testing.T) {
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
-	want := history(t, j)
+	want := writeHistory(t, j)
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
 	if err != nil {
 		t.Skip("no /dev/full here")
@@ -252,11 +252,11 @@
 	if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // makes compaction fail too
 		t.Fatal(err)
 	}
-	p := mustAccept(t, j, "lost", []byte("x"))
+	m := mustAccept(t, j, "lost", []byte("x"))
 	if err := j.flush(); err == nil {
 		t.Fatal("a flush to a full disk succeeded")
 	}
-	j.add(newRecord(recordDone, p.seq)) // its client is refused
+	j.add(newRecord(recordDone, m.seq)) // its client is refused
 	if _, err := j.accept(&pendingMessage{id: "more"}); err == nil {
 		t.Error("a message was accepted while the journal could not be written")
 	}
@@ -267,18 +267,18 @@
 		t.Fatal(err)
 	}
 	eventually(t, "the journal is written again", func() bool { return j.flush() == nil })
-	sameLive(t, openTestJournal(t, dir, 3).live, want)
+	checkLive(t, openTestJournal(t, dir, 3).live, want)
 }
 
 // The reserve of a message must hold all records that may follow it, or its end could find the disk full.
-func TestReserveHoldsAllThatFollows(t *testing.T) {
+func TestMessageReserveHoldsLaterRecords(t *testing.T) {
 	const attempts, seq = 12, 1 << 40
 	var all []byte
 	for i := range attempts {
 		all = appendRecord(all, attemptRecord(seq, time.Now(), -1)) // of a zone that has no number
 		all = appendRecord(all, outcomeRecord(recordFailed, seq, i))
 	}
-	all = appendRecord(all, finalRecord(seq, finalAnswer{retryAfter: maxLife}))
+	all = appendRecord(all, finalRecord(seq, finalAnswer{retryAfter: maxTTL}))
 	all = appendRecord(all, newRecord(recordDone, seq))
 	accepted := appendRecord(nil, acceptedRecord(&pendingMessage{seq: seq, deadline: time.Now(), class: 9, dest: 1e6}))
 	if got := len(all) + len(accepted); got > messageReserve {
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	maxReport     = maxBody         // bytes of one post: the protocol's bodies hold no more
+	maxReportSize = maxBody         // bytes of one post: the protocol's bodies hold no more
 	reportTimeout = 2 * time.Second // the agent answers at once, so one that does not answer is gone
 	// When there are several addresses, each gets this long at first, because a notice is due within 300 ms
 	// of its message's end. The timeout is doubled whenever none of them has answered.
-	firstPatience = 100 * time.Millisecond
+	firstReportTimeout = 100 * time.Millisecond
 )
 
 // notice tells the platform how a message ended that was accepted and not delivered.
@@ -31,11 +31,11 @@
 }
 
 // newNotice makes the notice of a message that has its final answer.
-func newNotice(p *pendingMessage) notice {
-	if p.final.failed {
-		return notice{message: p, ID: p.id, State: "failed"}
+func newNotice(m *pendingMessage) notice {
+	if m.final.failed {
+		return notice{message: m, ID: m.id, State: "failed"}
 	}
-	return notice{message: p, ID: p.id, State: "returned", AfterMS: p.final.retryAfter.Milliseconds()}
+	return notice{message: m, ID: m.id, State: "returned", AfterMS: m.final.retryAfter.Milliseconds()}
 }
 
 // reportNotices posts the notices that it receives until the context ends, unanswered ones first, and returns
@@ -45,13 +45,13 @@
 	ctx context.Context, log *slog.Logger, client *http.Client, addrs []string,
 	unanswered []notice, more <-chan []notice, done func([]notice),
 ) []notice {
-	var pause registry.Backoff
-	patience := reportTimeout
+	var backoff registry.Backoff
+	firstTimeout := reportTimeout
 	if len(addrs) > 1 {
-		patience = firstPatience
+		firstTimeout = firstReportTimeout
 	}
-	wait := patience
-	for at, failed := 0, 0; ctx.Err() == nil; {
+	timeout := firstTimeout
+	for next, failures := 0, 0; ctx.Err() == nil; {
 		if len(unanswered) == 0 { // while some are unanswered, the node's event loop keeps new ones
 			select {
 			case unanswered = <-more:
@@ -59,20 +59,20 @@
 			}
 			continue
 		}
-		addr := addrs[at%len(addrs)]
-		n, err := post(ctx, client, addr, wait, unanswered)
+		addr := addrs[next%len(addrs)]
+		n, err := postNotices(ctx, client, addr, timeout, unanswered)
 		if err != nil {
 			if ctx.Err() == nil {
 				log.Warn("notices were not answered; trying the next address", "discovery", addr, "owed", len(unanswered), "err", err)
-				at++ // the next address may accept them
-				if failed++; failed%len(addrs) == 0 {
-					wait = min(2*wait, reportTimeout)
-					registry.Sleep(ctx, pause.Next())
+				next++ // the next address may accept them
+				if failures++; failures%len(addrs) == 0 {
+					timeout = min(2*timeout, reportTimeout)
+					registry.Sleep(ctx, backoff.Next())
 				}
 			}
 			continue
 		}
-		pause, failed, wait = 0, 0, patience
+		backoff, failures, timeout = 0, 0, firstTimeout
 		done(unanswered[:n])
 		unanswered = unanswered[n:]
 	}
@@ -80,8 +80,8 @@
 }
 
 // postNotices posts as many of the notices as fit into one body, and returns their number.
-func post(ctx context.Context, client *http.Client, addr string, wait time.Duration, notices []notice) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+func postNotices(ctx context.Context, client *http.Client, addr string, timeout time.Duration, notices []notice) (int, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var body bytes.Buffer
 	n := 0
@@ -90,7 +90,7 @@
 		if err != nil {
 			return 0, fmt.Errorf("post notices: %w", err)
 		}
-		if n > 0 && body.Len()+len(line) >= maxReport {
+		if n > 0 && body.Len()+len(line) >= maxReportSize {
 			break
 		}
 		body.Write(append(line, '\n'))
@@ -105,7 +105,7 @@
 		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	defer resp.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxReport)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxReportSize)); err != nil {
 		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	if resp.StatusCode/100 != 2 {
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -15,7 +15,7 @@
 
 // A backlog of notices is posted in bodies of at most 64 KiB, each notice once and in order. Unanswered ones
 // are returned for the next address.
-func TestBacklogOfNotices(t *testing.T) {
+func TestNoticeBacklog(t *testing.T) {
 	const all, answered = 2000, 3 // posts
 	var bodies []string           // written by the server, read after it has stopped
 	full := make(chan struct{})
@@ -56,7 +56,7 @@
 	srv.Close()
 	told := 0
 	for _, body := range bodies {
-		if len(body) > maxReport {
+		if len(body) > maxReportSize {
 			t.Errorf("a body has %d bytes", len(body))
 		}
 		for lines := bufio.NewScanner(strings.NewReader(body)); lines.Scan(); told++ {
@@ -73,7 +73,7 @@
 
 // A notice is due soon after its message's end, so a replica that does not answer is not waited for while
 // there is another.
-func TestNoticeGoesToTheNextReplica(t *testing.T) {
+func TestNoticeGoesToNextReplica(t *testing.T) {
 	t.Parallel()
 	hung := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
