--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -18,7 +18,7 @@
 const (
 	adminHeaderTimeout  = 2 * time.Second // for a whole request header
 	adminTimeout        = 3 * time.Second
-	adminMaxHeaderSize  = 8 << 10
+	adminMaxHeaderSize  = 8 << 10                // bytes
 	adminCommandTimeout = 800 * time.Millisecond // answers are due within 1 s
 )
 
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -24,12 +24,12 @@
 // the largest integer, loops over any announced array length, and buffers requests without bound.
 
 const (
-	maxBody          = 64 << 10
-	maxArgSize       = 1 << 10 // bytes of each argument but the body
+	maxBody          = 64 << 10 // bytes
+	maxArgSize       = 1 << 10  // bytes of each argument but the body
 	maxArgs          = 8
-	bodyArgIndex     = 4 // index of the body among the arguments of an ENQUEUE
-	maxLine          = 512
-	maxSkipped       = 1 << 20 // bytes of arguments that are too large; up to this size they are read and dropped, so that the connection stays usable
+	bodyArgIndex     = 4       // index of the body among the arguments of an ENQUEUE
+	maxLine          = 512     // bytes
+	maxSkipped       = 1 << 20 // bytes of too large arguments that are read and dropped, so that the connection stays usable
 	maxEmptyCommands = 16      // empty commands ahead of a real one
 	maxTTL           = 24 * time.Hour
 	maxUnsent        = 4 << 10 // bytes; replies to pipelined commands are sent together
@@ -44,8 +44,8 @@
 	lingerTimeout     = 300 * time.Millisecond // for a client to read its last reply, and to notice that nothing more is accepted
 	lingerShutdown    = 150 * time.Millisecond // instead of lingerTimeout when the node shuts down
 	lingerEvicted     = 5 * time.Millisecond   // instead of lingerTimeout when other clients wait for the connection slot
-	finalReadTimeout  = time.Millisecond
-	maxFinalReads     = 64                     // reads after a deadline, each of what had arrived by then
+	finalReadTimeout  = time.Millisecond       // of each final read
+	maxFinalReads     = 64                     // reads after the deadline, for what had arrived by then
 	evictWait         = 20 * time.Millisecond  // wait for an evicted connection to give its slot back
 	evictReadingAfter = 100 * time.Millisecond // time that a request may take before its connection can be evicted
 )
@@ -66,7 +66,9 @@
 	retryAfter time.Duration
 	failure    string
 
-	outcomeUnknown   bool // the client gets no reply and its connection ends, as in a crash, because whether the message was accepted is not known
+	// Whether the message was accepted is not known. The client gets no reply and its connection ends, as in a
+	// crash.
+	outcomeUnknown   bool
 	countedElsewhere bool // another process gave the answer and has counted it
 }
 
@@ -296,43 +298,43 @@
 // passed while the process did not run, or have been set to evict the connection. Neither means that no bytes
 // have arrived meanwhile, so Read tries again for a moment: a connection must not end with a whole request
 // unread.
-func (s *clientConn) Read(p []byte) (int, error) {
-	if err := s.flush(); err != nil {
+func (c *clientConn) Read(p []byte) (int, error) {
+	if err := c.flush(); err != nil {
 		return 0, err
 	}
-	n, err := s.Conn.Read(p)
-	for ; n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && s.finalReads < maxFinalReads; s.finalReads++ {
-		if lerr := s.SetReadDeadline(time.Now().Add(finalReadTimeout)); lerr != nil {
+	n, err := c.Conn.Read(p)
+	for ; n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.finalReads < maxFinalReads; c.finalReads++ {
+		if lerr := c.SetReadDeadline(time.Now().Add(finalReadTimeout)); lerr != nil {
 			return 0, lerr
 		}
-		if n, err = s.Conn.Read(p); n == 0 {
+		if n, err = c.Conn.Read(p); n == 0 {
 			break
 		}
 	}
-	s.readAt = time.Now()
+	c.readAt = time.Now()
 	return n, err
 }
 
-func (s *clientConn) flush() error {
-	if len(s.unsent) == 0 {
+func (c *clientConn) flush() error {
+	if len(c.unsent) == 0 {
 		return nil
 	}
-	if err := s.SetWriteDeadline(time.Now().Add(requestTimeout)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(requestTimeout)); err != nil {
 		return err
 	}
-	_, err := s.Write(s.unsent)
-	s.unsent = s.unsent[:0]
+	_, err := c.Write(c.unsent)
+	c.unsent = c.unsent[:0]
 	return err
 }
 
 // queueReply queues a reply.
-func (s *clientConn) queueReply(line string) error {
-	s.unsent = append(s.unsent, line...)
-	s.answered = true
-	if len(s.unsent) < maxUnsent {
+func (c *clientConn) queueReply(line string) error {
+	c.unsent = append(c.unsent, line...)
+	c.answered = true
+	if len(c.unsent) < maxUnsent {
 		return nil
 	}
-	return s.flush()
+	return c.flush()
 }
 
 // The lists of connections, in the order in which connections are evicted from them.
@@ -353,7 +355,7 @@
 	names         wire.Names
 	handle        func(request) answer
 
-	reconnectTime, requestTimeout time.Duration // reconnectTime and requestTimeout, except in tests
+	reconnectTime, requestTimeout time.Duration // the constants of these names, except in tests
 
 	mu        sync.Mutex
 	conns     map[*clientConn]bool
@@ -373,50 +375,50 @@
 
 // serve accepts connections until the listener is closed. When all slots are taken, it evicts the connection
 // that has been idle longest, and the next connection waits in the backlog until the slot is free.
-func (c *clientServer) serve(ctx context.Context) {
-	defer close(c.acceptDone)
+func (s *clientServer) serve(ctx context.Context) {
+	defer close(s.acceptDone)
 	for draining := false; ; {
 		for acquired := false; !acquired; {
 			select {
-			case c.slots <- struct{}{}:
+			case s.slots <- struct{}{}:
 				acquired = true
 			default:
-				c.evict()
+				s.evict()
 				select {
-				case c.slots <- struct{}{}:
+				case s.slots <- struct{}{}:
 					acquired = true
 				case <-time.After(evictWait):
-				case <-c.stopAccepting:
+				case <-s.stopAccepting:
 					return
 				}
 			}
 		}
-		nc, err := c.listener.Accept()
+		nc, err := s.listener.Accept()
 		if err != nil {
-			<-c.slots
+			<-s.slots
 			switch {
 			case errors.Is(err, os.ErrDeadlineExceeded) && !draining: // the node shuts down; connections that have arrived by now are served
-				draining = c.acceptUntil(time.Now().Add(finalReadTimeout)) == nil
+				draining = s.acceptUntil(time.Now().Add(finalReadTimeout)) == nil
 			case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed), !registry.Sleep(ctx, acceptRetryDelay):
 				return // any other error most likely means that the process is out of descriptors
 			}
 			continue
 		}
 		if draining { // there may be more
-			c.acceptUntil(time.Now().Add(finalReadTimeout))
+			s.acceptUntil(time.Now().Add(finalReadTimeout))
 		}
-		c.wg.Go(func() {
-			defer func() { <-c.slots }()
-			c.serveConn(nc)
+		s.wg.Go(func() {
+			defer func() { <-s.slots }()
+			s.serveConn(nc)
 		})
 	}
 }
 
 // acceptUntil ends accepting at the given time, if the listener supports that, and otherwise now.
-func (c *clientServer) acceptUntil(until time.Time) error {
-	ln, ok := c.listener.(interface{ SetDeadline(time.Time) error })
+func (s *clientServer) acceptUntil(until time.Time) error {
+	ln, ok := s.listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
-		return c.listener.Close()
+		return s.listener.Close()
 	}
 	return ln.SetDeadline(until)
 }
@@ -424,25 +426,25 @@
 // evict frees a connection slot. Connections that never sent a request are evicted first, then those idle
 // longest. If there are none, the connection whose request has been open longest is evicted: all open
 // requests may be of a kind that never ends.
-func (c *clientServer) evict() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for i := range c.lists {
-		first := c.lists[i].Front()
+func (s *clientServer) evict() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i := range s.lists {
+		first := s.lists[i].Front()
 		if first == nil || (i == connReading && time.Since(first.Value.(*clientConn).requestBegan) < evictReadingAfter) {
 			continue
 		}
-		c.evictFirst(&c.lists[i])
+		s.evictFirst(&s.lists[i])
 		return
 	}
 }
 
 // evictFirst ends the connection that a list has held longest. The lock must be held.
-func (c *clientServer) evictFirst(list *queue.List) {
-	s := list.Front().Value.(*clientConn)
-	c.removeFromList(s)
-	s.evicted = true
-	s.SetReadDeadline(time.Unix(1, 0)) // not closed from here: see Read
+func (s *clientServer) evictFirst(list *queue.List) {
+	c := list.Front().Value.(*clientConn)
+	s.removeFromList(c)
+	c.evicted = true
+	c.SetReadDeadline(time.Unix(1, 0)) // not closed from here: see Read
 }
 
 // markIdle adds a connection to the idle ones, and reports whether it may continue. Clients may have a limit
@@ -451,124 +453,124 @@
 // evicted once there are more than maxIdle. This also protects against client pools that never shrink;
 // clients that alternate between more connections than that have to reconnect. When the node shuts down, a
 // connection that was accepted since may hand in one request.
-func (c *clientServer) markIdle(s *clientConn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	timeout, list := idleTimeout, &c.lists[connNew]
+func (s *clientServer) markIdle(c *clientConn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	timeout, list := idleTimeout, &s.lists[connNew]
 	switch {
-	case c.closing && s.answered:
+	case s.closing && c.answered:
 		return false
-	case c.closing:
-		timeout = c.grace
-	case s.answered:
-		list = &c.lists[connIdle]
+	case s.closing:
+		timeout = s.grace
+	case c.answered:
+		list = &s.lists[connIdle]
 	}
-	if s.SetReadDeadline(time.Now().Add(timeout)) != nil {
+	if c.SetReadDeadline(time.Now().Add(timeout)) != nil {
 		return false
 	}
-	s.element, s.finalReads, s.evicted = list.PushBack(s), 0, false
-	if c.lists[connIdle].Len() > c.maxIdle {
-		c.evictFirst(&c.lists[connIdle])
+	c.element, c.finalReads, c.evicted = list.PushBack(c), 0, false
+	if s.lists[connIdle].Len() > s.maxIdle {
+		s.evictFirst(&s.lists[connIdle])
 	}
 	return true
 }
 
 // markReading moves a connection whose request has begun from the idle ones to those reading.
-func (c *clientServer) markReading(s *clientConn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.removeFromList(s)
-	s.finalReads, s.evicted, s.requestBegan = 0, false, time.Now()
-	s.element = c.lists[connReading].PushBack(s)
-	timeout := c.requestTimeout
-	if c.closing {
-		timeout = min(timeout, c.grace)
-	}
-	return s.SetReadDeadline(s.requestBegan.Add(timeout)) == nil
+func (s *clientServer) markReading(c *clientConn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.removeFromList(c)
+	c.finalReads, c.evicted, c.requestBegan = 0, false, time.Now()
+	c.element = s.lists[connReading].PushBack(c)
+	timeout := s.requestTimeout
+	if s.closing {
+		timeout = min(timeout, s.grace)
+	}
+	return c.SetReadDeadline(c.requestBegan.Add(timeout)) == nil
 }
 
 // markRead removes a connection whose request is read from the lists: it keeps its slot until the request is
 // answered.
-func (c *clientServer) markRead(s *clientConn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.removeFromList(s)
+func (s *clientServer) markRead(c *clientConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.removeFromList(c)
 }
 
 // removeFromList removes a connection from its list. The lock must be held.
-func (c *clientServer) removeFromList(s *clientConn) {
-	if s.element != nil {
-		for i := range c.lists {
-			c.lists[i].Remove(s.element) // has no effect on a list that it is not in
+func (s *clientServer) removeFromList(c *clientConn) {
+	if c.element != nil {
+		for i := range s.lists {
+			s.lists[i].Remove(c.element) // has no effect on a list that it is not in
 		}
-		s.element = nil
+		c.element = nil
 	}
 }
 
-func (c *clientServer) serveConn(nc net.Conn) {
-	s := &clientConn{Conn: nc}
-	c.mu.Lock()
-	c.conns[s] = true
-	c.mu.Unlock()
+func (s *clientServer) serveConn(nc net.Conn) {
+	c := &clientConn{Conn: nc}
+	s.mu.Lock()
+	s.conns[c] = true
+	s.mu.Unlock()
 	defer func() {
-		c.mu.Lock()
-		c.removeFromList(s)
-		delete(c.conns, s)
-		c.mu.Unlock()
+		s.mu.Lock()
+		s.removeFromList(c)
+		delete(s.conns, c)
+		s.mu.Unlock()
 		nc.Close()
 	}()
-	r := bufio.NewReaderSize(s, 4096)
+	r := bufio.NewReaderSize(c, 4096)
 	for {
-		if r.Buffered() == 0 && !c.markIdle(s) {
-			c.closeWithLinger(s) // the node shuts down
+		if r.Buffered() == 0 && !s.markIdle(c) {
+			s.closeWithLinger(c) // the node shuts down
 			return
 		}
 		if _, err := r.Peek(1); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				c.closeWithLinger(s)
+				s.closeWithLinger(c)
 			}
 			return
 		}
-		receivedAt := s.readAt
-		if !c.markReading(s) {
+		receivedAt := c.readAt
+		if !s.markReading(c) {
 			return
 		}
 		args, err := readCommand(r)
-		c.markRead(s)
+		s.markRead(c)
 		var reply string
 		switch {
 		case err == nil:
-			reply = c.execute(args, receivedAt)
+			reply = s.execute(args, receivedAt)
 		case errors.Is(err, errTooLarge):
 			reply = answer{failure: err.Error()}.encode()
 		case errors.Is(err, errProtocol), errors.Is(err, os.ErrDeadlineExceeded):
 			if !errors.Is(err, errProtocol) {
 				err = fmt.Errorf("%w: the request took too long", errProtocol)
 			}
-			if s.queueReply(answer{failure: err.Error()}.encode()) == nil {
-				c.closeWithLinger(s)
+			if c.queueReply(answer{failure: err.Error()}.encode()) == nil {
+				s.closeWithLinger(c)
 			}
 			return
 		default:
 			return // the client disconnected inside a request
 		}
-		if reply == "" || s.queueReply(reply) != nil {
+		if reply == "" || c.queueReply(reply) != nil {
 			return
 		}
 	}
 }
 
 // execute runs one command and returns the reply.
-func (c *clientServer) execute(args [][]byte, receivedAt time.Time) string {
+func (s *clientServer) execute(args [][]byte, receivedAt time.Time) string {
 	switch strings.ToUpper(string(args[0])) {
 	case "PING":
 		return "+PONG\r\n"
 	case "ENQUEUE":
-		q, err := parseEnqueue(args, c.names, receivedAt)
+		q, err := parseEnqueue(args, s.names, receivedAt)
 		if err != nil {
 			return answer{failure: err.Error()}.encode()
 		}
-		return c.handle(q).encode()
+		return s.handle(q).encode()
 	}
 	return answer{failure: "unknown command"}.encode()
 }
@@ -577,75 +579,75 @@
 // the last read: the client sees that the connection had ended, and sends its request elsewhere. Closing with
 // unread bytes would reset the connection, and the last reply could be lost. Meanwhile the connection can be
 // evicted.
-func (c *clientServer) closeWithLinger(s *clientConn) {
-	if s.flush() != nil {
+func (s *clientServer) closeWithLinger(c *clientConn) {
+	if c.flush() != nil {
 		return
 	}
-	t, ok := s.Conn.(interface{ CloseWrite() error })
+	t, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || t.CloseWrite() != nil {
 		return
 	}
-	c.mu.Lock()
+	s.mu.Lock()
 	timeout := lingerTimeout
 	switch {
-	case c.closing:
+	case s.closing:
 		timeout = lingerShutdown
-	case s.evicted:
+	case c.evicted:
 		timeout = lingerEvicted
 	}
 	// The connection may be in the list of idle ones, if it was not evicted.
-	c.removeFromList(s)
-	s.element = c.lists[connClosing].PushBack(s) // evicted first
-	err := s.SetReadDeadline(time.Now().Add(timeout))
-	c.mu.Unlock()
+	s.removeFromList(c)
+	c.element = s.lists[connClosing].PushBack(c) // evicted first
+	err := c.SetReadDeadline(time.Now().Add(timeout))
+	s.mu.Unlock()
 	if err == nil {
-		io.Copy(io.Discard, io.LimitReader(s.Conn, maxSkipped)) // errors don't matter, as the connection ends next
+		io.Copy(io.Discard, io.LimitReader(c.Conn, maxSkipped)) // errors don't matter, as the connection ends next
 	}
 }
 
 // close stops accepting, closes connections that are between requests, and first answers the requests of the
 // others. A client that is slow to send the rest of its request has the grace for it, so that it can't hold
 // up the node until that is killed.
-func (c *clientServer) close(grace time.Duration) {
-	c.closeOnce.Do(func() { c.shutDown(grace) })
+func (s *clientServer) close(grace time.Duration) {
+	s.closeOnce.Do(func() { s.shutDown(grace) })
 }
 
 // shutDown closes the idle connections while the listener still accepts, because a request that crosses such
 // a close is sent again on a new connection. Then it accepts the connections in the backlog, and closes the
 // listener.
-func (c *clientServer) shutDown(grace time.Duration) {
-	c.mu.Lock()
-	c.closing, c.grace = true, grace
+func (s *clientServer) shutDown(grace time.Duration) {
+	s.mu.Lock()
+	s.closing, s.grace = true, grace
 	for _, i := range []int{connNew, connIdle} {
-		for e := c.lists[i].Front(); e != nil; e = e.Next() {
+		for e := s.lists[i].Front(); e != nil; e = e.Next() {
 			e.Value.(*clientConn).SetReadDeadline(time.Unix(1, 0)) // see Read
 		}
 	}
-	c.mu.Unlock()
-	if c.acceptUntil(time.Now().Add(c.reconnectTime)) == nil {
+	s.mu.Unlock()
+	if s.acceptUntil(time.Now().Add(s.reconnectTime)) == nil {
 		select {
-		case <-c.acceptDone:
-		case <-time.After(c.reconnectTime + grace): // all slots are taken
+		case <-s.acceptDone:
+		case <-time.After(s.reconnectTime + grace): // all slots are taken
 		}
 	}
-	close(c.stopAccepting)
-	c.listener.Close()
-	<-c.acceptDone
+	close(s.stopAccepting)
+	s.listener.Close()
+	<-s.acceptDone
 	graceTimer := time.AfterFunc(grace, func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		for e := c.lists[connReading].Front(); e != nil; e = e.Next() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		for e := s.lists[connReading].Front(); e != nil; e = e.Next() {
 			e.Value.(*clientConn).SetReadDeadline(time.Unix(1, 0)) // requests that have arrived whole by now are still answered
 		}
 	})
 	defer graceTimer.Stop()
 	closeTimer := time.AfterFunc(2*grace+lingerShutdown, func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		for s := range c.conns {
-			s.Close() // the client does not even read its replies
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		for c := range s.conns {
+			c.Close() // the client does not even read its replies
 		}
 	})
 	defer closeTimer.Stop()
-	c.wg.Wait()
+	s.wg.Wait()
 }
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -39,7 +39,7 @@
 	journalName       = "journal"
 	recordHeaderSize  = 8
 	maxRecordSize     = maxBody + 4*maxArgSize + 64
-	messageReserve    = 700       // bytes for the small records that will follow: 12 attempts at 36 to 45 bytes, and the end
+	messageReserve    = 700       // bytes for the records that follow: 12 attempts at 36 to 45 bytes, and the end
 	minCompactSize    = 256 << 10 // bytes; a smaller file is not worth compacting
 	defaultDiskMB     = 3
 	compactRetryDelay = 100 * time.Millisecond // after a failed compaction
@@ -91,7 +91,7 @@
 	return seq
 }
 
-// size is about the room that a message takes in the journal.
+// size estimates the bytes that a message takes in the journal.
 func (m *pendingMessage) size() int64 {
 	return int64(len(m.body)+len(m.id)+len(m.key)) + messageReserve
 }
@@ -145,9 +145,9 @@
 func (j *journal) path() string { return filepath.Join(j.dir, journalName) }
 
 // replay applies the records of a file. A record that can't be read may have guarded anything that was done
-// afterwards: an attempt, or an end. If it still identifies its message, that message is taken to have got so
-// far; otherwise all live messages are. Such a message ends as failed, because sending it again could have a
-// second effect or come after its final answer.
+// afterwards: an attempt, or an end. If a truncated last record still identifies its message, that message is
+// taken to have got as far as the record says. Otherwise all live messages end as failed, because sending one
+// again could have a second effect or come after its final answer.
 func (j *journal) replay(data []byte) {
 	for offset := 0; offset < len(data); {
 		payload := recordPayload(data[offset:])
@@ -339,7 +339,8 @@
 	}
 }
 
-// endpointSize is the room that an endpoint takes in the journal, including its record as disabled.
+// endpointSize estimates the bytes that an endpoint takes in the journal, including the record that disables
+// it.
 func endpointSize(id string) int64 { return 2 * int64(recordHeaderSize+len(id)+16) }
 
 func endpointRecord(kind byte, id string, at time.Time) []byte {
@@ -484,7 +485,7 @@
 	}
 	old := j.file
 	j.file, j.fileSize, j.unwritten, j.incomplete = f, size, nil, false // the buffer may be large, so it is not reused
-	old.Close()                                                         // an error is ignored: nothing of the old file is needed any more
+	old.Close()                                                         // nothing of the old file is needed any more
 	return nil
 }
 
