--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -97,15 +97,15 @@
 	}
 	mustAnswer(t, addr, enqueueCommand("a", statusFields, "x"), "+OK")
 	mustAnswer(t, addr, enqueueCommand("fails", payoutFields, "x"), "+OK")
-	taken := 0
+	accepted := 0
 	for i := range 6 { // held, because nothing may be sent to a draining endpoint
 		if roundTrip(t, addr, enqueueCommand("h"+itoa(i), "c=order,d=50000,dest=8,k=k"+itoa(i), "x")) == "+OK" {
-			taken++
+			accepted++
 		}
 	}
 	want := map[string]int{
 		"app.ok.status|c": 1, "app.tries.status|c": 1, "app.errors.payout|c": 1, "app.tries.payout|c": 1,
-		"app.ok.payout|c": 0, "app.shed.order|c": 6 - taken, "app.tries.order|c": 0, "app.active|g": taken,
+		"app.ok.payout|c": 0, "app.shed.order|c": 6 - accepted, "app.tries.order|c": 0, "app.active|g": accepted,
 		"app.pool_size|g": 2, "app.pool_ejected|g": 0,
 	}
 	eventually(t, "the metrics", func() bool {
@@ -115,7 +115,7 @@
 				return false
 			}
 		}
-		return taken > 0 && taken < 6
+		return accepted > 0 && accepted < 6
 	})
 	stop()
 	if got := n.NotReadyReason(); got != "leaving" {
@@ -155,8 +155,8 @@
 
 func TestInvalidAdminAddressFailsStart(t *testing.T) {
 	t.Parallel()
-	_, taken := openAdmin(t, 256)
-	for _, addr := range []string{taken, "nowhere", "127.0.0.1:99999"} {
+	_, usedAddr := openAdmin(t, 256)
+	for _, addr := range []string{usedAddr, "nowhere", "127.0.0.1:99999"} {
 		_, err := ListenAdmin(Config{AdminAddr: addr}, slog.New(slog.DiscardHandler))
 		if err == nil || !strings.HasPrefix(err.Error(), "operators' address: ") {
 			t.Errorf("%s: got %v", addr, err)
@@ -177,17 +177,17 @@
 	}
 	l := &cappedListener{Listener: ln, maxConns: 4, conns: map[*operatorConn]bool{}}
 	defer l.Close()
-	in := make(chan net.Conn, 100)
+	accepted := make(chan net.Conn, 100)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			in <- c
+			accepted <- c
 		}
 	}()
-	gone := make(chan int, 100)
+	closed := make(chan int, 100)
 	dial := func(i int) {
 		nc, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -196,43 +196,43 @@
 		t.Cleanup(func() { nc.Close() })
 		go func() {
 			io.Copy(io.Discard, nc)
-			gone <- i
+			closed <- i
 		}()
 	}
-	left := map[int]bool{}
-	var last []net.Conn
+	open := map[int]bool{}
+	var conns []net.Conn
 	for i := range 20 {
 		dial(i)
 		select {
-		case c := <-in:
-			last = append(last, c)
+		case c := <-accepted:
+			conns = append(conns, c)
 		case <-time.After(testTimeout):
 			t.Fatalf("connection %d is not accepted", i)
 		}
-		left[i] = true
+		open[i] = true
 	}
 	for range 16 {
 		select {
-		case i := <-gone:
-			delete(left, i)
+		case i := <-closed:
+			delete(open, i)
 		case <-time.After(testTimeout):
-			t.Fatalf("connections %v are still open", left)
+			t.Fatalf("connections %v are still open", open)
 		}
 	}
 	for i := 16; i < 20; i++ {
-		if !left[i] {
+		if !open[i] {
 			t.Errorf("connection %d was closed before older ones", i)
 		}
-		last[i].(*operatorConn).markRequestReceived()
+		conns[i].(*operatorConn).markRequestReceived()
 	}
 	dial(20)
-	if i := <-gone; i != 20 {
+	if i := <-closed; i != 20 {
 		t.Errorf("connection %d was closed while it was being answered", i)
 	}
-	last[16].Close()
+	conns[16].Close()
 	dial(21)
 	select {
-	case <-in:
+	case <-accepted:
 	case <-time.After(testTimeout):
 		t.Error("the slot of a closed connection is not reused")
 	}
@@ -247,17 +247,17 @@
 	both := []string{memberJSON("e1", first.addr(), 7, "SERVING"), memberJSON("e2", second.addr(), 7, "SERVING")}
 	r, state := newFakeRegistry(t), t.TempDir()
 	a, admin := openAdmin(t, 256)
-	say := func(id, what string, want int) {
+	command := func(id, action string, want int) {
 		t.Helper()
-		if code, body := adminCall(t, admin, "POST", "/-/endpoints/"+id+"/"+what); code != want || strings.Count(body, "\n") != 1 {
-			t.Errorf("%s %s: got %d %q", what, id, code, body)
+		if code, body := adminCall(t, admin, "POST", "/-/endpoints/"+id+"/"+action); code != want || strings.Count(body, "\n") != 1 {
+			t.Errorf("%s %s: got %d %q", action, id, code, body)
 		}
 	}
-	say("e1", "disable", http.StatusServiceUnavailable) // there is no node yet
+	command("e1", "disable", http.StatusServiceUnavailable) // there is no node yet
 	number := 0
 	// deliver hands in messages one by one, at least 25, until the first endpoint has got a call if want is
 	// set.
-	deliver := func(addr string, want bool) {
+	deliver := func(addr string, wantCall bool) {
 		t.Helper()
 		before, _ := first.counts()
 		for i := 0; ; i++ {
@@ -269,49 +269,49 @@
 			case <-time.After(testTimeout):
 				t.Fatal("no endpoint got a call")
 			}
-			if now, _ := first.counts(); i >= 25 && (now > before || !want) {
-				if now > before && !want {
+			if now, _ := first.counts(); i >= 25 && (now > before || !wantCall) {
+				if now > before && !wantCall {
 					t.Errorf("%d calls to the disabled endpoint", now-before)
 				}
 				return
 			}
 		}
 	}
-	one := startProcess(t, r, state, "", append(both, memberJSON("old", "127.0.0.1:9", 8, "SERVING"))...)
-	a.node.Store(one.node)
-	deliver(one.addr, true)
-	say("nobody", "disable", http.StatusNotFound)
-	say("nobody", "enable", http.StatusNotFound)
-	say("e2", "enable", http.StatusOK) // it was not disabled
-	say("e1", "disable", http.StatusOK)
-	say("e1", "disable", http.StatusOK)
+	predecessor := startProcess(t, r, state, "", append(both, memberJSON("old", "127.0.0.1:9", 8, "SERVING"))...)
+	a.node.Store(predecessor.node)
+	deliver(predecessor.addr, true)
+	command("nobody", "disable", http.StatusNotFound)
+	command("nobody", "enable", http.StatusNotFound)
+	command("e2", "enable", http.StatusOK) // it was not disabled
+	command("e1", "disable", http.StatusOK)
+	command("e1", "disable", http.StatusOK)
 	r.publish(listJSON(2, true, both...)) // a complete list without the old one
-	eventually(t, "the list", func() bool { return one.node.figures.listedEndpoints.Load() == 2 })
-	say("old", "disable", http.StatusOK)
-	if got := one.node.figures.avoidedEndpoints.Load(); got != 1 {
+	eventually(t, "the list", func() bool { return predecessor.node.figures.listedEndpoints.Load() == 2 })
+	command("old", "disable", http.StatusOK)
+	if got := predecessor.node.figures.avoidedEndpoints.Load(); got != 1 {
 		t.Errorf("%d listed endpoints are avoided, want 1", got)
 	}
-	deliver(one.addr, false)
+	deliver(predecessor.addr, false)
 
-	two := startProcess(t, r, state, one.addr, both...)
-	deliver(two.addr, false)
-	say("old", "enable", http.StatusOK) // sent to the predecessor, carried out by the successor
-	say("nobody", "enable", http.StatusNotFound)
-	one.cancel()
-	if err := one.wait(t); err != nil {
+	successor := startProcess(t, r, state, predecessor.addr, both...)
+	deliver(successor.addr, false)
+	command("old", "enable", http.StatusOK) // sent to the predecessor, carried out by the successor
+	command("nobody", "enable", http.StatusNotFound)
+	predecessor.cancel()
+	if err := predecessor.wait(t); err != nil {
 		t.Error(err)
 	}
-	two.cancel()
-	if err := two.wait(t); err != nil {
+	successor.cancel()
+	if err := successor.wait(t); err != nil {
 		t.Error(err)
 	}
-	three := startProcess(t, r, state, "", both...)
-	a.node.Store(three.node)
-	if got := three.node.figures.avoidedEndpoints.Load(); got != 1 {
+	restarted := startProcess(t, r, state, "", both...)
+	a.node.Store(restarted.node)
+	if got := restarted.node.figures.avoidedEndpoints.Load(); got != 1 {
 		t.Errorf("after a restart %d endpoints are avoided, want 1", got)
 	}
-	deliver(three.addr, false)
-	say("e1", "enable", http.StatusOK)
-	deliver(three.addr, true)
-	say("old", "enable", http.StatusOK) // known, though it was last listed two processes ago
+	deliver(restarted.addr, false)
+	command("e1", "enable", http.StatusOK)
+	deliver(restarted.addr, true)
+	command("old", "enable", http.StatusOK) // known, though it was last listed two processes ago
 }
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -146,9 +146,9 @@
 
 // A request that has been read gets its answer, even while the node closes all connections.
 func TestCloseAnswersReadRequests(t *testing.T) {
-	inside, release := make(chan struct{}), make(chan struct{})
+	handling, release := make(chan struct{}), make(chan struct{})
 	c, addr := serveClients(t, 100, func(request) answer {
-		close(inside)
+		close(handling)
 		<-release
 		return answer{}
 	})
@@ -159,7 +159,7 @@
 	}
 	nc, br := dialClient(t, addr)
 	io.WriteString(nc, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
-	<-inside
+	<-handling
 	done := make(chan struct{})
 	go func() {
 		c.close(shutdownGrace)
@@ -272,11 +272,11 @@
 // Clients that send one request and then keep their connection take no more than a share of the slots: those
 // idle longest are disconnected, and the latest stay usable.
 func TestIdleConnectionsAreBounded(t *testing.T) {
-	const most, keep = 30, 10
-	c, addr := serveClients(t, most, func(request) answer { return answer{} })
+	const maxConns, maxIdle = 30, 10
+	c, addr := serveClients(t, maxConns, func(request) answer { return answer{} })
 	var readers []*bufio.Reader
 	var last net.Conn
-	for i := range 2 * keep {
+	for i := range 2 * maxIdle {
 		nc, br := dialClient(t, addr)
 		io.WriteString(nc, enqueueCommand("m"+itoa(i), "c=notice,d=8000,dest=7", "b"))
 		if line, err := br.ReadString('\n'); line != "+OK\r\n" {
@@ -285,8 +285,8 @@
 		c.mu.Lock()
 		idle := c.lists[connIdle].Len()
 		c.mu.Unlock()
-		if idle > keep {
-			t.Fatalf("%d idle connections after client %d, want %d at most", idle, i, keep)
+		if idle > maxIdle {
+			t.Fatalf("%d idle connections after client %d, want %d at most", idle, i, maxIdle)
 		}
 		readers, last = append(readers, br), nc
 	}
@@ -310,13 +310,13 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	go io.WriteString(far, "x")
-	s := &clientConn{Conn: near}
+	conn := &clientConn{Conn: near}
 	// A read from a pipe after its deadline returns no bytes, but Read tries again with a deadline of its
 	// own.
 	for got := 0; got == 0; {
-		s.finalReads = 0
+		conn.finalReads = 0
 		near.SetReadDeadline(time.Unix(1, 0))
-		n, err := s.Read(make([]byte, 1))
+		n, err := conn.Read(make([]byte, 1))
 		if got = n; err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal(err)
 		}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -37,10 +37,10 @@
 	Names    wire.Names      `json:"-"`
 }
 
-// LoadConfig reads the configuration file of a node with the persistent folder state.
-func LoadConfig(path, state string) (Config, error) {
+// LoadConfig reads the configuration file of a node whose persistent folder is stateDir.
+func LoadConfig(path, stateDir string) (Config, error) {
 	var c Config
-	if path == "" || state == "" {
+	if path == "" || stateDir == "" {
 		return c, errors.New("configuration: ROUTER_CONFIG must name the file and ROUTER_STATE the persistent folder")
 	}
 	raw, err := os.ReadFile(path)
@@ -50,14 +50,14 @@
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return c, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.StateDir = state
+	c.StateDir = stateDir
 	if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
 		return c, fmt.Errorf("configuration %s: discovery: %w", path, err)
 	}
 	if c.Settings, err = wire.ParseSettings(c.RawSettings); err != nil {
 		return c, fmt.Errorf("configuration %s: %w", path, err)
 	}
-	c.Settings.FullTableRejects = true // as a 503 on the wire
+	c.Settings.FullTableRejects = true // a full connection table answers 503
 	if c.Limits.Sockets <= 0 {
 		c.Limits.Sockets = defaultSockets
 	}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -124,7 +124,7 @@
 // and the client sees an end of file, not a reset that could lose its last reply.
 func TestRequestCrossesClose(t *testing.T) {
 	late := enqueueCommand("late", "c=notice,d=8000,dest=7", "b")
-	for name, hangUp := range map[string]func(*clientServer){
+	for name, closeConn := range map[string]func(*clientServer){
 		"eviction": func(c *clientServer) { c.evict() },
 		"shutdown": func(c *clientServer) { go c.close(shutdownGrace) },
 	} {
@@ -142,7 +142,7 @@
 			client, br = dialClient(t, addr)
 			io.WriteString(client, encodeCommand("PING"))
 			waitListed(t, c, connIdle, 1)
-			hangUp(c)
+			closeConn(c)
 			expectLine(t, br, "+PONG\r\n")
 			if line, err := br.ReadString('\n'); !errors.Is(err, io.EOF) {
 				t.Errorf("got %q, %v", line, err)
@@ -174,9 +174,9 @@
 	first, br := dialClient(t, addr)
 	io.WriteString(first, encodeCommand("PING"))
 	expectLine(t, br, "+PONG\r\n")
-	left := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(closed)
 		c.close(shutdownGrace)
 	}()
 	if _, err := br.ReadByte(); !errors.Is(err, io.EOF) {
@@ -189,7 +189,7 @@
 		t.Errorf("after the reply: got %v, want EOF", err)
 	}
 	c.listener.Close()
-	<-left
+	<-closed
 }
 
 // Connections in the accept queue are served, not reset, when the listener is about to close.
@@ -204,9 +204,9 @@
 	<-accepting // nothing is accepted from now on
 	nc, br := dialClient(t, addr)
 	io.WriteString(nc, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
-	left := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(closed)
 		c.close(testTimeout)
 	}()
 	for c.mu.Lock(); !c.closing; c.mu.Lock() {
@@ -220,35 +220,35 @@
 	close(release)
 	expectLine(t, br, "+OK\r\n")
 	nc.Close()
-	<-left
+	<-closed
 }
 
 // A request whose last byte arrived before the grace of a shutdown ended gets its answer, even if the byte
 // had not been read by then.
 func TestWholeRequestAnsweredAfterGrace(t *testing.T) {
-	hold, held, expired := make(chan struct{}), make(chan struct{}, 100), make(chan struct{}, 100)
+	resume, blocked, expired := make(chan struct{}), make(chan struct{}, 100), make(chan struct{}, 100)
 	reads := 0
 	l := &hookedListener{connHooks: connHooks{expired: func() { expired <- struct{}{} }, reading: func() {
 		if reads++; reads == 2 { // the first read got a part of the request
-			held <- struct{}{}
-			<-hold
+			blocked <- struct{}{}
+			<-resume
 		}
 	}}}
 	c, addr := serveHooked(t, 5, l, func(request) answer { return answer{} }, func(c *clientServer) { c.requestTimeout = testTimeout })
-	release := sync.OnceFunc(func() { close(hold) })
+	release := sync.OnceFunc(func() { close(resume) })
 	t.Cleanup(release)
 	nc, br := dialClient(t, addr)
 	whole := enqueueCommand("a", "c=notice,d=8000,dest=7", "b")
 	io.WriteString(nc, whole[:10])
-	<-held
+	<-blocked
 	io.WriteString(nc, whole[10:])
 	c.mu.Lock()
-	s := c.lists[connReading].Front().Value.(*clientConn)
+	conn := c.lists[connReading].Front().Value.(*clientConn)
 	c.mu.Unlock()
-	waitUnread(t, s.Conn.(*hookedConn).TCPConn, len(whole)-10)
-	left := make(chan struct{})
+	waitUnread(t, conn.Conn.(*hookedConn).TCPConn, len(whole)-10)
+	closed := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(closed)
 		c.close(time.Millisecond)
 	}()
 	select {
@@ -258,18 +258,18 @@
 	}
 	release()
 	expectLine(t, br, "+OK\r\n")
-	<-left
+	<-closed
 }
 
 // When all slots are taken by requests that never end, a well-behaved client is still served.
 func TestPartialRequestsAreEvicted(t *testing.T) {
-	const most = 3
-	c, addr := serveHooked(t, most, &hookedListener{}, func(request) answer { return answer{} }, func(c *clientServer) { c.requestTimeout = testTimeout })
-	for range most {
+	const maxConns = 3
+	c, addr := serveHooked(t, maxConns, &hookedListener{}, func(request) answer { return answer{} }, func(c *clientServer) { c.requestTimeout = testTimeout })
+	for range maxConns {
 		nc, _ := dialClient(t, addr)
 		io.WriteString(nc, "*5\r\n$7\r\nENQ")
 	}
-	waitListed(t, c, connReading, most)
+	waitListed(t, c, connReading, maxConns)
 	nc, br := dialClient(t, addr)
 	io.WriteString(nc, enqueueCommand("a", "c=notice,d=8000,dest=7", "b"))
 	expectLine(t, br, "+OK\r\n")
@@ -279,9 +279,9 @@
 // and again.
 func TestEndedConnectionsLeaveLists(t *testing.T) {
 	for name, end := range map[string]func(net.Conn, *clientConn){
-		"idle timeout":  func(_ net.Conn, s *clientConn) { s.SetReadDeadline(time.Unix(1, 0)) },
+		"idle timeout":  func(_ net.Conn, conn *clientConn) { conn.SetReadDeadline(time.Unix(1, 0)) },
 		"client closes": func(client net.Conn, _ *clientConn) { client.Close() },
-		"partial request": func(client net.Conn, s *clientConn) {
+		"partial request": func(client net.Conn, conn *clientConn) {
 			io.WriteString(client, "*5\r\n$7\r\nENQ")
 			client.(*net.TCPConn).CloseWrite()
 		},
@@ -294,9 +294,9 @@
 			expectLine(t, br, "+PONG\r\n")
 			waitListed(t, c, connIdle, 1)
 			c.mu.Lock()
-			s := c.lists[connIdle].Front().Value.(*clientConn)
+			conn := c.lists[connIdle].Front().Value.(*clientConn)
 			c.mu.Unlock()
-			end(client, s)
+			end(client, conn)
 			io.Copy(io.Discard, br)
 			client.Close()
 			for list := range c.lists {
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -81,14 +81,14 @@
 	for _, want := range []struct {
 		revision  int64
 		endpoints int
-		tell      string
+		list      string
 	}{
 		{4, 2, ""},
 		{5, 3, listJSON(5, false, memberJSON("g", p.addr(), 9, "SERVING"))},
 		{7, 1, listJSON(7, true, memberJSON("g", p.addr(), 9, "SERVING"))},
 	} {
-		if want.tell != "" {
-			r.publish(want.tell)
+		if want.list != "" {
+			r.publish(want.list)
 		}
 		eventually(t, "revision "+itoa(int(want.revision)), func() bool { at, _ := n.CurrentList(); return at >= want.revision })
 		if at, have := n.CurrentList(); at != want.revision || have != want.endpoints {
--- a/internal/node/formats_a_test.go
+++ b/internal/node/formats_a_test.go
@@ -71,21 +71,21 @@
 	returned.body, returned.final = nil, &finalAnswer{retryAfter: 1500 * time.Millisecond}
 	checkLive(t, j.live, map[uint64]*pendingMessage{1: withAttempts, 2: failed, 300: returned})
 	if j.corruption != "" || j.nextSeq != 301 {
-		t.Errorf("spoilt %q, next number %d, want 301", j.corruption, j.nextSeq)
+		t.Errorf("corruption %q, next number %d, want 301", j.corruption, j.nextSeq)
 	}
 	if want := map[string]bool{"e1": true, "e2": false}; !reflect.DeepEqual(j.disabled, want) || !j.enabledAt["e2"].Equal(at) {
-		t.Errorf("endpoints %v, want %v; e2 serves again since %v, want %v", j.disabled, want, j.enabledAt["e2"], at)
+		t.Errorf("disabled endpoints %v, want %v; e2 enabled at %v, want %v", j.disabled, want, j.enabledAt["e2"], at)
 	}
 }
 
 // An older build's record of a message ends before the tenant.
 func TestJournalRecordWithoutTenant(t *testing.T) {
-	p := &pendingMessage{seq: 1, id: "id", key: "key", class: 1, dest: 7, body: []byte("body"), deadline: time.UnixMicro(1)}
-	payload := acceptedRecord(p)
+	m := &pendingMessage{seq: 1, id: "id", key: "key", class: 1, dest: 7, body: []byte("body"), deadline: time.UnixMicro(1)}
+	payload := acceptedRecord(m)
 	j := &journal{live: map[uint64]*pendingMessage{}}
 	j.apply(payload[:len(payload)-1])
-	p.tenant = -1
-	checkLive(t, j.live, map[uint64]*pendingMessage{1: p})
+	m.tenant = -1
+	checkLive(t, j.live, map[uint64]*pendingMessage{1: m})
 }
 
 func TestEnqueueFormat(t *testing.T) {
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -126,14 +126,14 @@
 	}
 	progress := func(m *pendingMessage) (int, bool) { // attempts that may have run, and whether the message has ended
 		n := 0
-		for _, s := range m.attempts {
-			if !s.notRun {
+		for _, a := range m.attempts {
+			if !a.notRun {
 				n++
 			}
 		}
 		return n, m.final != nil
 	}
-	check := func(what string, raw []byte, truth map[uint64]*pendingMessage) {
+	check := func(what string, raw []byte, reference map[uint64]*pendingMessage) {
 		t.Helper()
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, journalName), raw, 0o600); err != nil {
@@ -141,11 +141,11 @@
 		}
 		got := openTestJournal(t, dir, 3)
 		for seq, g := range got.live {
-			tried, over := progress(g)
-			if w := truth[seq]; w == nil && !over {
+			tries, ended := progress(g)
+			if w := reference[seq]; w == nil && !ended {
 				t.Errorf("%s: message %d has ended, but is read as %+v", what, seq, g)
-			} else if w != nil && !over {
-				if wantTried, wantOver := progress(w); wantOver || tried < wantTried {
+			} else if w != nil && !ended {
+				if wantTries, wantEnded := progress(w); wantEnded || tries < wantTries {
 					t.Errorf("%s: message %d is read as %+v, want %+v", what, seq, g, w)
 				}
 			}
@@ -163,14 +163,14 @@
 		ends = append(ends, at)
 	}
 	for i, end := range ends {
-		truth := &journal{live: map[uint64]*pendingMessage{}, disabled: map[string]bool{}, enabledAt: map[string]time.Time{}}
-		truth.replay(whole[:end])
+		reference := &journal{live: map[uint64]*pendingMessage{}, disabled: map[string]bool{}, enabledAt: map[string]time.Time{}}
+		reference.replay(whole[:end])
 		begin := 0
 		if i > 0 {
 			begin = ends[i-1]
 		}
 		for cut := begin + 1; cut < end; cut++ {
-			check(fmt.Sprintf("truncated at %d in a record from %d to %d", cut, begin, end), whole[:cut], truth.live)
+			check(fmt.Sprintf("truncated at %d in a record from %d to %d", cut, begin, end), whole[:cut], reference.live)
 		}
 	}
 	for i := range whole {
@@ -187,26 +187,26 @@
 	const mb = 1
 	j := openTestJournal(t, dir, mb)
 	body := make([]byte, maxBody)
-	var held []*pendingMessage
-	most, refused := int64(0), 0
+	var accepted []*pendingMessage
+	maxOnDisk, refused := int64(0), 0
 	for i := range 400 {
-		p, err := j.accept(&pendingMessage{id: fmt.Sprint(i), body: body, deadline: time.Now()})
+		m, err := j.accept(&pendingMessage{id: fmt.Sprint(i), body: body, deadline: time.Now()})
 		switch {
 		case errors.Is(err, errDiskBudget):
 			refused++
-			j.add(newRecord(recordDone, held[0].seq))
-			held = held[1:]
+			j.add(newRecord(recordDone, accepted[0].seq))
+			accepted = accepted[1:]
 		case err != nil:
 			t.Fatal(err)
 		default:
-			held = append(held, p)
-			j.add(attemptRecord(p.seq, time.Now(), 0))
+			accepted = append(accepted, m)
+			j.add(attemptRecord(m.seq, time.Now(), 0))
 		}
 		live := int64(0) // what a compaction would write now, beside the existing file
-		for _, p := range j.live {
-			live += int64(len(acceptedRecord(p))) + recordHeaderSize + 64
+		for _, m := range j.live {
+			live += int64(len(acceptedRecord(m))) + recordHeaderSize + 64
 		}
-		most = max(most, j.fileSize+live)
+		maxOnDisk = max(maxOnDisk, j.fileSize+live)
 		mustFlush(t, j)
 		info, err := os.Stat(j.path())
 		if err != nil {
@@ -216,11 +216,11 @@
 			t.Fatalf("the file has %d bytes, but the journal counts %d", info.Size(), j.fileSize)
 		}
 	}
-	if refused == 0 || most > mb<<20 {
-		t.Errorf("%d messages were refused, at most %d bytes on disk", refused, most)
+	if refused == 0 || maxOnDisk > mb<<20 {
+		t.Errorf("%d messages were refused, at most %d bytes on disk", refused, maxOnDisk)
 	}
-	if again := openTestJournal(t, dir, mb); len(again.live) != len(held) {
-		t.Errorf("%d live messages, want %d", len(again.live), len(held))
+	if again := openTestJournal(t, dir, mb); len(again.live) != len(accepted) {
+		t.Errorf("%d live messages, want %d", len(again.live), len(accepted))
 	}
 }
 
@@ -311,12 +311,12 @@
 		if _, known := j.disabled["e0"]; known {
 			t.Error("the oldest endpoint is still known")
 		}
-		held := j.liveSize
+		sizeBefore := j.liveSize
 		if err := j.close(); err != nil {
 			t.Fatal(err)
 		}
-		if j = openTestJournal(t, dir, 3); j.liveSize != held || len(j.live) != 0 {
-			t.Errorf("live size %d after a restart, want %d", j.liveSize, held)
+		if j = openTestJournal(t, dir, 3); j.liveSize != sizeBefore || len(j.live) != 0 {
+			t.Errorf("live size %d after a restart, want %d", j.liveSize, sizeBefore)
 		}
 	}
 }
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -16,20 +16,20 @@
 // A backlog of notices is posted in bodies of at most 64 KiB, each notice once and in order. Unanswered ones
 // are returned for the next address.
 func TestNoticeBacklog(t *testing.T) {
-	const all, answered = 2000, 3 // posts
-	var bodies []string           // written by the server, read after it has stopped
-	full := make(chan struct{})
+	const total, answeredPosts = 2000, 3 // posts
+	var bodies []string                  // written by the server, read after it has stopped
+	refused := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, err := io.ReadAll(req.Body)
 		if err != nil {
 			return
 		}
-		if len(bodies) == answered {
+		if len(bodies) == answeredPosts {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			select {
-			case <-full:
+			case <-refused:
 			default:
-				close(full)
+				close(refused)
 			}
 			return
 		}
@@ -38,36 +38,36 @@
 	}))
 	defer srv.Close()
 	var owed []notice
-	for i := range all {
+	for i := range total {
 		owed = append(owed, newNotice(&pendingMessage{id: strings.Repeat("i", 200) + itoa(i), final: &finalAnswer{retryAfter: time.Second}}))
 	}
 	more := make(chan []notice)
 	ctx, cancel := context.WithCancel(t.Context())
 	var reported sync.WaitGroup
-	var done, left []notice
+	var done, returned []notice
 	reported.Go(func() {
-		left = reportNotices(ctx, slog.New(slog.DiscardHandler), srv.Client(), []string{srv.Listener.Addr().String()}, nil, more,
+		returned = reportNotices(ctx, slog.New(slog.DiscardHandler), srv.Client(), []string{srv.Listener.Addr().String()}, nil, more,
 			func(n []notice) { done = append(done, n...) })
 	})
 	more <- owed
-	<-full
+	<-refused
 	cancel()
 	reported.Wait()
 	srv.Close()
-	told := 0
+	posted := 0
 	for _, body := range bodies {
 		if len(body) > maxReportSize {
 			t.Errorf("a body has %d bytes", len(body))
 		}
-		for lines := bufio.NewScanner(strings.NewReader(body)); lines.Scan(); told++ {
-			want := `{"id":"` + owed[told].ID + `","state":"returned","after_ms":1000}`
+		for lines := bufio.NewScanner(strings.NewReader(body)); lines.Scan(); posted++ {
+			want := `{"id":"` + owed[posted].ID + `","state":"returned","after_ms":1000}`
 			if lines.Text() != want {
 				t.Fatalf("got %s, want %s", lines.Text(), want)
 			}
 		}
 	}
-	if len(done) != told || told == 0 || len(left) != all-told || left[0].ID != owed[told].ID {
-		t.Errorf("%d posted, %d done, %d returned", told, len(done), len(left))
+	if len(done) != posted || posted == 0 || len(returned) != total-posted || returned[0].ID != owed[posted].ID {
+		t.Errorf("%d posted, %d done, %d returned", posted, len(done), len(returned))
 	}
 }
 
@@ -84,10 +84,10 @@
 	defer good.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	began, told := time.Now(), 0
-	left := reportNotices(ctx, slog.New(slog.DiscardHandler), http.DefaultClient, []string{hung.Listener.Addr().String(), good.Listener.Addr().String()},
-		[]notice{newNotice(&pendingMessage{id: "a", final: &finalAnswer{}})}, nil, func(n []notice) { told = len(n); cancel() })
-	if took := time.Since(began); told != 1 || len(left) != 0 || took >= reportTimeout {
-		t.Errorf("%d done, %d returned, after %v", told, len(left), took)
+	began, accepted := time.Now(), 0
+	returned := reportNotices(ctx, slog.New(slog.DiscardHandler), http.DefaultClient, []string{hung.Listener.Addr().String(), good.Listener.Addr().String()},
+		[]notice{newNotice(&pendingMessage{id: "a", final: &finalAnswer{}})}, nil, func(n []notice) { accepted = len(n); cancel() })
+	if took := time.Since(began); accepted != 1 || len(returned) != 0 || took >= reportTimeout {
+		t.Errorf("%d done, %d returned, after %v", accepted, len(returned), took)
 	}
 }
