--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -35,7 +35,8 @@
 	maxUnsent        = 4 << 10 // bytes; replies to pipelined commands are sent together
 
 	// A client that sends nothing, or does not complete a request, must get an error or a close within 3 s of
-	// connecting; these two timeouts together ensure that. Other clients give up on a reply after 0.4 s.
+	// connecting; idleTimeout and requestTimeout together ensure that. Other clients give up on a reply after
+	// 0.4 s.
 	idleTimeout       = 2 * time.Second
 	acceptRetryDelay  = 50 * time.Millisecond  // after a connection could not be accepted
 	requestTimeout    = 800 * time.Millisecond // from a request's first byte to its last, and to write a reply
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -225,7 +225,7 @@
 func TestIncompleteRequestsTimeOut(t *testing.T) {
 	_, addr := serveClients(t, 100, func(request) answer { return answer{} })
 	for name, text := range map[string]string{
-		"nothing": "", "partial request": "*5\r\n$7\r\nENQ", "partial argument": encodeCommand("PING") + "*2\r\n$4\r\nPI", "empty line": "\r\n",
+		"silent": "", "partial request": "*5\r\n$7\r\nENQ", "partial argument": encodeCommand("PING") + "*2\r\n$4\r\nPI", "empty line": "\r\n",
 		"empty commands": strings.Repeat("*0\r\n\r\n", 100), "one request": encodeCommand("PING"), "announced 60 MB": "*2\r\n$60000000\r\nxxx",
 	} {
 		t.Run(name, func(t *testing.T) {
