--- a/internal/node/formats_a_test.go
+++ b/internal/node/formats_a_test.go
@@ -175,12 +175,12 @@
 	f.write(&b)
 	golden.Check(t, "metrics.txt", b.Bytes())
 
-	followed := &followedPartitions{mapNumber: 12, lost: []lost{{until: time.Now().Add(time.Hour)}}}
+	followed := &followedPartitions{mapNumber: 12, lingering: []lingeringPartitions{{until: time.Now().Add(time.Hour)}}}
 	for partition := range 3 {
 		followed.owned.Add(partition)
-		followed.lost[0].set.Add(partition)
+		followed.lingering[0].set.Add(partition)
 	}
-	followed.lost[0].set.Add(ownership.PartitionCount - 1)
+	followed.lingering[0].set.Add(ownership.PartitionCount - 1)
 	f.ownership.Store(followed)
 	f.notOwned.Store(13)
 	b.Reset()
@@ -190,9 +190,9 @@
 
 func TestOperatorAnswersFormat(t *testing.T) {
 	a := &Admin{metrics: newMetrics([]string{"status"})}
-	n := &Node{orders: make(chan order)}
+	n := &Node{commands: make(chan endpointCommand)}
 	go func() {
-		for o := range n.orders {
+		for o := range n.commands {
 			switch o.id {
 			case "unknown":
 				o.reply <- ErrUnknownEndpoint
@@ -202,7 +202,7 @@
 			}
 		}
 	}()
-	defer close(n.orders)
+	defer close(n.commands)
 	handler := a.handler()
 	var answers strings.Builder
 	call := func(when, method, target string) {
@@ -215,7 +215,7 @@
 	call("without a node", "POST", "/-/endpoints/e/disable")
 	a.SetNode(n)
 	call("at the start", "GET", "/-/ready")
-	n.stage.Store(inService)
+	n.stage.Store(stageServing)
 	call("without endpoints", "GET", "/-/ready")
 	n.figures.listedEndpoints.Store(1)
 	call("in service", "GET", "/-/ready")
@@ -226,9 +226,9 @@
 	call("in service", "GET", "/-/other")
 	call("in service", "GET", "//-/ready")
 	call("in service", "POST", "/-/ready")
-	n.stage.Store(leaving)
+	n.stage.Store(stageStopping)
 	call("after SIGTERM", "GET", "/-/ready")
-	n.stage.Store(handedOver)
+	n.stage.Store(stageHandedOver)
 	call("after a handover", "GET", "/-/ready")
 	golden.Check(t, "operator-answers.txt", []byte(answers.String()))
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -612,7 +612,7 @@
 		return false
 	}
 	n.heir = l
-	n.stage.Store(handedOver)
+	n.stage.Store(stageHandedOver)
 	n.figures.activeMessages.Store(0)
 	n.door.Close()
 	n.journal.file.Close()
@@ -648,7 +648,7 @@
 		var e any
 		select {
 		case e = <-n.events:
-		case o := <-n.orders:
+		case o := <-n.commands:
 			if err != nil {
 				o.reply <- err
 				continue
@@ -664,7 +664,7 @@
 					o.reply <- nil
 				}
 			}
-			n.heir.send(message{Order: &orderOf{n.numbered, o.id, o.lift}})
+			n.heir.send(message{Order: &orderOf{n.numbered, o.id, o.enable}})
 			continue
 		case late := <-n.heirs:
 			late.conn.Close() // it finds the new process
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -88,10 +88,10 @@
 	half, br := dialClient(t, old.addr)
 	text := enqueueCommand("half", "c=order,d=50000,dest=8,k=k", "x")
 	io.WriteString(half, text[:9])
-	eventually(t, "it reads", func() bool { return old.node.stage.Load() == inService })
+	eventually(t, "it reads", func() bool { return old.node.stage.Load() == stageServing })
 
 	young := startProcess(t, r, state, old.addr)
-	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[handedOver] })
+	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[stageHandedOver] })
 	io.WriteString(half, text[9:])
 	if line, err := br.ReadString('\n'); line != "+OK\r\n" {
 		t.Errorf("the request that was half read: %q, %v", line, err)
@@ -219,7 +219,7 @@
 	mustAnswer(t, old.addr, enqueueCommand("notice", statusFields, "x"), "+OK")
 	p.nextRequest(t)
 	young := startProcess(t, r, state, old.addr)
-	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[handedOver] })
+	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[stageHandedOver] })
 	old.node.heir.conn.Close() // as its death does
 	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "notice" {
 		t.Errorf("got %q", id)
@@ -248,7 +248,7 @@
 	mustAnswer(t, old.addr, enqueueCommand("out", payoutFields, "x"), "+OK")
 	p.nextRequest(t)
 	young := startProcess(t, r, state, old.addr)
-	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[handedOver] })
+	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[stageHandedOver] })
 	e := old.node.eps["e"]
 	if e.closedTo(time.Now()) {
 		t.Fatal("closed before anything was told")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -73,7 +73,7 @@
 	pool     *pool
 	start    time.Time
 	events   chan any
-	orders   chan order
+	commands chan endpointCommand
 	notices  chan []notice
 	moves    chan []string // the new addresses of what tells the list
 	over     chan struct{}
@@ -119,11 +119,11 @@
 		result
 		took time.Duration
 	}
-	settled []notice
-	order   struct { // of the operators, for an endpoint
-		id    string
-		lift  bool
-		reply chan error
+	settled         []notice
+	endpointCommand struct { // of the operators, for an endpoint
+		id     string
+		enable bool
+		reply  chan error
 	}
 )
 
@@ -132,13 +132,13 @@
 
 // The stages of a node's life.
 const (
-	starting int32 = iota
-	inService
-	leaving
-	handedOver
+	stageStarting int32 = iota
+	stageServing
+	stageStopping
+	stageHandedOver
 )
 
-var stages = [...]string{starting: "starting", leaving: "leaving", handedOver: "handed over to another process"}
+var stages = [...]string{stageStarting: "starting", stageStopping: "leaving", stageHandedOver: "handed over to another process"}
 
 // New loads the journal. Its folder must be the node's alone.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
@@ -167,7 +167,7 @@
 		told: told, kept: kept, own: own,
 		cfg: cfg, log: log, journal: j, sender: choice.New(cfg.moduleSettings(), seed(cfg.Seed)), start: time.Now(),
 		pool:   newPool(cfg.Settings.DialTimeout, cfg.Settings.IdleConnTimeout, idle),
-		events: make(chan any, eventQueue), orders: make(chan order), notices: make(chan []notice), moves: make(chan []string),
+		events: make(chan any, eventQueue), commands: make(chan endpointCommand), notices: make(chan []notice), moves: make(chan []string),
 		over: make(chan struct{}), messages: map[string]*pendingMessage{},
 		out: map[attempt]outCall{}, eps: map[string]*endpoint{}, waits: map[int]*atomic.Int64{},
 		figures: newMetrics(cfg.Names.Classes), members: map[string]catalog.Endpoint{}, heirs: make(chan *link),
@@ -186,7 +186,7 @@
 
 // Unready tells why the node is not ready to serve, "" if it is. It may be called at any time.
 func (n *Node) NotReadyReason() string {
-	if s := n.stage.Load(); s != inService {
+	if s := n.stage.Load(); s != stageServing {
 		return stages[s]
 	}
 	if s := n.figures.ownership.Load(); s != nil && s.unready() != "" {
@@ -251,7 +251,7 @@
 			parts.Go(func() { n.awaitHeir(life) })
 		}
 	}
-	n.stage.CompareAndSwap(starting, inService)
+	n.stage.CompareAndSwap(stageStarting, stageServing)
 	gone := make(chan struct{})
 	parts.Go(func() {
 		defer close(gone)
@@ -260,7 +260,7 @@
 		case <-life.Done(): // the process that took over is gone
 			return
 		}
-		n.stage.Store(leaving)
+		n.stage.Store(stageStopping)
 		leaveBy := time.Now().Add(leaveAfter)
 		n.tell(life, choice.Stopping{By: n.at(leaveBy)})
 		registry.Sleep(life, closeAfter)
@@ -471,7 +471,7 @@
 		case notices <- n.owed:
 			n.owed = nil
 			continue
-		case o := <-n.orders:
+		case o := <-n.commands:
 			batch = append(batch, o)
 		case l := <-n.heirs:
 			if n.handOver(l) {
@@ -537,7 +537,7 @@
 			}
 		case choice.Stopping:
 			events = append(events, e)
-		case order:
+		case endpointCommand:
 			events = append(events, n.bar(e)...)
 		case arrival:
 			if p := n.accept(e, fresh); p != nil {
@@ -661,9 +661,9 @@
 // Bar leaves an endpoint out, or with lift lets it serve again. It returns once that is in the journal and the module
 // has it, or when ctx ends; then it may yet be done. It may be called at any time, and again.
 func (n *Node) SetEndpointEnabled(ctx context.Context, id string, lift bool) error {
-	o := order{id, lift, make(chan error, 1)}
+	o := endpointCommand{id, lift, make(chan error, 1)}
 	select {
-	case n.orders <- o:
+	case n.commands <- o:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -676,26 +676,26 @@
 }
 
 // bar carries out what the operators say of an endpoint. Saying it again changes nothing.
-func (n *Node) bar(o order) []choice.Event {
+func (n *Node) bar(o endpointCommand) []choice.Event {
 	was, known := n.journal.disabled[o.id]
 	if !known {
 		o.reply <- ErrUnknownEndpoint
 		return nil
 	}
 	n.acts = append(n.acts, act{do: func() { o.reply <- nil }})
-	if was != o.lift {
+	if was != o.enable {
 		return nil
 	}
 	kind := recordDisabled
-	if o.lift {
+	if o.enable {
 		kind = recordEnabled
 	}
 	n.journal.add(endpointRecord(kind, o.id, time.Now()))
-	n.log.Info("by hand", "endpoint", o.id, "serves", o.lift)
+	n.log.Info("by hand", "endpoint", o.id, "serves", o.enable)
 	if m, listed := n.members[o.id]; listed {
 		n.place(m, entries([]catalog.Endpoint{m}, n.cfg.Names)[0])
 	}
-	return []choice.Event{choice.EndpointDisabled{Endpoint: o.id, Lifted: o.lift}}
+	return []choice.Event{choice.EndpointDisabled{Endpoint: o.id, Lifted: o.enable}}
 }
 
 func (n *Node) shut(e *endpoint) {
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -93,12 +93,12 @@
 	mapNumber int64 // of the map; 0: there is none
 	member    bool  // it names this node
 	owned     ownership.Set
-	lost      []lost
+	lingering []lingeringPartitions
 	unkept    bool // the folder could not take the map
 }
 
 // lost are partitions that are followed on, for what was taken on for them.
-type lost struct {
+type lingeringPartitions struct {
 	set   ownership.Set
 	until time.Time
 }
@@ -106,7 +106,7 @@
 // at is what is followed at a time, and when that becomes less; zero: never.
 func (f *followedPartitions) setAt(now time.Time) (set ownership.Set, less time.Time) {
 	set = f.owned
-	for _, l := range f.lost {
+	for _, l := range f.lingering {
 		if now.Before(l.until) {
 			set = set.Union(l.set)
 			if less.IsZero() || l.until.Before(less) {
@@ -160,7 +160,7 @@
 		s.owned, s.member = m.PartitionsOf(s.name)
 		log.Info("beginning with the kept map of owners", "map", s.mapNumber, "member", s.member, "partitions", s.owned.Len())
 	}
-	var owed lost
+	var owed lingeringPartitions
 	for _, p := range j.live {
 		if p.final != nil {
 			continue
@@ -172,7 +172,7 @@
 			}
 		}
 	}
-	s.lost = []lost{owed}
+	s.lingering = []lingeringPartitions{owed}
 	s.follow = follower{name: s.name, log: log, nodes: max(cfg.Settings.FleetSize, 1), news: make(chan struct{}, 1), seen: -1, older: -1, unheard: unheardFor}
 	s.follow.told.Store(-1)
 	return s
@@ -245,7 +245,7 @@
 	owned, member := m.PartitionsOf(s.name)
 	followed, _ := s.setAt(now)
 	gone := s.owned.Without(owned)
-	soon, later := lost{until: now.Add(s.longest)}, lost{}
+	soon, later := lingeringPartitions{until: now.Add(s.longest)}, lingeringPartitions{}
 	for p := range gone.All() {
 		if last := time.Unix(0, s.latest[p]); last.After(soon.until) { // a client may give more time than its class has
 			later.set.Add(p)
@@ -255,15 +255,15 @@
 		}
 	}
 	soon.set = gone.Without(later.set)
-	var left []lost
-	for _, l := range append(slices.Clone(s.lost), soon, later) {
+	var left []lingeringPartitions
+	for _, l := range append(slices.Clone(s.lingering), soon, later) {
 		if l.set = l.set.Without(owned); l.set.Len() > 0 && now.Before(l.until) {
 			left = append(left, l)
 		}
 	}
 	s.log.Info("a new map of owners", "map", m.Number, "before", s.mapNumber, "member", member, "partitions", owned.Len(),
 		"gained", owned.Without(s.owned).Len(), "lost", gone.Len())
-	s.mapNumber, s.member, s.owned, s.lost, s.shown = m.Number, member, owned, left, false
+	s.mapNumber, s.member, s.owned, s.lingering, s.shown = m.Number, member, owned, left, false
 	unlisted := owned.Without(followed)
 	s.listed, s.covered = s.listed.Without(unlisted), s.covered.Without(unlisted)
 	s.due = raw
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -427,10 +427,10 @@
 	o.awaitMap(t, 2)
 	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
 	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
-	if !slices.ContainsFunc(o.seen().lost, func(l lost) bool { // a has 50 s
+	if !slices.ContainsFunc(o.seen().lingering, func(l lingeringPartitions) bool { // a has 50 s
 		return l.set.Has(ownership.PartitionOf(goes[0])) && time.Until(l.until) > 20*time.Second
 	}) {
-		t.Fatalf("followed on: %+v", o.seen().lost)
+		t.Fatalf("followed on: %+v", o.seen().lingering)
 	}
 	d.put(at("e3", p.addr(), goes[0], "SERVING"))
 	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
@@ -591,8 +591,8 @@
 	p.nextRequest(t)
 	d.setMap(t, mapOf(t, 3, half, "n1"))
 	o.awaitMap(t, 3)
-	if len(o.seen().lost) != 0 {
-		t.Errorf("lost: %+v", o.seen().lost)
+	if len(o.seen().lingering) != 0 {
+		t.Errorf("lost: %+v", o.seen().lingering)
 	}
 	mustAnswer(t, o.addr, enqueueCommand("b", to("payout", goes[1]), ""), "+OK")
 	mustAnswer(t, o.addr, enqueueCommand("c", to("order", goes[0]), ""), "+OK")
@@ -626,8 +626,8 @@
 	dead.close()
 	o = startOwner(t, state, "", owns(dead.addr()), nil)
 	o.ready(t)
-	if s := o.seen(); s.mapNumber != 2 || len(s.lost) != 1 || s.lost[0].set.Len() != 1 || time.Until(s.lost[0].until) < 20*time.Second {
-		t.Errorf("got %d, %+v", s.mapNumber, s.lost)
+	if s := o.seen(); s.mapNumber != 2 || len(s.lingering) != 1 || s.lingering[0].set.Len() != 1 || time.Until(s.lingering[0].until) < 20*time.Second {
+		t.Errorf("got %d, %+v", s.mapNumber, s.lingering)
 	}
 	if listed := o.node.figures.listedEndpoints.Load(); listed != 2 { // e3's partition is not followed
 		t.Errorf("%d endpoints", listed)
@@ -750,7 +750,7 @@
 		return a
 	}
 	refused := answer{refused: true, retryAfter: 3 * time.Second}
-	if f := hand(half); f.mapNumber != 2 || f.owned != set(half) || len(f.lost) != 0 {
+	if f := hand(half); f.mapNumber != 2 || f.owned != set(half) || len(f.lingering) != 0 {
 		t.Fatalf("got %+v", f)
 	}
 	// An arrival in the batch that brings its list: the module does not know it yet, and it is not unknown.
@@ -791,8 +791,8 @@
 	// Lost, with nothing held, and let go of at once; gained anew, nothing is known of it until its list comes.
 	n.own.longest = 0
 	parted := mapOf(t, 4, whole, "n1", "n2")
-	if f := hand(parted); len(f.lost) != 0 {
-		t.Errorf("with nothing held: %+v", f.lost)
+	if f := hand(parted); len(f.lingering) != 0 {
+		t.Errorf("with nothing held: %+v", f.lingering)
 	}
 	hand(mapOf(t, 5, parted, "n1"))
 	for i, dest := range goes[1:] {
@@ -852,11 +852,11 @@
 
 	young := startOwner(t, state, old.addr, owns(d.addr()), nil)
 	eventually(t, "handed over", func() bool {
-		return old.node.NotReadyReason() == stages[handedOver] && young.node.NotReadyReason() == ""
+		return old.node.NotReadyReason() == stages[stageHandedOver] && young.node.NotReadyReason() == ""
 	})
 	s := young.seen()
-	if s.mapNumber != 2 || len(s.lost) != 1 || !s.lost[0].set.Has(ownership.PartitionOf(goes[0])) {
-		t.Errorf("got %d, %+v", s.mapNumber, s.lost)
+	if s.mapNumber != 2 || len(s.lingering) != 1 || !s.lingering[0].set.Has(ownership.PartitionOf(goes[0])) {
+		t.Errorf("got %d, %+v", s.mapNumber, s.lingering)
 	}
 	mustAnswer(t, young.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
 	mustAnswer(t, young.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
