--- a/fleet/capacity/capacity_test.go
+++ b/fleet/capacity/capacity_test.go
@@ -12,7 +12,7 @@
 )
 
 // committedTarget returns the target in the repository.
-func theTarget(t testing.TB) Target {
+func committedTarget(t testing.TB) Target {
 	t.Helper()
 	raw, err := os.ReadFile("../../docs/capacity/target.toml")
 	if err != nil {
@@ -46,7 +46,7 @@
 
 // The expected values were computed by hand from the operators' table.
 func TestTargetByHand(t *testing.T) {
-	target := theTarget(t)
+	target := committedTarget(t)
 	for _, c := range []struct {
 		what      string
 		got, want float64
@@ -87,7 +87,7 @@
 }
 
 func TestLinesByHand(t *testing.T) {
-	target := theTarget(t)
+	target := committedTarget(t)
 	heap := slope("node.destinations.heap", 2e6, 1000, 1000, 38_000)
 	heap.StdErr = 10
 	square := slope("journal.start", 0, 0, 1000, 1e6)
@@ -112,7 +112,7 @@
 		// 2 MB + 380,000 × 1 KB of 64 MB: (64 - 2) / 380; measured up to a tenth.
 		{"control.memory.heap", false, 382e6, 62.0 / 380, Extrapolated, 10, ByMemory},
 		// Constant: it never ends.
-		{"control.memory.nodes", false, 5e6, mostLook, Measured, 0, ByMemory},
+		{"control.memory.nodes", false, 5e6, maxSearch, Measured, 0, ByMemory},
 		// 10,853,658.5 squared × 1e-12 s of 10 s: the root of 10e12, which is 3,162,277.66.
 		{"failure.start.backlog", false, 117.801903629, 3_162_277.66017 / 10_853_658.5366, Extrapolated, 10.8536585366, ByTime},
 		// 231.7 a second × 10.85 ms.
@@ -150,10 +150,10 @@
 	if !near(l.StdErr, 3.8e6) { // 380,000 × 10 B
 		t.Errorf("the heap's standard error is %v, by hand 3.8e6", l.StdErr)
 	}
-	if got, want := l.figure(), "382 MB ± 3.8 MB"; got != want {
+	if got, want := l.figureText(), "382 MB ± 3.8 MB"; got != want {
 		t.Errorf("the heap is formatted as %q, want %q", got, want)
 	}
-	if got, want := l.end(), "16% of the destinations"; got != want {
+	if got, want := l.endText(), "16% of the destinations"; got != want {
 		t.Errorf("its end is formatted as %q, want %q", got, want)
 	}
 	if got, want := l.Provenance.String(), "worked out, 10 times past what was measured"; got != want {
@@ -170,15 +170,15 @@
 }
 
 func TestMissingIsNeverZero(t *testing.T) {
-	r := Compute(theTarget(t), nil)
+	r := Compute(committedTarget(t), nil)
 	some := 0
 	for _, l := range r.Lines {
 		if len(l.Slopes) == 0 {
 			continue
 		}
 		some++
-		if l.Figure != nil || l.Provenance.Source != Missing || l.figure() != "missing" || !strings.HasPrefix(l.Provenance.String(), "missing: ") {
-			t.Errorf("%s has no slope, but its figure is %q, its provenance %q", l.ID, l.figure(), l.Provenance)
+		if l.Figure != nil || l.Provenance.Source != Missing || l.figureText() != "missing" || !strings.HasPrefix(l.Provenance.String(), "missing: ") {
+			t.Errorf("%s has no slope, but its figure is %q, its provenance %q", l.ID, l.figureText(), l.Provenance)
 		}
 		if l.End.Share != nil && !l.End.NoMechanism && !l.End.UpperBound {
 			t.Errorf("%s has no slope, but ends at %v", l.ID, *l.End.Share)
@@ -188,21 +188,21 @@
 		t.Errorf("only %d lines need slopes", some)
 	}
 	// One of two slopes is not enough, and a cap alone gives only an upper bound.
-	r = Compute(theTarget(t), []Slope{slope("node.list.bytes", 0, 200, 100, 400_000), slope("node.watch.bytes", 1, 0, 1, 1000)})
+	r = Compute(committedTarget(t), []Slope{slope("node.list.bytes", 0, 200, 100, 400_000), slope("node.watch.bytes", 1, 0, 1, 1000)})
 	l := lineOf(t, r, "control.messages.all", false)
 	if l.Figure != nil || !slices.Equal(l.Provenance.Missing, []string{"node.change.bytes"}) {
 		t.Errorf("with one slope missing: figure %v, missing %v", l.Figure, l.Provenance.Missing)
 	}
-	w := row{axis: ByDestinations, place: "x", unit: Bytes, figure: one("node.destinations.heap", Target.destinationsMeasured),
-		limits: []limit{controlMemory, capOf(boundMembers, told(Target.Endpoints))}}
-	l = w.line(theTarget(t), nil)
-	if !l.End.UpperBound || l.end() != "at most 7.7% of the destinations" {
-		t.Errorf("a cap beside a missing slope: %q", l.end())
+	w := row{axis: ByDestinations, place: "x", unit: Bytes, figure: fromSlope("node.destinations.heap", Target.destinationsMeasured),
+		limits: []limit{controlMemory, capLimit(boundMembers, fromTarget(Target.Endpoints))}}
+	l = w.line(committedTarget(t), nil)
+	if !l.End.UpperBound || l.endText() != "at most 7.7% of the destinations" {
+		t.Errorf("a cap beside a missing slope: %q", l.endText())
 	}
 }
 
-func TestGuessesAreSaid(t *testing.T) {
-	target := theTarget(t)
+func TestGuessesAreShown(t *testing.T) {
+	target := committedTarget(t)
 	r := Compute(target, []Slope{slope("node.change.step", 0, 1e-8, 1, 1e6), slope("node.list.bytes", 0, 200, 100, 400_000)})
 	for id, want := range map[string]string{
 		"control.processor.changes": "guessed (list.changes_per_s); measured",
@@ -220,10 +220,10 @@
 	}
 }
 
-func TestTableIsWhole(t *testing.T) {
+func TestTableIsComplete(t *testing.T) {
 	ids, used := map[string]bool{}, map[string]bool{}
 	kinds := map[Role]map[Kind]bool{}
-	none := &reading{}
+	none := &slopeReader{}
 	known := func(name string) bool {
 		return slices.ContainsFunc(mechanisms, func(m Mechanism) bool { return m.Name == name })
 	}
@@ -236,22 +236,22 @@
 			kinds[w.role] = map[Kind]bool{}
 		}
 		kinds[w.role][w.kind] = true
-		if w.what == "" || w.axis == "" || w.formula == "" || w.figure != nil && w.unit == "" {
+		if w.description == "" || w.axis == "" || w.formula == "" || w.figure != nil && w.unit == "" {
 			t.Errorf("%s is incomplete: %+v", w.id, w)
 		}
-		if w.place == "" && len(w.waits) == 0 {
+		if w.place == "" && len(w.waitsFor) == 0 {
 			t.Errorf("%s has no mechanism and waits for none", w.id)
 		}
-		for _, name := range w.waits {
+		for _, name := range w.waitsFor {
 			if !known(name) {
 				t.Errorf("%s waits for %q, which is not a mechanism", w.id, name)
 			}
 		}
 		if w.figure != nil {
-			w.figure(theTarget(t), none)
+			w.figure(committedTarget(t), none)
 		}
 		if w.owned != nil {
-			w.owned.figure(theTarget(t), none)
+			w.owned.figure(committedTarget(t), none)
 		}
 		for _, id := range none.missing {
 			used[id] = true
@@ -260,9 +260,9 @@
 			}
 		}
 		// The printed formula names the slopes that are used.
-		alone := &reading{}
+		alone := &slopeReader{}
 		if w.figure != nil {
-			w.figure(theTarget(t), alone)
+			w.figure(committedTarget(t), alone)
 		}
 		for _, id := range alone.missing {
 			if !strings.Contains(w.formula, id) {
@@ -292,7 +292,7 @@
 }
 
 // setBuilt marks the named mechanisms as built, and no others, for the duration of the test.
-func builds(t *testing.T, names ...string) {
+func setBuilt(t *testing.T, names ...string) {
 	before := mechanisms
 	t.Cleanup(func() { mechanisms = before })
 	mechanisms = slices.Clone(mechanisms)
@@ -305,7 +305,7 @@
 	measured := []Slope{slope("node.destinations.heap", 0, 1000, 100, 400_000), slope("node.list.step", 0, 1e-5, 100, 400_000),
 		slope("node.change.step", 0, 1e-5, 100, 400_000), slope("owned.destinations.heap", 0, 1000, 100, 5000), slope("owned.change.step", 0, 1e-3, 100, 5000)}
 	waits := func() (rows []string, names []string) {
-		for _, s := range Compute(theTarget(t), measured).Steps {
+		for _, s := range Compute(committedTarget(t), measured).Steps {
 			names = append(names, s.Name)
 			if s.Name == ownership {
 				rows = s.Rows
@@ -313,38 +313,38 @@
 		}
 		return rows, names
 	}
-	builds(t)
+	setBuilt(t)
 	// The lines with ownership tell how far it would carry, and do not count until it is built.
-	l := lineOf(t, Compute(theTarget(t), measured), "control.memory.heap", true)
+	l := lineOf(t, Compute(committedTarget(t), measured), "control.memory.heap", true)
 	if l.Mechanism != "missing" || l.End.NoMechanism || !near(*l.End.Share, 64e6/(1000*380_000*3/820.0)) {
 		t.Errorf("before it is built: %+v", l)
 	}
 	if rows, _ := waits(); !slices.Contains(rows, "control.memory.heap") || !slices.Contains(rows, "control.time.list") {
 		t.Errorf("rows that wait for it before it is built: %v", rows)
 	}
-	builds(t, ownership)
-	if l := lineOf(t, Compute(theTarget(t), measured), "control.memory.heap", true); l.Mechanism != "choice" {
+	setBuilt(t, ownership)
+	if l := lineOf(t, Compute(committedTarget(t), measured), "control.memory.heap", true); l.Mechanism != "choice" {
 		t.Errorf("once it is built: %+v", l)
 	}
 	if _, names := waits(); slices.Contains(names, ownership) {
 		t.Errorf("a built mechanism is still listed as missing: %v", names)
 	}
-	table := Compute(theTarget(t), measured).orderTable()
+	table := Compute(committedTarget(t), measured).orderTable()
 	if strings.Contains(table, "heap, by destinations |") || strings.Contains(table, "heap, by destinations, with ownership |") ||
 		!strings.Contains(table, "its loop stands still for a whole list |") ||
 		!strings.Contains(table, "its loop stands still for one change, with ownership |") {
 		t.Errorf("rows measured with ownership must be listed with it, others without:\n%s", table)
 	}
-	for _, s := range Compute(theTarget(t), measured).Steps {
+	for _, s := range Compute(committedTarget(t), measured).Steps {
 		if slices.Contains(s.Needs, ownership) {
 			t.Errorf("%s still needs ownership first", s.Name)
 		}
 	}
 }
 
-func TestOrder(t *testing.T) {
-	builds(t)
-	r := Compute(theTarget(t), nil)
+func TestRoadmap(t *testing.T) {
+	setBuilt(t)
+	r := Compute(committedTarget(t), nil)
 	at := map[string]int{}
 	for i, s := range r.Steps {
 		at[s.Name] = i
@@ -371,7 +371,7 @@
 		t.Errorf("followers: %+v", f)
 	}
 	// A row that carries the target waits for nothing.
-	r = Compute(theTarget(t), []Slope{slope("node.destinations.heap", 0, 10, 100, 400_000)})
+	r = Compute(committedTarget(t), []Slope{slope("node.destinations.heap", 0, 10, 100, 400_000)})
 	for _, s := range r.Steps {
 		if slices.Contains(s.Rows, "control.memory.heap") || slices.Contains(s.Unknown, "control.memory.heap") {
 			t.Errorf("a heap of 3.8 MB waits for %s", s.Name)
@@ -534,7 +534,7 @@
 
 // What grows costs more and ends earlier; a larger budget ends later; at its end a row is at its bound.
 func TestMoreCostsMore(t *testing.T) {
-	target := theTarget(t)
+	target := committedTarget(t)
 	rapid.Check(t, func(t *rapid.T) {
 		slopes := drawSlopes(t, "slopes")
 		before := Compute(target, slopes)
@@ -585,11 +585,11 @@
 				if amount == nil {
 					amount = w.figure
 				}
-				share, beyond, ok := reach(func(f float64) float64 { return amount(target.Scaled(w.axis, f), &reading{slopes: of}) }, b.value(target))
+				share, beyond, ok := findEnd(func(f float64) float64 { return amount(target.Scaled(w.axis, f), &slopeReader{slopes: of}) }, b.value(target))
 				if !ok || beyond || share == 0 {
 					continue
 				}
-				if at := amount(target.Scaled(w.axis, share), &reading{slopes: of}); math.Abs(at-b.value(target)) > 1e-6*b.value(target) {
+				if at := amount(target.Scaled(w.axis, share), &slopeReader{slopes: of}); math.Abs(at-b.value(target)) > 1e-6*b.value(target) {
 					t.Fatalf("%s ends at %v of the target, where its amount is %v of %v", w.id, share, at, b.value(target))
 				}
 			}
@@ -597,7 +597,7 @@
 	})
 }
 
-func TestFiguresAreWritten(t *testing.T) {
+func TestFiguresAreFormatted(t *testing.T) {
 	for _, c := range []struct {
 		v    float64
 		u    Unit
@@ -613,7 +613,7 @@
 		}
 	}
 	for share, want := range map[float64]string{0: "under 0.1%", 0.0004: "under 0.1%", 0.003: "0.3%", 0.0774: "7.7%", 0.29: "29%", 0.999: "99%", 1: "100%", 9.99: "999%", 24.4: "24 times", 1e4: "10,000 times"} {
-		if got := percent(share); got != want {
+		if got := formatShare(share); got != want {
 			t.Errorf("%v is formatted as %q, want %q", share, got, want)
 		}
 	}
--- a/fleet/capacity/formats_test.go
+++ b/fleet/capacity/formats_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	text := golden.Check(t, "target.toml", raw)
-	if err := tomlfile.Decode(text, &got, unknown); err != nil || !reflect.DeepEqual(got, target) {
+	if err := tomlfile.Decode(text, &got, unknownSetting); err != nil || !reflect.DeepEqual(got, target) {
 		t.Errorf("decoded target %+v differs from %+v: %v", got, target, err)
 	}
 }
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	var got slopeFile
-	if err := tomlfile.Decode(golden.Check(t, "slopes.toml", raw), &got, unknown); err != nil || !reflect.DeepEqual(got.Slopes, all) {
+	if err := tomlfile.Decode(golden.Check(t, "slopes.toml", raw), &got, unknownSetting); err != nil || !reflect.DeepEqual(got.Slopes, all) {
 		t.Errorf("decoded slopes %+v differ from %+v: %v", got.Slopes, all, err)
 	}
 }
--- a/fleet/capacity/page.go
+++ b/fleet/capacity/page.go
@@ -22,42 +22,42 @@
 	}
 	var out strings.Builder
 	var found []error
-	bad := func(line int, format string, args ...any) {
+	addError := func(line int, format string, args ...any) {
 		found = append(found, &Error{Line: line, Message: fmt.Sprintf(format, args...)})
 	}
 	seen := map[string]bool{}
-	begun, open := 0, "" // line of a begin mark whose end mark has not been seen; 0: none
+	beginLine, openTable := 0, "" // line of a begin mark whose end mark has not been seen; 0: none
 	for i, line := range strings.SplitAfter(string(page), "\n") {
 		mark := strings.TrimSpace(line)
 		switch name, isBegin := strings.CutPrefix(mark, beginMark); {
-		case isBegin && begun > 0:
-			bad(i+1, "a table begins before the end of table %q of line %d", open, begun)
+		case isBegin && beginLine > 0:
+			addError(i+1, "a table begins before the end of table %q of line %d", openTable, beginLine)
 		case isBegin:
 			name = strings.TrimSuffix(name, markEnds)
 			s, ok := of[name]
 			if !ok {
-				bad(i+1, "there is no table %q", name)
+				addError(i+1, "there is no table %q", name)
 			}
 			if seen[name] {
-				bad(i+1, "duplicate table %q", name)
+				addError(i+1, "duplicate table %q", name)
 			}
 			seen[name] = true
-			begun, open = i+1, name
+			beginLine, openTable = i+1, name
 			out.WriteString(beginMark + name + markEnds + "\n" + s.Table + endMark + "\n")
-		case mark == endMark && begun == 0:
-			bad(i+1, "end mark without a begin mark")
+		case mark == endMark && beginLine == 0:
+			addError(i+1, "end mark without a begin mark")
 		case mark == endMark:
-			begun = 0
-		case begun == 0:
+			beginLine = 0
+		case beginLine == 0:
 			out.WriteString(line)
 		}
 	}
-	if begun > 0 {
-		bad(begun, "the table %q has no end mark", open)
+	if beginLine > 0 {
+		addError(beginLine, "the table %q has no end mark", openTable)
 	}
 	for _, s := range sections {
 		if !seen[s.Name] {
-			bad(0, "the table %q has no place: put %s%s%s and %s where it belongs", s.Name, beginMark, s.Name, markEnds, endMark)
+			addError(0, "the table %q has no place: put %s%s%s and %s where it belongs", s.Name, beginMark, s.Name, markEnds, endMark)
 		}
 	}
 	if err := errors.Join(found...); err != nil {
--- a/fleet/capacity/print.go
+++ b/fleet/capacity/print.go
@@ -14,45 +14,45 @@
 func (q Quantity) String() string {
 	switch q.Unit {
 	case Bytes:
-		return scaled(q.Value, 1000, "B", "KB", "MB", "GB", "TB")
+		return formatScaled(q.Value, 1000, "B", "KB", "MB", "GB", "TB")
 	case BytesPerS:
-		return scaled(q.Value, 1000, "B/s", "KB/s", "MB/s", "GB/s")
+		return formatScaled(q.Value, 1000, "B/s", "KB/s", "MB/s", "GB/s")
 	case Seconds:
 		switch v := math.Abs(q.Value); {
 		case v >= 2*3600:
-			return digits(q.Value/3600) + " h"
+			return formatNumber(q.Value/3600) + " h"
 		case v >= 120:
-			return digits(q.Value/60) + " min"
+			return formatNumber(q.Value/60) + " min"
 		case v >= 1 || v == 0:
-			return digits(q.Value) + " s"
+			return formatNumber(q.Value) + " s"
 		case v >= 1e-3:
-			return digits(q.Value*1e3) + " ms"
+			return formatNumber(q.Value*1e3) + " ms"
 		}
-		return digits(q.Value*1e6) + " us"
+		return formatNumber(q.Value*1e6) + " us"
 	case Cores:
 		if q.Value == 1 {
 			return "1 core"
 		}
-		return digits(q.Value) + " cores"
+		return formatNumber(q.Value) + " cores"
 	case CountPerS:
-		return digits(q.Value) + "/s"
+		return formatNumber(q.Value) + "/s"
 	}
-	return digits(q.Value)
+	return formatNumber(q.Value)
 }
 
 // formatScaled formats a value in the largest unit in which it is at least 1.
-func scaled(v, step float64, units ...string) string {
+func formatScaled(v, step float64, units ...string) string {
 	i := 0
 	for i < len(units)-1 && math.Abs(v) >= step {
 		v /= step
 		i++
 	}
-	return digits(v) + " " + units[i]
+	return formatNumber(v) + " " + units[i]
 }
 
 // formatNumber formats a number with three digits, or with all digits before the decimal point if there are
 // more.
-func digits(v float64) string {
+func formatNumber(v float64) string {
 	if v == 0 {
 		return "0"
 	}
@@ -72,11 +72,11 @@
 }
 
 // formatShare formats a share of the target that is reached, rounded down.
-func percent(share float64) string {
+func formatShare(share float64) string {
 	const eps = 1e-9 // a share found by bisection may be slightly below the whole number
 	switch {
 	case share >= 10:
-		return digits(math.Floor(share+eps)) + " times"
+		return formatNumber(math.Floor(share+eps)) + " times"
 	case share >= 0.1:
 		return strconv.FormatFloat(math.Floor(share*100+eps), 'f', 0, 64) + "%"
 	case share >= 0.001:
@@ -86,7 +86,7 @@
 }
 
 // figureText returns the text of the "at the target" column.
-func (l Line) figure() string {
+func (l Line) figureText() string {
 	switch {
 	case l.Figure != nil && l.StdErr > 0:
 		return l.Figure.String() + " ± " + Quantity{l.StdErr, l.Figure.Unit}.String()
@@ -98,7 +98,7 @@
 	return "-"
 }
 
-func (l Line) budget() string {
+func (l Line) budgetText() string {
 	if l.Budget == nil {
 		return "-"
 	}
@@ -106,7 +106,7 @@
 }
 
 // endText returns the text of the "ends at" column.
-func (l Line) end() string {
+func (l Line) endText() string {
 	switch {
 	case l.End.NoMechanism:
 		return "nothing"
@@ -115,7 +115,7 @@
 	case l.End.Share == nil:
 		return "-"
 	}
-	text := percent(*l.End.Share)
+	text := formatShare(*l.End.Share)
 	if *l.End.Share < 10 {
 		text += " of"
 	}
@@ -129,7 +129,7 @@
 	return text
 }
 
-func (l Line) ending() string {
+func (l Line) causeText() string {
 	switch {
 	case l.End.NoMechanism:
 		return l.End.Limit
@@ -144,9 +144,9 @@
 	s := string(k.Source)
 	switch k.Source {
 	case Extrapolated:
-		s = "worked out, " + digits(k.AboveRange) + " times past what was measured"
+		s = "worked out, " + formatNumber(k.AboveRange) + " times past what was measured"
 		if k.AboveRange == 0 {
-			s = "worked out, " + digits(k.BelowRange) + " times below what was measured"
+			s = "worked out, " + formatNumber(k.BelowRange) + " times below what was measured"
 		}
 	case Missing:
 		s = "missing: " + strings.Join(k.Missing, ", ")
@@ -157,7 +157,7 @@
 	return s
 }
 
-func (l Line) what() string {
+func (l Line) descriptionText() string {
 	if l.WithOwnership {
 		return "— with ownership"
 	}
@@ -178,15 +178,15 @@
 		name string
 		role Role
 	}{{"node-control", NodeControl}, {"node-own", NodeOwn}, {"directory", Directory}, {"follower", Follower}, {"operators", Operators}, {"failures", Failure}} {
-		all = append(all, Section{s.name, upper(string(s.role)), r.roleTable(s.role)})
+		all = append(all, Section{s.name, upperFirst(string(s.role)), r.roleTable(s.role)})
 	}
 	return append(all, Section{"order", "What ends first", r.orderTable()}, Section{"roadmap", "What waits for what", r.stepsTable()},
 		Section{"slopes", "Slopes", r.slopesTable()}, Section{"bounds", "Bounds in the code", r.factsTable()})
 }
 
-func upper(s string) string { return strings.ToUpper(s[:1]) + s[1:] }
+func upperFirst(s string) string { return strings.ToUpper(s[:1]) + s[1:] }
 
-func table(head []string, rows [][]string) string {
+func markdownTable(head []string, rows [][]string) string {
 	var b strings.Builder
 	line := func(cells []string) { fmt.Fprintf(&b, "| %s |\n", strings.Join(cells, " | ")) }
 	line(head)
@@ -204,13 +204,13 @@
 	var rows [][]string
 	for _, l := range r.Lines {
 		if l.Role == role {
-			rows = append(rows, []string{string(l.Kind), l.what(), l.figure(), l.budget(), l.end(), l.ending(), code(l.Mechanism), l.Provenance.String(), l.Formula})
+			rows = append(rows, []string{string(l.Kind), l.descriptionText(), l.figureText(), l.budgetText(), l.endText(), l.causeText(), codeSpan(l.Mechanism), l.Provenance.String(), l.Formula})
 		}
 	}
-	return table([]string{"kind", "what", "at the target", "budget", "ends at", "what ends it", "carried by", "known", "worked out as"}, rows)
+	return markdownTable([]string{"kind", "what", "at the target", "budget", "ends at", "what ends it", "carried by", "known", "worked out as"}, rows)
 }
 
-func code(place string) string {
+func codeSpan(place string) string {
 	if place == "missing" {
 		return place
 	}
@@ -230,7 +230,7 @@
 			if slices.Contains(r.Target.Guessed, name) {
 				from = "guessed"
 			}
-			rows = append(rows, []string{name, digits(v.Field(i).Field(k).Float()), from})
+			rows = append(rows, []string{name, formatNumber(v.Field(i).Field(k).Float()), from})
 		}
 	}
 	t := r.Target
@@ -242,18 +242,18 @@
 		{"endpoints", t.Endpoints(), Count}, {"destinations down", t.DestinationsDown(), Count}, {"nodes of a zone", t.NodesZone(), Count},
 		{"nodes of a region", t.NodesRegion(), Count}, {"events of a node", t.EventsPerSNode(), CountPerS}, {"backlog of a node", t.HeldNode(), Count},
 		{"backlog, as time of all events", t.Events.Held / t.Events.PerS, Seconds}, {"one destination meets one node each", t.Destinations.Count * t.Fleet.Nodes / t.Events.PerS, Seconds},
-		{"one change of the configuration each", secondsADay / t.Configuration.ChangesPerDay, Seconds}, {"one restart each", secondsADay / t.Failures.RestartsPerDay, Seconds},
+		{"one change of the configuration each", secondsPerDay / t.Configuration.ChangesPerDay, Seconds}, {"one restart each", secondsPerDay / t.Failures.RestartsPerDay, Seconds},
 		{"destinations of a node, with ownership", t.destinationsOwned(), Count},
 	} {
 		rows = append(rows, []string{w.what, Quantity{w.v, w.unit}.String(), "worked out"})
 	}
-	return table([]string{"setting", "value", "known"}, rows)
+	return markdownTable([]string{"setting", "value", "known"}, rows)
 }
 
 // orderTable lists the rows by where they end, the nearest first, then those whose end is unknown. Rows that
 // carry the target are only counted.
 func (r Report) orderTable() string {
-	lines := best(r.Lines)
+	lines := currentLines(r.Lines)
 	at := func(l Line) float64 {
 		if l.End.Share == nil {
 			return math.Inf(1)
@@ -279,16 +279,16 @@
 		if l.WithOwnership {
 			what += ", with ownership"
 		}
-		rows = append(rows, []string{l.end(), l.ending(), string(l.Role) + ", " + string(l.Kind) + ": " + what, waits})
+		rows = append(rows, []string{l.endText(), l.causeText(), string(l.Role) + ", " + string(l.Kind) + ": " + what, waits})
 	}
 	rows = append(rows, []string{"the target or more", "", fmt.Sprintf("%d further rows", carried), ""})
-	return table([]string{"ends at", "what ends it", "row", "waits for"}, rows)
+	return markdownTable([]string{"ends at", "what ends it", "row", "waits for"}, rows)
 }
 
 func (r Report) stepsTable() string {
 	var rows [][]string
 	for i, s := range r.Steps {
-		least := percent(s.MinShare)
+		least := formatShare(s.MinShare)
 		switch {
 		case len(s.Rows) == 0:
 			least = "-"
@@ -299,9 +299,9 @@
 		if needs == "" {
 			needs = "-"
 		}
-		rows = append(rows, []string{strconv.Itoa(i + 1), s.Name, code(s.Place), least, strconv.Itoa(len(s.Rows)), strconv.Itoa(s.NearRows), strconv.Itoa(len(s.Unknown)), needs})
+		rows = append(rows, []string{strconv.Itoa(i + 1), s.Name, codeSpan(s.Place), least, strconv.Itoa(len(s.Rows)), strconv.Itoa(s.NearRows), strconv.Itoa(len(s.Unknown)), needs})
 	}
-	return table([]string{"", "mechanism that is missing", "its place", "least end of a row that waits", "rows that wait", "of them under 1%", "rows with unknown end", "needs first"}, rows)
+	return markdownTable([]string{"", "mechanism that is missing", "its place", "least end of a row that waits", "rows that wait", "of them under 1%", "rows with unknown end", "needs first"}, rows)
 }
 
 func (r Report) slopesTable() string {
@@ -318,10 +318,10 @@
 		if s.Form == Quadratic {
 			form += " + " + y(s.QuadraticCoef) + " × x²"
 		}
-		rows = append(rows, []string{s.ID, s.Description, form, "± " + y(s.StdErr), digits(s.From) + " to " + digits(s.To) + ", " + s.XUnit,
-			fmt.Sprintf("%d × %d", s.Points, s.Repeats), digits(s.MaxResidual*100) + "%", "`" + s.Run + "`", s.Commit})
+		rows = append(rows, []string{s.ID, s.Description, form, "± " + y(s.StdErr), formatNumber(s.From) + " to " + formatNumber(s.To) + ", " + s.XUnit,
+			fmt.Sprintf("%d × %d", s.Points, s.Repeats), formatNumber(s.MaxResidual*100) + "%", "`" + s.Run + "`", s.Commit})
 	}
-	return table([]string{"slope", "of what", "figure at x", "spread", "measured x", "points × plays", "missed by", "run", "build"}, rows)
+	return markdownTable([]string{"slope", "of what", "figure at x", "spread", "measured x", "points × plays", "missed by", "run", "build"}, rows)
 }
 
 func (r Report) factsTable() string {
@@ -333,5 +333,5 @@
 		}
 		rows = append(rows, []string{"`" + f.Name + "`", Quantity{f.Value, f.Unit}.String(), f.Description, setting, "`" + f.Place + "`"})
 	}
-	return table([]string{"bound", "value", "of what", "moved by", "place"}, rows)
+	return markdownTable([]string{"bound", "value", "of what", "moved by", "place"}, rows)
 }
--- a/fleet/capacity/slope.go
+++ b/fleet/capacity/slope.go
@@ -72,7 +72,7 @@
 }
 
 // plusStdErr returns the slope with its leading coefficient increased by its standard error.
-func (s Slope) shifted() Slope {
+func (s Slope) plusStdErr() Slope {
 	switch s.Form {
 	case Constant:
 		s.Intercept += s.StdErr
@@ -111,24 +111,24 @@
 // joined.
 func ParseSlopes(text []byte) ([]Slope, error) {
 	var f slopeFile
-	if err := tomlfile.Decode(text, &f, unknown); err != nil {
+	if err := tomlfile.Decode(text, &f, unknownSetting); err != nil {
 		return nil, err
 	}
-	where := tomlfile.KeyLines(text)
+	lines := tomlfile.KeyLines(text)
 	var found []error
 	seen := map[string]bool{}
 	for i, s := range f.Slopes {
 		table := fmt.Sprintf("slope[%d]", i)
 		err := s.check(func(name, format string, args ...any) error {
-			line := where[table+"."+name]
+			line := lines[table+"."+name]
 			if line == 0 {
-				line = where[table]
+				line = lines[table]
 			}
 			return &Error{Line: line, Message: fmt.Sprintf("slope %q: ", s.ID) + fmt.Sprintf(format, args...)}
 		})
 		found = append(found, err)
 		if seen[s.ID] {
-			found = append(found, &Error{Line: where[table+".id"], Message: fmt.Sprintf("duplicate slope %q", s.ID)})
+			found = append(found, &Error{Line: lines[table+".id"], Message: fmt.Sprintf("duplicate slope %q", s.ID)})
 		}
 		seen[s.ID] = true
 	}
@@ -136,37 +136,37 @@
 }
 
 // check returns all errors of a slope, joined; newError makes an error of a setting's name and a text.
-func (s Slope) check(bad func(name, format string, args ...any) error) error {
+func (s Slope) check(newError func(name, format string, args ...any) error) error {
 	var found []error
-	wrong := func(is bool, name, format string, args ...any) {
+	failIf := func(is bool, name, format string, args ...any) {
 		if is {
-			found = append(found, bad(name, format, args...))
+			found = append(found, newError(name, format, args...))
 		}
 	}
 	finite := func(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
-	wrong(!wellFormedID.MatchString(s.ID), "id", "id must be lower-case words with dots between them")
-	wrong(s.Description == "", "what", "what is missing")
-	wrong(s.XUnit == "", "per", "per is missing: the unit of x")
-	wrong(!slices.Contains([]Unit{Bytes, BytesPerS, Seconds, Cores, Count, CountPerS}, s.Unit), "unit",
+	failIf(!wellFormedID.MatchString(s.ID), "id", "id must be lower-case words with dots between them")
+	failIf(s.Description == "", "what", "what is missing")
+	failIf(s.XUnit == "", "per", "per is missing: the unit of x")
+	failIf(!slices.Contains([]Unit{Bytes, BytesPerS, Seconds, Cores, Count, CountPerS}, s.Unit), "unit",
 		"unit %q is none of B, B/s, s, s/s, count, count/s", s.Unit)
 	want, known := units[s.ID]
-	wrong(known && s.Unit != want, "unit", "unit must be %s, is %q", want, s.Unit)
-	wrong(!slices.Contains([]Form{Constant, Linear, Quadratic}, s.Form), "form", "form %q is none of constant, linear, quadratic", s.Form)
-	wrong(s.Form == Constant && s.LinearCoef != 0, "slope", "slope must be 0 if the form is constant")
-	wrong(s.Form != Quadratic && s.QuadraticCoef != 0, "square", "square must be 0 unless the form is quadratic")
+	failIf(known && s.Unit != want, "unit", "unit must be %s, is %q", want, s.Unit)
+	failIf(!slices.Contains([]Form{Constant, Linear, Quadratic}, s.Form), "form", "form %q is none of constant, linear, quadratic", s.Form)
+	failIf(s.Form == Constant && s.LinearCoef != 0, "slope", "slope must be 0 if the form is constant")
+	failIf(s.Form != Quadratic && s.QuadraticCoef != 0, "square", "square must be 0 unless the form is quadratic")
 	for _, c := range []struct {
 		name string
 		v    float64
 	}{{"at0", s.Intercept}, {"slope", s.LinearCoef}, {"square", s.QuadraticCoef}} {
-		wrong(!finite(c.v), c.name, "%s is not a finite number", c.name)
+		failIf(!finite(c.v), c.name, "%s is not a finite number", c.name)
 	}
-	wrong(!(s.StdErr >= 0) || !finite(s.StdErr), "spread", "spread must be 0 or more")
-	wrong(!(s.MaxResidual >= 0) || !finite(s.MaxResidual), "worst", "worst must be 0 or more")
-	wrong(!(s.From >= 0) || !(s.To > s.From) || !finite(s.To), "to", "the measured range from %v to %v is empty or reversed", s.From, s.To)
-	wrong(s.Points < 1, "points", "points must be 1 or more")
-	wrong(s.Repeats < 1, "plays", "plays must be 1 or more")
-	wrong(s.Run == "", "run", "run is missing: the committed table with the measurements")
-	wrong(s.Commit == "", "commit", "commit is missing: the measured build")
+	failIf(!(s.StdErr >= 0) || !finite(s.StdErr), "spread", "spread must be 0 or more")
+	failIf(!(s.MaxResidual >= 0) || !finite(s.MaxResidual), "worst", "worst must be 0 or more")
+	failIf(!(s.From >= 0) || !(s.To > s.From) || !finite(s.To), "to", "the measured range from %v to %v is empty or reversed", s.From, s.To)
+	failIf(s.Points < 1, "points", "points must be 1 or more")
+	failIf(s.Repeats < 1, "plays", "plays must be 1 or more")
+	failIf(s.Run == "", "run", "run is missing: the committed table with the measurements")
+	failIf(s.Commit == "", "commit", "commit is missing: the measured build")
 	return errors.Join(found...)
 }
 
--- a/fleet/capacity/target.go
+++ b/fleet/capacity/target.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	secondsADay = 86_400
-	kb, mb      = 1e3, 1e6
+	secondsPerDay = 86_400
+	kb, mb        = 1e3, 1e6
 
 	// The slopes by destinations were measured with this many endpoints for each destination. A target with
 	// another number is converted to the number of destinations with the same total of endpoints.
@@ -146,15 +146,15 @@
 // of type *Error, all of them joined.
 func ParseTarget(text []byte) (Target, error) {
 	var t Target
-	if err := tomlfile.Decode(text, &t, unknown); err != nil {
+	if err := tomlfile.Decode(text, &t, unknownSetting); err != nil {
 		return t, err
 	}
-	where := tomlfile.KeyLines(text)
+	lines := tomlfile.KeyLines(text)
 	var found []error
-	bad := func(name, format string, args ...any) {
-		line := where[name]
+	addError := func(name, format string, args ...any) {
+		line := lines[name]
 		if table, _, _ := strings.Cut(name, "."); line == 0 {
-			line = where[table] // the table in which it is missing, or that is written on one line
+			line = lines[table] // the table in which it is missing, or that is written on one line
 		}
 		found = append(found, &Error{Line: line, Message: name + fmt.Sprintf(format, args...)})
 	}
@@ -169,27 +169,27 @@
 			name := table + "." + tables.Field(i).Type().Field(k).Tag.Get("toml")
 			names[name] = true
 			switch v := tables.Field(i).Field(k).Float(); {
-			case where[name] == 0 && v == 0:
-				bad(name, " is missing")
+			case lines[name] == 0 && v == 0:
+				addError(name, " is missing")
 			case !(v > 0) || math.IsInf(v, 0):
-				bad(name, " is %v, must be more than 0", v)
+				addError(name, " is %v, must be more than 0", v)
 			case strings.HasSuffix(name, "_share") && v > 1:
-				bad(name, " is %v, a share is at most 1", v)
+				addError(name, " is %v, a share is at most 1", v)
 			}
 		}
 	}
 	for _, name := range t.Guessed {
 		if !names[name] {
-			found = append(found, &Error{Line: where["guessed"], Message: fmt.Sprintf("guessed: there is no setting %q", name)})
+			found = append(found, &Error{Line: lines["guessed"], Message: fmt.Sprintf("guessed: there is no setting %q", name)})
 		}
 	}
 	return t, errors.Join(found...)
 }
 
-func unknown(name string) string { return fmt.Sprintf("there is no setting %q", name) }
+func unknownSetting(name string) string { return fmt.Sprintf("there is no setting %q", name) }
 
 // guessedOf returns those of the names that the target calls guessed.
-func (t Target) guesses(names []string) []string {
+func (t Target) guessedOf(names []string) []string {
 	var some []string
 	for _, n := range names {
 		if slices.Contains(t.Guessed, n) {
--- a/fleet/capacity/work.go
+++ b/fleet/capacity/work.go
@@ -88,17 +88,17 @@
 }
 
 // slopeReader gives a calculation the values of slopes and records which ones it uses.
-type reading struct {
-	slopes  map[string]Slope
-	used    []string
-	missing []string
-	past    float64 // largest of all
-	below   float64
+type slopeReader struct {
+	slopes     map[string]Slope
+	used       []string
+	missing    []string
+	aboveRange float64 // largest of all
+	belowRange float64
 }
 
 // at returns the value of a slope at x; NaN if it is missing.
-func (r *reading) at(id string, x float64) float64 {
-	s, ok := r.take(id, x)
+func (r *slopeReader) at(id string, x float64) float64 {
+	s, ok := r.lookup(id, x)
 	if !ok {
 		return math.NaN()
 	}
@@ -106,21 +106,21 @@
 }
 
 // rise returns the increase of a slope's value from 0 to x; NaN if it is missing.
-func (r *reading) rise(id string, x float64) float64 {
-	s, ok := r.take(id, x)
+func (r *slopeReader) rise(id string, x float64) float64 {
+	s, ok := r.lookup(id, x)
 	if !ok {
 		return math.NaN()
 	}
 	return s.ValueAt(x) - s.Intercept
 }
 
-func (r *reading) take(id string, x float64) (Slope, bool) {
+func (r *slopeReader) lookup(id string, x float64) (Slope, bool) {
 	s, ok := r.slopes[id]
 	list := &r.missing
 	if ok {
 		list = &r.used
 		past, below := s.OutsideRange(x)
-		r.past, r.below = max(r.past, past), max(r.below, below)
+		r.aboveRange, r.belowRange = max(r.aboveRange, past), max(r.belowRange, below)
 	}
 	if !slices.Contains(*list, id) {
 		*list = append(*list, id)
@@ -129,13 +129,13 @@
 }
 
 // with returns a new reader in which one slope is replaced.
-func (r *reading) with(s Slope) *reading {
+func (r *slopeReader) with(s Slope) *slopeReader {
 	slopes := map[string]Slope{}
 	for id, o := range r.slopes {
 		slopes[id] = o
 	}
 	slopes[s.ID] = s
-	return &reading{slopes: slopes}
+	return &slopeReader{slopes: slopes}
 }
 
 // Compute computes the whole table.
@@ -151,14 +151,14 @@
 			r.Lines = append(r.Lines, row.ownedLine(t, of))
 		}
 	}
-	r.Steps = steps(r.Lines)
+	r.Steps = roadmap(r.Lines)
 	return r
 }
 
 // ownedLine computes the row's variant with ownership.
 func (w row) ownedLine(t Target, slopes map[string]Slope) Line {
 	w.formula, w.figure, w.limits = w.owned.formula, w.owned.figure, w.owned.limits
-	carried := built(ownership) && w.place != ""
+	carried := isBuilt(ownership) && w.place != ""
 	if w.place == "" {
 		w.place = "missing" // how far it would carry is computed all the same
 	}
@@ -172,7 +172,7 @@
 
 // line computes a row.
 func (w row) line(t Target, slopes map[string]Slope) Line {
-	l := Line{ID: w.id, Role: w.role, Kind: w.kind, Description: w.what, Formula: w.formula, Axis: w.axis, WaitsFor: w.waits, Mechanism: w.place, OwnCost: w.ownCost, HasLimit: w.place == "" || len(w.limits) > 0}
+	l := Line{ID: w.id, Role: w.role, Kind: w.kind, Description: w.description, Formula: w.formula, Axis: w.axis, WaitsFor: w.waitsFor, Mechanism: w.place, OwnCost: w.ownCost, HasLimit: w.place == "" || len(w.limits) > 0}
 	if w.place == "" {
 		l.Mechanism = "missing"
 	}
@@ -181,7 +181,7 @@
 			l.Budget = &Quantity{b.value(t), w.unit}
 		}
 	}
-	r := &reading{slopes: slopes}
+	r := &slopeReader{slopes: slopes}
 	l.Provenance.Source = NoFigure
 	if w.figure != nil {
 		v := w.figure(t, r)
@@ -192,16 +192,16 @@
 			l.Provenance.Source, l.Provenance.Missing = Missing, r.missing
 		case len(r.used) == 0:
 			l.Provenance.Source = FromTarget
-		case r.past > 1:
-			l.Provenance.Source, l.Provenance.AboveRange = Extrapolated, r.past
-		case r.below > 1:
-			l.Provenance.Source, l.Provenance.BelowRange = Extrapolated, r.below
+		case r.aboveRange > 1:
+			l.Provenance.Source, l.Provenance.AboveRange = Extrapolated, r.aboveRange
+		case r.belowRange > 1:
+			l.Provenance.Source, l.Provenance.BelowRange = Extrapolated, r.belowRange
 		default:
 			l.Provenance.Source = Measured
 		}
 		if len(r.missing) == 0 {
 			l.Figure = &Quantity{v, w.unit}
-			l.StdErr = w.spread(t, r, v)
+			l.StdErr = w.stdErr(t, r, v)
 		}
 		for _, id := range r.used {
 			if run := slopes[id].Run; !slices.Contains(l.Runs, run) {
@@ -210,15 +210,15 @@
 		}
 	}
 	l.End = w.end(t, slopes)
-	l.Provenance.Assumptions = w.guesses(t, slopes)
+	l.Provenance.Assumptions = w.assumptions(t, slopes)
 	return l
 }
 
 // stdErr returns the standard error of a figure, taking the errors of its slopes as independent.
-func (w row) spread(t Target, r *reading, v float64) float64 {
+func (w row) stdErr(t Target, r *slopeReader, v float64) float64 {
 	sum := 0.0
 	for _, id := range r.used {
-		d := w.figure(t, r.with(r.slopes[id].shifted())) - v
+		d := w.figure(t, r.with(r.slopes[id].plusStdErr())) - v
 		sum += d * d
 	}
 	return math.Sqrt(sum)
@@ -226,46 +226,46 @@
 
 // assumptions returns what a line takes for granted: guessed settings of the target that affect its figure or
 // its end, and the assumption of its formula.
-func (w row) guesses(t Target, slopes map[string]Slope) []string {
+func (w row) assumptions(t Target, slopes map[string]Slope) []string {
 	var some []string
 	for _, name := range t.Guessed {
-		if !slices.EqualFunc(w.holds(t, slopes), w.holds(moved(t, name), slopes), func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }) {
+		if !slices.EqualFunc(w.values(t, slopes), w.values(reduced(t, name), slopes), func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }) {
 			some = append(some, name)
 		}
 	}
-	if w.guess != "" {
-		some = append(some, w.guess)
+	if w.assumption != "" {
+		some = append(some, w.assumption)
 	}
 	return some
 }
 
 // values returns the row's figure and, for each limit, its value and the amount compared with it; NaN where a
 // slope is missing.
-func (w row) holds(t Target, slopes map[string]Slope) []float64 {
+func (w row) values(t Target, slopes map[string]Slope) []float64 {
 	var all []float64
 	if w.figure != nil {
-		all = append(all, w.figure(t, &reading{slopes: slopes}))
+		all = append(all, w.figure(t, &slopeReader{slopes: slopes}))
 	}
 	for _, b := range w.limits {
 		all = append(all, b.value(t))
 		if b.amount != nil {
-			all = append(all, b.amount(t, &reading{slopes: slopes}))
+			all = append(all, b.amount(t, &slopeReader{slopes: slopes}))
 		}
 	}
 	return all
 }
 
 // reduced returns the target with one setting, named as in the file, reduced by 2%.
-func moved(t Target, name string) Target {
+func reduced(t Target, name string) Target {
 	table, key, _ := strings.Cut(name, ".")
-	if v := byTag(byTag(reflect.ValueOf(&t).Elem(), table), key); v.IsValid() && v.Kind() == reflect.Float64 {
+	if v := fieldByTag(fieldByTag(reflect.ValueOf(&t).Elem(), table), key); v.IsValid() && v.Kind() == reflect.Float64 {
 		v.SetFloat(v.Float() * 0.98)
 	}
 	return t
 }
 
 // fieldByTag returns the field of a struct with the given name in files; an invalid value if there is none.
-func byTag(v reflect.Value, name string) reflect.Value {
+func fieldByTag(v reflect.Value, name string) reflect.Value {
 	if v.IsValid() && v.Kind() == reflect.Struct {
 		for i := range v.NumField() {
 			if v.Type().Field(i).Tag.Get("toml") == name {
@@ -289,12 +289,12 @@
 			amount = w.figure
 		}
 		bound := b.value(t)
-		share, beyond, ok := reach(func(share float64) float64 { return amount(t.Scaled(w.axis, share), &reading{slopes: slopes}) }, bound)
+		share, beyond, ok := findEnd(func(share float64) float64 { return amount(t.Scaled(w.axis, share), &slopeReader{slopes: slopes}) }, bound)
 		switch {
 		case !ok:
 			e.UpperBound = true
 		case e.Share == nil || share < *e.Share:
-			e.Share, e.BeyondSearch, e.Cause, e.Limit = &share, beyond, b.ending, b.what
+			e.Share, e.BeyondSearch, e.Cause, e.Limit = &share, beyond, b.cause, b.description
 		}
 	}
 	if e.Share == nil {
@@ -304,20 +304,20 @@
 }
 
 const (
-	leastLook, mostLook = 1e-7, 1e4 // as shares of the target
+	minSearch, maxSearch = 1e-7, 1e4 // as shares of the target
 )
 
 // findEnd returns the smallest share at which the amount exceeds the bound; beyond is true if it does not up
 // to maxSearch. It is not ok if the amount is unknown.
-func reach(amount func(share float64) float64, bound float64) (share float64, beyond, ok bool) {
+func findEnd(amount func(share float64) float64, bound float64) (share float64, beyond, ok bool) {
 	if math.IsNaN(amount(1)) {
 		return 0, false, false
 	}
 	low := 0.0
-	for high := leastLook; ; high = min(high*1.5, mostLook) { // the amount may rise and fall: look for the first crossing
+	for high := minSearch; ; high = min(high*1.5, maxSearch) { // the amount may rise and fall: look for the first crossing
 		if !(amount(high) > bound) {
-			if low = high; high >= mostLook {
-				return mostLook, true, true
+			if low = high; high >= maxSearch {
+				return maxSearch, true, true
 			}
 			continue
 		}
@@ -338,7 +338,7 @@
 
 // currentLines returns the lines that count for each row: the one with ownership if that is built and
 // measured, else the one without.
-func best(lines []Line) []Line {
+func currentLines(lines []Line) []Line {
 	var all []Line
 	for _, l := range lines {
 		if l.WithOwnership {
@@ -355,16 +355,16 @@
 // roadmap orders the missing mechanisms: first the one with the waiting row that ends at the smallest share
 // of the target; among those that are equally near, the one with the most waiting rows; never one before a
 // mechanism it needs.
-func steps(lines []Line) []Step {
+func roadmap(lines []Line) []Step {
 	var all []Step
 	for _, m := range mechanisms {
 		if m.Built {
 			continue
 		}
-		m.Needs = slices.DeleteFunc(slices.Clone(m.Needs), built)
+		m.Needs = slices.DeleteFunc(slices.Clone(m.Needs), isBuilt)
 		s := Step{Mechanism: m, Rows: []string{}, Unknown: []string{}, MinShare: math.MaxFloat64}
-		for _, l := range best(lines) {
-			if l.OwnCost || !slices.ContainsFunc(l.WaitsFor, func(name string) bool { return name == m.Name || needs(name, m.Name) }) {
+		for _, l := range currentLines(lines) {
+			if l.OwnCost || !slices.ContainsFunc(l.WaitsFor, func(name string) bool { return name == m.Name || dependsOn(name, m.Name) }) {
 				continue
 			}
 			switch {
@@ -411,15 +411,15 @@
 	return sorted
 }
 
-func built(name string) bool {
+func isBuilt(name string) bool {
 	return slices.ContainsFunc(mechanisms, func(m Mechanism) bool { return m.Name == name && m.Built })
 }
 
 // dependsOn reports whether one mechanism needs another, also indirectly.
-func needs(name, other string) bool {
+func dependsOn(name, other string) bool {
 	for _, m := range mechanisms {
 		if m.Name == name {
-			return slices.ContainsFunc(m.Needs, func(n string) bool { return n == other || needs(n, other) })
+			return slices.ContainsFunc(m.Needs, func(n string) bool { return n == other || dependsOn(n, other) })
 		}
 	}
 	return false
--- a/fleet/experiment/experiment_test.go
+++ b/fleet/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 	"starlingusher/internal/wire"
 )
 
-const small = `
+const smallExperiment = `
 name = "small"
 length = "10s"
 [load]
@@ -69,7 +69,7 @@
 }
 
 func TestSameSeedSamePlan(t *testing.T) {
-	a, b, c := parse(t, small).DrawPlan(7, 0), parse(t, small).DrawPlan(7, 0), parse(t, small).DrawPlan(8, 0)
+	a, b, c := parse(t, smallExperiment).DrawPlan(7, 0), parse(t, smallExperiment).DrawPlan(7, 0), parse(t, smallExperiment).DrawPlan(8, 0)
 	if !reflect.DeepEqual(a, b) {
 		t.Error("one seed gave two plans")
 	}
@@ -79,13 +79,13 @@
 }
 
 // A change to one part of an experiment must not change what is drawn for the others.
-func TestPartsAreDrawnApart(t *testing.T) {
-	a := parse(t, small).DrawPlan(7, 0)
-	b := parse(t, small+"[[fault]]\nkind = \"stop\"\nat = \"1s\"\nfor = \"1s\"\nshare = 0.5\n").DrawPlan(7, 0)
+func TestPartsAreDrawnIndependently(t *testing.T) {
+	a := parse(t, smallExperiment).DrawPlan(7, 0)
+	b := parse(t, smallExperiment+"[[fault]]\nkind = \"stop\"\nat = \"1s\"\nfor = \"1s\"\nshare = 0.5\n").DrawPlan(7, 0)
 	if !reflect.DeepEqual(a.Arrivals, b.Arrivals) || !reflect.DeepEqual(a.Partners, b.Partners) {
 		t.Error("another fault changed the arrivals or the partners")
 	}
-	more := parse(t, small).DrawPlan(7, 9)
+	more := parse(t, smallExperiment).DrawPlan(7, 9)
 	if len(more.Nodes) != 9 || !reflect.DeepEqual(a.Partners, more.Partners) {
 		t.Errorf("%d nodes; the partners changed with them: %v", len(more.Nodes), !reflect.DeepEqual(a.Partners, more.Partners))
 	}
@@ -93,7 +93,7 @@
 
 func TestDraw(t *testing.T) {
 	for seed := range uint64(20) {
-		p := parse(t, small).DrawPlan(seed, 0)
+		p := parse(t, smallExperiment).DrawPlan(seed, 0)
 		if !slices.IsSortedFunc(p.Arrivals, func(a, b Arrival) int { return int(a.At - b.At) }) {
 			t.Fatal("arrivals are out of order")
 		}
@@ -145,8 +145,8 @@
 }
 
 // A node can parse the settings.
-func TestSettings(t *testing.T) {
-	p := parse(t, small).DrawPlan(1, 0)
+func TestSettingsParse(t *testing.T) {
+	p := parse(t, smallExperiment).DrawPlan(1, 0)
 	raw, err := p.Settings(1)
 	if err != nil {
 		t.Fatal(err)
@@ -170,7 +170,7 @@
 }
 
 // Each error in a file is reported with its line.
-func TestErrors(t *testing.T) {
+func TestErrorsNameTheLine(t *testing.T) {
 	for _, test := range []struct {
 		name, change, to string
 		line             int
@@ -192,10 +192,10 @@
 		{"an unknown kind of limit", "count = 2", "limit = \"some\"", 28, "limit must be"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if !strings.Contains(small, test.change) {
+			if !strings.Contains(smallExperiment, test.change) {
 				t.Fatal("the text to change is not in the experiment")
 			}
-			_, err := Parse([]byte(strings.Replace(small, test.change, test.to, 1)))
+			_, err := Parse([]byte(strings.Replace(smallExperiment, test.change, test.to, 1)))
 			var e *Error
 			if !errors.As(err, &e) {
 				t.Fatalf("got %v", err)
@@ -234,7 +234,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(smallExperiment))
 	f.Add([]byte("a = 1\n[b]\nc = [1, 2]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		file, err := Parse(text)
--- a/fleet/experiment/faults.go
+++ b/fleet/experiment/faults.go
@@ -12,7 +12,7 @@
 // FaultKind describes a kind of fault and what it targets.
 type FaultKind struct {
 	Description string
-	aim         target
+	targets     target
 }
 
 // FaultKinds holds the kinds of faults by name.
--- a/fleet/experiment/file.go
+++ b/fleet/experiment/file.go
@@ -173,19 +173,19 @@
 		return DurationRange{time.Duration(low) * time.Millisecond, time.Duration(high) * time.Millisecond}
 	}
 	return File{
-		Length: fixedSpan(20 * time.Second),
+		Length: fixedDuration(20 * time.Second),
 		Fleet: Fleet{
-			Nodes: fixed(3), Zones: []string{"hall-a", "hall-b"}, SlotHeadroom: NumberRange{1.6, 1.9}, MinSlots: fixed(2), HoldTime: ms(6000, 12000),
-			MinOpen: fixed(8), Cores: fixed(1), MemoryMB: fixed(128), Sockets: fixed(512), DiskMB: fixed(3),
+			Nodes: fixedNumber(3), Zones: []string{"hall-a", "hall-b"}, SlotHeadroom: NumberRange{1.6, 1.9}, MinSlots: fixedNumber(2), HoldTime: ms(6000, 12000),
+			MinOpen: fixedNumber(8), Cores: fixedNumber(1), MemoryMB: fixedNumber(128), Sockets: fixedNumber(512), DiskMB: fixedNumber(3),
 		},
 		Load: Load{
-			Rate: fixed(60), ClumpSize: ms(1100, 2700), ClumpDuration: ms(1000, 1000), MaxRetries: fixed(3), Backoff: ms(570, 1400), HonorRetryAfter: fixed(0.8),
-			ResubmitDelay: ms(320, 1700), AnswerTimeout: ms(400, 400), BodyBytes: fixed(120),
+			Rate: fixedNumber(60), ClumpSize: ms(1100, 2700), ClumpDuration: ms(1000, 1000), MaxRetries: fixedNumber(3), Backoff: ms(570, 1400), HonorRetryAfter: fixedNumber(0.8),
+			ResubmitDelay: ms(320, 1700), AnswerTimeout: ms(400, 400), BodyBytes: fixedNumber(120),
 		},
-		Network:   Network{SameZone: ms(1, 3), CrossZone: ms(5, 22), Jitter: fixed(0.1)},
+		Network:   Network{SameZone: ms(1, 3), CrossZone: ms(5, 22), Jitter: fixedNumber(0.1)},
 		Discovery: Discovery{Delay: ms(300, 1500)},
 		Rules: Rules{
-			MaxAttempts: fixed(6), DrainGrace: ms(1000, 1000), CollapseMultiple: fixed(2), CollapseSpan: ms(2000, 2000), SlowStartFrom: fixed(0.19),
+			MaxAttempts: fixedNumber(6), DrainGrace: ms(1000, 1000), CollapseMultiple: fixedNumber(2), CollapseSpan: ms(2000, 2000), SlowStartFrom: fixedNumber(0.19),
 			SlowStartDuration: ms(10000, 10000), DialTimeout: ms(1500, 1500), ConnIdleTimeout: ms(5000, 5000), MaxRetryAfter: ms(2000, 2000),
 		},
 		Expect: Expect{MaxLateness: ms(20, 20)},
@@ -194,23 +194,23 @@
 
 func partnerDefaults() PartnerGroup {
 	return PartnerGroup{
-		Count: fixed(1), TrafficWeight: fixed(1), Endpoints: NumberRange{1, 3}, MaxBatch: fixed(1), ServiceTime: DurationRange{120 * time.Millisecond, 210 * time.Millisecond},
-		ServiceTimeVariation: fixed(0.7), CapacityOverLimit: NumberRange{1.2, 1.5}, QueueTime: fixedSpan(600 * time.Millisecond), LimitKind: "rate", Headroom: NumberRange{1.1, 2.1},
-		MinRate: fixed(2), LimitWindow: fixedSpan(2 * time.Second), RetryAfterShare: fixed(0.5), RetryAfterRange: DurationRange{250 * time.Millisecond, 940 * time.Millisecond},
+		Count: fixedNumber(1), TrafficWeight: fixedNumber(1), Endpoints: NumberRange{1, 3}, MaxBatch: fixedNumber(1), ServiceTime: DurationRange{120 * time.Millisecond, 210 * time.Millisecond},
+		ServiceTimeVariation: fixedNumber(0.7), CapacityOverLimit: NumberRange{1.2, 1.5}, QueueTime: fixedDuration(600 * time.Millisecond), LimitKind: "rate", Headroom: NumberRange{1.1, 2.1},
+		MinRate: fixedNumber(2), LimitWindow: fixedDuration(2 * time.Second), RetryAfterShare: fixedNumber(0.5), RetryAfterRange: DurationRange{250 * time.Millisecond, 940 * time.Millisecond},
 	}
 }
 
 // Parse reads and checks an experiment. Its errors are of type *Error, all of them joined.
 func Parse(text []byte) (File, error) {
 	f := defaults()
-	if err := tomlfile.Decode(text, &f, unknown); err != nil {
+	if err := tomlfile.Decode(text, &f, unknownName); err != nil {
 		return f, err
 	}
-	where := tomlfile.KeyLines(text)
+	lines := tomlfile.KeyLines(text)
 	for i := range f.Partners { // set the defaults of what a group leaves out
-		f.Partners[i] = withDefaults(f.Partners[i], func(name string) bool { return where[fmt.Sprintf("partner[%d].%s", i, name)] > 0 })
+		f.Partners[i] = withDefaults(f.Partners[i], func(name string) bool { return lines[fmt.Sprintf("partner[%d].%s", i, name)] > 0 })
 	}
-	return f, f.check(where)
+	return f, f.check(lines)
 }
 
 // withDefaults returns a partner group with the defaults for what the file does not set.
--- a/fleet/experiment/formats_test.go
+++ b/fleet/experiment/formats_test.go
@@ -65,13 +65,13 @@
 	var b bytes.Buffer
 	writeTOML(&b, "", reflect.ValueOf(file))
 	text := golden.Check(t, "experiment.toml", b.Bytes())
-	if err := tomlfile.Decode(text, &got, unknown); err != nil || !reflect.DeepEqual(got, file) {
+	if err := tomlfile.Decode(text, &got, unknownName); err != nil || !reflect.DeepEqual(got, file) {
 		t.Errorf("decoded experiment %+v differs from %+v: %v", got, file, err)
 	}
 }
 
 func TestSettingsFormat(t *testing.T) {
-	p := parse(t, small).DrawPlan(1, 0)
+	p := parse(t, smallExperiment).DrawPlan(1, 0)
 	raw, err := p.Settings(1)
 	if err != nil {
 		t.Fatal(err)
--- a/fleet/experiment/plan.go
+++ b/fleet/experiment/plan.go
@@ -168,7 +168,7 @@
 
 // DrawPlan returns the plan of a seed. If nodes is above 0, the fleet has that many.
 func (f File) DrawPlan(seed uint64, nodes int) Plan {
-	d := drawer{f: f, seed: seed}
+	d := planner{f: f, seed: seed}
 	p := Plan{
 		Name: f.Name, About: f.About, Seed: seed, Zones: f.Fleet.Zones, DiscoveryDelay: f.Discovery.Delay, Expect: f.Expect,
 	}
@@ -176,12 +176,12 @@
 	p.Length = f.Length.draw(r)
 	rate := f.Load.Rate.draw(r)
 	p.Load = LoadPlan{
-		MaxRetries: f.Load.MaxRetries.whole(r), Backoff: f.Load.Backoff, HonorRetryAfter: f.Load.HonorRetryAfter.draw(r), ResubmitDelay: f.Load.ResubmitDelay,
-		AnswerTimeout: f.Load.AnswerTimeout.draw(r), BodyBytes: f.Load.BodyBytes.whole(r),
+		MaxRetries: f.Load.MaxRetries.drawInt(r), Backoff: f.Load.Backoff, HonorRetryAfter: f.Load.HonorRetryAfter.draw(r), ResubmitDelay: f.Load.ResubmitDelay,
+		AnswerTimeout: f.Load.AnswerTimeout.draw(r), BodyBytes: f.Load.BodyBytes.drawInt(r),
 	}
 	p.Network = NetworkPlan{f.Network.SameZone.draw(r), f.Network.CrossZone.draw(r), f.Network.Jitter.draw(r)}
 	p.Rules = RulesPlan{
-		MaxAttempts: f.Rules.MaxAttempts.whole(r), DrainGrace: f.Rules.DrainGrace.draw(r), CollapseMultiple: f.Rules.CollapseMultiple.draw(r),
+		MaxAttempts: f.Rules.MaxAttempts.drawInt(r), DrainGrace: f.Rules.DrainGrace.draw(r), CollapseMultiple: f.Rules.CollapseMultiple.draw(r),
 		CollapseSpan: f.Rules.CollapseSpan.draw(r), SlowStartFrom: f.Rules.SlowStartFrom.draw(r), SlowStartDuration: f.Rules.SlowStartDuration.draw(r),
 		DialTimeout: f.Rules.DialTimeout.draw(r), ConnIdleTimeout: f.Rules.ConnIdleTimeout.draw(r), MaxRetryAfter: f.Rules.MaxRetryAfter.draw(r),
 	}
@@ -194,7 +194,7 @@
 	d.members(&p, rate)
 	d.partners(&p, rate)
 	d.nodes(&p, rate, nodes)
-	p.Replicas = f.Discovery.Replicas.whole(d.source("replicas"))
+	p.Replicas = f.Discovery.Replicas.drawInt(d.source("replicas"))
 	d.faults(&p)
 	d.arrivals(&p, rate)
 	p.Settle = f.Settle.draw(r)
@@ -206,19 +206,19 @@
 	return p
 }
 
-type drawer struct {
+type planner struct {
 	f    File
 	seed uint64
 }
 
 // source returns the random source of one purpose, so that a change to one part of the plan does not affect
 // the others.
-func (d drawer) source(purpose string) *rand.Rand {
+func (d planner) source(purpose string) *rand.Rand {
 	return rand.New(rand.NewPCG(d.seed, xxhash.Sum64String(purpose)))
 }
 
 // zipfWeights returns n weights that fall with a power of their rank and sum to 1.
-func byRank(n int, exponent float64) []float64 {
+func zipfWeights(n int, exponent float64) []float64 {
 	w := make([]float64, n)
 	sum := 0.0
 	for i := range w {
@@ -231,7 +231,7 @@
 	return w
 }
 
-func (d drawer) classes(p *Plan) {
+func (d planner) classes(p *Plan) {
 	r := d.source("classes")
 	sum := 0.0
 	for _, c := range d.f.Classes {
@@ -247,19 +247,19 @@
 		p.Classes = append(p.Classes, one)
 	}
 	for i := range p.Classes {
-		p.Classes[i].Share = share(p.Classes[i].Share, sum, len(p.Classes))
+		p.Classes[i].Share = shareOf(p.Classes[i].Share, sum, len(p.Classes))
 	}
 }
 
 // shareOf returns part as a share of sum, or an equal share if the sum is 0.
-func share(part, sum float64, of int) float64 {
+func shareOf(part, sum float64, of int) float64 {
 	if sum <= 0 {
 		return 1 / float64(of)
 	}
 	return part / sum
 }
 
-func (d drawer) members(p *Plan, rate float64) {
+func (d planner) members(p *Plan, rate float64) {
 	r := d.source("members")
 	sum := 0.0
 	for _, m := range d.f.Tenants {
@@ -269,7 +269,7 @@
 	}
 	for i := range p.Tenants {
 		m := &p.Tenants[i]
-		m.Share = share(m.Share, sum, len(p.Tenants))
+		m.Share = shareOf(m.Share, sum, len(p.Tenants))
 		if m.Allowance == 0 {
 			m.Allowance = m.Share * rate
 		}
@@ -277,7 +277,7 @@
 }
 
 // partners draws the partners. The traffic of a partner is the sum over all classes.
-func (d drawer) partners(p *Plan, rate float64) {
+func (d planner) partners(p *Plan, rate float64) {
 	r := d.source("partners")
 	type group struct {
 		PartnerGroup
@@ -286,10 +286,10 @@
 	var groups []group
 	weights := []float64{}
 	for _, g := range d.f.Partners {
-		n := g.Count.whole(r)
+		n := g.Count.drawInt(r)
 		total := g.TrafficWeight.draw(r)
 		groups = append(groups, group{g, len(weights), len(weights) + n})
-		for _, w := range byRank(n, g.ZipfExponent.draw(r)) {
+		for _, w := range zipfWeights(n, g.ZipfExponent.draw(r)) {
 			weights = append(weights, w*total)
 		}
 	}
@@ -305,12 +305,12 @@
 	for _, c := range p.Classes {
 		sum := 0.0
 		for i, w := range weights {
-			if c.takes(kind(i)) {
+			if c.sendsTo(kind(i)) {
 				sum += w
 			}
 		}
 		for i, w := range weights {
-			if c.takes(kind(i)) && sum > 0 {
+			if c.sendsTo(kind(i)) && sum > 0 {
 				traffic[i] += c.Share * w / sum
 			}
 		}
@@ -320,7 +320,7 @@
 			calls := traffic[i] * rate
 			limit := max(g.MinRate.draw(r), g.Headroom.draw(r)*calls)
 			m := partner.Config{
-				Endpoints: g.Endpoints.whole(r), MaxBatch: g.MaxBatch.whole(r), ServiceTime: g.ServiceTime.draw(r), ServiceTimeVariation: g.ServiceTimeVariation.draw(r),
+				Endpoints: g.Endpoints.drawInt(r), MaxBatch: g.MaxBatch.drawInt(r), ServiceTime: g.ServiceTime.draw(r), ServiceTimeVariation: g.ServiceTimeVariation.draw(r),
 				ExtraItemCost: g.ExtraItemCost.draw(r), RetryAfterShare: g.RetryAfterShare.draw(r), RetryAfterRange: [2]time.Duration{g.RetryAfterRange.Low, g.RetryAfterRange.High},
 				ErrorShare: g.ErrorShare.draw(r), DeferShare: g.DeferShare.draw(r), LostAnswerShare: g.LostAnswerShare.draw(r), UnreadableAnswerShare: g.UnreadableAnswerShare.draw(r),
 				SlowStartFrom: p.Rules.SlowStartFrom, SlowStartDuration: p.Rules.SlowStartDuration, CollapseMultiple: p.Rules.CollapseMultiple, CollapseSpan: p.Rules.CollapseSpan,
@@ -350,16 +350,16 @@
 			p.Partners = append(p.Partners, one)
 		}
 	}
-	most := make([]int, len(p.PartnerKinds)) // the settings tell the nodes one batch size for each kind
+	maxBatch := make([]int, len(p.PartnerKinds)) // the settings tell the nodes one batch size for each kind
 	for _, q := range p.Partners {
-		most[q.Kind] = max(most[q.Kind], q.Config.MaxBatch)
+		maxBatch[q.Kind] = max(maxBatch[q.Kind], q.Config.MaxBatch)
 	}
 	for i := range p.Partners {
-		p.Partners[i].Config.MaxBatch = most[p.Partners[i].Kind]
+		p.Partners[i].Config.MaxBatch = maxBatch[p.Partners[i].Kind]
 	}
 }
 
-func (c ClassPlan) takes(kind int) bool {
+func (c ClassPlan) sendsTo(kind int) bool {
 	return len(c.PartnerKinds) == 0 || slices.Contains(c.PartnerKinds, kind)
 }
 
@@ -372,30 +372,30 @@
 	return p.Config.Capacity()
 }
 
-func (d drawer) nodes(p *Plan, rate float64, count int) {
+func (d planner) nodes(p *Plan, rate float64, count int) {
 	r := d.source("nodes")
-	if drawn := d.f.Fleet.Nodes.whole(r); count <= 0 {
+	if drawn := d.f.Fleet.Nodes.drawInt(r); count <= 0 {
 		count = drawn
 	}
-	weights := byRank(count, d.f.Fleet.ZipfExponent.draw(r))
+	weights := zipfWeights(count, d.f.Fleet.ZipfExponent.draw(r))
 	r.Shuffle(count, func(i, j int) { weights[i], weights[j] = weights[j], weights[i] })
-	out := 0.0 // mean time that a call is in flight, in seconds
+	meanCallSeconds := 0.0 // mean time that a call is in flight, in seconds
 	for _, q := range p.Partners {
-		out += q.Weight * (q.Config.ServiceTime + p.Network.SameZone + p.Network.CrossZone).Seconds()
+		meanCallSeconds += q.Weight * (q.Config.ServiceTime + p.Network.SameZone + p.Network.CrossZone).Seconds()
 	}
-	room, hold := d.f.Fleet.SlotHeadroom.draw(r), d.f.Fleet.HoldTime.draw(r).Seconds()
+	slotHeadroom, holdSeconds := d.f.Fleet.SlotHeadroom.draw(r), d.f.Fleet.HoldTime.draw(r).Seconds()
 	for i, w := range weights {
 		p.Nodes = append(p.Nodes, NodePlan{
 			Name: fmt.Sprintf("n%d", i), Zone: i % len(p.Zones), Weight: w,
-			Slots:   max(d.f.Fleet.MinSlots.whole(r), int(math.Ceil(w*rate*out*room))),
-			MaxOpen: max(d.f.Fleet.MinOpen.whole(r), int(w*rate*hold)),
-			Cores:   d.f.Fleet.Cores.draw(r), MemoryMB: d.f.Fleet.MemoryMB.whole(r), Sockets: d.f.Fleet.Sockets.whole(r),
+			Slots:   max(d.f.Fleet.MinSlots.drawInt(r), int(math.Ceil(w*rate*meanCallSeconds*slotHeadroom))),
+			MaxOpen: max(d.f.Fleet.MinOpen.drawInt(r), int(w*rate*holdSeconds)),
+			Cores:   d.f.Fleet.Cores.draw(r), MemoryMB: d.f.Fleet.MemoryMB.drawInt(r), Sockets: d.f.Fleet.Sockets.drawInt(r),
 			DiskMB: d.f.Fleet.DiskMB.draw(r), Seed: r.Uint64(),
 		})
 	}
 }
 
-func (d drawer) faults(p *Plan) {
+func (d planner) faults(p *Plan) {
 	for i, x := range d.f.Faults {
 		r := d.source(fmt.Sprintf("fault %d", i))
 		one := FaultPlan{
@@ -408,9 +408,9 @@
 			one.Until = one.At + last
 		}
 		step := x.StepInterval.draw(r)
-		partners, nodes := d.aimPartners(r, x, p), d.aimNodes(r, x, p)
+		partners, nodes := d.targetPartners(r, x, p), d.targetNodes(r, x, p)
 		var replicas []int
-		if FaultKinds[x.Kind].aim&atReplicas != 0 {
+		if FaultKinds[x.Kind].targets&atReplicas != 0 {
 			replicas = r.Perm(p.Replicas)
 		}
 		if step == 0 {
@@ -419,7 +419,7 @@
 			continue
 		}
 		// One target after another. Only one kind of targets steps; the other stays the same.
-		stepNodes := FaultKinds[x.Kind].aim&atNodes != 0
+		stepNodes := FaultKinds[x.Kind].targets&atNodes != 0
 		steps := len(partners)
 		if stepNodes {
 			steps = len(nodes)
@@ -447,10 +447,10 @@
 	slices.SortStableFunc(p.Faults, func(a, b FaultPlan) int { return cmp.Compare(a.At, b.At) })
 }
 
-func (d drawer) aimPartners(r *rand.Rand, x Fault, p *Plan) []int {
+func (d planner) targetPartners(r *rand.Rand, x Fault, p *Plan) []int {
 	order := r.Perm(len(p.Partners))
 	switch {
-	case FaultKinds[x.Kind].aim&atPartners == 0:
+	case FaultKinds[x.Kind].targets&atPartners == 0:
 		return nil
 	case x.Partners != nil:
 		return x.Partners
@@ -465,10 +465,10 @@
 	return slices.Sorted(slices.Values(order))
 }
 
-func (d drawer) aimNodes(r *rand.Rand, x Fault, p *Plan) []int {
+func (d planner) targetNodes(r *rand.Rand, x Fault, p *Plan) []int {
 	order := r.Perm(len(p.Nodes))
 	switch {
-	case FaultKinds[x.Kind].aim&atNodes == 0:
+	case FaultKinds[x.Kind].targets&atNodes == 0:
 		return nil
 	case x.Nodes != nil:
 		return slices.DeleteFunc(slices.Clone(x.Nodes), func(n int) bool { return n >= len(p.Nodes) })
@@ -489,10 +489,10 @@
 
 // arrivals draws when messages are submitted: a Poisson process whose rate is multiplied by bursts, and
 // clumps.
-func (d drawer) arrivals(p *Plan, rate float64) {
+func (d planner) arrivals(p *Plan, rate float64) {
 	r := d.source("arrivals")
 	clumps := d.f.Load.ClumpShare.draw(r)
-	lift := func(at time.Duration) float64 {
+	burstFactor := func(at time.Duration) float64 {
 		by := 1.0
 		for _, x := range p.Faults {
 			if x.Kind == "burst" && at >= x.At && at < x.Until {
@@ -501,10 +501,10 @@
 		}
 		return by
 	}
-	top := 1.0
+	maxFactor := 1.0
 	for _, x := range p.Faults {
 		if x.Kind == "burst" {
-			top = max(top, lift(x.At))
+			maxFactor = max(maxFactor, burstFactor(x.At))
 		}
 	}
 	nodes, members, classes := make([]float64, len(p.Nodes)), make([]float64, len(p.Tenants)), make([]float64, len(p.Classes))
@@ -521,19 +521,19 @@
 	for c := range p.Classes {
 		for _, q := range p.Partners {
 			w := 0.0
-			if p.Classes[c].takes(q.Kind) {
+			if p.Classes[c].sendsTo(q.Kind) {
 				w = q.Weight
 			}
 			dests[c] = append(dests[c], w)
 		}
 	}
-	single := rate * (1 - clumps)
-	for at := next(r, single*top); at < p.Length; at += next(r, single*top) {
-		if r.Float64()*top > lift(at) {
+	singleRate := rate * (1 - clumps)
+	for at := nextArrival(r, singleRate*maxFactor); at < p.Length; at += nextArrival(r, singleRate*maxFactor) {
+		if r.Float64()*maxFactor > burstFactor(at) {
 			continue
 		}
-		c := pick(r, classes)
-		p.Arrivals = append(p.Arrivals, Arrival{At: at, Node: pick(r, nodes), Class: c, Tenant: pick(r, members), Dest: pick(r, dests[c])})
+		c := pickWeighted(r, classes)
+		p.Arrivals = append(p.Arrivals, Arrival{At: at, Node: pickWeighted(r, nodes), Class: c, Tenant: pickWeighted(r, members), Dest: pickWeighted(r, dests[c])})
 	}
 	if clumps > 0 {
 		weights := make([]float64, len(p.Partners))
@@ -544,13 +544,13 @@
 			mean += q.Weight * size(q, (d.f.Load.ClumpSize.Low+d.f.Load.ClumpSize.High)/2)
 		}
 		every := rate * clumps / mean
-		for at := next(r, every); at < p.Length; at += next(r, every) {
-			dest := pick(r, weights)
-			node, member := pick(r, nodes), pick(r, members)
+		for at := nextArrival(r, every); at < p.Length; at += nextArrival(r, every) {
+			dest := pickWeighted(r, weights)
+			node, member := pickWeighted(r, nodes), pickWeighted(r, members)
 			over := d.f.Load.ClumpDuration.draw(r)
 			for range int(size(p.Partners[dest], d.f.Load.ClumpSize.draw(r))) {
-				c := pick(r, classes)
-				if !p.Classes[c].takes(p.Partners[dest].Kind) {
+				c := pickWeighted(r, classes)
+				if !p.Classes[c].sendsTo(p.Partners[dest].Kind) {
 					continue
 				}
 				p.Arrivals = append(p.Arrivals, Arrival{
@@ -561,35 +561,35 @@
 	}
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	p.Arrivals = slices.DeleteFunc(p.Arrivals, func(a Arrival) bool { return a.At >= p.Length })
-	overShare(p)
+	markOverShare(p)
 	if rude := d.f.Load.RudePeerRate.draw(r); rude > 0 {
-		for at := next(r, rude); at < p.Length; at += next(r, rude) {
+		for at := nextArrival(r, rude); at < p.Length; at += nextArrival(r, rude) {
 			p.RudePeers = append(p.RudePeers, RudePeer{At: at, Node: r.IntN(len(p.Nodes)), Behavior: r.IntN(1 << 20)})
 		}
 	}
 }
 
 // markOverShare marks arrivals beyond a tenant's share: more than its allowance of the last two seconds.
-func overShare(p *Plan) {
+func markOverShare(p *Plan) {
 	const span = 2 * time.Second
-	room := make([]float64, len(p.Tenants))
+	tokens := make([]float64, len(p.Tenants))
 	last := make([]time.Duration, len(p.Tenants))
 	for i, m := range p.Tenants {
-		room[i] = m.Allowance * span.Seconds()
+		tokens[i] = m.Allowance * span.Seconds()
 	}
 	for i := range p.Arrivals {
 		a := &p.Arrivals[i]
 		m := p.Tenants[a.Tenant]
-		room[a.Tenant] = min(max(m.Allowance*span.Seconds(), 1), room[a.Tenant]+m.Allowance*(a.At-last[a.Tenant]).Seconds())
+		tokens[a.Tenant] = min(max(m.Allowance*span.Seconds(), 1), tokens[a.Tenant]+m.Allowance*(a.At-last[a.Tenant]).Seconds())
 		last[a.Tenant] = a.At
-		if a.OverShare = room[a.Tenant] < 1; !a.OverShare {
-			room[a.Tenant]--
+		if a.OverShare = tokens[a.Tenant] < 1; !a.OverShare {
+			tokens[a.Tenant]--
 		}
 	}
 }
 
 // nextArrival draws the time to the next event of a Poisson process with the given rate per second.
-func next(r *rand.Rand, rate float64) time.Duration {
+func nextArrival(r *rand.Rand, rate float64) time.Duration {
 	if rate <= 0 {
 		return math.MaxInt64 / 4
 	}
@@ -597,7 +597,7 @@
 }
 
 // pickWeighted draws an index by weight.
-func pick(r *rand.Rand, weights []float64) int {
+func pickWeighted(r *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
--- a/fleet/experiment/settings.go
+++ b/fleet/experiment/settings.go
@@ -25,7 +25,7 @@
 	for _, m := range p.Tenants {
 		members = append(members, object{"name": m.Name, "share": m.Share, "allowancePerS": m.Allowance})
 	}
-	batch, apart := make([]int, len(p.PartnerKinds)), make([]bool, len(p.PartnerKinds))
+	batch, separateRoutes := make([]int, len(p.PartnerKinds)), make([]bool, len(p.PartnerKinds))
 	for _, q := range p.Partners {
 		batch[q.Kind] = max(batch[q.Kind], q.Config.MaxBatch, 1)
 	}
@@ -35,7 +35,7 @@
 		"overShareWorth": OverShareWorth, "tick": 5.0, "kindOfService": "deliver",
 		"report": object{"how": "silent", "fields": []string{}},
 		"domain": object{
-			"decay": "line", "kindBatch": batch, "separateRoutes": apart, "workers": n.Slots, "feeByZone": make([]float64, len(p.Zones)),
+			"decay": "line", "kindBatch": batch, "separateRoutes": separateRoutes, "workers": n.Slots, "feeByZone": make([]float64, len(p.Zones)),
 			"refusedPrice": 0.05,
 		},
 		"limits": object{
--- a/fleet/experiment/value.go
+++ b/fleet/experiment/value.go
@@ -33,14 +33,14 @@
 func (n NumberRange) draw(r *rand.Rand) float64 { return n.Low + (n.High-n.Low)*r.Float64() }
 
 // drawInt draws an integer; both ends are as likely as the others.
-func (n NumberRange) whole(r *rand.Rand) int {
+func (n NumberRange) drawInt(r *rand.Rand) int {
 	low, high := int(n.Low+0.5), int(n.High+0.5)
 	return low + r.IntN(high-low+1)
 }
 
 func (n NumberRange) within(low, high float64) bool { return n.Low >= low && n.High <= high }
 
-func fixed(v float64) NumberRange { return NumberRange{v, v} }
+func fixedNumber(v float64) NumberRange { return NumberRange{v, v} }
 
 // DurationRange is a duration like "1.5s", or a range "1s..2s", from which each seed draws one uniformly.
 type DurationRange struct{ Low, High time.Duration }
@@ -68,4 +68,4 @@
 	return s.Low + time.Duration(r.Float64()*float64(s.High-s.Low))
 }
 
-func fixedSpan(d time.Duration) DurationRange { return DurationRange{d, d} }
+func fixedDuration(d time.Duration) DurationRange { return DurationRange{d, d} }
--- a/fleet/judge/formats_test.go
+++ b/fleet/judge/formats_test.go
@@ -9,15 +9,15 @@
 	"starlingusher/internal/golden"
 )
 
-func TestBreachFormat(t *testing.T) {
-	var breach, got Violation
-	golden.Fill(&breach)
-	raw, err := json.MarshalIndent(breach, "", " ")
+func TestViolationFormat(t *testing.T) {
+	var violation, got Violation
+	golden.Fill(&violation)
+	raw, err := json.MarshalIndent(violation, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(golden.Check(t, "breach.json", raw), &got); err != nil || !reflect.DeepEqual(got, breach) {
-		t.Errorf("decoded breach %+v differs from %+v: %v", got, breach, err)
+	if err := json.Unmarshal(golden.Check(t, "breach.json", raw), &got); err != nil || !reflect.DeepEqual(got, violation) {
+		t.Errorf("decoded breach %+v differs from %+v: %v", got, violation, err)
 	}
 }
 
--- a/fleet/judge/judge.go
+++ b/fleet/judge/judge.go
@@ -93,13 +93,13 @@
 
 // call is one call as the observers saw it.
 type call struct {
-	began, ended history.Event
-	open         bool          // no end was seen
-	over         time.Duration // when the first of its messages reached its deadline
+	began, ended  history.Event
+	unfinished    bool          // no end was seen
+	firstDeadline time.Duration // when the first of its messages reached its deadline
 }
 
-func (c *call) end() time.Duration {
-	if c.open {
+func (c *call) endTime() time.Duration {
+	if c.unfinished {
 		return 1<<63 - 1
 	}
 	return c.ended.At
@@ -108,15 +108,15 @@
 // outcome returns how the call ended for a message, as the node was told. mayHaveRun is true unless the node
 // has proof that the message did not run. An answer to a batch counts for none of its messages once the
 // deadline of one of them has passed.
-func (c *call) fate(id string) (delivered, mayHaveRun bool) {
-	if c.open {
+func (c *call) outcome(id string) (delivered, mayHaveRun bool) {
+	if c.unfinished {
 		return false, true
 	}
 	switch c.ended.State {
 	case history.Accepted:
 		for i, f := range c.ended.Outcomes {
 			if i < len(c.began.IDs) && c.began.IDs[i] == id {
-				counts := len(c.began.IDs) == 1 || c.ended.At <= c.over
+				counts := len(c.began.IDs) == 1 || c.ended.At <= c.firstDeadline
 				return f == history.OutcomeAccepted && counts, f != history.OutcomeDeferred
 			}
 		}
@@ -128,64 +128,64 @@
 }
 
 type message struct {
-	in       history.Event
-	answered *history.Event // by the node; nil: not seen
-	calls    []*call
-	notices  []history.Event
-	ran      []history.Event
+	submitted history.Event
+	answered  *history.Event // by the node; nil: not seen
+	calls     []*call
+	notices   []history.Event
+	ran       []history.Event
 }
 
-func (m *message) taken() bool { return m.answered != nil && m.answered.State == history.Taken }
+func (m *message) accepted() bool { return m.answered != nil && m.answered.State == history.Taken }
 
 // span is a period in which nothing is required of a node.
 type span struct{ from, to time.Duration }
 
-type judge struct {
-	terms    Config
-	events   []history.Event
-	messages map[string]*message
-	ids      []string // of messages, in the order of their submission
-	calls    map[uint64]*call
-	order    []*call
-	excused  map[int][]span // restarts and stops, by node
-	starts   map[int][]time.Duration
-	lost     map[int][]time.Duration
-	end      time.Duration
-	found    []Violation
+type checker struct {
+	config     Config
+	events     []history.Event
+	messages   map[string]*message
+	messageIDs []string // of messages, in the order of their submission
+	calls      map[uint64]*call
+	callOrder  []*call
+	excused    map[int][]span // restarts and stops, by node
+	starts     map[int][]time.Duration
+	stateLost  map[int][]time.Duration
+	end        time.Duration
+	violations []Violation
 }
 
 // FindViolations checks a history, which must be in order of time. It returns the violations in order of time.
-func FindViolations(terms Config, events []history.Event) []Violation {
-	j := &judge{
-		terms: terms, events: events, messages: map[string]*message{}, calls: map[uint64]*call{}, excused: map[int][]span{},
-		starts: map[int][]time.Duration{}, lost: map[int][]time.Duration{},
-	}
-	j.read()
-	j.processes()
-	for _, id := range j.ids {
+func FindViolations(config Config, events []history.Event) []Violation {
+	j := &checker{
+		config: config, events: events, messages: map[string]*message{}, calls: map[uint64]*call{}, excused: map[int][]span{},
+		starts: map[int][]time.Duration{}, stateLost: map[int][]time.Duration{},
+	}
+	j.index()
+	j.checkProcesses()
+	for _, id := range j.messageIDs {
 		m := j.messages[id]
-		j.oneEnd(m)
-		j.over(m)
-		j.attempts(m)
-		j.effects(m)
-		j.answer(m)
+		j.checkOneFinalAnswer(m)
+		j.checkNothingAfterEnd(m)
+		j.checkAttempts(m)
+		j.checkRepeats(m)
+		j.checkAnswer(m)
 	}
-	j.cases()
-	j.foreign()
-	j.drains()
-	j.waits()
-	j.slots()
-	j.colds()
-	slices.SortStableFunc(j.found, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return j.found
+	j.checkDoubleRuns()
+	j.checkPartners()
+	j.checkDrains()
+	j.checkRetryAfter()
+	j.checkSlots()
+	j.checkSlowStart()
+	slices.SortStableFunc(j.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return j.violations
 }
 
-func (j *judge) breach(rule Rule, node int, id string, at time.Duration, proof []history.Event, why string, args ...any) {
-	j.found = append(j.found, Violation{Rule: rule, Node: node, ID: id, At: at, Reason: fmt.Sprintf(why, args...), Evidence: proof})
+func (j *checker) report(rule Rule, node int, id string, at time.Duration, evidence []history.Event, reason string, args ...any) {
+	j.violations = append(j.violations, Violation{Rule: rule, Node: node, ID: id, At: at, Reason: fmt.Sprintf(reason, args...), Evidence: evidence})
 }
 
 // index groups the events by message and call.
-func (j *judge) read() {
+func (j *checker) index() {
 	if n := len(j.events); n > 0 {
 		j.end = j.events[n-1].At
 	}
@@ -193,18 +193,18 @@
 	// first.
 	for _, e := range j.events {
 		if e.Kind == history.CallStarted {
-			c := &call{began: e, open: true}
+			c := &call{began: e, unfinished: true}
 			j.calls[e.Call] = c
-			j.order = append(j.order, c)
+			j.callOrder = append(j.callOrder, c)
 		}
 	}
 	for _, e := range j.events {
 		switch e.Kind {
 		case history.Submitted:
 			if j.messages[e.ID] == nil {
-				j.ids = append(j.ids, e.ID)
+				j.messageIDs = append(j.messageIDs, e.ID)
 			}
-			j.messages[e.ID] = &message{in: e}
+			j.messages[e.ID] = &message{submitted: e}
 		case history.Answered:
 			if m := j.messages[e.ID]; m != nil {
 				m.answered = &e
@@ -214,14 +214,14 @@
 			for _, id := range e.IDs {
 				if m := j.messages[id]; m != nil {
 					m.calls = append(m.calls, c)
-					if up := m.in.At + m.in.ExpiresIn + j.terms.Slack; c.over == 0 || up < c.over {
-						c.over = up
+					if deadline := m.submitted.At + m.submitted.ExpiresIn + j.config.Slack; c.firstDeadline == 0 || deadline < c.firstDeadline {
+						c.firstDeadline = deadline
 					}
 				}
 			}
 		case history.CallEnded:
-			if c := j.calls[e.Call]; c != nil && c.open {
-				c.ended, c.open = e, false
+			if c := j.calls[e.Call]; c != nil && c.unfinished {
+				c.ended, c.unfinished = e, false
 			}
 		case history.Executed:
 			if m := j.messages[e.ID]; m != nil {
@@ -234,7 +234,7 @@
 		}
 	}
 	byFirst := func(a, b *call) int { return cmp.Compare(a.began.FirstAt, b.began.FirstAt) }
-	slices.SortStableFunc(j.order, byFirst)
+	slices.SortStableFunc(j.callOrder, byFirst)
 	for _, m := range j.messages {
 		slices.SortStableFunc(m.calls, byFirst)
 	}
@@ -242,46 +242,46 @@
 
 // checkProcesses finds crashes, and the periods in which a node is excused: from the signal of a restart
 // until it is ready again, and while it is stopped, each with some slack.
-func (j *judge) processes() {
-	asked, since := map[int]bool{}, map[int]time.Duration{} // the node was told to exit; time since which it has not been ready
+func (j *checker) checkProcesses() {
+	exitRequested, notReadySince := map[int]bool{}, map[int]time.Duration{} // the node was told to exit; time since which it has not been ready
 	stopped := map[int]time.Duration{}
 	for _, e := range j.events {
 		switch e.Kind {
 		case history.Started:
 			j.starts[e.Node] = append(j.starts[e.Node], e.At)
-			if !asked[e.Node] {
-				since[e.Node] = e.At
+			if !exitRequested[e.Node] {
+				notReadySince[e.Node] = e.At
 			}
-			asked[e.Node] = false
+			exitRequested[e.Node] = false
 		case history.TermSent, history.Killed:
-			if _, out := since[e.Node]; !out {
-				since[e.Node] = e.At
+			if _, out := notReadySince[e.Node]; !out {
+				notReadySince[e.Node] = e.At
 			}
-			asked[e.Node] = true
+			exitRequested[e.Node] = true
 		case history.Ready:
-			if from, ok := since[e.Node]; ok {
-				j.excused[e.Node] = append(j.excused[e.Node], span{from, e.At + j.terms.RestartSlack})
-				delete(since, e.Node)
+			if from, ok := notReadySince[e.Node]; ok {
+				j.excused[e.Node] = append(j.excused[e.Node], span{from, e.At + j.config.RestartSlack})
+				delete(notReadySince, e.Node)
 			}
 		case history.Stopped:
 			stopped[e.Node] = e.At
 		case history.Resumed:
 			if from, ok := stopped[e.Node]; ok {
-				j.excused[e.Node] = append(j.excused[e.Node], span{from, e.At + j.terms.RestartSlack})
+				j.excused[e.Node] = append(j.excused[e.Node], span{from, e.At + j.config.RestartSlack})
 				delete(stopped, e.Node)
 			}
 		case history.Exited:
 			if e.State == history.Crashed {
-				j.breach(Alive, e.Node, "", e.At, []history.Event{e}, "the process exited without being told to: %s", e.Note)
+				j.report(Alive, e.Node, "", e.At, []history.Event{e}, "the process exited without being told to: %s", e.Note)
 			}
 		case history.LimitExceeded:
-			j.breach(Alive, e.Node, "", e.At, []history.Event{e}, "%s", e.Note)
+			j.report(Alive, e.Node, "", e.At, []history.Event{e}, "%s", e.Note)
 		case history.StateLost:
-			j.lost[e.Node] = append(j.lost[e.Node], e.At)
+			j.stateLost[e.Node] = append(j.stateLost[e.Node], e.At)
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(since)) {
-		j.excused[n] = append(j.excused[n], span{since[n], j.end + time.Hour})
+	for _, n := range slices.Sorted(maps.Keys(notReadySince)) {
+		j.excused[n] = append(j.excused[n], span{notReadySince[n], j.end + time.Hour})
 	}
 	for n, from := range stopped {
 		j.excused[n] = append(j.excused[n], span{from, j.end + time.Hour})
@@ -292,7 +292,7 @@
 }
 
 // excusedUntil moves a time to the end of the periods in which the node is excused.
-func (j *judge) excusedUntil(node int, at time.Duration) time.Duration {
+func (j *checker) excusedUntil(node int, at time.Duration) time.Duration {
 	for _, s := range j.excused[node] {
 		if s.from <= at && at < s.to {
 			at = s.to
@@ -301,16 +301,16 @@
 	return at
 }
 
-func (j *judge) lostSince(node int, at time.Duration) bool {
-	return slices.ContainsFunc(j.lost[node], func(l time.Duration) bool { return l >= at })
+func (j *checker) stateLostSince(node int, at time.Duration) bool {
+	return slices.ContainsFunc(j.stateLost[node], func(l time.Duration) bool { return l >= at })
 }
 
 // finalAnswer returns the first event that ended the message.
-func (j *judge) ended(m *message) (history.Event, bool) {
+func (j *checker) finalAnswer(m *message) (history.Event, bool) {
 	var first history.Event
 	found := false
 	for _, c := range m.calls {
-		if ok, _ := c.fate(m.in.ID); ok && (!found || c.ended.At < first.At) {
+		if ok, _ := c.outcome(m.submitted.ID); ok && (!found || c.ended.At < first.At) {
 			first, found = c.ended, true
 		}
 	}
@@ -322,25 +322,25 @@
 	return first, found
 }
 
-func (j *judge) oneEnd(m *message) {
-	if !m.taken() || j.lostSince(m.in.Node, m.in.At) {
+func (j *checker) checkOneFinalAnswer(m *message) {
+	if !m.accepted() || j.stateLostSince(m.submitted.Node, m.submitted.At) {
 		return
 	}
 	// A call that is in flight at the deadline may end the message then; the slack covers the delay of the
 	// notice.
-	due := j.excusedUntil(m.in.Node, m.in.At+m.in.ExpiresIn+j.terms.FinalAnswerSlack+j.terms.Slack)
-	end, ok := j.ended(m)
-	proof := []history.Event{m.in, *m.answered}
+	due := j.excusedUntil(m.submitted.Node, m.submitted.At+m.submitted.ExpiresIn+j.config.FinalAnswerSlack+j.config.Slack)
+	end, ok := j.finalAnswer(m)
+	proof := []history.Event{m.submitted, *m.answered}
 	switch {
 	case !ok && due < j.end:
-		j.breach(OneFinalAnswer, m.in.Node, m.in.ID, due, append(proof, callEvents(m)...), "it was accepted and never had a final answer")
+		j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, due, append(proof, callEvents(m)...), "it was accepted and never had a final answer")
 	case ok && end.At > due:
-		j.breach(OneFinalAnswer, m.in.Node, m.in.ID, end.At, append(proof, end), "its final answer came %v too late", (end.At - due).Round(time.Millisecond))
+		j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, end.At, append(proof, end), "its final answer came %v too late", (end.At - due).Round(time.Millisecond))
 	}
 	// Delivered messages need no notice, and one does no harm. But two notices must not disagree.
 	for i := 1; i < len(m.notices); i++ {
 		if m.notices[i].State != m.notices[0].State {
-			j.breach(OneFinalAnswer, m.in.Node, m.in.ID, m.notices[i].At, append(proof, m.notices[0], m.notices[i]), "it ended as %s and then as %s",
+			j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, m.notices[i].At, append(proof, m.notices[0], m.notices[i]), "it ended as %s and then as %s",
 				m.notices[0].State, m.notices[i].State)
 			break
 		}
@@ -351,68 +351,68 @@
 	var out []history.Event
 	for _, c := range m.calls {
 		out = append(out, c.began)
-		if !c.open {
+		if !c.unfinished {
 			out = append(out, c.ended)
 		}
 	}
 	return out
 }
 
-func (j *judge) over(m *message) {
-	end, ok := j.ended(m)
-	if !ok || !m.taken() {
+func (j *checker) checkNothingAfterEnd(m *message) {
+	end, ok := j.finalAnswer(m)
+	if !ok || !m.accepted() {
 		return
 	}
 	for _, c := range m.calls {
 		// If a process is killed before it has recorded a delivery, the message may be sent once more, as its
 		// class permits; checkRepeats covers that. After a notice no attempt may follow.
-		if c.began.FirstAt <= end.At+j.terms.OverlapSlack {
+		if c.began.FirstAt <= end.At+j.config.OverlapSlack {
 			continue
 		}
-		if end.Kind == history.NoticeReceived || !j.restarted(m.in.Node, end.At, c.began.FirstAt) {
-			j.breach(NothingAfterEnd, m.in.Node, m.in.ID, c.began.FirstAt, []history.Event{m.in, end, c.began}, "it was sent %v after its final answer",
+		if end.Kind == history.NoticeReceived || !j.restarted(m.submitted.Node, end.At, c.began.FirstAt) {
+			j.report(NothingAfterEnd, m.submitted.Node, m.submitted.ID, c.began.FirstAt, []history.Event{m.submitted, end, c.began}, "it was sent %v after its final answer",
 				(c.began.FirstAt - end.At).Round(time.Millisecond))
 			return
 		}
 	}
 }
 
-func (j *judge) attempts(m *message) {
-	if most := j.terms.MaxAttempts; most > 0 && len(m.calls) > most {
-		j.breach(MaxAttempts, m.in.Node, m.in.ID, m.calls[most].began.FirstAt, callEvents(m), "%d attempts, %d are allowed", len(m.calls), most)
+func (j *checker) checkAttempts(m *message) {
+	if limit := j.config.MaxAttempts; limit > 0 && len(m.calls) > limit {
+		j.report(MaxAttempts, m.submitted.Node, m.submitted.ID, m.calls[limit].began.FirstAt, callEvents(m), "%d attempts, %d are allowed", len(m.calls), limit)
 	}
 }
 
 // checkRepeats compares each attempt of a message with those before it.
-func (j *judge) effects(m *message) {
+func (j *checker) checkRepeats(m *message) {
 	class := Class{}
-	if m.in.Class < len(j.terms.Classes) {
-		class = j.terms.Classes[m.in.Class]
+	if m.submitted.Class < len(j.config.Classes) {
+		class = j.config.Classes[m.submitted.Class]
 	}
-	copies, once, window := false, false, false
+	overlapFound, repeatFound, windowFound := false, false, false
 	for i, c := range m.calls {
 		for _, before := range m.calls[:i] {
-			if !copies && before.end() > c.began.FirstAt+j.terms.OverlapSlack {
-				copies = true
-				proof := []history.Event{m.in, before.began, c.began}
-				if !before.open {
+			if !overlapFound && before.endTime() > c.began.FirstAt+j.config.OverlapSlack {
+				overlapFound = true
+				proof := []history.Event{m.submitted, before.began, c.began}
+				if !before.unfinished {
 					proof = append(proof, before.ended)
 				}
-				j.breach(OneAttemptAtATime, m.in.Node, m.in.ID, c.began.FirstAt, proof, "call %d started while call %d was in flight", c.began.Call, before.began.Call)
+				j.report(OneAttemptAtATime, m.submitted.Node, m.submitted.ID, c.began.FirstAt, proof, "call %d started while call %d was in flight", c.began.Call, before.began.Call)
 			}
-			if _, may := before.fate(m.in.ID); !may {
+			if _, mayHaveRun := before.outcome(m.submitted.ID); !mayHaveRun {
 				continue
 			}
-			proof := []history.Event{m.in, before.began, before.ended, c.began}
-			late := c.began.FirstAt - before.began.FirstAt - class.Window - j.terms.Slack
+			proof := []history.Event{m.submitted, before.began, before.ended, c.began}
+			late := c.began.FirstAt - before.began.FirstAt - class.Window - j.config.Slack
 			switch {
-			case class.Effect == Unsafe && !once:
-				once = true
-				j.breach(AtMostOnce, m.in.Node, m.in.ID, c.began.FirstAt, proof, "it was sent again although call %d may have run it (%s)", before.began.Call,
-					state(before))
-			case class.Effect == Keyed && late > 0 && !window:
-				window = true
-				j.breach(KeyWindow, m.in.Node, m.in.ID, c.began.FirstAt, proof, "it was sent again %v after its deduplication window",
+			case class.Effect == Unsafe && !repeatFound:
+				repeatFound = true
+				j.report(AtMostOnce, m.submitted.Node, m.submitted.ID, c.began.FirstAt, proof, "it was sent again although call %d may have run it (%s)", before.began.Call,
+					endState(before))
+			case class.Effect == Keyed && late > 0 && !windowFound:
+				windowFound = true
+				j.report(KeyWindow, m.submitted.Node, m.submitted.ID, c.began.FirstAt, proof, "it was sent again %v after its deduplication window",
 					late.Round(time.Millisecond))
 			}
 		}
@@ -425,17 +425,17 @@
 			continue
 		}
 		for _, c := range m.calls {
-			if _, may := c.fate(m.in.ID); may && c.began.FirstAt < n.At {
-				j.breach(AtMostOnce, m.in.Node, m.in.ID, n.At, []history.Event{m.in, c.began, c.ended, n}, "it was returned although call %d may have run it (%s)",
-					c.began.Call, state(c))
+			if _, mayHaveRun := c.outcome(m.submitted.ID); mayHaveRun && c.began.FirstAt < n.At {
+				j.report(AtMostOnce, m.submitted.Node, m.submitted.ID, n.At, []history.Event{m.submitted, c.began, c.ended, n}, "it was returned although call %d may have run it (%s)",
+					c.began.Call, endState(c))
 				return
 			}
 		}
 	}
 }
 
-func state(c *call) string {
-	if c.open {
+func endState(c *call) string {
+	if c.unfinished {
 		return "no end seen"
 	}
 	return c.ended.State
@@ -443,17 +443,17 @@
 
 // checkDoubleRuns finds messages that must not run twice and did, under one id or, if a node said that
 // resubmission is harmless, under two.
-func (j *judge) cases() {
+func (j *checker) checkDoubleRuns() {
 	type run struct {
 		m  *message
 		at history.Event
 	}
 	byCase := map[int][]run{}
-	for _, id := range j.ids {
+	for _, id := range j.messageIDs {
 		m := j.messages[id]
-		if m.in.Class < len(j.terms.Classes) && j.terms.Classes[m.in.Class].Effect == Unsafe {
+		if m.submitted.Class < len(j.config.Classes) && j.config.Classes[m.submitted.Class].Effect == Unsafe {
 			for _, r := range m.ran {
-				byCase[m.in.MessageNumber] = append(byCase[m.in.MessageNumber], run{m, r})
+				byCase[m.submitted.MessageNumber] = append(byCase[m.submitted.MessageNumber], run{m, r})
 			}
 		}
 	}
@@ -464,44 +464,44 @@
 			continue
 		}
 		a, b := runs[0], runs[1]
-		j.breach(AtMostOnce, b.m.in.Node, b.m.in.ID, b.at.At, []history.Event{a.m.in, a.at, b.m.in, b.at}, "it took effect twice: in call %d and in call %d",
+		j.report(AtMostOnce, b.m.submitted.Node, b.m.submitted.ID, b.at.At, []history.Event{a.m.submitted, a.at, b.m.submitted, b.at}, "it took effect twice: in call %d and in call %d",
 			a.at.Call, b.at.Call)
 	}
 }
 
-func (j *judge) answer(m *message) {
+func (j *checker) checkAnswer(m *message) {
 	e := m.answered
-	if e == nil || e.State != history.ConnectionLost || j.excusedUntil(m.in.Node, e.At) != e.At || j.excusedUntil(m.in.Node, m.in.At) != m.in.At {
+	if e == nil || e.State != history.ConnectionLost || j.excusedUntil(m.submitted.Node, e.At) != e.At || j.excusedUntil(m.submitted.Node, m.submitted.At) != m.submitted.At {
 		return
 	}
-	j.breach(AnswerGiven, m.in.Node, m.in.ID, e.At, []history.Event{m.in, *e}, "the connection ended without an answer")
+	j.report(AnswerGiven, m.submitted.Node, m.submitted.ID, e.At, []history.Event{m.submitted, *e}, "the connection ended without an answer")
 }
 
-func (j *judge) foreign() {
-	for _, c := range j.order {
+func (j *checker) checkPartners() {
+	for _, c := range j.callOrder {
 		for i, id := range c.began.IDs {
 			m := j.messages[id]
 			switch {
 			case m == nil:
-				j.breach(WrongPartner, c.began.Node, id, c.began.At, []history.Event{c.began}, "no client submitted it")
-			case m.in.Dest != c.began.Partner:
-				j.breach(WrongPartner, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it is for partner %d but was sent to partner %d", m.in.Dest,
+				j.report(WrongPartner, c.began.Node, id, c.began.At, []history.Event{c.began}, "no client submitted it")
+			case m.submitted.Dest != c.began.Partner:
+				j.report(WrongPartner, c.began.Node, id, c.began.At, []history.Event{m.submitted, c.began}, "it is for partner %d but was sent to partner %d", m.submitted.Dest,
 					c.began.Partner)
-			case m.in.Node != c.began.Node:
-				j.breach(WrongPartner, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it was submitted to node %d", m.in.Node)
+			case m.submitted.Node != c.began.Node:
+				j.report(WrongPartner, c.began.Node, id, c.began.At, []history.Event{m.submitted, c.began}, "it was submitted to node %d", m.submitted.Node)
 			case slices.Contains(c.began.IDs[:i], id):
-				j.breach(OneAttemptAtATime, c.began.Node, id, c.began.At, []history.Event{c.began}, "it is twice in one call")
+				j.report(OneAttemptAtATime, c.began.Node, id, c.began.At, []history.Event{c.began}, "it is twice in one call")
 			}
 		}
 	}
 }
 
-func (j *judge) drains() {
+func (j *checker) checkDrains() {
 	type place struct {
 		node     int
 		endpoint string
 	}
-	told := map[place]history.Event{}
+	announced := map[place]history.Event{}
 	at := map[place][]history.Event{}
 	for _, e := range j.events {
 		if e.Kind == history.ChangeAnnounced {
@@ -509,7 +509,7 @@
 			at[p] = append(at[p], e)
 		}
 	}
-	for _, c := range j.order {
+	for _, c := range j.callOrder {
 		if len(c.began.IDs) == 0 {
 			continue // a probe delivers no message
 		}
@@ -518,101 +518,101 @@
 			e := at[p][0]
 			at[p] = at[p][1:]
 			if e.State == history.Serving {
-				delete(told, p)
-			} else if _, before := told[p]; !before {
-				told[p] = e
+				delete(announced, p)
+			} else if _, before := announced[p]; !before {
+				announced[p] = e
 			}
 		}
-		e, ok := told[p]
+		e, ok := announced[p]
 		if !ok {
 			continue
 		}
 		// A process that is stopped learns of a change when it resumes.
-		heard := j.stoppedUntil(p.node, e.At)
-		if late := c.began.FirstAt - heard - j.terms.DrainGrace - j.terms.Slack; late > 0 {
-			j.breach(Drain, p.node, first(c.began.IDs), c.began.FirstAt, []history.Event{e, c.began}, "a call to %s started %v too late after the endpoint was announced as %s",
+		knownAt := j.stoppedUntil(p.node, e.At)
+		if late := c.began.FirstAt - knownAt - j.config.DrainGrace - j.config.Slack; late > 0 {
+			j.report(Drain, p.node, firstID(c.began.IDs), c.began.FirstAt, []history.Event{e, c.began}, "a call to %s started %v too late after the endpoint was announced as %s",
 				p.endpoint, late.Round(time.Millisecond), e.State)
 		}
 	}
 }
 
 // stoppedUntil is excusedUntil without the slack for final answers.
-func (j *judge) stoppedUntil(node int, at time.Duration) time.Duration {
+func (j *checker) stoppedUntil(node int, at time.Duration) time.Duration {
 	for _, s := range j.excused[node] {
-		if to := s.to - j.terms.RestartSlack; s.from <= at && at < to {
+		if to := s.to - j.config.RestartSlack; s.from <= at && at < to {
 			at = to
 		}
 	}
 	return at
 }
 
-func first(ids []string) string {
+func firstID(ids []string) string {
 	if len(ids) == 0 {
 		return ""
 	}
 	return ids[0]
 }
 
-func (j *judge) waits() {
+func (j *checker) checkRetryAfter() {
 	type place struct{ node, partner int }
-	told := map[place][]history.Event{}
+	refusals := map[place][]history.Event{}
 	for _, e := range j.events {
 		if e.Kind == history.CallEnded && e.RetryAfter > 0 && e.State != history.Abandoned {
 			p := place{e.Node, e.Partner}
-			told[p] = append(told[p], e)
+			refusals[p] = append(refusals[p], e)
 		}
 	}
-	for _, c := range j.order {
+	for _, c := range j.callOrder {
 		if len(c.began.IDs) == 0 {
 			continue
 		}
 		p := place{c.began.Node, c.began.Partner}
-		for _, e := range told[p] {
+		for _, e := range refusals[p] {
 			if e.At > c.began.FirstAt {
 				break
 			}
-			heard := j.stoppedUntil(p.node, e.At)
-			if c.began.FirstAt <= heard+j.terms.RetryAfterGrace || c.began.FirstAt >= e.At+e.RetryAfter-j.terms.Slack || j.restarted(p.node, e.At, c.began.FirstAt) {
+			knownAt := j.stoppedUntil(p.node, e.At)
+			if c.began.FirstAt <= knownAt+j.config.RetryAfterGrace || c.began.FirstAt >= e.At+e.RetryAfter-j.config.Slack || j.restarted(p.node, e.At, c.began.FirstAt) {
 				continue
 			}
-			j.breach(RetryAfter, p.node, first(c.began.IDs), c.began.FirstAt, []history.Event{e, c.began}, "partner %d had told a retry-after %v before, of %v",
+			j.report(RetryAfter, p.node, firstID(c.began.IDs), c.began.FirstAt, []history.Event{e, c.began}, "partner %d had told a retry-after %v before, of %v",
 				p.partner, (c.began.FirstAt - e.At).Round(time.Millisecond), e.RetryAfter.Round(time.Millisecond))
 			break
 		}
 	}
 }
 
-func (j *judge) restarted(node int, from, to time.Duration) bool {
+func (j *checker) restarted(node int, from, to time.Duration) bool {
 	return slices.ContainsFunc(j.starts[node], func(at time.Duration) bool { return at > from && at <= to })
 }
 
-func (j *judge) slots() {
+func (j *checker) checkSlots() {
 	type edge struct {
 		at time.Duration
 		d  int
 		c  *call
 	}
 	byNode := map[int][]edge{}
-	for _, c := range j.order {
+	for _, c := range j.callOrder {
 		if len(c.began.IDs) == 0 {
 			continue // a probe takes no slot
 		}
 		n := c.began.Node
-		byNode[n] = append(byNode[n], edge{c.began.FirstAt + j.terms.OverlapSlack, 1, c})
-		if !c.open {
-			byNode[n] = append(byNode[n], edge{max(c.ended.At, c.began.FirstAt+j.terms.OverlapSlack), -1, c})
+		byNode[n] = append(byNode[n], edge{c.began.FirstAt + j.config.OverlapSlack, 1, c})
+		if !c.unfinished {
+			byNode[n] = append(byNode[n], edge{max(c.ended.At, c.began.FirstAt+j.config.OverlapSlack), -1, c})
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(byNode)) {
-		if n >= len(j.terms.Slots) || n < 0 || j.terms.Slots[n] <= 0 {
+		if n >= len(j.config.Slots) || n < 0 || j.config.Slots[n] <= 0 {
 			continue
 		}
 		edges := byNode[n]
 		slices.SortStableFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.d, b.d)) })
-		out := 0
+		inFlight := 0
 		for _, e := range edges {
-			if out += e.d; out > j.terms.Slots[n] {
-				j.breach(Slots, n, first(e.c.began.IDs), e.at, []history.Event{e.c.began}, "%d calls are in flight, the node has %d slots", out, j.terms.Slots[n])
+			if inFlight += e.d; inFlight > j.config.Slots[n] {
+				j.report(Slots, n, firstID(e.c.began.IDs), e.at, []history.Event{e.c.began}, "%d calls are in flight, the node has %d slots", inFlight, j.config.Slots[n])
 				break
 			}
 		}
@@ -620,34 +620,34 @@
 }
 
 // checkSlowStart finds partners that collapsed mostly by calls of nodes that had seen the outage.
-func (j *judge) colds() {
-	saw := map[int]map[int]history.Event{} // by partner and node: the first failure in its last outage
-	out := map[int]bool{}
+func (j *checker) checkSlowStart() {
+	firstFailure := map[int]map[int]history.Event{} // by partner and node: the first failure in its last outage
+	inOutage := map[int]bool{}
 	for _, e := range j.events {
 		switch e.Kind {
 		case history.OutageBegan:
-			if !out[e.Partner] {
-				saw[e.Partner], out[e.Partner] = map[int]history.Event{}, true
+			if !inOutage[e.Partner] {
+				firstFailure[e.Partner], inOutage[e.Partner] = map[int]history.Event{}, true
 			}
 		case history.OutageEnded:
-			out[e.Partner] = false
+			inOutage[e.Partner] = false
 		case history.CallEnded, history.ConnectFailed:
-			if good := e.State == history.Accepted; !good && out[e.Partner] {
-				if _, before := saw[e.Partner][e.Node]; !before {
-					saw[e.Partner][e.Node] = e
+			if good := e.State == history.Accepted; !good && inOutage[e.Partner] {
+				if _, before := firstFailure[e.Partner][e.Node]; !before {
+					firstFailure[e.Partner][e.Node] = e
 				}
 			}
 		case history.Collapsed:
-			proof, all, knew := []history.Event{e}, 0.0, 0.0
+			proof, total, fromWitnesses := []history.Event{e}, 0.0, 0.0
 			for _, n := range slices.Sorted(maps.Keys(e.CallsBySender)) {
-				all += e.CallsBySender[n]
-				if s, ok := saw[e.Partner][n]; ok {
-					knew += e.CallsBySender[n]
+				total += e.CallsBySender[n]
+				if s, ok := firstFailure[e.Partner][n]; ok {
+					fromWitnesses += e.CallsBySender[n]
 					proof = append(proof, s)
 				}
 			}
-			if all > 0 && knew >= all*2/3 {
-				j.breach(SlowStart, -1, "", e.At, proof, "partner %d collapsed in slow start, %.0f of %.0f calls came from nodes that had seen its outage", e.Partner, knew, all)
+			if total > 0 && fromWitnesses >= total*2/3 {
+				j.report(SlowStart, -1, "", e.At, proof, "partner %d collapsed in slow start, %.0f of %.0f calls came from nodes that had seen its outage", e.Partner, fromWitnesses, total)
 			}
 		}
 	}
--- a/fleet/ownership/agree.go
+++ b/fleet/ownership/agree.go
@@ -26,16 +26,16 @@
 	// undecodable record replaced, by a first map. 0: none.
 	AboveNumber int64
 
-	state   stage
-	seq     int
-	token   int64
-	writing *Map
-	raw     []byte // encoded map that was written and whose write is ambiguous; nil: none
-	sought  *Map   // the same map, decoded
-	unsure  int64  // number of an earlier map whose write is ambiguous; 0: none
-	done    *Map
-	err     error // why there is no result
-	why     error // why the last action was refused
+	stage           stage
+	seq             int
+	token           int64
+	writing         *Map
+	encoded         []byte // encoded map that was written and whose write is ambiguous; nil: none
+	candidate       *Map   // the same map, decoded
+	ambiguousNumber int64  // number of an earlier map whose write is ambiguous; 0: none
+	result          *Map
+	err             error // why there is no result
+	lastRefusal     error // why the last action was refused
 }
 
 type stage int
@@ -98,11 +98,11 @@
 var ErrAmbiguous = errors.New("a map may have been written, or may yet be written")
 
 // Begin returns the first action.
-func (a *Publisher) Begin() Action { return a.next(acquiring) }
+func (a *Publisher) Begin() Action { return a.enter(acquiring) }
 
 // enter returns the action that begins a stage.
-func (a *Publisher) next(s stage) Action {
-	a.state = s
+func (a *Publisher) enter(s stage) Action {
+	a.stage = s
 	a.seq++
 	switch s {
 	case acquiring:
@@ -111,80 +111,80 @@
 	case reading:
 		return Action{Seq: a.seq, Operation: Read}
 	case updating:
-		return Action{Seq: a.seq, Operation: Update, Token: a.token, Value: a.raw}
+		return Action{Seq: a.seq, Operation: Update, Token: a.token, Value: a.encoded}
 	case releasing:
 		if a.token != 0 {
 			return Action{Seq: a.seq, Operation: Release, Token: a.token}
 		}
 	}
-	a.state = ended
-	return Action{Seq: a.seq, Operation: End, Map: a.done, Err: a.err}
+	a.stage = ended
+	return Action{Seq: a.seq, Operation: End, Map: a.result, Err: a.err}
 }
 
 // Step takes an answer and returns the next action; false if the answer is not for the action in progress.
 func (a *Publisher) Step(ans Answer) (Action, bool) {
-	if ans.Seq != a.seq || a.state == idle || a.state == ended {
+	if ans.Seq != a.seq || a.stage == idle || a.stage == ended {
 		return Action{}, false
 	}
-	if ans.Outcome == TimedOut && a.state != releasing {
-		return a.giveUp(), true
+	if ans.Outcome == TimedOut && a.stage != releasing {
+		return a.timeOut(), true
 	}
-	switch a.state {
+	switch a.stage {
 	case acquiring:
 		if ans.Outcome != Done {
-			a.why = ans.Err
-			return a.next(acquiring), true
+			a.lastRefusal = ans.Err
+			return a.enter(acquiring), true
 		}
 		a.token = ans.Token
-		return a.next(reading), true
+		return a.enter(reading), true
 	case reading:
 		switch ans.Outcome {
 		case Done:
-			return a.plan(ans.Value), true
+			return a.planNext(ans.Value), true
 		case LeaseLost:
-			return a.next(acquiring), true
+			return a.enter(acquiring), true
 		}
-		return a.next(reading), true
+		return a.enter(reading), true
 	case updating:
 		switch ans.Outcome {
 		case Done:
-			a.done, a.err = a.sought, nil
-			return a.next(releasing), true
+			a.result, a.err = a.candidate, nil
+			return a.enter(releasing), true
 		case Refused:
-			a.raw, a.sought, a.why = nil, nil, ans.Err
+			a.encoded, a.candidate, a.lastRefusal = nil, nil, ans.Err
 			if errors.Is(ans.Err, ErrInvalid) {
-				return a.fail(ans.Err), true
+				return a.abort(ans.Err), true
 			}
 		}
-		return a.next(acquiring), true
+		return a.enter(acquiring), true
 	}
-	return a.next(ended), true // was releasing
+	return a.enter(ended), true // was releasing
 }
 
-func (a *Publisher) giveUp() Action {
-	if a.sought != nil {
-		a.unsure = a.sought.Number
+func (a *Publisher) timeOut() Action {
+	if a.candidate != nil {
+		a.ambiguousNumber = a.candidate.Number
 	}
 	err := errors.New("out of time")
-	if a.why != nil {
-		err = fmt.Errorf("%w: %w", err, a.why)
+	if a.lastRefusal != nil {
+		err = fmt.Errorf("%w: %w", err, a.lastRefusal)
 	}
-	return a.fail(err)
+	return a.abort(err)
 }
 
-func (a *Publisher) fail(err error) Action {
+func (a *Publisher) abort(err error) Action {
 	a.err = err
-	if a.unsure > 0 {
-		a.err = fmt.Errorf("%w; map %d: %w", err, a.unsure, ErrAmbiguous)
+	if a.ambiguousNumber > 0 {
+		a.err = fmt.Errorf("%w; map %d: %w", err, a.ambiguousNumber, ErrAmbiguous)
 	}
-	return a.next(releasing)
+	return a.enter(releasing)
 }
 
 // planNext continues from the value that was read under the current token.
-func (a *Publisher) plan(value []byte) Action {
-	if a.sought != nil && bytes.Equal(value, a.raw) {
-		a.done = a.sought
-		return a.next(releasing)
+func (a *Publisher) planNext(value []byte) Action {
+	if a.candidate != nil && bytes.Equal(value, a.encoded) {
+		a.result = a.candidate
+		return a.enter(releasing)
 	}
 	var before *Map
 	var unread error
@@ -194,25 +194,25 @@
 			number = max(number, before.Number)
 		}
 	}
-	if a.sought != nil && value != nil && (before == nil || before.Number >= a.sought.Number) {
-		a.unsure = a.sought.Number // another map was written after it; otherwise it did not take effect and, its token being invalid, never will
+	if a.candidate != nil && value != nil && (before == nil || before.Number >= a.candidate.Number) {
+		a.ambiguousNumber = a.candidate.Number // another map was written after it; otherwise it did not take effect and, its token being invalid, never will
 	}
 	if unread != nil && a.AboveNumber == 0 {
-		return a.fail(fmt.Errorf("decode record %s: %w", RecordName, unread))
+		return a.abort(fmt.Errorf("decode record %s: %w", RecordName, unread))
 	}
-	a.raw, a.sought = nil, nil
+	a.encoded, a.candidate = nil, nil
 	m, err := a.Plan(number+1, before)
 	if err != nil {
-		return a.fail(err)
+		return a.abort(err)
 	}
 	if m == before {
-		a.done = before
-		return a.next(releasing)
+		a.result = before
+		return a.enter(releasing)
 	}
 	raw, err := m.Encode()
 	if err != nil {
-		return a.fail(err)
+		return a.abort(err)
 	}
-	a.raw, a.sought = raw, m
-	return a.next(updating)
+	a.encoded, a.candidate = raw, m
+	return a.enter(updating)
 }
--- a/fleet/ownership/agree_test.go
+++ b/fleet/ownership/agree_test.go
@@ -21,105 +21,105 @@
 }
 
 // request is an action on its way to the directory, or its answer on the way back.
-type sent struct {
-	who, life int
+type request struct {
+	from, run int
 	holder    string
 	action    Action
 	answer    Answer
 }
 
 // controller runs one Publisher after another; each is one run of an operator's command.
-type process struct {
-	life    int
+type controller struct {
+	run     int
 	holder  string
-	w       writer
-	waiting Action
+	writer  writer
+	pending Action
 	ended   bool
 }
 
 // simulation has two controllers and the directory's record, kept by the catalog's own state machine.
-type world struct {
-	rng      *rand.Rand
-	make     func(*world) writer
-	state    *catalog.State
-	all      [2]process
-	asks     []sent
-	answers  []sent
-	variants []*Map // first maps made in advance, which saves the time of Make
-	given    map[int64][]byte
-	last     int64
-	wrote    map[[2]int]bool // runs whose writes took effect
-	never    map[[2]int]bool // runs that ended certain that they wrote nothing
-	count    map[string]int
-	bad      []string
+type simulation struct {
+	rng          *rand.Rand
+	newWriter    func(*simulation) writer
+	state        *catalog.State
+	controllers  [2]controller
+	requests     []request
+	answers      []request
+	variants     []*Map // first maps made in advance, which saves the time of Make
+	mapsByNumber map[int64][]byte
+	lastNumber   int64
+	wrote        map[[2]int]bool // runs whose writes took effect
+	wroteNothing map[[2]int]bool // runs that ended certain that they wrote nothing
+	counts       map[string]int
+	violations   []string
 }
 
-func newWorld(seed uint64, variants []*Map, make_ func(*world) writer) *world {
-	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 7)), make: make_, state: catalog.New(), variants: variants, given: map[int64][]byte{}, wrote: map[[2]int]bool{},
-		never: map[[2]int]bool{}, count: map[string]int{},
+func newSimulation(seed uint64, variants []*Map, make_ func(*simulation) writer) *simulation {
+	w := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 7)), newWriter: make_, state: catalog.New(), variants: variants, mapsByNumber: map[int64][]byte{}, wrote: map[[2]int]bool{},
+		wroteNothing: map[[2]int]bool{}, counts: map[string]int{},
 	}
 	w.state.Apply(catalog.Command{At: 1, Found: &catalog.Found{}})
-	for i := range w.all {
+	for i := range w.controllers {
 		w.restart(i)
 	}
 	return w
 }
 
 // variant returns a map with the given number; its members are chosen at random.
-func (w *world) variant(number int64) *Map {
+func (w *simulation) variant(number int64) *Map {
 	m := *w.variants[w.rng.IntN(len(w.variants))]
 	m.Number = number
 	return &m
 }
 
-func (w *world) restart(i int) {
-	p := &w.all[i]
-	p.life++
+func (w *simulation) restart(i int) {
+	p := &w.controllers[i]
+	p.run++
 	if w.rng.IntN(2) == 0 || p.holder == "" { // otherwise under the same name, like an operator who runs the command again
-		p.holder = fmt.Sprintf("c%d.%d", i, p.life)
+		p.holder = fmt.Sprintf("c%d.%d", i, p.run)
 	}
 	if w.rng.IntN(20) == 0 {
-		p.holder = w.all[1-i].holder + "" // or, by mistake, under the name of the other
+		p.holder = w.controllers[1-i].holder + "" // or, by mistake, under the name of the other
 		if p.holder == "" {
 			p.holder = "c"
 		}
 	}
-	p.w, p.ended = w.make(w), false
-	w.do(i, p.w.Begin())
+	p.writer, p.ended = w.newWriter(w), false
+	w.start(i, p.writer.Begin())
 }
 
-func (w *world) do(i int, a Action) {
-	p := &w.all[i]
-	p.waiting = a
+func (w *simulation) start(i int, a Action) {
+	p := &w.controllers[i]
+	p.pending = a
 	if a.Operation != End {
-		w.asks = append(w.asks, sent{who: i, life: p.life, holder: p.holder, action: a})
+		w.requests = append(w.requests, request{from: i, run: p.run, holder: p.holder, action: a})
 		return
 	}
 	p.ended = true
-	key := [2]int{i, p.life}
+	key := [2]int{i, p.run}
 	switch {
 	case a.Map != nil:
-		w.count["ended with a map"]++
+		w.counts["ended with a map"]++
 		raw, err := a.Map.Encode()
-		if err != nil || !bytes.Equal(w.given[a.Map.Number], raw) {
-			w.bad = append(w.bad, fmt.Sprintf("controller %d reports that it wrote map %d, which was not written (%v)", i, a.Map.Number, err))
+		if err != nil || !bytes.Equal(w.mapsByNumber[a.Map.Number], raw) {
+			w.violations = append(w.violations, fmt.Sprintf("controller %d reports that it wrote map %d, which was not written (%v)", i, a.Map.Number, err))
 		}
 	case errors.Is(a.Err, ErrAmbiguous):
-		w.count["ended ambiguous"]++
+		w.counts["ended ambiguous"]++
 	case a.Err != nil:
-		w.count["ended without a map"]++
-		w.never[key] = true
+		w.counts["ended without a map"]++
+		w.wroteNothing[key] = true
 		if w.wrote[key] {
-			w.bad = append(w.bad, fmt.Sprintf("controller %d reports that it wrote nothing, but it did: %v", i, a.Err))
+			w.violations = append(w.violations, fmt.Sprintf("controller %d reports that it wrote nothing, but it did: %v", i, a.Err))
 		}
 	default:
-		w.bad = append(w.bad, fmt.Sprintf("controller %d ended without a map or an error", i))
+		w.violations = append(w.violations, fmt.Sprintf("controller %d ended without a map or an error", i))
 	}
 }
 
 // serve carries out a request at the directory.
-func (w *world) serve(s sent) Answer {
+func (w *simulation) serve(s request) Answer {
 	ans := Answer{Seq: s.action.Seq, Outcome: Done}
 	var r catalog.Result
 	switch s.action.Operation {
@@ -135,7 +135,7 @@
 	case Update:
 		r = w.state.Apply(catalog.Command{Update: &catalog.Hold{Name: RecordName, Token: s.action.Token, Value: s.action.Value}})
 		if r.Err == nil {
-			w.written(s)
+			w.checkWrite(s)
 		}
 	case Release:
 		r = w.state.Apply(catalog.Command{Release: &catalog.Hold{Name: RecordName, Token: s.action.Token}})
@@ -147,73 +147,73 @@
 }
 
 // checkWrite checks each value that is written.
-func (w *world) written(s sent) {
+func (w *simulation) checkWrite(s request) {
 	m, err := Decode(s.action.Value)
 	if err != nil {
-		w.bad = append(w.bad, fmt.Sprint("decode the written value: ", err))
+		w.violations = append(w.violations, fmt.Sprint("decode the written value: ", err))
 		return
 	}
-	w.count["written"]++
-	key := [2]int{s.who, s.life}
+	w.counts["written"]++
+	key := [2]int{s.from, s.run}
 	w.wrote[key] = true
-	if w.never[key] {
-		w.bad = append(w.bad, fmt.Sprintf("controller %d reported that it wrote nothing, but its map %d was written later", s.who, m.Number))
+	if w.wroteNothing[key] {
+		w.violations = append(w.violations, fmt.Sprintf("controller %d reported that it wrote nothing, but its map %d was written later", s.from, m.Number))
 	}
-	if old, ok := w.given[m.Number]; ok && !bytes.Equal(old, s.action.Value) {
-		w.bad = append(w.bad, fmt.Sprintf("number %d was used for two maps", m.Number))
-	} else if !ok && m.Number <= w.last {
-		w.bad = append(w.bad, fmt.Sprintf("number %d was written after %d", m.Number, w.last))
+	if old, ok := w.mapsByNumber[m.Number]; ok && !bytes.Equal(old, s.action.Value) {
+		w.violations = append(w.violations, fmt.Sprintf("number %d was used for two maps", m.Number))
+	} else if !ok && m.Number <= w.lastNumber {
+		w.violations = append(w.violations, fmt.Sprintf("number %d was written after %d", m.Number, w.lastNumber))
 	}
-	w.given[m.Number], w.last = s.action.Value, max(w.last, m.Number)
+	w.mapsByNumber[m.Number], w.lastNumber = s.action.Value, max(w.lastNumber, m.Number)
 }
 
-func (w *world) tell(i int, ans Answer) {
-	if next, ok := w.all[i].w.Step(ans); ok {
-		w.do(i, next)
+func (w *simulation) deliver(i int, ans Answer) {
+	if next, ok := w.controllers[i].writer.Step(ans); ok {
+		w.start(i, next)
 	}
 }
 
 // step makes one thing happen; faults is the share of faults among them.
-func (w *world) step(faults float64) {
-	pull := func(from *[]sent) sent {
+func (w *simulation) step(faults float64) {
+	pull := func(from *[]request) request {
 		i := w.rng.IntN(len(*from))
 		s := (*from)[i]
 		*from = slices.Delete(*from, i, i+1)
 		return s
 	}
 	i := w.rng.IntN(2)
-	p := &w.all[i]
+	p := &w.controllers[i]
 	if w.rng.Float64() < faults {
-		stage := p.waiting.Operation
+		stage := p.pending.Operation
 		switch w.rng.IntN(8) {
 		case 0:
-			w.count[fmt.Sprint("killed at ", stage)]++
+			w.counts[fmt.Sprint("killed at ", stage)]++
 			w.restart(i)
 		case 1: // the controller gives up waiting for the answer; the request may still be on its way
-			w.count[fmt.Sprint("lost at ", stage)]++
-			w.tell(i, Answer{Seq: p.waiting.Seq, Outcome: Ambiguous})
+			w.counts[fmt.Sprint("lost at ", stage)]++
+			w.deliver(i, Answer{Seq: p.pending.Seq, Outcome: Ambiguous})
 		case 2:
-			w.tell(i, Answer{Seq: p.waiting.Seq, Outcome: LeaseLost})
+			w.deliver(i, Answer{Seq: p.pending.Seq, Outcome: LeaseLost})
 		case 3:
 			if w.rng.IntN(4) == 0 {
-				w.tell(i, Answer{Seq: p.waiting.Seq, Outcome: TimedOut})
+				w.deliver(i, Answer{Seq: p.pending.Seq, Outcome: TimedOut})
 			}
 		case 4:
-			if len(w.asks) > 0 {
-				pull(&w.asks)
+			if len(w.requests) > 0 {
+				pull(&w.requests)
 			}
 		case 5:
 			if len(w.answers) > 0 {
 				pull(&w.answers)
 			}
 		case 6:
-			if len(w.asks) > 0 { // answered by a replica that knows no leader
-				s := pull(&w.asks)
-				w.answers = append(w.answers, sent{who: s.who, life: s.life, answer: Answer{Seq: s.action.Seq, Outcome: Refused, Err: errors.New("no leader")}})
+			if len(w.requests) > 0 { // answered by a replica that knows no leader
+				s := pull(&w.requests)
+				w.answers = append(w.answers, request{from: s.from, run: s.run, answer: Answer{Seq: s.action.Seq, Outcome: Refused, Err: errors.New("no leader")}})
 			}
 		case 7:
 			if r, ok := w.state.Record(RecordName); ok && r.Holder != "" {
-				w.count["lapsed"]++
+				w.counts["lapsed"]++
 				w.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
 			}
 		}
@@ -223,17 +223,17 @@
 	case p.ended && w.rng.IntN(4) == 0:
 		w.restart(i)
 	case len(w.answers) > 0 && w.rng.IntN(2) == 0:
-		if s := pull(&w.answers); s.life == w.all[s.who].life {
-			w.tell(s.who, s.answer)
+		if s := pull(&w.answers); s.run == w.controllers[s.from].run {
+			w.deliver(s.from, s.answer)
 		}
-	case len(w.asks) > 0:
-		s := pull(&w.asks)
-		w.answers = append(w.answers, sent{who: s.who, life: s.life, answer: w.serve(s)})
+	case len(w.requests) > 0:
+		s := pull(&w.requests)
+		w.answers = append(w.answers, request{from: s.from, run: s.run, answer: w.serve(s)})
 	}
 }
 
 // newPublisher returns a correct Publisher; now and then its plan changes nothing or is refused.
-func careful(w *world) writer {
+func newPublisher(w *simulation) writer {
 	a := &Publisher{}
 	a.Plan = func(number int64, before *Map) (*Map, error) {
 		switch k := w.rng.IntN(12); {
@@ -260,26 +260,26 @@
 }
 
 // runSchedules runs random schedules until one breaks a rule, and returns its seed and what was broken.
-func play(t *testing.T, from, schedules uint64, count map[string]int, make_ func(*world) writer) (uint64, []string) {
+func runSchedules(t *testing.T, from, schedules uint64, count map[string]int, make_ func(*simulation) writer) (uint64, []string) {
 	all := variants(t)
 	for seed := from; seed < from+schedules; seed++ {
-		w := newWorld(seed, all, make_)
+		w := newSimulation(seed, all, make_)
 		for range 150 {
 			w.step(0.3)
 		}
-		for k, n := range w.count {
+		for k, n := range w.counts {
 			count[k] += n
 		}
-		if len(w.bad) > 0 {
-			return seed, w.bad
+		if len(w.violations) > 0 {
+			return seed, w.violations
 		}
 	}
 	return 0, nil
 }
 
-func TestAgreement(t *testing.T) {
+func TestPublisher(t *testing.T) {
 	count := map[string]int{}
-	if seed, bad := play(t, 1, 1500, count, careful); bad != nil {
+	if seed, bad := runSchedules(t, 1, 1500, count, newPublisher); bad != nil {
 		t.Fatalf("seed %d: %v", seed, bad)
 	}
 	t.Log(count)
@@ -295,20 +295,20 @@
 	}
 }
 
-func TestAgreementCheckFindsBreaches(t *testing.T) {
-	for name, double := range map[string]func(*world) writer{
-		"an ambiguous write repeated with another map": func(w *world) writer {
-			c := &Careless{Other: w.variant}
+func TestSimulationFindsFaultyPublishers(t *testing.T) {
+	for name, double := range map[string]func(*simulation) writer{
+		"an ambiguous write repeated with another map": func(w *simulation) writer {
+			c := &ResendingPublisher{OtherMap: w.variant}
 			c.Plan = func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }
 			return c
 		},
-		"an ambiguous write taken for not done": func(w *world) writer {
-			h := &Hasty{}
+		"an ambiguous write taken for not done": func(w *simulation) writer {
+			h := &UnfencedPublisher{}
 			h.Plan = func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }
 			return h
 		},
 	} {
-		seed, bad := play(t, 1, 2000, map[string]int{}, double)
+		seed, bad := runSchedules(t, 1, 2000, map[string]int{}, double)
 		if bad == nil {
 			t.Errorf("%s: not found in 2000 schedules", name)
 			continue
@@ -318,14 +318,14 @@
 }
 
 // Once no message is lost, a controller writes its map in four actions, whatever happened before.
-func TestAgreementEnds(t *testing.T) {
+func TestPublisherEndsWithoutLosses(t *testing.T) {
 	all := variants(t)
 	for seed := range uint64(300) {
-		w := newWorld(seed, all, careful)
+		w := newSimulation(seed, all, newPublisher)
 		for range 100 {
 			w.step(0.4)
 		}
-		for len(w.asks) > 0 {
+		for len(w.requests) > 0 {
 			w.step(0)
 		}
 		if r, _ := w.state.Record(RecordName); r.Holder != "" {
@@ -336,17 +336,17 @@
 		for next.Operation != End {
 			did += fmt.Sprint(next.Operation)
 			var ok bool
-			if next, ok = a.Step(w.serve(sent{who: 0, life: -1, holder: "quiet", action: next})); !ok {
+			if next, ok = a.Step(w.serve(request{from: 0, run: -1, holder: "quiet", action: next})); !ok {
 				t.Fatalf("seed %d: Step ignored an answer", seed)
 			}
 		}
-		if next.Err != nil || next.Map == nil || next.Map.Number != w.last || did != "1234" || len(w.bad) > 0 {
-			t.Fatalf("seed %d: actions %s, last action %+v, last number %d, violations %v", seed, did, next, w.last, w.bad)
+		if next.Err != nil || next.Map == nil || next.Map.Number != w.lastNumber || did != "1234" || len(w.violations) > 0 {
+			t.Fatalf("seed %d: actions %s, last action %+v, last number %d, violations %v", seed, did, next, w.lastNumber, w.violations)
 		}
 	}
 }
 
-func TestAgreementReads(t *testing.T) {
+func TestPublisherReadsRecord(t *testing.T) {
 	m, err := Make(7, 2, Fleet(4, 2), nil)
 	if err != nil {
 		t.Fatal(err)
--- a/fleet/ownership/code.go
+++ b/fleet/ownership/code.go
@@ -17,29 +17,29 @@
 
 // An encoded map consists of a magic string, the hash of the body, and the body in CBOR.
 const (
-	mark    = "own1"
-	sealLen = len(mark) + 8
+	magic     = "own1"
+	headerLen = len(magic) + 8
 )
 
 // encodedMap is the encoded form of a map. Owners are indexes into Members, each with as many bits as the
 // last index needs, highest bit first.
-type coded struct {
+type encodedMap struct {
 	_       struct{} `cbor:",toarray"`
 	Number  int64
 	Copies  int
 	Zones   []string // sorted
-	Members []codedMember
+	Members []encodedMember
 	Owners  []byte
 }
 
-type codedMember struct {
+type encodedMember struct {
 	_      struct{} `cbor:",toarray"`
 	Name   string
 	Zone   int // index into Zones
 	Weight float64
 }
 
-var encoding = func() cbor.EncMode {
+var encMode = func() cbor.EncMode {
 	m, err := cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode()
 	if err != nil {
 		panic(err) // can't happen: the options are constant
@@ -47,7 +47,7 @@
 	return m
 }()
 
-var decoding = func() cbor.DecMode {
+var decMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 4, MaxArrayElements: MaxMembers, MaxMapPairs: 16}.DecMode()
 	if err != nil {
 		panic(err)
@@ -56,11 +56,11 @@
 }()
 
 // ownerBits returns the bits of one owner's index among n members; 0 if there is only one.
-func width(n int) int { return bits.Len(uint(n - 1)) }
+func ownerBits(n int) int { return bits.Len(uint(n - 1)) }
 
 // Encode returns the encoded map. A map of more than MaxEncodedBytes is an error: its names are too long.
 func (m *Map) Encode() ([]byte, error) {
-	c := coded{Number: m.Number, Copies: m.OwnersPerPartition, Zones: []string{}, Members: []codedMember{}}
+	c := encodedMap{Number: m.Number, Copies: m.OwnersPerPartition, Zones: []string{}, Members: []encodedMember{}}
 	for _, member := range m.Members {
 		c.Zones = append(c.Zones, member.Zone)
 	}
@@ -68,25 +68,25 @@
 	c.Zones = slices.Compact(c.Zones)
 	for _, member := range m.Members {
 		z, _ := slices.BinarySearch(c.Zones, member.Zone)
-		c.Members = append(c.Members, codedMember{Name: member.Name, Zone: z, Weight: member.Weight})
+		c.Members = append(c.Members, encodedMember{Name: member.Name, Zone: z, Weight: member.Weight})
 	}
-	wide := width(len(m.Members))
-	c.Owners = make([]byte, (len(m.owners)*wide+7)/8)
+	bitsEach := ownerBits(len(m.Members))
+	c.Owners = make([]byte, (len(m.owners)*bitsEach+7)/8)
 	at := 0
 	for _, o := range m.owners {
-		for b := wide - 1; b >= 0; b-- {
+		for b := bitsEach - 1; b >= 0; b-- {
 			c.Owners[at/8] |= byte(o>>b&1) << (7 - at%8)
 			at++
 		}
 	}
-	body, err := encoding.Marshal(c)
+	body, err := encMode.Marshal(c)
 	if err != nil {
 		return nil, fmt.Errorf("encode ownership map: %w", err)
 	}
-	if sealLen+len(body) > MaxEncodedBytes {
-		return nil, fmt.Errorf("%w: encoded size %d exceeds %d bytes; use shorter member names", ErrInvalid, sealLen+len(body), MaxEncodedBytes)
+	if headerLen+len(body) > MaxEncodedBytes {
+		return nil, fmt.Errorf("%w: encoded size %d exceeds %d bytes; use shorter member names", ErrInvalid, headerLen+len(body), MaxEncodedBytes)
 	}
-	out := append(make([]byte, 0, sealLen+len(body)), mark...)
+	out := append(make([]byte, 0, headerLen+len(body)), magic...)
 	out = binary.BigEndian.AppendUint64(out, xxhash.Sum64(body))
 	return append(out, body...), nil
 }
@@ -95,15 +95,15 @@
 // checks that the owners of a partition are distinct and as many as required; it does not check zones and
 // loads, so that a map made by the different rules of a later build can be followed. Errors are ErrInvalid.
 func Decode(raw []byte) (*Map, error) {
-	if len(raw) > MaxEncodedBytes || len(raw) < sealLen || string(raw[:len(mark)]) != mark {
+	if len(raw) > MaxEncodedBytes || len(raw) < headerLen || string(raw[:len(magic)]) != magic {
 		return nil, fmt.Errorf("%w: wrong magic or size of %d bytes", ErrInvalid, len(raw))
 	}
-	body := raw[sealLen:]
-	if binary.BigEndian.Uint64(raw[len(mark):]) != xxhash.Sum64(body) {
+	body := raw[headerLen:]
+	if binary.BigEndian.Uint64(raw[len(magic):]) != xxhash.Sum64(body) {
 		return nil, fmt.Errorf("%w: hash mismatch", ErrInvalid)
 	}
-	var c coded
-	if err := decoding.Unmarshal(body, &c); err != nil {
+	var c encodedMap
+	if err := decMode.Unmarshal(body, &c); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	m := &Map{Number: c.Number, OwnersPerPartition: c.Copies, Members: make([]Member, 0, len(c.Members))}
@@ -113,30 +113,30 @@
 		}
 		m.Members = append(m.Members, Member{Name: member.Name, Zone: c.Zones[member.Zone], Weight: member.Weight})
 	}
-	if err := check(m.Number, m.OwnersPerPartition, m.Members); err != nil {
+	if err := validate(m.Number, m.OwnersPerPartition, m.Members); err != nil {
 		return nil, err
 	}
-	wide, all := width(len(m.Members)), PartitionCount*m.per()
-	if len(c.Owners) != (all*wide+7)/8 {
-		return nil, fmt.Errorf("%w: owners have %d bytes, want %d", ErrInvalid, len(c.Owners), (all*wide+7)/8)
+	bitsEach, count := ownerBits(len(m.Members)), PartitionCount*m.ownersEach()
+	if len(c.Owners) != (count*bitsEach+7)/8 {
+		return nil, fmt.Errorf("%w: owners have %d bytes, want %d", ErrInvalid, len(c.Owners), (count*bitsEach+7)/8)
 	}
-	m.owners = make([]uint16, all)
+	m.owners = make([]uint16, count)
 	at := 0
 	for i := range m.owners {
-		for range wide {
+		for range bitsEach {
 			m.owners[i] = m.owners[i]<<1 | uint16(c.Owners[at/8]>>(7-at%8)&1)
 			at++
 		}
 	}
 	for p := range PartitionCount {
-		owners := m.of(p)
+		owners := m.ownerIndexes(p)
 		for i, o := range owners {
 			if int(o) >= len(m.Members) || slices.Contains(owners[:i], o) {
 				return nil, fmt.Errorf("%w: an owner of partition %d is duplicate or not a member", ErrInvalid, p)
 			}
 		}
 	}
-	if again, err := m.Encode(); err != nil || !bytes.Equal(again, raw) {
+	if reencoded, err := m.Encode(); err != nil || !bytes.Equal(reencoded, raw) {
 		return nil, fmt.Errorf("%w: not in canonical encoding", ErrInvalid)
 	}
 	return m, nil
--- a/fleet/ownership/doubles_test.go
+++ b/fleet/ownership/doubles_test.go
@@ -5,36 +5,36 @@
 
 // ResendingPublisher is a faulty Publisher that repeats an ambiguous write with another map of the same
 // number.
-type Careless struct {
+type ResendingPublisher struct {
 	Publisher
-	Other func(number int64) *Map
-	last  Action
+	OtherMap   func(number int64) *Map
+	lastAction Action
 }
 
-func (c *Careless) Step(ans Answer) (Action, bool) {
-	if ans.Seq == c.last.Seq && c.last.Operation == Update && ans.Outcome == Ambiguous {
-		raw, err := c.Other(c.sought.Number).Encode()
+func (c *ResendingPublisher) Step(ans Answer) (Action, bool) {
+	if ans.Seq == c.lastAction.Seq && c.lastAction.Operation == Update && ans.Outcome == Ambiguous {
+		raw, err := c.OtherMap(c.candidate.Number).Encode()
 		if err != nil {
 			panic(err)
 		}
 		c.seq++
-		c.last.Seq, c.last.Value = c.seq, raw
-		return c.last, true
+		c.lastAction.Seq, c.lastAction.Value = c.seq, raw
+		return c.lastAction, true
 	}
 	next, ok := c.Publisher.Step(ans)
 	if ok {
-		c.last = next
+		c.lastAction = next
 	}
 	return next, ok
 }
 
 // UnfencedPublisher is a faulty Publisher that reads after an ambiguous write without invalidating the token
 // first, and takes a map that is not there for one that will never be written.
-type Hasty struct{ Publisher }
+type UnfencedPublisher struct{ Publisher }
 
-func (h *Hasty) Step(ans Answer) (Action, bool) {
-	if ans.Seq == h.seq && h.state == updating && ans.Outcome == Ambiguous {
-		return h.next(reading), true
+func (h *UnfencedPublisher) Step(ans Answer) (Action, bool) {
+	if ans.Seq == h.seq && h.stage == updating && ans.Outcome == Ambiguous {
+		return h.enter(reading), true
 	}
 	return h.Publisher.Step(ans)
 }
--- a/fleet/ownership/make.go
+++ b/fleet/ownership/make.go
@@ -28,8 +28,8 @@
 // fleet grow by a tenth before an assignment moves between members that stay; without a gap, each member at
 // the bound would have to give one away whenever the share falls.
 const (
-	fillTo = 1.05
-	keepTo = 1.15
+	maxFillRatio = 1.05
+	maxKeepRatio = 1.15
 )
 
 // ErrInvalid says that no map can be made of the members, or that a map is invalid.
@@ -41,36 +41,36 @@
 // that share a zone while another zone has none; owners above their bound; and owners above their fair share
 // whose assignment is taken over by a new member (one that joined, gained weight or changed its zone) until
 // that member has its own share. The result does not depend on the order of members. Errors are ErrInvalid.
-func Make(number int64, copies int, members []Member, before *Map) (*Map, error) {
-	members = inOrder(members)
-	if err := check(number, copies, members); err != nil {
+func Make(number int64, copies int, members []Member, previous *Map) (*Map, error) {
+	members = sortedByName(members)
+	if err := validate(number, copies, members); err != nil {
 		return nil, err
 	}
-	if before != nil && before.Number >= number {
-		return nil, fmt.Errorf("%w: number %d is not above the previous map's number %d", ErrInvalid, number, before.Number)
+	if previous != nil && previous.Number >= number {
+		return nil, fmt.Errorf("%w: number %d is not above the previous map's number %d", ErrInvalid, number, previous.Number)
 	}
-	k := newMaker(copies, members)
-	came := k.keep(before)
+	mb := newMapBuilder(copies, members)
+	isNew := mb.keepOwners(previous)
 	for p := range PartitionCount {
-		for len(k.owners[p]) < k.per && k.offer(p, came) {
+		for len(mb.owners[p]) < mb.ownersEach && mb.addOwnerWithinLimits(p, isNew) {
 		}
 	}
 	for m := range members {
-		if came[m] {
-			k.arrive(m, came)
+		if isNew[m] {
+			mb.fillNewMember(m, isNew)
 		}
 	}
 	for p := range PartitionCount { // only where zones are nearly full
-		for len(k.owners[p]) < k.per {
-			k.force(p, came)
+		for len(mb.owners[p]) < mb.ownersEach {
+			mb.addOwner(p, isNew)
 		}
 	}
 	for m := range members {
-		k.shed(m, came)
+		mb.reduceToLimit(m, isNew)
 	}
-	out := &Map{Number: number, OwnersPerPartition: copies, Members: members, owners: make([]uint16, 0, PartitionCount*k.per)}
-	for p, owners := range k.owners {
-		slices.SortFunc(owners, func(a, b int) int { return k.compare(b, a, p) })
+	out := &Map{Number: number, OwnersPerPartition: copies, Members: members, owners: make([]uint16, 0, PartitionCount*mb.ownersEach)}
+	for p, owners := range mb.owners {
+		slices.SortFunc(owners, func(a, b int) int { return mb.compare(b, a, p) })
 		for _, o := range owners {
 			out.owners = append(out.owners, uint16(o))
 		}
@@ -79,14 +79,16 @@
 }
 
 // CheckMembers validates the copies and members that a map is to be made of. Errors are ErrInvalid.
-func CheckMembers(copies int, members []Member) error { return check(1, copies, inOrder(members)) }
+func CheckMembers(copies int, members []Member) error {
+	return validate(1, copies, sortedByName(members))
+}
 
-func inOrder(members []Member) []Member {
+func sortedByName(members []Member) []Member {
 	return slices.SortedFunc(slices.Values(members), func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // validate checks the number, the owners per partition and the members, which must be sorted by name.
-func check(number int64, copies int, members []Member) error {
+func validate(number int64, copies int, members []Member) error {
 	switch {
 	case number < 1:
 		return fmt.Errorf("%w: number %d is below 1", ErrInvalid, number)
@@ -118,20 +120,20 @@
 
 // relativeWeights returns the members' weights relative to the largest. A weight below 1e-9 of it counts as
 // 1e-9, so that sums neither overflow nor vanish.
-func weights(members []Member) []float64 {
-	most := 0.0
+func relativeWeights(members []Member) []float64 {
+	largest := 0.0
 	for _, m := range members {
-		most = max(most, m.Weight)
+		largest = max(largest, m.Weight)
 	}
 	w := make([]float64, len(members))
 	for i, m := range members {
-		w[i] = max(m.Weight/most, 1e-9)
+		w[i] = max(m.Weight/largest, 1e-9)
 	}
 	return w
 }
 
 // numberZones numbers the zones and returns the number of each member's zone.
-func zonesOf(members []Member) (zone []int, zones int) {
+func numberZones(members []Member) (zone []int, zones int) {
 	number := map[string]int{}
 	for _, m := range members {
 		if _, ok := number[m.Zone]; !ok {
@@ -145,9 +147,9 @@
 // fairShares divides all assignments among the zones by weight, and those of a zone among its members. If
 // there are at least as many zones as owners of a partition, a zone has each partition at most once,
 // otherwise at least once; a member has each partition at most once.
-func shares(members []Member, per int) []float64 {
-	w := weights(members)
-	zone, zones := zonesOf(members)
+func fairShares(members []Member, ownersEach int) []float64 {
+	w := relativeWeights(members)
+	zone, zones := numberZones(members)
 	of := make([][]int, zones)
 	for i, z := range zone {
 		of[z] = append(of[z], i)
@@ -158,17 +160,17 @@
 			zw[z] += w[i]
 		}
 		hi[z] = PartitionCount
-		if zones < per {
+		if zones < ownersEach {
 			lo[z], hi[z] = PartitionCount, PartitionCount*float64(len(of[z]))
 		}
 	}
 	out := make([]float64, len(members))
-	for z, share := range divide(PartitionCount*float64(per), zw, lo, hi) {
+	for z, share := range divideBounded(PartitionCount*float64(ownersEach), zw, lo, hi) {
 		mw, lo, hi := make([]float64, len(of[z])), make([]float64, len(of[z])), make([]float64, len(of[z]))
 		for j, i := range of[z] {
 			mw[j], hi[j] = w[i], PartitionCount
 		}
-		for j, v := range divide(share, mw, lo, hi) {
+		for j, v := range divideBounded(share, mw, lo, hi) {
 			out[of[z][j]] = v
 		}
 	}
@@ -177,7 +179,7 @@
 
 // divideBounded divides a total by weights, each part within its bounds; the total must lie between the sums
 // of the bounds.
-func divide(total float64, weights, lo, hi []float64) []float64 {
+func divideBounded(total float64, weights, lo, hi []float64) []float64 {
 	out := make([]float64, len(weights))
 	fixed := make([]bool, len(weights))
 	for {
@@ -219,85 +221,85 @@
 }
 
 // mapBuilder holds a map while it is being made.
-type maker struct {
-	members []Member
-	name    []uint64
-	weight  []float64
-	zone    []int
-	unlike  int // zones that the owners of each partition must be in
-	per     int // owners of each partition
-	share   []float64
-	even    []int // a member is given assignments while it has fewer than this,
-	fill    []int // or fewer than this if no other member can be given one,
-	bound   []int // and loses assignments while it has more than this
-	owners  [][]int
-	held    []Set
-	load    []int
-
-	ranked int // partition that scores was computed for
-	scores []float64
-	key    [10]byte
+type mapBuilder struct {
+	members     []Member
+	nameHash    []uint64
+	weight      []float64
+	zone        []int
+	zonesNeeded int // zones that the owners of each partition must be in
+	ownersEach  int // owners of each partition
+	fairShare   []float64
+	shareLimit  []int // a member is given assignments while it has fewer than this,
+	fillLimit   []int // or fewer than this if no other member can be given one,
+	keepLimit   []int // and loses assignments while it has more than this
+	owners      [][]int
+	held        []Set
+	load        []int
+
+	scoredPartition int // partition that scores was computed for
+	scores          []float64
+	hashInput       [10]byte
 }
 
-func newMaker(copies int, members []Member) *maker {
-	k := &maker{members: members, weight: weights(members), per: min(copies, len(members)), ranked: -1}
+func newMapBuilder(copies int, members []Member) *mapBuilder {
+	mb := &mapBuilder{members: members, weight: relativeWeights(members), ownersEach: min(copies, len(members)), scoredPartition: -1}
 	var zones int
-	k.zone, zones = zonesOf(members)
-	k.unlike = min(k.per, zones)
-	k.share = shares(members, k.per)
+	mb.zone, zones = numberZones(members)
+	mb.zonesNeeded = min(mb.ownersEach, zones)
+	mb.fairShare = fairShares(members, mb.ownersEach)
 	for _, m := range members {
-		k.name = append(k.name, xxhash.Sum64String(m.Name))
+		mb.nameHash = append(mb.nameHash, xxhash.Sum64String(m.Name))
 	}
-	for _, s := range k.share {
-		k.even = append(k.even, int(s))
-		k.fill = append(k.fill, min(int(fillTo*s+1), PartitionCount))
-		k.bound = append(k.bound, min(int(keepTo*s+1), PartitionCount))
+	for _, s := range mb.fairShare {
+		mb.shareLimit = append(mb.shareLimit, int(s))
+		mb.fillLimit = append(mb.fillLimit, min(int(maxFillRatio*s+1), PartitionCount))
+		mb.keepLimit = append(mb.keepLimit, min(int(maxKeepRatio*s+1), PartitionCount))
 	}
-	k.owners = make([][]int, PartitionCount)
-	k.held, k.load, k.scores = make([]Set, len(members)), make([]int, len(members)), make([]float64, len(members))
-	return k
+	mb.owners = make([][]int, PartitionCount)
+	mb.held, mb.load, mb.scores = make([]Set, len(members)), make([]int, len(members)), make([]float64, len(members))
+	return mb
 }
 
 // score returns the rank value of a member for a partition; the highest ranks first. With u uniform on (0,1)
 // from the hash, -w/ln(u) puts each member first in proportion to its weight, and adding or removing a member
 // does not change the order of the others.
-func (k *maker) score(m, p int) float64 {
-	binary.LittleEndian.PutUint64(k.key[:], k.name[m])
-	binary.LittleEndian.PutUint16(k.key[8:], uint16(p))
-	u := (float64(xxhash.Sum64(k.key[:])>>12) + 0.5) / (1 << 52) // neither 0 nor 1
-	return -k.weight[m] / math.Log(u)
+func (mb *mapBuilder) score(m, p int) float64 {
+	binary.LittleEndian.PutUint64(mb.hashInput[:], mb.nameHash[m])
+	binary.LittleEndian.PutUint16(mb.hashInput[8:], uint16(p))
+	u := (float64(xxhash.Sum64(mb.hashInput[:])>>12) + 0.5) / (1 << 52) // neither 0 nor 1
+	return -mb.weight[m] / math.Log(u)
 }
 
 // compare orders two members by their rank for a partition, the lower one first.
-func (k *maker) compare(a, b, p int) int {
-	return cmp.Or(cmp.Compare(k.score(a, p), k.score(b, p)), cmp.Compare(b, a))
+func (mb *mapBuilder) compare(a, b, p int) int {
+	return cmp.Or(cmp.Compare(mb.score(a, p), mb.score(b, p)), cmp.Compare(b, a))
 }
 
-func (k *maker) give(p, m int) {
-	k.owners[p] = append(k.owners[p], m)
-	k.held[m].Add(p)
-	k.load[m]++
+func (mb *mapBuilder) assign(p, m int) {
+	mb.owners[p] = append(mb.owners[p], m)
+	mb.held[m].Add(p)
+	mb.load[m]++
 }
 
-func (k *maker) take(p, m int) {
-	i := slices.Index(k.owners[p], m)
-	k.owners[p] = slices.Delete(k.owners[p], i, i+1)
-	k.held[m].remove(p)
-	k.load[m]--
+func (mb *mapBuilder) unassign(p, m int) {
+	i := slices.Index(mb.owners[p], m)
+	mb.owners[p] = slices.Delete(mb.owners[p], i, i+1)
+	mb.held[m].remove(p)
+	mb.load[m]--
 }
 
 // countZones counts the zones of a partition's owners, leaving out one owner (-1: none) and adding another
 // (-1: none).
-func (k *maker) zonesBut(p, without, with int) int {
+func (mb *mapBuilder) countZones(p, without, with int) int {
 	n := 0
 	var seen [MaxOwners + 1]int
 	count := func(m int) {
-		if !slices.Contains(seen[:n], k.zone[m]) {
-			seen[n] = k.zone[m]
+		if !slices.Contains(seen[:n], mb.zone[m]) {
+			seen[n] = mb.zone[m]
 			n++
 		}
 	}
-	for _, o := range k.owners[p] {
+	for _, o := range mb.owners[p] {
 		if o != without {
 			count(o)
 		}
@@ -310,55 +312,55 @@
 
 // canOwn reports whether a member may own a partition in place of another (-1: in addition to the present
 // owners), so that the owners can still cover as many zones as they must once all of them are assigned.
-func (k *maker) fits(p, m, without int) bool {
-	if k.held[m].Has(p) {
+func (mb *mapBuilder) canOwn(p, m, without int) bool {
+	if mb.held[m].Has(p) {
 		return false
 	}
-	n := len(k.owners[p])
+	n := len(mb.owners[p])
 	if without < 0 {
 		n++
 	}
-	return k.zonesBut(p, without, m) >= k.unlike-(k.per-n)
+	return mb.countZones(p, without, m) >= mb.zonesNeeded-(mb.ownersEach-n)
 }
 
 // keepOwners takes over the owners of the previous map, as far as they are still members and in different
 // zones, and reports which members are new or are due more than before.
-func (k *maker) keep(before *Map) []bool {
-	came := make([]bool, len(k.members))
-	if before == nil {
-		return came // all members are new, so none takes from another
+func (mb *mapBuilder) keepOwners(previous *Map) []bool {
+	isNew := make([]bool, len(mb.members))
+	if previous == nil {
+		return isNew // all members are new, so none takes from another
 	}
-	now := make([]int, len(before.Members))
+	now := make([]int, len(previous.Members))
 	for i := range now {
 		now[i] = -1
 	}
-	for m, member := range k.members {
-		i, ok := before.find(member.Name)
-		came[m] = !ok || before.Members[i].Zone != member.Zone || before.Members[i].Weight < member.Weight
+	for m, member := range mb.members {
+		i, ok := previous.indexOf(member.Name)
+		isNew[m] = !ok || previous.Members[i].Zone != member.Zone || previous.Members[i].Weight < member.Weight
 		if ok {
 			now[i] = m
 		}
 	}
 	for p := range PartitionCount {
-		for _, o := range before.of(p) {
+		for _, o := range previous.ownerIndexes(p) {
 			if now[o] >= 0 {
-				k.give(p, now[o])
+				mb.assign(p, now[o])
 			}
 		}
-		for len(k.owners[p]) > k.per || k.zonesBut(p, -1, -1) < k.unlike-(k.per-len(k.owners[p])) {
-			k.take(p, k.spare(p))
+		for len(mb.owners[p]) > mb.ownersEach || mb.countZones(p, -1, -1) < mb.zonesNeeded-(mb.ownersEach-len(mb.owners[p])) {
+			mb.unassign(p, mb.leastNeededOwner(p))
 		}
 	}
-	return came
+	return isNew
 }
 
 // leastNeededOwner returns the owner that a partition can best do without: the lowest ranked of those who
 // share their zone with another owner, else of all.
-func (k *maker) spare(p int) int {
-	all := slices.Clone(k.owners[p])
-	slices.SortFunc(all, func(a, b int) int { return k.compare(a, b, p) })
+func (mb *mapBuilder) leastNeededOwner(p int) int {
+	all := slices.Clone(mb.owners[p])
+	slices.SortFunc(all, func(a, b int) int { return mb.compare(a, b, p) })
 	for _, o := range all {
-		if k.zonesBut(p, o, -1) == k.zonesBut(p, -1, -1) {
+		if mb.countZones(p, o, -1) == mb.countZones(p, -1, -1) {
 			return o
 		}
 	}
@@ -368,34 +370,34 @@
 // bestCandidate finds the highest ranked member that may own a partition in place of another (-1: in addition
 // to its owners) and is below its limit. New members below their fair share go first, so that a replaced
 // machine hands its assignments to its replacement. -1: there is none.
-func (k *maker) pick(p, without int, limit []int, came []bool) int {
-	if k.ranked != p {
-		for m := range k.members {
-			k.scores[m] = k.score(m, p)
+func (mb *mapBuilder) bestCandidate(p, without int, limit []int, isNew []bool) int {
+	if mb.scoredPartition != p {
+		for m := range mb.members {
+			mb.scores[m] = mb.score(m, p)
 		}
-		k.ranked = p
+		mb.scoredPartition = p
 	}
-	best, bestCame := -1, false
-	for m := range k.members {
-		if limit != nil && k.load[m] >= limit[m] {
+	best, bestIsNew := -1, false
+	for m := range mb.members {
+		if limit != nil && mb.load[m] >= limit[m] {
 			continue
 		}
-		due := came[m] && float64(k.load[m]+1) <= k.share[m]
-		if best >= 0 && (bestCame && !due || bestCame == due && k.scores[m] <= k.scores[best]) {
+		due := isNew[m] && float64(mb.load[m]+1) <= mb.fairShare[m]
+		if best >= 0 && (bestIsNew && !due || bestIsNew == due && mb.scores[m] <= mb.scores[best]) {
 			continue
 		}
-		if m != without && k.fits(p, m, without) {
-			best, bestCame = m, due
+		if m != without && mb.canOwn(p, m, without) {
+			best, bestIsNew = m, due
 		}
 	}
 	return best
 }
 
 // addOwnerWithinLimits adds an owner to a partition, or returns false if no member is below its limits.
-func (k *maker) offer(p int, came []bool) bool {
-	for _, limit := range [][]int{k.even, k.fill, k.bound} {
-		if m := k.pick(p, -1, limit, came); m >= 0 {
-			k.give(p, m)
+func (mb *mapBuilder) addOwnerWithinLimits(p int, isNew []bool) bool {
+	for _, limit := range [][]int{mb.shareLimit, mb.fillLimit, mb.keepLimit} {
+		if m := mb.bestCandidate(p, -1, limit, isNew); m >= 0 {
+			mb.assign(p, m)
 			return true
 		}
 	}
@@ -403,37 +405,37 @@
 }
 
 // addOwner adds an owner to a partition, by a chain of moves if needed.
-func (k *maker) force(p int, came []bool) {
+func (mb *mapBuilder) addOwner(p int, isNew []bool) {
 	for range maxChains {
-		if k.offer(p, came) {
+		if mb.addOwnerWithinLimits(p, isNew) {
 			return
 		}
-		if !k.chain(p, -1) {
+		if !mb.moveAlongChain(p, -1) {
 			break
 		}
-		if len(k.owners[p]) == k.per {
+		if len(mb.owners[p]) == mb.ownersEach {
 			return
 		}
 	}
-	k.give(p, k.pick(p, -1, nil, came)) // zone coverage takes precedence over the load limit
+	mb.assign(p, mb.bestCandidate(p, -1, nil, isNew)) // zone coverage takes precedence over the load limit
 }
 
 // fillNewMember lets a new member take its fair share from members above theirs, beginning where it ranks
 // highest relative to them.
-func (k *maker) arrive(m int, came []bool) {
+func (mb *mapBuilder) fillNewMember(m int, isNew []bool) {
 	type part struct {
 		p, from int
 		by      float64
 	}
 	var parts []part
 	for p := range PartitionCount {
-		if k.held[m].Has(p) {
+		if mb.held[m].Has(p) {
 			continue
 		}
-		score := k.score(m, p)
-		for _, o := range k.owners[p] {
-			if !came[o] && float64(k.load[o]) > k.share[o] && k.fits(p, m, o) {
-				parts = append(parts, part{p, o, score / k.score(o, p)})
+		score := mb.score(m, p)
+		for _, o := range mb.owners[p] {
+			if !isNew[o] && float64(mb.load[o]) > mb.fairShare[o] && mb.canOwn(p, m, o) {
+				parts = append(parts, part{p, o, score / mb.score(o, p)})
 			}
 		}
 	}
@@ -442,39 +444,39 @@
 	})
 	for _, pastBound := range []bool{true, false} { // first what they have to give away in any case
 		for _, c := range parts {
-			if float64(k.load[m]+1) > k.share[m] {
+			if float64(mb.load[m]+1) > mb.fairShare[m] {
 				return
 			}
-			load := k.load[c.from]
-			if !k.held[m].Has(c.p) && float64(load) > k.share[c.from] && (!pastBound || load > k.bound[c.from]) {
-				k.take(c.p, c.from)
-				k.give(c.p, m)
+			load := mb.load[c.from]
+			if !mb.held[m].Has(c.p) && float64(load) > mb.fairShare[c.from] && (!pastBound || load > mb.keepLimit[c.from]) {
+				mb.unassign(c.p, c.from)
+				mb.assign(c.p, m)
 			}
 		}
 	}
 }
 
 // reduceToLimit brings the load of a member down to its limit.
-func (k *maker) shed(m int, came []bool) {
-	for _, limit := range [][]int{k.even, k.fill, k.bound} {
-		if k.load[m] <= k.bound[m] {
+func (mb *mapBuilder) reduceToLimit(m int, isNew []bool) {
+	for _, limit := range [][]int{mb.shareLimit, mb.fillLimit, mb.keepLimit} {
+		if mb.load[m] <= mb.keepLimit[m] {
 			return
 		}
-		parts := slices.Collect(k.held[m].All())
+		parts := slices.Collect(mb.held[m].All())
 		slices.SortFunc(parts, func(a, b int) int {
-			return cmp.Or(cmp.Compare(k.score(m, a), k.score(m, b)), cmp.Compare(a, b))
+			return cmp.Or(cmp.Compare(mb.score(m, a), mb.score(m, b)), cmp.Compare(a, b))
 		})
 		for _, p := range parts {
-			if k.load[m] <= k.bound[m] {
+			if mb.load[m] <= mb.keepLimit[m] {
 				return
 			}
-			if to := k.pick(p, m, limit, came); to >= 0 {
-				k.take(p, m)
-				k.give(p, to)
+			if to := mb.bestCandidate(p, m, limit, isNew); to >= 0 {
+				mb.unassign(p, m)
+				mb.assign(p, to)
 			}
 		}
 	}
-	for i := 0; k.load[m] > k.bound[m] && i < PartitionCount && k.chain(-1, m); i++ {
+	for i := 0; mb.load[m] > mb.keepLimit[m] && i < PartitionCount && mb.moveAlongChain(-1, m); i++ {
 	}
 }
 
@@ -486,7 +488,7 @@
 // and the last has room, and carries it out: for one more owner of partition p, or for a member with too high
 // a load. It returns false if there is none and the limits can't be kept. Chains are rare: they are needed
 // only when zones are nearly full.
-func (k *maker) chain(p, from int) bool {
+func (mb *mapBuilder) moveAlongChain(p, from int) bool {
 	type link struct{ giver, p int }
 	links := map[int]link{}
 	var queue []int
@@ -494,8 +496,8 @@
 		links[from] = link{-1, -1}
 		queue = append(queue, from)
 	} else {
-		for m := range k.members {
-			if k.fits(p, m, -1) {
+		for m := range mb.members {
+			if mb.canOwn(p, m, -1) {
 				links[m] = link{-1, p}
 				queue = append(queue, m)
 			}
@@ -504,16 +506,16 @@
 	for len(queue) > 0 {
 		at := queue[0]
 		queue = queue[1:]
-		if at != from && k.load[at] < k.bound[at] {
+		if at != from && mb.load[at] < mb.keepLimit[at] {
 			for at != from {
 				l := links[at]
-				if !k.fits(l.p, at, l.giver) {
+				if !mb.canOwn(l.p, at, l.giver) {
 					return true // an earlier link took that partition's zone; the chain still brought room closer
 				}
 				if l.giver >= 0 {
-					k.take(l.p, l.giver)
+					mb.unassign(l.p, l.giver)
 				}
-				k.give(l.p, at)
+				mb.assign(l.p, at)
 				if l.giver < 0 {
 					break
 				}
@@ -521,9 +523,9 @@
 			}
 			return true
 		}
-		for q := range k.held[at].All() {
-			for m := range k.members {
-				if _, ok := links[m]; !ok && k.fits(q, m, at) {
+		for q := range mb.held[at].All() {
+			for m := range mb.members {
+				if _, ok := links[m]; !ok && mb.canOwn(q, m, at) {
 					links[m] = link{at, q}
 					queue = append(queue, m)
 				}
--- a/fleet/ownership/ownership.go
+++ b/fleet/ownership/ownership.go
@@ -103,7 +103,7 @@
 	return b.String()
 }
 
-var errSet = errors.New("invalid set of partitions")
+var errInvalidSet = errors.New("invalid set of partitions")
 
 // ParseSet reads what String writes, and nothing else: each set has exactly one text, so that texts can be
 // compared.
@@ -120,14 +120,14 @@
 		a, err := strconv.ParseUint(from, 10, 16)
 		b, err2 := strconv.ParseUint(to, 10, 16)
 		if err != nil || err2 != nil || a > b || b >= PartitionCount {
-			return Set{}, fmt.Errorf("%w: %.40q: must be numbers from 0 to %d or ranges of them", errSet, part, PartitionCount-1)
+			return Set{}, fmt.Errorf("%w: %.40q: must be numbers from 0 to %d or ranges of them", errInvalidSet, part, PartitionCount-1)
 		}
 		for p := a; p <= b; p++ {
 			s.Add(int(p))
 		}
 	}
 	if want := s.String(); want != text {
-		return Set{}, fmt.Errorf("%w: %.40q must be written as %.40q", errSet, text, want)
+		return Set{}, fmt.Errorf("%w: %.40q must be written as %.40q", errInvalidSet, text, want)
 	}
 	return s, nil
 }
@@ -149,10 +149,10 @@
 }
 
 // ownersEach returns the number of owners of each partition.
-func (m *Map) per() int { return min(m.OwnersPerPartition, len(m.Members)) }
+func (m *Map) ownersEach() int { return min(m.OwnersPerPartition, len(m.Members)) }
 
-func (m *Map) of(p int) []uint16 {
-	n := m.per()
+func (m *Map) ownerIndexes(p int) []uint16 {
+	n := m.ownersEach()
 	return m.owners[p*n : (p+1)*n]
 }
 
@@ -162,25 +162,25 @@
 		return nil
 	}
 	var names []string
-	for _, o := range m.of(p) {
+	for _, o := range m.ownerIndexes(p) {
 		names = append(names, m.Members[o].Name)
 	}
 	return names
 }
 
 // indexOf returns a member's index in Members.
-func (m *Map) find(name string) (int, bool) {
+func (m *Map) indexOf(name string) (int, bool) {
 	return slices.BinarySearchFunc(m.Members, name, func(a Member, name string) int { return strings.Compare(a.Name, name) })
 }
 
 // PartitionsOf returns the partitions that a member owns; false if it is not in the map.
 func (m *Map) PartitionsOf(member string) (Set, bool) {
 	var s Set
-	at, ok := m.find(member)
+	at, ok := m.indexOf(member)
 	if !ok {
 		return s, false
 	}
-	n := m.per()
+	n := m.ownersEach()
 	for i, o := range m.owners {
 		if int(o) == at {
 			s.Add(i / n)
@@ -200,7 +200,7 @@
 
 // FairShares returns the members' fair shares in assignments, in the order of Members: proportional to
 // weight, as far as the owners of a partition can be distinct and in different zones.
-func (m *Map) FairShares() []float64 { return shares(m.Members, m.per()) }
+func (m *Map) FairShares() []float64 { return fairShares(m.Members, m.ownersEach()) }
 
 // Change describes the difference between two maps.
 type Change struct {
@@ -228,7 +228,7 @@
 	c.MembersBefore = len(a.Members)
 	at := make([]int, len(b.Members)) // index of each member of b in a; -1: not in a
 	for i, m := range b.Members {
-		j, ok := a.find(m.Name)
+		j, ok := a.indexOf(m.Name)
 		if !ok {
 			j = -1
 			c.Added = append(c.Added, m.Name)
@@ -236,14 +236,14 @@
 		at[i] = j
 	}
 	for _, m := range a.Members {
-		if _, ok := b.find(m.Name); !ok {
+		if _, ok := b.indexOf(m.Name); !ok {
 			c.Removed = append(c.Removed, m.Name)
 		}
 	}
 	for p := range PartitionCount {
 		stay := 0
-		for _, o := range b.of(p) {
-			if at[o] >= 0 && slices.Contains(a.of(p), uint16(at[o])) {
+		for _, o := range b.ownerIndexes(p) {
+			if at[o] >= 0 && slices.Contains(a.ownerIndexes(p), uint16(at[o])) {
 				stay++
 			} else {
 				c.Moved++
--- a/fleet/ownership/ownership_test.go
+++ b/fleet/ownership/ownership_test.go
@@ -27,11 +27,11 @@
 }
 
 // makeFunc is Make or a faulty version of it.
-type making func(number int64, copies int, members []Member, before *Map) (*Map, error)
+type makeFunc func(number int64, copies int, members []Member, before *Map) (*Map, error)
 
 // checkMap checks a map against all that Make promises; before may be nil. It computes everything but the
 // fair shares itself.
-func audit(before, after *Map) error {
+func checkMap(before, after *Map) error {
 	all := after.Members
 	per := min(after.OwnersPerPartition, len(all))
 	zoneNumber := map[string]int{}
@@ -55,7 +55,7 @@
 	load := make([]int, len(all))
 	at := make([][]int, PartitionCount)
 	for p := range at {
-		for _, o := range after.of(p) {
+		for _, o := range after.ownerIndexes(p) {
 			if int(o) >= len(all) || slices.Contains(at[p], int(o)) {
 				return fmt.Errorf("partition %d: owner %d is not a member or duplicate", p, o)
 			}
@@ -83,7 +83,7 @@
 	}
 	had, loads := make([]int, len(all)), before.Loads()
 	for i, m := range before.Members {
-		j, ok := after.find(m.Name)
+		j, ok := after.indexOf(m.Name)
 		if place[i] = -1; ok {
 			place[i] = j
 			had[j] = loads[i]
@@ -92,7 +92,7 @@
 	}
 	for p, now := range at {
 		var then []int // those that are still members
-		for _, o := range before.of(p) {
+		for _, o := range before.ownerIndexes(p) {
 			if place[o] >= 0 {
 				then = append(then, place[o])
 			}
@@ -157,7 +157,7 @@
 	return members
 }
 
-func TestMaps(t *testing.T) {
+func TestMakeRandomFleets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
 		copies := rapid.IntRange(1, MaxOwners).Draw(t, "copies")
@@ -175,7 +175,7 @@
 			if m, err = Make(int64(i+1), copies, members, before); err != nil {
 				t.Fatal(err)
 			}
-			if err := audit(before, m); err != nil {
+			if err := checkMap(before, m); err != nil {
 				t.Fatalf("map %d: %v", i+1, err)
 			}
 		}
@@ -209,12 +209,12 @@
 	})
 }
 
-func TestShares(t *testing.T) {
+func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
 		copies := rapid.IntRange(1, MaxOwners).Draw(t, "copies")
 		per := min(copies, len(members))
-		all := shares(members, per)
+		all := fairShares(members, per)
 		sum := 0.0
 		for i, s := range all {
 			sum += s
@@ -248,9 +248,9 @@
 		for i, z := range c.zones {
 			members = append(members, Member{Name: fmt.Sprint(i), Zone: string(z), Weight: 1})
 		}
-		for i, s := range shares(members, c.copies) {
+		for i, s := range fairShares(members, c.copies) {
 			if math.Abs(s-c.want[i]) > 1e-6 {
-				t.Errorf("%s with %d owners: %v, want %v", c.zones, c.copies, shares(members, c.copies), c.want)
+				t.Errorf("%s with %d owners: %v, want %v", c.zones, c.copies, fairShares(members, c.copies), c.want)
 				break
 			}
 		}
@@ -258,7 +258,7 @@
 }
 
 // Runs faulty versions of Make while one member after another leaves; checkMap must find each fault.
-func TestAuditFindsBreaches(t *testing.T) {
+func TestCheckMapFindsFaults(t *testing.T) {
 	anew := func(number int64, copies int, members []Member, _ *Map) (*Map, error) {
 		return Make(number, copies, members, nil)
 	}
@@ -286,7 +286,7 @@
 	}
 	for _, c := range []struct {
 		what   string
-		double making
+		double makeFunc
 		want   string
 	}{{"ignoring the previous map", anew, "for no reason"}, {"ignoring zones", alike, "zones, not 3 in 3"}, {"exceeding the bounds", heavy, "its bound"}} {
 		members := fleet(120, 6)
@@ -297,7 +297,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if found = audit(before, m); found != nil {
+			if found = checkMap(before, m); found != nil {
 				break
 			}
 			before, members = m, slices.Delete(slices.Clone(members), 7, 8)
@@ -310,11 +310,11 @@
 	}
 }
 
-func must(t testing.TB, number int64, members []Member, before *Map) *Map {
+func mustMake(t testing.TB, number int64, members []Member, before *Map) *Map {
 	t.Helper()
 	m, err := Make(number, 3, members, before)
 	if err == nil {
-		err = audit(before, m)
+		err = checkMap(before, m)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -323,12 +323,12 @@
 }
 
 // movedBetweenStaying counts the assignments that went to a member of the earlier map.
-func between(a, b *Map) int {
+func movedBetweenStaying(a, b *Map) int {
 	n := 0
 	for p := range PartitionCount {
 		then := a.Owners(p)
 		for _, o := range b.Owners(p) {
-			if _, there := a.find(o); there && !slices.Contains(then, o) {
+			if _, there := a.indexOf(o); there && !slices.Contains(then, o) {
 				n++
 			}
 		}
@@ -337,25 +337,25 @@
 }
 
 // The fleet that decides the design: 820 members in 6 zones.
-func TestTarget(t *testing.T) {
+func TestFleetOf820(t *testing.T) {
 	members := fleet(820, 6)
-	first := must(t, 1, members, nil)
+	first := mustMake(t, 1, members, nil)
 	loads := first.Loads()
 	t.Logf("loads %d to %d", slices.Min(loads), slices.Max(loads))
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 12 { // one leaves: only its own assignments move
 		i := rng.IntN(len(members))
-		m := must(t, 2, slices.Delete(slices.Clone(members), i, i+1), first)
+		m := mustMake(t, 2, slices.Delete(slices.Clone(members), i, i+1), first)
 		if c := Diff(first, m); c.Moved != loads[i] || c.NoOwnerKept != 0 {
 			t.Errorf("%s owned %d partitions and leaves: %d assignments move, %d partitions keep no owner", members[i].Name, loads[i], c.Moved, c.NoOwnerKept)
 		}
 	}
 	for i := range 12 { // one joins: it is given its fair share, and nothing moves between others
 		came := Member{Name: fmt.Sprint("new", i), Zone: fmt.Sprint("z", i%6), Weight: 1}
-		m := must(t, 2, append(slices.Clone(members), came), first)
+		m := mustMake(t, 2, append(slices.Clone(members), came), first)
 		c := Diff(first, m)
 		own, _ := m.PartitionsOf(came.Name)
-		if n := between(first, m); n != 0 || c.Moved != own.Len() || c.Moved < 12 || c.Moved > 15 || c.NoOwnerKept != 0 {
+		if n := movedBetweenStaying(first, m); n != 0 || c.Moved != own.Len() || c.Moved < 12 || c.Moved > 15 || c.NoOwnerKept != 0 {
 			t.Errorf("%s joins, its share is 14.97: %d assignments move, %d of them between others", came.Name, c.Moved, n)
 		}
 	}
@@ -363,9 +363,9 @@
 		j := rng.IntN(len(members))
 		other := slices.Clone(members)
 		other[j].Name = fmt.Sprint("new", i)
-		m := must(t, 2, other, first)
-		if c := Diff(first, m); c.Moved < loads[j] || c.Moved > max(loads[j], 15) || between(first, m) > max(loads[j]-14, 0) {
-			t.Errorf("%s owned %d partitions and is replaced: %d assignments move, %d of them between others", members[j].Name, loads[j], c.Moved, between(first, m))
+		m := mustMake(t, 2, other, first)
+		if c := Diff(first, m); c.Moved < loads[j] || c.Moved > max(loads[j], 15) || movedBetweenStaying(first, m) > max(loads[j]-14, 0) {
+			t.Errorf("%s owned %d partitions and is replaced: %d assignments move, %d of them between others", members[j].Name, loads[j], c.Moved, movedBetweenStaying(first, m))
 		}
 	}
 	// A zone leaves and comes back.
@@ -376,14 +376,14 @@
 			owned += loads[i]
 		}
 	}
-	less := must(t, 2, gone, first)
+	less := mustMake(t, 2, gone, first)
 	c := Diff(first, less)
 	if c.Moved != owned || c.NoOwnerKept != 0 {
 		t.Errorf("a zone of %d assignments leaves: %d move, %d partitions keep no owner", owned, c.Moved, c.NoOwnerKept)
 	}
-	back := must(t, 3, members, less)
+	back := mustMake(t, 3, members, less)
 	c2 := Diff(less, back)
-	if n := between(less, back); n != 0 || c2.Moved < 1800 || c2.Moved > 2053 { // its share is 2,053
+	if n := movedBetweenStaying(less, back); n != 0 || c2.Moved < 1800 || c2.Moved > 2053 { // its share is 2,053
 		t.Errorf("a zone comes back: %d assignments move, %d of them between others", c2.Moved, n)
 	}
 	t.Logf("a zone leaves: %d assignments move; it comes back: %d", c.Moved, c2.Moved)
@@ -393,7 +393,7 @@
 func TestManyChanges(t *testing.T) {
 	members := fleet(200, 6)
 	rng := rand.New(rand.NewPCG(3, 4))
-	before := must(t, 1, members, nil)
+	before := mustMake(t, 1, members, nil)
 	moved, owned := 0, 0
 	for i := range 90 {
 		next := slices.Clone(members)
@@ -405,7 +405,7 @@
 		default:
 			next[j].Name = fmt.Sprint("other", i)
 		}
-		m := must(t, int64(i+2), next, before)
+		m := mustMake(t, int64(i+2), next, before)
 		moved += Diff(before, m).Moved
 		owned += PartitionCount * 3 / len(next)
 		before, members = m, next
@@ -417,13 +417,13 @@
 	}
 }
 
-func TestSizes(t *testing.T) {
+func TestEncodedSizes(t *testing.T) {
 	for _, c := range []struct{ members, name int }{{820, 6}, {820, 48}, {2000, 18}} {
 		var all []Member
 		for i := range c.members {
 			all = append(all, Member{Name: fmt.Sprintf("%0*d", c.name, i), Zone: fmt.Sprint("zone-", i%6), Weight: 1 + float64(i%3)/2})
 		}
-		raw, err := must(t, 1, all, nil).Encode()
+		raw, err := mustMake(t, 1, all, nil).Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -436,7 +436,7 @@
 	for i := range 500 {
 		all = append(all, Member{Name: fmt.Sprintf("%0200d", i), Zone: "z", Weight: 1})
 	}
-	if _, err := must(t, 1, all, nil).Encode(); !errors.Is(err, ErrInvalid) {
+	if _, err := mustMake(t, 1, all, nil).Encode(); !errors.Is(err, ErrInvalid) {
 		t.Errorf("500 names of 200 bytes: %v", err)
 	}
 }
@@ -478,12 +478,12 @@
 }
 
 // withHeader puts the magic string and the hash before a body.
-func sealed(body []byte) []byte {
-	return append(binary.BigEndian.AppendUint64([]byte(mark), xxhash.Sum64(body)), body...)
+func withHeader(body []byte) []byte {
+	return append(binary.BigEndian.AppendUint64([]byte(magic), xxhash.Sum64(body)), body...)
 }
 
 func TestDecodeRefuses(t *testing.T) {
-	m := must(t, 7, fleet(9, 3), nil)
+	m := mustMake(t, 7, fleet(9, 3), nil)
 	raw, err := m.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -504,47 +504,47 @@
 		t.Fatalf("one byte more: %v", err)
 	}
 	// Correct magic and hash, but not a valid map.
-	var c coded
-	if err := decoding.Unmarshal(raw[sealLen:], &c); err != nil {
+	var c encodedMap
+	if err := decMode.Unmarshal(raw[headerLen:], &c); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*coded){
-		"number 0":              func(c *coded) { c.Number = 0 },
-		"no copies":             func(c *coded) { c.Copies = 0 },
-		"many copies":           func(c *coded) { c.Copies = 1 << 40 },
-		"other copies":          func(c *coded) { c.Copies = 2 },
-		"no members":            func(c *coded) { c.Members, c.Owners = nil, nil },
-		"one member less":       func(c *coded) { c.Members = c.Members[1:] },
-		"out of order":          func(c *coded) { c.Members[0], c.Members[1] = c.Members[1], c.Members[0] },
-		"twice":                 func(c *coded) { c.Members[0] = c.Members[1] },
-		"a bad name":            func(c *coded) { c.Members[8].Name = "n 9" },
-		"weight 0":              func(c *coded) { c.Members[0].Weight = 0 },
-		"weight infinite":       func(c *coded) { c.Members[0].Weight = math.Inf(1) },
-		"no such zone":          func(c *coded) { c.Members[0].Zone = 3 },
-		"zone below 0":          func(c *coded) { c.Members[0].Zone = -1 },
-		"zones out of order":    func(c *coded) { c.Zones[0], c.Zones[1] = c.Zones[1], c.Zones[0] },
-		"a zone too many":       func(c *coded) { c.Zones = append(c.Zones, "zz") },
-		"an owner that is none": func(c *coded) { c.Owners[0] = 0xff },
-		"an owner twice":        func(c *coded) { c.Owners[0], c.Owners[1] = 0, 0 },
-		"owners cut":            func(c *coded) { c.Owners = c.Owners[:len(c.Owners)-1] },
-		"owners and more":       func(c *coded) { c.Owners = append(c.Owners, 0) },
+	for name, spoil := range map[string]func(*encodedMap){
+		"number 0":              func(c *encodedMap) { c.Number = 0 },
+		"no copies":             func(c *encodedMap) { c.Copies = 0 },
+		"many copies":           func(c *encodedMap) { c.Copies = 1 << 40 },
+		"other copies":          func(c *encodedMap) { c.Copies = 2 },
+		"no members":            func(c *encodedMap) { c.Members, c.Owners = nil, nil },
+		"one member less":       func(c *encodedMap) { c.Members = c.Members[1:] },
+		"out of order":          func(c *encodedMap) { c.Members[0], c.Members[1] = c.Members[1], c.Members[0] },
+		"twice":                 func(c *encodedMap) { c.Members[0] = c.Members[1] },
+		"a bad name":            func(c *encodedMap) { c.Members[8].Name = "n 9" },
+		"weight 0":              func(c *encodedMap) { c.Members[0].Weight = 0 },
+		"weight infinite":       func(c *encodedMap) { c.Members[0].Weight = math.Inf(1) },
+		"no such zone":          func(c *encodedMap) { c.Members[0].Zone = 3 },
+		"zone below 0":          func(c *encodedMap) { c.Members[0].Zone = -1 },
+		"zones out of order":    func(c *encodedMap) { c.Zones[0], c.Zones[1] = c.Zones[1], c.Zones[0] },
+		"a zone too many":       func(c *encodedMap) { c.Zones = append(c.Zones, "zz") },
+		"an owner that is none": func(c *encodedMap) { c.Owners[0] = 0xff },
+		"an owner twice":        func(c *encodedMap) { c.Owners[0], c.Owners[1] = 0, 0 },
+		"owners cut":            func(c *encodedMap) { c.Owners = c.Owners[:len(c.Owners)-1] },
+		"owners and more":       func(c *encodedMap) { c.Owners = append(c.Owners, 0) },
 	} {
 		bad := c
 		bad.Zones, bad.Members, bad.Owners = slices.Clone(c.Zones), slices.Clone(c.Members), slices.Clone(c.Owners)
 		spoil(&bad)
-		body, err := encoding.Marshal(bad)
+		body, err := encMode.Marshal(bad)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Decode(sealed(body)); !errors.Is(err, ErrInvalid) {
+		if _, err := Decode(withHeader(body)); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	for name, body := range map[string][]byte{
 		"empty": {}, "an array that does not end": {0x9f}, "a number": {0x01}, "a long array": {0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
-		"bytes after it": append(slices.Clone(raw[sealLen:]), 0xf6), "too large": bytes.Repeat([]byte{0}, MaxEncodedBytes+1),
+		"bytes after it": append(slices.Clone(raw[headerLen:]), 0xf6), "too large": bytes.Repeat([]byte{0}, MaxEncodedBytes+1),
 	} {
-		if _, err := Decode(sealed(body)); !errors.Is(err, ErrInvalid) {
+		if _, err := Decode(withHeader(body)); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -560,21 +560,21 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(raw[sealLen:])
+		f.Add(raw[headerLen:])
 	}
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if _, err := Decode(body); err == nil && !bytes.HasPrefix(body, []byte(mark)) {
+		if _, err := Decode(body); err == nil && !bytes.HasPrefix(body, []byte(magic)) {
 			t.Fatal("decoded a map without its magic string")
 		}
-		m, err := Decode(sealed(body)) // with a valid hash, which would stop nearly all inputs
+		m, err := Decode(withHeader(body)) // with a valid hash, which would stop nearly all inputs
 		if err != nil {
 			if !errors.Is(err, ErrInvalid) {
 				t.Fatal(err)
 			}
 			return
 		}
-		if raw, err := m.Encode(); err != nil || !bytes.Equal(raw, sealed(body)) {
+		if raw, err := m.Encode(); err != nil || !bytes.Equal(raw, withHeader(body)) {
 			t.Fatalf("the map encodes differently: %v", err)
 		}
 		for p := range PartitionCount {
@@ -668,7 +668,7 @@
 }
 
 func TestDiff(t *testing.T) {
-	a := must(t, 1, fleet(10, 3), nil)
+	a := mustMake(t, 1, fleet(10, 3), nil)
 	if c := Diff(nil, a); c.Moved != c.Assignments || c.Assignments != 3*PartitionCount || c.NoOwnerKept != PartitionCount || len(c.Added) != 10 || c.CheckSize() != nil {
 		t.Errorf("the first map: %+v, %v", c, c.CheckSize())
 	}
@@ -676,13 +676,13 @@
 		t.Errorf("no change: %+v", c)
 	}
 	for _, left := range []int{9, 5, 4, 1} {
-		c := Diff(a, must(t, 2, fleet(left, 3), a))
+		c := Diff(a, mustMake(t, 2, fleet(left, 3), a))
 		err := c.CheckSize()
 		if len(c.Removed) != 10-left || (left == 9 && err != nil) || (left < 5 && !errors.Is(err, ErrLargeChange)) {
 			t.Errorf("%d of 10 left: %+v, %v", left, c, err)
 		}
 	}
-	b := must(t, 2, append([]Member{{Name: "b", Zone: "z0", Weight: 1}}, fleet(10, 3)[1:]...), a)
+	b := mustMake(t, 2, append([]Member{{Name: "b", Zone: "z0", Weight: 1}}, fleet(10, 3)[1:]...), a)
 	if c := Diff(a, b); !slices.Equal(c.Added, []string{"b"}) || !slices.Equal(c.Removed, []string{"n0000"}) {
 		t.Errorf("one for another: %+v", c)
 	}
--- a/fleet/partner/formats_test.go
+++ b/fleet/partner/formats_test.go
@@ -7,6 +7,6 @@
 	"starlingusher/internal/golden"
 )
 
-func TestTroubleNames(t *testing.T) {
+func TestFaultKindNames(t *testing.T) {
 	golden.Check(t, "troubles.txt", fmt.Appendln(nil, Slow, Lossy, Failing, Rejecting, Silent, Down))
 }
--- a/fleet/partner/partner.go
+++ b/fleet/partner/partner.go
@@ -97,13 +97,13 @@
 	Down                       // its connections are reset, and new ones refused
 )
 
-var troubles = [...]string{Slow: "slow", Lossy: "lossy", Failing: "failing", Rejecting: "shut", Silent: "silent", Down: "down"}
+var faultNames = [...]string{Slow: "slow", Lossy: "lossy", Failing: "failing", Rejecting: "shut", Silent: "silent", Down: "down"}
 
-func (t FaultKind) String() string { return troubles[t] }
+func (t FaultKind) String() string { return faultNames[t] }
 
 // ParseFaultKind parses the name of a FaultKind.
 func ParseFaultKind(name string) (FaultKind, bool) {
-	i := slices.Index(troubles[:], name)
+	i := slices.Index(faultNames[:], name)
 	return FaultKind(max(i, 0)), i >= 0
 }
 
@@ -220,28 +220,28 @@
 func (Collapsed) action()        {}
 
 type endpoint struct {
-	conns    int
-	busy     int
-	waiting  []uint64 // numbers of calls, oldest first
-	spells   []FaultStarted
-	out      bool          // in an outage
-	cold     bool          // has returned from an outage,
-	returned time.Duration // at this time
+	conns      int
+	busy       int
+	waiting    []uint64 // numbers of calls, oldest first
+	faults     []FaultStarted
+	outage     bool          // in an outage
+	slowStart  bool          // has returned from an outage,
+	returnedAt time.Duration // at this time
 }
 
 type job struct {
 	CallReceived
-	ends    time.Duration
-	running bool
-	place   int // index in the heap; -1: it never ends by itself
+	endsAt    time.Duration
+	running   bool
+	heapIndex int // index in the heap; -1: it never ends by itself
 }
 
 type conn struct {
-	endpoint int
-	over     bool // beyond the endpoint's maximum number of connections
+	endpoint  int
+	overLimit bool // beyond the endpoint's maximum number of connections
 }
 
-type push struct {
+type sentCall struct {
 	at     time.Duration
 	sender int
 	weight float64
@@ -249,32 +249,32 @@
 
 // Partner is the state of one partner. It is not safe for concurrent use.
 type Partner struct {
-	cfg   Config
-	rand  *rand.Rand
-	now   time.Duration
-	share float64 // of the rate limit that is in force
+	cfg        Config
+	rand       *rand.Rand
+	now        time.Duration
+	limitShare float64 // of the rate limit that is in force
 
-	endpoints []endpoint
-	conns     map[uint64]conn
-	jobs      map[uint64]*job
-	due       dueJobs
-	seen      map[string]time.Duration // when a key, or an id without a key, first ran
-	pushes    []push
-	fallen    bool
+	endpoints   []endpoint
+	conns       map[uint64]conn
+	jobs        map[uint64]*job
+	due         jobQueue
+	firstRun    map[string]time.Duration // when a key, or an id without a key, first ran
+	recentCalls []sentCall
+	collapsed   bool
 
-	tokens   float64       // of a token bucket; below 0 where refused calls count
-	filled   time.Duration // when the tokens were last refilled
-	span     int64         // of a limit by windows: number of the current window
-	spanUsed float64
+	tokens     float64       // of a token bucket; below 0 where refused calls count
+	refilledAt time.Duration // when the tokens were last refilled
+	window     int64         // of a limit by windows: number of the current window
+	windowUsed float64
 }
 
 // New returns a partner at full capacity. The Config must pass Check.
 func New(cfg Config, r *rand.Rand) *Partner {
 	p := &Partner{
-		cfg: cfg, rand: r, share: 1, endpoints: make([]endpoint, cfg.Endpoints), conns: map[uint64]conn{}, jobs: map[uint64]*job{},
-		seen: map[string]time.Duration{},
+		cfg: cfg, rand: r, limitShare: 1, endpoints: make([]endpoint, cfg.Endpoints), conns: map[uint64]conn{}, jobs: map[uint64]*job{},
+		firstRun: map[string]time.Duration{},
 	}
-	p.tokens = p.burst()
+	p.tokens = p.bucketSize()
 	return p
 }
 
@@ -282,10 +282,10 @@
 func (p *Partner) NextTick() (time.Duration, bool) {
 	next, ok := time.Duration(math.MaxInt64), false
 	if len(p.due) > 0 {
-		next, ok = p.due[0].ends, true
+		next, ok = p.due[0].endsAt, true
 	}
 	for i := range p.endpoints {
-		for _, s := range p.endpoints[i].spells {
+		for _, s := range p.endpoints[i].faults {
 			if s.Until > 0 {
 				next, ok = min(next, s.Until), true
 			}
@@ -295,10 +295,10 @@
 }
 
 // IsDown reports that an endpoint accepts no connections.
-func (p *Partner) IsDown(endpoint int) bool { return p.endpoints[endpoint].has(Down) != nil }
+func (p *Partner) IsDown(endpoint int) bool { return p.endpoints[endpoint].activeFault(Down) != nil }
 
 // HasCollapsed reports that the partner has collapsed.
-func (p *Partner) HasCollapsed() bool { return p.fallen }
+func (p *Partner) HasCollapsed() bool { return p.collapsed }
 
 // CallsInFlight returns the number of calls that are queued or being served.
 func (p *Partner) CallsInFlight() int { return len(p.jobs) }
@@ -307,7 +307,7 @@
 func (p *Partner) CurrentCapacity() float64 {
 	sum := 0.0
 	for i := range p.endpoints {
-		sum += p.warmth(&p.endpoints[i])
+		sum += p.capacityShare(&p.endpoints[i])
 	}
 	return sum * float64(p.cfg.Workers) / p.cfg.ServiceTime.Seconds()
 }
@@ -322,7 +322,7 @@
 			break
 		}
 		p.now = max(p.now, next)
-		acts = p.pass(acts)
+		acts = p.runDue(acts)
 	}
 	p.now = max(p.now, now)
 	switch ev := ev.(type) {
@@ -335,55 +335,55 @@
 			delete(p.conns, ev.Conn)
 			p.endpoints[c.endpoint].conns--
 		}
-		p.abandon(ev.Conn)
+		p.dropQueued(ev.Conn)
 	case CallReceived:
-		acts = p.call(ev, acts)
+		acts = p.receiveCall(ev, acts)
 	case FaultStarted:
 		for i := range p.endpoints {
 			if ev.Endpoint == i || ev.Endpoint < 0 {
-				acts = p.begin(i, ev, acts)
+				acts = p.startFault(i, ev, acts)
 			}
 		}
 	case EndpointAdded:
 		p.endpoints = append(p.endpoints, endpoint{})
 	case LimitChanged:
-		p.fill()
-		p.share = ev.Share
-		p.tokens = min(p.tokens, p.burst())
+		p.refill()
+		p.limitShare = ev.Share
+		p.tokens = min(p.tokens, p.bucketSize())
 	}
 	return acts
 }
 
 // runDue handles what is due at p.now: the ends of faults, then calls in the order of their end times and
 // numbers.
-func (p *Partner) pass(acts []Action) []Action {
+func (p *Partner) runDue(acts []Action) []Action {
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
-		was := e.has(Down) != nil
-		n := len(e.spells)
-		e.spells = slices.DeleteFunc(e.spells, func(s FaultStarted) bool { return s.Until > 0 && s.Until <= p.now })
-		if n == len(e.spells) {
+		wasDown := e.activeFault(Down) != nil
+		n := len(e.faults)
+		e.faults = slices.DeleteFunc(e.faults, func(s FaultStarted) bool { return s.Until > 0 && s.Until <= p.now })
+		if n == len(e.faults) {
 			continue
 		}
-		if e.out && !e.inOutage() {
-			e.out, e.cold, e.returned = false, true, p.now
+		if e.outage && !e.inOutage() {
+			e.outage, e.slowStart, e.returnedAt = false, true, p.now
 		}
-		if was && e.has(Down) == nil {
+		if wasDown && e.activeFault(Down) == nil {
 			acts = append(acts, EndpointRestored{i})
 		}
 	}
-	for len(p.due) > 0 && p.due[0].ends <= p.now {
+	for len(p.due) > 0 && p.due[0].endsAt <= p.now {
 		j := heap.Pop(&p.due).(*job)
 		acts = p.finish(j, acts)
 	}
 	return acts
 }
 
-func (p *Partner) begin(i int, t FaultStarted, acts []Action) []Action {
+func (p *Partner) startFault(i int, t FaultStarted, acts []Action) []Action {
 	e := &p.endpoints[i]
-	down := e.has(Down) != nil
-	e.spells = append(e.spells, t)
-	e.out = e.out || e.inOutage()
+	down := e.activeFault(Down) != nil
+	e.faults = append(e.faults, t)
+	e.outage = e.outage || e.inOutage()
 	if t.Kind == Down && !down {
 		for id, c := range p.conns {
 			if c.endpoint == i {
@@ -393,7 +393,7 @@
 		e.conns, e.busy, e.waiting = 0, 0, nil
 		for id, j := range p.jobs { // whether the calls being served have run stays unknown
 			if j.Endpoint == i {
-				p.drop(id, j)
+				p.dropJob(id, j)
 			}
 		}
 		acts = append(acts, ConnsReset{i})
@@ -401,20 +401,20 @@
 	return acts
 }
 
-func (p *Partner) call(c CallReceived, acts []Action) []Action {
+func (p *Partner) receiveCall(c CallReceived, acts []Action) []Action {
 	e := &p.endpoints[c.Endpoint]
-	acts = p.pushed(c, acts)
+	acts = p.trackCollapse(c, acts)
 	refuse := func(s Status, wait time.Duration) []Action {
 		return append(acts, Answer{Call: c.Call, Status: s, RetryAfter: wait})
 	}
-	if e.has(Down) != nil {
+	if e.activeFault(Down) != nil {
 		return append(acts, Answer{Call: c.Call, Status: AnswerLost})
 	}
-	if e.has(Silent) == nil {
-		if p.conns[c.Conn].over {
+	if e.activeFault(Silent) == nil {
+		if p.conns[c.Conn].overLimit {
 			return refuse(TooManyConns, 0)
 		}
-		if s := e.has(Rejecting); s != nil {
+		if s := e.activeFault(Rejecting); s != nil {
 			wait := time.Duration(0)
 			if s.Until > 0 && p.chance(p.cfg.RetryAfterShare) {
 				wait = s.Until - p.now
@@ -428,7 +428,7 @@
 	if e.busy >= p.cfg.Workers && len(e.waiting) >= p.cfg.QueueLength {
 		return refuse(QueueFull, 0)
 	}
-	j := &job{CallReceived: c, place: -1}
+	j := &job{CallReceived: c, heapIndex: -1}
 	p.jobs[c.Call] = j
 	if e.busy >= p.cfg.Workers {
 		e.waiting = append(e.waiting, c.Call)
@@ -443,32 +443,32 @@
 	e.busy++
 	j.running = true
 	weight := 1 + p.cfg.ExtraItemCost*float64(max(len(j.Items), 1)-1)
-	took := p.cfg.ServiceTime.Seconds() * weight * p.vary() / p.warmth(e)
-	for _, s := range e.spells {
+	seconds := p.cfg.ServiceTime.Seconds() * weight * p.randomFactor() / p.capacityShare(e)
+	for _, s := range e.faults {
 		if s.Kind == Slow {
-			took *= max(s.Size, 1)
+			seconds *= max(s.Size, 1)
 		}
 	}
-	j.ends = p.now + max(time.Duration(took*float64(time.Second)), time.Microsecond)
+	j.endsAt = p.now + max(time.Duration(seconds*float64(time.Second)), time.Microsecond)
 	heap.Push(&p.due, j)
 }
 
 func (p *Partner) finish(j *job, acts []Action) []Action {
 	e := &p.endpoints[j.Endpoint]
 	delete(p.jobs, j.Call)
-	p.next(e)
-	if s := e.has(Silent); s != nil {
+	p.serveNext(e)
+	if s := e.activeFault(Silent); s != nil {
 		if len(j.Items) > 0 && p.chance(s.Size) {
 			for _, it := range j.Items {
-				acts = p.run(j, it, acts)
+				acts = p.execute(j, it, acts)
 			}
 		}
 		return acts
 	}
-	if s := e.has(Failing); s != nil && p.chance(s.Size) {
+	if s := e.activeFault(Failing); s != nil && p.chance(s.Size) {
 		if p.chance(0.5) {
 			for _, it := range j.Items {
-				acts = p.run(j, it, acts)
+				acts = p.execute(j, it, acts)
 			}
 		}
 		return append(acts, Answer{Call: j.Call, Status: Errored})
@@ -485,11 +485,11 @@
 				continue
 			}
 		}
-		acts = p.run(j, it, acts)
+		acts = p.execute(j, it, acts)
 	}
 	status := Served
 	lost := p.cfg.LostAnswerShare
-	if s := e.has(Lossy); s != nil {
+	if s := e.activeFault(Lossy); s != nil {
 		lost = max(lost, s.Size)
 	}
 	switch {
@@ -504,7 +504,7 @@
 }
 
 // serveNext hands a free worker to the call that has waited longest.
-func (p *Partner) next(e *endpoint) {
+func (p *Partner) serveNext(e *endpoint) {
 	e.busy = max(e.busy-1, 0)
 	for len(e.waiting) > 0 && e.busy < p.cfg.Workers {
 		j := p.jobs[e.waiting[0]]
@@ -516,7 +516,7 @@
 }
 
 // dropQueued removes the queued calls of a connection that has ended; those being served continue.
-func (p *Partner) abandon(conn uint64) {
+func (p *Partner) dropQueued(conn uint64) {
 	for id, j := range p.jobs {
 		if j.Conn == conn && !j.running {
 			delete(p.jobs, id)
@@ -526,25 +526,25 @@
 	}
 }
 
-func (p *Partner) drop(id uint64, j *job) {
+func (p *Partner) dropJob(id uint64, j *job) {
 	delete(p.jobs, id)
-	if j.place >= 0 && j.running {
-		heap.Remove(&p.due, j.place)
+	if j.heapIndex >= 0 && j.running {
+		heap.Remove(&p.due, j.heapIndex)
 	}
 }
 
 // execute lets a message take effect, unless its key is known and the key's deduplication window is still
 // open.
-func (p *Partner) run(j *job, it Item, acts []Action) []Action {
+func (p *Partner) execute(j *job, it Item, acts []Action) []Action {
 	name := "id " + it.ID
 	if it.Key != "" {
 		name = "key " + it.Key
 	}
-	first, before := p.seen[name]
+	first, before := p.firstRun[name]
 	if before && it.Key != "" && p.now-first < p.cfg.DedupWindow {
 		return acts
 	}
-	p.seen[name] = p.now
+	p.firstRun[name] = p.now
 	return append(acts, Executed{Call: j.Call, ID: it.ID, Repeated: before})
 }
 
@@ -556,97 +556,97 @@
 	case l.PerSecond <= 0:
 		return true, 0
 	case l.Window > 0:
-		if span := int64(p.now / l.Window); span != p.span {
-			p.span, p.spanUsed = span, 0
+		if span := int64(p.now / l.Window); span != p.window {
+			p.window, p.windowUsed = span, 0
 		}
-		if p.spanUsed < math.Max(1, math.Round(l.PerSecond*p.share*l.Window.Seconds())) {
-			p.spanUsed++
+		if p.windowUsed < math.Max(1, math.Round(l.PerSecond*p.limitShare*l.Window.Seconds())) {
+			p.windowUsed++
 			return true, 0
 		}
 		if !p.chance(p.cfg.RetryAfterShare) {
 			return false, 0
 		}
-		return false, time.Duration(p.span+1)*l.Window - p.now
+		return false, time.Duration(p.window+1)*l.Window - p.now
 	}
-	p.fill()
+	p.refill()
 	if p.tokens >= 1 {
 		p.tokens--
 		return true, 0
 	}
 	if l.CountsRefused {
-		p.tokens = max(p.tokens-1, -p.burst())
+		p.tokens = max(p.tokens-1, -p.bucketSize())
 	}
 	if !p.chance(p.cfg.RetryAfterShare) {
 		return false, 0
 	}
 	wait := p.cfg.RetryAfterRange[0] + time.Duration(p.rand.Float64()*float64(p.cfg.RetryAfterRange[1]-p.cfg.RetryAfterRange[0]))
-	room := time.Duration((1 - p.tokens) / (l.PerSecond * p.share) * float64(time.Second))
+	room := time.Duration((1 - p.tokens) / (l.PerSecond * p.limitShare) * float64(time.Second))
 	return false, max(wait, room+time.Millisecond)
 }
 
-func (p *Partner) burst() float64 {
-	return max(1, p.cfg.Limit.PerSecond*p.share*p.cfg.Limit.Burst.Seconds())
+func (p *Partner) bucketSize() float64 {
+	return max(1, p.cfg.Limit.PerSecond*p.limitShare*p.cfg.Limit.Burst.Seconds())
 }
 
-func (p *Partner) fill() {
-	p.tokens = min(p.burst(), p.tokens+(p.now-p.filled).Seconds()*p.cfg.Limit.PerSecond*p.share)
-	p.filled = p.now
+func (p *Partner) refill() {
+	p.tokens = min(p.bucketSize(), p.tokens+(p.now-p.refilledAt).Seconds()*p.cfg.Limit.PerSecond*p.limitShare)
+	p.refilledAt = p.now
 }
 
 // trackCollapse counts a call that reaches a partner in slow start, and lets the partner collapse if the
 // calls exceed its budget.
-func (p *Partner) pushed(c CallReceived, acts []Action) []Action {
-	if p.cfg.CollapseSpan <= 0 || p.fallen {
+func (p *Partner) trackCollapse(c CallReceived, acts []Action) []Action {
+	if p.cfg.CollapseSpan <= 0 || p.collapsed {
 		return acts
 	}
-	p.pushes = slices.DeleteFunc(p.pushes, func(q push) bool { return q.at <= p.now-p.cfg.CollapseSpan })
-	cold := false
+	p.recentCalls = slices.DeleteFunc(p.recentCalls, func(q sentCall) bool { return q.at <= p.now-p.cfg.CollapseSpan })
+	slowStart := false
 	for i := range p.endpoints {
 		e := &p.endpoints[i]
-		if e.out {
+		if e.outage {
 			return acts // the outage continues: these calls don't reach an endpoint in slow start
 		}
-		cold = cold || p.isCold(e)
+		slowStart = slowStart || p.inSlowStart(e)
 	}
-	if !cold {
-		p.pushes = nil
+	if !slowStart {
+		p.recentCalls = nil
 		return acts
 	}
-	p.pushes = append(p.pushes, push{p.now, c.Sender, 1 + p.cfg.ExtraItemCost*float64(max(len(c.Items), 1)-1)})
+	p.recentCalls = append(p.recentCalls, sentCall{p.now, c.Sender, 1 + p.cfg.ExtraItemCost*float64(max(len(c.Items), 1)-1)})
 	sum := 0.0
-	for _, q := range p.pushes {
+	for _, q := range p.recentCalls {
 		sum += q.weight
 	}
 	budget := p.cfg.CollapseMultiple * p.CurrentCapacity() * p.cfg.CollapseSpan.Seconds()
 	if budget += 2 + math.Sqrt(budget); sum <= budget { // allow for random variation
 		return acts
 	}
-	p.fallen = true
+	p.collapsed = true
 	by := map[int]float64{}
-	for _, q := range p.pushes {
+	for _, q := range p.recentCalls {
 		by[q.sender] += q.weight
 	}
 	acts = append(acts, Collapsed{CallsBySender: by, Budget: budget})
 	for i := range p.endpoints {
-		acts = p.begin(i, FaultStarted{Endpoint: i, Kind: Down}, acts)
+		acts = p.startFault(i, FaultStarted{Endpoint: i, Kind: Down}, acts)
 	}
 	return acts
 }
 
-func (p *Partner) isCold(e *endpoint) bool {
-	return e.cold && p.now < e.returned+p.cfg.SlowStartDuration
+func (p *Partner) inSlowStart(e *endpoint) bool {
+	return e.slowStart && p.now < e.returnedAt+p.cfg.SlowStartDuration
 }
 
 // capacityShare returns the share of its full capacity that an endpoint has now.
-func (p *Partner) warmth(e *endpoint) float64 {
-	if !p.isCold(e) {
+func (p *Partner) capacityShare(e *endpoint) float64 {
+	if !p.inSlowStart(e) {
 		return 1
 	}
-	return p.cfg.SlowStartFrom + (1-p.cfg.SlowStartFrom)*float64(p.now-e.returned)/float64(p.cfg.SlowStartDuration)
+	return p.cfg.SlowStartFrom + (1-p.cfg.SlowStartFrom)*float64(p.now-e.returnedAt)/float64(p.cfg.SlowStartDuration)
 }
 
 // randomFactor draws a lognormal factor of mean 1.
-func (p *Partner) vary() float64 {
+func (p *Partner) randomFactor() float64 {
 	if p.cfg.ServiceTimeVariation == 0 {
 		return 1
 	}
@@ -657,10 +657,10 @@
 func (p *Partner) chance(share float64) bool { return share > 0 && p.rand.Float64() < share }
 
 // activeFault returns the endpoint's latest fault of a kind, or nil.
-func (e *endpoint) has(t FaultKind) *FaultStarted {
-	for i := len(e.spells) - 1; i >= 0; i-- {
-		if e.spells[i].Kind == t {
-			return &e.spells[i]
+func (e *endpoint) activeFault(t FaultKind) *FaultStarted {
+	for i := len(e.faults) - 1; i >= 0; i-- {
+		if e.faults[i].Kind == t {
+			return &e.faults[i]
 		}
 	}
 	return nil
@@ -669,33 +669,33 @@
 // inOutage reports that the endpoint will be in slow start after its faults. Failing below half of the calls
 // is not an outage.
 func (e *endpoint) inOutage() bool {
-	f := e.has(Failing)
-	return e.has(Down) != nil || e.has(Silent) != nil || e.has(Rejecting) != nil || (f != nil && f.Size >= 0.5)
+	f := e.activeFault(Failing)
+	return e.activeFault(Down) != nil || e.activeFault(Silent) != nil || e.activeFault(Rejecting) != nil || (f != nil && f.Size >= 0.5)
 }
 
 // jobQueue is a heap of calls by end time, ties by number.
-type dueJobs []*job
+type jobQueue []*job
 
-func (d dueJobs) Len() int { return len(d) }
-func (d dueJobs) Less(a, b int) bool {
-	if d[a].ends != d[b].ends {
-		return d[a].ends < d[b].ends
+func (d jobQueue) Len() int { return len(d) }
+func (d jobQueue) Less(a, b int) bool {
+	if d[a].endsAt != d[b].endsAt {
+		return d[a].endsAt < d[b].endsAt
 	}
 	return d[a].Call < d[b].Call
 }
-func (d dueJobs) Swap(a, b int) {
+func (d jobQueue) Swap(a, b int) {
 	d[a], d[b] = d[b], d[a]
-	d[a].place, d[b].place = a, b
+	d[a].heapIndex, d[b].heapIndex = a, b
 }
-func (d *dueJobs) Push(x any) {
+func (d *jobQueue) Push(x any) {
 	j := x.(*job)
-	j.place = len(*d)
+	j.heapIndex = len(*d)
 	*d = append(*d, j)
 }
-func (d *dueJobs) Pop() any {
+func (d *jobQueue) Pop() any {
 	old := *d
 	j := old[len(old)-1]
 	*d = old[:len(old)-1]
-	j.place = -1
+	j.heapIndex = -1
 	return j
 }
--- a/fleet/partner/partner_test.go
+++ b/fleet/partner/partner_test.go
@@ -33,58 +33,58 @@
 }
 
 // traffic draws events at increasing times.
-type timed struct {
+type timedEvent struct {
 	at time.Duration
 	ev Event
 }
 
-func drawTraffic(t *rapid.T, c Config, troubles bool) []timed {
-	var out []timed
+func drawTraffic(t *rapid.T, c Config, faults bool) []timedEvent {
+	var out []timedEvent
 	at := time.Duration(0)
 	var conns []uint64
 	next := uint64(0)
-	at0 := map[uint64]int{}
+	endpointOf := map[uint64]int{}
 	for i := range rapid.IntRange(5, 120).Draw(t, "events") {
 		at += time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * ms
 		kind := rapid.IntRange(0, 9).Draw(t, "kind")
 		switch {
 		case len(conns) == 0 || kind == 0:
 			next++
-			at0[next] = rapid.IntRange(0, c.Endpoints-1).Draw(t, "endpoint")
+			endpointOf[next] = rapid.IntRange(0, c.Endpoints-1).Draw(t, "endpoint")
 			conns = append(conns, next)
-			out = append(out, timed{at, ConnOpened{Conn: next, Endpoint: at0[next]}})
-		case kind == 1 && troubles:
-			out = append(out, timed{at, FaultStarted{
+			out = append(out, timedEvent{at, ConnOpened{Conn: next, Endpoint: endpointOf[next]}})
+		case kind == 1 && faults:
+			out = append(out, timedEvent{at, FaultStarted{
 				Endpoint: -1, Kind: FaultKind(rapid.IntRange(int(Slow), int(Down)).Draw(t, "trouble")), Size: rapid.Float64Range(0, 3).Draw(t, "size"),
 				Until: at + time.Duration(rapid.IntRange(1, 3000).Draw(t, "for"))*ms,
 			}})
-		case kind == 2 && troubles:
-			out = append(out, timed{at, ConnClosed{Conn: conns[0]}})
+		case kind == 2 && faults:
+			out = append(out, timedEvent{at, ConnClosed{Conn: conns[0]}})
 			conns = conns[1:]
 		default:
 			conn := rapid.SampledFrom(conns).Draw(t, "conn")
-			call := CallReceived{Call: uint64(1000 + i), Conn: conn, Endpoint: at0[conn], Sender: rapid.IntRange(0, 2).Draw(t, "sender")}
+			call := CallReceived{Call: uint64(1000 + i), Conn: conn, Endpoint: endpointOf[conn], Sender: rapid.IntRange(0, 2).Draw(t, "sender")}
 			for k := range rapid.IntRange(1, c.MaxBatch).Draw(t, "items") {
 				call.Items = append(call.Items, Item{ID: fmt.Sprintf("m%d-%d", i, k), Key: fmt.Sprintf("k%d", rapid.IntRange(0, 20).Draw(t, "key"))})
 			}
-			out = append(out, timed{at, call})
+			out = append(out, timedEvent{at, call})
 		}
 	}
 	return out
 }
 
-type acted struct {
+type timedAction struct {
 	at  time.Duration
 	act Action
 }
 
 // run sends the events to a new partner and lets all its calls end.
-func play(c Config, events []timed) []acted {
+func run(c Config, events []timedEvent) []timedAction {
 	p := New(c, rand.New(rand.NewPCG(1, 2)))
-	var out []acted
+	var out []timedAction
 	step := func(at time.Duration, ev Event) {
 		for _, a := range p.Step(at, ev) {
-			out = append(out, acted{at, a})
+			out = append(out, timedAction{at, a})
 		}
 	}
 	for _, e := range events {
@@ -112,7 +112,7 @@
 		c := drawConfig(t)
 		events := drawTraffic(t, c, false)
 		answers, ran := map[uint64]Answer{}, map[uint64]bool{}
-		for _, a := range play(c, events) {
+		for _, a := range run(c, events) {
 			switch a := a.act.(type) {
 			case Answer:
 				if _, twice := answers[a.Call]; twice {
@@ -139,7 +139,7 @@
 
 // With all faults no call is answered twice, none is answered by an endpoint that is down, and no key runs
 // twice within its deduplication window.
-func TestTroubles(t *testing.T) {
+func TestFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
 		events := drawTraffic(t, c, true)
@@ -153,7 +153,7 @@
 		}
 		answered := map[uint64]bool{}
 		last := map[string]time.Duration{}
-		for _, a := range play(c, events) {
+		for _, a := range run(c, events) {
 			switch act := a.act.(type) {
 			case Answer:
 				if answered[act.Call] {
@@ -175,7 +175,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
 		events := drawTraffic(t, c, true)
-		if a, b := play(c, events), play(c, events); !reflect.DeepEqual(a, b) {
+		if a, b := run(c, events), run(c, events); !reflect.DeepEqual(a, b) {
 			t.Fatalf("two runs differ:\n%v\n%v", a, b)
 		}
 	})
@@ -193,34 +193,34 @@
 				began[call.Call] = e.at
 			}
 		}
-		var taken []time.Duration
-		for _, a := range play(c, events) {
+		var admitted []time.Duration
+		for _, a := range run(c, events) {
 			if ans, ok := a.act.(Answer); ok && !ans.Status.Refused() {
-				taken = append(taken, began[ans.Call])
+				admitted = append(admitted, began[ans.Call])
 			}
 		}
-		for _, from := range taken {
-			for _, to := range taken {
+		for _, from := range admitted {
+			for _, to := range admitted {
 				if to < from {
 					continue
 				}
 				n := 0
-				for _, at := range taken {
+				for _, at := range admitted {
 					if at >= from && at <= to {
 						n++
 					}
 				}
-				var most float64
+				var limit float64
 				if c.Limit.Window > 0 {
 					if from/c.Limit.Window != to/c.Limit.Window {
 						continue
 					}
-					most = max(1, math.Round(c.Limit.PerSecond*c.Limit.Window.Seconds()))
+					limit = max(1, math.Round(c.Limit.PerSecond*c.Limit.Window.Seconds()))
 				} else {
-					most = max(1, c.Limit.PerSecond*c.Limit.Burst.Seconds()) + c.Limit.PerSecond*(to-from).Seconds() + 1e-6
+					limit = max(1, c.Limit.PerSecond*c.Limit.Burst.Seconds()) + c.Limit.PerSecond*(to-from).Seconds() + 1e-6
 				}
-				if float64(n) > most {
-					t.Fatalf("%d calls from %v to %v, limit %v", n, from, to, most)
+				if float64(n) > limit {
+					t.Fatalf("%d calls from %v to %v, limit %v", n, from, to, limit)
 				}
 			}
 		}
@@ -228,7 +228,7 @@
 }
 
 // After a retry-after has passed there is room, unless others have taken it.
-func TestWaitsAreHonest(t *testing.T) {
+func TestRetryAfterIsSufficient(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
 		c.RetryAfterShare, c.Limit.PerSecond = 1, max(c.Limit.PerSecond, 1)
@@ -257,39 +257,39 @@
 }
 
 // A partner in slow start collapses above its budget, and never below it.
-func TestColdReturn(t *testing.T) {
+func TestCollapseInSlowStart(t *testing.T) {
 	c := Config{
 		Endpoints: 2, Workers: 5, QueueLength: 1000, ServiceTime: 100 * ms, SlowStartFrom: 0.2, SlowStartDuration: 10 * time.Second, CollapseMultiple: 2, CollapseSpan: 2 * time.Second,
 	} // 100 calls a second at full capacity, 20 right after an outage
 	for _, test := range []struct {
 		perSecond int
-		falls     bool
+		collapses bool
 	}{{20, false}, {30, false}, {90, true}} {
 		t.Run(fmt.Sprint(test.perSecond), func(t *testing.T) {
 			p := New(c, rand.New(rand.NewPCG(5, 6)))
 			p.Step(0, ConnOpened{Conn: 1})
 			p.Step(time.Second, FaultStarted{Endpoint: -1, Kind: Rejecting, Until: 3 * time.Second})
-			var fell *Collapsed
+			var collapse *Collapsed
 			for i := range 2 * test.perSecond {
 				at := 3*time.Second + time.Duration(i)*time.Second/time.Duration(test.perSecond)
 				for _, a := range p.Step(at, CallReceived{Call: uint64(i), Conn: 1, Sender: 7}) {
 					if f, ok := a.(Collapsed); ok {
-						fell = &f
+						collapse = &f
 					}
 				}
 			}
-			if (fell != nil) != test.falls || p.HasCollapsed() != test.falls {
-				t.Fatalf("collapsed: %v, want %v", fell, test.falls)
+			if (collapse != nil) != test.collapses || p.HasCollapsed() != test.collapses {
+				t.Fatalf("collapsed: %v, want %v", collapse, test.collapses)
 			}
-			if fell != nil && (fell.CallsBySender[7] <= fell.Budget || !p.IsDown(0)) {
-				t.Errorf("calls by sender %v, budget %v, down %v", fell.CallsBySender, fell.Budget, p.IsDown(0))
+			if collapse != nil && (collapse.CallsBySender[7] <= collapse.Budget || !p.IsDown(0)) {
+				t.Errorf("calls by sender %v, budget %v, down %v", collapse.CallsBySender, collapse.Budget, p.IsDown(0))
 			}
 		})
 	}
 }
 
 // In slow start a partner serves slower, and gets faster with time.
-func TestWarmsWithTime(t *testing.T) {
+func TestSlowStartCapacity(t *testing.T) {
 	c := Config{Endpoints: 1, Workers: 1, ServiceTime: 100 * ms, SlowStartFrom: 0.25, SlowStartDuration: 10 * time.Second}
 	p := New(c, rand.New(rand.NewPCG(7, 8)))
 	p.Step(0, FaultStarted{Endpoint: -1, Kind: Silent, Until: time.Second})
@@ -305,7 +305,7 @@
 }
 
 // An endpoint with the maximum number of connections refuses further ones until one closes.
-func TestConnections(t *testing.T) {
+func TestMaxConns(t *testing.T) {
 	c := Config{Endpoints: 1, Workers: 10, MaxConns: 2, ServiceTime: 10 * ms}
 	p := New(c, rand.New(rand.NewPCG(9, 10)))
 	status := func(call, conn uint64, at time.Duration) Status {
@@ -340,12 +340,12 @@
 }
 
 // Each message of a batch has its own outcome; lost and unreadable answers come after the messages ran.
-func TestFatesAndLostAnswers(t *testing.T) {
+func TestOutcomesAndLostAnswers(t *testing.T) {
 	base := Config{Endpoints: 1, Workers: 100, ServiceTime: 10 * ms, MaxBatch: 10}
-	count := func(c Config) (statuses map[Status]int, fates map[Outcome]int, ran int) {
+	count := func(c Config) (statuses map[Status]int, outcomes map[Outcome]int, ran int) {
 		p := New(c, rand.New(rand.NewPCG(11, 12)))
 		p.Step(0, ConnOpened{Conn: 1})
-		statuses, fates = map[Status]int{}, map[Outcome]int{}
+		statuses, outcomes = map[Status]int{}, map[Outcome]int{}
 		for i := range 100 {
 			call := CallReceived{Call: uint64(i), Conn: 1}
 			for k := range 10 {
@@ -359,19 +359,19 @@
 				case Answer:
 					statuses[a.Status]++
 					for _, f := range a.Outcomes {
-						fates[f]++
+						outcomes[f]++
 					}
 				case Executed:
 					ran++
 				}
 			}
 		}
-		return statuses, fates, ran
+		return statuses, outcomes, ran
 	}
 	c := base
 	c.ErrorShare, c.DeferShare = 0.2, 0.3
-	if _, fates, ran := count(c); fates[Accepted] == 0 || fates[Failed] == 0 || fates[Deferred] == 0 || ran < fates[Accepted] || ran > fates[Accepted]+fates[Failed] {
-		t.Errorf("outcomes %v, %d ran", fates, ran)
+	if _, outcomes, ran := count(c); outcomes[Accepted] == 0 || outcomes[Failed] == 0 || outcomes[Deferred] == 0 || ran < outcomes[Accepted] || ran > outcomes[Accepted]+outcomes[Failed] {
+		t.Errorf("outcomes %v, %d ran", outcomes, ran)
 	}
 	c = base
 	c.LostAnswerShare = 1
