--- a/fleet/tally/tally.go
+++ b/fleet/tally/tally.go
@@ -124,79 +124,79 @@
 }
 
 type message struct {
-	in    history.Event
-	due   time.Duration
-	state string // the last known state
-	took  time.Duration
-	done  bool
+	submitted history.Event
+	dueAt     time.Duration
+	state     string // the last known state
+	latency   time.Duration
+	done      bool
 }
 
 // Count counts a history, which must be in order of time.
-func Count(terms Config, events []history.Event) Report {
+func Count(config Config, events []history.Event) Report {
 	r := Report{
-		Classes: make([]Line, len(terms.Classes)), Tenants: make([]Line, len(terms.Tenants)), Nodes: make([]Line, len(terms.Nodes)),
-		Partners: make([]PartnerLine, terms.Partners),
+		Classes: make([]Line, len(config.Classes)), Tenants: make([]Line, len(config.Tenants)), Nodes: make([]Line, len(config.Nodes)),
+		Partners: make([]PartnerLine, config.Partners),
 	}
-	for i, c := range terms.Classes {
+	for i, c := range config.Classes {
 		r.Classes[i].Name = c.Name
 	}
-	for i, name := range terms.Tenants {
+	for i, name := range config.Tenants {
 		r.Tenants[i].Name = name
 	}
-	for i, name := range terms.Nodes {
+	for i, name := range config.Nodes {
 		r.Nodes[i].Name = name
 	}
 	for i := range r.Partners {
 		r.Partners[i] = PartnerLine{Partner: i, CallEnds: map[string]int{}}
 	}
-	answers, delivery := NewRecorder(), NewRecorder()
-	cases, order := map[int]*message{}, []int{}
+	toAnswer, toDelivery := NewRecorder(), NewRecorder()
+	messages, order := map[int]*message{}, []int{}
 	ids := map[string]int{}
-	handed := map[string]time.Duration{}
-	began := map[uint64][]string{}
-	ran := map[int]int{}
-	taken, early := map[string]bool{}, map[string]time.Duration{} // accepted ids; time of delivery, by id, if it was before the client's answer
+	submittedAt := map[string]time.Duration{}
+	callIDs := map[uint64][]string{}
+	runs := map[int]int{}
+	accepted, earlyDelivery := map[string]bool{}, map[string]time.Duration{} // accepted ids; time of delivery, by id, if it was before the client's answer
 	deliver := func(id string, at time.Duration) {
-		if !taken[id] { // a message whose client never learned that it was accepted counts for nothing
-			if _, before := early[id]; !before {
-				early[id] = at
+		if !accepted[id] { // a message whose client never learned that it was accepted counts for nothing
+			if _, before := earlyDelivery[id]; !before {
+				earlyDelivery[id] = at
 			}
 			return
 		}
-		if m := cases[ids[id]]; m != nil && !m.done {
-			m.done, m.state, m.took = true, history.Accepted, at-m.due
-			delivery.Record(m.took)
+		if m := messages[ids[id]]; m != nil && !m.done {
+			m.done, m.state, m.latency = true, history.Accepted, at-m.dueAt
+			toDelivery.Record(m.latency)
 		}
 	}
 	for _, e := range events {
 		switch e.Kind {
 		case history.Submitted:
 			r.Submissions++
-			ids[e.ID], handed[e.ID] = e.MessageNumber, e.At
-			m := cases[e.MessageNumber]
+			ids[e.ID], submittedAt[e.ID] = e.MessageNumber, e.At
+			m := messages[e.MessageNumber]
 			if m == nil {
-				m = &message{in: e, due: e.FirstAt}
-				cases[e.MessageNumber] = m
+				m = &message{submitted: e, dueAt: e.FirstAt}
+				messages[e.MessageNumber] = m
 				order = append(order, e.MessageNumber)
 			}
 			if !m.done {
 				m.state = ""
 			}
 		case history.Answered:
-			if m := cases[ids[e.ID]]; m != nil && !m.done {
+			if m := messages[ids[e.ID]]; m != nil && !m.done {
 				m.state = e.State
 			}
 			if e.State == history.Taken {
-				taken[e.ID] = true
-				if at, ok := early[e.ID]; ok {
+				accepted[e.ID] = true
+				if at, ok := earlyDelivery[e.ID]; ok {
 					deliver(e.ID, at)
 				}
 			}
 			if e.State != history.ClientTimedOut && e.State != history.ConnectionLost {
-				answers.Record(e.At - handed[e.ID])
+				toAnswer.Record(e.At - submittedAt[e.ID])
 			}
 		case history.NoticeReceived:
-			if m := cases[ids[e.ID]]; m != nil && !m.done {
+			if m := messages[ids[e.ID]]; m != nil && !m.done {
 				m.state = e.State
 			}
 		case history.Connected:
@@ -205,7 +205,7 @@
 				r.Partners[e.Partner].Connections++
 			}
 		case history.CallStarted:
-			began[e.Call] = e.IDs
+			callIDs[e.Call] = e.IDs
 			r.Attempts += len(e.IDs)
 			if e.Partner >= 0 && e.Partner < len(r.Partners) {
 				r.Partners[e.Partner].Calls++
@@ -219,16 +219,16 @@
 				r.CallsAboveLimit++
 			}
 			if e.State == history.Accepted {
-				for i, id := range began[e.Call] {
+				for i, id := range callIDs[e.Call] {
 					if i < len(e.Outcomes) && e.Outcomes[i] == history.OutcomeAccepted {
 						deliver(id, e.At)
 					}
 				}
 			}
-			delete(began, e.Call)
+			delete(callIDs, e.Call)
 		case history.Executed:
 			if c := ids[e.ID]; c != 0 {
-				if ran[c]++; ran[c] == 2 {
+				if runs[c]++; runs[c] == 2 {
 					r.RanTwice++
 				}
 			}
@@ -236,14 +236,14 @@
 	}
 	r.All.Name = "all"
 	for _, c := range order {
-		m := cases[c]
-		class := terms.Classes[m.in.Class]
+		m := messages[c]
+		class := config.Classes[m.submitted.Class]
 		weight := 1.0
-		if terms.Weight != nil {
-			weight = terms.Weight(c)
+		if config.Weight != nil {
+			weight = config.Weight(c)
 		}
-		lines := []*Line{&r.All, &r.Classes[m.in.Class], &r.Tenants[m.in.Tenant], r.stretch(m.due)}
-		if n := m.in.Node; n >= 0 && n < len(r.Nodes) {
+		lines := []*Line{&r.All, &r.Classes[m.submitted.Class], &r.Tenants[m.submitted.Tenant], r.interval(m.dueAt)}
+		if n := m.submitted.Node; n >= 0 && n < len(r.Nodes) {
 			lines = append(lines, &r.Nodes[n])
 		}
 		for _, l := range lines {
@@ -252,7 +252,7 @@
 			switch {
 			case m.done:
 				l.Delivered++
-				l.WorthServed += class.WorthAfter(m.took) * weight
+				l.WorthServed += class.WorthAfter(m.latency) * weight
 			case m.state == history.Refused || m.state == history.Returned:
 				l.Refused++
 			case m.state == history.Failed:
@@ -262,12 +262,12 @@
 			}
 		}
 	}
-	r.TimeToAnswer, r.TimeToDelivery = answers.Percentiles(), delivery.Percentiles()
+	r.TimeToAnswer, r.TimeToDelivery = toAnswer.Percentiles(), toDelivery.Percentiles()
 	return r
 }
 
 // interval returns the line of the interval that contains a time.
-func (r *Report) stretch(at time.Duration) *Line {
+func (r *Report) interval(at time.Duration) *Line {
 	i := int(max(at, 0) / Interval)
 	for len(r.Intervals) <= i {
 		r.Intervals = append(r.Intervals, Line{Name: (time.Duration(len(r.Intervals)) * Interval).String()})
--- a/fleet/tally/tally_test.go
+++ b/fleet/tally/tally_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-func TestEarns(t *testing.T) {
+func TestWorthAfter(t *testing.T) {
 	c := Class{SoftDeadline: time.Second, Deadline: 3 * time.Second, Worth: 4, WorthAtDeadline: 0.5}
 	for took, want := range map[time.Duration]float64{0: 4, time.Second: 4, 2 * time.Second: 3, 2999 * ms: 2.001, 3 * time.Second: 0, 5 * time.Second: 0} {
 		if got := c.WorthAfter(took); math.Abs(got-want) > 0.01 {
