--- a/fleet/capacity/capacity_test.go
+++ b/fleet/capacity/capacity_test.go
@@ -575,9 +575,9 @@
 				t.Fatalf("%s: ends at %v, and with a larger budget at %v", l.ID, *b.End.Share, *l.End.Share)
 			}
 		}
-		of := map[string]Slope{}
+		byID := map[string]Slope{}
 		for _, s := range slopes {
-			of[s.ID] = s
+			byID[s.ID] = s
 		}
 		for _, w := range rows {
 			for _, b := range w.limits {
@@ -585,11 +585,11 @@
 				if amount == nil {
 					amount = w.figure
 				}
-				share, beyond, ok := findEnd(func(f float64) float64 { return amount(target.Scaled(w.axis, f), &slopeReader{slopes: of}) }, b.value(target))
+				share, beyond, ok := findEnd(func(f float64) float64 { return amount(target.Scaled(w.axis, f), &slopeReader{slopes: byID}) }, b.value(target))
 				if !ok || beyond || share == 0 {
 					continue
 				}
-				if at := amount(target.Scaled(w.axis, share), &slopeReader{slopes: of}); math.Abs(at-b.value(target)) > 1e-6*b.value(target) {
+				if at := amount(target.Scaled(w.axis, share), &slopeReader{slopes: byID}); math.Abs(at-b.value(target)) > 1e-6*b.value(target) {
 					t.Fatalf("%s ends at %v of the target, where its amount is %v of %v", w.id, share, at, b.value(target))
 				}
 			}
--- a/fleet/capacity/page.go
+++ b/fleet/capacity/page.go
@@ -16,9 +16,9 @@
 // table, all others stay. Each section must be on the page exactly once. Its errors are of type *Error, all
 // of them joined.
 func UpdatePage(page []byte, sections []Section) ([]byte, error) {
-	of := map[string]Section{}
+	byName := map[string]Section{}
 	for _, s := range sections {
-		of[s.Name] = s
+		byName[s.Name] = s
 	}
 	var out strings.Builder
 	var found []error
@@ -34,7 +34,7 @@
 			addError(i+1, "a table begins before the end of table %q of line %d", openTable, beginLine)
 		case isBegin:
 			name = strings.TrimSuffix(name, markEnds)
-			s, ok := of[name]
+			s, ok := byName[name]
 			if !ok {
 				addError(i+1, "there is no table %q", name)
 			}
--- a/fleet/capacity/slope.go
+++ b/fleet/capacity/slope.go
@@ -60,15 +60,15 @@
 
 // OutsideRange returns how many times x is above the measured range, and how many times below it; 1 if it is
 // not.
-func (s Slope) OutsideRange(x float64) (past, below float64) {
-	past, below = 1, 1
+func (s Slope) OutsideRange(x float64) (above, below float64) {
+	above, below = 1, 1
 	switch {
 	case x > s.To:
-		past = x / s.To
+		above = x / s.To
 	case x < s.From && x > 0:
 		below = s.From / x
 	}
-	return past, below
+	return above, below
 }
 
 // plusStdErr returns the slope with its leading coefficient increased by its standard error.
@@ -191,12 +191,12 @@
 // MergeSlopes returns the slopes of both lists, sorted by id; of two with the same id it keeps the measured
 // one.
 func MergeSlopes(before, measured []Slope) []Slope {
-	of := map[string]Slope{}
+	byID := map[string]Slope{}
 	for _, s := range slices.Concat(before, measured) {
-		of[s.ID] = s
+		byID[s.ID] = s
 	}
 	var all []Slope
-	for _, s := range of {
+	for _, s := range byID {
 		all = append(all, s)
 	}
 	slices.SortFunc(all, func(a, b Slope) int { return cmp.Compare(a.ID, b.ID) })
--- a/fleet/capacity/target.go
+++ b/fleet/capacity/target.go
@@ -11,7 +11,6 @@
 	"fmt"
 	"math"
 	"reflect"
-	"slices"
 	"strings"
 
 	"starlingusher/fleet/tomlfile"
@@ -187,14 +186,3 @@
 }
 
 func unknownSetting(name string) string { return fmt.Sprintf("there is no setting %q", name) }
-
-// guessedOf returns those of the names that the target calls guessed.
-func (t Target) guessedOf(names []string) []string {
-	var some []string
-	for _, n := range names {
-		if slices.Contains(t.Guessed, n) {
-			some = append(some, n)
-		}
-	}
-	return some
-}
--- a/fleet/capacity/work.go
+++ b/fleet/capacity/work.go
@@ -119,8 +119,8 @@
 	list := &r.missing
 	if ok {
 		list = &r.used
-		past, below := s.OutsideRange(x)
-		r.aboveRange, r.belowRange = max(r.aboveRange, past), max(r.belowRange, below)
+		above, below := s.OutsideRange(x)
+		r.aboveRange, r.belowRange = max(r.aboveRange, above), max(r.belowRange, below)
 	}
 	if !slices.Contains(*list, id) {
 		*list = append(*list, id)
@@ -140,15 +140,15 @@
 
 // Compute computes the whole table.
 func Compute(t Target, slopes []Slope) Report {
-	of := map[string]Slope{}
+	byID := map[string]Slope{}
 	for _, s := range slopes {
-		of[s.ID] = s
+		byID[s.ID] = s
 	}
 	r := Report{Target: t, Bounds: Bounds(), Slopes: MergeSlopes(nil, slopes)}
 	for _, row := range rows {
-		r.Lines = append(r.Lines, row.line(t, of))
+		r.Lines = append(r.Lines, row.line(t, byID))
 		if row.owned != nil {
-			r.Lines = append(r.Lines, row.ownedLine(t, of))
+			r.Lines = append(r.Lines, row.ownedLine(t, byID))
 		}
 	}
 	r.Steps = roadmap(r.Lines)
@@ -227,16 +227,16 @@
 // assumptions returns what a line takes for granted: guessed settings of the target that affect its figure or
 // its end, and the assumption of its formula.
 func (w row) assumptions(t Target, slopes map[string]Slope) []string {
-	var some []string
+	var names []string
 	for _, name := range t.Guessed {
 		if !slices.EqualFunc(w.values(t, slopes), w.values(reduced(t, name), slopes), func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }) {
-			some = append(some, name)
+			names = append(names, name)
 		}
 	}
 	if w.assumption != "" {
-		some = append(some, w.assumption)
+		names = append(names, w.assumption)
 	}
-	return some
+	return names
 }
 
 // values returns the row's figure and, for each limit, its value and the amount compared with it; NaN where a
--- a/fleet/experiment/plan.go
+++ b/fleet/experiment/plan.go
@@ -143,22 +143,22 @@
 	LoseState bool
 }
 
-func (x FaultPlan) String() string {
-	s := x.Kind
-	if x.Size != 0 {
-		s += fmt.Sprintf(" of %.3g", x.Size)
+func (f FaultPlan) String() string {
+	s := f.Kind
+	if f.Size != 0 {
+		s += fmt.Sprintf(" of %.3g", f.Size)
 	}
-	if len(x.Partners) > 0 {
-		s += fmt.Sprintf(", partners %v", x.Partners)
+	if len(f.Partners) > 0 {
+		s += fmt.Sprintf(", partners %v", f.Partners)
 	}
-	if len(x.Nodes) > 0 {
-		s += fmt.Sprintf(", nodes %v", x.Nodes)
+	if len(f.Nodes) > 0 {
+		s += fmt.Sprintf(", nodes %v", f.Nodes)
 	}
-	if len(x.Replicas) > 0 {
-		s += fmt.Sprintf(", replicas %v", x.Replicas)
+	if len(f.Replicas) > 0 {
+		s += fmt.Sprintf(", replicas %v", f.Replicas)
 	}
-	if x.Until > 0 {
-		s += fmt.Sprintf(", until %v", x.Until.Round(time.Millisecond))
+	if f.Until > 0 {
+		s += fmt.Sprintf(", until %v", f.Until.Round(time.Millisecond))
 	}
 	return s
 }
@@ -168,11 +168,11 @@
 
 // DrawPlan returns the plan of a seed. If nodes is above 0, the fleet has that many.
 func (f File) DrawPlan(seed uint64, nodes int) Plan {
-	d := planner{f: f, seed: seed}
+	pl := planner{f: f, seed: seed}
 	p := Plan{
 		Name: f.Name, About: f.About, Seed: seed, Zones: f.Fleet.Zones, DiscoveryDelay: f.Discovery.Delay, Expect: f.Expect,
 	}
-	r := d.source("run")
+	r := pl.source("run")
 	p.Length = f.Length.draw(r)
 	rate := f.Load.Rate.draw(r)
 	p.Load = LoadPlan{
@@ -190,13 +190,13 @@
 			p.PartnerKinds = append(p.PartnerKinds, g.Kind)
 		}
 	}
-	d.classes(&p)
-	d.members(&p, rate)
-	d.partners(&p, rate)
-	d.nodes(&p, rate, nodes)
-	p.Replicas = f.Discovery.Replicas.drawInt(d.source("replicas"))
-	d.faults(&p)
-	d.arrivals(&p, rate)
+	pl.classes(&p)
+	pl.tenants(&p, rate)
+	pl.partners(&p, rate)
+	pl.nodes(&p, rate, nodes)
+	p.Replicas = f.Discovery.Replicas.drawInt(pl.source("replicas"))
+	pl.faults(&p)
+	pl.arrivals(&p, rate)
 	p.Settle = f.Settle.draw(r)
 	if p.Settle == 0 {
 		for _, c := range p.Classes {
@@ -213,8 +213,8 @@
 
 // source returns the random source of one purpose, so that a change to one part of the plan does not affect
 // the others.
-func (d planner) source(purpose string) *rand.Rand {
-	return rand.New(rand.NewPCG(d.seed, xxhash.Sum64String(purpose)))
+func (pl planner) source(purpose string) *rand.Rand {
+	return rand.New(rand.NewPCG(pl.seed, xxhash.Sum64String(purpose)))
 }
 
 // zipfWeights returns n weights that fall with a power of their rank and sum to 1.
@@ -231,10 +231,10 @@
 	return w
 }
 
-func (d planner) classes(p *Plan) {
-	r := d.source("classes")
+func (pl planner) classes(p *Plan) {
+	r := pl.source("classes")
 	sum := 0.0
-	for _, c := range d.f.Classes {
+	for _, c := range pl.f.Classes {
 		effect := map[string]judge.Effect{"safe": judge.Safe, "keyed": judge.Keyed, "unsafe": judge.Unsafe}[c.Effect]
 		one := ClassPlan{
 			Name: c.Name, Share: c.Share.draw(r), SoftDeadline: c.SoftDeadline.draw(r), Deadline: c.Deadline.draw(r), Worth: c.Worth.draw(r),
@@ -259,10 +259,10 @@
 	return part / sum
 }
 
-func (d planner) members(p *Plan, rate float64) {
-	r := d.source("members")
+func (pl planner) tenants(p *Plan, rate float64) {
+	r := pl.source("members")
 	sum := 0.0
-	for _, m := range d.f.Tenants {
+	for _, m := range pl.f.Tenants {
 		one := TenantPlan{Name: m.Name, Share: m.Share.draw(r), Allowance: m.Allowance.draw(r)}
 		sum += one.Share
 		p.Tenants = append(p.Tenants, one)
@@ -277,15 +277,15 @@
 }
 
 // partners draws the partners. The traffic of a partner is the sum over all classes.
-func (d planner) partners(p *Plan, rate float64) {
-	r := d.source("partners")
+func (pl planner) partners(p *Plan, rate float64) {
+	r := pl.source("partners")
 	type group struct {
 		PartnerGroup
 		from, to int
 	}
 	var groups []group
 	weights := []float64{}
-	for _, g := range d.f.Partners {
+	for _, g := range pl.f.Partners {
 		n := g.Count.drawInt(r)
 		total := g.TrafficWeight.draw(r)
 		groups = append(groups, group{g, len(weights), len(weights) + n})
@@ -372,32 +372,32 @@
 	return p.Config.Capacity()
 }
 
-func (d planner) nodes(p *Plan, rate float64, count int) {
-	r := d.source("nodes")
-	if drawn := d.f.Fleet.Nodes.drawInt(r); count <= 0 {
+func (pl planner) nodes(p *Plan, rate float64, count int) {
+	r := pl.source("nodes")
+	if drawn := pl.f.Fleet.Nodes.drawInt(r); count <= 0 {
 		count = drawn
 	}
-	weights := zipfWeights(count, d.f.Fleet.ZipfExponent.draw(r))
+	weights := zipfWeights(count, pl.f.Fleet.ZipfExponent.draw(r))
 	r.Shuffle(count, func(i, j int) { weights[i], weights[j] = weights[j], weights[i] })
 	meanCallSeconds := 0.0 // mean time that a call is in flight, in seconds
 	for _, q := range p.Partners {
 		meanCallSeconds += q.Weight * (q.Config.ServiceTime + p.Network.SameZone + p.Network.CrossZone).Seconds()
 	}
-	slotHeadroom, holdSeconds := d.f.Fleet.SlotHeadroom.draw(r), d.f.Fleet.HoldTime.draw(r).Seconds()
+	slotHeadroom, holdSeconds := pl.f.Fleet.SlotHeadroom.draw(r), pl.f.Fleet.HoldTime.draw(r).Seconds()
 	for i, w := range weights {
 		p.Nodes = append(p.Nodes, NodePlan{
 			Name: fmt.Sprintf("n%d", i), Zone: i % len(p.Zones), Weight: w,
-			Slots:   max(d.f.Fleet.MinSlots.drawInt(r), int(math.Ceil(w*rate*meanCallSeconds*slotHeadroom))),
-			MaxOpen: max(d.f.Fleet.MinOpen.drawInt(r), int(w*rate*holdSeconds)),
-			Cores:   d.f.Fleet.Cores.draw(r), MemoryMB: d.f.Fleet.MemoryMB.drawInt(r), Sockets: d.f.Fleet.Sockets.drawInt(r),
-			DiskMB: d.f.Fleet.DiskMB.draw(r), Seed: r.Uint64(),
+			Slots:   max(pl.f.Fleet.MinSlots.drawInt(r), int(math.Ceil(w*rate*meanCallSeconds*slotHeadroom))),
+			MaxOpen: max(pl.f.Fleet.MinOpen.drawInt(r), int(w*rate*holdSeconds)),
+			Cores:   pl.f.Fleet.Cores.draw(r), MemoryMB: pl.f.Fleet.MemoryMB.drawInt(r), Sockets: pl.f.Fleet.Sockets.drawInt(r),
+			DiskMB: pl.f.Fleet.DiskMB.draw(r), Seed: r.Uint64(),
 		})
 	}
 }
 
-func (d planner) faults(p *Plan) {
-	for i, x := range d.f.Faults {
-		r := d.source(fmt.Sprintf("fault %d", i))
+func (pl planner) faults(p *Plan) {
+	for i, x := range pl.f.Faults {
+		r := pl.source(fmt.Sprintf("fault %d", i))
 		one := FaultPlan{
 			Kind: x.Kind, At: x.At.draw(r), Size: x.Size.draw(r), Direction: cmp.Or(x.Direction, "both"), Resume: x.ConnsAfter == "resume", LoseState: x.LoseState,
 		}
@@ -408,7 +408,7 @@
 			one.Until = one.At + last
 		}
 		step := x.StepInterval.draw(r)
-		partners, nodes := d.targetPartners(r, x, p), d.targetNodes(r, x, p)
+		partners, nodes := pl.targetPartners(r, x, p), pl.targetNodes(r, x, p)
 		var replicas []int
 		if FaultKinds[x.Kind].targets&atReplicas != 0 {
 			replicas = r.Perm(p.Replicas)
@@ -447,7 +447,7 @@
 	slices.SortStableFunc(p.Faults, func(a, b FaultPlan) int { return cmp.Compare(a.At, b.At) })
 }
 
-func (d planner) targetPartners(r *rand.Rand, x Fault, p *Plan) []int {
+func (pl planner) targetPartners(r *rand.Rand, x Fault, p *Plan) []int {
 	order := r.Perm(len(p.Partners))
 	switch {
 	case FaultKinds[x.Kind].targets&atPartners == 0:
@@ -465,7 +465,7 @@
 	return slices.Sorted(slices.Values(order))
 }
 
-func (d planner) targetNodes(r *rand.Rand, x Fault, p *Plan) []int {
+func (pl planner) targetNodes(r *rand.Rand, x Fault, p *Plan) []int {
 	order := r.Perm(len(p.Nodes))
 	switch {
 	case FaultKinds[x.Kind].targets&atNodes == 0:
@@ -489,9 +489,9 @@
 
 // arrivals draws when messages are submitted: a Poisson process whose rate is multiplied by bursts, and
 // clumps.
-func (d planner) arrivals(p *Plan, rate float64) {
-	r := d.source("arrivals")
-	clumps := d.f.Load.ClumpShare.draw(r)
+func (pl planner) arrivals(p *Plan, rate float64) {
+	r := pl.source("arrivals")
+	clumps := pl.f.Load.ClumpShare.draw(r)
 	burstFactor := func(at time.Duration) float64 {
 		by := 1.0
 		for _, x := range p.Faults {
@@ -541,14 +541,14 @@
 		size := func(q PartnerPlan, s time.Duration) float64 { return max(1, q.TotalRate()*s.Seconds()) }
 		for i, q := range p.Partners {
 			weights[i] = q.Weight
-			mean += q.Weight * size(q, (d.f.Load.ClumpSize.Low+d.f.Load.ClumpSize.High)/2)
+			mean += q.Weight * size(q, (pl.f.Load.ClumpSize.Low+pl.f.Load.ClumpSize.High)/2)
 		}
 		every := rate * clumps / mean
 		for at := nextArrival(r, every); at < p.Length; at += nextArrival(r, every) {
 			dest := pickWeighted(r, weights)
 			node, member := pickWeighted(r, nodes), pickWeighted(r, members)
-			over := d.f.Load.ClumpDuration.draw(r)
-			for range int(size(p.Partners[dest], d.f.Load.ClumpSize.draw(r))) {
+			over := pl.f.Load.ClumpDuration.draw(r)
+			for range int(size(p.Partners[dest], pl.f.Load.ClumpSize.draw(r))) {
 				c := pickWeighted(r, classes)
 				if !p.Classes[c].sendsTo(p.Partners[dest].Kind) {
 					continue
@@ -562,7 +562,7 @@
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	p.Arrivals = slices.DeleteFunc(p.Arrivals, func(a Arrival) bool { return a.At >= p.Length })
 	markOverShare(p)
-	if rude := d.f.Load.RudePeerRate.draw(r); rude > 0 {
+	if rude := pl.f.Load.RudePeerRate.draw(r); rude > 0 {
 		for at := nextArrival(r, rude); at < p.Length; at += nextArrival(r, rude) {
 			p.RudePeers = append(p.RudePeers, RudePeer{At: at, Node: r.IntN(len(p.Nodes)), Behavior: r.IntN(1 << 20)})
 		}
--- a/fleet/judge/judge.go
+++ b/fleet/judge/judge.go
@@ -93,9 +93,9 @@
 
 // call is one call as the observers saw it.
 type call struct {
-	began, ended  history.Event
-	unfinished    bool          // no end was seen
-	firstDeadline time.Duration // when the first of its messages reached its deadline
+	started, ended history.Event
+	unfinished     bool          // no end was seen
+	firstDeadline  time.Duration // when the first of its messages reached its deadline
 }
 
 func (c *call) endTime() time.Duration {
@@ -115,8 +115,8 @@
 	switch c.ended.State {
 	case history.Accepted:
 		for i, f := range c.ended.Outcomes {
-			if i < len(c.began.IDs) && c.began.IDs[i] == id {
-				counts := len(c.began.IDs) == 1 || c.ended.At <= c.firstDeadline
+			if i < len(c.started.IDs) && c.started.IDs[i] == id {
+				counts := len(c.started.IDs) == 1 || c.ended.At <= c.firstDeadline
 				return f == history.OutcomeAccepted && counts, f != history.OutcomeDeferred
 			}
 		}
@@ -193,7 +193,7 @@
 	// first.
 	for _, e := range j.events {
 		if e.Kind == history.CallStarted {
-			c := &call{began: e, unfinished: true}
+			c := &call{started: e, unfinished: true}
 			j.calls[e.Call] = c
 			j.callOrder = append(j.callOrder, c)
 		}
@@ -233,7 +233,7 @@
 			}
 		}
 	}
-	byFirst := func(a, b *call) int { return cmp.Compare(a.began.FirstAt, b.began.FirstAt) }
+	byFirst := func(a, b *call) int { return cmp.Compare(a.started.FirstAt, b.started.FirstAt) }
 	slices.SortStableFunc(j.callOrder, byFirst)
 	for _, m := range j.messages {
 		slices.SortStableFunc(m.calls, byFirst)
@@ -330,17 +330,17 @@
 	// notice.
 	due := j.excusedUntil(m.submitted.Node, m.submitted.At+m.submitted.ExpiresIn+j.config.FinalAnswerSlack+j.config.Slack)
 	end, ok := j.finalAnswer(m)
-	proof := []history.Event{m.submitted, *m.answered}
+	evidence := []history.Event{m.submitted, *m.answered}
 	switch {
 	case !ok && due < j.end:
-		j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, due, append(proof, callEvents(m)...), "it was accepted and never had a final answer")
+		j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, due, append(evidence, callEvents(m)...), "it was accepted and never had a final answer")
 	case ok && end.At > due:
-		j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, end.At, append(proof, end), "its final answer came %v too late", (end.At - due).Round(time.Millisecond))
+		j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, end.At, append(evidence, end), "its final answer came %v too late", (end.At - due).Round(time.Millisecond))
 	}
 	// Delivered messages need no notice, and one does no harm. But two notices must not disagree.
 	for i := 1; i < len(m.notices); i++ {
 		if m.notices[i].State != m.notices[0].State {
-			j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, m.notices[i].At, append(proof, m.notices[0], m.notices[i]), "it ended as %s and then as %s",
+			j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, m.notices[i].At, append(evidence, m.notices[0], m.notices[i]), "it ended as %s and then as %s",
 				m.notices[0].State, m.notices[i].State)
 			break
 		}
@@ -350,7 +350,7 @@
 func callEvents(m *message) []history.Event {
 	var out []history.Event
 	for _, c := range m.calls {
-		out = append(out, c.began)
+		out = append(out, c.started)
 		if !c.unfinished {
 			out = append(out, c.ended)
 		}
@@ -366,12 +366,12 @@
 	for _, c := range m.calls {
 		// If a process is killed before it has recorded a delivery, the message may be sent once more, as its
 		// class permits; checkRepeats covers that. After a notice no attempt may follow.
-		if c.began.FirstAt <= end.At+j.config.OverlapSlack {
+		if c.started.FirstAt <= end.At+j.config.OverlapSlack {
 			continue
 		}
-		if end.Kind == history.NoticeReceived || !j.restarted(m.submitted.Node, end.At, c.began.FirstAt) {
-			j.report(NothingAfterEnd, m.submitted.Node, m.submitted.ID, c.began.FirstAt, []history.Event{m.submitted, end, c.began}, "it was sent %v after its final answer",
-				(c.began.FirstAt - end.At).Round(time.Millisecond))
+		if end.Kind == history.NoticeReceived || !j.restarted(m.submitted.Node, end.At, c.started.FirstAt) {
+			j.report(NothingAfterEnd, m.submitted.Node, m.submitted.ID, c.started.FirstAt, []history.Event{m.submitted, end, c.started}, "it was sent %v after its final answer",
+				(c.started.FirstAt - end.At).Round(time.Millisecond))
 			return
 		}
 	}
@@ -379,7 +379,7 @@
 
 func (j *checker) checkAttempts(m *message) {
 	if limit := j.config.MaxAttempts; limit > 0 && len(m.calls) > limit {
-		j.report(MaxAttempts, m.submitted.Node, m.submitted.ID, m.calls[limit].began.FirstAt, callEvents(m), "%d attempts, %d are allowed", len(m.calls), limit)
+		j.report(MaxAttempts, m.submitted.Node, m.submitted.ID, m.calls[limit].started.FirstAt, callEvents(m), "%d attempts, %d are allowed", len(m.calls), limit)
 	}
 }
 
@@ -392,27 +392,27 @@
 	overlapFound, repeatFound, windowFound := false, false, false
 	for i, c := range m.calls {
 		for _, before := range m.calls[:i] {
-			if !overlapFound && before.endTime() > c.began.FirstAt+j.config.OverlapSlack {
+			if !overlapFound && before.endTime() > c.started.FirstAt+j.config.OverlapSlack {
 				overlapFound = true
-				proof := []history.Event{m.submitted, before.began, c.began}
+				evidence := []history.Event{m.submitted, before.started, c.started}
 				if !before.unfinished {
-					proof = append(proof, before.ended)
+					evidence = append(evidence, before.ended)
 				}
-				j.report(OneAttemptAtATime, m.submitted.Node, m.submitted.ID, c.began.FirstAt, proof, "call %d started while call %d was in flight", c.began.Call, before.began.Call)
+				j.report(OneAttemptAtATime, m.submitted.Node, m.submitted.ID, c.started.FirstAt, evidence, "call %d started while call %d was in flight", c.started.Call, before.started.Call)
 			}
 			if _, mayHaveRun := before.outcome(m.submitted.ID); !mayHaveRun {
 				continue
 			}
-			proof := []history.Event{m.submitted, before.began, before.ended, c.began}
-			late := c.began.FirstAt - before.began.FirstAt - class.Window - j.config.Slack
+			evidence := []history.Event{m.submitted, before.started, before.ended, c.started}
+			late := c.started.FirstAt - before.started.FirstAt - class.Window - j.config.Slack
 			switch {
 			case class.Effect == Unsafe && !repeatFound:
 				repeatFound = true
-				j.report(AtMostOnce, m.submitted.Node, m.submitted.ID, c.began.FirstAt, proof, "it was sent again although call %d may have run it (%s)", before.began.Call,
+				j.report(AtMostOnce, m.submitted.Node, m.submitted.ID, c.started.FirstAt, evidence, "it was sent again although call %d may have run it (%s)", before.started.Call,
 					endState(before))
 			case class.Effect == Keyed && late > 0 && !windowFound:
 				windowFound = true
-				j.report(KeyWindow, m.submitted.Node, m.submitted.ID, c.began.FirstAt, proof, "it was sent again %v after its deduplication window",
+				j.report(KeyWindow, m.submitted.Node, m.submitted.ID, c.started.FirstAt, evidence, "it was sent again %v after its deduplication window",
 					late.Round(time.Millisecond))
 			}
 		}
@@ -425,9 +425,9 @@
 			continue
 		}
 		for _, c := range m.calls {
-			if _, mayHaveRun := c.outcome(m.submitted.ID); mayHaveRun && c.began.FirstAt < n.At {
-				j.report(AtMostOnce, m.submitted.Node, m.submitted.ID, n.At, []history.Event{m.submitted, c.began, c.ended, n}, "it was returned although call %d may have run it (%s)",
-					c.began.Call, endState(c))
+			if _, mayHaveRun := c.outcome(m.submitted.ID); mayHaveRun && c.started.FirstAt < n.At {
+				j.report(AtMostOnce, m.submitted.Node, m.submitted.ID, n.At, []history.Event{m.submitted, c.started, c.ended, n}, "it was returned although call %d may have run it (%s)",
+					c.started.Call, endState(c))
 				return
 			}
 		}
@@ -479,18 +479,18 @@
 
 func (j *checker) checkPartners() {
 	for _, c := range j.callOrder {
-		for i, id := range c.began.IDs {
+		for i, id := range c.started.IDs {
 			m := j.messages[id]
 			switch {
 			case m == nil:
-				j.report(WrongPartner, c.began.Node, id, c.began.At, []history.Event{c.began}, "no client submitted it")
-			case m.submitted.Dest != c.began.Partner:
-				j.report(WrongPartner, c.began.Node, id, c.began.At, []history.Event{m.submitted, c.began}, "it is for partner %d but was sent to partner %d", m.submitted.Dest,
-					c.began.Partner)
-			case m.submitted.Node != c.began.Node:
-				j.report(WrongPartner, c.began.Node, id, c.began.At, []history.Event{m.submitted, c.began}, "it was submitted to node %d", m.submitted.Node)
-			case slices.Contains(c.began.IDs[:i], id):
-				j.report(OneAttemptAtATime, c.began.Node, id, c.began.At, []history.Event{c.began}, "it is twice in one call")
+				j.report(WrongPartner, c.started.Node, id, c.started.At, []history.Event{c.started}, "no client submitted it")
+			case m.submitted.Dest != c.started.Partner:
+				j.report(WrongPartner, c.started.Node, id, c.started.At, []history.Event{m.submitted, c.started}, "it is for partner %d but was sent to partner %d", m.submitted.Dest,
+					c.started.Partner)
+			case m.submitted.Node != c.started.Node:
+				j.report(WrongPartner, c.started.Node, id, c.started.At, []history.Event{m.submitted, c.started}, "it was submitted to node %d", m.submitted.Node)
+			case slices.Contains(c.started.IDs[:i], id):
+				j.report(OneAttemptAtATime, c.started.Node, id, c.started.At, []history.Event{c.started}, "it is twice in one call")
 			}
 		}
 	}
@@ -510,11 +510,11 @@
 		}
 	}
 	for _, c := range j.callOrder {
-		if len(c.began.IDs) == 0 {
+		if len(c.started.IDs) == 0 {
 			continue // a probe delivers no message
 		}
-		p := place{c.began.Node, c.began.Endpoint}
-		for len(at[p]) > 0 && at[p][0].At <= c.began.FirstAt {
+		p := place{c.started.Node, c.started.Endpoint}
+		for len(at[p]) > 0 && at[p][0].At <= c.started.FirstAt {
 			e := at[p][0]
 			at[p] = at[p][1:]
 			if e.State == history.Serving {
@@ -529,8 +529,8 @@
 		}
 		// A process that is stopped learns of a change when it resumes.
 		knownAt := j.stoppedUntil(p.node, e.At)
-		if late := c.began.FirstAt - knownAt - j.config.DrainGrace - j.config.Slack; late > 0 {
-			j.report(Drain, p.node, firstID(c.began.IDs), c.began.FirstAt, []history.Event{e, c.began}, "a call to %s started %v too late after the endpoint was announced as %s",
+		if late := c.started.FirstAt - knownAt - j.config.DrainGrace - j.config.Slack; late > 0 {
+			j.report(Drain, p.node, firstID(c.started.IDs), c.started.FirstAt, []history.Event{e, c.started}, "a call to %s started %v too late after the endpoint was announced as %s",
 				p.endpoint, late.Round(time.Millisecond), e.State)
 		}
 	}
@@ -563,20 +563,20 @@
 		}
 	}
 	for _, c := range j.callOrder {
-		if len(c.began.IDs) == 0 {
+		if len(c.started.IDs) == 0 {
 			continue
 		}
-		p := place{c.began.Node, c.began.Partner}
+		p := place{c.started.Node, c.started.Partner}
 		for _, e := range refusals[p] {
-			if e.At > c.began.FirstAt {
+			if e.At > c.started.FirstAt {
 				break
 			}
 			knownAt := j.stoppedUntil(p.node, e.At)
-			if c.began.FirstAt <= knownAt+j.config.RetryAfterGrace || c.began.FirstAt >= e.At+e.RetryAfter-j.config.Slack || j.restarted(p.node, e.At, c.began.FirstAt) {
+			if c.started.FirstAt <= knownAt+j.config.RetryAfterGrace || c.started.FirstAt >= e.At+e.RetryAfter-j.config.Slack || j.restarted(p.node, e.At, c.started.FirstAt) {
 				continue
 			}
-			j.report(RetryAfter, p.node, firstID(c.began.IDs), c.began.FirstAt, []history.Event{e, c.began}, "partner %d had told a retry-after %v before, of %v",
-				p.partner, (c.began.FirstAt - e.At).Round(time.Millisecond), e.RetryAfter.Round(time.Millisecond))
+			j.report(RetryAfter, p.node, firstID(c.started.IDs), c.started.FirstAt, []history.Event{e, c.started}, "partner %d had told a retry-after %v before, of %v",
+				p.partner, (c.started.FirstAt - e.At).Round(time.Millisecond), e.RetryAfter.Round(time.Millisecond))
 			break
 		}
 	}
@@ -594,13 +594,13 @@
 	}
 	byNode := map[int][]edge{}
 	for _, c := range j.callOrder {
-		if len(c.began.IDs) == 0 {
+		if len(c.started.IDs) == 0 {
 			continue // a probe takes no slot
 		}
-		n := c.began.Node
-		byNode[n] = append(byNode[n], edge{c.began.FirstAt + j.config.OverlapSlack, 1, c})
+		n := c.started.Node
+		byNode[n] = append(byNode[n], edge{c.started.FirstAt + j.config.OverlapSlack, 1, c})
 		if !c.unfinished {
-			byNode[n] = append(byNode[n], edge{max(c.ended.At, c.began.FirstAt+j.config.OverlapSlack), -1, c})
+			byNode[n] = append(byNode[n], edge{max(c.ended.At, c.started.FirstAt+j.config.OverlapSlack), -1, c})
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(byNode)) {
@@ -612,7 +612,7 @@
 		inFlight := 0
 		for _, e := range edges {
 			if inFlight += e.d; inFlight > j.config.Slots[n] {
-				j.report(Slots, n, firstID(e.c.began.IDs), e.at, []history.Event{e.c.began}, "%d calls are in flight, the node has %d slots", inFlight, j.config.Slots[n])
+				j.report(Slots, n, firstID(e.c.started.IDs), e.at, []history.Event{e.c.started}, "%d calls are in flight, the node has %d slots", inFlight, j.config.Slots[n])
 				break
 			}
 		}
@@ -638,16 +638,16 @@
 				}
 			}
 		case history.Collapsed:
-			proof, total, fromWitnesses := []history.Event{e}, 0.0, 0.0
+			evidence, total, fromWitnesses := []history.Event{e}, 0.0, 0.0
 			for _, n := range slices.Sorted(maps.Keys(e.CallsBySender)) {
 				total += e.CallsBySender[n]
 				if s, ok := firstFailure[e.Partner][n]; ok {
 					fromWitnesses += e.CallsBySender[n]
-					proof = append(proof, s)
+					evidence = append(evidence, s)
 				}
 			}
 			if total > 0 && fromWitnesses >= total*2/3 {
-				j.report(SlowStart, -1, "", e.At, proof, "partner %d collapsed in slow start, %.0f of %.0f calls came from nodes that had seen its outage", e.Partner, fromWitnesses, total)
+				j.report(SlowStart, -1, "", e.At, evidence, "partner %d collapsed in slow start, %.0f of %.0f calls came from nodes that had seen its outage", e.Partner, fromWitnesses, total)
 			}
 		}
 	}
--- a/fleet/ownership/agree.go
+++ b/fleet/ownership/agree.go
@@ -29,7 +29,6 @@
 	stage           stage
 	seq             int
 	token           int64
-	writing         *Map
 	encoded         []byte // encoded map that was written and whose write is ambiguous; nil: none
 	candidate       *Map   // the same map, decoded
 	ambiguousNumber int64  // number of an earlier map whose write is ambiguous; 0: none
@@ -98,121 +97,121 @@
 var ErrAmbiguous = errors.New("a map may have been written, or may yet be written")
 
 // Begin returns the first action.
-func (a *Publisher) Begin() Action { return a.enter(acquiring) }
+func (p *Publisher) Begin() Action { return p.enter(acquiring) }
 
 // enter returns the action that begins a stage.
-func (a *Publisher) enter(s stage) Action {
-	a.stage = s
-	a.seq++
+func (p *Publisher) enter(s stage) Action {
+	p.stage = s
+	p.seq++
 	switch s {
 	case acquiring:
-		a.token = 0
-		return Action{Seq: a.seq, Operation: Acquire}
+		p.token = 0
+		return Action{Seq: p.seq, Operation: Acquire}
 	case reading:
-		return Action{Seq: a.seq, Operation: Read}
+		return Action{Seq: p.seq, Operation: Read}
 	case updating:
-		return Action{Seq: a.seq, Operation: Update, Token: a.token, Value: a.encoded}
+		return Action{Seq: p.seq, Operation: Update, Token: p.token, Value: p.encoded}
 	case releasing:
-		if a.token != 0 {
-			return Action{Seq: a.seq, Operation: Release, Token: a.token}
+		if p.token != 0 {
+			return Action{Seq: p.seq, Operation: Release, Token: p.token}
 		}
 	}
-	a.stage = ended
-	return Action{Seq: a.seq, Operation: End, Map: a.result, Err: a.err}
+	p.stage = ended
+	return Action{Seq: p.seq, Operation: End, Map: p.result, Err: p.err}
 }
 
 // Step takes an answer and returns the next action; false if the answer is not for the action in progress.
-func (a *Publisher) Step(ans Answer) (Action, bool) {
-	if ans.Seq != a.seq || a.stage == idle || a.stage == ended {
+func (p *Publisher) Step(ans Answer) (Action, bool) {
+	if ans.Seq != p.seq || p.stage == idle || p.stage == ended {
 		return Action{}, false
 	}
-	if ans.Outcome == TimedOut && a.stage != releasing {
-		return a.timeOut(), true
+	if ans.Outcome == TimedOut && p.stage != releasing {
+		return p.timeOut(), true
 	}
-	switch a.stage {
+	switch p.stage {
 	case acquiring:
 		if ans.Outcome != Done {
-			a.lastRefusal = ans.Err
-			return a.enter(acquiring), true
+			p.lastRefusal = ans.Err
+			return p.enter(acquiring), true
 		}
-		a.token = ans.Token
-		return a.enter(reading), true
+		p.token = ans.Token
+		return p.enter(reading), true
 	case reading:
 		switch ans.Outcome {
 		case Done:
-			return a.planNext(ans.Value), true
+			return p.planNext(ans.Value), true
 		case LeaseLost:
-			return a.enter(acquiring), true
+			return p.enter(acquiring), true
 		}
-		return a.enter(reading), true
+		return p.enter(reading), true
 	case updating:
 		switch ans.Outcome {
 		case Done:
-			a.result, a.err = a.candidate, nil
-			return a.enter(releasing), true
+			p.result, p.err = p.candidate, nil
+			return p.enter(releasing), true
 		case Refused:
-			a.encoded, a.candidate, a.lastRefusal = nil, nil, ans.Err
+			p.encoded, p.candidate, p.lastRefusal = nil, nil, ans.Err
 			if errors.Is(ans.Err, ErrInvalid) {
-				return a.abort(ans.Err), true
+				return p.abort(ans.Err), true
 			}
 		}
-		return a.enter(acquiring), true
+		return p.enter(acquiring), true
 	}
-	return a.enter(ended), true // was releasing
+	return p.enter(ended), true // was releasing
 }
 
-func (a *Publisher) timeOut() Action {
-	if a.candidate != nil {
-		a.ambiguousNumber = a.candidate.Number
+func (p *Publisher) timeOut() Action {
+	if p.candidate != nil {
+		p.ambiguousNumber = p.candidate.Number
 	}
 	err := errors.New("out of time")
-	if a.lastRefusal != nil {
-		err = fmt.Errorf("%w: %w", err, a.lastRefusal)
+	if p.lastRefusal != nil {
+		err = fmt.Errorf("%w: %w", err, p.lastRefusal)
 	}
-	return a.abort(err)
+	return p.abort(err)
 }
 
-func (a *Publisher) abort(err error) Action {
-	a.err = err
-	if a.ambiguousNumber > 0 {
-		a.err = fmt.Errorf("%w; map %d: %w", err, a.ambiguousNumber, ErrAmbiguous)
+func (p *Publisher) abort(err error) Action {
+	p.err = err
+	if p.ambiguousNumber > 0 {
+		p.err = fmt.Errorf("%w; map %d: %w", err, p.ambiguousNumber, ErrAmbiguous)
 	}
-	return a.enter(releasing)
+	return p.enter(releasing)
 }
 
 // planNext continues from the value that was read under the current token.
-func (a *Publisher) planNext(value []byte) Action {
-	if a.candidate != nil && bytes.Equal(value, a.encoded) {
-		a.result = a.candidate
-		return a.enter(releasing)
+func (p *Publisher) planNext(value []byte) Action {
+	if p.candidate != nil && bytes.Equal(value, p.encoded) {
+		p.result = p.candidate
+		return p.enter(releasing)
 	}
-	var before *Map
-	var unread error
-	number := a.AboveNumber
+	var previous *Map
+	var decodeErr error
+	number := p.AboveNumber
 	if value != nil {
-		if before, unread = Decode(value); unread == nil {
-			number = max(number, before.Number)
+		if previous, decodeErr = Decode(value); decodeErr == nil {
+			number = max(number, previous.Number)
 		}
 	}
-	if a.candidate != nil && value != nil && (before == nil || before.Number >= a.candidate.Number) {
-		a.ambiguousNumber = a.candidate.Number // another map was written after it; otherwise it did not take effect and, its token being invalid, never will
+	if p.candidate != nil && value != nil && (previous == nil || previous.Number >= p.candidate.Number) {
+		p.ambiguousNumber = p.candidate.Number // another map was written after it; otherwise it did not take effect and, its token being invalid, never will
 	}
-	if unread != nil && a.AboveNumber == 0 {
-		return a.abort(fmt.Errorf("decode record %s: %w", RecordName, unread))
+	if decodeErr != nil && p.AboveNumber == 0 {
+		return p.abort(fmt.Errorf("decode record %s: %w", RecordName, decodeErr))
 	}
-	a.encoded, a.candidate = nil, nil
-	m, err := a.Plan(number+1, before)
+	p.encoded, p.candidate = nil, nil
+	m, err := p.Plan(number+1, previous)
 	if err != nil {
-		return a.abort(err)
+		return p.abort(err)
 	}
-	if m == before {
-		a.result = before
-		return a.enter(releasing)
+	if m == previous {
+		p.result = previous
+		return p.enter(releasing)
 	}
 	raw, err := m.Encode()
 	if err != nil {
-		return a.abort(err)
+		return p.abort(err)
 	}
-	a.encoded, a.candidate = raw, m
-	return a.enter(updating)
+	p.encoded, p.candidate = raw, m
+	return p.enter(updating)
 }
--- a/fleet/ownership/agree_test.go
+++ b/fleet/ownership/agree_test.go
@@ -54,91 +54,91 @@
 	violations   []string
 }
 
-func newSimulation(seed uint64, variants []*Map, make_ func(*simulation) writer) *simulation {
-	w := &simulation{
-		rng: rand.New(rand.NewPCG(seed, 7)), newWriter: make_, state: catalog.New(), variants: variants, mapsByNumber: map[int64][]byte{}, wrote: map[[2]int]bool{},
+func newSimulation(seed uint64, variants []*Map, newWriter func(*simulation) writer) *simulation {
+	sim := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 7)), newWriter: newWriter, state: catalog.New(), variants: variants, mapsByNumber: map[int64][]byte{}, wrote: map[[2]int]bool{},
 		wroteNothing: map[[2]int]bool{}, counts: map[string]int{},
 	}
-	w.state.Apply(catalog.Command{At: 1, Found: &catalog.Found{}})
-	for i := range w.controllers {
-		w.restart(i)
+	sim.state.Apply(catalog.Command{At: 1, Found: &catalog.Found{}})
+	for i := range sim.controllers {
+		sim.restart(i)
 	}
-	return w
+	return sim
 }
 
 // variant returns a map with the given number; its members are chosen at random.
-func (w *simulation) variant(number int64) *Map {
-	m := *w.variants[w.rng.IntN(len(w.variants))]
+func (sim *simulation) variant(number int64) *Map {
+	m := *sim.variants[sim.rng.IntN(len(sim.variants))]
 	m.Number = number
 	return &m
 }
 
-func (w *simulation) restart(i int) {
-	p := &w.controllers[i]
-	p.run++
-	if w.rng.IntN(2) == 0 || p.holder == "" { // otherwise under the same name, like an operator who runs the command again
-		p.holder = fmt.Sprintf("c%d.%d", i, p.run)
+func (sim *simulation) restart(i int) {
+	ctl := &sim.controllers[i]
+	ctl.run++
+	if sim.rng.IntN(2) == 0 || ctl.holder == "" { // otherwise under the same name, like an operator who runs the command again
+		ctl.holder = fmt.Sprintf("c%d.%d", i, ctl.run)
 	}
-	if w.rng.IntN(20) == 0 {
-		p.holder = w.controllers[1-i].holder + "" // or, by mistake, under the name of the other
-		if p.holder == "" {
-			p.holder = "c"
+	if sim.rng.IntN(20) == 0 {
+		ctl.holder = sim.controllers[1-i].holder + "" // or, by mistake, under the name of the other
+		if ctl.holder == "" {
+			ctl.holder = "c"
 		}
 	}
-	p.writer, p.ended = w.newWriter(w), false
-	w.start(i, p.writer.Begin())
+	ctl.writer, ctl.ended = sim.newWriter(sim), false
+	sim.start(i, ctl.writer.Begin())
 }
 
-func (w *simulation) start(i int, a Action) {
-	p := &w.controllers[i]
-	p.pending = a
+func (sim *simulation) start(i int, a Action) {
+	ctl := &sim.controllers[i]
+	ctl.pending = a
 	if a.Operation != End {
-		w.requests = append(w.requests, request{from: i, run: p.run, holder: p.holder, action: a})
+		sim.requests = append(sim.requests, request{from: i, run: ctl.run, holder: ctl.holder, action: a})
 		return
 	}
-	p.ended = true
-	key := [2]int{i, p.run}
+	ctl.ended = true
+	key := [2]int{i, ctl.run}
 	switch {
 	case a.Map != nil:
-		w.counts["ended with a map"]++
+		sim.counts["ended with a map"]++
 		raw, err := a.Map.Encode()
-		if err != nil || !bytes.Equal(w.mapsByNumber[a.Map.Number], raw) {
-			w.violations = append(w.violations, fmt.Sprintf("controller %d reports that it wrote map %d, which was not written (%v)", i, a.Map.Number, err))
+		if err != nil || !bytes.Equal(sim.mapsByNumber[a.Map.Number], raw) {
+			sim.violations = append(sim.violations, fmt.Sprintf("controller %d reports that it wrote map %d, which was not written (%v)", i, a.Map.Number, err))
 		}
 	case errors.Is(a.Err, ErrAmbiguous):
-		w.counts["ended ambiguous"]++
+		sim.counts["ended ambiguous"]++
 	case a.Err != nil:
-		w.counts["ended without a map"]++
-		w.wroteNothing[key] = true
-		if w.wrote[key] {
-			w.violations = append(w.violations, fmt.Sprintf("controller %d reports that it wrote nothing, but it did: %v", i, a.Err))
+		sim.counts["ended without a map"]++
+		sim.wroteNothing[key] = true
+		if sim.wrote[key] {
+			sim.violations = append(sim.violations, fmt.Sprintf("controller %d reports that it wrote nothing, but it did: %v", i, a.Err))
 		}
 	default:
-		w.violations = append(w.violations, fmt.Sprintf("controller %d ended without a map or an error", i))
+		sim.violations = append(sim.violations, fmt.Sprintf("controller %d ended without a map or an error", i))
 	}
 }
 
 // serve carries out a request at the directory.
-func (w *simulation) serve(s request) Answer {
+func (sim *simulation) serve(s request) Answer {
 	ans := Answer{Seq: s.action.Seq, Outcome: Done}
 	var r catalog.Result
 	switch s.action.Operation {
 	case Acquire:
-		r = w.state.Apply(catalog.Command{Acquire: &catalog.Hold{Name: RecordName, Holder: s.holder, TTL: 10_000}})
+		r = sim.state.Apply(catalog.Command{Acquire: &catalog.Hold{Name: RecordName, Holder: s.holder, TTL: 10_000}})
 		ans.Token = r.Token
 	case Read:
-		record, ok := w.state.Record(RecordName)
+		record, ok := sim.state.Record(RecordName)
 		if !ok {
 			r.Err = catalog.ErrUnknown
 		}
 		ans.Value = record.Value
 	case Update:
-		r = w.state.Apply(catalog.Command{Update: &catalog.Hold{Name: RecordName, Token: s.action.Token, Value: s.action.Value}})
+		r = sim.state.Apply(catalog.Command{Update: &catalog.Hold{Name: RecordName, Token: s.action.Token, Value: s.action.Value}})
 		if r.Err == nil {
-			w.checkWrite(s)
+			sim.checkWrite(s)
 		}
 	case Release:
-		r = w.state.Apply(catalog.Command{Release: &catalog.Hold{Name: RecordName, Token: s.action.Token}})
+		r = sim.state.Apply(catalog.Command{Release: &catalog.Hold{Name: RecordName, Token: s.action.Token}})
 	}
 	if r.Err != nil {
 		ans.Outcome, ans.Err = Refused, r.Err
@@ -147,104 +147,104 @@
 }
 
 // checkWrite checks each value that is written.
-func (w *simulation) checkWrite(s request) {
+func (sim *simulation) checkWrite(s request) {
 	m, err := Decode(s.action.Value)
 	if err != nil {
-		w.violations = append(w.violations, fmt.Sprint("decode the written value: ", err))
+		sim.violations = append(sim.violations, fmt.Sprint("decode the written value: ", err))
 		return
 	}
-	w.counts["written"]++
+	sim.counts["written"]++
 	key := [2]int{s.from, s.run}
-	w.wrote[key] = true
-	if w.wroteNothing[key] {
-		w.violations = append(w.violations, fmt.Sprintf("controller %d reported that it wrote nothing, but its map %d was written later", s.from, m.Number))
+	sim.wrote[key] = true
+	if sim.wroteNothing[key] {
+		sim.violations = append(sim.violations, fmt.Sprintf("controller %d reported that it wrote nothing, but its map %d was written later", s.from, m.Number))
 	}
-	if old, ok := w.mapsByNumber[m.Number]; ok && !bytes.Equal(old, s.action.Value) {
-		w.violations = append(w.violations, fmt.Sprintf("number %d was used for two maps", m.Number))
-	} else if !ok && m.Number <= w.lastNumber {
-		w.violations = append(w.violations, fmt.Sprintf("number %d was written after %d", m.Number, w.lastNumber))
+	if old, ok := sim.mapsByNumber[m.Number]; ok && !bytes.Equal(old, s.action.Value) {
+		sim.violations = append(sim.violations, fmt.Sprintf("number %d was used for two maps", m.Number))
+	} else if !ok && m.Number <= sim.lastNumber {
+		sim.violations = append(sim.violations, fmt.Sprintf("number %d was written after %d", m.Number, sim.lastNumber))
 	}
-	w.mapsByNumber[m.Number], w.lastNumber = s.action.Value, max(w.lastNumber, m.Number)
+	sim.mapsByNumber[m.Number], sim.lastNumber = s.action.Value, max(sim.lastNumber, m.Number)
 }
 
-func (w *simulation) deliver(i int, ans Answer) {
-	if next, ok := w.controllers[i].writer.Step(ans); ok {
-		w.start(i, next)
+func (sim *simulation) deliver(i int, ans Answer) {
+	if next, ok := sim.controllers[i].writer.Step(ans); ok {
+		sim.start(i, next)
 	}
 }
 
 // step makes one thing happen; faults is the share of faults among them.
-func (w *simulation) step(faults float64) {
+func (sim *simulation) step(faults float64) {
 	pull := func(from *[]request) request {
-		i := w.rng.IntN(len(*from))
+		i := sim.rng.IntN(len(*from))
 		s := (*from)[i]
 		*from = slices.Delete(*from, i, i+1)
 		return s
 	}
-	i := w.rng.IntN(2)
-	p := &w.controllers[i]
-	if w.rng.Float64() < faults {
-		stage := p.pending.Operation
-		switch w.rng.IntN(8) {
+	i := sim.rng.IntN(2)
+	ctl := &sim.controllers[i]
+	if sim.rng.Float64() < faults {
+		stage := ctl.pending.Operation
+		switch sim.rng.IntN(8) {
 		case 0:
-			w.counts[fmt.Sprint("killed at ", stage)]++
-			w.restart(i)
+			sim.counts[fmt.Sprint("killed at ", stage)]++
+			sim.restart(i)
 		case 1: // the controller gives up waiting for the answer; the request may still be on its way
-			w.counts[fmt.Sprint("lost at ", stage)]++
-			w.deliver(i, Answer{Seq: p.pending.Seq, Outcome: Ambiguous})
+			sim.counts[fmt.Sprint("lost at ", stage)]++
+			sim.deliver(i, Answer{Seq: ctl.pending.Seq, Outcome: Ambiguous})
 		case 2:
-			w.deliver(i, Answer{Seq: p.pending.Seq, Outcome: LeaseLost})
+			sim.deliver(i, Answer{Seq: ctl.pending.Seq, Outcome: LeaseLost})
 		case 3:
-			if w.rng.IntN(4) == 0 {
-				w.deliver(i, Answer{Seq: p.pending.Seq, Outcome: TimedOut})
+			if sim.rng.IntN(4) == 0 {
+				sim.deliver(i, Answer{Seq: ctl.pending.Seq, Outcome: TimedOut})
 			}
 		case 4:
-			if len(w.requests) > 0 {
-				pull(&w.requests)
+			if len(sim.requests) > 0 {
+				pull(&sim.requests)
 			}
 		case 5:
-			if len(w.answers) > 0 {
-				pull(&w.answers)
+			if len(sim.answers) > 0 {
+				pull(&sim.answers)
 			}
 		case 6:
-			if len(w.requests) > 0 { // answered by a replica that knows no leader
-				s := pull(&w.requests)
-				w.answers = append(w.answers, request{from: s.from, run: s.run, answer: Answer{Seq: s.action.Seq, Outcome: Refused, Err: errors.New("no leader")}})
+			if len(sim.requests) > 0 { // answered by a replica that knows no leader
+				s := pull(&sim.requests)
+				sim.answers = append(sim.answers, request{from: s.from, run: s.run, answer: Answer{Seq: s.action.Seq, Outcome: Refused, Err: errors.New("no leader")}})
 			}
 		case 7:
-			if r, ok := w.state.Record(RecordName); ok && r.Holder != "" {
-				w.counts["lapsed"]++
-				w.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
+			if r, ok := sim.state.Record(RecordName); ok && r.Holder != "" {
+				sim.counts["lapsed"]++
+				sim.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
 			}
 		}
 		return
 	}
 	switch {
-	case p.ended && w.rng.IntN(4) == 0:
-		w.restart(i)
-	case len(w.answers) > 0 && w.rng.IntN(2) == 0:
-		if s := pull(&w.answers); s.run == w.controllers[s.from].run {
-			w.deliver(s.from, s.answer)
+	case ctl.ended && sim.rng.IntN(4) == 0:
+		sim.restart(i)
+	case len(sim.answers) > 0 && sim.rng.IntN(2) == 0:
+		if s := pull(&sim.answers); s.run == sim.controllers[s.from].run {
+			sim.deliver(s.from, s.answer)
 		}
-	case len(w.requests) > 0:
-		s := pull(&w.requests)
-		w.answers = append(w.answers, request{from: s.from, run: s.run, answer: w.serve(s)})
+	case len(sim.requests) > 0:
+		s := pull(&sim.requests)
+		sim.answers = append(sim.answers, request{from: s.from, run: s.run, answer: sim.serve(s)})
 	}
 }
 
 // newPublisher returns a correct Publisher; now and then its plan changes nothing or is refused.
-func newPublisher(w *simulation) writer {
-	a := &Publisher{}
-	a.Plan = func(number int64, before *Map) (*Map, error) {
-		switch k := w.rng.IntN(12); {
+func newPublisher(sim *simulation) writer {
+	pub := &Publisher{}
+	pub.Plan = func(number int64, before *Map) (*Map, error) {
+		switch k := sim.rng.IntN(12); {
 		case k == 0 && before != nil:
 			return before, nil
 		case k == 1:
 			return nil, ErrLargeChange
 		}
-		return w.variant(number), nil
+		return sim.variant(number), nil
 	}
-	return a
+	return pub
 }
 
 func variants(t *testing.T) []*Map {
@@ -260,18 +260,18 @@
 }
 
 // runSchedules runs random schedules until one breaks a rule, and returns its seed and what was broken.
-func runSchedules(t *testing.T, from, schedules uint64, count map[string]int, make_ func(*simulation) writer) (uint64, []string) {
+func runSchedules(t *testing.T, from, schedules uint64, count map[string]int, newWriter func(*simulation) writer) (uint64, []string) {
 	all := variants(t)
 	for seed := from; seed < from+schedules; seed++ {
-		w := newSimulation(seed, all, make_)
+		sim := newSimulation(seed, all, newWriter)
 		for range 150 {
-			w.step(0.3)
+			sim.step(0.3)
 		}
-		for k, n := range w.counts {
+		for k, n := range sim.counts {
 			count[k] += n
 		}
-		if len(w.violations) > 0 {
-			return seed, w.violations
+		if len(sim.violations) > 0 {
+			return seed, sim.violations
 		}
 	}
 	return 0, nil
@@ -296,19 +296,19 @@
 }
 
 func TestSimulationFindsFaultyPublishers(t *testing.T) {
-	for name, double := range map[string]func(*simulation) writer{
-		"an ambiguous write repeated with another map": func(w *simulation) writer {
-			c := &ResendingPublisher{OtherMap: w.variant}
-			c.Plan = func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }
+	for name, newWriter := range map[string]func(*simulation) writer{
+		"an ambiguous write repeated with another map": func(sim *simulation) writer {
+			c := &ResendingPublisher{OtherMap: sim.variant}
+			c.Plan = func(number int64, _ *Map) (*Map, error) { return sim.variant(number), nil }
 			return c
 		},
-		"an ambiguous write taken for not done": func(w *simulation) writer {
+		"an ambiguous write taken for not done": func(sim *simulation) writer {
 			h := &UnfencedPublisher{}
-			h.Plan = func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }
+			h.Plan = func(number int64, _ *Map) (*Map, error) { return sim.variant(number), nil }
 			return h
 		},
 	} {
-		seed, bad := runSchedules(t, 1, 2000, map[string]int{}, double)
+		seed, bad := runSchedules(t, 1, 2000, map[string]int{}, newWriter)
 		if bad == nil {
 			t.Errorf("%s: not found in 2000 schedules", name)
 			continue
@@ -321,27 +321,27 @@
 func TestPublisherEndsWithoutLosses(t *testing.T) {
 	all := variants(t)
 	for seed := range uint64(300) {
-		w := newSimulation(seed, all, newPublisher)
+		sim := newSimulation(seed, all, newPublisher)
 		for range 100 {
-			w.step(0.4)
+			sim.step(0.4)
 		}
-		for len(w.requests) > 0 {
-			w.step(0)
+		for len(sim.requests) > 0 {
+			sim.step(0)
 		}
-		if r, _ := w.state.Record(RecordName); r.Holder != "" {
-			w.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
+		if r, _ := sim.state.Record(RecordName); r.Holder != "" {
+			sim.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
 		}
-		a := &Publisher{Plan: func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }}
-		next, did := a.Begin(), ""
+		a := &Publisher{Plan: func(number int64, _ *Map) (*Map, error) { return sim.variant(number), nil }}
+		next, operations := a.Begin(), ""
 		for next.Operation != End {
-			did += fmt.Sprint(next.Operation)
+			operations += fmt.Sprint(next.Operation)
 			var ok bool
-			if next, ok = a.Step(w.serve(request{from: 0, run: -1, holder: "quiet", action: next})); !ok {
+			if next, ok = a.Step(sim.serve(request{from: 0, run: -1, holder: "quiet", action: next})); !ok {
 				t.Fatalf("seed %d: Step ignored an answer", seed)
 			}
 		}
-		if next.Err != nil || next.Map == nil || next.Map.Number != w.lastNumber || did != "1234" || len(w.violations) > 0 {
-			t.Fatalf("seed %d: actions %s, last action %+v, last number %d, violations %v", seed, did, next, w.lastNumber, w.violations)
+		if next.Err != nil || next.Map == nil || next.Map.Number != sim.lastNumber || operations != "1234" || len(sim.violations) > 0 {
+			t.Fatalf("seed %d: actions %s, last action %+v, last number %d, violations %v", seed, operations, next, sim.lastNumber, sim.violations)
 		}
 	}
 }
--- a/fleet/ownership/make.go
+++ b/fleet/ownership/make.go
@@ -35,21 +35,21 @@
 // ErrInvalid says that no map can be made of the members, or that a map is invalid.
 var ErrInvalid = errors.New("invalid ownership map")
 
-// Make assigns owners to each partition: copies of them, or all members if there are fewer, in as many zones
+// Make assigns owners to each partition: ownersPerPartition of them, or all members if there are fewer, in as many zones
 // as there are. It ranks the members for a partition by weighted rendezvous hashing and bounds the load of
 // each, see maxFillRatio. Given a previous map, a partition keeps its owners except: owners that left; owners
 // that share a zone while another zone has none; owners above their bound; and owners above their fair share
 // whose assignment is taken over by a new member (one that joined, gained weight or changed its zone) until
 // that member has its own share. The result does not depend on the order of members. Errors are ErrInvalid.
-func Make(number int64, copies int, members []Member, previous *Map) (*Map, error) {
+func Make(number int64, ownersPerPartition int, members []Member, previous *Map) (*Map, error) {
 	members = sortedByName(members)
-	if err := validate(number, copies, members); err != nil {
+	if err := validate(number, ownersPerPartition, members); err != nil {
 		return nil, err
 	}
 	if previous != nil && previous.Number >= number {
 		return nil, fmt.Errorf("%w: number %d is not above the previous map's number %d", ErrInvalid, number, previous.Number)
 	}
-	mb := newMapBuilder(copies, members)
+	mb := newMapBuilder(ownersPerPartition, members)
 	isNew := mb.keepOwners(previous)
 	for p := range PartitionCount {
 		for len(mb.owners[p]) < mb.ownersEach && mb.addOwnerWithinLimits(p, isNew) {
@@ -68,7 +68,7 @@
 	for m := range members {
 		mb.reduceToLimit(m, isNew)
 	}
-	out := &Map{Number: number, OwnersPerPartition: copies, Members: members, owners: make([]uint16, 0, PartitionCount*mb.ownersEach)}
+	out := &Map{Number: number, OwnersPerPartition: ownersPerPartition, Members: members, owners: make([]uint16, 0, PartitionCount*mb.ownersEach)}
 	for p, owners := range mb.owners {
 		slices.SortFunc(owners, func(a, b int) int { return mb.compare(b, a, p) })
 		for _, o := range owners {
@@ -78,9 +78,9 @@
 	return out, nil
 }
 
-// CheckMembers validates the copies and members that a map is to be made of. Errors are ErrInvalid.
-func CheckMembers(copies int, members []Member) error {
-	return validate(1, copies, sortedByName(members))
+// CheckMembers validates the input of Make. Errors are ErrInvalid.
+func CheckMembers(ownersPerPartition int, members []Member) error {
+	return validate(1, ownersPerPartition, sortedByName(members))
 }
 
 func sortedByName(members []Member) []Member {
@@ -88,12 +88,12 @@
 }
 
 // validate checks the number, the owners per partition and the members, which must be sorted by name.
-func validate(number int64, copies int, members []Member) error {
+func validate(number int64, ownersPerPartition int, members []Member) error {
 	switch {
 	case number < 1:
 		return fmt.Errorf("%w: number %d is below 1", ErrInvalid, number)
-	case copies < 1 || copies > MaxOwners:
-		return fmt.Errorf("%w: %d owners of each partition, must be 1 to %d", ErrInvalid, copies, MaxOwners)
+	case ownersPerPartition < 1 || ownersPerPartition > MaxOwners:
+		return fmt.Errorf("%w: %d owners of each partition, must be 1 to %d", ErrInvalid, ownersPerPartition, MaxOwners)
 	case len(members) == 0 || len(members) > MaxMembers:
 		return fmt.Errorf("%w: %d members, must be 1 to %d", ErrInvalid, len(members), MaxMembers)
 	}
@@ -241,8 +241,8 @@
 	hashInput       [10]byte
 }
 
-func newMapBuilder(copies int, members []Member) *mapBuilder {
-	mb := &mapBuilder{members: members, weight: relativeWeights(members), ownersEach: min(copies, len(members)), scoredPartition: -1}
+func newMapBuilder(ownersPerPartition int, members []Member) *mapBuilder {
+	mb := &mapBuilder{members: members, weight: relativeWeights(members), ownersEach: min(ownersPerPartition, len(members)), scoredPartition: -1}
 	var zones int
 	mb.zone, zones = numberZones(members)
 	mb.zonesNeeded = min(mb.ownersEach, zones)
@@ -328,23 +328,23 @@
 func (mb *mapBuilder) keepOwners(previous *Map) []bool {
 	isNew := make([]bool, len(mb.members))
 	if previous == nil {
-		return isNew // all members are new, so none takes from another
+		return isNew // no member counts as new, so none takes from another
 	}
-	now := make([]int, len(previous.Members))
-	for i := range now {
-		now[i] = -1
+	newIndex := make([]int, len(previous.Members))
+	for i := range newIndex {
+		newIndex[i] = -1
 	}
 	for m, member := range mb.members {
 		i, ok := previous.indexOf(member.Name)
 		isNew[m] = !ok || previous.Members[i].Zone != member.Zone || previous.Members[i].Weight < member.Weight
 		if ok {
-			now[i] = m
+			newIndex[i] = m
 		}
 	}
 	for p := range PartitionCount {
 		for _, o := range previous.ownerIndexes(p) {
-			if now[o] >= 0 {
-				mb.assign(p, now[o])
+			if newIndex[o] >= 0 {
+				mb.assign(p, newIndex[o])
 			}
 		}
 		for len(mb.owners[p]) > mb.ownersEach || mb.countZones(p, -1, -1) < mb.zonesNeeded-(mb.ownersEach-len(mb.owners[p])) {
@@ -377,17 +377,17 @@
 		}
 		mb.scoredPartition = p
 	}
-	best, bestIsNew := -1, false
+	best, bestIsDue := -1, false
 	for m := range mb.members {
 		if limit != nil && mb.load[m] >= limit[m] {
 			continue
 		}
 		due := isNew[m] && float64(mb.load[m]+1) <= mb.fairShare[m]
-		if best >= 0 && (bestIsNew && !due || bestIsNew == due && mb.scores[m] <= mb.scores[best]) {
+		if best >= 0 && (bestIsDue && !due || bestIsDue == due && mb.scores[m] <= mb.scores[best]) {
 			continue
 		}
 		if m != without && mb.canOwn(p, m, without) {
-			best, bestIsNew = m, due
+			best, bestIsDue = m, due
 		}
 	}
 	return best
@@ -423,11 +423,11 @@
 // fillNewMember lets a new member take its fair share from members above theirs, beginning where it ranks
 // highest relative to them.
 func (mb *mapBuilder) fillNewMember(m int, isNew []bool) {
-	type part struct {
-		p, from int
-		by      float64
+	type move struct {
+		partition, giver int
+		scoreRatio       float64
 	}
-	var parts []part
+	var moves []move
 	for p := range PartitionCount {
 		if mb.held[m].Has(p) {
 			continue
@@ -435,22 +435,22 @@
 		score := mb.score(m, p)
 		for _, o := range mb.owners[p] {
 			if !isNew[o] && float64(mb.load[o]) > mb.fairShare[o] && mb.canOwn(p, m, o) {
-				parts = append(parts, part{p, o, score / mb.score(o, p)})
+				moves = append(moves, move{p, o, score / mb.score(o, p)})
 			}
 		}
 	}
-	slices.SortFunc(parts, func(a, b part) int {
-		return cmp.Or(cmp.Compare(b.by, a.by), cmp.Compare(a.p, b.p), cmp.Compare(a.from, b.from))
+	slices.SortFunc(moves, func(a, b move) int {
+		return cmp.Or(cmp.Compare(b.scoreRatio, a.scoreRatio), cmp.Compare(a.partition, b.partition), cmp.Compare(a.giver, b.giver))
 	})
-	for _, pastBound := range []bool{true, false} { // first what they have to give away in any case
-		for _, c := range parts {
+	for _, overLimit := range []bool{true, false} { // first what they have to give away in any case
+		for _, c := range moves {
 			if float64(mb.load[m]+1) > mb.fairShare[m] {
 				return
 			}
-			load := mb.load[c.from]
-			if !mb.held[m].Has(c.p) && float64(load) > mb.fairShare[c.from] && (!pastBound || load > mb.keepLimit[c.from]) {
-				mb.unassign(c.p, c.from)
-				mb.assign(c.p, m)
+			load := mb.load[c.giver]
+			if !mb.held[m].Has(c.partition) && float64(load) > mb.fairShare[c.giver] && (!overLimit || load > mb.keepLimit[c.giver]) {
+				mb.unassign(c.partition, c.giver)
+				mb.assign(c.partition, m)
 			}
 		}
 	}
@@ -490,15 +490,15 @@
 // only when zones are nearly full.
 func (mb *mapBuilder) moveAlongChain(p, from int) bool {
 	type link struct{ giver, p int }
-	links := map[int]link{}
+	linkTo := map[int]link{}
 	var queue []int
 	if from >= 0 {
-		links[from] = link{-1, -1}
+		linkTo[from] = link{-1, -1}
 		queue = append(queue, from)
 	} else {
 		for m := range mb.members {
 			if mb.canOwn(p, m, -1) {
-				links[m] = link{-1, p}
+				linkTo[m] = link{-1, p}
 				queue = append(queue, m)
 			}
 		}
@@ -508,7 +508,7 @@
 		queue = queue[1:]
 		if at != from && mb.load[at] < mb.keepLimit[at] {
 			for at != from {
-				l := links[at]
+				l := linkTo[at]
 				if !mb.canOwn(l.p, at, l.giver) {
 					return true // an earlier link took that partition's zone; the chain still brought room closer
 				}
@@ -525,8 +525,8 @@
 		}
 		for q := range mb.held[at].All() {
 			for m := range mb.members {
-				if _, ok := links[m]; !ok && mb.canOwn(q, m, at) {
-					links[m] = link{at, q}
+				if _, ok := linkTo[m]; !ok && mb.canOwn(q, m, at) {
+					linkTo[m] = link{at, q}
 					queue = append(queue, m)
 				}
 			}
--- a/fleet/ownership/ownership_test.go
+++ b/fleet/ownership/ownership_test.go
@@ -33,7 +33,7 @@
 // fair shares itself.
 func checkMap(before, after *Map) error {
 	all := after.Members
-	per := min(after.OwnersPerPartition, len(all))
+	ownersEach := min(after.OwnersPerPartition, len(all))
 	zoneNumber := map[string]int{}
 	zone := make([]int, len(all))
 	for i, m := range all {
@@ -42,7 +42,7 @@
 		}
 		zone[i] = zoneNumber[m.Zone]
 	}
-	zones := min(per, len(zoneNumber))
+	zones := min(ownersEach, len(zoneNumber))
 	distinct := func(owners []int) int {
 		var in []int
 		for _, o := range owners {
@@ -62,8 +62,8 @@
 			at[p] = append(at[p], int(o))
 			load[o]++
 		}
-		if len(at[p]) != per || distinct(at[p]) != zones {
-			return fmt.Errorf("partition %d has owners %v in %d zones, not %d in %d", p, after.Owners(p), distinct(at[p]), per, zones)
+		if len(at[p]) != ownersEach || distinct(at[p]) != zones {
+			return fmt.Errorf("partition %d has owners %v in %d zones, not %d in %d", p, after.Owners(p), distinct(at[p]), ownersEach, zones)
 		}
 	}
 	bound := make([]int, len(all))
@@ -76,49 +76,49 @@
 	if before == nil {
 		return nil
 	}
-	place := make([]int, len(before.Members)) // indexes into after; -1: it has left
-	came := make([]bool, len(all))            // or is due more
+	indexInAfter := make([]int, len(before.Members)) // indexes into after; -1: it has left
+	isNew := make([]bool, len(all))                  // or is due more
 	for i := range all {
-		came[i] = true
+		isNew[i] = true
 	}
 	had, loads := make([]int, len(all)), before.Loads()
 	for i, m := range before.Members {
 		j, ok := after.indexOf(m.Name)
-		if place[i] = -1; ok {
-			place[i] = j
+		if indexInAfter[i] = -1; ok {
+			indexInAfter[i] = j
 			had[j] = loads[i]
-			came[j] = m.Zone != all[j].Zone || m.Weight < all[j].Weight
+			isNew[j] = m.Zone != all[j].Zone || m.Weight < all[j].Weight
 		}
 	}
 	for p, now := range at {
-		var then []int // those that are still members
+		var stayed []int // those that are still members
 		for _, o := range before.ownerIndexes(p) {
-			if place[o] >= 0 {
-				then = append(then, place[o])
+			if indexInAfter[o] >= 0 {
+				stayed = append(stayed, indexInAfter[o])
 			}
 		}
-		vacant, extra := max(per-len(then), 0), max(len(then)-per, 0)
-		crowded := max(zones-distinct(then)-vacant, 0) // owners that share a zone and make way for a zone that has none
-		over, lost, arrived, others := 0, 0, 0, 0
-		for _, o := range then {
+		vacant, extra := max(ownersEach-len(stayed), 0), max(len(stayed)-ownersEach, 0)
+		crowded := max(zones-distinct(stayed)-vacant, 0) // owners that share a zone and make way for a zone that has none
+		overBound, lost, joined, others := 0, 0, 0, 0
+		for _, o := range stayed {
 			switch {
 			case slices.Contains(now, o):
 			case had[o] > bound[o] || load[o] >= bound[o]:
-				over++ // it was above its bound, or took another partition instead and would be above it
+				overBound++ // it was above its bound, or took another partition instead and would be above it
 			default:
 				lost++
 			}
 		}
 		for _, o := range now {
 			switch {
-			case slices.Contains(then, o):
-			case came[o]:
-				arrived++
+			case slices.Contains(stayed, o):
+			case isNew[o]:
+				joined++
 			default:
 				others++
 			}
 		}
-		if lost > extra+crowded+arrived || others > vacant+crowded+over {
+		if lost > extra+crowded+joined || others > vacant+crowded+overBound {
 			return fmt.Errorf("partition %d went from %v to %v for no reason", p, before.Owners(p), after.Owners(p))
 		}
 	}
@@ -160,19 +160,19 @@
 func TestMakeRandomFleets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
-		copies := rapid.IntRange(1, MaxOwners).Draw(t, "copies")
+		ownersPerPartition := rapid.IntRange(1, MaxOwners).Draw(t, "copies")
 		var before, m *Map
 		next := 0
 		for i := range rapid.IntRange(1, 4).Draw(t, "maps") {
 			if i > 0 {
 				members = changed(t, members, &next)
 				if rapid.IntRange(0, 9).Draw(t, "other copies") == 0 {
-					copies = rapid.IntRange(1, MaxOwners).Draw(t, "copies")
+					ownersPerPartition = rapid.IntRange(1, MaxOwners).Draw(t, "copies")
 				}
 			}
 			var err error
 			before = m
-			if m, err = Make(int64(i+1), copies, members, before); err != nil {
+			if m, err = Make(int64(i+1), ownersPerPartition, members, before); err != nil {
 				t.Fatal(err)
 			}
 			if err := checkMap(before, m); err != nil {
@@ -185,7 +185,7 @@
 		}
 		other := slices.Clone(members)
 		rand.New(rand.NewPCG(uint64(len(raw)), 1)).Shuffle(len(other), func(a, b int) { other[a], other[b] = other[b], other[a] })
-		again, err := Make(m.Number, copies, other, before)
+		again, err := Make(m.Number, ownersPerPartition, other, before)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -199,7 +199,7 @@
 		if !reflect.DeepEqual(read, m) {
 			t.Fatal("the decoded map differs")
 		}
-		same, err := Make(m.Number+1, copies, members, m)
+		same, err := Make(m.Number+1, ownersPerPartition, members, m)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -212,8 +212,8 @@
 func TestFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
-		copies := rapid.IntRange(1, MaxOwners).Draw(t, "copies")
-		per := min(copies, len(members))
+		ownersPerPartition := rapid.IntRange(1, MaxOwners).Draw(t, "copies")
+		per := min(ownersPerPartition, len(members))
 		all := fairShares(members, per)
 		sum := 0.0
 		for i, s := range all {
@@ -259,21 +259,21 @@
 
 // Runs faulty versions of Make while one member after another leaves; checkMap must find each fault.
 func TestCheckMapFindsFaults(t *testing.T) {
-	anew := func(number int64, copies int, members []Member, _ *Map) (*Map, error) {
+	ignorePrevious := func(number int64, copies int, members []Member, _ *Map) (*Map, error) {
 		return Make(number, copies, members, nil)
 	}
-	alike := func(number int64, copies int, members []Member, before *Map) (*Map, error) {
-		blind := slices.Clone(members)
-		for i := range blind {
-			blind[i].Zone = "z"
+	ignoreZones := func(number int64, copies int, members []Member, before *Map) (*Map, error) {
+		oneZone := slices.Clone(members)
+		for i := range oneZone {
+			oneZone[i].Zone = "z"
 		}
-		m, err := Make(number, copies, blind, before)
+		m, err := Make(number, copies, oneZone, before)
 		if err == nil {
 			m.Members = slices.SortedFunc(slices.Values(members), func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 		}
 		return m, err
 	}
-	heavy := func(number int64, copies int, members []Member, before *Map) (*Map, error) {
+	overload := func(number int64, copies int, members []Member, before *Map) (*Map, error) {
 		m, err := Make(number, copies, members, before)
 		if err == nil { // the first member takes over assignments of others in its zone
 			for i, o := range m.owners {
@@ -285,15 +285,15 @@
 		return m, err
 	}
 	for _, c := range []struct {
-		what   string
-		double makeFunc
-		want   string
-	}{{"ignoring the previous map", anew, "for no reason"}, {"ignoring zones", alike, "zones, not 3 in 3"}, {"exceeding the bounds", heavy, "its bound"}} {
+		what       string
+		faultyMake makeFunc
+		want       string
+	}{{"ignoring the previous map", ignorePrevious, "for no reason"}, {"ignoring zones", ignoreZones, "zones, not 3 in 3"}, {"exceeding the bounds", overload, "its bound"}} {
 		members := fleet(120, 6)
 		var before *Map
 		var found error
 		for i := range 4 {
-			m, err := c.double(int64(i+1), 3, members, before)
+			m, err := c.faultyMake(int64(i+1), 3, members, before)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -351,12 +351,12 @@
 		}
 	}
 	for i := range 12 { // one joins: it is given its fair share, and nothing moves between others
-		came := Member{Name: fmt.Sprint("new", i), Zone: fmt.Sprint("z", i%6), Weight: 1}
-		m := mustMake(t, 2, append(slices.Clone(members), came), first)
+		joined := Member{Name: fmt.Sprint("new", i), Zone: fmt.Sprint("z", i%6), Weight: 1}
+		m := mustMake(t, 2, append(slices.Clone(members), joined), first)
 		c := Diff(first, m)
-		own, _ := m.PartitionsOf(came.Name)
+		own, _ := m.PartitionsOf(joined.Name)
 		if n := movedBetweenStaying(first, m); n != 0 || c.Moved != own.Len() || c.Moved < 12 || c.Moved > 15 || c.NoOwnerKept != 0 {
-			t.Errorf("%s joins, its share is 14.97: %d assignments move, %d of them between others", came.Name, c.Moved, n)
+			t.Errorf("%s joins, its share is 14.97: %d assignments move, %d of them between others", joined.Name, c.Moved, n)
 		}
 	}
 	for i := range 12 { // one is replaced: the replacement is given its share of what the old one had
@@ -369,21 +369,21 @@
 		}
 	}
 	// A zone leaves and comes back.
-	gone := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Zone == "z3" })
+	remaining := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Zone == "z3" })
 	owned := 0
 	for i, m := range members {
 		if m.Zone == "z3" {
 			owned += loads[i]
 		}
 	}
-	less := mustMake(t, 2, gone, first)
-	c := Diff(first, less)
+	smaller := mustMake(t, 2, remaining, first)
+	c := Diff(first, smaller)
 	if c.Moved != owned || c.NoOwnerKept != 0 {
 		t.Errorf("a zone of %d assignments leaves: %d move, %d partitions keep no owner", owned, c.Moved, c.NoOwnerKept)
 	}
-	back := mustMake(t, 3, members, less)
-	c2 := Diff(less, back)
-	if n := movedBetweenStaying(less, back); n != 0 || c2.Moved < 1800 || c2.Moved > 2053 { // its share is 2,053
+	back := mustMake(t, 3, members, smaller)
+	c2 := Diff(smaller, back)
+	if n := movedBetweenStaying(smaller, back); n != 0 || c2.Moved < 1800 || c2.Moved > 2053 { // its share is 2,053
 		t.Errorf("a zone comes back: %d assignments move, %d of them between others", c2.Moved, n)
 	}
 	t.Logf("a zone leaves: %d assignments move; it comes back: %d", c.Moved, c2.Moved)
@@ -508,7 +508,7 @@
 	if err := decMode.Unmarshal(raw[headerLen:], &c); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*encodedMap){
+	for name, damage := range map[string]func(*encodedMap){
 		"number 0":              func(c *encodedMap) { c.Number = 0 },
 		"no copies":             func(c *encodedMap) { c.Copies = 0 },
 		"many copies":           func(c *encodedMap) { c.Copies = 1 << 40 },
@@ -531,7 +531,7 @@
 	} {
 		bad := c
 		bad.Zones, bad.Members, bad.Owners = slices.Clone(c.Zones), slices.Clone(c.Members), slices.Clone(c.Owners)
-		spoil(&bad)
+		damage(&bad)
 		body, err := encMode.Marshal(bad)
 		if err != nil {
 			t.Fatal(err)
--- a/fleet/partner/partner.go
+++ b/fleet/partner/partner.go
@@ -379,12 +379,12 @@
 	return acts
 }
 
-func (p *Partner) startFault(i int, t FaultStarted, acts []Action) []Action {
+func (p *Partner) startFault(i int, fault FaultStarted, acts []Action) []Action {
 	e := &p.endpoints[i]
 	down := e.activeFault(Down) != nil
-	e.faults = append(e.faults, t)
+	e.faults = append(e.faults, fault)
 	e.outage = e.outage || e.inOutage()
-	if t.Kind == Down && !down {
+	if fault.Kind == Down && !down {
 		for id, c := range p.conns {
 			if c.endpoint == i {
 				delete(p.conns, id)
@@ -404,8 +404,8 @@
 func (p *Partner) receiveCall(c CallReceived, acts []Action) []Action {
 	e := &p.endpoints[c.Endpoint]
 	acts = p.trackCollapse(c, acts)
-	refuse := func(s Status, wait time.Duration) []Action {
-		return append(acts, Answer{Call: c.Call, Status: s, RetryAfter: wait})
+	refuse := func(s Status, retryAfter time.Duration) []Action {
+		return append(acts, Answer{Call: c.Call, Status: s, RetryAfter: retryAfter})
 	}
 	if e.activeFault(Down) != nil {
 		return append(acts, Answer{Call: c.Call, Status: AnswerLost})
--- a/fleet/tally/tally.go
+++ b/fleet/tally/tally.go
@@ -24,15 +24,15 @@
 }
 
 // WorthAfter returns the worth of a message delivered at the given time after it was first due.
-func (c Class) WorthAfter(took time.Duration) float64 {
+func (c Class) WorthAfter(latency time.Duration) float64 {
 	switch {
-	case took <= c.SoftDeadline:
+	case latency <= c.SoftDeadline:
 		return c.Worth
-	case took >= c.Deadline:
+	case latency >= c.Deadline:
 		return 0
 	}
-	past := float64(took-c.SoftDeadline) / float64(c.Deadline-c.SoftDeadline)
-	return c.Worth * (1 - (1-c.WorthAtDeadline)*past)
+	lateShare := float64(latency-c.SoftDeadline) / float64(c.Deadline-c.SoftDeadline)
+	return c.Worth * (1 - (1-c.WorthAtDeadline)*lateShare)
 }
 
 // Config says what is counted.
