--- a/fleet/capacity/capacity_test.go
+++ b/fleet/capacity/capacity_test.go
@@ -207,7 +207,7 @@
 	for id, want := range map[string]string{
 		"control.processor.changes": "guessed (list.changes_per_s); measured",
 		"own.state.room":            "guessed (events.body_bytes, events.name_bytes); from the target",
-		"own.messages.passed":       "guessed (destinations.owners, that clients hand an event to any node); from the target",
+		"own.messages.passed":       "guessed (destinations.owners, that clients submit an event to any node); from the target",
 		"control.messages.list":     "measured",
 	} {
 		if got := lineOf(t, r, id, false).Provenance.String(); got != want {
@@ -331,8 +331,8 @@
 	}
 	table := Compute(committedTarget(t), measured).orderTable()
 	if strings.Contains(table, "heap, by destinations |") || strings.Contains(table, "heap, by destinations, with ownership |") ||
-		!strings.Contains(table, "its loop stands still for a whole list |") ||
-		!strings.Contains(table, "its loop stands still for one change, with ownership |") {
+		!strings.Contains(table, "event loop blocked by a whole list |") ||
+		!strings.Contains(table, "event loop blocked by one change, with ownership |") {
 		t.Errorf("rows measured with ownership must be listed with it, others without:\n%s", table)
 	}
 	for _, s := range Compute(committedTarget(t), measured).Steps {
--- a/fleet/capacity/page.go
+++ b/fleet/capacity/page.go
@@ -21,9 +21,9 @@
 		byName[s.Name] = s
 	}
 	var out strings.Builder
-	var found []error
+	var errs []error
 	addError := func(line int, format string, args ...any) {
-		found = append(found, &Error{Line: line, Message: fmt.Sprintf(format, args...)})
+		errs = append(errs, &Error{Line: line, Message: fmt.Sprintf(format, args...)})
 	}
 	seen := map[string]bool{}
 	beginLine, openTable := 0, "" // line of a begin mark whose end mark has not been seen; 0: none
@@ -60,7 +60,7 @@
 			addError(0, "the table %q has no place: put %s%s%s and %s where it belongs", s.Name, beginMark, s.Name, markEnds, endMark)
 		}
 	}
-	if err := errors.Join(found...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
 	return []byte(out.String()), nil
--- a/fleet/capacity/rows.go
+++ b/fleet/capacity/rows.go
@@ -163,24 +163,24 @@
 		place: "internal/node/journal.go", waitsFor: []string{ownership},
 		owned: &ownedVariant{"destinations × endpoints each × owners / nodes", fromTarget(func(t Target) float64 { return t.Endpoints() * t.owners() / t.Fleet.Nodes }),
 			[]limit{capLimit(boundKnown, nil)}}},
-	{id: "control.state.kept", role: NodeControl, kind: State, description: "the kept list", unit: Bytes, axis: ByDestinations,
+	{id: "control.state.kept", role: NodeControl, kind: State, description: "the stored copy of the list", unit: Bytes, axis: ByDestinations,
 		formula: "node.list.bytes" + byDestinations, figure: fromSlope("node.list.bytes", Target.destinationsMeasured), limits: []limit{capLimit(boundKept, nil)},
-		assumption: "that its file is as long as the list on its way", place: "internal/registry/kept.go", waitsFor: []string{ownership},
+		assumption: "that its file is as large as the list in transit", place: "internal/registry/kept.go", waitsFor: []string{ownership},
 		owned: &ownedVariant{"owned.list.bytes" + byOwned, fromSlope("owned.list.bytes", Target.destinationsOwned), []limit{capLimit(boundKept, nil)}}},
 	{id: "control.state.members", role: NodeControl, kind: State, description: "members whose views it compares", unit: Count, axis: ByNodes,
 		formula: "nodes", figure: fromTarget(nodesOf), waitsFor: []string{membership}},
-	{id: "control.state.configuration", role: NodeControl, kind: State, description: "changes of its configuration a day, each in force everywhere within the target's seconds", unit: Count, axis: ByChanges,
+	{id: "control.state.configuration", role: NodeControl, kind: State, description: "configuration changes a day, each in force everywhere within the target's seconds", unit: Count, axis: ByChanges,
 		formula: "changes of the configuration a day", figure: fromTarget(func(t Target) float64 { return t.Configuration.ChangesPerDay }), waitsFor: []string{configuration}},
-	{id: "control.state.limits", role: NodeControl, kind: State, description: "calls a second that are a node's part of a small destination's limit", unit: CountPerS, axis: ByNodes,
+	{id: "control.state.limits", role: NodeControl, kind: State, description: "a node's share of a small destination's limit, in calls a second", unit: CountPerS, axis: ByNodes,
 		formula: "calls a second / nodes", figure: fromTarget(func(t Target) float64 { return t.Destinations.CallsPerS / t.Fleet.Nodes }), waitsFor: []string{limits},
 		owned: &ownedVariant{"calls a second / owners", fromTarget(func(t Target) float64 { return t.Destinations.CallsPerS / t.owners() }), nil}},
-	{id: "control.messages.list", role: NodeControl, kind: Messages, description: "a first list, whole", unit: Bytes, axis: ByDestinations,
+	{id: "control.messages.list", role: NodeControl, kind: Messages, description: "a complete first list", unit: Bytes, axis: ByDestinations,
 		formula: "node.list.bytes" + byDestinations, figure: fromSlope("node.list.bytes", Target.destinationsMeasured), limits: []limit{capLimit(boundList, nil)},
 		place: "internal/registry", waitsFor: []string{ownership},
 		owned: &ownedVariant{"owned.list.bytes" + byOwned, fromSlope("owned.list.bytes", Target.destinationsOwned), []limit{capLimit(boundList, nil)}}},
-	{id: "control.messages.idle", role: NodeControl, kind: Messages, description: "a watch on which nothing happens", unit: BytesPerS, axis: ByNodes,
+	{id: "control.messages.idle", role: NodeControl, kind: Messages, description: "an idle watch", unit: BytesPerS, axis: ByNodes,
 		formula: "node.watch.bytes(nodes)", figure: fromSlope("node.watch.bytes", nodesOf), limits: []limit{controlBytes}, place: "internal/registry"},
-	{id: "control.messages.all", role: NodeControl, kind: Messages, description: "all of it on a mean day: watch, changes, first lists", unit: BytesPerS, axis: ByDestinations,
+	{id: "control.messages.all", role: NodeControl, kind: Messages, description: "total on an average day: watch, changes, first lists", unit: BytesPerS, axis: ByDestinations,
 		formula: "node.watch.bytes(nodes) + rise of node.change.bytes(changes a second) + restarts a second / nodes × node.list.bytes" + byDestinations,
 		figure: func(t Target, s *slopeReader) float64 {
 			return s.at("node.watch.bytes", t.Fleet.Nodes) + s.rise("node.change.bytes", changesOf(t)) +
@@ -198,7 +198,7 @@
 		owned: &ownedVariant{"changes a second × owners / nodes × owned.change.bytes" + byOwned, func(t Target, s *slopeReader) float64 {
 			return ownedChanges(t) * s.at("owned.change.bytes", t.destinationsOwned())
 		}, []limit{controlBytes}}},
-	{id: "control.processor.idle", role: NodeControl, kind: Processor, description: "a node with nothing to do", unit: Cores, axis: ByNodes,
+	{id: "control.processor.idle", role: NodeControl, kind: Processor, description: "an idle node", unit: Cores, axis: ByNodes,
 		formula: "node.idle.cpu(nodes)", figure: fromSlope("node.idle.cpu", nodesOf), limits: []limit{controlCore}, place: "internal/node"},
 	{id: "control.processor.changes", role: NodeControl, kind: Processor, description: "changes of the list", unit: Cores, axis: ByDestinations,
 		formula: "changes a second × node.change.step" + byDestinations,
@@ -208,7 +208,7 @@
 		owned: &ownedVariant{"changes a second × owners / nodes × owned.change.step" + byOwned, func(t Target, s *slopeReader) float64 {
 			return ownedChanges(t) * s.at("owned.change.step", t.destinationsOwned())
 		}, []limit{controlCore}}},
-	{id: "control.processor.rate", role: NodeControl, kind: Processor, description: "changes of the list, by their rate, on the list that the run had", unit: Cores, axis: ByChanges,
+	{id: "control.processor.rate", role: NodeControl, kind: Processor, description: "changes of the list, by their rate, with the list of the scale run", unit: Cores, axis: ByChanges,
 		formula: "rise of node.change.cpu(changes a second)",
 		figure:  func(t Target, s *slopeReader) float64 { return s.rise("node.change.cpu", changesOf(t)) }, limits: []limit{controlCore}, place: "internal/node"},
 	{id: "control.processor.down", role: NodeControl, kind: Processor, description: "destinations that are down", unit: Cores, axis: ByDestinations,
@@ -217,7 +217,7 @@
 		place: "choice", waitsFor: []string{probing},
 		owned: &ownedVariant{"rise of node.down.cpu(destinations down × owners / nodes)",
 			func(t Target, s *slopeReader) float64 { return s.rise("node.down.cpu", ownedDown(t)) }, []limit{controlCore}}},
-	{id: "control.processor.all", role: NodeControl, kind: Processor, description: "all of it on a mean day", unit: Cores, axis: ByDestinations,
+	{id: "control.processor.all", role: NodeControl, kind: Processor, description: "total on an average day", unit: Cores, axis: ByDestinations,
 		formula: "node.idle.cpu(nodes) + changes a second × node.change.step" + byDestinations + " + rise of node.down.cpu(destinations down)",
 		figure: func(t Target, s *slopeReader) float64 {
 			return s.at("node.idle.cpu", t.Fleet.Nodes) + changesOf(t)*s.at("node.change.step", t.destinationsMeasured()) + s.rise("node.down.cpu", t.DestinationsDown())
@@ -241,7 +241,7 @@
 		place: "choice", waitsFor: []string{probing},
 		owned: &ownedVariant{"rise of node.down.heap(destinations down × owners / nodes)",
 			func(t Target, s *slopeReader) float64 { return s.rise("node.down.heap", ownedDown(t)) }, []limit{controlMemory}}},
-	{id: "control.memory.all", role: NodeControl, kind: Memory, description: "heap, all of it", unit: Bytes, axis: ByDestinations,
+	{id: "control.memory.all", role: NodeControl, kind: Memory, description: "heap, total", unit: Bytes, axis: ByDestinations,
 		formula: "node.destinations.heap" + byDestinations + " + rise of node.idle.heap(nodes)",
 		figure: func(t Target, s *slopeReader) float64 {
 			return s.at("node.destinations.heap", t.destinationsMeasured()) + s.rise("node.idle.heap", t.Fleet.Nodes)
@@ -250,17 +250,17 @@
 			func(t Target, s *slopeReader) float64 {
 				return s.at("owned.destinations.heap", t.destinationsOwned()) + s.rise("node.idle.heap", t.Fleet.Nodes)
 			}, []limit{controlMemory}}},
-	{id: "control.time.list", role: NodeControl, kind: Time, description: "its loop stands still for a whole list", unit: Seconds, axis: ByDestinations,
+	{id: "control.time.list", role: NodeControl, kind: Time, description: "event loop blocked by a whole list", unit: Seconds, axis: ByDestinations,
 		formula: "node.list.step" + byDestinations, figure: fromSlope("node.list.step", Target.destinationsMeasured), limits: []limit{answerTime},
 		place: "choice", waitsFor: []string{ownership},
 		owned: &ownedVariant{"owned.list.step" + byOwned, fromSlope("owned.list.step", Target.destinationsOwned), []limit{answerTime}}},
-	{id: "control.time.change", role: NodeControl, kind: Time, description: "its loop stands still for one change", unit: Seconds, axis: ByDestinations,
+	{id: "control.time.change", role: NodeControl, kind: Time, description: "event loop blocked by one change", unit: Seconds, axis: ByDestinations,
 		formula: "node.change.step" + byDestinations, figure: fromSlope("node.change.step", Target.destinationsMeasured), limits: []limit{answerTime},
 		place: "choice", waitsFor: []string{ownership},
 		owned: &ownedVariant{"owned.change.step" + byOwned, fromSlope("owned.change.step", Target.destinationsOwned), []limit{answerTime}}},
 
 	// What a node spends on events.
-	{id: "own.state.room", role: NodeOwn, kind: State, description: "room that the journal wants for the backlog", unit: Bytes, axis: ByBacklog,
+	{id: "own.state.room", role: NodeOwn, kind: State, description: "space that the journal needs for the backlog", unit: Bytes, axis: ByBacklog,
 		formula: "2 × backlog / nodes × (body + id and key + " + boundReserve.Name + ")",
 		figure: func(t Target, _ *slopeReader) float64 {
 			return 2 * t.HeldNode() * (t.Events.BodyBytes + t.Events.NameBytes + boundReserve.Value)
@@ -269,17 +269,17 @@
 		formula: "journal.held.file" + byHeld, figure: fromSlope("journal.held.file", Target.HeldNode), place: "internal/node/journal.go", waitsFor: []string{backlog}},
 	{id: "own.state.paged", role: NodeOwn, kind: State, description: "events that wait on disk and not in memory", unit: Count, axis: ByBacklog,
 		formula: "backlog / nodes", figure: fromTarget(Target.HeldNode), waitsFor: []string{backlog}},
-	{id: "own.messages.passed", role: NodeOwn, kind: Messages, description: "events passed on to an owner", unit: CountPerS, axis: ByEvents,
+	{id: "own.messages.passed", role: NodeOwn, kind: Messages, description: "events forwarded to an owner", unit: CountPerS, axis: ByEvents,
 		formula: "events a second / nodes × (1 - owners / nodes)",
-		figure:  fromTarget(func(t Target) float64 { return t.EventsPerSNode() * (1 - t.owners()/t.Fleet.Nodes) }), assumption: "that clients hand an event to any node",
+		figure:  fromTarget(func(t Target) float64 { return t.EventsPerSNode() * (1 - t.owners()/t.Fleet.Nodes) }), assumption: "that clients submit an event to any node",
 		waitsFor: []string{passing}},
-	{id: "own.processor.events", role: NodeOwn, kind: Processor, description: "events taken with the whole backlog held", unit: Cores, axis: ByBacklog,
+	{id: "own.processor.events", role: NodeOwn, kind: Processor, description: "events accepted with the whole backlog held", unit: Cores, axis: ByBacklog,
 		formula: "events a second / nodes × module.held.step" + byHeld,
 		figure: func(t Target, s *slopeReader) float64 {
 			return t.EventsPerSNode() * s.at("module.held.step", t.HeldNode())
 		}, limits: []limit{oneLoop},
 		place: "choice", waitsFor: []string{backlog}},
-	{id: "own.processor.destinations", role: NodeOwn, kind: Processor, description: "events taken while all destinations are known: a step each in which else nothing is new", unit: Cores, axis: ByDestinations,
+	{id: "own.processor.destinations", role: NodeOwn, kind: Processor, description: "events accepted while all destinations are known, each a step with nothing else new", unit: Cores, axis: ByDestinations,
 		formula: "events a second / nodes × node.empty.step" + byDestinations,
 		figure: func(t Target, s *slopeReader) float64 {
 			return t.EventsPerSNode() * s.at("node.empty.step", t.destinationsMeasured())
@@ -289,7 +289,7 @@
 			func(t Target, s *slopeReader) float64 {
 				return t.EventsPerSNode() * s.at("owned.empty.step", t.destinationsOwned())
 			}, []limit{oneLoop}}},
-	{id: "own.processor.down", role: NodeOwn, kind: Processor, description: "events taken while destinations are down", unit: Cores, axis: ByDestinations,
+	{id: "own.processor.down", role: NodeOwn, kind: Processor, description: "events accepted while destinations are down", unit: Cores, axis: ByDestinations,
 		formula: "events a second / nodes × node.down.step(destinations down)",
 		figure: func(t Target, s *slopeReader) float64 {
 			return t.EventsPerSNode() * s.at("node.down.step", t.DestinationsDown())
@@ -304,9 +304,9 @@
 	{id: "own.memory.node", role: NodeOwn, kind: Memory, description: "memory of the node with the backlog held, module included", unit: Bytes, axis: ByBacklog,
 		formula: "journal.held.rss" + byHeld, figure: fromSlope("journal.held.rss", Target.HeldNode), limits: []limit{heldMemory},
 		place: "internal/node/journal.go", waitsFor: []string{backlog}},
-	{id: "own.time.event", role: NodeOwn, kind: Time, description: "its loop stands still for one event with the backlog held", unit: Seconds, axis: ByBacklog,
+	{id: "own.time.event", role: NodeOwn, kind: Time, description: "event loop blocked by one event with the backlog held", unit: Seconds, axis: ByBacklog,
 		formula: "module.held.step" + byHeld, figure: fromSlope("module.held.step", Target.HeldNode), limits: []limit{answerTime}, place: "choice", waitsFor: []string{backlog}},
-	{id: "own.time.stall", role: NodeOwn, kind: Time, description: "an event's longest wait for its answer, while the journal is written anew", unit: Seconds, axis: ByBacklog,
+	{id: "own.time.stall", role: NodeOwn, kind: Time, description: "longest wait of an event for its answer, while the journal is rewritten", unit: Seconds, axis: ByBacklog,
 		formula: "journal.stall" + byHeld, figure: fromSlope("journal.stall", Target.HeldNode), limits: []limit{answerTime},
 		place: "internal/node/journal.go", waitsFor: []string{backlog}},
 
@@ -314,15 +314,15 @@
 	{id: "directory.state.endpoints", role: Directory, kind: State, description: "endpoints of the list", unit: Count, axis: ByDestinations,
 		formula: "destinations × endpoints each", figure: fromTarget(Target.Endpoints), limits: []limit{capLimit(boundMembers, nil)},
 		place: "fleet/catalog", waitsFor: []string{ownership}},
-	{id: "directory.messages.write", role: Directory, kind: Messages, description: "a whole list written at once", unit: Bytes, axis: ByDestinations,
+	{id: "directory.messages.write", role: Directory, kind: Messages, description: "a whole list in one write", unit: Bytes, axis: ByDestinations,
 		formula: "node.list.bytes" + byDestinations, figure: fromSlope("node.list.bytes", Target.destinationsMeasured), limits: []limit{capLimit(boundWrite, nil)},
 		place: "internal/directory"},
 	{id: "directory.messages.watches", role: Directory, kind: Messages, description: "watches of one replica, all nodes at one of them", unit: Count, axis: ByNodes,
 		formula: "nodes", figure: fromTarget(nodesOf), limits: []limit{capLimit(boundWatches, nil)}, place: "internal/directory"},
-	{id: "directory.messages.idle", role: Directory, kind: Messages, description: "all watches on which nothing happens", unit: BytesPerS, axis: ByNodes,
+	{id: "directory.messages.idle", role: Directory, kind: Messages, description: "all idle watches", unit: BytesPerS, axis: ByNodes,
 		formula: "nodes × node.watch.bytes(nodes)", figure: func(t Target, s *slopeReader) float64 { return t.Fleet.Nodes * s.at("node.watch.bytes", t.Fleet.Nodes) },
 		place: "internal/directory"},
-	{id: "directory.processor.idle", role: Directory, kind: Processor, description: "watches on which nothing happens", unit: Cores, axis: ByNodes,
+	{id: "directory.processor.idle", role: Directory, kind: Processor, description: "idle watches", unit: Cores, axis: ByNodes,
 		formula: "directory.nodes.cpu(nodes)", figure: fromSlope("directory.nodes.cpu", nodesOf), place: "internal/directory"},
 	{id: "directory.processor.changes", role: Directory, kind: Processor, description: "changes of the list", unit: Cores, axis: ByChanges,
 		formula: "directory.change.cpu(changes a second)", figure: fromSlope("directory.change.cpu", changesOf), place: "internal/directory"},
@@ -336,9 +336,9 @@
 		formula: "directory.change.last(nodes)", figure: fromSlope("directory.change.last", nodesOf), limits: []limit{inForce}, place: "internal/directory"},
 
 	// A follower in each region; it does not exist yet.
-	{id: "follower.state.endpoints", role: Follower, kind: State, description: "endpoints that it passes on", unit: Count, axis: ByDestinations,
+	{id: "follower.state.endpoints", role: Follower, kind: State, description: "endpoints that it relays", unit: Count, axis: ByDestinations,
 		formula: "destinations × endpoints each", figure: fromTarget(Target.Endpoints), waitsFor: []string{followers}, ownCost: true},
-	{id: "follower.messages.link", role: Follower, kind: Messages, description: "watches of a region's nodes over its link, without one", unit: BytesPerS, axis: ByNodes,
+	{id: "follower.messages.link", role: Follower, kind: Messages, description: "watches of a region's nodes over its link, without a follower", unit: BytesPerS, axis: ByNodes,
 		formula: "nodes / regions × node.watch.bytes(nodes)",
 		figure: func(t Target, s *slopeReader) float64 {
 			return t.NodesRegion() * s.at("node.watch.bytes", t.Fleet.Nodes)
@@ -351,8 +351,8 @@
 		formula: "directory.follow.last(nodes / regions)", figure: fromSlope("directory.follow.last", Target.NodesRegion), limits: []limit{inForce}, waitsFor: []string{followers}, ownCost: true},
 
 	// The operators' program.
-	{id: "operators.state", role: Operators, kind: State, description: "it keeps nothing between two calls", axis: ByDestinations, formula: "-", place: "cmd/cottonrack"},
-	{id: "operators.messages.list", role: Operators, kind: Messages, description: "the list, read whole", unit: Bytes, axis: ByDestinations,
+	{id: "operators.state", role: Operators, kind: State, description: "no state between two calls", axis: ByDestinations, formula: "-", place: "cmd/cottonrack"},
+	{id: "operators.messages.list", role: Operators, kind: Messages, description: "the complete list", unit: Bytes, axis: ByDestinations,
 		formula: "node.list.bytes" + byDestinations, figure: fromSlope("node.list.bytes", Target.destinationsMeasured), limits: []limit{capLimit(boundRead, nil)},
 		place: "internal/directory/operator.go"},
 	{id: "operators.processor.list", role: Operators, kind: Processor, description: "processor time of one `directory list`", unit: Seconds, axis: ByDestinations,
@@ -363,13 +363,13 @@
 		formula: "operator.list.time" + byDestinations, figure: fromSlope("operator.list.time", Target.destinationsMeasured), place: "cmd/cottonrack/directory.go"},
 
 	// Failures.
-	{id: "failure.start.backlog", role: Failure, kind: Time, description: "a node's start with the whole backlog behind it", unit: Seconds, axis: ByBacklog,
+	{id: "failure.start.backlog", role: Failure, kind: Time, description: "start of a node with its whole backlog", unit: Seconds, axis: ByBacklog,
 		formula: "journal.start" + byHeld, figure: fromSlope("journal.start", Target.HeldNode), limits: []limit{readyTime},
 		place: "internal/node/journal.go", waitsFor: []string{backlog}},
-	{id: "failure.start.memory", role: Failure, kind: Memory, description: "a node's start with the whole backlog behind it: the most memory that it takes", unit: Bytes, axis: ByBacklog,
+	{id: "failure.start.memory", role: Failure, kind: Memory, description: "start of a node with its whole backlog: peak memory", unit: Bytes, axis: ByBacklog,
 		formula: "journal.start.rss" + byHeld, figure: fromSlope("journal.start.rss", Target.HeldNode), limits: []limit{heldMemory},
 		place: "internal/node/journal.go", waitsFor: []string{backlog}},
-	{id: "failure.start.list", role: Failure, kind: Time, description: "a node's first list at the bytes a second that it may spend", unit: Seconds, axis: ByDestinations,
+	{id: "failure.start.list", role: Failure, kind: Time, description: "a node's first list at its budget of bytes a second", unit: Seconds, axis: ByDestinations,
 		formula: "node.list.bytes" + byDestinations + " / bytes a second",
 		figure: func(t Target, s *slopeReader) float64 {
 			return s.at("node.list.bytes", t.destinationsMeasured()) / (t.Control.KBPerS * kb)
@@ -382,7 +382,7 @@
 	{id: "failure.together.ready", role: Failure, kind: Time, description: "a zone's nodes start together: until the last one has its list", unit: Seconds, axis: ByNodes,
 		formula: "together.ready(nodes / zones)", figure: fromSlope("together.ready", Target.NodesZone), limits: []limit{readyTime},
 		place: "internal/registry, internal/directory/admit.go", waitsFor: []string{ownership}},
-	{id: "failure.together.refused", role: Failure, kind: Messages, description: "a zone's nodes start together: asks that are refused", unit: Count, axis: ByNodes,
+	{id: "failure.together.refused", role: Failure, kind: Messages, description: "a zone's nodes start together: requests that are refused", unit: Count, axis: ByNodes,
 		formula: "together.refused(nodes / zones)", figure: fromSlope("together.refused", Target.NodesZone), place: "internal/directory/admit.go"},
 	{id: "failure.together.processor", role: Failure, kind: Processor, description: "a zone's nodes start together: the directory's processor time", unit: Seconds, axis: ByNodes,
 		formula: "directory.together.cpu(nodes / zones)", figure: fromSlope("directory.together.cpu", Target.NodesZone), place: "internal/directory"},
@@ -396,29 +396,29 @@
 			func(t Target, s *slopeReader) float64 {
 				return t.NodesZone() * s.at("owned.list.bytes", t.destinationsOwned())
 			}, nil}},
-	{id: "failure.alone.configuration", role: Failure, kind: State, description: "a region alone: changes of the configuration that it misses", unit: Count, axis: ByChanges,
+	{id: "failure.alone.configuration", role: Failure, kind: State, description: "an isolated region: changes of the configuration that it misses", unit: Count, axis: ByChanges,
 		formula: "changes of the configuration a second × time alone",
 		figure: fromTarget(func(t Target) float64 {
 			return t.Configuration.ChangesPerDay / secondsPerDay * t.Failures.RegionAloneS
 		}), waitsFor: []string{configuration, followers}},
-	{id: "failure.alone.limits", role: Failure, kind: State, description: "a region alone: limits kept by sides that don't hear each other", axis: ByTimeAlone, formula: "-",
+	{id: "failure.alone.limits", role: Failure, kind: State, description: "an isolated region: limits kept by sides that don't communicate", axis: ByTimeAlone, formula: "-",
 		waitsFor: []string{limits, membership}},
-	{id: "failure.alone.events", role: Failure, kind: Processor, description: "a region alone: a node that holds all that came meanwhile", unit: Cores, axis: ByTimeAlone,
+	{id: "failure.alone.events", role: Failure, kind: Processor, description: "an isolated region: a node that holds all events received meanwhile", unit: Cores, axis: ByTimeAlone,
 		formula: "events a second / nodes × module.held.step(events a second / nodes × time alone)",
 		figure: func(t Target, s *slopeReader) float64 {
 			return t.EventsPerSNode() * s.at("module.held.step", t.EventsPerSNode()*t.Failures.RegionAloneS)
-		}, assumption: "that none of them can be sent meanwhile", limits: []limit{oneLoop}, place: "choice", waitsFor: []string{backlog}},
-	{id: "failure.alone.changes", role: Failure, kind: State, description: "a region's return: changes of the list that it has to be told", unit: Count, axis: ByTimeAlone,
+		}, assumption: "that none of them can be delivered meanwhile", limits: []limit{oneLoop}, place: "choice", waitsFor: []string{backlog}},
+	{id: "failure.alone.changes", role: Failure, kind: State, description: "a region's return: changes of the list that it has to receive", unit: Count, axis: ByTimeAlone,
 		formula: "changes a second × time alone", figure: fromTarget(func(t Target) float64 { return changesOf(t) * t.Failures.RegionAloneS }),
 		limits: []limit{capLimit(boundChanges, nil)}, place: "fleet/catalog"},
-	{id: "failure.return.ready", role: Failure, kind: Time, description: "a region's return: until its last node knows what it missed", unit: Seconds, axis: ByNodes,
-		formula: "together.ready(nodes / regions)", figure: fromSlope("together.ready", Target.NodesRegion), assumption: "that a return costs what a start together does",
+	{id: "failure.return.ready", role: Failure, kind: Time, description: "a region's return: until its last node has received what it missed", unit: Seconds, axis: ByNodes,
+		formula: "together.ready(nodes / regions)", figure: fromSlope("together.ready", Target.NodesRegion), assumption: "that a return costs the same as a simultaneous start",
 		limits: []limit{inForce}, place: "internal/registry", waitsFor: []string{followers}},
-	{id: "failure.leader.writes", role: Failure, kind: Time, description: "the directory's leader is lost while all nodes watch: no write for", unit: Seconds, axis: ByNodes,
+	{id: "failure.leader.writes", role: Failure, kind: Time, description: "the directory's leader is lost while all nodes watch: time without writes", unit: Seconds, axis: ByNodes,
 		formula: "directory.failover(nodes)", figure: fromSlope("directory.failover", nodesOf), limits: []limit{inForce}, place: "internal/directory"},
-	{id: "failure.leader.watches", role: Failure, kind: Time, description: "the directory's leader is lost: until the last of its watches is back", unit: Seconds, axis: ByNodes,
+	{id: "failure.leader.watches", role: Failure, kind: Time, description: "the directory's leader is lost: until the last of its watches is restored", unit: Seconds, axis: ByNodes,
 		formula: "together.ready(nodes / replicas)", figure: fromSlope("together.ready", func(t Target) float64 { return t.Fleet.Nodes / t.Control.Replicas }),
-		assumption: "that a return costs what a start together does", limits: []limit{inForce}, place: "internal/registry"},
+		assumption: "that a return costs the same as a simultaneous start", limits: []limit{inForce}, place: "internal/registry"},
 	{id: "failure.down.probes", role: Failure, kind: Messages, description: "destinations that are down, if every node probes each", unit: CountPerS, axis: ByDestinations,
 		formula: "destinations down × nodes / seconds between probes",
 		figure: fromTarget(func(t Target) float64 {
@@ -426,13 +426,13 @@
 		}), waitsFor: []string{probing},
 		owned: &ownedVariant{"destinations down × owners / seconds between probes",
 			fromTarget(func(t Target) float64 { return t.DestinationsDown() * t.owners() / t.Destinations.ProbeEveryS }), nil}},
-	{id: "failure.down.today", role: Failure, kind: Messages, description: "destinations that are down, probed as today", unit: CountPerS, axis: ByDestinations,
+	{id: "failure.down.today", role: Failure, kind: Messages, description: "destinations that are down, probed as at present", unit: CountPerS, axis: ByDestinations,
 		formula: "nodes × node.down.probes(destinations down)",
 		figure: func(t Target, s *slopeReader) float64 {
 			return t.Fleet.Nodes * s.at("node.down.probes", t.DestinationsDown())
 		},
 		place: "choice", waitsFor: []string{probing}},
-	{id: "failure.restarts.time", role: Failure, kind: Time, description: "a restart with the whole backlog, against the time until the next one", unit: Seconds, axis: ByBacklog,
+	{id: "failure.restarts.time", role: Failure, kind: Time, description: "a restart with the whole backlog, compared with the time until the next one", unit: Seconds, axis: ByBacklog,
 		formula: "journal.start" + byHeld, figure: fromSlope("journal.start", Target.HeldNode),
 		limits: []limit{budgetLimit(ByTime, "the next restart comes", func(t Target) float64 { return secondsPerDay / t.Failures.RestartsPerDay })},
 		place:  "internal/node/journal.go", waitsFor: []string{backlog}},
--- a/fleet/capacity/slope.go
+++ b/fleet/capacity/slope.go
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	lines := tomlfile.KeyLines(text)
-	var found []error
+	var errs []error
 	seen := map[string]bool{}
 	for i, s := range f.Slopes {
 		table := fmt.Sprintf("slope[%d]", i)
@@ -126,21 +126,21 @@
 			}
 			return &Error{Line: line, Message: fmt.Sprintf("slope %q: ", s.ID) + fmt.Sprintf(format, args...)}
 		})
-		found = append(found, err)
+		errs = append(errs, err)
 		if seen[s.ID] {
-			found = append(found, &Error{Line: lines[table+".id"], Message: fmt.Sprintf("duplicate slope %q", s.ID)})
+			errs = append(errs, &Error{Line: lines[table+".id"], Message: fmt.Sprintf("duplicate slope %q", s.ID)})
 		}
 		seen[s.ID] = true
 	}
-	return f.Slopes, errors.Join(found...)
+	return f.Slopes, errors.Join(errs...)
 }
 
 // check returns all errors of a slope, joined; newError makes an error of a setting's name and a text.
 func (s Slope) check(newError func(name, format string, args ...any) error) error {
-	var found []error
+	var errs []error
 	failIf := func(is bool, name, format string, args ...any) {
 		if is {
-			found = append(found, newError(name, format, args...))
+			errs = append(errs, newError(name, format, args...))
 		}
 	}
 	finite := func(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
@@ -167,7 +167,7 @@
 	failIf(s.Repeats < 1, "plays", "plays must be 1 or more")
 	failIf(s.Run == "", "run", "run is missing: the committed table with the measurements")
 	failIf(s.Commit == "", "commit", "commit is missing: the measured build")
-	return errors.Join(found...)
+	return errors.Join(errs...)
 }
 
 const slopesHead = "# Slopes that scale runs have measured, sorted by id; written by `cottonrack lab scale FILE --slopes FILE`, not by hand.\n# What they mean for a fleet: `cottonrack capacity`, docs/CAPACITY.md.\n"
--- a/fleet/capacity/target.go
+++ b/fleet/capacity/target.go
@@ -149,13 +149,13 @@
 		return t, err
 	}
 	lines := tomlfile.KeyLines(text)
-	var found []error
+	var errs []error
 	addError := func(name, format string, args ...any) {
 		line := lines[name]
 		if table, _, _ := strings.Cut(name, "."); line == 0 {
 			line = lines[table] // the table in which it is missing, or that is written on one line
 		}
-		found = append(found, &Error{Line: line, Message: name + fmt.Sprintf(format, args...)})
+		errs = append(errs, &Error{Line: line, Message: name + fmt.Sprintf(format, args...)})
 	}
 	names := map[string]bool{}
 	tables := reflect.ValueOf(t)
@@ -179,10 +179,10 @@
 	}
 	for _, name := range t.Guessed {
 		if !names[name] {
-			found = append(found, &Error{Line: lines["guessed"], Message: fmt.Sprintf("guessed: there is no setting %q", name)})
+			errs = append(errs, &Error{Line: lines["guessed"], Message: fmt.Sprintf("guessed: there is no setting %q", name)})
 		}
 	}
-	return t, errors.Join(found...)
+	return t, errors.Join(errs...)
 }
 
 func unknownSetting(name string) string { return fmt.Sprintf("there is no setting %q", name) }
--- a/fleet/experiment/plan.go
+++ b/fleet/experiment/plan.go
@@ -404,8 +404,8 @@
 		if x.Size == (NumberRange{}) && slices.Contains([]string{"failing", "lossy", "silent", "swallow"}, x.Kind) {
 			one.Size = 1
 		}
-		if last := x.Duration.draw(r); last > 0 {
-			one.Until = one.At + last
+		if duration := x.Duration.draw(r); duration > 0 {
+			one.Until = one.At + duration
 		}
 		step := x.StepInterval.draw(r)
 		partners, nodes := pl.targetPartners(r, x, p), pl.targetNodes(r, x, p)
@@ -493,13 +493,13 @@
 	r := pl.source("arrivals")
 	clumps := pl.f.Load.ClumpShare.draw(r)
 	burstFactor := func(at time.Duration) float64 {
-		by := 1.0
+		factor := 1.0
 		for _, x := range p.Faults {
 			if x.Kind == "burst" && at >= x.At && at < x.Until {
-				by *= x.Size
+				factor *= x.Size
 			}
 		}
-		return by
+		return factor
 	}
 	maxFactor := 1.0
 	for _, x := range p.Faults {
@@ -507,12 +507,12 @@
 			maxFactor = max(maxFactor, burstFactor(x.At))
 		}
 	}
-	nodes, members, classes := make([]float64, len(p.Nodes)), make([]float64, len(p.Tenants)), make([]float64, len(p.Classes))
+	nodes, tenants, classes := make([]float64, len(p.Nodes)), make([]float64, len(p.Tenants)), make([]float64, len(p.Classes))
 	for i, n := range p.Nodes {
 		nodes[i] = n.Weight
 	}
 	for i, m := range p.Tenants {
-		members[i] = m.Share
+		tenants[i] = m.Share
 	}
 	for i, c := range p.Classes {
 		classes[i] = c.Share
@@ -533,7 +533,7 @@
 			continue
 		}
 		c := pickWeighted(r, classes)
-		p.Arrivals = append(p.Arrivals, Arrival{At: at, Node: pickWeighted(r, nodes), Class: c, Tenant: pickWeighted(r, members), Dest: pickWeighted(r, dests[c])})
+		p.Arrivals = append(p.Arrivals, Arrival{At: at, Node: pickWeighted(r, nodes), Class: c, Tenant: pickWeighted(r, tenants), Dest: pickWeighted(r, dests[c])})
 	}
 	if clumps > 0 {
 		weights := make([]float64, len(p.Partners))
@@ -543,18 +543,18 @@
 			weights[i] = q.Weight
 			mean += q.Weight * size(q, (pl.f.Load.ClumpSize.Low+pl.f.Load.ClumpSize.High)/2)
 		}
-		every := rate * clumps / mean
-		for at := nextArrival(r, every); at < p.Length; at += nextArrival(r, every) {
+		clumpRate := rate * clumps / mean
+		for at := nextArrival(r, clumpRate); at < p.Length; at += nextArrival(r, clumpRate) {
 			dest := pickWeighted(r, weights)
-			node, member := pickWeighted(r, nodes), pickWeighted(r, members)
-			over := pl.f.Load.ClumpDuration.draw(r)
+			node, tenant := pickWeighted(r, nodes), pickWeighted(r, tenants)
+			duration := pl.f.Load.ClumpDuration.draw(r)
 			for range int(size(p.Partners[dest], pl.f.Load.ClumpSize.draw(r))) {
 				c := pickWeighted(r, classes)
 				if !p.Classes[c].sendsTo(p.Partners[dest].Kind) {
 					continue
 				}
 				p.Arrivals = append(p.Arrivals, Arrival{
-					At: at + time.Duration(r.Float64()*float64(over)), Node: node, Class: c, Tenant: member, Dest: dest,
+					At: at + time.Duration(r.Float64()*float64(duration)), Node: node, Class: c, Tenant: tenant, Dest: dest,
 				})
 			}
 		}
@@ -562,8 +562,8 @@
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	p.Arrivals = slices.DeleteFunc(p.Arrivals, func(a Arrival) bool { return a.At >= p.Length })
 	markOverShare(p)
-	if rude := pl.f.Load.RudePeerRate.draw(r); rude > 0 {
-		for at := nextArrival(r, rude); at < p.Length; at += nextArrival(r, rude) {
+	if peerRate := pl.f.Load.RudePeerRate.draw(r); peerRate > 0 {
+		for at := nextArrival(r, peerRate); at < p.Length; at += nextArrival(r, peerRate) {
 			p.RudePeers = append(p.RudePeers, RudePeer{At: at, Node: r.IntN(len(p.Nodes)), Behavior: r.IntN(1 << 20)})
 		}
 	}
--- a/fleet/judge/formats_test.go
+++ b/fleet/judge/formats_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal(golden.Check(t, "breach.json", raw), &got); err != nil || !reflect.DeepEqual(got, violation) {
-		t.Errorf("decoded breach %+v differs from %+v: %v", got, violation, err)
+		t.Errorf("decoded violation %+v differs from %+v: %v", got, violation, err)
 	}
 }
 
--- a/fleet/judge/judge.go
+++ b/fleet/judge/judge.go
@@ -233,10 +233,10 @@
 			}
 		}
 	}
-	byFirst := func(a, b *call) int { return cmp.Compare(a.started.FirstAt, b.started.FirstAt) }
-	slices.SortStableFunc(j.callOrder, byFirst)
+	byStart := func(a, b *call) int { return cmp.Compare(a.started.FirstAt, b.started.FirstAt) }
+	slices.SortStableFunc(j.callOrder, byStart)
 	for _, m := range j.messages {
-		slices.SortStableFunc(m.calls, byFirst)
+		slices.SortStableFunc(m.calls, byStart)
 	}
 }
 
@@ -254,7 +254,7 @@
 			}
 			exitRequested[e.Node] = false
 		case history.TermSent, history.Killed:
-			if _, out := notReadySince[e.Node]; !out {
+			if _, known := notReadySince[e.Node]; !known {
 				notReadySince[e.Node] = e.At
 			}
 			exitRequested[e.Node] = true
--- a/fleet/judge/judge_test.go
+++ b/fleet/judge/judge_test.go
@@ -16,10 +16,10 @@
 )
 
 func testConfig() Config {
-	t := DefaultConfig()
-	t.Classes = []Class{{"notice", Safe, 0}, {"order", Keyed, 2 * time.Second}, {"payout", Unsafe, 0}}
-	t.Slots = []int{2, 2}
-	return t
+	config := DefaultConfig()
+	config.Classes = []Class{{"notice", Safe, 0}, {"order", Keyed, 2 * time.Second}, {"payout", Unsafe, 0}}
+	config.Slots = []int{2, 2}
+	return config
 }
 
 // scenario builds a history by hand: what observers would have seen of a sender, faulty or not.
--- a/fleet/partner/partner.go
+++ b/fleet/partner/partner.go
@@ -473,14 +473,14 @@
 		}
 		return append(acts, Answer{Call: j.Call, Status: Errored})
 	}
-	fates := make([]Outcome, len(j.Items))
+	outcomes := make([]Outcome, len(j.Items))
 	for i, it := range j.Items {
 		switch {
 		case len(j.Items) > 1 && p.chance(p.cfg.DeferShare):
-			fates[i] = Deferred
+			outcomes[i] = Deferred
 			continue
 		case p.chance(p.cfg.ErrorShare):
-			fates[i] = Failed
+			outcomes[i] = Failed
 			if p.chance(0.5) {
 				continue
 			}
@@ -497,10 +497,10 @@
 		status = AnswerLost
 	case p.chance(p.cfg.UnreadableAnswerShare):
 		status = AnswerUnreadable
-	case len(fates) == 1 && fates[0] == Failed:
+	case len(outcomes) == 1 && outcomes[0] == Failed:
 		status = Errored
 	}
-	return append(acts, Answer{Call: j.Call, Status: status, Outcomes: fates})
+	return append(acts, Answer{Call: j.Call, Status: status, Outcomes: outcomes})
 }
 
 // serveNext hands a free worker to the call that has waited longest.
@@ -556,8 +556,8 @@
 	case l.PerSecond <= 0:
 		return true, 0
 	case l.Window > 0:
-		if span := int64(p.now / l.Window); span != p.window {
-			p.window, p.windowUsed = span, 0
+		if window := int64(p.now / l.Window); window != p.window {
+			p.window, p.windowUsed = window, 0
 		}
 		if p.windowUsed < math.Max(1, math.Round(l.PerSecond*p.limitShare*l.Window.Seconds())) {
 			p.windowUsed++
@@ -580,8 +580,8 @@
 		return false, 0
 	}
 	wait := p.cfg.RetryAfterRange[0] + time.Duration(p.rand.Float64()*float64(p.cfg.RetryAfterRange[1]-p.cfg.RetryAfterRange[0]))
-	room := time.Duration((1 - p.tokens) / (l.PerSecond * p.limitShare) * float64(time.Second))
-	return false, max(wait, room+time.Millisecond)
+	untilToken := time.Duration((1 - p.tokens) / (l.PerSecond * p.limitShare) * float64(time.Second))
+	return false, max(wait, untilToken+time.Millisecond)
 }
 
 func (p *Partner) bucketSize() float64 {
@@ -622,11 +622,11 @@
 		return acts
 	}
 	p.collapsed = true
-	by := map[int]float64{}
+	bySender := map[int]float64{}
 	for _, q := range p.recentCalls {
-		by[q.sender] += q.weight
+		bySender[q.sender] += q.weight
 	}
-	acts = append(acts, Collapsed{CallsBySender: by, Budget: budget})
+	acts = append(acts, Collapsed{CallsBySender: bySender, Budget: budget})
 	for i := range p.endpoints {
 		acts = p.startFault(i, FaultStarted{Endpoint: i, Kind: Down}, acts)
 	}
--- a/fleet/partner/partner_test.go
+++ b/fleet/partner/partner_test.go
@@ -18,26 +18,27 @@
 	c := Config{
 		Endpoints: rapid.IntRange(1, 3).Draw(t, "endpoints"), Workers: rapid.IntRange(1, 4).Draw(t, "workers"),
 		QueueLength: rapid.IntRange(0, 5).Draw(t, "queue"), MaxBatch: rapid.IntRange(1, 5).Draw(t, "batch"),
-		ServiceTime: time.Duration(rapid.IntRange(1, 300).Draw(t, "pace")) * ms, ServiceTimeVariation: rapid.Float64Range(0, 1).Draw(t, "spread"),
-		ExtraItemCost:   rapid.Float64Range(0, 0.5).Draw(t, "item cost"),
+		ServiceTime: time.Duration(rapid.IntRange(1, 300).Draw(t, "service time")) * ms, ServiceTimeVariation: rapid.Float64Range(0, 1).Draw(t, "spread"),
+		ExtraItemCost:   rapid.Float64Range(0, 0.5).Draw(t, "extra item cost"),
 		Limit:           Limit{PerSecond: float64(rapid.IntRange(0, 30).Draw(t, "limit")), CountsRefused: rapid.Bool().Draw(t, "counts refused")},
-		RetryAfterShare: rapid.Float64Range(0, 1).Draw(t, "tells wait"), RetryAfterRange: [2]time.Duration{100 * ms, 400 * ms}, DedupWindow: 2 * time.Second,
+		RetryAfterShare: rapid.Float64Range(0, 1).Draw(t, "retry-after share"), RetryAfterRange: [2]time.Duration{100 * ms, 400 * ms}, DedupWindow: 2 * time.Second,
 		SlowStartFrom: 0.2, SlowStartDuration: 5 * time.Second, CollapseMultiple: 2, CollapseSpan: 2 * time.Second,
 	}
-	if rapid.Bool().Draw(t, "in spans") {
-		c.Limit.Window = time.Duration(rapid.IntRange(1, 4).Draw(t, "span")) * 500 * ms
+	if rapid.Bool().Draw(t, "in windows") {
+		c.Limit.Window = time.Duration(rapid.IntRange(1, 4).Draw(t, "window")) * 500 * ms
 	} else {
 		c.Limit.Burst = time.Duration(rapid.IntRange(0, 2).Draw(t, "burst")) * time.Second
 	}
 	return c
 }
 
-// traffic draws events at increasing times.
+// timedEvent is an event and its time.
 type timedEvent struct {
 	at time.Duration
 	ev Event
 }
 
+// drawTraffic draws events at increasing times.
 func drawTraffic(t *rapid.T, c Config, faults bool) []timedEvent {
 	var out []timedEvent
 	at := time.Duration(0)
@@ -55,7 +56,7 @@
 			out = append(out, timedEvent{at, ConnOpened{Conn: next, Endpoint: endpointOf[next]}})
 		case kind == 1 && faults:
 			out = append(out, timedEvent{at, FaultStarted{
-				Endpoint: -1, Kind: FaultKind(rapid.IntRange(int(Slow), int(Down)).Draw(t, "trouble")), Size: rapid.Float64Range(0, 3).Draw(t, "size"),
+				Endpoint: -1, Kind: FaultKind(rapid.IntRange(int(Slow), int(Down)).Draw(t, "fault")), Size: rapid.Float64Range(0, 3).Draw(t, "size"),
 				Until: at + time.Duration(rapid.IntRange(1, 3000).Draw(t, "for"))*ms,
 			}})
 		case kind == 2 && faults:
--- a/fleet/tally/tally.go
+++ b/fleet/tally/tally.go
@@ -98,8 +98,8 @@
 
 // Percentiles returns the percentiles of the recorded times.
 func (r Recorder) Percentiles() Percentiles {
-	at := func(q float64) time.Duration { return time.Duration(r.h.ValueAtQuantile(q)) * time.Microsecond }
-	t := Percentiles{Count: r.h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: time.Duration(r.h.Max()) * time.Microsecond}
+	quantile := func(q float64) time.Duration { return time.Duration(r.h.ValueAtQuantile(q)) * time.Microsecond }
+	t := Percentiles{Count: r.h.TotalCount(), P50: quantile(50), P90: quantile(90), P99: quantile(99), Max: time.Duration(r.h.Max()) * time.Microsecond}
 	if whole, err := r.h.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil && t.Count > 0 {
 		t.HDR = string(whole)
 	}
