--- a/fleet/capacity/capacity_test.go
+++ b/fleet/capacity/capacity_test.go
@@ -53,11 +53,11 @@
 	}{
 		{"endpoints", target.Endpoints(), 646_000},
 		{"down", target.DestinationsDown(), 9_120},
-		{"events of a node", target.EventsPerSNode(), 231.70731707},
-		{"backlog of a node", target.HeldNode(), 10_853_658.5366},
-		{"zone", target.NodesZone(), 136.6666666},
-		{"region", target.NodesRegion(), 273.3333333},
-		{"owned", target.destinationsOwned(), 1_390.2439024},
+		{"events of a node", target.EventsPerSecondPerNode(), 231.70731707},
+		{"backlog of a node", target.BacklogPerNode(), 10_853_658.5366},
+		{"zone", target.NodesPerZone(), 136.6666666},
+		{"region", target.NodesPerRegion(), 273.3333333},
+		{"owned", target.ownedDestinations(), 1_390.2439024},
 	} {
 		if !near(c.got, c.want) {
 			t.Errorf("%s: %v, by hand %v", c.what, c.got, c.want)
@@ -193,7 +193,7 @@
 	if l.Figure != nil || !slices.Equal(l.Provenance.Missing, []string{"node.change.bytes"}) {
 		t.Errorf("with one slope missing: figure %v, missing %v", l.Figure, l.Provenance.Missing)
 	}
-	w := row{axis: ByDestinations, place: "x", unit: Bytes, figure: fromSlope("node.destinations.heap", Target.destinationsMeasured),
+	w := row{axis: ByDestinations, place: "x", unit: Bytes, figure: fromSlope("node.destinations.heap", Target.measuredDestinations),
 		limits: []limit{controlMemory, capLimit(boundMembers, fromTarget(Target.Endpoints))}}
 	l = w.line(committedTarget(t), nil)
 	if !l.End.UpperBound || l.endText() != "at most 7.7% of the destinations" {
@@ -563,13 +563,13 @@
 			}
 		}
 		richer := target
-		richer.Control.CoreShare = min(1, richer.Control.CoreShare*times)
-		richer.Control.MemoryMB *= times
-		richer.Control.KBPerS *= times
-		richer.Own.AnswerS *= times
-		richer.Own.HeldMemoryBytes *= times
-		richer.Configuration.InForceS *= times
-		richer.Failures.ReadyS *= times
+		richer.ControlBudget.CoreShare = min(1, richer.ControlBudget.CoreShare*times)
+		richer.ControlBudget.MemoryMB *= times
+		richer.ControlBudget.KBPerSecond *= times
+		richer.EventBudget.AnswerSeconds *= times
+		richer.EventBudget.BacklogMemoryBytes *= times
+		richer.Configuration.InForceSeconds *= times
+		richer.Failures.ReadySeconds *= times
 		for i, l := range Compute(richer, slopes).Lines {
 			if b := before.Lines[i]; b.End.Share != nil && *l.End.Share < *b.End.Share*(1-1e-6) {
 				t.Fatalf("%s: ends at %v, and with a larger budget at %v", l.ID, *b.End.Share, *l.End.Share)
--- a/fleet/capacity/print.go
+++ b/fleet/capacity/print.go
@@ -239,11 +239,11 @@
 		v    float64
 		unit Unit
 	}{
-		{"endpoints", t.Endpoints(), Count}, {"destinations down", t.DestinationsDown(), Count}, {"nodes of a zone", t.NodesZone(), Count},
-		{"nodes of a region", t.NodesRegion(), Count}, {"events of a node", t.EventsPerSNode(), CountPerS}, {"backlog of a node", t.HeldNode(), Count},
-		{"backlog, as time of all events", t.Events.Held / t.Events.PerS, Seconds}, {"one destination meets one node each", t.Destinations.Count * t.Fleet.Nodes / t.Events.PerS, Seconds},
+		{"endpoints", t.Endpoints(), Count}, {"destinations down", t.DestinationsDown(), Count}, {"nodes of a zone", t.NodesPerZone(), Count},
+		{"nodes of a region", t.NodesPerRegion(), Count}, {"events of a node", t.EventsPerSecondPerNode(), CountPerS}, {"backlog of a node", t.BacklogPerNode(), Count},
+		{"backlog, as time of all events", t.Events.Backlog / t.Events.PerSecond, Seconds}, {"one destination meets one node each", t.Destinations.Count * t.Fleet.Nodes / t.Events.PerSecond, Seconds},
 		{"one change of the configuration each", secondsPerDay / t.Configuration.ChangesPerDay, Seconds}, {"one restart each", secondsPerDay / t.Failures.RestartsPerDay, Seconds},
-		{"destinations of a node, with ownership", t.destinationsOwned(), Count},
+		{"destinations of a node, with ownership", t.ownedDestinations(), Count},
 	} {
 		rows = append(rows, []string{w.what, Quantity{w.v, w.unit}.String(), "worked out"})
 	}
--- a/fleet/capacity/target.go
+++ b/fleet/capacity/target.go
@@ -22,7 +22,7 @@
 
 	// The slopes by destinations were measured with this many endpoints for each destination. A target with
 	// another number is converted to the number of destinations with the same total of endpoints.
-	endpointsMeasured = 1.7
+	measuredEndpointsEach = 1.7
 )
 
 // Target is the size of a fleet and its budgets.
@@ -37,42 +37,42 @@
 		Zones   float64 `toml:"zones" json:"zones"` // in total
 	} `toml:"fleet" json:"fleet"`
 	Events struct {
-		PerS      float64 `toml:"per_s" json:"per_s"`           // of all nodes
-		Held      float64 `toml:"held" json:"held"`             // the largest backlog, of all nodes
+		PerSecond float64 `toml:"per_s" json:"per_s"`           // of all nodes
+		Backlog   float64 `toml:"held" json:"held"`             // the largest backlog, of all nodes
 		BodyBytes float64 `toml:"body_bytes" json:"body_bytes"` // of an event
 		NameBytes float64 `toml:"name_bytes" json:"name_bytes"` // of its id and key
 	} `toml:"events" json:"events"`
 	Destinations struct {
-		Count         float64 `toml:"count" json:"count"`
-		EndpointsEach float64 `toml:"endpoints_each" json:"endpoints_each"`
-		DownShare     float64 `toml:"down_share" json:"down_share"`       // at any time
-		CallsPerS     float64 `toml:"calls_per_s" json:"calls_per_s"`     // that a small destination allows the whole fleet
-		ProbeEveryS   float64 `toml:"probe_every_s" json:"probe_every_s"` // while a destination is down
-		Owners        float64 `toml:"owners" json:"owners"`               // of each destination, for the lines "with ownership"
+		Count                float64 `toml:"count" json:"count"`
+		EndpointsEach        float64 `toml:"endpoints_each" json:"endpoints_each"`
+		DownShare            float64 `toml:"down_share" json:"down_share"`       // at any time
+		CallsPerSecond       float64 `toml:"calls_per_s" json:"calls_per_s"`     // that a small destination allows the whole fleet
+		ProbeIntervalSeconds float64 `toml:"probe_every_s" json:"probe_every_s"` // while a destination is down
+		Owners               float64 `toml:"owners" json:"owners"`               // of each destination, for the lines "with ownership"
 	} `toml:"destinations" json:"destinations"`
 	List struct {
-		ChangesPerS float64 `toml:"changes_per_s" json:"changes_per_s"` // each of one endpoint
+		ChangesPerSecond float64 `toml:"changes_per_s" json:"changes_per_s"` // each of one endpoint
 	} `toml:"list" json:"list"`
 	Configuration struct {
-		ChangesPerDay float64 `toml:"changes_per_day" json:"changes_per_day"`
-		InForceS      float64 `toml:"in_force_s" json:"in_force_s"` // until it is in force on all nodes
+		ChangesPerDay  float64 `toml:"changes_per_day" json:"changes_per_day"`
+		InForceSeconds float64 `toml:"in_force_s" json:"in_force_s"` // until it is in force on all nodes
 	} `toml:"configuration" json:"configuration"`
-	Control struct { // budget of a node for control data
-		CoreShare float64 `toml:"core_share" json:"core_share"`
-		MemoryMB  float64 `toml:"memory_mb" json:"memory_mb"`
-		KBPerS    float64 `toml:"kb_per_s" json:"kb_per_s"`
-		Machines  float64 `toml:"machines" json:"machines"` // reserved for the whole fleet
-		Replicas  float64 `toml:"replicas" json:"replicas"` // of the directory, on some of these machines
+	ControlBudget struct { // budget of a node for control data
+		CoreShare   float64 `toml:"core_share" json:"core_share"`
+		MemoryMB    float64 `toml:"memory_mb" json:"memory_mb"`
+		KBPerSecond float64 `toml:"kb_per_s" json:"kb_per_s"`
+		Machines    float64 `toml:"machines" json:"machines"` // reserved for the whole fleet
+		Replicas    float64 `toml:"replicas" json:"replicas"` // of the directory, on some of these machines
 	} `toml:"control" json:"control"`
-	Own struct { // budget of a node for events
-		AnswerS         float64 `toml:"answer_s" json:"answer_s"`                   // how long clients wait for an answer
-		HeldMemoryBytes float64 `toml:"held_memory_bytes" json:"held_memory_bytes"` // for each event held
+	EventBudget struct { // budget of a node for events
+		AnswerSeconds      float64 `toml:"answer_s" json:"answer_s"`                   // how long clients wait for an answer
+		BacklogMemoryBytes float64 `toml:"held_memory_bytes" json:"held_memory_bytes"` // for each event held
 	} `toml:"own" json:"own"`
 	Failures struct {
-		MachinesPerDay float64 `toml:"machines_per_day" json:"machines_per_day"`
-		RestartsPerDay float64 `toml:"restarts_per_day" json:"restarts_per_day"`
-		ReadyS         float64 `toml:"ready_s" json:"ready_s"` // after a start, even with the whole backlog to read
-		RegionAloneS   float64 `toml:"region_alone_s" json:"region_alone_s"`
+		MachinesPerDay        float64 `toml:"machines_per_day" json:"machines_per_day"`
+		RestartsPerDay        float64 `toml:"restarts_per_day" json:"restarts_per_day"`
+		ReadySeconds          float64 `toml:"ready_s" json:"ready_s"` // after a start, even with the whole backlog to read
+		RegionIsolatedSeconds float64 `toml:"region_alone_s" json:"region_alone_s"`
 	} `toml:"failures" json:"failures"`
 }
 
@@ -82,24 +82,24 @@
 // DestinationsDown returns how many destinations are down at any time.
 func (t Target) DestinationsDown() float64 { return t.Destinations.Count * t.Destinations.DownShare }
 
-// EventsPerSNode returns the events that one node receives in a second.
-func (t Target) EventsPerSNode() float64 { return t.Events.PerS / t.Fleet.Nodes }
+// EventsPerSecondPerNode returns the events that one node receives in a second.
+func (t Target) EventsPerSecondPerNode() float64 { return t.Events.PerSecond / t.Fleet.Nodes }
 
-// HeldNode returns the largest backlog of one node, in events.
-func (t Target) HeldNode() float64 { return t.Events.Held / t.Fleet.Nodes }
+// BacklogPerNode returns the largest backlog of one node, in events.
+func (t Target) BacklogPerNode() float64 { return t.Events.Backlog / t.Fleet.Nodes }
 
-// NodesZone returns the nodes of a zone, which fail together with a rack, a switch or the zone.
-func (t Target) NodesZone() float64 { return t.Fleet.Nodes / t.Fleet.Zones }
+// NodesPerZone returns the nodes of a zone, which fail together with a rack, a switch or the zone.
+func (t Target) NodesPerZone() float64 { return t.Fleet.Nodes / t.Fleet.Zones }
 
-// NodesRegion returns the nodes of a region.
-func (t Target) NodesRegion() float64 { return t.Fleet.Nodes / t.Fleet.Regions }
+// NodesPerRegion returns the nodes of a region.
+func (t Target) NodesPerRegion() float64 { return t.Fleet.Nodes / t.Fleet.Regions }
 
-// destinationsMeasured returns the destinations in the unit of the slopes.
-func (t Target) destinationsMeasured() float64 { return t.Endpoints() / endpointsMeasured }
+// measuredDestinations returns the destinations in the unit of the slopes.
+func (t Target) measuredDestinations() float64 { return t.Endpoints() / measuredEndpointsEach }
 
-// destinationsOwned returns the destinations of one node if each destination has few owners.
-func (t Target) destinationsOwned() float64 {
-	return t.destinationsMeasured() * t.owners() / t.Fleet.Nodes
+// ownedDestinations returns the destinations of one node if each destination has few owners.
+func (t Target) ownedDestinations() float64 {
+	return t.measuredDestinations() * t.owners() / t.Fleet.Nodes
 }
 
 func (t Target) owners() float64 { return min(t.Destinations.Owners, t.Fleet.Nodes) }
@@ -123,17 +123,17 @@
 		t.Destinations.Count *= times
 	case ByNodes:
 		t.Fleet.Nodes *= times
-		t.Events.PerS *= times
-		t.Events.Held *= times
+		t.Events.PerSecond *= times
+		t.Events.Backlog *= times
 	case ByEvents:
-		t.Events.PerS *= times
+		t.Events.PerSecond *= times
 	case ByBacklog:
-		t.Events.Held *= times
+		t.Events.Backlog *= times
 	case ByChanges:
-		t.List.ChangesPerS *= times
+		t.List.ChangesPerSecond *= times
 		t.Configuration.ChangesPerDay *= times
 	case ByTimeAlone:
-		t.Failures.RegionAloneS *= times
+		t.Failures.RegionIsolatedSeconds *= times
 	}
 	return t
 }
--- a/fleet/experiment/faults.go
+++ b/fleet/experiment/faults.go
@@ -41,5 +41,5 @@
 	"replica-kill": {"replicas of the directory are killed, and start again at the fault's end", atReplicas},
 	"replica-cut":  {"nothing passes to and from replicas of the directory", atReplicas},
 	"replica-stop": {"replicas of the directory are stopped (SIGSTOP) until the fault's end", atReplicas},
-	"disk-full":    {"nodes can't write to their state directories", atNodes},
+	"disk-full":    {"nodes can write nothing more to their state directories", atNodes},
 }
--- a/fleet/experiment/file.go
+++ b/fleet/experiment/file.go
@@ -158,13 +158,13 @@
 
 // Expect holds the expectations of a run, in addition to its rules.
 type Expect struct {
-	BrokenRules      []string               `toml:"broken"`    // rules that must be broken; none: all must be kept
-	MinServed        NumberRange            `toml:"served"`    // share of the worth served
-	MinServedByClass map[string]NumberRange `toml:"class"`     // the same by class
-	MinWorstInterval NumberRange            `toml:"worst"`     // the same in the worst five seconds
-	MaxAboveLimit    *NumberRange           `toml:"above"`     // calls refused above a limit, per message
-	MaxLateness      DurationRange          `toml:"lateness"`  // of the lab itself, 99th percentile
-	MinDelivered     NumberRange            `toml:"delivered"` // messages
+	BrokenRules      []string               `toml:"broken" json:"Broken"`       // rules that must be broken; none: all must be kept
+	MinServed        NumberRange            `toml:"served" json:"Served"`       // share of the worth served
+	MinServedByClass map[string]NumberRange `toml:"class" json:"Class"`         // the same by class
+	MinWorstInterval NumberRange            `toml:"worst" json:"Worst"`         // the same in the worst five seconds
+	MaxAboveLimit    *NumberRange           `toml:"above" json:"AboveMost"`     // calls refused above a limit, per message
+	MaxLateness      DurationRange          `toml:"lateness" json:"Lateness"`   // of the lab itself, 99th percentile
+	MinDelivered     NumberRange            `toml:"delivered" json:"Delivered"` // messages
 }
 
 // defaults returns the values of the brief, or harmless ones.
--- a/fleet/experiment/formats_test.go
+++ b/fleet/experiment/formats_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"fmt"
 	"maps"
 	"reflect"
@@ -83,3 +84,14 @@
 	names := slices.Sorted(maps.Keys(FaultKinds))
 	golden.Check(t, "faults.txt", []byte(strings.Join(names, "\n")+"\n"))
 }
+
+// `cottonrack lab check --json` prints a plan; nothing reads it back.
+func TestPlanFormat(t *testing.T) {
+	var plan Plan
+	golden.Fill(&plan)
+	raw, err := json.MarshalIndent(plan, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "plan.json", raw)
+}
--- a/fleet/experiment/plan.go
+++ b/fleet/experiment/plan.go
@@ -23,19 +23,19 @@
 	Length, Settle time.Duration
 
 	Zones          []string
-	PartnerKinds   []string
+	PartnerKinds   []string `json:"Kinds"`
 	Nodes          []NodePlan
 	Classes        []ClassPlan
-	Tenants        []TenantPlan
+	Tenants        []TenantPlan `json:"Members"`
 	Partners       []PartnerPlan
-	Arrivals       []Arrival // in order of time
-	RudePeers      []RudePeer
+	Arrivals       []Arrival   // in order of time
+	RudePeers      []RudePeer  `json:"Rude"`
 	Faults         []FaultPlan // in order of their start
 	Load           LoadPlan
 	Network        NetworkPlan
 	Rules          RulesPlan
 	Replicas       int           // of the directory that informs the nodes; 0: the platform does
-	DiscoveryDelay DurationRange // delay until the platform informs a node of a change
+	DiscoveryDelay DurationRange `json:"Listing"` // delay until the platform informs a node of a change
 	Expect         Expect
 }
 
@@ -57,13 +57,13 @@
 type ClassPlan struct {
 	Name            string
 	Share           float64
-	SoftDeadline    time.Duration
+	SoftDeadline    time.Duration `json:"Aim"`
 	Deadline        time.Duration
 	Worth           float64
-	WorthAtDeadline float64
+	WorthAtDeadline float64 `json:"LateWorth"`
 	Effect          judge.Effect
 	Window          time.Duration
-	PartnerKinds    []int // none: all
+	PartnerKinds    []int `json:"Kinds"` // none: all
 }
 
 // TenantPlan describes one tenant.
@@ -76,39 +76,40 @@
 // PartnerPlan describes one partner.
 type PartnerPlan struct {
 	Kind   int
-	Weight float64 // share of the traffic
-	Zones  []int   // of its endpoints
-	Config partner.Config
+	Weight float64        // share of the traffic
+	Zones  []int          // of its endpoints
+	Config partner.Config `json:"Model"`
 	Seed   uint64
 }
 
 // LoadPlan describes the clients.
 type LoadPlan struct {
-	MaxRetries      int
+	MaxRetries      int `json:"Retries"`
 	Backoff         DurationRange
-	HonorRetryAfter float64
-	ResubmitDelay   DurationRange
-	AnswerTimeout   time.Duration
-	BodyBytes       int
+	HonorRetryAfter float64       `json:"Honour"`
+	ResubmitDelay   DurationRange `json:"Again"`
+	AnswerTimeout   time.Duration `json:"Patience"`
+	BodyBytes       int           `json:"Body"`
 }
 
 // NetworkPlan holds the one-way delays between nodes and partners.
 type NetworkPlan struct {
-	SameZone, CrossZone time.Duration
-	Jitter              float64
+	SameZone  time.Duration `json:"Same"`
+	CrossZone time.Duration `json:"Cross"`
+	Jitter    float64
 }
 
 // RulesPlan holds the parameters that the settings tell the nodes.
 type RulesPlan struct {
 	MaxAttempts       int
 	DrainGrace        time.Duration
-	CollapseMultiple  float64
-	CollapseSpan      time.Duration
-	SlowStartFrom     float64
-	SlowStartDuration time.Duration
+	CollapseMultiple  float64       `json:"FallMultiple"`
+	CollapseSpan      time.Duration `json:"Fall"`
+	SlowStartFrom     float64       `json:"ColdFrom"`
+	SlowStartDuration time.Duration `json:"WarmWithin"`
 	DialTimeout       time.Duration
-	ConnIdleTimeout   time.Duration
-	MaxRetryAfter     time.Duration
+	ConnIdleTimeout   time.Duration `json:"ConnIdle"`
+	MaxRetryAfter     time.Duration `json:"MaxWait"`
 }
 
 // Arrival is a message that a client submits for the first time. Its message number is its position among the
@@ -117,16 +118,16 @@
 	At        time.Duration
 	Node      int
 	Class     int
-	Tenant    int
+	Tenant    int `json:"Member"`
 	Dest      int
-	OverShare bool // beyond its tenant's share
+	OverShare bool `json:"Over"` // beyond its tenant's share
 }
 
 // RudePeer is a misbehaving peer that connects to a node.
 type RudePeer struct {
 	At       time.Duration
 	Node     int
-	Behavior int
+	Behavior int `json:"Way"`
 }
 
 // FaultPlan is one fault on one or more targets.
@@ -138,9 +139,9 @@
 	Nodes     []int
 	Partners  []int
 	Replicas  []int
-	Direction string
+	Direction string `json:"Way"`
 	Resume    bool
-	LoseState bool
+	LoseState bool `json:"Lose"`
 }
 
 func (f FaultPlan) String() string {
--- a/fleet/ownership/code.go
+++ b/fleet/ownership/code.go
@@ -96,7 +96,7 @@
 // loads, so that a map made by the different rules of a later build can be followed. Errors are ErrInvalid.
 func Decode(raw []byte) (*Map, error) {
 	if len(raw) > MaxEncodedBytes || len(raw) < headerLen || string(raw[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: wrong magic or size of %d bytes", ErrInvalid, len(raw))
+		return nil, fmt.Errorf("%w: %d bytes that do not begin as a map", ErrInvalid, len(raw))
 	}
 	body := raw[headerLen:]
 	if binary.BigEndian.Uint64(raw[len(magic):]) != xxhash.Sum64(body) {
--- a/fleet/ownership/make.go
+++ b/fleet/ownership/make.go
@@ -105,7 +105,7 @@
 			return fmt.Errorf("%w: member %q: weight %v is not finite and above 0", ErrInvalid, m.Name, m.Weight)
 		}
 		if i > 0 && members[i-1].Name >= m.Name {
-			return fmt.Errorf("%w: member %q is duplicate or out of order", ErrInvalid, m.Name)
+			return fmt.Errorf("%w: member %q is there twice or out of order", ErrInvalid, m.Name)
 		}
 	}
 	return nil
--- a/fleet/ownership/ownership.go
+++ b/fleet/ownership/ownership.go
@@ -257,7 +257,7 @@
 }
 
 // ErrLargeChange says that a change is too large to be made without confirmation.
-var ErrLargeChange = errors.New("change too large without confirmation")
+var ErrLargeChange = errors.New("a large change")
 
 // CheckSize refuses, with ErrLargeChange, a change that is more likely a mistake than intended: more than
 // half of the members removed, or more than half of all assignments moved. A fleet that doubles just passes.
@@ -267,7 +267,7 @@
 	case c.MembersBefore == 0:
 		return nil
 	case 2*len(c.Removed) > c.MembersBefore:
-		return fmt.Errorf("%w: %d of %d members would be removed", ErrLargeChange, len(c.Removed), c.MembersBefore)
+		return fmt.Errorf("%w: %d of %d members would be gone", ErrLargeChange, len(c.Removed), c.MembersBefore)
 	case 2*c.Moved > c.Assignments:
 		return fmt.Errorf("%w: %d of %d assignments would move", ErrLargeChange, c.Moved, c.Assignments)
 	}
--- a/fleet/partner/partner.go
+++ b/fleet/partner/partner.go
@@ -21,7 +21,7 @@
 // Limit is the rate limit that a partner applies to all senders together.
 type Limit struct {
 	PerSecond     float64       // calls a second; 0: limited by capacity only
-	Window        time.Duration // count calls in fixed windows of this length; 0: a token bucket
+	Window        time.Duration `json:"Span"` // count calls in fixed windows of this length; 0: a token bucket
 	Burst         time.Duration // of a token bucket: the bucket holds the calls of this time, at least one call
 	CountsRefused bool          // refused calls count against the limit as well
 }
@@ -30,28 +30,28 @@
 type Config struct {
 	Endpoints   int // at the start, at least 1
 	Workers     int // of each endpoint: calls served at once, at least 1
-	QueueLength int // of each endpoint: maximum number of calls that wait for a worker
-	MaxConns    int // of each endpoint: maximum number of connections, idle ones included; 0: unlimited
-	MaxBatch    int // maximum number of messages in a call; 0 and 1: no batches
+	QueueLength int `json:"Queue"` // of each endpoint: maximum number of calls that wait for a worker
+	MaxConns    int `json:"Conns"` // of each endpoint: maximum number of connections, idle ones included; 0: unlimited
+	MaxBatch    int `json:"Batch"` // maximum number of messages in a call; 0 and 1: no batches
 
-	ServiceTime          time.Duration // mean time to serve a call of one message
-	ServiceTimeVariation float64       // coefficient of variation of the service time
-	ExtraItemCost        float64       // cost of each further message in a call, as a share of the first one's
+	ServiceTime          time.Duration `json:"Pace"`     // mean time to serve a call of one message
+	ServiceTimeVariation float64       `json:"Spread"`   // coefficient of variation of the service time
+	ExtraItemCost        float64       `json:"ItemCost"` // cost of each further message in a call, as a share of the first one's
 
 	Limit           Limit
-	RetryAfterShare float64          // share of the calls refused above the limit or while rejecting whose refusal tells how long to wait
-	RetryAfterRange [2]time.Duration // range of the waits that a token bucket tells
-	DedupWindow     time.Duration    // a repeat under the same key is dropped for this long
-
-	ErrorShare            float64 // share of messages that end as an error
-	DeferShare            float64 // share of messages in batches that are deferred without having run
-	LostAnswerShare       float64 // share of calls that run and whose answer is lost
-	UnreadableAnswerShare float64 // share of calls that run and whose answer can't be parsed
-
-	SlowStartFrom     float64       // share of its capacity right after an outage, above 0
-	SlowStartDuration time.Duration // time until it has its full capacity again
-	CollapseMultiple  float64       // a partner in slow start that is sent more than this multiple of its current capacity
-	CollapseSpan      time.Duration // within any period of this length collapses; 0: it never does
+	RetryAfterShare float64          `json:"TellsWait"` // share of the calls refused above the limit or while rejecting whose refusal tells how long to wait
+	RetryAfterRange [2]time.Duration `json:"Wait"`      // range of the waits that a token bucket tells
+	DedupWindow     time.Duration    `json:"Window"`    // a repeat under the same key is dropped for this long
+
+	ErrorShare            float64 `json:"Faults"` // share of messages that end as an error
+	DeferShare            float64 `json:"Defers"` // share of messages in batches that are deferred without having run
+	LostAnswerShare       float64 `json:"Lost"`   // share of calls that run and whose answer is lost
+	UnreadableAnswerShare float64 `json:"Spoilt"` // share of calls that run and whose answer can't be parsed
+
+	SlowStartFrom     float64       `json:"ColdFrom"`     // share of its capacity right after an outage, above 0
+	SlowStartDuration time.Duration `json:"WarmWithin"`   // time until it has its full capacity again
+	CollapseMultiple  float64       `json:"FallMultiple"` // a partner in slow start that is sent more than this multiple of its current capacity
+	CollapseSpan      time.Duration `json:"Fall"`         // within any period of this length collapses; 0: it never does
 }
 
 // Check validates the Config.
