--- a/fleet/ownership/agree_test.go
+++ b/fleet/ownership/agree_test.go
@@ -59,7 +59,7 @@
 		rng: rand.New(rand.NewPCG(seed, 7)), newWriter: newWriter, state: catalog.New(), variants: variants, mapsByNumber: map[int64][]byte{}, wrote: map[[2]int]bool{},
 		wroteNothing: map[[2]int]bool{}, counts: map[string]int{},
 	}
-	sim.state.Apply(catalog.Command{At: 1, Found: &catalog.Found{}})
+	sim.state.Apply(catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
 	for i := range sim.controllers {
 		sim.restart(i)
 	}
@@ -124,21 +124,21 @@
 	var r catalog.Result
 	switch s.action.Operation {
 	case Acquire:
-		r = sim.state.Apply(catalog.Command{Acquire: &catalog.Hold{Name: RecordName, Holder: s.holder, TTL: 10_000}})
+		r = sim.state.Apply(catalog.Command{Acquire: &catalog.RecordOp{Name: RecordName, Holder: s.holder, TTL: 10_000}})
 		ans.Token = r.Token
 	case Read:
 		record, ok := sim.state.Record(RecordName)
 		if !ok {
-			r.Err = catalog.ErrUnknown
+			r.Err = catalog.ErrNotFound
 		}
 		ans.Value = record.Value
 	case Update:
-		r = sim.state.Apply(catalog.Command{Update: &catalog.Hold{Name: RecordName, Token: s.action.Token, Value: s.action.Value}})
+		r = sim.state.Apply(catalog.Command{Update: &catalog.RecordOp{Name: RecordName, Token: s.action.Token, Value: s.action.Value}})
 		if r.Err == nil {
 			sim.checkWrite(s)
 		}
 	case Release:
-		r = sim.state.Apply(catalog.Command{Release: &catalog.Hold{Name: RecordName, Token: s.action.Token}})
+		r = sim.state.Apply(catalog.Command{Release: &catalog.RecordOp{Name: RecordName, Token: s.action.Token}})
 	}
 	if r.Err != nil {
 		ans.Outcome, ans.Err = Refused, r.Err
@@ -214,7 +214,7 @@
 		case 7:
 			if r, ok := sim.state.Record(RecordName); ok && r.Holder != "" {
 				sim.counts["lapsed"]++
-				sim.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
+				sim.state.Apply(catalog.Command{Expire: &catalog.Expiry{Records: []catalog.RecordOp{{Name: RecordName, Token: r.Token}}}})
 			}
 		}
 		return
@@ -329,7 +329,7 @@
 			sim.step(0)
 		}
 		if r, _ := sim.state.Record(RecordName); r.Holder != "" {
-			sim.state.Apply(catalog.Command{Lapse: &catalog.Lapse{Records: []catalog.Hold{{Name: RecordName, Token: r.Token}}}})
+			sim.state.Apply(catalog.Command{Expire: &catalog.Expiry{Records: []catalog.RecordOp{{Name: RecordName, Token: r.Token}}}})
 		}
 		a := &Publisher{Plan: func(number int64, _ *Map) (*Map, error) { return sim.variant(number), nil }}
 		next, operations := a.Begin(), ""
--- a/internal/lab/scale/hollow/destinations.go
+++ b/internal/lab/scale/hollow/destinations.go
@@ -60,7 +60,7 @@
 }
 
 func openTeller(ctx context.Context, s play.Spec, endpoints int, r *play.Reading) (*teller, error) {
-	if endpoints <= catalog.UsualMembers && s.Set["stand_in"] == 0 {
+	if endpoints <= catalog.DefaultMaxEndpoints && s.Set["stand_in"] == 0 {
 		svc, err := openService(ctx, s, 1, false, listOf(endpoints))
 		if err != nil {
 			return nil, err
@@ -75,11 +75,11 @@
 				return svc.write(ctx, []catalog.Endpoint{e}, false)
 			}}, nil
 	}
-	if endpoints > catalog.UsualMembers {
+	if endpoints > catalog.DefaultMaxEndpoints {
 		if err := capped(ctx, s, endpoints); err != nil {
 			return nil, err
 		}
-		r.Note("the directory ended before: it takes %d endpoints at most and refused %d (507); a stand-in tells the list", catalog.UsualMembers, endpoints)
+		r.Note("the directory ended before: it takes %d endpoints at most and refused %d (507); a stand-in tells the list", catalog.DefaultMaxEndpoints, endpoints)
 	}
 	src, err := openSource(endpoints)
 	if err != nil {
@@ -98,13 +98,13 @@
 	}
 	defer svc.close()
 	op := svc.operator(svc.replicas...)
-	op.Wait = 0
-	_, err = op.Put(ctx, listOf(min(endpoints, catalog.UsualMembers+1)), true, true, "*")
-	var no *directory.Refusal
-	if errors.As(err, &no) && no.Code == http.StatusInsufficientStorage {
+	op.RetryFor = 0
+	_, err = op.Put(ctx, listOf(min(endpoints, catalog.DefaultMaxEndpoints+1)), true, true, "*")
+	var no *directory.ResponseError
+	if errors.As(err, &no) && no.StatusCode == http.StatusInsufficientStorage {
 		return nil
 	}
-	return fmt.Errorf("a list of more than %d endpoints should have been refused for want of room: %w", catalog.UsualMembers, err)
+	return fmt.Errorf("a list of more than %d endpoints should have been refused for want of room: %w", catalog.DefaultMaxEndpoints, err)
 }
 
 func playDestinations(ctx context.Context, s play.Spec, log *slog.Logger) (r play.Reading, err error) {
@@ -129,7 +129,7 @@
 	defer func() { err = n.close(err) }()
 	took := false
 	err = await(ctx, "the first list", func() bool {
-		at, _ := n.Told()
+		at, _ := n.CurrentList()
 		took = at >= t.first
 		return took || t.src != nil && t.src.asked() > refusals
 	})
@@ -170,7 +170,7 @@
 		loop.take()
 		revision, err := t.change(ctx, turned(i%endpoints, int64(i+1)))
 		if err == nil {
-			err = await(ctx, "a change", func() bool { at, _ := n.Told(); return at >= revision })
+			err = await(ctx, "a change", func() bool { at, _ := n.CurrentList(); return at >= revision })
 		}
 		if err == nil {
 			err = loop.after(ctx, 1)
@@ -207,7 +207,7 @@
 	if err := n.read(&r, "node.destinations"); err != nil {
 		return r, err
 	}
-	if _, have := n.Told(); have != endpoints {
+	if _, have := n.CurrentList(); have != endpoints {
 		return r, fmt.Errorf("the node has %d endpoints, the list %d", have, endpoints)
 	}
 	return r, ctx.Err()
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	admin.Serve(n)
+	admin.SetNode(n)
 	return n.Run(ctx, ln)
 }
 
@@ -104,7 +104,7 @@
 }
 
 // newReplica is a real replica of the directory in this process.
-func newReplica(t *testing.T) (address string, op *directory.Operator) {
+func newReplica(t *testing.T) (address string, op *directory.AdminClient) {
 	t.Helper()
 	cfg := directory.Defaults()
 	cfg.HTTP, cfg.Data = place(t), t.TempDir()
@@ -123,7 +123,7 @@
 			t.Error(err)
 		}
 	})
-	return cfg.HTTP, &directory.Operator{Addresses: []string{cfg.HTTP}, Wait: longest, Client: client}
+	return cfg.HTTP, &directory.AdminClient{Addresses: []string{cfg.HTTP}, RetryFor: longest, HTTPClient: client}
 }
 
 // newNode is a hollow node that lives.
@@ -146,7 +146,7 @@
 	return n
 }
 
-func put(t *testing.T, op *directory.Operator, whole bool, members ...catalog.Endpoint) int64 {
+func put(t *testing.T, op *directory.AdminClient, whole bool, members ...catalog.Endpoint) int64 {
 	t.Helper()
 	w, err := op.Put(t.Context(), members, whole, true, "*")
 	if err != nil {
@@ -158,10 +158,10 @@
 // mustHave waits until a revision with so many endpoints is in force at the node.
 func mustHave(t *testing.T, n *Node, revision int64, endpoints int) {
 	t.Helper()
-	if err := await(t.Context(), "the list", func() bool { at, _ := n.Told(); return at >= revision }); err != nil {
+	if err := await(t.Context(), "the list", func() bool { at, _ := n.CurrentList(); return at >= revision }); err != nil {
 		t.Fatal(err)
 	}
-	if at, have := n.Told(); at != revision || have != endpoints {
+	if at, have := n.CurrentList(); at != revision || have != endpoints {
 		t.Fatalf("the node has %d endpoints at revision %d, want %d at %d", have, at, endpoints, revision)
 	}
 }
@@ -212,7 +212,7 @@
 	mend := cut(link)
 	put(t, op, false, endpoint(10))
 	revision2 := put(t, op, false, endpoint(11))
-	if at, have := n.Told(); at != revision || have != 10 {
+	if at, have := n.CurrentList(); at != revision || have != 10 {
 		t.Errorf("cut off, it has %d endpoints at revision %d, want 10 at %d", have, at, revision)
 	}
 	if err := mend(); err != nil {
@@ -309,7 +309,7 @@
 	for _, n := range []int{1, 10, 1000, 29_411} {
 		cells := map[int]int{}
 		for _, e := range listOf(endpointsOf(n)) {
-			if err := e.Check(); err != nil {
+			if err := e.Validate(); err != nil {
 				t.Fatal(err)
 			}
 			cells[e.Cell]++
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -15,73 +15,76 @@
 	"time"
 )
 
-// The journal is one file of records, appended only. A record is its payload's length and CRC-32, four bytes
-// each, and the payload: a kind, the number of its message and what the kind calls for. What a process has
-// written outlasts it, so nothing is synced. A kill tears the last record at most; see replay for what is spoilt.
+// The journal is one append-only file of records. A record is the length and the CRC-32 of its payload, four
+// bytes each, and the payload: the kind, the message's number and the fields of that kind. Written data
+// outlives the process, so the file is never synced. A kill can truncate only the last record; replay
+// describes how corrupt records are handled.
 
 const (
-	recAccepted   byte = iota + 1 // a message was taken on
-	recAttempt                    // an attempt is about to be sent
-	recNotRun                     // an attempt failed, as in an outage, and is proven not to have run
-	recFailed                     // an attempt failed and may have run
-	recEnded                      // the final answer, whose notice is still owed
-	recOver                       // nothing is owed any more
-	recTurnedAway                 // an attempt did not run, and its destination is well
-
-	// These are of an endpoint and stand under number 0, which no message has; builds of old pass them over.
-	recListed // discovery has named it
-	recBarred // it is left out by hand
-	recLifted // no longer
+	recordAccepted byte = iota + 1 // a message was accepted
+	recordAttempt                  // an attempt is about to be sent
+	recordNotRun                   // an attempt failed, as in an outage, and is proven not to have run
+	recordFailed                   // an attempt failed and may have run
+	recordFinal                    // the final answer, whose notice is still owed
+	recordDone                     // nothing is owed any more
+	recordRejected                 // an attempt did not run, and its destination works
+
+	// These records concern an endpoint and have number 0, which no message has. Older builds skip them.
+	recordListed   // discovery has listed it
+	recordDisabled // an operator disabled it
+	recordEnabled  // an operator enabled it again
 )
 
 const (
-	journalName    = "journal"
-	recordHead     = 8
-	maxRecord      = maxBody + 4*maxWord + 64
-	messageReserve = 700       // room for the small records that will follow: 12 attempts at 36 to 45 bytes, and the end
-	minCompact     = 256 << 10 // a smaller file is not worth compacting
-	defaultDiskMB  = 3
-	compactPause   = 100 * time.Millisecond // after a failed compaction
-	maxKnown       = 2000                   // endpoints that are remembered; the oldest that are not barred go first
+	journalName       = "journal"
+	recordHeaderSize  = 8
+	maxRecordSize     = maxBody + 4*maxArgSize + 64
+	messageReserve    = 700       // bytes for the small records that will follow: 12 attempts at 36 to 45 bytes, and the end
+	minCompactSize    = 256 << 10 // bytes; a smaller file is not worth compacting
+	defaultDiskMB     = 3
+	compactRetryDelay = 100 * time.Millisecond // after a failed compaction
+	maxKnown          = 2000                   // endpoints that are remembered; the oldest that are not disabled are dropped first
 )
 
 var (
-	errDiskBudget  = errors.New("the journal's share of the disk is used up")
-	errJournalDown = errors.New("journal: it could not be written a moment ago")
+	errDiskBudget         = errors.New("the journal has used up its disk budget")
+	errJournalUnavailable = errors.New("journal: not retried yet after a failed write")
 )
 
-// past is all that the journal knows of a message that still owes something.
-type past struct {
+// pendingMessage is what the journal knows of a message until its delivery, or the acceptance of its notice,
+// is recorded.
+type pendingMessage struct {
 	seq      uint64
 	id, key  string
 	class    int
-	tenant   int // -1 for none that is known
+	tenant   int // -1 if unknown
 	dest     int
 	body     []byte
 	deadline time.Time
-	sends    []pastSend
-	ended    *ending
+	attempts []pastAttempt
+	final    *finalAnswer
 }
 
-// pastSend is an attempt. One that has not failed was out when the journal ended, and may have run as well.
-type pastSend struct {
-	at             time.Time
+// pastAttempt is one attempt of a pending message. One without a recorded failure was in flight when the
+// journal ended, and may have run as well.
+type pastAttempt struct {
+	sentAt         time.Time
 	zone           int
 	notRun, failed bool
 }
 
-// ending is the final answer of a message.
-type ending struct {
-	failed bool
-	after  time.Duration
+// finalAnswer is the final answer of a message that was not delivered.
+type finalAnswer struct {
+	failed     bool
+	retryAfter time.Duration
 }
 
-// name is what the module calls the message. Ids may come again; numbers don't.
-func (p *past) name() string { return strconv.FormatUint(p.seq, 10) }
+// choiceID is what package choice calls the message. Clients may reuse IDs; numbers are unique.
+func (m *pendingMessage) choiceID() string { return strconv.FormatUint(m.seq, 10) }
 
-// seqOf reads a name; no message has number 0.
-func seqOf(name string) uint64 {
-	seq, err := strconv.ParseUint(name, 10, 64)
+// parseChoiceID returns the number in a choice ID, or 0, which no message has.
+func parseChoiceID(id string) uint64 {
+	seq, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return 0
 	}
@@ -89,26 +92,26 @@
 }
 
 // size is about the room that a message takes in the journal.
-func (p *past) size() int64 {
-	return int64(len(p.body)+len(p.id)+len(p.key)) + messageReserve
+func (m *pendingMessage) size() int64 {
+	return int64(len(m.body)+len(m.id)+len(m.key)) + messageReserve
 }
 
-// journal appends records and keeps what is live, so that it can write the file anew.
+// journal appends records and keeps the live state, from which it can rewrite the file.
 type journal struct {
-	dir     string
-	budget  int64
-	f       *os.File
-	written int64 // good bytes in the file
-	live    map[uint64]*past
-	known   []string             // endpoints that were ever listed, in the order in which they came
-	barred  map[string]bool      // of these, true while it is left out by hand
-	lifted  map[string]time.Time // when one was let serve again of late
-	held    int64                // sum of the sizes of what is live
-	pending []byte               // records not yet in the file
-	next    uint64
-	broken  bool // the file lacks records of what is live; only a new file will do
-	retryAt time.Time
-	spoilt  string // what replay found that it could not read
+	dir              string
+	budget           int64
+	file             *os.File
+	fileSize         int64 // bytes of whole records in the file
+	live             map[uint64]*pendingMessage
+	knownEndpoints   []string             // IDs of all endpoints that were ever listed, in the order of their first listing
+	disabled         map[string]bool      // by the ID of each known endpoint: true while an operator has disabled it
+	enabledAt        map[string]time.Time // by endpoint ID: when an operator last enabled it again
+	liveSize         int64                // sum of the sizes of all live messages and known endpoints
+	unwritten        []byte               // records not yet in the file
+	nextSeq          uint64
+	incomplete       bool // the file lacks records of the live state; only a new file has them all
+	compactNotBefore time.Time
+	corruption       string // describes what replay could not read, if anything
 }
 
 // openJournal replays the journal in dir, as far as it can be read.
@@ -116,9 +119,9 @@
 	if diskMB <= 0 {
 		diskMB = defaultDiskMB
 	}
-	j := &journal{dir: dir, budget: int64(diskMB*(1<<20)) - 16<<10, live: map[uint64]*past{}, next: 1,
-		barred: map[string]bool{}, lifted: map[string]time.Time{}}
-	// A compaction that was cut short left its file; the old one is still whole.
+	j := &journal{dir: dir, budget: int64(diskMB*(1<<20)) - 16<<10, live: map[uint64]*pendingMessage{}, nextSeq: 1,
+		disabled: map[string]bool{}, enabledAt: map[string]time.Time{}}
+	// An interrupted compaction leaves its file; the old one is still whole.
 	if err := os.Remove(j.path() + ".new"); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
@@ -126,129 +129,131 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	j.f = f
+	j.file = f
 	raw, err := io.ReadAll(f)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("journal: %w", err), f.Close())
 	}
 	j.replay(raw)
-	j.written = int64(len(raw))
-	if j.spoilt != "" {
-		j.compact() // if that fails it is broken, and every flush tries again
+	j.fileSize = int64(len(raw))
+	if j.corruption != "" {
+		j.compact() // if it fails, the journal is incomplete and every flush tries again
 	}
 	return j, nil
 }
 
 func (j *journal) path() string { return filepath.Join(j.dir, journalName) }
 
-// replay applies the records of a file. One that can't be read may have guarded anything that was done since: an
-// attempt, an end. Where it still tells of which message it was, that one is taken to have got so far; else all that is
-// live there is. It ends as failed, for sending it on could be a second effect, or come after its final answer.
-func (j *journal) replay(raw []byte) {
-	for at := 0; at < len(raw); {
-		payload := wholeRecord(raw[at:])
+// replay applies the records of a file. A record that can't be read may have guarded anything that was done
+// afterwards: an attempt, or an end. If it still identifies its message, that message is taken to have got so
+// far; otherwise all live messages are. Such a message ends as failed, because sending it again could have a
+// second effect or come after its final answer.
+func (j *journal) replay(data []byte) {
+	for offset := 0; offset < len(data); {
+		payload := recordPayload(data[offset:])
 		if payload != nil {
-			j.apply(bytes.Clone(payload)) // what is kept of it must not keep the file
-			at += recordHead + len(payload)
+			j.apply(bytes.Clone(payload)) // a copy, so that what is kept of it does not keep the whole file in memory
+			offset += recordHeaderSize + len(payload)
 			continue
 		}
-		next := at + 1
-		for next < len(raw) && wholeRecord(raw[next:]) == nil {
+		next := offset + 1
+		for next < len(data) && recordPayload(data[next:]) == nil {
 			next++
 		}
-		if j.spoilt == "" {
-			j.spoilt = fmt.Sprintf("%d of %d bytes from byte %d on", next-at, len(raw), at)
+		if j.corruption == "" {
+			j.corruption = fmt.Sprintf("%d of %d bytes from offset %d", next-offset, len(data), offset)
 		}
-		if next < len(raw) || !j.applyTorn(raw[at:]) {
-			j.endLive()
+		if next < len(data) || !j.applyTruncated(data[offset:]) {
+			j.failAllLive()
 		}
-		at = next
+		offset = next
 	}
 }
 
-// wholeRecord returns the payload of the record that b begins with, or nil.
-func wholeRecord(b []byte) []byte {
-	if len(b) <= recordHead {
+// recordPayload returns the payload of the record at the start of b, or nil if there is no valid record.
+func recordPayload(b []byte) []byte {
+	if len(b) <= recordHeaderSize {
 		return nil
 	}
 	n := binary.LittleEndian.Uint32(b)
-	if n == 0 || n > maxRecord || int64(n) > int64(len(b)-recordHead) {
+	if n == 0 || n > maxRecordSize || int64(n) > int64(len(b)-recordHeaderSize) {
 		return nil
 	}
-	payload := b[recordHead : recordHead+int(n)]
+	payload := b[recordHeaderSize : recordHeaderSize+int(n)]
 	if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(b[4:]) {
 		return nil
 	}
 	return payload
 }
 
-// applyTorn applies what is left of a file's last record, and tells whether that was enough to know its message.
-func (j *journal) applyTorn(b []byte) bool {
-	if len(b) <= recordHead || int64(binary.LittleEndian.Uint32(b)) <= int64(len(b)-recordHead) {
-		return false // it is not its end that is missing
+// applyTruncated applies what is left of a file's last record, and reports whether that identified the
+// message.
+func (j *journal) applyTruncated(b []byte) bool {
+	if len(b) <= recordHeaderSize || int64(binary.LittleEndian.Uint32(b)) <= int64(len(b)-recordHeaderSize) {
+		return false // the record is corrupt, not truncated
 	}
-	payload := b[recordHead:]
-	f := &fields{b: payload[1:]}
-	seq := f.number()
-	p := j.live[seq]
+	payload := b[recordHeaderSize:]
+	r := &payloadReader{rest: payload[1:]}
+	seq := r.uvarint()
+	m := j.live[seq]
 	switch {
-	case f.bad:
+	case r.bad:
 		return false
-	case payload[0] == recAccepted: // attempts are recorded after it, so none was made
-		if id := f.bytes(); !f.bad {
-			p = &past{seq: seq, id: string(id), tenant: -1, deadline: time.UnixMicro(0), ended: &ending{}}
-			j.next = max(j.next, seq+1)
-			j.live[seq] = p
-			j.held += p.size()
+	case payload[0] == recordAccepted: // it precedes the records of attempts, so none was made
+		if id := r.bytes(); !r.bad {
+			m = &pendingMessage{seq: seq, id: string(id), tenant: -1, deadline: time.UnixMicro(0), final: &finalAnswer{}}
+			j.nextSeq = max(j.nextSeq, seq+1)
+			j.live[seq] = m
+			j.liveSize += m.size()
 		}
-	case p == nil: // of an endpoint, or of a message that is over
-	case payload[0] == recOver:
-		j.apply(record(recOver, seq))
-	case payload[0] == recAttempt && p.ended == nil: // it may have run, and long ago
+	case m == nil: // of an endpoint, or of a message that nothing is owed for
+	case payload[0] == recordDone:
+		j.apply(newRecord(recordDone, seq))
+	case payload[0] == recordAttempt && m.final == nil: // it may have run, at any time in the past
 		j.apply(attemptRecord(seq, time.UnixMicro(0), 0))
-	case payload[0] == recEnded && p.ended == nil:
-		j.apply(endedRecord(seq, ending{failed: true}))
-	} // the outcome of an attempt: without it the attempt may have run
+	case payload[0] == recordFinal && m.final == nil:
+		j.apply(finalRecord(seq, finalAnswer{failed: true}))
+	} // of the outcome of an attempt nothing is applied: without it the attempt may have run
 	return true
 }
 
-// endLive ends all that is live as failed. A notice of what is already over does no harm.
-func (j *journal) endLive() {
-	for seq, p := range j.live {
-		if p.ended == nil {
-			j.apply(endedRecord(seq, ending{failed: true}))
+// failAllLive ends all live messages as failed. A repeated notice of one that had ended does no harm.
+func (j *journal) failAllLive() {
+	for seq, m := range j.live {
+		if m.final == nil {
+			j.apply(finalRecord(seq, finalAnswer{failed: true}))
 		}
 	}
 }
 
-// fields reads the fields of a payload; bad is set when it is too short.
-type fields struct {
-	b   []byte
-	bad bool
+// payloadReader reads the fields of a payload; bad is set when the payload is too short.
+type payloadReader struct {
+	rest []byte
+	bad  bool
 }
 
-func (f *fields) number() uint64 {
-	v, n := binary.Uvarint(f.b)
+func (r *payloadReader) uvarint() uint64 {
+	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
-		f.bad, f.b = true, nil
+		r.bad, r.rest = true, nil
 		return 0
 	}
-	f.b = f.b[n:]
+	r.rest = r.rest[n:]
 	return v
 }
 
-func (f *fields) bytes() []byte {
-	n := f.number()
-	if n > uint64(len(f.b)) {
-		f.bad, f.b = true, nil
+func (r *payloadReader) bytes() []byte {
+	n := r.uvarint()
+	if n > uint64(len(r.rest)) {
+		r.bad, r.rest = true, nil
 		return nil
 	}
-	v := f.b[:n]
-	f.b = f.b[n:]
+	v := r.rest[:n]
+	r.rest = r.rest[n:]
 	return v
 }
 
-func (f *fields) time() time.Time { return time.UnixMicro(int64(f.number())) }
+func (r *payloadReader) time() time.Time { return time.UnixMicro(int64(r.uvarint())) }
 
 func appendBytes(b, v []byte) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(v))), v...)
@@ -258,92 +263,92 @@
 	return binary.AppendUvarint(b, uint64(t.UnixMicro()))
 }
 
-// apply brings what is live up to date with one record.
+// apply updates the live state with one record.
 func (j *journal) apply(payload []byte) {
-	f := &fields{b: payload[1:]}
-	seq := f.number()
-	if payload[0] >= recListed {
-		j.applyEndpoint(payload[0], f)
+	r := &payloadReader{rest: payload[1:]}
+	seq := r.uvarint()
+	if payload[0] >= recordListed {
+		j.applyEndpoint(payload[0], r)
 		return
 	}
-	j.next = max(j.next, seq+1)
-	p := j.live[seq]
-	if p == nil && payload[0] != recAccepted {
+	j.nextSeq = max(j.nextSeq, seq+1)
+	m := j.live[seq]
+	if m == nil && payload[0] != recordAccepted {
 		return
 	}
 	switch payload[0] {
-	case recAccepted:
-		p = &past{seq: seq, id: string(f.bytes()), key: string(f.bytes()), class: int(f.number()), dest: int(f.number()),
-			deadline: f.time(), body: f.bytes(), tenant: -1}
-		if len(f.b) > 0 { // not in records of old
-			p.tenant = int(f.number()) - 1
+	case recordAccepted:
+		m = &pendingMessage{seq: seq, id: string(r.bytes()), key: string(r.bytes()), class: int(r.uvarint()), dest: int(r.uvarint()),
+			deadline: r.time(), body: r.bytes(), tenant: -1}
+		if len(r.rest) > 0 { // records of older builds end here
+			m.tenant = int(r.uvarint()) - 1
 		}
-		if !f.bad {
-			j.live[seq] = p
-			j.held += p.size()
+		if !r.bad {
+			j.live[seq] = m
+			j.liveSize += m.size()
 		}
-	case recAttempt:
-		s := pastSend{at: f.time(), zone: int(f.number())}
-		if !f.bad && p.ended == nil { // which it is after a record that can't be read
-			p.sends = append(p.sends, s)
+	case recordAttempt:
+		a := pastAttempt{sentAt: r.time(), zone: int(r.uvarint())}
+		if !r.bad && m.final == nil { // a message already has its final answer after a record that can't be read
+			m.attempts = append(m.attempts, a)
 		}
-	case recNotRun:
-		if n := f.number(); !f.bad && n < uint64(len(p.sends)) {
-			p.sends[n].notRun, p.sends[n].failed = true, true
+	case recordNotRun:
+		if n := r.uvarint(); !r.bad && n < uint64(len(m.attempts)) {
+			m.attempts[n].notRun, m.attempts[n].failed = true, true
 		}
-	case recTurnedAway:
-		if n := f.number(); !f.bad && n < uint64(len(p.sends)) {
-			p.sends[n].notRun = true
+	case recordRejected:
+		if n := r.uvarint(); !r.bad && n < uint64(len(m.attempts)) {
+			m.attempts[n].notRun = true
 		}
-	case recFailed:
-		if n := f.number(); !f.bad && n < uint64(len(p.sends)) {
-			p.sends[n].failed = true
+	case recordFailed:
+		if n := r.uvarint(); !r.bad && n < uint64(len(m.attempts)) {
+			m.attempts[n].failed = true
 		}
-	case recEnded:
-		e := &ending{failed: f.number() == 1, after: time.Duration(f.number()) * time.Millisecond}
-		if !f.bad {
-			j.held -= p.size()
-			p.ended, p.body, p.sends = e, nil, nil // only the notice is owed
-			j.held += p.size()
+	case recordFinal:
+		final := &finalAnswer{failed: r.uvarint() == 1, retryAfter: time.Duration(r.uvarint()) * time.Millisecond}
+		if !r.bad {
+			j.liveSize -= m.size()
+			m.final, m.body, m.attempts = final, nil, nil // only the notice is owed
+			j.liveSize += m.size()
 		}
-	case recOver:
-		j.held -= p.size()
+	case recordDone:
+		j.liveSize -= m.size()
 		delete(j.live, seq)
 	}
 }
 
 // applyEndpoint is apply for the records of endpoints.
-func (j *journal) applyEndpoint(kind byte, f *fields) {
-	id, at := string(f.bytes()), f.time()
-	if f.bad {
+func (j *journal) applyEndpoint(kind byte, r *payloadReader) {
+	id, at := string(r.bytes()), r.time()
+	if r.bad {
 		return
 	}
-	if _, known := j.barred[id]; !known {
-		j.known = append(j.known, id)
-		j.held += endpointSize(id)
-		if i := slices.IndexFunc(j.known, func(id string) bool { return !j.barred[id] }); len(j.known) > maxKnown && i >= 0 {
-			j.held -= endpointSize(j.known[i])
-			delete(j.barred, j.known[i])
-			delete(j.lifted, j.known[i])
-			j.known = slices.Delete(j.known, i, i+1)
+	if _, known := j.disabled[id]; !known {
+		j.knownEndpoints = append(j.knownEndpoints, id)
+		j.liveSize += endpointSize(id)
+		if i := slices.IndexFunc(j.knownEndpoints, func(id string) bool { return !j.disabled[id] }); len(j.knownEndpoints) > maxKnown && i >= 0 {
+			j.liveSize -= endpointSize(j.knownEndpoints[i])
+			delete(j.disabled, j.knownEndpoints[i])
+			delete(j.enabledAt, j.knownEndpoints[i])
+			j.knownEndpoints = slices.Delete(j.knownEndpoints, i, i+1)
 		}
 	}
-	j.barred[id] = kind == recBarred || (kind == recListed && j.barred[id])
-	if kind == recLifted {
-		j.lifted[id] = at
+	j.disabled[id] = kind == recordDisabled || (kind == recordListed && j.disabled[id])
+	if kind == recordEnabled {
+		j.enabledAt[id] = at
 	}
 }
 
-// endpointSize is the room that an endpoint takes in the journal, with a ban.
-func endpointSize(id string) int64 { return 2 * int64(recordHead+len(id)+16) }
+// endpointSize is the room that an endpoint takes in the journal, including its record as disabled.
+func endpointSize(id string) int64 { return 2 * int64(recordHeaderSize+len(id)+16) }
 
 func endpointRecord(kind byte, id string, at time.Time) []byte {
-	return appendTime(appendBytes(record(kind, 0), []byte(id)), at)
+	return appendTime(appendBytes(newRecord(kind, 0), []byte(id)), at)
 }
 
-// add queues a record for the next flush, and brings what is live up to date.
+// add queues a record for the next flush and updates the live state.
 func (j *journal) add(payload []byte) {
-	j.pending = appendRecord(j.pending, payload)
+	j.unwritten = appendRecord(j.unwritten, payload)
 	j.apply(payload)
 }
 
@@ -353,80 +358,82 @@
 	return append(b, payload...)
 }
 
-func record(kind byte, seq uint64) []byte { return binary.AppendUvarint([]byte{kind}, seq) }
+func newRecord(kind byte, seq uint64) []byte { return binary.AppendUvarint([]byte{kind}, seq) }
 
-func acceptedRecord(p *past) []byte {
-	b := record(recAccepted, p.seq)
-	b = appendBytes(appendBytes(b, []byte(p.id)), []byte(p.key))
-	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(p.class)), uint64(p.dest))
-	return binary.AppendUvarint(appendBytes(appendTime(b, p.deadline), p.body), uint64(p.tenant+1))
+func acceptedRecord(m *pendingMessage) []byte {
+	b := newRecord(recordAccepted, m.seq)
+	b = appendBytes(appendBytes(b, []byte(m.id)), []byte(m.key))
+	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(m.class)), uint64(m.dest))
+	return binary.AppendUvarint(appendBytes(appendTime(b, m.deadline), m.body), uint64(m.tenant+1))
 }
 
 func attemptRecord(seq uint64, at time.Time, zone int) []byte {
-	return binary.AppendUvarint(appendTime(record(recAttempt, seq), at), uint64(zone))
+	return binary.AppendUvarint(appendTime(newRecord(recordAttempt, seq), at), uint64(zone))
 }
 
-// outcomeRecord is of recNotRun, recTurnedAway or recFailed.
+// outcomeRecord makes a record of the kind recordNotRun, recordRejected or recordFailed.
 func outcomeRecord(kind byte, seq uint64, attempt int) []byte {
-	return binary.AppendUvarint(record(kind, seq), uint64(attempt))
+	return binary.AppendUvarint(newRecord(kind, seq), uint64(attempt))
 }
 
-func endedRecord(seq uint64, e ending) []byte {
+func finalRecord(seq uint64, final finalAnswer) []byte {
 	failed := uint64(0)
-	if e.failed {
+	if final.failed {
 		failed = 1
 	}
-	b := binary.AppendUvarint(record(recEnded, seq), failed)
-	return binary.AppendUvarint(b, uint64(e.after/time.Millisecond))
+	b := binary.AppendUvarint(newRecord(recordFinal, seq), failed)
+	return binary.AppendUvarint(b, uint64(final.retryAfter/time.Millisecond))
 }
 
-// accept numbers a new message, queues its record and returns what is kept of it; it refuses what the disk may not have room for.
-// Twice what is live must fit, since a compaction holds the old file and the new one at once.
-func (j *journal) accept(p *past) (*past, error) {
-	if j.broken {
-		return nil, errJournalDown
+// accept numbers a new message, queues its record and returns what is kept of it. It refuses a message that
+// the disk may have no room for. Twice the live state must fit, because during a compaction the old and the
+// new file both exist.
+func (j *journal) accept(m *pendingMessage) (*pendingMessage, error) {
+	if j.incomplete {
+		return nil, errJournalUnavailable
 	}
-	if 2*(j.held+p.size())+int64(len(j.pending)) > j.budget {
+	if 2*(j.liveSize+m.size())+int64(len(j.unwritten)) > j.budget {
 		return nil, errDiskBudget
 	}
-	p.seq = j.next
-	j.add(acceptedRecord(p))
-	return j.live[p.seq], nil
+	m.seq = j.nextSeq
+	j.add(acceptedRecord(m))
+	return j.live[m.seq], nil
 }
 
-// flush writes what is queued. On an error nothing that the queued records guard may be done. What is live
-// stays true all the same, and goes to a new file as soon as one can be written.
+// flush writes the queued records. After an error nothing that they guard may be done. The live state stays
+// correct all the same, and is written to a new file as soon as that is possible.
 func (j *journal) flush() error {
-	if len(j.pending) == 0 && !j.broken {
+	if len(j.unwritten) == 0 && !j.incomplete {
 		return nil
 	}
-	after := j.written + int64(len(j.pending))
-	if j.broken || after+j.held > j.budget || (after > minCompact && after > 4*j.held) {
+	after := j.fileSize + int64(len(j.unwritten))
+	if j.incomplete || after+j.liveSize > j.budget || (after > minCompactSize && after > 4*j.liveSize) {
 		return j.compact()
 	}
-	if _, err := j.f.WriteAt(j.pending, j.written); err != nil {
-		// Whole records of what is not going to be done must not be found at the next start.
-		j.pending, j.broken = nil, true
-		return fmt.Errorf("journal: %w", errors.Join(err, j.rewind()))
+	if _, err := j.file.WriteAt(j.unwritten, j.fileSize); err != nil {
+		// The next start must not find whole records of actions that are not going to be taken.
+		j.unwritten, j.incomplete = nil, true
+		return fmt.Errorf("journal: %w", errors.Join(err, j.truncateTail()))
 	}
-	j.written = after
-	j.pending = j.pending[:0]
+	j.fileSize = after
+	j.unwritten = j.unwritten[:0]
 	return nil
 }
 
-// rewind cuts off whatever stands behind the last whole record.
-func (j *journal) rewind() error {
-	return j.f.Truncate(j.written)
+// truncateTail removes whatever follows the last whole record.
+func (j *journal) truncateTail() error {
+	return j.file.Truncate(j.fileSize)
 }
 
-// compact writes what is live, queued records included, to a new file that takes the old one's place.
+// compact writes the live state, which includes the queued records, to a new file and replaces the old one
+// with it.
 func (j *journal) compact() (err error) {
-	if time.Now().Before(j.retryAt) {
-		return errJournalDown
+	if time.Now().Before(j.compactNotBefore) {
+		return errJournalUnavailable
 	}
 	defer func() {
-		if err != nil { // a full disk should not have all that is live written to it again and again
-			j.pending, j.broken, j.retryAt = nil, true, time.Now().Add(compactPause)
+		if err != nil { // without a pause, all live state would be written to a full disk again and again
+			j.unwritten, j.incomplete, j.compactNotBefore = nil, true, time.Now().Add(compactRetryDelay)
 		}
 	}()
 	f, err := os.OpenFile(j.path()+".new", os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -440,33 +447,33 @@
 	}()
 	w := bufio.NewWriterSize(f, 64<<10)
 	size := int64(0)
-	put := func(payload []byte) {
-		n, _ := w.Write(appendRecord(nil, payload)) // the error stays with w
+	writeRecord := func(payload []byte) {
+		n, _ := w.Write(appendRecord(nil, payload)) // w keeps the error
 		size += int64(n)
 	}
-	for _, id := range j.known {
-		put(endpointRecord(recListed, id, time.Now()))
-		if j.barred[id] {
-			put(endpointRecord(recBarred, id, time.Now()))
-		} else if at, ok := j.lifted[id]; ok {
-			put(endpointRecord(recLifted, id, at))
+	for _, id := range j.knownEndpoints {
+		writeRecord(endpointRecord(recordListed, id, time.Now()))
+		if j.disabled[id] {
+			writeRecord(endpointRecord(recordDisabled, id, time.Now()))
+		} else if at, ok := j.enabledAt[id]; ok {
+			writeRecord(endpointRecord(recordEnabled, id, at))
 		}
 	}
-	for _, p := range j.live {
-		put(acceptedRecord(p))
-		for i, s := range p.sends {
-			put(attemptRecord(p.seq, s.at, s.zone))
+	for _, m := range j.live {
+		writeRecord(acceptedRecord(m))
+		for i, a := range m.attempts {
+			writeRecord(attemptRecord(m.seq, a.sentAt, a.zone))
 			switch {
-			case s.notRun && s.failed:
-				put(outcomeRecord(recNotRun, p.seq, i))
-			case s.notRun:
-				put(outcomeRecord(recTurnedAway, p.seq, i))
-			case s.failed:
-				put(outcomeRecord(recFailed, p.seq, i))
+			case a.notRun && a.failed:
+				writeRecord(outcomeRecord(recordNotRun, m.seq, i))
+			case a.notRun:
+				writeRecord(outcomeRecord(recordRejected, m.seq, i))
+			case a.failed:
+				writeRecord(outcomeRecord(recordFailed, m.seq, i))
 			}
 		}
-		if p.ended != nil {
-			put(endedRecord(p.seq, *p.ended))
+		if m.final != nil {
+			writeRecord(finalRecord(m.seq, *m.final))
 		}
 	}
 	if err := w.Flush(); err != nil {
@@ -475,12 +482,12 @@
 	if err := os.Rename(f.Name(), j.path()); err != nil {
 		return err
 	}
-	old := j.f
-	j.f, j.written, j.pending, j.broken = f, size, nil, false // a large buffer is not kept
-	old.Close()                                               // nothing of the old file is needed any more
+	old := j.file
+	j.file, j.fileSize, j.unwritten, j.incomplete = f, size, nil, false // the buffer may be large, so it is not reused
+	old.Close()                                                         // an error is ignored: nothing of the old file is needed any more
 	return nil
 }
 
 func (j *journal) close() error {
-	return errors.Join(j.flush(), j.f.Close())
+	return errors.Join(j.flush(), j.file.Close())
 }
