--- a/fleet/experiment/plan.go
+++ b/fleet/experiment/plan.go
@@ -23,19 +23,19 @@
 	Length, Settle time.Duration
 
 	Zones          []string
-	PartnerKinds   []string
+	PartnerKinds   []string `json:"Kinds"`
 	Nodes          []NodePlan
 	Classes        []ClassPlan
-	Tenants        []TenantPlan
+	Tenants        []TenantPlan `json:"Members"`
 	Partners       []PartnerPlan
-	Arrivals       []Arrival // in order of time
-	RudePeers      []RudePeer
+	Arrivals       []Arrival   // in order of time
+	RudePeers      []RudePeer  `json:"Rude"`
 	Faults         []FaultPlan // in order of their start
 	Load           LoadPlan
 	Network        NetworkPlan
 	Rules          RulesPlan
 	Replicas       int           // of the directory that informs the nodes; 0: the platform does
-	DiscoveryDelay DurationRange // delay until the platform informs a node of a change
+	DiscoveryDelay DurationRange `json:"Listing"` // delay until the platform informs a node of a change
 	Expect         Expect
 }
 
@@ -57,13 +57,13 @@
 type ClassPlan struct {
 	Name            string
 	Share           float64
-	SoftDeadline    time.Duration
+	SoftDeadline    time.Duration `json:"Aim"`
 	Deadline        time.Duration
 	Worth           float64
-	WorthAtDeadline float64
+	WorthAtDeadline float64 `json:"LateWorth"`
 	Effect          judge.Effect
 	Window          time.Duration
-	PartnerKinds    []int // none: all
+	PartnerKinds    []int `json:"Kinds"` // none: all
 }
 
 // TenantPlan describes one tenant.
@@ -76,39 +76,40 @@
 // PartnerPlan describes one partner.
 type PartnerPlan struct {
 	Kind   int
-	Weight float64 // share of the traffic
-	Zones  []int   // of its endpoints
-	Config partner.Config
+	Weight float64        // share of the traffic
+	Zones  []int          // of its endpoints
+	Config partner.Config `json:"Model"`
 	Seed   uint64
 }
 
 // LoadPlan describes the clients.
 type LoadPlan struct {
-	MaxRetries      int
+	MaxRetries      int `json:"Retries"`
 	Backoff         DurationRange
-	HonorRetryAfter float64
-	ResubmitDelay   DurationRange
-	AnswerTimeout   time.Duration
-	BodyBytes       int
+	HonorRetryAfter float64       `json:"Honour"`
+	ResubmitDelay   DurationRange `json:"Again"`
+	AnswerTimeout   time.Duration `json:"Patience"`
+	BodyBytes       int           `json:"Body"`
 }
 
 // NetworkPlan holds the one-way delays between nodes and partners.
 type NetworkPlan struct {
-	SameZone, CrossZone time.Duration
-	Jitter              float64
+	SameZone  time.Duration `json:"Same"`
+	CrossZone time.Duration `json:"Cross"`
+	Jitter    float64
 }
 
 // RulesPlan holds the parameters that the settings tell the nodes.
 type RulesPlan struct {
 	MaxAttempts       int
 	DrainGrace        time.Duration
-	CollapseMultiple  float64
-	CollapseSpan      time.Duration
-	SlowStartFrom     float64
-	SlowStartDuration time.Duration
+	CollapseMultiple  float64       `json:"FallMultiple"`
+	CollapseSpan      time.Duration `json:"Fall"`
+	SlowStartFrom     float64       `json:"ColdFrom"`
+	SlowStartDuration time.Duration `json:"WarmWithin"`
 	DialTimeout       time.Duration
-	ConnIdleTimeout   time.Duration
-	MaxRetryAfter     time.Duration
+	ConnIdleTimeout   time.Duration `json:"ConnIdle"`
+	MaxRetryAfter     time.Duration `json:"MaxWait"`
 }
 
 // Arrival is a message that a client submits for the first time. Its message number is its position among the
@@ -117,16 +118,16 @@
 	At        time.Duration
 	Node      int
 	Class     int
-	Tenant    int
+	Tenant    int `json:"Member"`
 	Dest      int
-	OverShare bool // beyond its tenant's share
+	OverShare bool `json:"Over"` // beyond its tenant's share
 }
 
 // RudePeer is a misbehaving peer that connects to a node.
 type RudePeer struct {
 	At       time.Duration
 	Node     int
-	Behavior int
+	Behavior int `json:"Way"`
 }
 
 // FaultPlan is one fault on one or more targets.
@@ -138,27 +139,27 @@
 	Nodes     []int
 	Partners  []int
 	Replicas  []int
-	Direction string
+	Direction string `json:"Way"`
 	Resume    bool
-	LoseState bool
+	LoseState bool `json:"Lose"`
 }
 
-func (x FaultPlan) String() string {
-	s := x.Kind
-	if x.Size != 0 {
-		s += fmt.Sprintf(" of %.3g", x.Size)
+func (f FaultPlan) String() string {
+	s := f.Kind
+	if f.Size != 0 {
+		s += fmt.Sprintf(" of %.3g", f.Size)
 	}
-	if len(x.Partners) > 0 {
-		s += fmt.Sprintf(", partners %v", x.Partners)
+	if len(f.Partners) > 0 {
+		s += fmt.Sprintf(", partners %v", f.Partners)
 	}
-	if len(x.Nodes) > 0 {
-		s += fmt.Sprintf(", nodes %v", x.Nodes)
+	if len(f.Nodes) > 0 {
+		s += fmt.Sprintf(", nodes %v", f.Nodes)
 	}
-	if len(x.Replicas) > 0 {
-		s += fmt.Sprintf(", replicas %v", x.Replicas)
+	if len(f.Replicas) > 0 {
+		s += fmt.Sprintf(", replicas %v", f.Replicas)
 	}
-	if x.Until > 0 {
-		s += fmt.Sprintf(", until %v", x.Until.Round(time.Millisecond))
+	if f.Until > 0 {
+		s += fmt.Sprintf(", until %v", f.Until.Round(time.Millisecond))
 	}
 	return s
 }
@@ -168,20 +169,20 @@
 
 // DrawPlan returns the plan of a seed. If nodes is above 0, the fleet has that many.
 func (f File) DrawPlan(seed uint64, nodes int) Plan {
-	d := drawer{f: f, seed: seed}
+	pl := planner{f: f, seed: seed}
 	p := Plan{
 		Name: f.Name, About: f.About, Seed: seed, Zones: f.Fleet.Zones, DiscoveryDelay: f.Discovery.Delay, Expect: f.Expect,
 	}
-	r := d.source("run")
+	r := pl.source("run")
 	p.Length = f.Length.draw(r)
 	rate := f.Load.Rate.draw(r)
 	p.Load = LoadPlan{
-		MaxRetries: f.Load.MaxRetries.whole(r), Backoff: f.Load.Backoff, HonorRetryAfter: f.Load.HonorRetryAfter.draw(r), ResubmitDelay: f.Load.ResubmitDelay,
-		AnswerTimeout: f.Load.AnswerTimeout.draw(r), BodyBytes: f.Load.BodyBytes.whole(r),
+		MaxRetries: f.Load.MaxRetries.drawInt(r), Backoff: f.Load.Backoff, HonorRetryAfter: f.Load.HonorRetryAfter.draw(r), ResubmitDelay: f.Load.ResubmitDelay,
+		AnswerTimeout: f.Load.AnswerTimeout.draw(r), BodyBytes: f.Load.BodyBytes.drawInt(r),
 	}
 	p.Network = NetworkPlan{f.Network.SameZone.draw(r), f.Network.CrossZone.draw(r), f.Network.Jitter.draw(r)}
 	p.Rules = RulesPlan{
-		MaxAttempts: f.Rules.MaxAttempts.whole(r), DrainGrace: f.Rules.DrainGrace.draw(r), CollapseMultiple: f.Rules.CollapseMultiple.draw(r),
+		MaxAttempts: f.Rules.MaxAttempts.drawInt(r), DrainGrace: f.Rules.DrainGrace.draw(r), CollapseMultiple: f.Rules.CollapseMultiple.draw(r),
 		CollapseSpan: f.Rules.CollapseSpan.draw(r), SlowStartFrom: f.Rules.SlowStartFrom.draw(r), SlowStartDuration: f.Rules.SlowStartDuration.draw(r),
 		DialTimeout: f.Rules.DialTimeout.draw(r), ConnIdleTimeout: f.Rules.ConnIdleTimeout.draw(r), MaxRetryAfter: f.Rules.MaxRetryAfter.draw(r),
 	}
@@ -190,13 +191,13 @@
 			p.PartnerKinds = append(p.PartnerKinds, g.Kind)
 		}
 	}
-	d.classes(&p)
-	d.members(&p, rate)
-	d.partners(&p, rate)
-	d.nodes(&p, rate, nodes)
-	p.Replicas = f.Discovery.Replicas.whole(d.source("replicas"))
-	d.faults(&p)
-	d.arrivals(&p, rate)
+	pl.classes(&p)
+	pl.tenants(&p, rate)
+	pl.partners(&p, rate)
+	pl.nodes(&p, rate, nodes)
+	p.Replicas = f.Discovery.Replicas.drawInt(pl.source("replicas"))
+	pl.faults(&p)
+	pl.arrivals(&p, rate)
 	p.Settle = f.Settle.draw(r)
 	if p.Settle == 0 {
 		for _, c := range p.Classes {
@@ -206,19 +207,19 @@
 	return p
 }
 
-type drawer struct {
+type planner struct {
 	f    File
 	seed uint64
 }
 
 // source returns the random source of one purpose, so that a change to one part of the plan does not affect
 // the others.
-func (d drawer) source(purpose string) *rand.Rand {
-	return rand.New(rand.NewPCG(d.seed, xxhash.Sum64String(purpose)))
+func (pl planner) source(purpose string) *rand.Rand {
+	return rand.New(rand.NewPCG(pl.seed, xxhash.Sum64String(purpose)))
 }
 
 // zipfWeights returns n weights that fall with a power of their rank and sum to 1.
-func byRank(n int, exponent float64) []float64 {
+func zipfWeights(n int, exponent float64) []float64 {
 	w := make([]float64, n)
 	sum := 0.0
 	for i := range w {
@@ -231,10 +232,10 @@
 	return w
 }
 
-func (d drawer) classes(p *Plan) {
-	r := d.source("classes")
+func (pl planner) classes(p *Plan) {
+	r := pl.source("classes")
 	sum := 0.0
-	for _, c := range d.f.Classes {
+	for _, c := range pl.f.Classes {
 		effect := map[string]judge.Effect{"safe": judge.Safe, "keyed": judge.Keyed, "unsafe": judge.Unsafe}[c.Effect]
 		one := ClassPlan{
 			Name: c.Name, Share: c.Share.draw(r), SoftDeadline: c.SoftDeadline.draw(r), Deadline: c.Deadline.draw(r), Worth: c.Worth.draw(r),
@@ -247,29 +248,29 @@
 		p.Classes = append(p.Classes, one)
 	}
 	for i := range p.Classes {
-		p.Classes[i].Share = share(p.Classes[i].Share, sum, len(p.Classes))
+		p.Classes[i].Share = shareOf(p.Classes[i].Share, sum, len(p.Classes))
 	}
 }
 
 // shareOf returns part as a share of sum, or an equal share if the sum is 0.
-func share(part, sum float64, of int) float64 {
+func shareOf(part, sum float64, of int) float64 {
 	if sum <= 0 {
 		return 1 / float64(of)
 	}
 	return part / sum
 }
 
-func (d drawer) members(p *Plan, rate float64) {
-	r := d.source("members")
+func (pl planner) tenants(p *Plan, rate float64) {
+	r := pl.source("members")
 	sum := 0.0
-	for _, m := range d.f.Tenants {
+	for _, m := range pl.f.Tenants {
 		one := TenantPlan{Name: m.Name, Share: m.Share.draw(r), Allowance: m.Allowance.draw(r)}
 		sum += one.Share
 		p.Tenants = append(p.Tenants, one)
 	}
 	for i := range p.Tenants {
 		m := &p.Tenants[i]
-		m.Share = share(m.Share, sum, len(p.Tenants))
+		m.Share = shareOf(m.Share, sum, len(p.Tenants))
 		if m.Allowance == 0 {
 			m.Allowance = m.Share * rate
 		}
@@ -277,19 +278,19 @@
 }
 
 // partners draws the partners. The traffic of a partner is the sum over all classes.
-func (d drawer) partners(p *Plan, rate float64) {
-	r := d.source("partners")
+func (pl planner) partners(p *Plan, rate float64) {
+	r := pl.source("partners")
 	type group struct {
 		PartnerGroup
 		from, to int
 	}
 	var groups []group
 	weights := []float64{}
-	for _, g := range d.f.Partners {
-		n := g.Count.whole(r)
+	for _, g := range pl.f.Partners {
+		n := g.Count.drawInt(r)
 		total := g.TrafficWeight.draw(r)
 		groups = append(groups, group{g, len(weights), len(weights) + n})
-		for _, w := range byRank(n, g.ZipfExponent.draw(r)) {
+		for _, w := range zipfWeights(n, g.ZipfExponent.draw(r)) {
 			weights = append(weights, w*total)
 		}
 	}
@@ -305,12 +306,12 @@
 	for _, c := range p.Classes {
 		sum := 0.0
 		for i, w := range weights {
-			if c.takes(kind(i)) {
+			if c.sendsTo(kind(i)) {
 				sum += w
 			}
 		}
 		for i, w := range weights {
-			if c.takes(kind(i)) && sum > 0 {
+			if c.sendsTo(kind(i)) && sum > 0 {
 				traffic[i] += c.Share * w / sum
 			}
 		}
@@ -320,7 +321,7 @@
 			calls := traffic[i] * rate
 			limit := max(g.MinRate.draw(r), g.Headroom.draw(r)*calls)
 			m := partner.Config{
-				Endpoints: g.Endpoints.whole(r), MaxBatch: g.MaxBatch.whole(r), ServiceTime: g.ServiceTime.draw(r), ServiceTimeVariation: g.ServiceTimeVariation.draw(r),
+				Endpoints: g.Endpoints.drawInt(r), MaxBatch: g.MaxBatch.drawInt(r), ServiceTime: g.ServiceTime.draw(r), ServiceTimeVariation: g.ServiceTimeVariation.draw(r),
 				ExtraItemCost: g.ExtraItemCost.draw(r), RetryAfterShare: g.RetryAfterShare.draw(r), RetryAfterRange: [2]time.Duration{g.RetryAfterRange.Low, g.RetryAfterRange.High},
 				ErrorShare: g.ErrorShare.draw(r), DeferShare: g.DeferShare.draw(r), LostAnswerShare: g.LostAnswerShare.draw(r), UnreadableAnswerShare: g.UnreadableAnswerShare.draw(r),
 				SlowStartFrom: p.Rules.SlowStartFrom, SlowStartDuration: p.Rules.SlowStartDuration, CollapseMultiple: p.Rules.CollapseMultiple, CollapseSpan: p.Rules.CollapseSpan,
@@ -350,16 +351,16 @@
 			p.Partners = append(p.Partners, one)
 		}
 	}
-	most := make([]int, len(p.PartnerKinds)) // the settings tell the nodes one batch size for each kind
+	maxBatch := make([]int, len(p.PartnerKinds)) // the settings tell the nodes one batch size for each kind
 	for _, q := range p.Partners {
-		most[q.Kind] = max(most[q.Kind], q.Config.MaxBatch)
+		maxBatch[q.Kind] = max(maxBatch[q.Kind], q.Config.MaxBatch)
 	}
 	for i := range p.Partners {
-		p.Partners[i].Config.MaxBatch = most[p.Partners[i].Kind]
+		p.Partners[i].Config.MaxBatch = maxBatch[p.Partners[i].Kind]
 	}
 }
 
-func (c ClassPlan) takes(kind int) bool {
+func (c ClassPlan) sendsTo(kind int) bool {
 	return len(c.PartnerKinds) == 0 || slices.Contains(c.PartnerKinds, kind)
 }
 
@@ -372,45 +373,45 @@
 	return p.Config.Capacity()
 }
 
-func (d drawer) nodes(p *Plan, rate float64, count int) {
-	r := d.source("nodes")
-	if drawn := d.f.Fleet.Nodes.whole(r); count <= 0 {
+func (pl planner) nodes(p *Plan, rate float64, count int) {
+	r := pl.source("nodes")
+	if drawn := pl.f.Fleet.Nodes.drawInt(r); count <= 0 {
 		count = drawn
 	}
-	weights := byRank(count, d.f.Fleet.ZipfExponent.draw(r))
+	weights := zipfWeights(count, pl.f.Fleet.ZipfExponent.draw(r))
 	r.Shuffle(count, func(i, j int) { weights[i], weights[j] = weights[j], weights[i] })
-	out := 0.0 // mean time that a call is in flight, in seconds
+	meanCallSeconds := 0.0 // mean time that a call is in flight, in seconds
 	for _, q := range p.Partners {
-		out += q.Weight * (q.Config.ServiceTime + p.Network.SameZone + p.Network.CrossZone).Seconds()
+		meanCallSeconds += q.Weight * (q.Config.ServiceTime + p.Network.SameZone + p.Network.CrossZone).Seconds()
 	}
-	room, hold := d.f.Fleet.SlotHeadroom.draw(r), d.f.Fleet.HoldTime.draw(r).Seconds()
+	slotHeadroom, holdSeconds := pl.f.Fleet.SlotHeadroom.draw(r), pl.f.Fleet.HoldTime.draw(r).Seconds()
 	for i, w := range weights {
 		p.Nodes = append(p.Nodes, NodePlan{
 			Name: fmt.Sprintf("n%d", i), Zone: i % len(p.Zones), Weight: w,
-			Slots:   max(d.f.Fleet.MinSlots.whole(r), int(math.Ceil(w*rate*out*room))),
-			MaxOpen: max(d.f.Fleet.MinOpen.whole(r), int(w*rate*hold)),
-			Cores:   d.f.Fleet.Cores.draw(r), MemoryMB: d.f.Fleet.MemoryMB.whole(r), Sockets: d.f.Fleet.Sockets.whole(r),
-			DiskMB: d.f.Fleet.DiskMB.draw(r), Seed: r.Uint64(),
+			Slots:   max(pl.f.Fleet.MinSlots.drawInt(r), int(math.Ceil(w*rate*meanCallSeconds*slotHeadroom))),
+			MaxOpen: max(pl.f.Fleet.MinOpen.drawInt(r), int(w*rate*holdSeconds)),
+			Cores:   pl.f.Fleet.Cores.draw(r), MemoryMB: pl.f.Fleet.MemoryMB.drawInt(r), Sockets: pl.f.Fleet.Sockets.drawInt(r),
+			DiskMB: pl.f.Fleet.DiskMB.draw(r), Seed: r.Uint64(),
 		})
 	}
 }
 
-func (d drawer) faults(p *Plan) {
-	for i, x := range d.f.Faults {
-		r := d.source(fmt.Sprintf("fault %d", i))
+func (pl planner) faults(p *Plan) {
+	for i, x := range pl.f.Faults {
+		r := pl.source(fmt.Sprintf("fault %d", i))
 		one := FaultPlan{
 			Kind: x.Kind, At: x.At.draw(r), Size: x.Size.draw(r), Direction: cmp.Or(x.Direction, "both"), Resume: x.ConnsAfter == "resume", LoseState: x.LoseState,
 		}
 		if x.Size == (NumberRange{}) && slices.Contains([]string{"failing", "lossy", "silent", "swallow"}, x.Kind) {
 			one.Size = 1
 		}
-		if last := x.Duration.draw(r); last > 0 {
-			one.Until = one.At + last
+		if duration := x.Duration.draw(r); duration > 0 {
+			one.Until = one.At + duration
 		}
 		step := x.StepInterval.draw(r)
-		partners, nodes := d.aimPartners(r, x, p), d.aimNodes(r, x, p)
+		partners, nodes := pl.targetPartners(r, x, p), pl.targetNodes(r, x, p)
 		var replicas []int
-		if FaultKinds[x.Kind].aim&atReplicas != 0 {
+		if FaultKinds[x.Kind].targets&atReplicas != 0 {
 			replicas = r.Perm(p.Replicas)
 		}
 		if step == 0 {
@@ -419,7 +420,7 @@
 			continue
 		}
 		// One target after another. Only one kind of targets steps; the other stays the same.
-		stepNodes := FaultKinds[x.Kind].aim&atNodes != 0
+		stepNodes := FaultKinds[x.Kind].targets&atNodes != 0
 		steps := len(partners)
 		if stepNodes {
 			steps = len(nodes)
@@ -447,10 +448,10 @@
 	slices.SortStableFunc(p.Faults, func(a, b FaultPlan) int { return cmp.Compare(a.At, b.At) })
 }
 
-func (d drawer) aimPartners(r *rand.Rand, x Fault, p *Plan) []int {
+func (pl planner) targetPartners(r *rand.Rand, x Fault, p *Plan) []int {
 	order := r.Perm(len(p.Partners))
 	switch {
-	case FaultKinds[x.Kind].aim&atPartners == 0:
+	case FaultKinds[x.Kind].targets&atPartners == 0:
 		return nil
 	case x.Partners != nil:
 		return x.Partners
@@ -465,10 +466,10 @@
 	return slices.Sorted(slices.Values(order))
 }
 
-func (d drawer) aimNodes(r *rand.Rand, x Fault, p *Plan) []int {
+func (pl planner) targetNodes(r *rand.Rand, x Fault, p *Plan) []int {
 	order := r.Perm(len(p.Nodes))
 	switch {
-	case FaultKinds[x.Kind].aim&atNodes == 0:
+	case FaultKinds[x.Kind].targets&atNodes == 0:
 		return nil
 	case x.Nodes != nil:
 		return slices.DeleteFunc(slices.Clone(x.Nodes), func(n int) bool { return n >= len(p.Nodes) })
@@ -489,30 +490,30 @@
 
 // arrivals draws when messages are submitted: a Poisson process whose rate is multiplied by bursts, and
 // clumps.
-func (d drawer) arrivals(p *Plan, rate float64) {
-	r := d.source("arrivals")
-	clumps := d.f.Load.ClumpShare.draw(r)
-	lift := func(at time.Duration) float64 {
-		by := 1.0
+func (pl planner) arrivals(p *Plan, rate float64) {
+	r := pl.source("arrivals")
+	clumps := pl.f.Load.ClumpShare.draw(r)
+	burstFactor := func(at time.Duration) float64 {
+		factor := 1.0
 		for _, x := range p.Faults {
 			if x.Kind == "burst" && at >= x.At && at < x.Until {
-				by *= x.Size
+				factor *= x.Size
 			}
 		}
-		return by
+		return factor
 	}
-	top := 1.0
+	maxFactor := 1.0
 	for _, x := range p.Faults {
 		if x.Kind == "burst" {
-			top = max(top, lift(x.At))
+			maxFactor = max(maxFactor, burstFactor(x.At))
 		}
 	}
-	nodes, members, classes := make([]float64, len(p.Nodes)), make([]float64, len(p.Tenants)), make([]float64, len(p.Classes))
+	nodes, tenants, classes := make([]float64, len(p.Nodes)), make([]float64, len(p.Tenants)), make([]float64, len(p.Classes))
 	for i, n := range p.Nodes {
 		nodes[i] = n.Weight
 	}
 	for i, m := range p.Tenants {
-		members[i] = m.Share
+		tenants[i] = m.Share
 	}
 	for i, c := range p.Classes {
 		classes[i] = c.Share
@@ -521,19 +522,19 @@
 	for c := range p.Classes {
 		for _, q := range p.Partners {
 			w := 0.0
-			if p.Classes[c].takes(q.Kind) {
+			if p.Classes[c].sendsTo(q.Kind) {
 				w = q.Weight
 			}
 			dests[c] = append(dests[c], w)
 		}
 	}
-	single := rate * (1 - clumps)
-	for at := next(r, single*top); at < p.Length; at += next(r, single*top) {
-		if r.Float64()*top > lift(at) {
+	singleRate := rate * (1 - clumps)
+	for at := nextArrival(r, singleRate*maxFactor); at < p.Length; at += nextArrival(r, singleRate*maxFactor) {
+		if r.Float64()*maxFactor > burstFactor(at) {
 			continue
 		}
-		c := pick(r, classes)
-		p.Arrivals = append(p.Arrivals, Arrival{At: at, Node: pick(r, nodes), Class: c, Tenant: pick(r, members), Dest: pick(r, dests[c])})
+		c := pickWeighted(r, classes)
+		p.Arrivals = append(p.Arrivals, Arrival{At: at, Node: pickWeighted(r, nodes), Class: c, Tenant: pickWeighted(r, tenants), Dest: pickWeighted(r, dests[c])})
 	}
 	if clumps > 0 {
 		weights := make([]float64, len(p.Partners))
@@ -541,55 +542,55 @@
 		size := func(q PartnerPlan, s time.Duration) float64 { return max(1, q.TotalRate()*s.Seconds()) }
 		for i, q := range p.Partners {
 			weights[i] = q.Weight
-			mean += q.Weight * size(q, (d.f.Load.ClumpSize.Low+d.f.Load.ClumpSize.High)/2)
+			mean += q.Weight * size(q, (pl.f.Load.ClumpSize.Low+pl.f.Load.ClumpSize.High)/2)
 		}
-		every := rate * clumps / mean
-		for at := next(r, every); at < p.Length; at += next(r, every) {
-			dest := pick(r, weights)
-			node, member := pick(r, nodes), pick(r, members)
-			over := d.f.Load.ClumpDuration.draw(r)
-			for range int(size(p.Partners[dest], d.f.Load.ClumpSize.draw(r))) {
-				c := pick(r, classes)
-				if !p.Classes[c].takes(p.Partners[dest].Kind) {
+		clumpRate := rate * clumps / mean
+		for at := nextArrival(r, clumpRate); at < p.Length; at += nextArrival(r, clumpRate) {
+			dest := pickWeighted(r, weights)
+			node, tenant := pickWeighted(r, nodes), pickWeighted(r, tenants)
+			duration := pl.f.Load.ClumpDuration.draw(r)
+			for range int(size(p.Partners[dest], pl.f.Load.ClumpSize.draw(r))) {
+				c := pickWeighted(r, classes)
+				if !p.Classes[c].sendsTo(p.Partners[dest].Kind) {
 					continue
 				}
 				p.Arrivals = append(p.Arrivals, Arrival{
-					At: at + time.Duration(r.Float64()*float64(over)), Node: node, Class: c, Tenant: member, Dest: dest,
+					At: at + time.Duration(r.Float64()*float64(duration)), Node: node, Class: c, Tenant: tenant, Dest: dest,
 				})
 			}
 		}
 	}
 	slices.SortStableFunc(p.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	p.Arrivals = slices.DeleteFunc(p.Arrivals, func(a Arrival) bool { return a.At >= p.Length })
-	overShare(p)
-	if rude := d.f.Load.RudePeerRate.draw(r); rude > 0 {
-		for at := next(r, rude); at < p.Length; at += next(r, rude) {
+	markOverShare(p)
+	if peerRate := pl.f.Load.RudePeerRate.draw(r); peerRate > 0 {
+		for at := nextArrival(r, peerRate); at < p.Length; at += nextArrival(r, peerRate) {
 			p.RudePeers = append(p.RudePeers, RudePeer{At: at, Node: r.IntN(len(p.Nodes)), Behavior: r.IntN(1 << 20)})
 		}
 	}
 }
 
 // markOverShare marks arrivals beyond a tenant's share: more than its allowance of the last two seconds.
-func overShare(p *Plan) {
+func markOverShare(p *Plan) {
 	const span = 2 * time.Second
-	room := make([]float64, len(p.Tenants))
+	tokens := make([]float64, len(p.Tenants))
 	last := make([]time.Duration, len(p.Tenants))
 	for i, m := range p.Tenants {
-		room[i] = m.Allowance * span.Seconds()
+		tokens[i] = m.Allowance * span.Seconds()
 	}
 	for i := range p.Arrivals {
 		a := &p.Arrivals[i]
 		m := p.Tenants[a.Tenant]
-		room[a.Tenant] = min(max(m.Allowance*span.Seconds(), 1), room[a.Tenant]+m.Allowance*(a.At-last[a.Tenant]).Seconds())
+		tokens[a.Tenant] = min(max(m.Allowance*span.Seconds(), 1), tokens[a.Tenant]+m.Allowance*(a.At-last[a.Tenant]).Seconds())
 		last[a.Tenant] = a.At
-		if a.OverShare = room[a.Tenant] < 1; !a.OverShare {
-			room[a.Tenant]--
+		if a.OverShare = tokens[a.Tenant] < 1; !a.OverShare {
+			tokens[a.Tenant]--
 		}
 	}
 }
 
 // nextArrival draws the time to the next event of a Poisson process with the given rate per second.
-func next(r *rand.Rand, rate float64) time.Duration {
+func nextArrival(r *rand.Rand, rate float64) time.Duration {
 	if rate <= 0 {
 		return math.MaxInt64 / 4
 	}
@@ -597,7 +598,7 @@
 }
 
 // pickWeighted draws an index by weight.
-func pick(r *rand.Rand, weights []float64) int {
+func pickWeighted(r *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
--- a/fleet/ownership/agree_test.go
+++ b/fleet/ownership/agree_test.go
@@ -21,124 +21,124 @@
 }
 
 // request is an action on its way to the directory, or its answer on the way back.
-type sent struct {
-	who, life int
+type request struct {
+	from, run int
 	holder    string
 	action    Action
 	answer    Answer
 }
 
 // controller runs one Publisher after another; each is one run of an operator's command.
-type process struct {
-	life    int
+type controller struct {
+	run     int
 	holder  string
-	w       writer
-	waiting Action
+	writer  writer
+	pending Action
 	ended   bool
 }
 
 // simulation has two controllers and the directory's record, kept by the catalog's own state machine.
-type world struct {
-	rng      *rand.Rand
-	make     func(*world) writer
-	state    *catalog.State
-	all      [2]process
-	asks     []sent
-	answers  []sent
-	variants []*Map // first maps made in advance, which saves the time of Make
-	given    map[int64][]byte
-	last     int64
-	wrote    map[[2]int]bool // runs whose writes took effect
-	never    map[[2]int]bool // runs that ended certain that they wrote nothing
-	count    map[string]int
-	bad      []string
+type simulation struct {
+	rng          *rand.Rand
+	newWriter    func(*simulation) writer
+	state        *catalog.State
+	controllers  [2]controller
+	requests     []request
+	answers      []request
+	variants     []*Map // first maps made in advance, which saves the time of Make
+	mapsByNumber map[int64][]byte
+	lastNumber   int64
+	wrote        map[[2]int]bool // runs whose writes took effect
+	wroteNothing map[[2]int]bool // runs that ended certain that they wrote nothing
+	counts       map[string]int
+	violations   []string
 }
 
-func newWorld(seed uint64, variants []*Map, make_ func(*world) writer) *world {
-	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 7)), make: make_, state: catalog.New(), variants: variants, given: map[int64][]byte{}, wrote: map[[2]int]bool{},
-		never: map[[2]int]bool{}, count: map[string]int{},
+func newSimulation(seed uint64, variants []*Map, newWriter func(*simulation) writer) *simulation {
+	sim := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 7)), newWriter: newWriter, state: catalog.New(), variants: variants, mapsByNumber: map[int64][]byte{}, wrote: map[[2]int]bool{},
+		wroteNothing: map[[2]int]bool{}, counts: map[string]int{},
 	}
-	w.state.Apply(catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
-	for i := range w.all {
-		w.restart(i)
+	sim.state.Apply(catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
+	for i := range sim.controllers {
+		sim.restart(i)
 	}
-	return w
+	return sim
 }
 
 // variant returns a map with the given number; its members are chosen at random.
-func (w *world) variant(number int64) *Map {
-	m := *w.variants[w.rng.IntN(len(w.variants))]
+func (sim *simulation) variant(number int64) *Map {
+	m := *sim.variants[sim.rng.IntN(len(sim.variants))]
 	m.Number = number
 	return &m
 }
 
-func (w *world) restart(i int) {
-	p := &w.all[i]
-	p.life++
-	if w.rng.IntN(2) == 0 || p.holder == "" { // otherwise under the same name, like an operator who runs the command again
-		p.holder = fmt.Sprintf("c%d.%d", i, p.life)
+func (sim *simulation) restart(i int) {
+	ctl := &sim.controllers[i]
+	ctl.run++
+	if sim.rng.IntN(2) == 0 || ctl.holder == "" { // otherwise under the same name, like an operator who runs the command again
+		ctl.holder = fmt.Sprintf("c%d.%d", i, ctl.run)
 	}
-	if w.rng.IntN(20) == 0 {
-		p.holder = w.all[1-i].holder + "" // or, by mistake, under the name of the other
-		if p.holder == "" {
-			p.holder = "c"
+	if sim.rng.IntN(20) == 0 {
+		ctl.holder = sim.controllers[1-i].holder + "" // or, by mistake, under the name of the other
+		if ctl.holder == "" {
+			ctl.holder = "c"
 		}
 	}
-	p.w, p.ended = w.make(w), false
-	w.do(i, p.w.Begin())
+	ctl.writer, ctl.ended = sim.newWriter(sim), false
+	sim.start(i, ctl.writer.Begin())
 }
 
-func (w *world) do(i int, a Action) {
-	p := &w.all[i]
-	p.waiting = a
+func (sim *simulation) start(i int, a Action) {
+	ctl := &sim.controllers[i]
+	ctl.pending = a
 	if a.Operation != End {
-		w.asks = append(w.asks, sent{who: i, life: p.life, holder: p.holder, action: a})
+		sim.requests = append(sim.requests, request{from: i, run: ctl.run, holder: ctl.holder, action: a})
 		return
 	}
-	p.ended = true
-	key := [2]int{i, p.life}
+	ctl.ended = true
+	key := [2]int{i, ctl.run}
 	switch {
 	case a.Map != nil:
-		w.count["ended with a map"]++
+		sim.counts["ended with a map"]++
 		raw, err := a.Map.Encode()
-		if err != nil || !bytes.Equal(w.given[a.Map.Number], raw) {
-			w.bad = append(w.bad, fmt.Sprintf("controller %d reports that it wrote map %d, which was not written (%v)", i, a.Map.Number, err))
+		if err != nil || !bytes.Equal(sim.mapsByNumber[a.Map.Number], raw) {
+			sim.violations = append(sim.violations, fmt.Sprintf("controller %d reports that it wrote map %d, which was not written (%v)", i, a.Map.Number, err))
 		}
 	case errors.Is(a.Err, ErrAmbiguous):
-		w.count["ended ambiguous"]++
+		sim.counts["ended ambiguous"]++
 	case a.Err != nil:
-		w.count["ended without a map"]++
-		w.never[key] = true
-		if w.wrote[key] {
-			w.bad = append(w.bad, fmt.Sprintf("controller %d reports that it wrote nothing, but it did: %v", i, a.Err))
+		sim.counts["ended without a map"]++
+		sim.wroteNothing[key] = true
+		if sim.wrote[key] {
+			sim.violations = append(sim.violations, fmt.Sprintf("controller %d reports that it wrote nothing, but it did: %v", i, a.Err))
 		}
 	default:
-		w.bad = append(w.bad, fmt.Sprintf("controller %d ended without a map or an error", i))
+		sim.violations = append(sim.violations, fmt.Sprintf("controller %d ended without a map or an error", i))
 	}
 }
 
 // serve carries out a request at the directory.
-func (w *world) serve(s sent) Answer {
+func (sim *simulation) serve(s request) Answer {
 	ans := Answer{Seq: s.action.Seq, Outcome: Done}
 	var r catalog.Result
 	switch s.action.Operation {
 	case Acquire:
-		r = w.state.Apply(catalog.Command{Acquire: &catalog.RecordOp{Name: RecordName, Holder: s.holder, TTL: 10_000}})
+		r = sim.state.Apply(catalog.Command{Acquire: &catalog.RecordOp{Name: RecordName, Holder: s.holder, TTL: 10_000}})
 		ans.Token = r.Token
 	case Read:
-		record, ok := w.state.Record(RecordName)
+		record, ok := sim.state.Record(RecordName)
 		if !ok {
 			r.Err = catalog.ErrNotFound
 		}
 		ans.Value = record.Value
 	case Update:
-		r = w.state.Apply(catalog.Command{Update: &catalog.RecordOp{Name: RecordName, Token: s.action.Token, Value: s.action.Value}})
+		r = sim.state.Apply(catalog.Command{Update: &catalog.RecordOp{Name: RecordName, Token: s.action.Token, Value: s.action.Value}})
 		if r.Err == nil {
-			w.written(s)
+			sim.checkWrite(s)
 		}
 	case Release:
-		r = w.state.Apply(catalog.Command{Release: &catalog.RecordOp{Name: RecordName, Token: s.action.Token}})
+		r = sim.state.Apply(catalog.Command{Release: &catalog.RecordOp{Name: RecordName, Token: s.action.Token}})
 	}
 	if r.Err != nil {
 		ans.Outcome, ans.Err = Refused, r.Err
@@ -147,104 +147,104 @@
 }
 
 // checkWrite checks each value that is written.
-func (w *world) written(s sent) {
+func (sim *simulation) checkWrite(s request) {
 	m, err := Decode(s.action.Value)
 	if err != nil {
-		w.bad = append(w.bad, fmt.Sprint("decode the written value: ", err))
+		sim.violations = append(sim.violations, fmt.Sprint("decode the written value: ", err))
 		return
 	}
-	w.count["written"]++
-	key := [2]int{s.who, s.life}
-	w.wrote[key] = true
-	if w.never[key] {
-		w.bad = append(w.bad, fmt.Sprintf("controller %d reported that it wrote nothing, but its map %d was written later", s.who, m.Number))
+	sim.counts["written"]++
+	key := [2]int{s.from, s.run}
+	sim.wrote[key] = true
+	if sim.wroteNothing[key] {
+		sim.violations = append(sim.violations, fmt.Sprintf("controller %d reported that it wrote nothing, but its map %d was written later", s.from, m.Number))
 	}
-	if old, ok := w.given[m.Number]; ok && !bytes.Equal(old, s.action.Value) {
-		w.bad = append(w.bad, fmt.Sprintf("number %d was used for two maps", m.Number))
-	} else if !ok && m.Number <= w.last {
-		w.bad = append(w.bad, fmt.Sprintf("number %d was written after %d", m.Number, w.last))
+	if old, ok := sim.mapsByNumber[m.Number]; ok && !bytes.Equal(old, s.action.Value) {
+		sim.violations = append(sim.violations, fmt.Sprintf("number %d was used for two maps", m.Number))
+	} else if !ok && m.Number <= sim.lastNumber {
+		sim.violations = append(sim.violations, fmt.Sprintf("number %d was written after %d", m.Number, sim.lastNumber))
 	}
-	w.given[m.Number], w.last = s.action.Value, max(w.last, m.Number)
+	sim.mapsByNumber[m.Number], sim.lastNumber = s.action.Value, max(sim.lastNumber, m.Number)
 }
 
-func (w *world) tell(i int, ans Answer) {
-	if next, ok := w.all[i].w.Step(ans); ok {
-		w.do(i, next)
+func (sim *simulation) deliver(i int, ans Answer) {
+	if next, ok := sim.controllers[i].writer.Step(ans); ok {
+		sim.start(i, next)
 	}
 }
 
 // step makes one thing happen; faults is the share of faults among them.
-func (w *world) step(faults float64) {
-	pull := func(from *[]sent) sent {
-		i := w.rng.IntN(len(*from))
+func (sim *simulation) step(faults float64) {
+	pull := func(from *[]request) request {
+		i := sim.rng.IntN(len(*from))
 		s := (*from)[i]
 		*from = slices.Delete(*from, i, i+1)
 		return s
 	}
-	i := w.rng.IntN(2)
-	p := &w.all[i]
-	if w.rng.Float64() < faults {
-		stage := p.waiting.Operation
-		switch w.rng.IntN(8) {
+	i := sim.rng.IntN(2)
+	ctl := &sim.controllers[i]
+	if sim.rng.Float64() < faults {
+		stage := ctl.pending.Operation
+		switch sim.rng.IntN(8) {
 		case 0:
-			w.count[fmt.Sprint("killed at ", stage)]++
-			w.restart(i)
+			sim.counts[fmt.Sprint("killed at ", stage)]++
+			sim.restart(i)
 		case 1: // the controller gives up waiting for the answer; the request may still be on its way
-			w.count[fmt.Sprint("lost at ", stage)]++
-			w.tell(i, Answer{Seq: p.waiting.Seq, Outcome: Ambiguous})
+			sim.counts[fmt.Sprint("lost at ", stage)]++
+			sim.deliver(i, Answer{Seq: ctl.pending.Seq, Outcome: Ambiguous})
 		case 2:
-			w.tell(i, Answer{Seq: p.waiting.Seq, Outcome: LeaseLost})
+			sim.deliver(i, Answer{Seq: ctl.pending.Seq, Outcome: LeaseLost})
 		case 3:
-			if w.rng.IntN(4) == 0 {
-				w.tell(i, Answer{Seq: p.waiting.Seq, Outcome: TimedOut})
+			if sim.rng.IntN(4) == 0 {
+				sim.deliver(i, Answer{Seq: ctl.pending.Seq, Outcome: TimedOut})
 			}
 		case 4:
-			if len(w.asks) > 0 {
-				pull(&w.asks)
+			if len(sim.requests) > 0 {
+				pull(&sim.requests)
 			}
 		case 5:
-			if len(w.answers) > 0 {
-				pull(&w.answers)
+			if len(sim.answers) > 0 {
+				pull(&sim.answers)
 			}
 		case 6:
-			if len(w.asks) > 0 { // answered by a replica that knows no leader
-				s := pull(&w.asks)
-				w.answers = append(w.answers, sent{who: s.who, life: s.life, answer: Answer{Seq: s.action.Seq, Outcome: Refused, Err: errors.New("no leader")}})
+			if len(sim.requests) > 0 { // answered by a replica that knows no leader
+				s := pull(&sim.requests)
+				sim.answers = append(sim.answers, request{from: s.from, run: s.run, answer: Answer{Seq: s.action.Seq, Outcome: Refused, Err: errors.New("no leader")}})
 			}
 		case 7:
-			if r, ok := w.state.Record(RecordName); ok && r.Holder != "" {
-				w.count["lapsed"]++
-				w.state.Apply(catalog.Command{Expire: &catalog.Expiry{Records: []catalog.RecordOp{{Name: RecordName, Token: r.Token}}}})
+			if r, ok := sim.state.Record(RecordName); ok && r.Holder != "" {
+				sim.counts["lapsed"]++
+				sim.state.Apply(catalog.Command{Expire: &catalog.Expiry{Records: []catalog.RecordOp{{Name: RecordName, Token: r.Token}}}})
 			}
 		}
 		return
 	}
 	switch {
-	case p.ended && w.rng.IntN(4) == 0:
-		w.restart(i)
-	case len(w.answers) > 0 && w.rng.IntN(2) == 0:
-		if s := pull(&w.answers); s.life == w.all[s.who].life {
-			w.tell(s.who, s.answer)
+	case ctl.ended && sim.rng.IntN(4) == 0:
+		sim.restart(i)
+	case len(sim.answers) > 0 && sim.rng.IntN(2) == 0:
+		if s := pull(&sim.answers); s.run == sim.controllers[s.from].run {
+			sim.deliver(s.from, s.answer)
 		}
-	case len(w.asks) > 0:
-		s := pull(&w.asks)
-		w.answers = append(w.answers, sent{who: s.who, life: s.life, answer: w.serve(s)})
+	case len(sim.requests) > 0:
+		s := pull(&sim.requests)
+		sim.answers = append(sim.answers, request{from: s.from, run: s.run, answer: sim.serve(s)})
 	}
 }
 
 // newPublisher returns a correct Publisher; now and then its plan changes nothing or is refused.
-func careful(w *world) writer {
-	a := &Publisher{}
-	a.Plan = func(number int64, before *Map) (*Map, error) {
-		switch k := w.rng.IntN(12); {
+func newPublisher(sim *simulation) writer {
+	pub := &Publisher{}
+	pub.Plan = func(number int64, before *Map) (*Map, error) {
+		switch k := sim.rng.IntN(12); {
 		case k == 0 && before != nil:
 			return before, nil
 		case k == 1:
 			return nil, ErrLargeChange
 		}
-		return w.variant(number), nil
+		return sim.variant(number), nil
 	}
-	return a
+	return pub
 }
 
 func variants(t *testing.T) []*Map {
@@ -260,26 +260,26 @@
 }
 
 // runSchedules runs random schedules until one breaks a rule, and returns its seed and what was broken.
-func play(t *testing.T, from, schedules uint64, count map[string]int, make_ func(*world) writer) (uint64, []string) {
+func runSchedules(t *testing.T, from, schedules uint64, count map[string]int, newWriter func(*simulation) writer) (uint64, []string) {
 	all := variants(t)
 	for seed := from; seed < from+schedules; seed++ {
-		w := newWorld(seed, all, make_)
+		sim := newSimulation(seed, all, newWriter)
 		for range 150 {
-			w.step(0.3)
+			sim.step(0.3)
 		}
-		for k, n := range w.count {
+		for k, n := range sim.counts {
 			count[k] += n
 		}
-		if len(w.bad) > 0 {
-			return seed, w.bad
+		if len(sim.violations) > 0 {
+			return seed, sim.violations
 		}
 	}
 	return 0, nil
 }
 
-func TestAgreement(t *testing.T) {
+func TestPublisher(t *testing.T) {
 	count := map[string]int{}
-	if seed, bad := play(t, 1, 1500, count, careful); bad != nil {
+	if seed, bad := runSchedules(t, 1, 1500, count, newPublisher); bad != nil {
 		t.Fatalf("seed %d: %v", seed, bad)
 	}
 	t.Log(count)
@@ -295,20 +295,20 @@
 	}
 }
 
-func TestAgreementCheckFindsBreaches(t *testing.T) {
-	for name, double := range map[string]func(*world) writer{
-		"an ambiguous write repeated with another map": func(w *world) writer {
-			c := &Careless{Other: w.variant}
-			c.Plan = func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }
+func TestSimulationFindsFaultyPublishers(t *testing.T) {
+	for name, newWriter := range map[string]func(*simulation) writer{
+		"an ambiguous write repeated with another map": func(sim *simulation) writer {
+			c := &ResendingPublisher{OtherMap: sim.variant}
+			c.Plan = func(number int64, _ *Map) (*Map, error) { return sim.variant(number), nil }
 			return c
 		},
-		"an ambiguous write taken for not done": func(w *world) writer {
-			h := &Hasty{}
-			h.Plan = func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }
+		"an ambiguous write taken for not done": func(sim *simulation) writer {
+			h := &UnfencedPublisher{}
+			h.Plan = func(number int64, _ *Map) (*Map, error) { return sim.variant(number), nil }
 			return h
 		},
 	} {
-		seed, bad := play(t, 1, 2000, map[string]int{}, double)
+		seed, bad := runSchedules(t, 1, 2000, map[string]int{}, newWriter)
 		if bad == nil {
 			t.Errorf("%s: not found in 2000 schedules", name)
 			continue
@@ -318,35 +318,35 @@
 }
 
 // Once no message is lost, a controller writes its map in four actions, whatever happened before.
-func TestAgreementEnds(t *testing.T) {
+func TestPublisherEndsWithoutLosses(t *testing.T) {
 	all := variants(t)
 	for seed := range uint64(300) {
-		w := newWorld(seed, all, careful)
+		sim := newSimulation(seed, all, newPublisher)
 		for range 100 {
-			w.step(0.4)
+			sim.step(0.4)
 		}
-		for len(w.asks) > 0 {
-			w.step(0)
+		for len(sim.requests) > 0 {
+			sim.step(0)
 		}
-		if r, _ := w.state.Record(RecordName); r.Holder != "" {
-			w.state.Apply(catalog.Command{Expire: &catalog.Expiry{Records: []catalog.RecordOp{{Name: RecordName, Token: r.Token}}}})
+		if r, _ := sim.state.Record(RecordName); r.Holder != "" {
+			sim.state.Apply(catalog.Command{Expire: &catalog.Expiry{Records: []catalog.RecordOp{{Name: RecordName, Token: r.Token}}}})
 		}
-		a := &Publisher{Plan: func(number int64, _ *Map) (*Map, error) { return w.variant(number), nil }}
-		next, did := a.Begin(), ""
+		a := &Publisher{Plan: func(number int64, _ *Map) (*Map, error) { return sim.variant(number), nil }}
+		next, operations := a.Begin(), ""
 		for next.Operation != End {
-			did += fmt.Sprint(next.Operation)
+			operations += fmt.Sprint(next.Operation)
 			var ok bool
-			if next, ok = a.Step(w.serve(sent{who: 0, life: -1, holder: "quiet", action: next})); !ok {
+			if next, ok = a.Step(sim.serve(request{from: 0, run: -1, holder: "quiet", action: next})); !ok {
 				t.Fatalf("seed %d: Step ignored an answer", seed)
 			}
 		}
-		if next.Err != nil || next.Map == nil || next.Map.Number != w.last || did != "1234" || len(w.bad) > 0 {
-			t.Fatalf("seed %d: actions %s, last action %+v, last number %d, violations %v", seed, did, next, w.last, w.bad)
+		if next.Err != nil || next.Map == nil || next.Map.Number != sim.lastNumber || operations != "1234" || len(sim.violations) > 0 {
+			t.Fatalf("seed %d: actions %s, last action %+v, last number %d, violations %v", seed, operations, next, sim.lastNumber, sim.violations)
 		}
 	}
 }
 
-func TestAgreementReads(t *testing.T) {
+func TestPublisherReadsRecord(t *testing.T) {
 	m, err := Make(7, 2, Fleet(4, 2), nil)
 	if err != nil {
 		t.Fatal(err)
