--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -15,10 +15,10 @@
 			for i := range dests {
 				entries = append(entries, Entry{Endpoint: fmt.Sprint("e", i), Dest: i, Weight: 10})
 			}
-			cfg := settings()
+			cfg := testSettings()
 			cfg.FleetSize = 200
 			s, now := New(cfg, 1), time.Hour
-			s.Step(now, []Event{list(entries...)})
+			s.Step(now, []Event{completeList(entries...)})
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
@@ -43,11 +43,11 @@
 				for i := range endpoints {
 					entries = append(entries, Entry{Endpoint: fmt.Sprint("e", i), Weight: 1})
 				}
-				cfg := settings()
+				cfg := testSettings()
 				cfg.FleetSize, cfg.Slots, cfg.MaxOpen = 200, 8, 200
 				cfg.Kinds = []Kind{{SeparateRoutes: kind == "apart"}}
 				s, now := New(cfg, 1), time.Hour
-				s.Step(now, []Event{list(entries...)})
+				s.Step(now, []Event{completeList(entries...)})
 				var events []Event
 				for i := range 98 {
 					events = append(events, MessageArrived{ID: fmt.Sprint("m", i), Deadline: now + 24*time.Hour})
@@ -65,21 +65,21 @@
 
 // A sender without messages asks for no wake, and the lists that each step goes through are empty, however
 // many destinations it knows.
-func TestIdleSenderSleeps(t *testing.T) {
-	w := newStory(t, settings(), 1)
+func TestIdleSenderAsksForNoWake(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
 	var entries []Entry
 	for i := range 500 {
 		entries = append(entries, Entry{Endpoint: fmt.Sprint("e", i), Dest: i, Weight: 10})
 	}
-	w.step(0, list(entries...))
+	w.step(0, completeList(entries...))
 	for i := range 50 {
 		id := fmt.Sprint("m", i)
-		w.step(300*ms, w.arrive(id, 0, i))
+		w.step(300*ms, w.newMessage(id, 0, i))
 		w.step(100*ms, w.outcome(id, Success, 0))
 	}
 	asked := len(w.wakes)
 	w.step(time.Minute, WakeDue{})
-	if len(w.wakes) != asked || len(w.s.active) != 0 || len(w.s.open) != 0 {
-		t.Errorf("an idle sender asked for %d wakes and has %d active destinations", len(w.wakes)-asked, len(w.s.active))
+	if len(w.wakes) != asked || len(w.sender.activeDests) != 0 || len(w.sender.open) != 0 {
+		t.Errorf("an idle sender asked for %d wakes and has %d active destinations", len(w.wakes)-asked, len(w.sender.activeDests))
 	}
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -14,90 +14,90 @@
 
 const (
 	// Gate. The bounds of the response time ratio are the best of the paper, BBC 60-80.
-	gateUpper, gateLower = 80, 60
+	gateUpperRatio, gateLowerRatio = 80, 60
 	// A slow destination's messages expire before the ratio reaches its bounds, so shares of the deadline are
 	// bounds too.
-	deadlineShut, deadlineOpen = 0.5, 1.0 / 3
+	gateCloseDeadlineShare, gateOpenDeadlineShare = 0.5, 1.0 / 3
 	// A message that was never sent counts as this share of the deadline, just above the bound. It may be the
 	// only sample that a gate gets; counted with all its time, a single one kept the gate closed for long.
-	unsentShare  = 0.6
-	smoothing    = 0.2               // weight of a sample when samples come often
-	smoothSpan   = 2 * time.Second   // after a pause of this length a sample weighs more
-	baselineSpan = 120 * time.Second // the baseline grows by a factor of e in this time
+	unsentDeadlineShare = 0.6
+	smoothingWeight     = 0.2               // weight of a sample when samples come often
+	smoothingSpan       = 2 * time.Second   // after a pause of this length a sample weighs more
+	baselineGrowthSpan  = 120 * time.Second // the baseline grows by a factor of e in this time
 	// A failed attempt counts as at least so many soft deadlines. It must not close the gate alone, because
 	// holding messages through an outage is better than refusing them. The time they are then held closes it
 	// when it grows too long.
-	failCharge    = 1.0
-	floorResponse = 5 * time.Millisecond   // lower bound that keeps ratios finite
-	gateTrial     = 500 * time.Millisecond // pause between trial messages of a closed, idle gate
+	failureSoftDeadlines = 1.0
+	minResponseTime      = 5 * time.Millisecond   // lower bound that keeps ratios finite
+	gateTrialInterval    = 500 * time.Millisecond // pause between trial messages of a closed, idle gate
 
 	// Circuit breaker of a route.
-	failWeight = 0.05                    // weight of a call in the share of failures over all routes
-	chanceRun  = 0.02                    // a run of failures less likely than this, given that share, is no chance
-	shutWait   = 2200 * time.Millisecond // a retry-after longer than the span of any limit means that the endpoint is shut
-	trialFirst = 250 * time.Millisecond  // first pause before a half-open call,
-	trialLast  = 1000 * time.Millisecond // and the longest, a fraction of the outages that matter
-	sickCount  = 3                       // failures in a row that are an outage where failures are rare,
-	sickSpan   = 2 * time.Second         // one less if no call succeeded for this time,
-	rareCalls  = 0.5                     // or if fewer messages than this come within it
+	failureShareWeight   = 0.05                    // weight of a call in the share of failures over all routes
+	chanceRunProbability = 0.02                    // a run of failures less likely than this, given that share, is no chance
+	shutRetryAfter       = 2200 * time.Millisecond // a retry-after longer than the span of any limit means that the endpoint is shut
+	halfOpenFirstPause   = 250 * time.Millisecond  // first pause before a half-open call,
+	halfOpenMaxPause     = 1000 * time.Millisecond // and the longest, a fraction of the outages that matter
+	outageFailures       = 3                       // failures in a row that are an outage where failures are rare,
+	outageSpan           = 2 * time.Second         // one less if no call succeeded for this time,
+	rareArrivals         = 0.5                     // or if fewer messages than this come within it
 	// The load limit of a returning destination counts the calls of senders that know of the outage. A tenth
 	// less than all of it leaves room for chance.
-	knowingShare = 0.9
+	knowingSendersShare = 0.9
 	// A sender takes less than its own demand: a busy destination may be asked for more than it can do.
-	demandShare = 0.4
-	roughWeight = 1.5 // a rough weight may be too high by this factor
+	ownDemandShare    = 0.4
+	roughWeightFactor = 1.5 // a rough weight may be too high by this factor
 	// Calls above the budget of a destination in slow start, up to so many times the square root of the
 	// budget and so many more, are put down to chance.
 	chanceRoots, chanceCalls = 2, 2
 
 	// Connections.
-	farApart    = 2.0              // with a mean gap of so many idle times between calls, two in five calls come before the connection is closed
-	crowdedSpan = 30 * time.Second // idle connections are closed for this time after a sign of a full connection table
-	roomGrow    = 2.0              // calls a second that are tried above the number known to fit
-	wornSpan    = 10 * time.Second // reused connections are not trusted for this time after one broke under a call
+	rareCallIdleTimes  = 2.0              // with a mean gap of so many idle times between calls, two in five calls come before the connection is closed
+	fullTableSpan      = 30 * time.Second // idle connections are closed for this time after a sign of a full connection table
+	tableRoomPerSecond = 2.0              // calls that are tried above the number known to fit, for each second since
+	brokenConnSpan     = 10 * time.Second // reused connections are not trusted for this time after one broke under a call
 
 	// Slots.
-	slowFactor = 5                      // a call out for so many typical times makes its destination slow,
-	slowLeast  = 700 * time.Millisecond // but not before this time, to ignore noise
-	lostFactor = 10                     // after so many typical times an answer may be lost and not only late,
-	lostLeast  = 350 * time.Millisecond // but not before this time
-	slotSpan   = 2 * time.Second        // time constant of the decay of used slot time
-	sendCharge = 10 * time.Millisecond  // slot time booked when a call starts, so that calls of the same moment alternate between destinations
-	slowShare  = 0.4                    // share of the slots that all slow destinations together may hold
+	slowFactor     = 5                      // a call out for so many typical times makes its destination slow,
+	slowMin        = 700 * time.Millisecond // but not before this time, to ignore noise
+	lostFactor     = 10                     // after so many typical times an answer may be lost and not only late,
+	lostMin        = 350 * time.Millisecond // but not before this time
+	slotTimeSpan   = 2 * time.Second        // time constant of the decay of used slot time
+	slotTimeCharge = 10 * time.Millisecond  // slot time booked when a call starts, so that calls of the same moment alternate between destinations
+	slowSlotShare  = 0.4                    // share of the slots that all slow destinations together may hold
 
 	// Pacing. Rate shares are in multiples of this sender's share of the traffic.
-	partCut     = 0.6  // factor on the rate share at a rejection, once more for each in a row
-	partLeast   = 0.05 // lower bound of a decrease
-	partGrow    = 0.03 // increase in the time of one call at the own share, while calls succeed,
-	partStay    = 0.1  // and the increase of its logarithm after a rejection, less than the next one decreases it
-	partFirst   = 2.0  // above the own share at first, because sparse traffic is uneven,
-	partMost    = 4.0  // and at most this; maxBurstCalls may go at once
-	depthMost   = 3.0
-	batchMost   = 0.9                    // where waiting messages share calls, keeping to the own share costs little
-	weightSpan  = 30 * time.Second       // the share of the traffic is taken from first submissions within this time,
-	weightPrior = 3.0                    // after as many seconds of an even share before the start
-	firstSpan   = 300 * time.Millisecond // a message younger than this is a first submission
-	demandSpan  = 10 * time.Second       // this sender's own demand is the arrivals within this time
-	burstSpan   = 0.25                   // seconds of the rate that may go at once
-	refusedRest = 120 * time.Millisecond // first pause after a rejection without a retry-after
+	shareDecreaseFactor         = 0.6  // factor on the rate share at a rejection, once more for each in a row
+	minRateShare                = 0.05 // lower bound of a decrease
+	shareIncrease               = 0.03 // increase in the time of one call at the own share, while calls succeed,
+	shareIncreaseAfterRejection = 0.1  // and the increase of its logarithm after a rejection, less than the next one decreases it
+	initialRateShare            = 2.0  // above the own share at first, because sparse traffic is uneven,
+	maxRateShare                = 4.0  // and at most this; maxBurstCalls may go at once
+	maxBurstCalls               = 3.0
+	maxBatchRateShare           = 0.9                    // where waiting messages share calls, keeping to the own share costs little
+	trafficSpan                 = 30 * time.Second       // the share of the traffic is taken from first submissions within this time,
+	trafficPriorSeconds         = 3.0                    // after as many seconds of an even share before the start
+	firstTryMaxAge              = 300 * time.Millisecond // a message younger than this is a first submission
+	arrivalsSpan                = 10 * time.Second       // this sender's own demand is the arrivals within this time
+	burstSeconds                = 0.25                   // seconds of the rate that may go at once
+	firstRejectionPause         = 120 * time.Millisecond // first pause after a rejection without a retry-after
 
 	// Attempts.
-	timeoutFactor = 6                      // timeout in typical times, where a repeat is allowed,
-	timeoutGrow   = 1.5                    // growing with each failure in a row, so that a slow call succeeds in the end
-	timeoutLeast  = 0.5                    // at least this share of the soft deadline: a repeat still fits in it,
-	timeoutAims   = 2.0                    // and at most so many soft deadlines
-	retryRest     = 100 * time.Millisecond // pause of a message after a failure, doubled each time
-	drawPower     = 2                      // the probability of an endpoint falls with this power of its response time
-	sweepEvery    = 10 * time.Millisecond  // minimum time between wakes,
-	pollEvery     = 30 * time.Millisecond  // and the time between them while something waits
-	endMargin     = 15 * time.Millisecond  // final answers are given this long before the deadline
+	timeoutFactor           = 6                      // timeout in typical times, where a repeat is allowed,
+	timeoutGrowth           = 1.5                    // growing with each failure in a row, so that a slow call succeeds in the end
+	minTimeoutSoftDeadlines = 0.5                    // at least this share of the soft deadline: a repeat still fits in it,
+	maxTimeoutSoftDeadlines = 2.0                    // and at most so many soft deadlines
+	retryPause              = 100 * time.Millisecond // pause of a message after a failure, doubled each time
+	responseTimePower       = 2                      // the probability of an endpoint falls with this power of its response time
+	minWakeInterval         = 10 * time.Millisecond  // minimum time between wakes,
+	pollInterval            = 30 * time.Millisecond  // and the time between them while something waits
+	answerMargin            = 15 * time.Millisecond  // final answers are given this long before the deadline
 
 	// Stopping. A call that is cut off may have run. A message that may be repeated is sent only if so many
 	// typical times are left, one that may not only if there are more. The others are held for the next
 	// process.
-	leaveRoom, leaveRoomUnsafe = 2, 6
-	leaveLeast                 = 300 * time.Millisecond
-	leaveLeastUnsafe           = time.Second
+	stopFactor, stopFactorAtMostOnce = 2, 6
+	stopMarginMin                    = 300 * time.Millisecond
+	stopMarginMinAtMostOnce          = time.Second
 
 	// A destination is forgotten this long after its last endpoint left the list.
 	forgetAfter = 2 * time.Minute
@@ -108,14 +108,14 @@
 	source := rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)
 	s := &Sender{
 		cfg: cfg, source: source, rng: rand.New(source),
-		dests: map[int]*destination{}, eps: map[string]*endpoint{}, msgs: map[string]*message{},
-		lines: map[string][]*message{}, rests: map[string]time.Duration{}, sent: map[attempt]sending{},
-		parted: map[string]time.Duration{}, barred: map[string]bool{},
-		tenants: make([]tenant, len(cfg.Tenants)), crowded: map[int]time.Duration{},
+		dests: map[int]*destination{}, endpoints: map[string]*endpoint{}, messages: map[string]*message{},
+		keyQueues: map[string][]*message{}, keyPauses: map[string]time.Duration{}, attemptsOut: map[attempt]pendingAttempt{},
+		removedWaits: map[string]time.Duration{}, disabled: map[string]bool{},
+		tenants: make([]tenant, len(cfg.Tenants)), tableFullUntil: map[int]time.Duration{},
 	}
 	s.cfg.FleetSize = max(cfg.FleetSize, 1)
 	if cfg.WatchOnRequest {
-		s.askAt = 1 // immediately
+		s.watchAt = 1 // immediately
 	}
 	return s
 }
@@ -123,188 +123,190 @@
 // Step handles the events of a moment and returns the actions to take, in order.
 func (s *Sender) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = now, nil
-	if s.cameAt == 0 {
-		s.cameAt = now // the clock may start at any value
+	if s.firstTriesAt == 0 {
+		s.firstTriesAt = now // the clock may start at any value
 	}
 	// List changes and disabled endpoints come first: a drain takes effect in the step that reports it,
 	// whatever comes before it in the batch.
 	for _, e := range events {
 		switch e := e.(type) {
 		case ListUpdate:
-			s.listed(e)
+			s.updateList(e)
 		case EndpointDisabled:
-			s.bar(e)
+			s.setDisabled(e)
 		}
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case MessageArrived:
-			s.arrived(e)
+			s.handleArrival(e)
 		case MessageResumed:
-			s.resumed(e)
+			s.handleResumed(e)
 		case AttemptEnded:
-			s.ended(e)
+			s.handleAttemptEnd(e)
 		case ProbeEnded:
-			s.probed(e)
+			s.handleProbeEnd(e)
 		case MessageAbandoned:
-			if m := s.msgs[e.ID]; m != nil {
-				s.finish(m, nil)
+			if m := s.messages[e.ID]; m != nil {
+				s.endMessage(m, nil)
 			}
 		case WakeDue:
 			s.wakeAt = 0 // a rounded clock may wake the sender a little early
 		case Stopping:
-			s.leaveBy = e.By
+			s.stopAt = e.By
 		}
 	}
-	if s.askAt > 0 && now >= s.askAt {
-		s.askAt = 0
-		s.do(Watch{})
+	if s.watchAt > 0 && now >= s.watchAt {
+		s.watchAt = 0
+		s.emit(Watch{})
 	}
-	s.expire()
-	s.release()
-	s.preempt()
-	s.arm()
+	s.expireMessages()
+	s.startCalls()
+	s.cancelStuckCalls()
+	s.scheduleWake()
 	return s.actions
 }
 
 // scheduleWake asks to be woken when a message's time is up, and soon while one waits for a slot, a pause or
 // the rate. The outcome of a call wakes the sender by itself; a sender without messages asks for no wake.
-func (s *Sender) arm() {
+func (s *Sender) scheduleWake() {
 	due := time.Duration(math.MaxInt64)
-	if s.askAt > 0 {
-		due = s.askAt
+	if s.watchAt > 0 {
+		due = s.watchAt
 	}
 	for _, m := range s.open {
-		due = min(due, max(m.dropDead-endMargin-s.cfg.Tick, s.now+sweepEvery))
-		if m.waits {
-			due = min(due, s.now+pollEvery)
+		due = min(due, max(m.deadline-answerMargin-s.cfg.Tick, s.now+minWakeInterval))
+		if m.waiting {
+			due = min(due, s.now+pollInterval)
 		}
 	}
 	if due < math.MaxInt64 && (s.wakeAt <= s.now || due < s.wakeAt) {
 		s.wakeAt = due
-		s.do(Wake{At: due, Tag: "sweep"})
+		s.emit(Wake{At: due, Tag: "sweep"})
 	}
 }
 
 // updateList applies a list of endpoints. A complete list replaces the old one.
-func (s *Sender) listed(l ListUpdate) {
+func (s *Sender) updateList(l ListUpdate) {
 	if l.Failed {
-		s.asking = min(max(2*s.asking, trialFirst), time.Minute)
+		s.watchBackoff = min(max(2*s.watchBackoff, halfOpenFirstPause), time.Minute)
 		if s.cfg.WatchOnRequest {
-			s.askAt = s.now + s.asking
+			s.watchAt = s.now + s.watchBackoff
 		}
 		return
 	}
-	s.asking = 0
+	s.watchBackoff = 0
 	if l.Complete {
-		s.keepOnly(l.Entries)
+		s.removeUnlisted(l.Entries)
 	}
 	for _, entry := range l.Entries {
-		e := s.eps[entry.Endpoint]
+		e := s.endpoints[entry.Endpoint]
 		if e != nil && (entry.Phase == Gone || e.dest.id != entry.Dest) {
-			s.drop(e)
+			s.removeEndpoint(e)
 		}
 		if entry.Phase == Gone {
 			continue
 		}
-		if e = s.eps[entry.Endpoint]; e == nil {
+		if e = s.endpoints[entry.Endpoint]; e == nil {
 			d := s.destination(entry.Dest)
 			e = &endpoint{id: entry.Endpoint, zone: entry.Zone, dest: d}
-			s.eps[entry.Endpoint] = e
+			s.endpoints[entry.Endpoint] = e
 			d.endpoints = append(d.endpoints, e)
 			d.kind = entry.Kind
-			if e.route = d.shared; s.apart(d) {
+			if e.route = d.sharedRoute; s.separateRoutes(d) {
 				e.route = newRoute()
-				e.route.waitUntil = s.parted[e.id] // the only state that outlives the removal of a route
+				e.route.waitUntil = s.removedWaits[e.id] // the only state that outlives the removal of a route
 			}
-			if s.batch(d) > 1 {
-				e.route.most, e.route.part = batchMost, min(e.route.part, batchMost)
+			if s.maxBatch(d) > 1 {
+				e.route.maxRateShare, e.route.rateShare = maxBatchRateShare, min(e.route.rateShare, maxBatchRateShare)
 			}
 		}
-		e.listed = entry.Phase == Ready
-		e.ready = e.listed && !s.barred[e.id]
+		e.listedReady = entry.Phase == Ready
+		e.ready = e.listedReady && !s.disabled[e.id]
 		if s.cfg.WeightIsRate && entry.Weight > 0 {
 			e.route.weight = entry.Weight
 		}
 	}
-	s.forget()
+	s.forgetUnused()
 }
 
 // setDisabled disables an endpoint or enables it again. It was restarted meanwhile and starts slowly, while
 // the other endpoints of its route do not: so it has a budget of its own besides the route's, for its part of
 // the route's capacity.
-func (s *Sender) bar(b EndpointDisabled) {
-	e := s.eps[b.Endpoint]
+func (s *Sender) setDisabled(b EndpointDisabled) {
+	e := s.endpoints[b.Endpoint]
 	switch {
 	case !b.Lifted:
-		s.barred[b.Endpoint] = true
+		s.disabled[b.Endpoint] = true
 		if e != nil {
-			e.ready, e.warming = false, nil
+			e.ready, e.slowStart = false, nil
 		}
-	case s.barred[b.Endpoint]:
-		delete(s.barred, b.Endpoint)
+	case s.disabled[b.Endpoint]:
+		delete(s.disabled, b.Endpoint)
 		if e != nil {
-			e.ready, e.warming = e.listed, newRoute()
-			e.warming.weight = s.capacity(e.route) / float64(len(e.dest.endpoints))
-			e.warming.struckAt, e.warming.coldFrom, e.warming.demand = s.now, s.now, 1
-			e.warming.tokens, e.warming.tokensAt = s.rng.Float64(), s.now
+			e.ready, e.slowStart = e.listedReady, newRoute()
+			e.slowStart.weight = s.capacity(e.route) / float64(len(e.dest.endpoints))
+			e.slowStart.outageAt, e.slowStart.slowStartAt, e.slowStart.outageDemand = s.now, s.now, 1
+			e.slowStart.tokens, e.slowStart.tokensAt = s.rng.Float64(), s.now
 		}
 	}
 }
 
-func newRoute() *route { return &route{part: partFirst, most: partMost, tokens: 1} }
+func newRoute() *route {
+	return &route{rateShare: initialRateShare, maxRateShare: maxRateShare, tokens: 1}
+}
 
 // handleArrival admits a message or refuses it immediately.
-func (s *Sender) arrived(e MessageArrived) {
-	if s.msgs[e.ID] != nil {
+func (s *Sender) handleArrival(e MessageArrived) {
+	if s.messages[e.ID] != nil {
 		return
 	}
-	m, d := s.take(e)
+	m, d := s.registerMessage(e)
 	if !s.admit(d, m) {
-		s.finish(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
+		s.endMessage(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
 		return
 	}
-	s.hold(m, e.Key)
+	s.holdMessage(m, e.Key)
 }
 
 // registerMessage records a new message and its demand on the destination.
-func (s *Sender) take(e MessageArrived) (*message, *destination) {
+func (s *Sender) registerMessage(e MessageArrived) (*message, *destination) {
 	d := s.destination(e.Dest)
-	d.came, d.cameAt = d.rate(s.now)*seconds(demandSpan)+1, s.now
+	d.arrivals, d.arrivalsAt = d.arrivalRate(s.now)*seconds(arrivalsSpan)+1, s.now
 	class := s.class(e.Class)
 	m := &message{
-		id: e.ID, class: class, dest: d, arrived: s.now, dropDead: e.Deadline, worth: class.Worth,
-		born: e.Deadline - class.Deadline, gate: s.gate(d, e.Class),
+		id: e.ID, class: class, dest: d, arrivedAt: s.now, deadline: e.Deadline, worth: class.Worth,
+		submittedAt: e.Deadline - class.Deadline, gate: s.gate(d, e.Class),
 	}
-	m.aim = min(class.SoftDeadline+span(class.SoftDeadlineStretch*seconds(e.Hint)), max(class.Deadline, class.SoftDeadline))
-	if !s.inShare(e.Tenant) {
+	m.softDeadline = min(class.SoftDeadline+duration(class.SoftDeadlineStretch*seconds(e.Hint)), max(class.Deadline, class.SoftDeadline))
+	if !s.withinTenantShare(e.Tenant) {
 		m.worth *= s.cfg.OverShareWorth
 	}
-	if s.now-m.born < firstSpan {
-		fade := math.Exp(-seconds(s.now-s.cameAt) / seconds(weightSpan))
-		s.seen, s.came, s.cameAt = s.seen*fade+seconds(weightSpan)*(1-fade), s.came*fade+1, s.now
+	if s.now-m.submittedAt < firstTryMaxAge {
+		fade := math.Exp(-seconds(s.now-s.firstTriesAt) / seconds(trafficSpan))
+		s.firstTriesSpan, s.firstTries, s.firstTriesAt = s.firstTriesSpan*fade+seconds(trafficSpan)*(1-fade), s.firstTries*fade+1, s.now
 	}
-	s.msgs[m.id] = m
+	s.messages[m.id] = m
 	return m, d
 }
 
 // holdMessage queues an admitted message.
-func (s *Sender) hold(m *message, key string) {
+func (s *Sender) holdMessage(m *message, key string) {
 	s.open = append(s.open, m)
 	if len(m.dest.waiting) == 0 {
-		s.forgo(m.dest)
+		s.dropSavedTokens(m.dest)
 	}
 	if m.class.Ordered && key != "" {
 		m.key = key
-		s.lines[m.key] = append(s.lines[m.key], m)
+		s.keyQueues[m.key] = append(s.keyQueues[m.key], m)
 	}
 	s.enqueue(m)
 	for _, e := range m.dest.endpoints {
 		if e.route.recovering() {
-			e.route.demand += 1 / float64(len(m.dest.endpoints))
+			e.route.outageDemand += 1 / float64(len(m.dest.endpoints))
 		}
-		if e.warming != nil {
-			e.warming.demand += 1 / float64(len(m.dest.endpoints))
+		if e.slowStart != nil {
+			e.slowStart.outageDemand += 1 / float64(len(m.dest.endpoints))
 		}
 	}
 }
@@ -312,10 +314,10 @@
 // dropSavedTokens gives up what the slow start budget allowed while no message waited. Saved up over a large
 // fleet it would be one call at the same moment from each sender that knows of the outage. The next call
 // comes at a random moment of the rate.
-func (s *Sender) forgo(d *destination) {
+func (s *Sender) dropSavedTokens(d *destination) {
 	for i, e := range d.endpoints {
-		if r := e.route; (i == 0 || r != d.endpoints[0].route) && r.recovering() && s.outnumbers(r) {
-			s.refill(r)
+		if r := e.route; (i == 0 || r != d.endpoints[0].route) && r.recovering() && s.fleetExceedsBudget(r) {
+			s.refillTokens(r)
 			r.tokens = min(r.tokens, s.rng.Float64())
 		}
 	}
@@ -323,7 +325,7 @@
 
 // fleetExceedsBudget reports whether the fleet has more senders than a destination in slow start may get
 // calls, chance included. One extra call of each sender is too much then.
-func (s *Sender) outnumbers(r *route) bool {
+func (s *Sender) fleetExceedsBudget(r *route) bool {
 	budget := s.cfg.CollapseMultiple * s.cfg.SlowStartShare * s.capacity(r) * seconds(s.cfg.CollapseSpan)
 	return budget > 0 && float64(s.cfg.FleetSize) > budget+chanceRoots*math.Sqrt(budget)+chanceCalls
 }
@@ -331,34 +333,34 @@
 // handleResumed takes back a message from before a restart. It was admitted then, so the gate is not asked. A
 // message that may have run and must not be repeated ends here. A known earlier failure may belong to an
 // outage whose end this process did not see, so the routes there get a slow start.
-func (s *Sender) resumed(e MessageResumed) {
-	if s.msgs[e.ID] != nil {
+func (s *Sender) handleResumed(e MessageResumed) {
+	if s.messages[e.ID] != nil {
 		return
 	}
-	m, d := s.take(e.MessageArrived)
-	m.attempts, m.touched = e.Attempts, e.MayHaveRun && m.class.Effect != Idempotent
-	m.mayRun, m.zone = e.MayHaveRunSince, e.Zone
-	if (m.touched && m.class.Effect == AtMostOnce) || s.spent(m) || s.now >= s.startBy(m) {
+	m, d := s.registerMessage(e.MessageArrived)
+	m.attempts, m.mayHaveRun = e.Attempts, e.MayHaveRun && m.class.Effect != Idempotent
+	m.mayHaveRunSince, m.mayHaveRunZone = e.MayHaveRunSince, e.Zone
+	if (m.mayHaveRun && m.class.Effect == AtMostOnce) || s.attemptsExhausted(m) || s.now >= s.latestStart(m) {
 		s.giveUp(m)
 		return
 	}
 	for _, ep := range d.endpoints {
 		if r := ep.route; e.Failed && !r.recovering() {
-			s.strike(r)
-			r.sick, r.coldFrom = false, s.now
+			s.openBreaker(r)
+			r.breakerOpen, r.slowStartAt = false, s.now
 		}
 	}
-	s.hold(m, e.Key)
+	s.holdMessage(m, e.Key)
 }
 
 // withinTenantShare counts a request against its tenant's allowance, of which each sender has an equal part.
-func (s *Sender) inShare(i int) bool {
+func (s *Sender) withinTenantShare(i int) bool {
 	if i < 0 || i >= len(s.tenants) || s.cfg.Tenants[i].PerSecond <= 0 {
 		return true
 	}
 	t, rate := &s.tenants[i], s.cfg.Tenants[i].PerSecond/float64(s.cfg.FleetSize)
-	t.tokens = min(t.tokens+rate*seconds(s.now-t.at), 2*rate+1)
-	t.at = s.now
+	t.tokens = min(t.tokens+rate*seconds(s.now-t.updatedAt), 2*rate+1)
+	t.updatedAt = s.now
 	if t.tokens < 1 {
 		return false
 	}
@@ -374,56 +376,56 @@
 		return false
 	}
 	g := m.gate
-	if g.accepts(g.average, seconds(m.class.Deadline)) {
+	if g.updateOpen(g.average, seconds(m.class.Deadline)) {
 		return true
 	}
 	// Closed: with no message held and no call out, a single trial message lets the ratio fall. Overdue calls
 	// don't count: one unanswered payout, which stays out for all its time, kept the gate closed as long.
 	awaited := slices.ContainsFunc(d.calls, func(c *call) bool { return !s.overdue(c) })
 	held := slices.ContainsFunc(d.waiting, func(o *message) bool { return o.gate == g })
-	if !held && !awaited && s.now-g.lastTrial >= gateTrial {
-		g.lastTrial = s.now
+	if !held && !awaited && s.now-g.lastTrialAt >= gateTrialInterval {
+		g.lastTrialAt = s.now
 		return true
 	}
 	return false
 }
 
 // updateOpen moves the gate between its bounds and reports whether it is open.
-func (g *gate) accepts(current, deadline float64) bool {
-	base := max(g.baseline, seconds(floorResponse))
-	upper, lower := gateUpper*base, gateLower*base
+func (g *gate) updateOpen(current, deadline float64) bool {
+	base := max(g.baseline, seconds(minResponseTime))
+	upper, lower := gateUpperRatio*base, gateLowerRatio*base
 	if deadline > 0 {
-		upper, lower = min(upper, deadlineShut*deadline), min(lower, deadlineOpen*deadline)
+		upper, lower = min(upper, gateCloseDeadlineShare*deadline), min(lower, gateOpenDeadlineShare*deadline)
 	}
 	switch {
-	case !g.seen:
-		g.shut = current > upper
+	case !g.sampled:
+		g.closed = current > upper
 	case current > upper:
-		g.shut = true
+		g.closed = true
 	case current < lower:
-		g.shut = false
+		g.closed = false
 	}
-	return !g.shut
+	return !g.closed
 }
 
 // addSample adds a response time to the average, and keeps the lowest average as the baseline.
-func (g *gate) sample(now time.Duration, sec float64) {
-	if !g.seen {
-		g.seen, g.average, g.baseline, g.at = true, sec, sec, now
+func (g *gate) addSample(now time.Duration, sec float64) {
+	if !g.sampled {
+		g.sampled, g.average, g.baseline, g.updatedAt = true, sec, sec, now
 		return
 	}
-	gap := seconds(now - g.at)
-	w := max(smoothing, 1-math.Exp(-gap/seconds(smoothSpan)))
+	gap := seconds(now - g.updatedAt)
+	w := max(smoothingWeight, 1-math.Exp(-gap/seconds(smoothingSpan)))
 	g.average += w * (sec - g.average)
-	g.baseline = min(g.baseline*math.Exp(gap/seconds(baselineSpan)), g.average)
-	g.at = now
+	g.baseline = min(g.baseline*math.Exp(gap/seconds(baselineGrowthSpan)), g.average)
+	g.updatedAt = now
 }
 
 // retryAfter is the wait that a refused client is told, about as long as the backlog lasts.
 func (s *Sender) retryAfter(g *gate) time.Duration {
 	after := s.cfg.MaxRetryAfter
-	if g.seen && !g.shut {
-		after = min(after, span(g.average))
+	if g.sampled && !g.closed {
+		after = min(after, duration(g.average))
 	}
 	return after
 }
@@ -447,132 +449,132 @@
 		return !e.ReusedConn
 	case Rejected:
 		d := s.dests[dest]
-		struck := func(ep *endpoint) bool { return ep.route.recovering() }
-		return e.RetryAfter > shutWait || (d != nil && slices.ContainsFunc(d.endpoints, struck))
+		recovers := func(ep *endpoint) bool { return ep.route.recovering() }
+		return e.RetryAfter > shutRetryAfter || (d != nil && slices.ContainsFunc(d.endpoints, recovers))
 	}
 	return true
 }
 
 // endMessage ends a message; a is nil when it has ended without an action of this sender.
-func (s *Sender) finish(m *message, a Action) {
-	if m.over {
+func (s *Sender) endMessage(m *message, a Action) {
+	if m.ended {
 		return
 	}
-	m.over = true
+	m.ended = true
 	m.dest.dequeue(m)
-	delete(s.msgs, m.id)
-	s.trimLine(m.key)
+	delete(s.messages, m.id)
+	s.trimKeyQueue(m.key)
 	if a != nil {
-		s.do(a)
+		s.emit(a)
 	}
 }
 
 // canRefuse reports whether a refusal is true when it says that a new submission is harmless.
-func (s *Sender) mayRefuse(m *message) bool {
-	if m.class.Effect == Idempotent || (m.out == 0 && !m.touched) {
+func (s *Sender) canRefuse(m *message) bool {
+	if m.class.Effect == Idempotent || (m.attemptsOut == 0 && !m.mayHaveRun) {
 		return true
 	}
-	return m.class.Effect == Deduplicated && m.touched && m.class.DedupEverywhere && s.now <= s.windowEnd(m)
+	return m.class.Effect == Deduplicated && m.mayHaveRun && m.class.DedupEverywhere && s.now <= s.dedupWindowEnd(m)
 }
 
 // dedupWindowEnd is the last moment at which the destination is certain to drop a repeat.
-func (s *Sender) windowEnd(m *message) time.Duration {
-	return m.mayRun + m.class.DedupWindow - endMargin - 2*s.cfg.Tick
+func (s *Sender) dedupWindowEnd(m *message) time.Duration {
+	return m.mayHaveRunSince + m.class.DedupWindow - answerMargin - 2*s.cfg.Tick
 }
 
 // latestStart is the time until which an attempt may begin: while the message has time left, and for a repeat
 // of a Deduplicated message early enough to reach the endpoint within the window. After it the message is
 // given up, while it can still be refused.
-func (s *Sender) startBy(m *message) time.Duration {
-	by := m.dropDead - endMargin - 2*s.cfg.Tick
-	if m.touched && m.class.Effect == Deduplicated {
-		by = min(by, s.windowEnd(m)-2*pollEvery)
+func (s *Sender) latestStart(m *message) time.Duration {
+	by := m.deadline - answerMargin - 2*s.cfg.Tick
+	if m.mayHaveRun && m.class.Effect == Deduplicated {
+		by = min(by, s.dedupWindowEnd(m)-2*pollInterval)
 	}
 	return by
 }
 
 // giveUp ends a message as its effect allows.
 func (s *Sender) giveUp(m *message) {
-	if s.mayRefuse(m) {
-		s.finish(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
+	if s.canRefuse(m) {
+		s.endMessage(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
 	} else {
-		s.finish(m, Fail{ID: m.id})
+		s.endMessage(m, Fail{ID: m.id})
 	}
 }
 
 // expireMessages ends every open message in time, and removes the ended ones.
-func (s *Sender) expire() {
+func (s *Sender) expireMessages() {
 	s.open = slices.DeleteFunc(s.open, func(m *message) bool {
 		switch {
-		case m.over:
-		case s.now >= m.dropDead-endMargin-s.cfg.Tick && m.out == 0, s.now >= m.dropDead:
+		case m.ended:
+		case s.now >= m.deadline-answerMargin-s.cfg.Tick && m.attemptsOut == 0, s.now >= m.deadline:
 			// If messages of a class are never sent, this is the only sample of their gate; without it the
 			// gate would stay open.
-			if m.attempts == 0 && !m.dest.troubled() {
-				m.gate.sample(s.now, min(seconds(s.now-m.arrived), unsentShare*seconds(m.class.Deadline)))
+			if m.attempts == 0 && !m.dest.unavailable() {
+				m.gate.addSample(s.now, min(seconds(s.now-m.arrivedAt), unsentDeadlineShare*seconds(m.class.Deadline)))
 			}
 			s.giveUp(m)
-		case m.touched && m.out == 0 && s.now >= s.startBy(m):
+		case m.mayHaveRun && m.attemptsOut == 0 && s.now >= s.latestStart(m):
 			s.giveUp(m)
 		}
-		return m.over
+		return m.ended
 	})
 }
 
 // handleAttemptEnd handles the outcome of an attempt.
-func (s *Sender) ended(e AttemptEnded) {
+func (s *Sender) handleAttemptEnd(e AttemptEnded) {
 	key := attempt{e.ID, e.Attempt}
-	m, c := s.sent[key].m, s.sent[key].c
+	m, c := s.attemptsOut[key].m, s.attemptsOut[key].c
 	if c == nil {
 		return
 	}
-	delete(s.sent, key)
-	if c.left--; c.left == 0 {
-		s.hangEnd(c)
+	delete(s.attemptsOut, key)
+	if c.outcomesLeft--; c.outcomesLeft == 0 {
+		s.finishCall(c)
 	}
 	// A reused connection that breaks under a call is a sign about the connection and not about the
 	// destination; so is a call without an answer when calls sent later have succeeded.
-	worn := e.ReusedConn && e.Outcome == ConnectionBroken
-	if worn {
-		s.wornTil = s.now + wornSpan
+	reusedConnBroke := e.ReusedConn && e.Outcome == ConnectionBroken
+	if reusedConnBroke {
+		s.distrustReusedUntil = s.now + brokenConnSpan
 	}
-	lone := worn || (e.Outcome == TimedOut || e.Outcome == Canceled) && s.lost(c)
-	s.report(c.ep.route, e.Report)
-	s.judge(c, e, lone)
+	connectionOnly := reusedConnBroke || (e.Outcome == TimedOut || e.Outcome == Canceled) && s.lost(c)
+	s.recordReport(c.endpoint.route, e.Report)
+	s.recordOutcome(c, e, connectionOnly)
 	if e.RetryAfter > 0 { // the answer to a batch may have a retry-after whatever the outcome of this message
-		c.ep.route.waitUntil = max(c.ep.route.waitUntil, s.now+e.RetryAfter)
+		c.endpoint.route.waitUntil = max(c.endpoint.route.waitUntil, s.now+e.RetryAfter)
 	}
-	s.inherit(c.ep)
-	m.out--
+	s.carryOverWait(c.endpoint)
+	m.attemptsOut--
 	ran := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnectionBroken || e.Outcome == Canceled
-	if ran && m.class.Effect != Idempotent && (!m.touched || c.sentAt < m.mayRun) {
-		m.touched, m.mayRun, m.zone = true, c.sentAt, c.ep.zone
+	if ran && m.class.Effect != Idempotent && (!m.mayHaveRun || c.sentAt < m.mayHaveRunSince) {
+		m.mayHaveRun, m.mayHaveRunSince, m.mayHaveRunZone = true, c.sentAt, c.endpoint.zone
 	}
 	if ran && e.Outcome != ServerError && m.key != "" {
-		s.restKey(m.key)
+		s.pauseKey(m.key)
 	}
-	if m.over {
-		s.trimLine(m.key)
+	if m.ended {
+		s.trimKeyQueue(m.key)
 		return // it ended meanwhile; its key and its place in the key's queue still needed the outcome
 	}
-	s.sample(m, c, e.Outcome, lone)
+	s.sampleOutcome(m, c, e.Outcome, connectionOnly)
 	switch {
 	case e.Ambiguous: // a repeat might come after the message's end, a refusal might be untrue
-		s.finish(m, Fail{ID: m.id})
+		s.endMessage(m, Fail{ID: m.id})
 	case e.Final || e.Outcome == Success:
-		s.finish(m, nil)
-	case m.out > 0: // another copy is out and may still succeed
-	case s.now >= m.dropDead-endMargin, ran && m.class.Effect == AtMostOnce, s.spent(m):
+		s.endMessage(m, nil)
+	case m.attemptsOut > 0: // another copy is out and may still succeed
+	case s.now >= m.deadline-answerMargin, ran && m.class.Effect == AtMostOnce, s.attemptsExhausted(m):
 		s.giveUp(m)
 	default:
-		if !worn && (ran || e.Outcome == Unreachable) {
-			m.notBefore = s.now + retryRest<<min(m.attempts, 16)
+		if !reusedConnBroke && (ran || e.Outcome == Unreachable) {
+			m.notBefore = s.now + retryPause<<min(m.attempts, 16)
 		}
 		s.enqueue(m)
 	}
 }
 
-func (s *Sender) spent(m *message) bool {
+func (s *Sender) attemptsExhausted(m *message) bool {
 	return s.cfg.MaxAttempts > 0 && m.attempts >= s.cfg.MaxAttempts
 }
 
@@ -582,29 +584,29 @@
 // For a message held through an outage only the time since the return counts, or the time of the call if that
 // is longer. The time before says nothing about a new message, and the old backlog kept the gate closed for
 // messages that could be delivered in time.
-func (s *Sender) sample(m *message, c *call, o Outcome, lone bool) {
-	if lone {
+func (s *Sender) sampleOutcome(m *message, c *call, o Outcome, connectionOnly bool) {
+	if connectionOnly {
 		return
 	}
-	sec := seconds(s.now - max(m.arrived, min(c.ep.route.coldFrom, c.sentAt)))
+	sec := seconds(s.now - max(m.arrivedAt, min(c.endpoint.route.slowStartAt, c.sentAt)))
 	switch o {
 	case Success:
 	case Stale, Canceled:
 		return
 	case Rejected:
-		if !m.dest.troubled() {
+		if !m.dest.unavailable() {
 			return
 		}
 		fallthrough
 	default:
-		sec = max(sec, failCharge*seconds(m.aim))
+		sec = max(sec, failureSoftDeadlines*seconds(m.softDeadline))
 	}
-	m.gate.sample(s.now, sec)
+	m.gate.addSample(s.now, sec)
 }
 
-func (d *destination) troubled() bool {
+func (d *destination) unavailable() bool {
 	for _, e := range d.endpoints {
-		if e.ready && !e.route.sick {
+		if e.ready && !e.route.breakerOpen {
 			return false
 		}
 	}
@@ -613,67 +615,67 @@
 
 // recordReport stores what an endpoint reports about its limit; invalid values are skipped. The remaining
 // share changes all the time: without a report none is assumed.
-func (s *Sender) report(r *route, rep Report) {
-	r.left = 0
+func (s *Sender) recordReport(r *route, rep Report) {
+	r.limitLeft = 0
 	if rep.HasLimit && rep.Limit >= 0 && !math.IsInf(rep.Limit, 0) {
-		r.reported, r.limit = true, rep.Limit
+		r.limitReported, r.limit = true, rep.Limit
 		if rep.HasLeft && rep.Left > 0 {
-			r.left = min(rep.Left, 1)
+			r.limitLeft = min(rep.Left, 1)
 		}
 	}
 }
 
 // recordOutcome updates the health of an endpoint and its route from an outcome. With connectionOnly the
 // outcome says something about its connection only.
-func (s *Sender) judge(c *call, e AttemptEnded, lone bool) {
-	ep, r, took := c.ep, c.ep.route, max(seconds(e.Took), seconds(floorResponse))
-	if c.trial {
-		r.trial = false
+func (s *Sender) recordOutcome(c *call, e AttemptEnded, connectionOnly bool) {
+	ep, r, took := c.endpoint, c.endpoint.route, max(seconds(e.Took), seconds(minResponseTime))
+	if c.halfOpen {
+		r.halfOpenCallOut = false
 	}
 	switch {
-	case lone:
+	case connectionOnly:
 	case e.Outcome == Success:
-		if took <= slowFactor*ep.usual {
-			ep.provenAt = max(ep.provenAt, c.sentAt)
+		if took <= slowFactor*ep.typicalTime {
+			ep.lastPromptCallAt = max(ep.lastPromptCallAt, c.sentAt)
 		}
-		ep.usual = ease(ep.usual, took)
-		ep.response = ease(ep.response, took)
-		if r.fails > 0 && r.harmless && !r.sick && !s.cfg.FullTableRejects {
-			s.crowded[ep.dest.kind] = s.now + crowdedSpan // a failed connect followed by a success: a full connection table
+		ep.typicalTime = smooth(ep.typicalTime, took)
+		ep.responseTime = smooth(ep.responseTime, took)
+		if r.failures > 0 && r.nothingRan && !r.breakerOpen && !s.cfg.FullTableRejects {
+			s.tableFullUntil[ep.dest.kind] = s.now + fullTableSpan // a failed connect followed by a success: a full connection table
 		}
-		s.passed(r)
+		s.recordSuccess(r)
 	case e.Outcome == Stale:
-	case e.Outcome == Rejected && e.ConnClosed && !e.ReusedConn && e.RetryAfter == 0 && !r.sick:
-		s.crowd(ep)
+	case e.Outcome == Rejected && e.ConnClosed && !e.ReusedConn && e.RetryAfter == 0 && !r.breakerOpen:
+		s.recordFullTable(ep)
 	case e.Outcome == Rejected:
 		// Rejections in a row double the pause, whether over a limit or shut. They are no outage by
 		// themselves: a large fleet gets three in a row at any busy limit.
-		if s.now-r.waitUntil > r.rest {
-			r.rest = refusedRest
+		if s.now-r.waitUntil > r.rejectionPause {
+			r.rejectionPause = firstRejectionPause
 		} else if s.now >= r.waitUntil { // not from the same call that told the wait
-			r.rest *= 2
+			r.rejectionPause *= 2
 		}
-		r.waitUntil = max(r.waitUntil, s.now+max(e.RetryAfter, r.rest))
-		ep.response = ease(ep.response, 2*max(ep.response, took))
+		r.waitUntil = max(r.waitUntil, s.now+max(e.RetryAfter, r.rejectionPause))
+		ep.responseTime = smooth(ep.responseTime, 2*max(ep.responseTime, took))
 		// Rejected although there is no limit: a full queue, as of a destination that hangs.
-		stuck := r.reported && r.limit == 0
-		if shut := e.RetryAfter > shutWait; shut || stuck || r.sick {
-			s.failure(ep, shut, true)
+		queueFull := r.limitReported && r.limit == 0
+		if isShut := e.RetryAfter > shutRetryAfter; isShut || queueFull || r.breakerOpen {
+			s.recordFailure(ep, isShut, true)
 		} else {
-			s.cut(c)
+			s.decreaseShare(c)
 		}
 	default:
-		s.failed(ep, took, e.Outcome == Unreachable)
+		s.recordFailedCall(ep, took, e.Outcome == Unreachable)
 	}
-	if c.left == 0 && e.Outcome != Unreachable && e.Outcome != Stale {
-		s.giveBack(ep)
+	if c.outcomesLeft == 0 && e.Outcome != Unreachable && e.Outcome != Stale {
+		s.closeIdleConnections(ep)
 	}
 }
 
 // recordFailedCall records a call that failed.
-func (s *Sender) failed(ep *endpoint, took float64, harmless bool) {
-	ep.response = ease(ep.response, max(2*ep.response, took, seconds(slowLeast)))
-	s.failure(ep, false, harmless)
+func (s *Sender) recordFailedCall(ep *endpoint, took float64, nothingRan bool) {
+	ep.responseTime = smooth(ep.responseTime, max(2*ep.responseTime, took, seconds(slowMin)))
+	s.recordFailure(ep, false, nothingRan)
 }
 
 // closeIdleConnections closes idle connections that get in the way of other senders: the connection table of
@@ -681,14 +683,14 @@
 // where the next call would hardly come before the idle timeout; calls come at random, most of them sooner
 // than the mean gap. They are also closed at a kind of destination where connects failed recently; there it
 // costs handshakes while the sign lasts.
-func (s *Sender) giveBack(ep *endpoint) {
-	unused := s.cfg.IdleConnTimeout > 0 && ep.gap > farApart*seconds(s.cfg.IdleConnTimeout)
+func (s *Sender) closeIdleConnections(ep *endpoint) {
+	unused := s.cfg.IdleConnTimeout > 0 && ep.callGap > rareCallIdleTimes*seconds(s.cfg.IdleConnTimeout)
 	switch {
 	case len(ep.dest.waiting) > 0:
-	case unused || s.now < s.crowded[ep.dest.kind]:
-		s.do(CloseIdle{Endpoint: ep.id})
-	case ep.room > 0 && s.now-ep.crowdedAt < crowdedSpan:
-		s.do(CloseIdle{Endpoint: ep.id, Keep: 1})
+	case unused || s.now < s.tableFullUntil[ep.dest.kind]:
+		s.emit(CloseIdle{Endpoint: ep.id})
+	case ep.tableRoom > 0 && s.now-ep.tableFullAt < fullTableSpan:
+		s.emit(CloseIdle{Endpoint: ep.id, Keep: 1})
 	}
 }
 
@@ -699,14 +701,14 @@
 // canceled. This protects against any peer that sheds connections instead of calls. It could do harm at one
 // that closes connections for everything above its limit: only the number of connections would reduce the
 // rate there.
-func (s *Sender) crowd(ep *endpoint) {
-	if ep.out == 0 { // no call of this sender is there: others have to leave first
-		ep.shyTil = s.now + refusedRest + time.Duration(s.rng.Int64N(int64(refusedRest)))
+func (s *Sender) recordFullTable(ep *endpoint) {
+	if ep.callsOut == 0 { // no call of this sender is there: others have to leave first
+		ep.avoidUntil = s.now + firstRejectionPause + time.Duration(s.rng.Int64N(int64(firstRejectionPause)))
 	}
-	ep.room, ep.crowdedAt = float64(max(ep.out, 1)), s.now
+	ep.tableRoom, ep.tableFullAt = float64(max(ep.callsOut, 1)), s.now
 	for _, c := range ep.dest.calls {
-		if c.ep == ep && s.lost(c) {
-			s.callOff(c)
+		if c.endpoint == ep && s.lost(c) {
+			s.cancelCall(c)
 		}
 	}
 }
@@ -714,23 +716,23 @@
 // decreaseShare lowers the rate share at a rejection: below the own share immediately, and further with each
 // rejection in a row. Where rejected calls use up the limit, a fleet that does not slow down gets nothing.
 // The next call comes at a random moment of the new rate, so that the senders do not all come at once.
-func (s *Sender) cut(c *call) {
-	r := c.ep.route
-	if c.sentAt < r.cutAt { // it was sent before the last decrease and is no new sign
+func (s *Sender) decreaseShare(c *call) {
+	r := c.endpoint.route
+	if c.sentAt < r.decreasedAt { // it was sent before the last decrease and is no new sign
 		return
 	}
-	s.grow(r)
-	r.refusals++
-	r.cutAt = s.now
-	r.part = max(min(r.part, 1)*math.Pow(partCut, float64(r.refusals)), partLeast)
+	s.increaseShare(r)
+	r.rejections++
+	r.decreasedAt = s.now
+	r.rateShare = max(min(r.rateShare, 1)*math.Pow(shareDecreaseFactor, float64(r.rejections)), minRateShare)
 	r.tokens = min(r.tokens, s.rng.Float64())
 }
 
-func ease(old, sample float64) float64 {
+func smooth(old, sample float64) float64 {
 	if old == 0 {
 		return sample
 	}
-	return old + smoothing*(min(sample, 20*old)-old)
+	return old + smoothingWeight*(min(sample, 20*old)-old)
 }
 
 // recordFailure records a sign of an outage of any kind: refused connections, errors, silence, endpoints that
@@ -740,73 +742,73 @@
 // node does not look like an outage of all destinations. Only calls that follow a success on their route
 // count in that share, or an outage would raise the bar for itself. The runs of separate routes of one
 // destination are added up, because an outage mostly affects all of them and each has few calls.
-func (s *Sender) failure(ep *endpoint, sure, harmless bool) {
+func (s *Sender) recordFailure(ep *endpoint, certain, nothingRan bool) {
 	r := ep.route
-	r.harmless, r.partAt = harmless, s.now
-	r.fails++
-	if !r.sick {
-		if r.fails == 1 {
-			r.failedAt = s.now
-			s.failing += failWeight * (1 - s.failing)
+	r.nothingRan, r.rateShareAt = nothingRan, s.now
+	r.failures++
+	if !r.breakerOpen {
+		if r.failures == 1 {
+			r.firstFailureAt = s.now
+			s.failureShare += failureShareWeight * (1 - s.failureShare)
 		}
-		least := float64(sickCount)
-		if s.now-r.failedAt >= sickSpan || ep.dest.rate(s.now)*seconds(sickSpan) < rareCalls {
+		least := float64(outageFailures)
+		if s.now-r.firstFailureAt >= outageSpan || ep.dest.arrivalRate(s.now)*seconds(outageSpan) < rareArrivals {
 			least--
 		}
-		run := max(least, math.Log(chanceRun)/math.Log(min(max(s.failing, 0.01), 0.7)))
-		if least < sickCount && !harmless && s.outnumbers(r) {
+		run := max(least, math.Log(chanceRunProbability)/math.Log(min(max(s.failureShare, 0.01), 0.7)))
+		if least < outageFailures && !nothingRan && s.fleetExceedsBudget(r) {
 			run = 1 // a second try of each sender is too much for the destination when it returns
 		}
-		fails := r.fails
-		for _, mate := range ep.dest.endpoints {
-			if mate.route != r {
-				fails += mate.route.fails
+		fails := r.failures
+		for _, other := range ep.dest.endpoints {
+			if other.route != r {
+				fails += other.route.failures
 			}
 		}
-		if sure || float64(fails) >= run {
-			s.strike(r)
+		if certain || float64(fails) >= run {
+			s.openBreaker(r)
 		}
-	} else if s.now >= r.trialAt {
-		r.backoff = min(2*r.backoff, trialLast)
-		r.trialAt = s.now + r.backoff/2 + time.Duration(s.rng.Int64N(int64(r.backoff)))
+	} else if s.now >= r.halfOpenAt {
+		r.halfOpenBackoff = min(2*r.halfOpenBackoff, halfOpenMaxPause)
+		r.halfOpenAt = s.now + r.halfOpenBackoff/2 + time.Duration(s.rng.Int64N(int64(r.halfOpenBackoff)))
 	}
 }
 
 // openBreaker starts an outage. The tokens start at a random value below one call; otherwise the senders of a
 // large fleet, most of which hold a single message, would all try at the same age of the outage.
-func (s *Sender) strike(r *route) {
+func (s *Sender) openBreaker(r *route) {
 	if !r.recovering() {
-		r.struckAt, r.demand = s.now, 1
+		r.outageAt, r.outageDemand = s.now, 1
 		r.tokens, r.tokensAt = s.rng.Float64(), s.now
 	}
-	r.sick, r.backoff, r.coldFrom = true, trialFirst, 0
-	r.trialAt = s.now + r.backoff
+	r.breakerOpen, r.halfOpenBackoff, r.slowStartAt = true, halfOpenFirstPause, 0
+	r.halfOpenAt = s.now + r.halfOpenBackoff
 }
 
 // recordSuccess records a delivered call: the end of an outage, a step of the slow start, or normal
 // operation.
-func (s *Sender) passed(r *route) {
-	if !r.sick && r.fails == 0 {
-		s.failing *= 1 - failWeight
-	}
-	r.rest, r.fails = 0, 0
-	if gap := seconds(s.now - r.passedAt); gap > 1 {
-		r.busiest = max(r.busiest, r.passed/gap)
-		r.passed, r.passedAt = 0, s.now
-	}
-	r.passed++
-	s.grow(r)
-	r.refusals = 0
+func (s *Sender) recordSuccess(r *route) {
+	if !r.breakerOpen && r.failures == 0 {
+		s.failureShare *= 1 - failureShareWeight
+	}
+	r.rejectionPause, r.failures = 0, 0
+	if gap := seconds(s.now - r.successesSince); gap > 1 {
+		r.peakRate = max(r.peakRate, r.successes/gap)
+		r.successes, r.successesSince = 0, s.now
+	}
+	r.successes++
+	s.increaseShare(r)
+	r.rejections = 0
 	switch {
-	case r.sick:
-		r.sick, r.coldFrom = false, s.now
-	case r.coldFrom > 0 && s.now-r.coldFrom > s.cfg.SlowStartDuration:
-		r.coldFrom = 0
+	case r.breakerOpen:
+		r.breakerOpen, r.slowStartAt = false, s.now
+	case r.slowStartAt > 0 && s.now-r.slowStartAt > s.cfg.SlowStartDuration:
+		r.slowStartAt = 0
 	}
 }
 
 // recovering reports whether the route has an outage or is in slow start after one.
-func (r *route) recovering() bool { return r.sick || r.coldFrom > 0 }
+func (r *route) recovering() bool { return r.breakerOpen || r.slowStartAt > 0 }
 
 // capacity is a cautious estimate of the calls a second that the route takes from all senders at its full
 // capacity.
@@ -815,11 +817,11 @@
 	case r.limit > 0:
 		return r.limit
 	case r.weight > 0 && s.cfg.RoughWeights:
-		return r.weight / roughWeight
+		return r.weight / roughWeightFactor
 	case r.weight > 0:
 		return r.weight
 	}
-	return max(r.busiest, 1)
+	return max(r.peakRate, 1)
 }
 
 // pace is the number of calls a second that this sender may send on the route, and whether there is such a
@@ -831,19 +833,19 @@
 func (s *Sender) pace(r *route) (rate float64, bound bool) {
 	if r.recovering() && s.cfg.CollapseSpan > 0 && s.cfg.CollapseMultiple > 0 {
 		share := s.cfg.SlowStartShare
-		if r.coldFrom > 0 && s.cfg.SlowStartDuration > 0 {
-			share += (1 - share) * min(1, seconds(s.now-r.coldFrom)/seconds(s.cfg.SlowStartDuration))
+		if r.slowStartAt > 0 && s.cfg.SlowStartDuration > 0 {
+			share += (1 - share) * min(1, seconds(s.now-r.slowStartAt)/seconds(s.cfg.SlowStartDuration))
 		}
 		even := s.capacity(r) / float64(s.cfg.FleetSize)
-		own := r.demand / max(seconds(s.now-r.struckAt), seconds(s.cfg.CollapseSpan))
-		if s.outnumbers(r) {
-			own = r.demand / (seconds(s.now-r.struckAt) + seconds(demandSpan))
+		own := r.outageDemand / max(seconds(s.now-r.outageAt), seconds(s.cfg.CollapseSpan))
+		if s.fleetExceedsBudget(r) {
+			own = r.outageDemand / (seconds(s.now-r.outageAt) + seconds(arrivalsSpan))
 		}
-		part := max(knowingShare*even, demandShare*min(own, s.capacity(r)))
-		rate, bound = s.cfg.CollapseMultiple*share*part, true
+		allotted := max(knowingSendersShare*even, ownDemandShare*min(own, s.capacity(r)))
+		rate, bound = s.cfg.CollapseMultiple*share*allotted, true
 	}
-	limit := s.limit(r)
-	own := min(1, r.part*s.weight()) * limit
+	limit := s.rateLimit(r)
+	own := min(1, r.rateShare*s.trafficShare()) * limit
 	switch {
 	case limit == 0:
 		return rate, bound
@@ -854,16 +856,16 @@
 }
 
 // rateLimit is the known number of calls a second that the route takes from all senders, 0 for no limit.
-func (s *Sender) limit(r *route) float64 {
-	if !r.reported && r.weight > 0 {
+func (s *Sender) rateLimit(r *route) float64 {
+	if !r.limitReported && r.weight > 0 {
 		return r.weight
 	}
 	return r.limit
 }
 
 // arrivalRate is the recent number of messages a second for the destination at this sender.
-func (d *destination) rate(now time.Duration) float64 {
-	return d.came * math.Exp(-seconds(now-d.cameAt)/seconds(demandSpan)) / seconds(demandSpan)
+func (d *destination) arrivalRate(now time.Duration) float64 {
+	return d.arrivals * math.Exp(-seconds(now-d.arrivalsAt)/seconds(arrivalsSpan)) / seconds(arrivalsSpan)
 }
 
 // increaseShare gives back a rate share that was decreased. While calls succeed it grows by the same step for
@@ -871,59 +873,59 @@
 // drove the shares of a fleet apart until half of it starved. After a rejection it grows by less in that time
 // than the next rejection decreases it: a fleet whose shares recover between its rare calls keeps a limit
 // overbooked for good.
-func (s *Sender) grow(r *route) {
-	calls := s.weight() * s.limit(r) * min(seconds(s.now-r.partAt), seconds(demandSpan))
-	if r.refusals > 0 {
-		r.part *= math.Exp(partStay * calls)
+func (s *Sender) increaseShare(r *route) {
+	calls := s.trafficShare() * s.rateLimit(r) * min(seconds(s.now-r.rateShareAt), seconds(arrivalsSpan))
+	if r.rejections > 0 {
+		r.rateShare *= math.Exp(shareIncreaseAfterRejection * calls)
 	} else {
-		r.part += partGrow * calls
+		r.rateShare += shareIncrease * calls
 	}
-	r.part, r.partAt = min(r.part, r.most), s.now
+	r.rateShare, r.rateShareAt = min(r.rateShare, r.maxRateShare), s.now
 }
 
 // trafficShare is this sender's share of the fleet's traffic: the first submissions here, out of those that
 // the tenants' allowances let expect over all senders.
-func (s *Sender) weight() float64 {
-	even, all := 1/float64(s.cfg.FleetSize), 0.0
+func (s *Sender) trafficShare() float64 {
+	even, total := 1/float64(s.cfg.FleetSize), 0.0
 	for _, t := range s.cfg.Tenants {
-		all += t.PerSecond
+		total += t.PerSecond
 	}
-	if all <= 0 {
+	if total <= 0 {
 		return even
 	}
-	fade := math.Exp(-seconds(s.now-s.cameAt) / seconds(weightSpan))
-	seen := s.seen*fade + seconds(weightSpan)*(1-fade)
-	return min(1, (s.came*fade/all+even*weightPrior)/(seen+weightPrior))
+	fade := math.Exp(-seconds(s.now-s.firstTriesAt) / seconds(trafficSpan))
+	seen := s.firstTriesSpan*fade + seconds(trafficSpan)*(1-fade)
+	return min(1, (s.firstTries*fade/total+even*trafficPriorSeconds)/(seen+trafficPriorSeconds))
 }
 
 // refillTokens brings the token bucket up to the current time. During recovery no tokens are saved for a
 // burst.
-func (s *Sender) refill(r *route) {
+func (s *Sender) refillTokens(r *route) {
 	if !r.recovering() {
-		s.grow(r)
+		s.increaseShare(r)
 	}
 	rate, bound := s.pace(r)
 	if !bound {
 		r.tokens, r.tokensAt = 1, s.now
 		return
 	}
-	most := max(1, burstSpan*rate)
+	maxTokens := max(1, burstSeconds*rate)
 	switch {
 	case r.recovering():
-		most = 1
-	case r.most > 1:
-		most = max(most, depthMost)
+		maxTokens = 1
+	case r.maxRateShare > 1:
+		maxTokens = max(maxTokens, maxBurstCalls)
 	}
-	r.tokens = min(r.tokens+rate*seconds(s.now-r.tokensAt), most)
+	r.tokens = min(r.tokens+rate*seconds(s.now-r.tokensAt), maxTokens)
 	r.tokensAt = s.now
 }
 
 // patience is how long a call may be out before that is far longer than typical, in seconds.
-func (c *call) patience() float64 { return max(slowFactor*c.ep.usual, seconds(slowLeast)) }
+func (c *call) patience() float64 { return max(slowFactor*c.endpoint.typicalTime, seconds(slowMin)) }
 
 // overdue reports whether a call has been out for so long that an answer is unlikely.
 func (s *Sender) overdue(c *call) bool {
-	return seconds(s.now-c.sentAt) > max(lostFactor*c.ep.usual, seconds(lostLeast))
+	return seconds(s.now-c.sentAt) > max(lostFactor*c.endpoint.typicalTime, seconds(lostMin))
 }
 
 // lost reports whether a call is overdue although one sent later to the same endpoint succeeded in the
@@ -932,7 +934,7 @@
 // busy destination look slow and then opened its breaker. It also protects against answers that are dropped
 // or held back one by one. It could do harm where an endpoint serves some calls fast and lets others hang
 // forever: those hold slots beyond the slow share until none is free, and cancelStuckCalls takes them first.
-func (s *Sender) lost(c *call) bool { return c.sentAt < c.ep.provenAt && s.overdue(c) }
+func (s *Sender) lost(c *call) bool { return c.sentAt < c.endpoint.lastPromptCallAt && s.overdue(c) }
 
 // slow reports whether the oldest call of a destination, of those not lost, has been out far longer than
 // typical. Before any timeout has passed, a silent and a very slow destination look like this. Its share of
@@ -947,17 +949,17 @@
 }
 
 // updateSlotTime brings the recent slot time of the destination up to the current time.
-func (d *destination) spend(now time.Duration) {
-	fade := math.Exp(-seconds(now-d.usedAt) / seconds(slotSpan))
-	d.used = d.used*fade + float64(len(d.calls))*seconds(slotSpan)*(1-fade)
-	d.usedAt = now
+func (d *destination) updateSlotTime(now time.Duration) {
+	fade := math.Exp(-seconds(now-d.slotTimeAt) / seconds(slotTimeSpan))
+	d.slotTime = d.slotTime*fade + float64(len(d.calls))*seconds(slotTimeSpan)*(1-fade)
+	d.slotTimeAt = now
 }
 
 // unresponsive reports whether a destination is slow, or the last call failed on each of its routes. When
 // slots were few, first attempts at silent destinations held all of them.
-func (s *Sender) lame(d *destination) bool {
+func (s *Sender) unresponsive(d *destination) bool {
 	for _, e := range d.endpoints {
-		if e.ready && e.route.fails == 0 {
+		if e.ready && e.route.failures == 0 {
 			return s.slow(d)
 		}
 	}
@@ -965,10 +967,10 @@
 }
 
 // unresponsiveCalls counts the slots that unresponsive destinations hold.
-func (s *Sender) lameHeld() int {
+func (s *Sender) unresponsiveCalls() int {
 	n := 0
-	for _, d := range s.active {
-		if len(d.calls) == 0 || !s.lame(d) {
+	for _, d := range s.activeDests {
+		if len(d.calls) == 0 || !s.unresponsive(d) {
 			continue
 		}
 		for _, c := range d.calls {
@@ -986,33 +988,33 @@
 // is canceled when others wait for its slot: hardly one in thirty of these is answered after all, and each
 // holds a slot for all its time. If it is not lost, it is canceled only while slow destinations hold more
 // than their share of the slots. Canceled work may be wasted; a full node would lose far more.
-func (s *Sender) preempt() {
-	if !s.cfg.MayCancel || s.cfg.Slots <= 0 || s.busy < s.cfg.Slots {
+func (s *Sender) cancelStuckCalls() {
+	if !s.cfg.MayCancel || s.cfg.Slots <= 0 || s.callsOut < s.cfg.Slots {
 		return
 	}
 	var repeatable, lost, slowest *call
-	held, late, waiting := 0, 1.0, false
-	for _, d := range s.active {
+	slowCalls, maxOverdue, waiting := 0, 1.0, false
+	for _, d := range s.activeDests {
 		slow := s.slow(d)
 		waiting = waiting || len(d.waiting) > 0
 		for _, c := range d.calls {
-			if c.called {
+			if c.canceled {
 				return // its slot will be free soon
 			}
 			if slow {
-				held++
+				slowCalls++
 			}
-			patience := c.patience() * math.Pow(timeoutGrow, float64(c.ep.route.fails))
-			over := seconds(s.now-c.sentAt) / patience
-			gone := s.lost(c)
-			if gone {
-				over++ // lost calls go first
+			patience := c.patience() * math.Pow(timeoutGrowth, float64(c.endpoint.route.failures))
+			overdue := seconds(s.now-c.sentAt) / patience
+			isLost := s.lost(c)
+			if isLost {
+				overdue++ // lost calls go first
 			}
 			switch {
-			case c.repeatable && over > late:
-				repeatable, late = c, over
+			case c.repeatable && overdue > maxOverdue:
+				repeatable, maxOverdue = c, overdue
 			case c.repeatable:
-			case gone:
+			case isLost:
 				lost = c
 			case slow && slowest == nil:
 				slowest = c
@@ -1021,32 +1023,32 @@
 	}
 	switch {
 	case repeatable != nil:
-		s.callOff(repeatable)
+		s.cancelCall(repeatable)
 	case lost != nil && waiting:
-		s.callOff(lost)
-	case slowest != nil && float64(held) > slowShare*float64(s.cfg.Slots):
-		s.callOff(slowest)
+		s.cancelCall(lost)
+	case slowest != nil && float64(slowCalls) > slowSlotShare*float64(s.cfg.Slots):
+		s.cancelCall(slowest)
 	}
 }
 
 // cancelCall cancels the attempts of a call.
-func (s *Sender) callOff(c *call) {
-	if c.called || !s.cfg.MayCancel {
+func (s *Sender) cancelCall(c *call) {
+	if c.canceled || !s.cfg.MayCancel {
 		return
 	}
-	c.called = true
-	for _, a := range c.sends {
-		if s.sent[a].c == c {
-			s.do(Cancel{ID: a.id, Attempt: a.n})
+	c.canceled = true
+	for _, a := range c.attempts {
+		if s.attemptsOut[a].c == c {
+			s.emit(Cancel{ID: a.id, Attempt: a.number})
 		}
 	}
 }
 
 // startCalls fills free slots. The waiting destination with the least recent slot time comes first, so that
 // one whose calls last long does not get as many slots as a fast one.
-func (s *Sender) release() {
-	s.active = slices.DeleteFunc(s.active, func(d *destination) bool {
-		d.spend(s.now)
+func (s *Sender) startCalls() {
+	s.activeDests = slices.DeleteFunc(s.activeDests, func(d *destination) bool {
+		d.updateSlotTime(s.now)
 		d.active = len(d.waiting)+len(d.calls) > 0
 		return !d.active
 	})
@@ -1054,54 +1056,54 @@
 		var best *destination
 		var bestMsg *message
 		var bestEp *endpoint
-		if s.cfg.Slots > 0 && s.busy >= s.cfg.Slots {
+		if s.cfg.Slots > 0 && s.callsOut >= s.cfg.Slots {
 			return
 		}
-		for _, d := range s.active {
-			if len(d.waiting) == 0 || (best != nil && d.used >= best.used) {
+		for _, d := range s.activeDests {
+			if len(d.waiting) == 0 || (best != nil && d.slotTime >= best.slotTime) {
 				continue
 			}
-			if m, ep := s.next(d); m != nil {
+			if m, ep := s.nextMessage(d); m != nil {
 				best, bestMsg, bestEp = d, m, ep
 			}
 		}
 		if best == nil {
 			return
 		}
-		s.send(best, bestMsg, bestEp)
+		s.startCall(best, bestMsg, bestEp)
 	}
 }
 
 // nextMessage finds the message that a destination would send now, and its endpoint. The order is that of
 // arrival, unless the queue is so long that waiting costs worth: then the message that loses most by waiting
 // as long as the oldest has waited goes first.
-func (s *Sender) next(d *destination) (*message, *endpoint) {
-	if s.lame(d) && s.cfg.Slots > 0 && float64(s.lameHeld()) >= max(1, slowShare*float64(s.cfg.Slots)) {
+func (s *Sender) nextMessage(d *destination) (*message, *endpoint) {
+	if s.unresponsive(d) && s.cfg.Slots > 0 && float64(s.unresponsiveCalls()) >= max(1, slowSlotShare*float64(s.cfg.Slots)) {
 		return nil, nil
 	}
 	open := false
 	for i, e := range d.endpoints {
 		if i == 0 || e.route != d.endpoints[0].route { // one route for all, or one for each
-			s.refill(e.route)
+			s.refillTokens(e.route)
 		}
-		if e.warming != nil && s.now-e.warming.coldFrom > s.cfg.SlowStartDuration {
-			e.warming = nil
-		} else if e.warming != nil {
-			s.refill(e.warming)
+		if e.slowStart != nil && s.now-e.slowStart.slowStartAt > s.cfg.SlowStartDuration {
+			e.slowStart = nil
+		} else if e.slowStart != nil {
+			s.refillTokens(e.slowStart)
 		}
-		open = open || s.routeOpen(e)
+		open = open || s.endpointAvailable(e)
 	}
 	if !open {
 		return nil, nil
 	}
-	horizon := s.now - d.waiting[0].arrived
+	horizon := s.now - d.waiting[0].arrivedAt
 	var best *message
 	var bestEp *endpoint
-	most := -1.0
+	maxLoss := -1.0
 	for _, m := range d.waiting {
-		if loss := s.loss(m, horizon); loss > most {
-			if ep := s.draw(m); ep != nil {
-				best, bestEp, most = m, ep, loss
+		if loss := s.worthLost(m, horizon); loss > maxLoss {
+			if ep := s.pickEndpoint(m); ep != nil {
+				best, bestEp, maxLoss = m, ep, loss
 			}
 		}
 	}
@@ -1109,98 +1111,98 @@
 }
 
 // worthLost is the worth that a message loses by waiting for a given time.
-func (s *Sender) loss(m *message, wait time.Duration) float64 {
+func (s *Sender) worthLost(m *message, wait time.Duration) float64 {
 	usual := time.Duration(0)
 	if e := m.dest.endpoints; len(e) > 0 {
-		usual = span(e[0].usual)
+		usual = duration(e[0].typicalTime)
 	}
-	return s.value(m, s.now+usual) - s.value(m, s.now+usual+wait)
+	return s.worthAt(m, s.now+usual) - s.worthAt(m, s.now+usual+wait)
 }
 
 // worthAt is the worth of a delivery at a given time.
-func (s *Sender) value(m *message, at time.Duration) float64 {
-	age, late := at-m.born, m.class.LateWorth
+func (s *Sender) worthAt(m *message, at time.Duration) float64 {
+	age, late := at-m.submittedAt, m.class.LateWorth
 	switch {
-	case at > m.dropDead:
+	case at > m.deadline:
 		return 0
-	case age <= m.aim || m.aim <= 0:
+	case age <= m.softDeadline || m.softDeadline <= 0:
 		return m.worth
 	case s.cfg.WorthHalves:
-		return m.worth * max(late, math.Exp2(-float64(age-m.aim)/float64(m.aim)))
+		return m.worth * max(late, math.Exp2(-float64(age-m.softDeadline)/float64(m.softDeadline)))
 	}
-	return m.worth * (1 - (1-late)*float64(age-m.aim)/float64(max(m.class.Deadline-m.aim, 1)))
+	return m.worth * (1 - (1-late)*float64(age-m.softDeadline)/float64(max(m.class.Deadline-m.softDeadline, 1)))
 }
 
 // pickEndpoint picks a random endpoint among those that maySend accepts, with a probability that falls with
 // the smoothed response time.
-func (s *Sender) draw(m *message) *endpoint {
+func (s *Sender) pickEndpoint(m *message) *endpoint {
 	total := 0.0
-	var fit []*endpoint
+	var candidates []*endpoint
 	var odds []float64
 	for _, e := range m.dest.endpoints {
-		if s.check(m, e) {
-			o := math.Pow(max(e.response, seconds(floorResponse)), -drawPower)
-			fit, odds, total = append(fit, e), append(odds, o), total+o
+		if s.maySend(m, e) {
+			weight := math.Pow(max(e.responseTime, seconds(minResponseTime)), -responseTimePower)
+			candidates, odds, total = append(candidates, e), append(odds, weight), total+weight
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
 	x := s.rng.Float64() * total
-	for i, e := range fit {
+	for i, e := range candidates {
 		if x -= odds[i]; x < 0 {
 			return e
 		}
 	}
-	return fit[len(fit)-1]
+	return candidates[len(candidates)-1]
 }
 
 // endpointAvailable is the part of maySend that depends on the endpoint alone: drain, wait, health, budget
 // and rate.
-func (s *Sender) routeOpen(e *endpoint) bool {
+func (s *Sender) endpointAvailable(e *endpoint) bool {
 	r := e.route
-	if !e.ready || s.now < r.waitUntil || r.tokens < 1 || s.now < e.shyTil {
+	if !e.ready || s.now < r.waitUntil || r.tokens < 1 || s.now < e.avoidUntil {
 		return false
 	}
-	if e.warming != nil && e.warming.tokens < 1 {
+	if e.slowStart != nil && e.slowStart.tokens < 1 {
 		return false
 	}
-	if since := s.now - e.crowdedAt; e.room > 0 && since < crowdedSpan &&
-		float64(e.out) >= e.room+roomGrow*seconds(since) {
+	if since := s.now - e.tableFullAt; e.tableRoom > 0 && since < fullTableSpan &&
+		float64(e.callsOut) >= e.tableRoom+tableRoomPerSecond*seconds(since) {
 		return false
 	}
-	return !r.sick || (!r.trial && s.now >= r.trialAt)
+	return !r.breakerOpen || (!r.halfOpenCallOut && s.now >= r.halfOpenAt)
 }
 
 // maySend is the one check before every send; no code path avoids it.
-func (s *Sender) check(m *message, e *endpoint) bool {
-	if m.over || m.out > 0 || s.now < m.notBefore || s.spent(m) || !s.routeOpen(e) {
+func (s *Sender) maySend(m *message, e *endpoint) bool {
+	if m.ended || m.attemptsOut > 0 || s.now < m.notBefore || s.attemptsExhausted(m) || !s.endpointAvailable(e) {
 		return false
 	}
-	if s.cfg.Slots > 0 && s.busy >= s.cfg.Slots || s.now >= s.startBy(m) {
+	if s.cfg.Slots > 0 && s.callsOut >= s.cfg.Slots || s.now >= s.latestStart(m) {
 		return false
 	}
-	if s.leaveBy > 0 && s.now+s.leaveSpan(m, e) > s.leaveBy {
+	if s.stopAt > 0 && s.now+s.stopMargin(m, e) > s.stopAt {
 		return false
 	}
 	switch m.class.Effect {
 	case AtMostOnce:
 		// With an open breaker an AtMostOnce message risks an ambiguous end, unless failures there prove that
 		// nothing ran; with most of its time gone it has less to lose.
-		spent := s.now-m.arrived > (m.dropDead-m.arrived)/2
-		if m.touched || (e.route.sick && !e.route.harmless && !spent) {
+		spent := s.now-m.arrivedAt > (m.deadline-m.arrivedAt)/2
+		if m.mayHaveRun || (e.route.breakerOpen && !e.route.nothingRan && !spent) {
 			return false
 		}
 	case Deduplicated:
-		if m.touched && !m.class.DedupEverywhere && e.zone != m.zone {
+		if m.mayHaveRun && !m.class.DedupEverywhere && e.zone != m.mayHaveRunZone {
 			return false
 		}
 	}
 	if m.key != "" {
-		s.trimLine(m.key)
+		s.trimKeyQueue(m.key)
 		// The message that had its turn before may try again without a pause.
-		line := s.lines[m.key]
-		if (s.now < s.rests[m.key] && m.attempts == 0) || (len(line) > 0 && line[0] != m) {
+		line := s.keyQueues[m.key]
+		if (s.now < s.keyPauses[m.key] && m.attempts == 0) || (len(line) > 0 && line[0] != m) {
 			return false
 		}
 	}
@@ -1208,86 +1210,86 @@
 }
 
 // stopMargin is how long before the end of the process a message may still be sent.
-func (s *Sender) leaveSpan(m *message, e *endpoint) time.Duration {
+func (s *Sender) stopMargin(m *message, e *endpoint) time.Duration {
 	if m.class.Effect == AtMostOnce {
-		return max(span(leaveRoomUnsafe*e.usual), leaveLeastUnsafe)
+		return max(duration(stopFactorAtMostOnce*e.typicalTime), stopMarginMinAtMostOnce)
 	}
-	return max(span(leaveRoom*e.usual), leaveLeast)
+	return max(duration(stopFactor*e.typicalTime), stopMarginMin)
 }
 
 // startCall sends a message and, where the kind allows it, more of the destination's waiting messages in the
 // same call.
-func (s *Sender) send(d *destination, m *message, e *endpoint) {
+func (s *Sender) startCall(d *destination, m *message, e *endpoint) {
 	r := e.route
-	c := &call{ep: e, sentAt: s.now, trial: r.sick, repeatable: m.class.Effect != AtMostOnce}
-	s.made++
-	r.trial = r.trial || c.trial
+	c := &call{endpoint: e, sentAt: s.now, halfOpen: r.breakerOpen, repeatable: m.class.Effect != AtMostOnce}
+	s.callsMade++
+	r.halfOpenCallOut = r.halfOpenCallOut || c.halfOpen
 	// A call on a socket is given up whole. Where silence is likely, messages that may be repeated are not
 	// tied to the long timeout of those that may not. Elsewhere twice the calls would only take slots from
 	// others.
-	mixed := !r.recovering() && !s.lame(d)
+	mayMix := !r.recovering() && !s.unresponsive(d)
 	group := []*message{m}
 	for _, o := range d.waiting {
-		if len(group) >= s.batch(d) || c.trial {
+		if len(group) >= s.maxBatch(d) || c.halfOpen {
 			break
 		}
-		if o != m && (mixed || c.repeatable == (o.class.Effect != AtMostOnce)) && s.check(o, e) {
+		if o != m && (mayMix || c.repeatable == (o.class.Effect != AtMostOnce)) && s.maySend(o, e) {
 			group = append(group, o)
 		}
 	}
 	for _, o := range group {
 		d.dequeue(o)
 		a := attempt{o.id, o.attempts}
-		s.sent[a], c.sends = sending{o, c}, append(c.sends, a)
+		s.attemptsOut[a], c.attempts = pendingAttempt{o, c}, append(c.attempts, a)
 		o.attempts++
-		o.out++
-		c.left++
+		o.attemptsOut++
+		c.outcomesLeft++
 		c.repeatable = c.repeatable && o.class.Effect != AtMostOnce
 		// A message that may not be repeated is lost when a reused connection turns out broken; a handshake
 		// costs less than that, and less than another attempt of a message that has had one.
-		fresh := s.now < s.wornTil && (o.class.Effect == AtMostOnce || o.attempts > 1)
-		s.do(Send{
-			ID: o.id, Endpoint: e.id, Call: s.made, TimeoutAt: s.timeout(o, e), StartBy: s.startBy(o),
-			ResultBy: o.endBy(), NewConn: fresh,
+		newConn := s.now < s.distrustReusedUntil && (o.class.Effect == AtMostOnce || o.attempts > 1)
+		s.emit(Send{
+			ID: o.id, Endpoint: e.id, Call: s.callsMade, TimeoutAt: s.timeoutAt(o, e), StartBy: s.latestStart(o),
+			ResultBy: o.resultBy(), NewConn: newConn,
 		})
 	}
 	r.tokens--
-	if e.warming != nil {
-		e.warming.tokens--
+	if e.slowStart != nil {
+		e.slowStart.tokens--
 	}
-	if e.sentAt > 0 {
-		e.gap = ease(e.gap, seconds(s.now-e.sentAt))
+	if e.lastCallAt > 0 {
+		e.callGap = smooth(e.callGap, seconds(s.now-e.lastCallAt))
 	}
-	e.sentAt = s.now
-	s.busy++
-	e.out++
+	e.lastCallAt = s.now
+	s.callsOut++
+	e.callsOut++
 	d.calls = append(d.calls, c)
-	d.used += seconds(sendCharge)
+	d.slotTime += seconds(slotTimeCharge)
 }
 
 // resultBy is the clock time after which an answer about the message no longer counts.
-func (m *message) endBy() time.Duration { return m.dropDead - endMargin/2 }
+func (m *message) resultBy() time.Duration { return m.deadline - answerMargin/2 }
 
 // timeoutAt is the clock time at which an attempt is abandoned. An AtMostOnce message cannot be tried again,
 // so it gets all its time.
-func (s *Sender) timeout(m *message, e *endpoint) time.Duration {
-	last := m.endBy()
+func (s *Sender) timeoutAt(m *message, e *endpoint) time.Duration {
+	last := m.resultBy()
 	if m.class.Effect == AtMostOnce {
 		return last
 	}
-	aim := seconds(m.aim)
-	t := max(timeoutFactor*e.usual, timeoutLeast*aim) * math.Pow(timeoutGrow, float64(e.route.fails))
-	if e.usual == 0 {
+	aim := seconds(m.softDeadline)
+	t := max(timeoutFactor*e.typicalTime, minTimeoutSoftDeadlines*aim) * math.Pow(timeoutGrowth, float64(e.route.failures))
+	if e.typicalTime == 0 {
 		t = aim
 	}
-	t = min(t, timeoutAims*aim)
-	return min(last, s.now+span(t))
+	t = min(t, maxTimeoutSoftDeadlines*aim)
+	return min(last, s.now+duration(t))
 }
 
 // handleProbeEnd records the result of a probe like that of a call.
-func (s *Sender) probed(e ProbeEnded) {
-	if ep := s.eps[e.Endpoint]; ep != nil {
-		s.report(ep.route, e.Report)
-		s.judge(&call{ep: ep, trial: true}, AttemptEnded{Outcome: e.Outcome, Took: e.Took}, false)
+func (s *Sender) handleProbeEnd(e ProbeEnded) {
+	if ep := s.endpoints[e.Endpoint]; ep != nil {
+		s.recordReport(ep.route, e.Report)
+		s.recordOutcome(&call{endpoint: ep, halfOpen: true}, AttemptEnded{Outcome: e.Outcome, Took: e.Took}, false)
 	}
 }
--- a/choice/crowd_test.go
+++ b/choice/crowd_test.go
@@ -9,14 +9,14 @@
 // A new connection that is rejected and closed means a full connection table: calls that are out keep their
 // places, no more start beside them for now, the rate stays, and idle connections are closed. On a reused
 // connection, or with the connection left open, the same rejection is one over the limit.
-func TestFullTableIsNoLimit(t *testing.T) {
+func TestFullConnectionTableIsNoLimit(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		kept, hungUp bool
 		full         bool
 	}{{"new and closed", false, true, true}, {"kept", true, true, false}, {"left open", false, false, false}} {
-		s, now := New(settings(), 1), time.Hour
-		s.Step(now, []Event{list(Entry{Endpoint: "a", Weight: 1000})})
+		s, now := New(testSettings(), 1), time.Hour
+		s.Step(now, []Event{completeList(Entry{Endpoint: "a", Weight: 1000})})
 		out := 0
 		step := func(e Event) (hangUps []CloseIdle) {
 			for _, a := range s.Step(now, []Event{e}) {
@@ -34,9 +34,9 @@
 		}
 		now += 20 * ms
 		step(AttemptEnded{ID: "m2", Endpoint: "a", Outcome: Rejected, ReusedConn: c.kept, ConnClosed: c.hungUp, Took: 20 * ms})
-		r := s.dests[0].shared
-		if out != 3 || (r.refusals == 0) != c.full || (r.waitUntil == 0) != c.full {
-			t.Fatalf("%s: %d sent, %d refusals, a wait until %v", c.name, out, r.refusals, r.waitUntil)
+		r := s.dests[0].sharedRoute
+		if out != 3 || (r.rejections == 0) != c.full || (r.waitUntil == 0) != c.full {
+			t.Fatalf("%s: %d sent, %d refusals, a wait until %v", c.name, out, r.rejections, r.waitUntil)
 		}
 		if !c.full {
 			continue
--- a/choice/lost_test.go
+++ b/choice/lost_test.go
@@ -10,9 +10,9 @@
 // Single calls without an answer are lost if later ones to their endpoint succeed: their destination is not
 // slow, its breaker stays closed, and its gate gets no sample. If no call succeeds meanwhile, the same
 // silence is an outage.
-func TestLoneSilenceIsNoOutage(t *testing.T) {
-	for _, passing := range []bool{true, false} {
-		cfg := settings()
+func TestLostCallsAreNoOutage(t *testing.T) {
+	for _, othersSucceed := range []bool{true, false} {
+		cfg := testSettings()
 		classOf := func(e Effect) int {
 			return slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == e && !c.Ordered })
 		}
@@ -28,10 +28,10 @@
 		arrive := func(id string, e Effect) bool {
 			return len(sends(MessageArrived{ID: id, Class: classOf(e), Deadline: now + time.Minute})) == 1
 		}
-		s.Step(now, []Event{list(Entry{Endpoint: "a", Weight: 1000})})
+		s.Step(now, []Event{completeList(Entry{Endpoint: "a", Weight: 1000})})
 		pass := func(id string) {
 			if !arrive(id, Idempotent) {
-				t.Fatalf("other calls succeed: %v; %s was not sent", passing, id)
+				t.Fatalf("other calls succeed: %v; %s was not sent", othersSucceed, id)
 			}
 			now += 20 * ms
 			s.Step(now, []Event{AttemptEnded{ID: id, Endpoint: "a", Took: 20 * ms}})
@@ -49,36 +49,36 @@
 			now += 100 * ms
 		}
 		for i := range 4 {
-			if now += 200 * ms; passing {
+			if now += 200 * ms; othersSucceed {
 				pass(fmt.Sprint("meanwhile", i))
 			}
 		}
-		if s.Step(now, nil); s.slow(d) == passing {
-			t.Errorf("other calls succeed: %v, and the destination is slow: the same", passing)
+		if s.Step(now, nil); s.slow(d) == othersSucceed {
+			t.Errorf("other calls succeed: %v, and the destination is slow: the same", othersSucceed)
 		}
 		for i := range 4 {
 			s.Step(now, []Event{AttemptEnded{ID: fmt.Sprint("lost", i), Endpoint: "a", Outcome: TimedOut, Took: now - sent}})
 		}
-		if r := d.shared; r.sick == passing || (d.gates[0].average > average+0.1) == passing {
-			t.Errorf("other calls succeed: %v; the breaker is open: %v, the average went from %v to %v", passing, r.sick, average, d.gates[0].average)
+		if r := d.sharedRoute; r.breakerOpen == othersSucceed || (d.gates[0].average > average+0.1) == othersSucceed {
+			t.Errorf("other calls succeed: %v; the breaker is open: %v, the average went from %v to %v", othersSucceed, r.breakerOpen, average, d.gates[0].average)
 		}
 	}
 }
 
 // A closed gate does not wait for an answer that is long overdue before it admits a trial message.
-func TestOverdueCallsKeepNoTrialOut(t *testing.T) {
-	s, now := New(settings(), 1), time.Hour
-	s.Step(now, []Event{one()})
-	unsafe := slices.IndexFunc(settings().Classes, func(c Class) bool { return c.Effect == AtMostOnce })
+func TestOverdueCallsDoNotBlockTrialMessages(t *testing.T) {
+	s, now := New(testSettings(), 1), time.Hour
+	s.Step(now, []Event{listOfOne()})
+	unsafe := slices.IndexFunc(testSettings().Classes, func(c Class) bool { return c.Effect == AtMostOnce })
 	s.Step(now, []Event{MessageArrived{ID: "silent", Class: unsafe, Deadline: now + time.Minute}})
-	s.dests[0].gates[0] = gate{seen: true, baseline: 0.1, average: 9, at: now}
+	s.dests[0].gates[0] = gate{sampled: true, baseline: 0.1, average: 9, updatedAt: now}
 	for _, c := range []struct {
 		after time.Duration
 		taken bool
-	}{{lostLeast - 100*ms, false}, {lostLeast + 100*ms, true}} {
+	}{{lostMin - 100*ms, false}, {lostMin + 100*ms, true}} {
 		id := c.after.String()
 		s.Step(now+c.after, []Event{MessageArrived{ID: id, Deadline: now + time.Minute}})
-		if (s.msgs[id] != nil) != c.taken {
+		if (s.messages[id] != nil) != c.taken {
 			t.Errorf("%v after the call that is out: the message was admitted: %v", c.after, !c.taken)
 		}
 	}
@@ -87,8 +87,8 @@
 // With no slot free and others waiting, a lost call that may not be repeated gives up its slot. With a slot
 // free, or with no message waiting, its answer may still come. One that may be repeated is canceled as soon
 // as no slot is free.
-func TestLostCallsGiveBackTheirSlots(t *testing.T) {
-	cfg := settings()
+func TestLostCallsFreeTheirSlots(t *testing.T) {
+	cfg := testSettings()
 	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == AtMostOnce })
 	for _, c := range []struct {
 		name   string
@@ -103,7 +103,7 @@
 		{"none is free, repeatable", 0, cfg.Slots - 1, true},
 	} {
 		s, now := New(cfg, 1), time.Hour
-		s.Step(now, []Event{list(Entry{Endpoint: "a", Weight: 1000})})
+		s.Step(now, []Event{completeList(Entry{Endpoint: "a", Weight: 1000})})
 		arrive := func(id string, class int) MessageArrived {
 			return MessageArrived{ID: id, Class: class, Deadline: now + time.Minute}
 		}
@@ -115,16 +115,16 @@
 		s.Step(now, []Event{arrive("later", 0)})
 		now += 20 * ms
 		s.Step(now, []Event{AttemptEnded{ID: "later", Endpoint: "a", Took: 20 * ms}})
-		now += lostLeast + 50*ms
-		called := false
+		now += lostMin + 50*ms
+		canceled := false
 		for i := range c.others {
 			for _, a := range s.Step(now, []Event{arrive(fmt.Sprint("m", i), 0)}) {
 				cancel, ok := a.(Cancel)
-				called = called || (ok && cancel.ID == "lost")
+				canceled = canceled || (ok && cancel.ID == "lost")
 			}
 		}
-		if called != c.want {
-			t.Errorf("%s: the lost call was canceled: %v", c.name, called)
+		if canceled != c.want {
+			t.Errorf("%s: the lost call was canceled: %v", c.name, canceled)
 		}
 	}
 }
--- a/choice/resume_test.go
+++ b/choice/resume_test.go
@@ -7,9 +7,9 @@
 )
 
 // After a restart a message is handled by whether it may have run, as it would have been without the restart.
-func TestResumed(t *testing.T) {
+func TestResumedMessages(t *testing.T) {
 	const now = time.Hour
-	cfg := settings()
+	cfg := testSettings()
 	classOf := func(e Effect) int {
 		for i, c := range cfg.Classes {
 			if c.Effect == e && !c.Ordered && (e != Deduplicated || c.DedupEverywhere) {
@@ -42,7 +42,7 @@
 		s := New(cfg, 1)
 		c.e.MessageArrived = MessageArrived{ID: "m", Class: c.class, Deadline: now + c.left}
 		got := ""
-		for _, a := range s.Step(now, []Event{one(), c.e}) {
+		for _, a := range s.Step(now, []Event{listOfOne(), c.e}) {
 			switch a := a.(type) {
 			case Send:
 				got += "send"
@@ -62,11 +62,11 @@
 }
 
 // A backlog with failures before the restart is sent at the rate of a slow start, not at once.
-func TestResumedBacklogComesBackGently(t *testing.T) {
+func TestResumedBacklogGetsASlowStart(t *testing.T) {
 	for _, failed := range []bool{false, true} {
-		cfg := settings()
+		cfg := testSettings()
 		s := New(cfg, 1)
-		events := []Event{one()}
+		events := []Event{listOfOne()}
 		for _, id := range []string{"a", "b", "c"} {
 			events = append(events, MessageResumed{
 				MessageArrived: MessageArrived{ID: id, Deadline: time.Hour + 5*time.Second}, Attempts: 1, Failed: failed,
@@ -78,7 +78,7 @@
 				sends++
 			}
 		}
-		if r := s.eps["a"].route; r.recovering() != failed || (failed && sends > 1) || (!failed && sends == 0) {
+		if r := s.endpoints["a"].route; r.recovering() != failed || (failed && sends > 1) || (!failed && sends == 0) {
 			t.Errorf("earlier failure: %v; recovering: %v, %d sends", failed, r.recovering(), sends)
 		}
 	}
@@ -86,11 +86,11 @@
 
 // A Stopping event holds back sends that might be cut off, earlier for those that could not be repeated, and
 // nothing else: the gate still works and messages still end.
-func TestLeaving(t *testing.T) {
-	cfg := settings()
+func TestStopping(t *testing.T) {
+	cfg := testSettings()
 	s := New(cfg, 1)
 	end := time.Hour + 2*time.Second
-	s.Step(time.Hour, []Event{one(), Stopping{By: end}})
+	s.Step(time.Hour, []Event{listOfOne(), Stopping{By: end}})
 	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == AtMostOnce })
 	safe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == Idempotent })
 	for _, c := range []struct {
--- a/choice/saved.go
+++ b/choice/saved.go
@@ -13,205 +13,207 @@
 // be added there as well, or the package does not compile. The JSON names stay as they are, because the other
 // process may be another build.
 type Saved struct {
-	Now      time.Duration
-	Random   []byte
-	Dests    []SavedDest
-	Active   []int            `json:"Active"` // indices in Dests
-	Messages []SavedMessage   // the open ones in their order, then those that have ended and have an attempt out
-	Open     int              `json:"Open"`
-	Lines    map[string][]int `json:"Lines"` // indices in Messages
-	Calls    []SavedCall
-	Rests    map[string]time.Duration `json:"Rests"`
-	Resting  []SavedRest              `json:"Resting"`
-	Parted   map[string]time.Duration `json:"Parted"`
-	Barred   map[string]bool          `json:"Barred"`
-	Crowded  map[int]time.Duration    `json:"Crowded"`
-	WornTil  time.Duration            `json:"WornTil"`
-	Tenants  []SavedTenant
-	Made     uint64        `json:"Made"`
-	Asking   time.Duration `json:"Asking"`
-	AskAt    time.Duration `json:"AskAt"`
-	Failing  float64       `json:"Failing"`
-	Came     float64       `json:"Came"`
-	Seen     float64       `json:"Seen"`
-	CameAt   time.Duration `json:"CameAt"`
+	Now                 time.Duration
+	Random              []byte
+	Dests               []SavedDestination
+	ActiveDests         []int            `json:"Active"` // indices in Dests
+	Messages            []SavedMessage   // the open ones in their order, then those that have ended and have an attempt out
+	OpenCount           int              `json:"Open"`
+	KeyQueues           map[string][]int `json:"Lines"` // indices in Messages
+	Calls               []SavedCall
+	KeyPauses           map[string]time.Duration `json:"Rests"`
+	PausedKeys          []SavedKeyPause          `json:"Resting"`
+	RemovedWaits        map[string]time.Duration `json:"Parted"`
+	Disabled            map[string]bool          `json:"Barred"`
+	TableFullUntil      map[int]time.Duration    `json:"Crowded"`
+	DistrustReusedUntil time.Duration            `json:"WornTil"`
+	Tenants             []SavedTenant
+	CallsMade           uint64        `json:"Made"`
+	WatchBackoff        time.Duration `json:"Asking"`
+	WatchAt             time.Duration `json:"AskAt"`
+	FailureShare        float64       `json:"Failing"`
+	FirstTries          float64       `json:"Came"`
+	FirstTriesSpan      float64       `json:"Seen"`
+	FirstTriesAt        time.Duration `json:"CameAt"`
 }
 
 // SavedKeyPause is the saved form of a keyPause.
-type SavedRest struct {
+type SavedKeyPause struct {
 	Key   string
 	Until time.Duration
 }
 
 // SavedTenant is the saved form of a tenant.
 type SavedTenant struct {
-	Tokens float64
-	At     time.Duration `json:"At"`
+	Tokens    float64
+	UpdatedAt time.Duration `json:"At"`
 }
 
 // SavedGate is the saved form of a gate.
 type SavedGate struct {
 	Average, Baseline float64
-	At                time.Duration `json:"At"`
-	Seen              bool          `json:"Seen"`
-	Shut              bool          `json:"Shut"`
-	LastTrial         time.Duration `json:"LastTrial"`
+	UpdatedAt         time.Duration `json:"At"`
+	Sampled           bool          `json:"Seen"`
+	Closed            bool          `json:"Shut"`
+	LastTrialAt       time.Duration `json:"LastTrial"`
 }
 
 // SavedRoute is the saved form of a route.
 type SavedRoute struct {
-	WaitUntil time.Duration
-	Limit     float64
-	Reported  bool    `json:"Reported"`
-	Left      float64 `json:"Left"`
-	Weight    float64
-	Part      float64       `json:"Part"`
-	PartAt    time.Duration `json:"PartAt"`
-	Refusals  int           `json:"Refusals"`
-	CutAt     time.Duration `json:"CutAt"`
-	Most      float64       `json:"Most"`
-	Tokens    float64
-	TokensAt  time.Duration
-	Fails     int           `json:"Fails"`
-	FailedAt  time.Duration `json:"FailedAt"`
-	Rest      time.Duration `json:"Rest"`
-	Sick      bool          `json:"Sick"`
-	Harmless  bool          `json:"Harmless"`
-	TrialAt   time.Duration `json:"TrialAt"`
-	Backoff   time.Duration `json:"Backoff"`
-	Trial     bool          `json:"Trial"`
-	ColdFrom  time.Duration `json:"ColdFrom"`
-	StruckAt  time.Duration `json:"StruckAt"`
-	Demand    float64       `json:"Demand"`
-	Busiest   float64       `json:"Busiest"`
-	Passed    float64       `json:"Passed"`
-	PassedAt  time.Duration `json:"PassedAt"`
+	WaitUntil       time.Duration
+	Limit           float64
+	LimitReported   bool    `json:"Reported"`
+	LimitLeft       float64 `json:"Left"`
+	Weight          float64
+	RateShare       float64       `json:"Part"`
+	RateShareAt     time.Duration `json:"PartAt"`
+	Rejections      int           `json:"Refusals"`
+	DecreasedAt     time.Duration `json:"CutAt"`
+	MaxRateShare    float64       `json:"Most"`
+	Tokens          float64
+	TokensAt        time.Duration
+	Failures        int           `json:"Fails"`
+	FirstFailureAt  time.Duration `json:"FailedAt"`
+	RejectionPause  time.Duration `json:"Rest"`
+	BreakerOpen     bool          `json:"Sick"`
+	NothingRan      bool          `json:"Harmless"`
+	HalfOpenAt      time.Duration `json:"TrialAt"`
+	HalfOpenBackoff time.Duration `json:"Backoff"`
+	HalfOpenCallOut bool          `json:"Trial"`
+	SlowStartAt     time.Duration `json:"ColdFrom"`
+	OutageAt        time.Duration `json:"StruckAt"`
+	OutageDemand    float64       `json:"Demand"`
+	PeakRate        float64       `json:"Busiest"`
+	Successes       float64       `json:"Passed"`
+	SuccessesSince  time.Duration `json:"PassedAt"`
 }
 
 // SavedEndpoint is the saved form of an endpoint; Route is nil if it uses its destination's shared route.
 type SavedEndpoint struct {
-	ID        string
-	Zone      int
-	Route     *SavedRoute
-	Listed    bool `json:"Listed"`
-	Ready     bool
-	Warming   *SavedRoute   `json:"Warming"`
-	Response  float64       `json:"Response"`
-	Usual     float64       `json:"Usual"`
-	ProvenAt  time.Duration `json:"ProvenAt"`
-	SentAt    time.Duration `json:"SentAt"`
-	Gap       float64       `json:"Gap"`
-	CrowdedAt time.Duration `json:"CrowdedAt"`
-	Room      float64       `json:"Room"`
-	ShyTil    time.Duration `json:"ShyTil"`
+	ID               string
+	Zone             int
+	Route            *SavedRoute
+	ListedReady      bool `json:"Listed"`
+	Ready            bool
+	SlowStart        *SavedRoute   `json:"Warming"`
+	ResponseTime     float64       `json:"Response"`
+	TypicalTime      float64       `json:"Usual"`
+	LastPromptCallAt time.Duration `json:"ProvenAt"`
+	LastCallAt       time.Duration `json:"SentAt"`
+	CallGap          float64       `json:"Gap"`
+	TableFullAt      time.Duration `json:"CrowdedAt"`
+	TableRoom        float64       `json:"Room"`
+	AvoidUntil       time.Duration `json:"ShyTil"`
 }
 
 // SavedDestination is the saved form of a destination. Its endpoints are the first ListedCount, which are in
 // the list, then those that have left the list and have calls out.
-type SavedDest struct {
-	ID        int
-	Emptied   time.Duration `json:"Emptied"`
-	Gates     []SavedGate   // by class
-	Kind      int
-	Shared    SavedRoute `json:"Shared"`
-	Endpoints []SavedEndpoint
-	Listed    int           `json:"Listed"`
-	Waiting   []int         // indices in Messages
-	Used      float64       `json:"Used"`
-	UsedAt    time.Duration `json:"UsedAt"`
-	Came      float64       `json:"Came"`
-	CameAt    time.Duration `json:"CameAt"`
+type SavedDestination struct {
+	ID          int
+	EmptiedAt   time.Duration `json:"Emptied"`
+	Gates       []SavedGate   // by class
+	Kind        int
+	SharedRoute SavedRoute `json:"Shared"`
+	Endpoints   []SavedEndpoint
+	ListedCount int           `json:"Listed"`
+	Waiting     []int         // indices in Messages
+	SlotTime    float64       `json:"Used"`
+	SlotTimeAt  time.Duration `json:"UsedAt"`
+	Arrivals    float64       `json:"Came"`
+	ArrivalsAt  time.Duration `json:"CameAt"`
 }
 
 // SavedMessage is the saved form of a message.
 type SavedMessage struct {
-	ID        string
-	Class     int
-	Key       string
-	Worth     float64
-	Dest      int           // index in Dests
-	Arrived   time.Duration `json:"Arrived"`
-	Born      time.Duration `json:"Born"`
-	Aim       time.Duration `json:"Aim"`
-	DropDead  time.Duration `json:"DropDead"`
-	Attempts  int
-	MayRun    time.Duration `json:"MayRun"`
-	Touched   bool          `json:"Touched"`
-	Zone      int           `json:"Zone"`
-	NotBefore time.Duration
-	Waits     bool `json:"Waits"`
-	Ended     bool
+	ID              string
+	Class           int
+	Key             string
+	Worth           float64
+	Dest            int           // index in Dests
+	ArrivedAt       time.Duration `json:"Arrived"`
+	SubmittedAt     time.Duration `json:"Born"`
+	SoftDeadline    time.Duration `json:"Aim"`
+	Deadline        time.Duration `json:"DropDead"`
+	Attempts        int
+	MayHaveRunSince time.Duration `json:"MayRun"`
+	MayHaveRun      bool          `json:"Touched"`
+	MayHaveRunZone  int           `json:"Zone"`
+	NotBefore       time.Duration
+	Waiting         bool `json:"Waits"`
+	Ended           bool
 }
 
 // SavedCall is the saved form of a call that is out.
 type SavedCall struct {
 	Dest, Endpoint int // indices in Dests and its Endpoints
 	SentAt         time.Duration
-	Trial          bool `json:"Trial"`
-	Called         bool `json:"Called"`
+	HalfOpen       bool `json:"Trial"`
+	Canceled       bool `json:"Called"`
 	Repeatable     bool
-	Sends          []SavedSend `json:"Sends"`
+	Attempts       []SavedAttempt `json:"Sends"`
 }
 
 // SavedAttempt is one message of a call; Message is its index in Messages while its outcome is not known, or
 // -1.
-type SavedSend struct {
+type SavedAttempt struct {
 	ID      string
-	Attempt int `json:"Attempt"`
+	Number  int `json:"Attempt"`
 	Message int
 }
 
 func (g gate) saved() SavedGate {
-	return SavedGate{g.average, g.baseline, g.at, g.seen, g.shut, g.lastTrial}
+	return SavedGate{g.average, g.baseline, g.updatedAt, g.sampled, g.closed, g.lastTrialAt}
 }
 
-func (g SavedGate) gate() gate { return gate{g.Average, g.Baseline, g.At, g.Seen, g.Shut, g.LastTrial} }
+func (g SavedGate) gate() gate {
+	return gate{g.Average, g.Baseline, g.UpdatedAt, g.Sampled, g.Closed, g.LastTrialAt}
+}
 
 func (r *route) saved() SavedRoute {
 	return SavedRoute{
-		r.waitUntil, r.limit, r.reported, r.left, r.weight, r.part, r.partAt, r.refusals, r.cutAt, r.most, r.tokens, r.tokensAt, r.fails, r.failedAt, r.rest,
-		r.sick, r.harmless, r.trialAt, r.backoff, r.trial, r.coldFrom, r.struckAt, r.demand, r.busiest, r.passed, r.passedAt,
+		r.waitUntil, r.limit, r.limitReported, r.limitLeft, r.weight, r.rateShare, r.rateShareAt, r.rejections, r.decreasedAt, r.maxRateShare, r.tokens, r.tokensAt, r.failures, r.firstFailureAt, r.rejectionPause,
+		r.breakerOpen, r.nothingRan, r.halfOpenAt, r.halfOpenBackoff, r.halfOpenCallOut, r.slowStartAt, r.outageAt, r.outageDemand, r.peakRate, r.successes, r.successesSince,
 	}
 }
 
 // route restores a route. One without an upper bound of the rate share comes from a build that did not count
 // in shares, and gets the initial share.
 func (r SavedRoute) route() *route {
-	if r.Most == 0 {
-		r.Part, r.Most = partFirst, partMost
+	if r.MaxRateShare == 0 {
+		r.RateShare, r.MaxRateShare = initialRateShare, maxRateShare
 	}
 	return &route{
-		r.WaitUntil, r.Limit, r.Reported, r.Left, r.Weight, r.Part, r.PartAt, r.Refusals, r.CutAt, r.Most, r.Tokens, r.TokensAt, r.Fails, r.FailedAt, r.Rest,
-		r.Sick, r.Harmless, r.TrialAt, r.Backoff, r.Trial, r.ColdFrom, r.StruckAt, r.Demand, r.Busiest, r.Passed, r.PassedAt,
+		r.WaitUntil, r.Limit, r.LimitReported, r.LimitLeft, r.Weight, r.RateShare, r.RateShareAt, r.Rejections, r.DecreasedAt, r.MaxRateShare, r.Tokens, r.TokensAt, r.Failures, r.FirstFailureAt, r.RejectionPause,
+		r.BreakerOpen, r.NothingRan, r.HalfOpenAt, r.HalfOpenBackoff, r.HalfOpenCallOut, r.SlowStartAt, r.OutageAt, r.OutageDemand, r.PeakRate, r.Successes, r.SuccessesSince,
 	}
 }
 
 func (e *endpoint) saved() SavedEndpoint {
 	var own, warming *SavedRoute
-	if e.route != e.dest.shared {
+	if e.route != e.dest.sharedRoute {
 		r := e.route.saved()
 		own = &r
 	}
-	if e.warming != nil {
-		r := e.warming.saved()
+	if e.slowStart != nil {
+		r := e.slowStart.saved()
 		warming = &r
 	}
 	return SavedEndpoint{
-		e.id, e.zone, own, e.listed, e.ready, warming, e.response, e.usual, e.provenAt, e.sentAt, e.gap, e.crowdedAt, e.room, e.shyTil,
+		e.id, e.zone, own, e.listedReady, e.ready, warming, e.responseTime, e.typicalTime, e.lastPromptCallAt, e.lastCallAt, e.callGap, e.tableFullAt, e.tableRoom, e.avoidUntil,
 	}
 }
 
 func (e SavedEndpoint) endpoint(d *destination) *endpoint {
-	r := d.shared
+	r := d.sharedRoute
 	if e.Route != nil {
 		r = e.Route.route()
 	}
 	var warming *route
-	if e.Warming != nil {
-		warming = e.Warming.route()
+	if e.SlowStart != nil {
+		warming = e.SlowStart.route()
 	}
 	return &endpoint{
-		e.ID, e.Zone, d, r, e.Listed, e.Ready, warming, e.Response, e.Usual, e.ProvenAt, e.SentAt, e.Gap, 0, e.CrowdedAt, e.Room, e.ShyTil,
+		e.ID, e.Zone, d, r, e.ListedReady, e.Ready, warming, e.ResponseTime, e.TypicalTime, e.LastPromptCallAt, e.LastCallAt, e.CallGap, 0, e.TableFullAt, e.TableRoom, e.AvoidUntil,
 	}
 }
 
@@ -222,45 +224,45 @@
 		return Saved{}, err
 	}
 	v := Saved{
-		Now: s.now, Random: random, Lines: map[string][]int{}, Rests: s.rests, Parted: s.parted, Barred: s.barred, Crowded: s.crowded,
-		WornTil: s.wornTil, Made: s.made, Asking: s.asking, AskAt: s.askAt, Failing: s.failing,
-		Came: s.came, Seen: s.seen, CameAt: s.cameAt,
+		Now: s.now, Random: random, KeyQueues: map[string][]int{}, KeyPauses: s.keyPauses, RemovedWaits: s.removedWaits, Disabled: s.disabled, TableFullUntil: s.tableFullUntil,
+		DistrustReusedUntil: s.distrustReusedUntil, CallsMade: s.callsMade, WatchBackoff: s.watchBackoff, WatchAt: s.watchAt, FailureShare: s.failureShare,
+		FirstTries: s.firstTries, FirstTriesSpan: s.firstTriesSpan, FirstTriesAt: s.firstTriesAt,
 	}
 	for _, t := range s.tenants {
-		v.Tenants = append(v.Tenants, SavedTenant{t.tokens, t.at})
+		v.Tenants = append(v.Tenants, SavedTenant{t.tokens, t.updatedAt})
 	}
-	for _, k := range s.resting {
-		v.Resting = append(v.Resting, SavedRest{k.key, k.until})
+	for _, k := range s.pausedKeys {
+		v.PausedKeys = append(v.PausedKeys, SavedKeyPause{k.key, k.until})
 	}
 	dests, eps, messages := map[*destination]int{}, map[*endpoint]int{}, map[*message]int{}
-	for i, d := range s.order {
+	for i, d := range s.destOrder {
 		dests[d] = i
-		all := SavedDest{
-			d.id, d.emptied, nil, d.kind, d.shared.saved(), nil, len(d.endpoints), nil, d.used, d.usedAt, d.came, d.cameAt,
+		saved := SavedDestination{
+			d.id, d.emptiedAt, nil, d.kind, d.sharedRoute.saved(), nil, len(d.endpoints), nil, d.slotTime, d.slotTimeAt, d.arrivals, d.arrivalsAt,
 		}
 		for _, g := range d.gates {
-			all.Gates = append(all.Gates, g.saved())
+			saved.Gates = append(saved.Gates, g.saved())
 		}
-		put := func(e *endpoint) {
-			if _, there := eps[e]; !there {
-				eps[e] = len(all.Endpoints)
-				all.Endpoints = append(all.Endpoints, e.saved())
+		addEndpoint := func(e *endpoint) {
+			if _, known := eps[e]; !known {
+				eps[e] = len(saved.Endpoints)
+				saved.Endpoints = append(saved.Endpoints, e.saved())
 			}
 		}
 		for _, e := range d.endpoints {
-			put(e)
+			addEndpoint(e)
 		}
 		for _, c := range d.calls {
-			put(c.ep)
+			addEndpoint(c.endpoint)
 		}
-		v.Dests = append(v.Dests, all)
+		v.Dests = append(v.Dests, saved)
 	}
 	class := map[*Class]int{}
 	for i := range s.cfg.Classes {
 		class[&s.cfg.Classes[i]] = i
 	}
-	put := func(m *message) {
-		if _, there := messages[m]; there {
+	addMessage := func(m *message) {
+		if _, known := messages[m]; known {
 			return
 		}
 		messages[m] = len(v.Messages)
@@ -269,39 +271,39 @@
 			c = -1
 		}
 		v.Messages = append(v.Messages, SavedMessage{
-			m.id, c, m.key, m.worth, dests[m.dest], m.arrived, m.born, m.aim, m.dropDead, m.attempts, m.mayRun, m.touched, m.zone,
-			m.notBefore, m.waits, m.over,
+			m.id, c, m.key, m.worth, dests[m.dest], m.arrivedAt, m.submittedAt, m.softDeadline, m.deadline, m.attempts, m.mayHaveRunSince, m.mayHaveRun, m.mayHaveRunZone,
+			m.notBefore, m.waiting, m.ended,
 		})
 	}
 	for _, m := range s.open {
-		put(m)
+		addMessage(m)
 	}
-	v.Open = len(v.Messages)
-	for _, d := range s.order {
+	v.OpenCount = len(v.Messages)
+	for _, d := range s.destOrder {
 		for _, c := range d.calls {
-			one := SavedCall{dests[d], eps[c.ep], c.sentAt, c.trial, c.called, c.repeatable, nil}
-			for _, a := range c.sends {
-				place := -1
-				if out := s.sent[a]; out.c == c {
-					put(out.m)
-					place = messages[out.m]
+			savedCall := SavedCall{dests[d], eps[c.endpoint], c.sentAt, c.halfOpen, c.canceled, c.repeatable, nil}
+			for _, a := range c.attempts {
+				index := -1
+				if pending := s.attemptsOut[a]; pending.c == c {
+					addMessage(pending.m)
+					index = messages[pending.m]
 				}
-				one.Sends = append(one.Sends, SavedSend{a.id, a.n, place})
+				savedCall.Attempts = append(savedCall.Attempts, SavedAttempt{a.id, a.number, index})
 			}
-			v.Calls = append(v.Calls, one)
+			v.Calls = append(v.Calls, savedCall)
 		}
 		for _, m := range d.waiting {
 			v.Dests[dests[d]].Waiting = append(v.Dests[dests[d]].Waiting, messages[m])
 		}
 	}
-	for key, line := range s.lines {
+	for key, line := range s.keyQueues {
 		for _, m := range line {
-			put(m)
-			v.Lines[key] = append(v.Lines[key], messages[m])
+			addMessage(m)
+			v.KeyQueues[key] = append(v.KeyQueues[key], messages[m])
 		}
 	}
-	for _, d := range s.active {
-		v.Active = append(v.Active, dests[d])
+	for _, d := range s.activeDests {
+		v.ActiveDests = append(v.ActiveDests, dests[d])
 	}
 	return v, nil
 }
@@ -313,78 +315,78 @@
 		return nil, err
 	}
 	s.rng = rand.New(s.source)
-	s.now, s.wornTil, s.made, s.asking, s.askAt, s.failing = v.Now, v.WornTil, v.Made, v.Asking, v.AskAt, v.Failing
-	s.came, s.seen, s.cameAt = v.Came, v.Seen, v.CameAt
-	maps.Copy(s.rests, v.Rests)
-	maps.Copy(s.parted, v.Parted)
-	maps.Copy(s.crowded, v.Crowded)
-	maps.Copy(s.barred, v.Barred)
+	s.now, s.distrustReusedUntil, s.callsMade, s.watchBackoff, s.watchAt, s.failureShare = v.Now, v.DistrustReusedUntil, v.CallsMade, v.WatchBackoff, v.WatchAt, v.FailureShare
+	s.firstTries, s.firstTriesSpan, s.firstTriesAt = v.FirstTries, v.FirstTriesSpan, v.FirstTriesAt
+	maps.Copy(s.keyPauses, v.KeyPauses)
+	maps.Copy(s.removedWaits, v.RemovedWaits)
+	maps.Copy(s.tableFullUntil, v.TableFullUntil)
+	maps.Copy(s.disabled, v.Disabled)
 	for i, t := range v.Tenants[:min(len(v.Tenants), len(s.tenants))] {
-		s.tenants[i] = tenant{t.Tokens, t.At}
+		s.tenants[i] = tenant{t.Tokens, t.UpdatedAt}
 	}
-	for _, k := range v.Resting {
-		s.resting = append(s.resting, keyRest{k.Key, k.Until})
+	for _, k := range v.PausedKeys {
+		s.pausedKeys = append(s.pausedKeys, keyPause{k.Key, k.Until})
 	}
 	eps := make([][]*endpoint, len(v.Dests))
 	for i, d := range v.Dests {
-		at := &destination{
-			d.ID, d.Emptied, make([]gate, len(cfg.Classes)+1), d.Kind, d.Shared.route(), nil, nil, d.Used, d.UsedAt, nil, d.Came, d.CameAt,
+		dest := &destination{
+			d.ID, d.EmptiedAt, make([]gate, len(cfg.Classes)+1), d.Kind, d.SharedRoute.route(), nil, nil, d.SlotTime, d.SlotTimeAt, nil, d.Arrivals, d.ArrivalsAt,
 			false,
 		}
-		for i, g := range d.Gates[:min(len(d.Gates), len(at.gates))] {
-			at.gates[i] = g.gate()
+		for i, g := range d.Gates[:min(len(d.Gates), len(dest.gates))] {
+			dest.gates[i] = g.gate()
 		}
-		s.dests[d.ID], s.order = at, append(s.order, at)
+		s.dests[d.ID], s.destOrder = dest, append(s.destOrder, dest)
 		for n, e := range d.Endpoints {
-			one := e.endpoint(at)
-			eps[i] = append(eps[i], one)
-			if n < d.Listed {
-				at.endpoints = append(at.endpoints, one)
-				s.eps[one.id] = one
+			restored := e.endpoint(dest)
+			eps[i] = append(eps[i], restored)
+			if n < d.ListedCount {
+				dest.endpoints = append(dest.endpoints, restored)
+				s.endpoints[restored.id] = restored
 			}
 		}
 	}
-	all := make([]*message, len(v.Messages))
+	messages := make([]*message, len(v.Messages))
 	for i, m := range v.Messages {
-		all[i] = &message{
-			m.ID, s.class(m.Class), m.Key, m.Worth, s.order[m.Dest], s.gate(s.order[m.Dest], m.Class), m.Arrived, m.Born, m.Aim, m.DropDead, m.Attempts, 0, m.MayRun,
-			m.Touched, m.Zone, m.NotBefore, m.Waits, m.Ended,
+		messages[i] = &message{
+			m.ID, s.class(m.Class), m.Key, m.Worth, s.destOrder[m.Dest], s.gate(s.destOrder[m.Dest], m.Class), m.ArrivedAt, m.SubmittedAt, m.SoftDeadline, m.Deadline, m.Attempts, 0, m.MayHaveRunSince,
+			m.MayHaveRun, m.MayHaveRunZone, m.NotBefore, m.Waiting, m.Ended,
 		}
 		if !m.Ended {
-			s.msgs[m.ID] = all[i]
+			s.messages[m.ID] = messages[i]
 		}
 	}
-	s.open = append(s.open, all[:v.Open]...)
+	s.open = append(s.open, messages[:v.OpenCount]...)
 	for i, d := range v.Dests {
 		for _, m := range d.Waiting {
-			s.order[i].waiting = append(s.order[i].waiting, all[m])
+			s.destOrder[i].waiting = append(s.destOrder[i].waiting, messages[m])
 		}
 	}
-	for key, line := range v.Lines {
+	for key, line := range v.KeyQueues {
 		for _, m := range line {
-			s.lines[key] = append(s.lines[key], all[m])
+			s.keyQueues[key] = append(s.keyQueues[key], messages[m])
 		}
 	}
-	for _, o := range v.Calls {
-		c := &call{eps[o.Dest][o.Endpoint], o.SentAt, 0, o.Trial, nil, o.Called, o.Repeatable}
-		for _, a := range o.Sends {
-			c.sends = append(c.sends, attempt{a.ID, a.Attempt})
+	for _, savedCall := range v.Calls {
+		c := &call{eps[savedCall.Dest][savedCall.Endpoint], savedCall.SentAt, 0, savedCall.HalfOpen, nil, savedCall.Canceled, savedCall.Repeatable}
+		for _, a := range savedCall.Attempts {
+			c.attempts = append(c.attempts, attempt{a.ID, a.Number})
 			if a.Message >= 0 {
-				c.left++
-				all[a.Message].out++
-				s.sent[attempt{a.ID, a.Attempt}] = sending{all[a.Message], c}
+				c.outcomesLeft++
+				messages[a.Message].attemptsOut++
+				s.attemptsOut[attempt{a.ID, a.Number}] = pendingAttempt{messages[a.Message], c}
 			}
 		}
-		c.ep.dest.calls = append(c.ep.dest.calls, c)
-		c.ep.out++
-		s.busy++
+		c.endpoint.dest.calls = append(c.endpoint.dest.calls, c)
+		c.endpoint.callsOut++
+		s.callsOut++
 	}
-	for _, i := range v.Active {
-		s.order[i].active = true
-		s.active = append(s.active, s.order[i])
+	for _, i := range v.ActiveDests {
+		s.destOrder[i].active = true
+		s.activeDests = append(s.activeDests, s.destOrder[i])
 	}
 	return s, nil
 }
 
 // HasMessage reports whether a message is open.
-func (s *Sender) HasMessage(id string) bool { return s.msgs[id] != nil }
+func (s *Sender) HasMessage(id string) bool { return s.messages[id] != nil }
--- a/choice/saved_test.go
+++ b/choice/saved_test.go
@@ -9,7 +9,7 @@
 )
 
 // handOver returns the sender as another process restores it.
-func handedOver(t testing.TB, s *Sender, cfg Settings) *Sender {
+func handOver(t testing.TB, s *Sender, cfg Settings) *Sender {
 	t.Helper()
 	saved, err := s.Save()
 	if err != nil {
@@ -19,20 +19,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var come Saved
-	if err := json.Unmarshal(text, &come); err != nil {
+	var decoded Saved
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	heir, err := Restore(cfg, come)
+	restored, err := Restore(cfg, decoded)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return heir
+	return restored
 }
 
 // A sender that is handed over every few steps, with calls out, acts like one that never was.
-func TestHandedOverActsTheSame(t *testing.T) {
-	acts := func(w *story) []string {
+func TestHandedOverSenderActsTheSame(t *testing.T) {
+	acts := func(w *scenario) []string {
 		if len(w.sends) < 50 && w.cfg.MaxOpen > 10 {
 			t.Errorf("only %d sends: the scenario tests little", len(w.sends))
 		}
@@ -41,15 +41,15 @@
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			out := 0
-			moved := interruptedStory(t, seed, 1500, func(n int, w *story) {
-				barNow(n, w)
+			handedOver := interruptedScenario(t, seed, 1500, func(n int, w *scenario) {
+				toggleDisabled(n, w)
 				if n%7 == 3 {
-					w.s = handedOver(t, w.s, w.cfg)
-					out += len(w.s.sent)
+					w.sender = handOver(t, w.sender, w.cfg)
+					out += len(w.sender.attemptsOut)
 				}
 			})
-			want, got := acts(interruptedStory(t, seed, 1500, barNow)), acts(moved)
-			if len(got) == 0 || (out == 0 && moved.cfg.MaxOpen > 10) {
+			want, got := acts(interruptedScenario(t, seed, 1500, toggleDisabled)), acts(handedOver)
+			if len(got) == 0 || (out == 0 && handedOver.cfg.MaxOpen > 10) {
 				t.Fatal("the scenario tests nothing")
 			}
 			for i := range min(len(want), len(got)) {
@@ -66,8 +66,8 @@
 
 // A route saved by a build that did not count rate shares in multiples of the traffic share must get a usable
 // rate share.
-func TestRouteFromBeforeSharesHasAPart(t *testing.T) {
-	if r := (SavedRoute{Part: 0.01}).route(); r.part != partFirst || r.most != partMost {
-		t.Errorf("the rate share is %v, its upper bound %v", r.part, r.most)
+func TestRouteOfAnOldBuildGetsARateShare(t *testing.T) {
+	if r := (SavedRoute{RateShare: 0.01}).route(); r.rateShare != initialRateShare || r.maxRateShare != maxRateShare {
+		t.Errorf("the rate share is %v, its upper bound %v", r.rateShare, r.maxRateShare)
 	}
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -24,19 +24,19 @@
 
 // host keeps the instances of this process, and the lists of endpoints by number.
 type host struct {
-	nodes map[string]*choice.Sender
-	lists map[int][]choice.Entry
-	out   *bufio.Writer
+	instances map[string]*choice.Sender
+	lists     map[int][]choice.Entry
+	out       *bufio.Writer
 }
 
 func newHost(out io.Writer) *host {
 	return &host{
-		nodes: map[string]*choice.Sender{}, lists: map[int][]choice.Entry{}, out: bufio.NewWriter(out),
+		instances: map[string]*choice.Sender{}, lists: map[int][]choice.Entry{}, out: bufio.NewWriter(out),
 	}
 }
 
 // batch collects the events of one batch by instance, with the instances in order of appearance.
-type turn struct {
+type batch struct {
 	now    time.Duration
 	order  []string
 	events map[string][]choice.Event
@@ -45,12 +45,12 @@
 func run(in io.Reader, out io.Writer) error {
 	h := newHost(out)
 	r := bufio.NewReaderSize(in, 1<<20)
-	var t *turn
+	var t *batch
 	for n := 1; ; n++ {
 		text, err := r.ReadBytes('\n')
 		if len(text) > 0 && text[0] != '\n' {
 			var fail error
-			if t, fail = h.line(t, text); fail != nil {
+			if t, fail = h.handleLine(t, text); fail != nil {
 				return fmt.Errorf("line %d: %w", n, fail)
 			}
 		}
@@ -67,8 +67,8 @@
 }
 
 // handleLine handles one line of input and returns the batch that is open after it.
-func (h *host) line(t *turn, text []byte) (*turn, error) {
-	l, err := wire.Parse(text)
+func (h *host) handleLine(t *batch, text []byte) (*batch, error) {
+	l, err := wire.ParseLine(text)
 	if err != nil {
 		return t, err
 	}
@@ -76,7 +76,7 @@
 		if t != nil {
 			return t, errors.New("Turn inside a batch")
 		}
-		return &turn{now: wire.Time(l.SimTime), events: map[string][]choice.Event{}}, nil
+		return &batch{now: wire.Time(l.SimTime), events: map[string][]choice.Event{}}, nil
 	}
 	if t == nil {
 		return t, fmt.Errorf("%s outside a batch", l.Type)
@@ -84,51 +84,51 @@
 	switch l.Type {
 	case "YourTurn":
 		for _, node := range t.order {
-			if h.nodes[node] != nil {
+			if h.instances[node] != nil {
 				if err := h.step(t.now, node, t.events[node]); err != nil {
 					return t, err
 				}
 			}
 		}
-		if _, err := fmt.Fprintln(h.out, wire.Done); err != nil {
+		if _, err := fmt.Fprintln(h.out, wire.DoneLine); err != nil {
 			return t, err
 		}
 		return nil, h.out.Flush()
 	case "Manifest":
 		entries, err := wire.Entries(l.Records)
 		if err != nil {
-			return t, fmt.Errorf("Manifest %d: %w", l.Slot, err)
+			return t, fmt.Errorf("Manifest %d: %w", l.List, err)
 		}
-		h.lists[l.Slot] = entries
+		h.lists[l.List] = entries
 		return t, nil
 	case "Born":
-		settings, err := wire.ParseSettings(l.Conf)
+		settings, err := wire.ParseSettings(l.Settings)
 		if err != nil {
 			return t, fmt.Errorf("Born %s: %w", l.Node, err)
 		}
-		seed, err := strconv.ParseUint(l.Nonce.String(), 10, 64)
+		seed, err := strconv.ParseUint(l.Seed.String(), 10, 64)
 		if err != nil {
-			signed, serr := strconv.ParseInt(l.Nonce.String(), 10, 64)
+			signed, serr := strconv.ParseInt(l.Seed.String(), 10, 64)
 			if serr != nil {
 				return t, fmt.Errorf("Born %s: nonce64: %w", l.Node, err)
 			}
 			seed = uint64(signed)
 		}
-		h.nodes[l.Node] = choice.New(settings, seed)
+		h.instances[l.Node] = choice.New(settings, seed)
 		t.reset(l.Node)
 		return t, nil
 	case "Down":
-		if h.nodes[l.Node] == nil {
+		if h.instances[l.Node] == nil {
 			return t, fmt.Errorf("Down for unknown instance %q", l.Node)
 		}
-		delete(h.nodes, l.Node)
+		delete(h.instances, l.Node)
 		t.reset(l.Node)
 		return t, nil
 	}
-	if h.nodes[l.Node] == nil {
+	if h.instances[l.Node] == nil {
 		return t, fmt.Errorf("%s for unknown instance %q", l.Type, l.Node)
 	}
-	ev, err := wire.Event(l, h.lists)
+	ev, err := wire.ParseEvent(l, h.lists)
 	if err != nil {
 		return t, fmt.Errorf("%s for %q: %w", l.Type, l.Node, err)
 	}
@@ -138,7 +138,7 @@
 	return t, nil
 }
 
-func (t *turn) add(node string, ev choice.Event) {
+func (t *batch) add(node string, ev choice.Event) {
 	if _, ok := t.events[node]; !ok {
 		t.order = append(t.order, node)
 	}
@@ -147,7 +147,7 @@
 
 // reset discards the events that an earlier run of the instance got in this batch; the instance still gets
 // its step.
-func (t *turn) reset(node string) {
+func (t *batch) reset(node string) {
 	if _, ok := t.events[node]; !ok {
 		t.order = append(t.order, node)
 	}
@@ -158,11 +158,11 @@
 func (h *host) step(now time.Duration, node string, events []choice.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			_, err = fmt.Fprintf(h.out, "%s\n", wire.Broken(node, fmt.Sprint(p)))
+			_, err = fmt.Fprintf(h.out, "%s\n", wire.BrokenLine(node, fmt.Sprint(p)))
 		}
 	}()
-	for _, a := range h.nodes[node].Step(now, events) {
-		b, err := wire.Action(node, a)
+	for _, a := range h.instances[node].Step(now, events) {
+		b, err := wire.EncodeAction(node, a)
 		if err != nil {
 			return err
 		}
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -14,7 +14,7 @@
 {"event_type":"YourTurn"}
 `
 
-func TestConversation(t *testing.T) {
+func TestBatchesAndReplies(t *testing.T) {
 	var out strings.Builder
 	err := run(strings.NewReader(born+`
 {"event_type":"Turn","simTime":1005}
@@ -57,10 +57,10 @@
 }
 
 // A panic of the decision module must become a Broken line with its text, and not a missing reply.
-func TestPanicBecomesBroken(t *testing.T) {
+func TestPanicBecomesBrokenLine(t *testing.T) {
 	var out strings.Builder
 	h := newHost(&out)
-	h.nodes["node-0"] = (*choice.Sender)(nil)
+	h.instances["node-0"] = (*choice.Sender)(nil)
 	if err := h.step(1, "node-0", nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/formats_test.go
+++ b/internal/wire/formats_test.go
@@ -12,19 +12,19 @@
 func TestFormatOfLines(t *testing.T) {
 	var line, decoded Line
 	golden.Fill(&line)
-	line.Nonce = "18446744073709551615"
+	line.Seed = "18446744073709551615"
 	checkFormat(t, "line.json", line, &decoded)
 }
 
 func TestFormatOfSettings(t *testing.T) {
-	var c, decoded conf
+	var c, decoded simulatorSettings
 	golden.Fill(&c)
 	checkFormat(t, "settings.json", c, &decoded)
 }
 
 // The settings' keys and words reach the fields of choice.Settings that they are meant for.
 func TestFormatOfConvertedSettings(t *testing.T) {
-	var c conf
+	var c simulatorSettings
 	golden.Fill(&c)
 	c.Discovery, c.Domain.Decay, c.Weights = "on_request", "halves", "rough"
 	c.Categories[0].Effect, c.Categories[0].Group, c.Categories[1].Effect = "deduplicated", "all", "at_most_once"
@@ -77,16 +77,16 @@
 		Effects  map[string]choice.Effect
 	}
 	var decoded words
-	checkFormat(t, "words.json", words{outcomes, phases, effects}, &decoded)
+	checkFormat(t, "words.json", words{outcomeByWord, phaseByWord, effectByWord}, &decoded)
 }
 
 // TestActions has the lines of the actions; these two end a reply or report a crash.
 func TestFormatOfOtherLines(t *testing.T) {
-	if got, want := string(Broken("n", "crash")), `{"event_type":"Broken","node":"n","text":"crash"}`; got != want {
+	if got, want := string(BrokenLine("n", "crash")), `{"event_type":"Broken","node":"n","text":"crash"}`; got != want {
 		t.Errorf("Broken is %s, want %s", got, want)
 	}
-	if want := `{"event_type":"Done"}`; Done != want {
-		t.Errorf("Done is %s, want %s", Done, want)
+	if want := `{"event_type":"Done"}`; DoneLine != want {
+		t.Errorf("Done is %s, want %s", DoneLine, want)
 	}
 }
 
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"starlingusher/choice"
 )
 
-type conf struct {
+type simulatorSettings struct {
 	FleetSize  int `json:"fleetSize"`
 	Categories []struct {
 		Aim        float64 `json:"aim"`
@@ -57,13 +57,13 @@
 	Weights string  `json:"weights"`
 }
 
-var effects = map[string]choice.Effect{
+var effectByWord = map[string]choice.Effect{
 	"idempotent": choice.Idempotent, "deduplicated": choice.Deduplicated, "at_most_once": choice.AtMostOnce,
 }
 
 // ParseSettings converts the settings of a Born line.
 func ParseSettings(raw json.RawMessage) (choice.Settings, error) {
-	var c conf
+	var c simulatorSettings
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return choice.Settings{}, fmt.Errorf("settings: %w", err)
 	}
@@ -83,7 +83,7 @@
 		s.MaxRetryAfter = Time(c.Limits.MaxRetryAfter)
 	}
 	for i, k := range c.Categories {
-		effect, ok := effects[k.Effect]
+		effect, ok := effectByWord[k.Effect]
 		if !ok {
 			return s, fmt.Errorf("settings: class %d has unknown effect %q", i, k.Effect)
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,30 +13,30 @@
 
 // Line is any line of a batch; Type determines which fields are used.
 type Line struct {
-	Type     string             `json:"event_type"`
-	SimTime  float64            `json:"simTime"`
-	Node     string             `json:"node"`
-	Nonce    json.Number        `json:"nonce64"`
-	Conf     json.RawMessage    `json:"conf"`
-	Slot     int                `json:"slot"`
-	Records  []Record           `json:"records"`
-	Form     string             `json:"form"`
-	Handle   string             `json:"handle"`
-	Class    int                `json:"cls"`
-	Owner    int                `json:"owner"`
-	Key      string             `json:"nameKey"`
-	DropDead float64            `json:"dropDead"`
-	Hint     float64            `json:"predicted"`
-	FarEnd   int                `json:"farEnd"`
-	Opts     int                `json:"opts"`
-	Go       int                `json:"go"`
-	Endpoint string             `json:"endpoint"`
-	Code     string             `json:"rc"`
-	Duration float64            `json:"duration"`
-	Closed   bool               `json:"closed"`
-	Note     float64            `json:"note"`
-	Feedback map[string]float64 `json:"feedback"`
-	Tag      string             `json:"tag"`
+	Type      string             `json:"event_type"`
+	SimTime   float64            `json:"simTime"`
+	Node      string             `json:"node"`
+	Seed      json.Number        `json:"nonce64"`
+	Settings  json.RawMessage    `json:"conf"`
+	List      int                `json:"slot"`
+	Records   []Record           `json:"records"`
+	ListForm  string             `json:"form"`
+	MessageID string             `json:"handle"`
+	Class     int                `json:"cls"`
+	Tenant    int                `json:"owner"`
+	Key       string             `json:"nameKey"`
+	Deadline  float64            `json:"dropDead"`
+	Hint      float64            `json:"predicted"`
+	Dest      int                `json:"farEnd"`
+	Options   int                `json:"opts"`
+	Attempt   int                `json:"go"`
+	Endpoint  string             `json:"endpoint"`
+	Outcome   string             `json:"rc"`
+	Duration  float64            `json:"duration"`
+	Closed    bool               `json:"closed"`
+	Detail    float64            `json:"note"`
+	Report    map[string]float64 `json:"feedback"`
+	Tag       string             `json:"tag"`
 }
 
 // Record is one entry of a list.
@@ -46,20 +46,20 @@
 	Kind     int     `json:"classOfHost"`
 	Dest     int     `json:"ownerNo"`
 	Phase    string  `json:"phase"`
-	Heft     float64 `json:"heft"`
+	Weight   float64 `json:"heft"`
 }
 
-const optHint = 1 // bit of opts: the hint is valid
+const hintValid = 1 // bit of opts: the hint is valid
 
 // Time converts milliseconds of the protocol to a duration; the simulator counts whole microseconds.
 func Time(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // ParseLine reads one line of a batch.
-func Parse(text []byte) (Line, error) {
+func ParseLine(text []byte) (Line, error) {
 	var l Line
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, fmt.Errorf("malformed line: %w", err)
@@ -70,12 +70,12 @@
 	return l, nil
 }
 
-var outcomes = map[string]choice.Outcome{
+var outcomeByWord = map[string]choice.Outcome{
 	"pass": choice.Success, "fault": choice.ServerError, "no_room": choice.Rejected, "too_slow": choice.TimedOut,
 	"no_route": choice.Unreachable, "cut": choice.ConnectionBroken, "undone": choice.Canceled, "stale_send": choice.Stale,
 }
 
-var phases = map[string]choice.Phase{
+var phaseByWord = map[string]choice.Phase{
 	"healthy": choice.Ready, "cordoned": choice.Draining, "deregistered": choice.Gone,
 }
 
@@ -83,12 +83,12 @@
 func Entries(records []Record) ([]choice.Entry, error) {
 	list := make([]choice.Entry, 0, len(records))
 	for _, r := range records {
-		phase, ok := phases[r.Phase]
+		phase, ok := phaseByWord[r.Phase]
 		if !ok {
 			return nil, fmt.Errorf("endpoint %q has unknown phase %q", r.Endpoint, r.Phase)
 		}
 		list = append(list, choice.Entry{
-			Endpoint: r.Endpoint, Zone: r.Zone, Kind: r.Kind, Dest: r.Dest, Phase: phase, Weight: r.Heft,
+			Endpoint: r.Endpoint, Zone: r.Zone, Kind: r.Kind, Dest: r.Dest, Phase: phase, Weight: r.Weight,
 		})
 	}
 	return list, nil
@@ -96,52 +96,52 @@
 
 // ParseEvent converts a line addressed to one instance. It returns nil for lines without an event for package
 // choice. An Announce needs the entries of its list, which the caller keeps.
-func Event(l Line, lists map[int][]choice.Entry) (choice.Event, error) {
+func ParseEvent(l Line, lists map[int][]choice.Entry) (choice.Event, error) {
 	switch l.Type {
 	case "Announce":
-		if l.Form == "broken" {
+		if l.ListForm == "broken" {
 			return choice.ListUpdate{Failed: true}, nil
 		}
-		if l.Form != "patch" && l.Form != "whole" && l.Form != "stale_copy" {
-			return nil, fmt.Errorf("Announce has unknown form %q", l.Form)
+		if l.ListForm != "patch" && l.ListForm != "whole" && l.ListForm != "stale_copy" {
+			return nil, fmt.Errorf("Announce has unknown form %q", l.ListForm)
 		}
-		entries, ok := lists[l.Slot]
+		entries, ok := lists[l.List]
 		if !ok {
-			return nil, fmt.Errorf("Announce names list %d, which was never sent", l.Slot)
+			return nil, fmt.Errorf("Announce names list %d, which was never sent", l.List)
 		}
-		return choice.ListUpdate{Complete: l.Form != "patch", Entries: entries}, nil
+		return choice.ListUpdate{Complete: l.ListForm != "patch", Entries: entries}, nil
 	case "Query":
 		ev := choice.MessageArrived{
-			ID: l.Handle, Class: l.Class, Tenant: l.Owner, Dest: l.FarEnd, Key: l.Key, Deadline: Time(l.DropDead),
+			ID: l.MessageID, Class: l.Class, Tenant: l.Tenant, Dest: l.Dest, Key: l.Key, Deadline: Time(l.Deadline),
 		}
-		if l.Opts&optHint != 0 {
+		if l.Options&hintValid != 0 {
 			ev.Hint = Time(l.Hint)
 		}
 		return ev, nil
 	case "AttemptEnd":
-		o, ok := outcomes[l.Code]
+		o, ok := outcomeByWord[l.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("AttemptEnd has unknown rc %q", l.Code)
+			return nil, fmt.Errorf("AttemptEnd has unknown rc %q", l.Outcome)
 		}
 		ev := choice.AttemptEnded{
-			ID: l.Handle, Attempt: l.Go, Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration),
-			Final: l.Closed, Report: report(l.Feedback),
+			ID: l.MessageID, Attempt: l.Attempt, Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration),
+			Final: l.Closed, Report: parseReport(l.Report),
 		}
 		if o == choice.Rejected {
-			ev.RetryAfter = Time(l.Note)
+			ev.RetryAfter = Time(l.Detail)
 		}
-		ev.NoSlot = o == choice.Stale && l.Note != 0
+		ev.NoSlot = o == choice.Stale && l.Detail != 0
 		return ev, nil
 	case "Echo":
-		o, ok := outcomes[l.Code]
+		o, ok := outcomeByWord[l.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("Echo has unknown rc %q", l.Code)
+			return nil, fmt.Errorf("Echo has unknown rc %q", l.Outcome)
 		}
 		return choice.ProbeEnded{
-			Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration), Report: report(l.Feedback),
+			Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration), Report: parseReport(l.Report),
 		}, nil
 	case "Dropped":
-		return choice.MessageAbandoned{ID: l.Handle}, nil
+		return choice.MessageAbandoned{ID: l.MessageID}, nil
 	case "Ring":
 		return choice.WakeDue{Tag: l.Tag}, nil
 	case "Memo", "UnderWay":
@@ -150,7 +150,7 @@
 	return nil, fmt.Errorf("unknown event %q", l.Type)
 }
 
-func report(f map[string]float64) choice.Report {
+func parseReport(f map[string]float64) choice.Report {
 	var r choice.Report
 	r.Left, r.HasLeft = f["x0"]
 	r.Limit, r.HasLimit = f["x1"]
@@ -158,14 +158,14 @@
 }
 
 // EncodeAction converts an action of the instance named node to its line.
-func Action(node string, a choice.Action) ([]byte, error) {
+func EncodeAction(node string, a choice.Action) ([]byte, error) {
 	o := map[string]any{"node": node}
 	switch a := a.(type) {
 	case choice.Send:
 		o["event_type"], o["handle"], o["endpoint"] = "Transmit", a.ID, a.Endpoint
-		o["notPast"] = millis(a.TimeoutAt)
+		o["notPast"] = milliseconds(a.TimeoutAt)
 	case choice.Refuse:
-		o["event_type"], o["handle"], o["holdOff"] = "PushBack", a.ID, millis(a.RetryAfter)
+		o["event_type"], o["handle"], o["holdOff"] = "PushBack", a.ID, milliseconds(a.RetryAfter)
 	case choice.Fail:
 		o["event_type"], o["handle"] = "RespondError", a.ID
 	case choice.Cancel:
@@ -175,7 +175,7 @@
 	case choice.CloseIdle:
 		o["event_type"], o["endpoint"] = "HangUp", a.Endpoint
 	case choice.Wake:
-		o["event_type"], o["when"], o["tag"] = "Defer", millis(a.At), a.Tag
+		o["event_type"], o["when"], o["tag"] = "Defer", milliseconds(a.At), a.Tag
 	case choice.Watch:
 		o["event_type"], o["enable"] = "Track", true
 	case choice.LogLine:
@@ -187,7 +187,7 @@
 }
 
 // BrokenLine reports a crash of the decision module.
-func Broken(node, text string) []byte {
+func BrokenLine(node, text string) []byte {
 	b, err := json.Marshal(map[string]string{"event_type": "Broken", "node": node, "text": text})
 	if err != nil {
 		return []byte(`{"event_type":"Broken"}`)
@@ -196,4 +196,4 @@
 }
 
 // DoneLine ends a reply.
-const Done = `{"event_type":"Done"}`
+const DoneLine = `{"event_type":"Done"}`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,11 +33,11 @@
 		{`{"event_type":"Announce","node":"n","form":"broken","gen":41}`, choice.ListUpdate{Failed: true}},
 		{`{"event_type":"Memo","node":"n","who":1,"content":"00"}`, nil},
 	} {
-		l, err := Parse([]byte(c.line))
+		l, err := ParseLine([]byte(c.line))
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Event(l, lists)
+		got, err := ParseEvent(l, lists)
 		if err != nil || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s\n got %#v, %v\nwant %#v", c.line, got, err, c.want)
 		}
@@ -45,23 +45,23 @@
 }
 
 func TestEveryOutcomeAndPhaseHasItsWord(t *testing.T) {
-	for word, want := range outcomes {
-		l, err := Parse([]byte(`{"event_type":"AttemptEnd","node":"n","rc":"` + word + `"}`))
+	for word, want := range outcomeByWord {
+		l, err := ParseLine([]byte(`{"event_type":"AttemptEnd","node":"n","rc":"` + word + `"}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Event(l, nil); err != nil || got.(choice.AttemptEnded).Outcome != want {
+		if got, err := ParseEvent(l, nil); err != nil || got.(choice.AttemptEnded).Outcome != want {
 			t.Errorf("%s: %v, %v", word, got, err)
 		}
 	}
-	if len(outcomes) != 8 || len(phases) != 3 {
+	if len(outcomeByWord) != 8 || len(phaseByWord) != 3 {
 		t.Error("a word is missing")
 	}
 }
 
 func TestBadLines(t *testing.T) {
 	for _, line := range []string{`{"event_type":`, `[]`, `{}`, `{"event_type":"Ring","simTime":"soon"}`} {
-		if _, err := Parse([]byte(line)); err == nil {
+		if _, err := ParseLine([]byte(line)); err == nil {
 			t.Errorf("%s was accepted", line)
 		}
 	}
@@ -70,11 +70,11 @@
 		`{"event_type":"Echo","node":"n","rc":"maybe"}`, `{"event_type":"Announce","node":"n","form":"whole","slot":9}`,
 		`{"event_type":"Announce","node":"n","form":"odd","slot":9}`,
 	} {
-		l, err := Parse([]byte(line))
+		l, err := ParseLine([]byte(line))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Event(l, nil); err == nil {
+		if _, err := ParseEvent(l, nil); err == nil {
 			t.Errorf("%s was accepted", line)
 		}
 	}
@@ -98,7 +98,7 @@
 		{choice.Watch{}, `{"event_type":"Track","node":"n","enable":true}`},
 		{choice.LogLine{Text: "hi"}, `{"event_type":"JournalLine","node":"n","text":"hi"}`},
 	} {
-		b, err := Action("n", c.action)
+		b, err := EncodeAction("n", c.action)
 		if err != nil {
 			t.Fatal(err)
 		}
