--- a/choice/choice.go
+++ b/choice/choice.go
@@ -278,13 +278,17 @@
 		id: e.ID, class: class, dest: d, arrivedAt: s.now, deadline: e.Deadline, worth: class.Worth,
 		submittedAt: e.Deadline - class.Deadline, gate: s.gate(d, e.Class),
 	}
-	m.softDeadline = min(class.SoftDeadline+duration(class.SoftDeadlineStretch*seconds(e.Hint)), max(class.Deadline, class.SoftDeadline))
+	m.softDeadline = min(
+		class.SoftDeadline+duration(class.SoftDeadlineStretch*seconds(e.Hint)),
+		max(class.Deadline, class.SoftDeadline),
+	)
 	if !s.withinTenantShare(e.Tenant) {
 		m.worth *= s.cfg.OverShareWorth
 	}
 	if s.now-m.submittedAt < firstTryMaxAge {
 		fade := math.Exp(-seconds(s.now-s.firstTriesAt) / seconds(trafficSpan))
-		s.firstTriesSpan, s.firstTries, s.firstTriesAt = s.firstTriesSpan*fade+seconds(trafficSpan)*(1-fade), s.firstTries*fade+1, s.now
+		s.firstTriesSpan, s.firstTries, s.firstTriesAt =
+			s.firstTriesSpan*fade+seconds(trafficSpan)*(1-fade), s.firstTries*fade+1, s.now
 	}
 	s.messages[m.id] = m
 	return m, d
@@ -604,6 +608,7 @@
 	m.gate.addSample(s.now, sec)
 }
 
+// unavailable reports whether no endpoint is ready with its breaker closed.
 func (d *destination) unavailable() bool {
 	for _, e := range d.endpoints {
 		if e.ready && !e.route.breakerOpen {
@@ -728,6 +733,7 @@
 	r.tokens = min(r.tokens, s.rng.Float64())
 }
 
+// smooth adds a sample to an exponentially smoothed value; one sample counts as at most 20 times the value.
 func smooth(old, sample float64) float64 {
 	if old == 0 {
 		return sample
@@ -759,13 +765,13 @@
 		if least < outageFailures && !nothingRan && s.fleetExceedsBudget(r) {
 			run = 1 // a second try of each sender is too much for the destination when it returns
 		}
-		fails := r.failures
+		failures := r.failures
 		for _, other := range ep.dest.endpoints {
 			if other.route != r {
-				fails += other.route.failures
+				failures += other.route.failures
 			}
 		}
-		if certain || float64(fails) >= run {
+		if certain || float64(failures) >= run {
 			s.openBreaker(r)
 		}
 	} else if s.now >= r.halfOpenAt {
@@ -894,8 +900,8 @@
 		return even
 	}
 	fade := math.Exp(-seconds(s.now-s.firstTriesAt) / seconds(trafficSpan))
-	seen := s.firstTriesSpan*fade + seconds(trafficSpan)*(1-fade)
-	return min(1, (s.firstTries*fade/total+even*trafficPriorSeconds)/(seen+trafficPriorSeconds))
+	observed := s.firstTriesSpan*fade + seconds(trafficSpan)*(1-fade)
+	return min(1, (s.firstTries*fade/total+even*trafficPriorSeconds)/(observed+trafficPriorSeconds))
 }
 
 // refillTokens brings the token bucket up to the current time. During recovery no tokens are saved for a
@@ -921,7 +927,7 @@
 }
 
 // patience is how long a call may be out before that is far longer than typical, in seconds.
-func (c *call) patience() float64 { return max(slowFactor*c.endpoint.typicalTime, seconds(slowMin)) }
+func (c *call) slowAfter() float64 { return max(slowFactor*c.endpoint.typicalTime, seconds(slowMin)) }
 
 // overdue reports whether a call has been out for so long that an answer is unlikely.
 func (s *Sender) overdue(c *call) bool {
@@ -942,7 +948,7 @@
 func (s *Sender) slow(d *destination) bool {
 	for _, c := range d.calls {
 		if !s.lost(c) {
-			return seconds(s.now-c.sentAt) > c.patience()
+			return seconds(s.now-c.sentAt) > c.slowAfter()
 		}
 	}
 	return false
@@ -1004,8 +1010,8 @@
 			if slow {
 				slowCalls++
 			}
-			patience := c.patience() * math.Pow(timeoutGrowth, float64(c.endpoint.route.failures))
-			overdue := seconds(s.now-c.sentAt) / patience
+			slowAfter := c.slowAfter() * math.Pow(timeoutGrowth, float64(c.endpoint.route.failures))
+			overdue := seconds(s.now-c.sentAt) / slowAfter
 			isLost := s.lost(c)
 			if isLost {
 				overdue++ // lost calls go first
@@ -1112,11 +1118,11 @@
 
 // worthLost is the worth that a message loses by waiting for a given time.
 func (s *Sender) worthLost(m *message, wait time.Duration) float64 {
-	usual := time.Duration(0)
+	typicalTime := time.Duration(0)
 	if e := m.dest.endpoints; len(e) > 0 {
-		usual = duration(e[0].typicalTime)
+		typicalTime = duration(e[0].typicalTime)
 	}
-	return s.worthAt(m, s.now+usual) - s.worthAt(m, s.now+usual+wait)
+	return s.worthAt(m, s.now+typicalTime) - s.worthAt(m, s.now+typicalTime+wait)
 }
 
 // worthAt is the worth of a delivery at a given time.
@@ -1138,11 +1144,11 @@
 func (s *Sender) pickEndpoint(m *message) *endpoint {
 	total := 0.0
 	var candidates []*endpoint
-	var odds []float64
+	var weights []float64
 	for _, e := range m.dest.endpoints {
 		if s.maySend(m, e) {
 			weight := math.Pow(max(e.responseTime, seconds(minResponseTime)), -responseTimePower)
-			candidates, odds, total = append(candidates, e), append(odds, weight), total+weight
+			candidates, weights, total = append(candidates, e), append(weights, weight), total+weight
 		}
 	}
 	if len(candidates) == 0 {
@@ -1150,7 +1156,7 @@
 	}
 	x := s.rng.Float64() * total
 	for i, e := range candidates {
-		if x -= odds[i]; x < 0 {
+		if x -= weights[i]; x < 0 {
 			return e
 		}
 	}
@@ -1189,8 +1195,8 @@
 	case AtMostOnce:
 		// With an open breaker an AtMostOnce message risks an ambiguous end, unless failures there prove that
 		// nothing ran; with most of its time gone it has less to lose.
-		spent := s.now-m.arrivedAt > (m.deadline-m.arrivedAt)/2
-		if m.mayHaveRun || (e.route.breakerOpen && !e.route.nothingRan && !spent) {
+		mostTimeSpent := s.now-m.arrivedAt > (m.deadline-m.arrivedAt)/2
+		if m.mayHaveRun || (e.route.breakerOpen && !e.route.nothingRan && !mostTimeSpent) {
 			return false
 		}
 	case Deduplicated:
@@ -1201,8 +1207,8 @@
 	if m.key != "" {
 		s.trimKeyQueue(m.key)
 		// The message that had its turn before may try again without a pause.
-		line := s.keyQueues[m.key]
-		if (s.now < s.keyPauses[m.key] && m.attempts == 0) || (len(line) > 0 && line[0] != m) {
+		queue := s.keyQueues[m.key]
+		if (s.now < s.keyPauses[m.key] && m.attempts == 0) || (len(queue) > 0 && queue[0] != m) {
 			return false
 		}
 	}
@@ -1277,12 +1283,12 @@
 	if m.class.Effect == AtMostOnce {
 		return last
 	}
-	aim := seconds(m.softDeadline)
-	t := max(timeoutFactor*e.typicalTime, minTimeoutSoftDeadlines*aim) * math.Pow(timeoutGrowth, float64(e.route.failures))
+	softDeadline := seconds(m.softDeadline)
+	t := max(timeoutFactor*e.typicalTime, minTimeoutSoftDeadlines*softDeadline) * math.Pow(timeoutGrowth, float64(e.route.failures))
 	if e.typicalTime == 0 {
-		t = aim
+		t = softDeadline
 	}
-	t = min(t, maxTimeoutSoftDeadlines*aim)
+	t = min(t, maxTimeoutSoftDeadlines*softDeadline)
 	return min(last, s.now+duration(t))
 }
 
--- a/choice/saved.go
+++ b/choice/saved.go
@@ -171,8 +171,10 @@
 
 func (r *route) saved() SavedRoute {
 	return SavedRoute{
-		r.waitUntil, r.limit, r.limitReported, r.limitLeft, r.weight, r.rateShare, r.rateShareAt, r.rejections, r.decreasedAt, r.maxRateShare, r.tokens, r.tokensAt, r.failures, r.firstFailureAt, r.rejectionPause,
-		r.breakerOpen, r.nothingRan, r.halfOpenAt, r.halfOpenBackoff, r.halfOpenCallOut, r.slowStartAt, r.outageAt, r.outageDemand, r.peakRate, r.successes, r.successesSince,
+		r.waitUntil, r.limit, r.limitReported, r.limitLeft, r.weight, r.rateShare, r.rateShareAt,
+		r.rejections, r.decreasedAt, r.maxRateShare, r.tokens, r.tokensAt, r.failures, r.firstFailureAt, r.rejectionPause,
+		r.breakerOpen, r.nothingRan, r.halfOpenAt, r.halfOpenBackoff, r.halfOpenCallOut,
+		r.slowStartAt, r.outageAt, r.outageDemand, r.peakRate, r.successes, r.successesSince,
 	}
 }
 
@@ -183,23 +185,26 @@
 		r.RateShare, r.MaxRateShare = initialRateShare, maxRateShare
 	}
 	return &route{
-		r.WaitUntil, r.Limit, r.LimitReported, r.LimitLeft, r.Weight, r.RateShare, r.RateShareAt, r.Rejections, r.DecreasedAt, r.MaxRateShare, r.Tokens, r.TokensAt, r.Failures, r.FirstFailureAt, r.RejectionPause,
-		r.BreakerOpen, r.NothingRan, r.HalfOpenAt, r.HalfOpenBackoff, r.HalfOpenCallOut, r.SlowStartAt, r.OutageAt, r.OutageDemand, r.PeakRate, r.Successes, r.SuccessesSince,
+		r.WaitUntil, r.Limit, r.LimitReported, r.LimitLeft, r.Weight, r.RateShare, r.RateShareAt,
+		r.Rejections, r.DecreasedAt, r.MaxRateShare, r.Tokens, r.TokensAt, r.Failures, r.FirstFailureAt, r.RejectionPause,
+		r.BreakerOpen, r.NothingRan, r.HalfOpenAt, r.HalfOpenBackoff, r.HalfOpenCallOut,
+		r.SlowStartAt, r.OutageAt, r.OutageDemand, r.PeakRate, r.Successes, r.SuccessesSince,
 	}
 }
 
 func (e *endpoint) saved() SavedEndpoint {
-	var own, warming *SavedRoute
+	var ownRoute, slowStart *SavedRoute
 	if e.route != e.dest.sharedRoute {
 		r := e.route.saved()
-		own = &r
+		ownRoute = &r
 	}
 	if e.slowStart != nil {
 		r := e.slowStart.saved()
-		warming = &r
+		slowStart = &r
 	}
 	return SavedEndpoint{
-		e.id, e.zone, own, e.listedReady, e.ready, warming, e.responseTime, e.typicalTime, e.lastPromptCallAt, e.lastCallAt, e.callGap, e.tableFullAt, e.tableRoom, e.avoidUntil,
+		e.id, e.zone, ownRoute, e.listedReady, e.ready, slowStart, e.responseTime, e.typicalTime, e.lastPromptCallAt,
+		e.lastCallAt, e.callGap, e.tableFullAt, e.tableRoom, e.avoidUntil,
 	}
 }
 
@@ -208,12 +213,13 @@
 	if e.Route != nil {
 		r = e.Route.route()
 	}
-	var warming *route
+	var slowStart *route
 	if e.SlowStart != nil {
-		warming = e.SlowStart.route()
+		slowStart = e.SlowStart.route()
 	}
 	return &endpoint{
-		e.ID, e.Zone, d, r, e.ListedReady, e.Ready, warming, e.ResponseTime, e.TypicalTime, e.LastPromptCallAt, e.LastCallAt, e.CallGap, 0, e.TableFullAt, e.TableRoom, e.AvoidUntil,
+		e.ID, e.Zone, d, r, e.ListedReady, e.Ready, slowStart, e.ResponseTime, e.TypicalTime, e.LastPromptCallAt,
+		e.LastCallAt, e.CallGap, 0, e.TableFullAt, e.TableRoom, e.AvoidUntil,
 	}
 }
 
@@ -224,8 +230,10 @@
 		return Saved{}, err
 	}
 	v := Saved{
-		Now: s.now, Random: random, KeyQueues: map[string][]int{}, KeyPauses: s.keyPauses, RemovedWaits: s.removedWaits, Disabled: s.disabled, TableFullUntil: s.tableFullUntil,
-		DistrustReusedUntil: s.distrustReusedUntil, CallsMade: s.callsMade, WatchBackoff: s.watchBackoff, WatchAt: s.watchAt, FailureShare: s.failureShare,
+		Now: s.now, Random: random, KeyQueues: map[string][]int{}, KeyPauses: s.keyPauses,
+		RemovedWaits: s.removedWaits, Disabled: s.disabled, TableFullUntil: s.tableFullUntil,
+		DistrustReusedUntil: s.distrustReusedUntil, CallsMade: s.callsMade, WatchBackoff: s.watchBackoff,
+		WatchAt: s.watchAt, FailureShare: s.failureShare,
 		FirstTries: s.firstTries, FirstTriesSpan: s.firstTriesSpan, FirstTriesAt: s.firstTriesAt,
 	}
 	for _, t := range s.tenants {
@@ -234,7 +242,7 @@
 	for _, k := range s.pausedKeys {
 		v.PausedKeys = append(v.PausedKeys, SavedKeyPause{k.key, k.until})
 	}
-	dests, eps, messages := map[*destination]int{}, map[*endpoint]int{}, map[*message]int{}
+	dests, endpoints, messages := map[*destination]int{}, map[*endpoint]int{}, map[*message]int{}
 	for i, d := range s.destOrder {
 		dests[d] = i
 		saved := SavedDestination{
@@ -244,8 +252,8 @@
 			saved.Gates = append(saved.Gates, g.saved())
 		}
 		addEndpoint := func(e *endpoint) {
-			if _, known := eps[e]; !known {
-				eps[e] = len(saved.Endpoints)
+			if _, known := endpoints[e]; !known {
+				endpoints[e] = len(saved.Endpoints)
 				saved.Endpoints = append(saved.Endpoints, e.saved())
 			}
 		}
@@ -271,7 +279,8 @@
 			c = -1
 		}
 		v.Messages = append(v.Messages, SavedMessage{
-			m.id, c, m.key, m.worth, dests[m.dest], m.arrivedAt, m.submittedAt, m.softDeadline, m.deadline, m.attempts, m.mayHaveRunSince, m.mayHaveRun, m.mayHaveRunZone,
+			m.id, c, m.key, m.worth, dests[m.dest], m.arrivedAt, m.submittedAt, m.softDeadline, m.deadline,
+			m.attempts, m.mayHaveRunSince, m.mayHaveRun, m.mayHaveRunZone,
 			m.notBefore, m.waiting, m.ended,
 		})
 	}
@@ -281,7 +290,7 @@
 	v.OpenCount = len(v.Messages)
 	for _, d := range s.destOrder {
 		for _, c := range d.calls {
-			savedCall := SavedCall{dests[d], eps[c.endpoint], c.sentAt, c.halfOpen, c.canceled, c.repeatable, nil}
+			savedCall := SavedCall{dests[d], endpoints[c.endpoint], c.sentAt, c.halfOpen, c.canceled, c.repeatable, nil}
 			for _, a := range c.attempts {
 				index := -1
 				if pending := s.attemptsOut[a]; pending.c == c {
@@ -296,8 +305,8 @@
 			v.Dests[dests[d]].Waiting = append(v.Dests[dests[d]].Waiting, messages[m])
 		}
 	}
-	for key, line := range s.keyQueues {
-		for _, m := range line {
+	for key, queue := range s.keyQueues {
+		for _, m := range queue {
 			addMessage(m)
 			v.KeyQueues[key] = append(v.KeyQueues[key], messages[m])
 		}
@@ -315,7 +324,8 @@
 		return nil, err
 	}
 	s.rng = rand.New(s.source)
-	s.now, s.distrustReusedUntil, s.callsMade, s.watchBackoff, s.watchAt, s.failureShare = v.Now, v.DistrustReusedUntil, v.CallsMade, v.WatchBackoff, v.WatchAt, v.FailureShare
+	s.now, s.distrustReusedUntil, s.callsMade, s.watchBackoff, s.watchAt, s.failureShare =
+		v.Now, v.DistrustReusedUntil, v.CallsMade, v.WatchBackoff, v.WatchAt, v.FailureShare
 	s.firstTries, s.firstTriesSpan, s.firstTriesAt = v.FirstTries, v.FirstTriesSpan, v.FirstTriesAt
 	maps.Copy(s.keyPauses, v.KeyPauses)
 	maps.Copy(s.removedWaits, v.RemovedWaits)
@@ -327,10 +337,11 @@
 	for _, k := range v.PausedKeys {
 		s.pausedKeys = append(s.pausedKeys, keyPause{k.Key, k.Until})
 	}
-	eps := make([][]*endpoint, len(v.Dests))
+	endpoints := make([][]*endpoint, len(v.Dests))
 	for i, d := range v.Dests {
 		dest := &destination{
-			d.ID, d.EmptiedAt, make([]gate, len(cfg.Classes)+1), d.Kind, d.SharedRoute.route(), nil, nil, d.SlotTime, d.SlotTimeAt, nil, d.Arrivals, d.ArrivalsAt,
+			d.ID, d.EmptiedAt, make([]gate, len(cfg.Classes)+1), d.Kind, d.SharedRoute.route(), nil, nil,
+			d.SlotTime, d.SlotTimeAt, nil, d.Arrivals, d.ArrivalsAt,
 			false,
 		}
 		for i, g := range d.Gates[:min(len(d.Gates), len(dest.gates))] {
@@ -339,7 +350,7 @@
 		s.dests[d.ID], s.destOrder = dest, append(s.destOrder, dest)
 		for n, e := range d.Endpoints {
 			restored := e.endpoint(dest)
-			eps[i] = append(eps[i], restored)
+			endpoints[i] = append(endpoints[i], restored)
 			if n < d.ListedCount {
 				dest.endpoints = append(dest.endpoints, restored)
 				s.endpoints[restored.id] = restored
@@ -349,7 +360,8 @@
 	messages := make([]*message, len(v.Messages))
 	for i, m := range v.Messages {
 		messages[i] = &message{
-			m.ID, s.class(m.Class), m.Key, m.Worth, s.destOrder[m.Dest], s.gate(s.destOrder[m.Dest], m.Class), m.ArrivedAt, m.SubmittedAt, m.SoftDeadline, m.Deadline, m.Attempts, 0, m.MayHaveRunSince,
+			m.ID, s.class(m.Class), m.Key, m.Worth, s.destOrder[m.Dest], s.gate(s.destOrder[m.Dest], m.Class),
+			m.ArrivedAt, m.SubmittedAt, m.SoftDeadline, m.Deadline, m.Attempts, 0, m.MayHaveRunSince,
 			m.MayHaveRun, m.MayHaveRunZone, m.NotBefore, m.Waiting, m.Ended,
 		}
 		if !m.Ended {
@@ -362,13 +374,16 @@
 			s.destOrder[i].waiting = append(s.destOrder[i].waiting, messages[m])
 		}
 	}
-	for key, line := range v.KeyQueues {
-		for _, m := range line {
+	for key, queue := range v.KeyQueues {
+		for _, m := range queue {
 			s.keyQueues[key] = append(s.keyQueues[key], messages[m])
 		}
 	}
 	for _, savedCall := range v.Calls {
-		c := &call{eps[savedCall.Dest][savedCall.Endpoint], savedCall.SentAt, 0, savedCall.HalfOpen, nil, savedCall.Canceled, savedCall.Repeatable}
+		c := &call{
+			endpoints[savedCall.Dest][savedCall.Endpoint], savedCall.SentAt, 0, savedCall.HalfOpen, nil,
+			savedCall.Canceled, savedCall.Repeatable,
+		}
 		for _, a := range savedCall.Attempts {
 			c.attempts = append(c.attempts, attempt{a.ID, a.Number})
 			if a.Message >= 0 {
--- a/choice/state.go
+++ b/choice/state.go
@@ -52,7 +52,8 @@
 	until time.Duration
 }
 
-// destination is the state of one destination: its gates, endpoints and waiting messages.
+// destination is what messages are addressed to, with its gates, endpoints and waiting messages. The organization
+// behind it is called a partner.
 type destination struct {
 	id          int
 	emptiedAt   time.Duration // when its last endpoint left the list
@@ -349,14 +350,14 @@
 // trimKeyQueue removes ended messages from the head of a key's queue; one with an attempt out still has its
 // turn.
 func (s *Sender) trimKeyQueue(key string) {
-	line := s.keyQueues[key]
-	if len(line) == 0 {
+	queue := s.keyQueues[key]
+	if len(queue) == 0 {
 		return
 	}
-	for len(line) > 0 && line[0].ended && line[0].attemptsOut == 0 {
-		line = line[1:]
+	for len(queue) > 0 && queue[0].ended && queue[0].attemptsOut == 0 {
+		queue = queue[1:]
 	}
-	if s.keyQueues[key] = line; len(line) == 0 {
+	if s.keyQueues[key] = queue; len(queue) == 0 {
 		delete(s.keyQueues, key)
 	}
 }
