--- a/choice/choice.go
+++ b/choice/choice.go
@@ -657,7 +657,7 @@
 		// themselves: a large fleet gets three in a row at any busy limit.
 		if s.now-r.waitUntil > r.rejectionPause {
 			r.rejectionPause = firstRejectionPause
-		} else if s.now >= r.waitUntil { // not from the same call that told the wait
+		} else if s.now >= r.waitUntil { // not from the call that brought the wait
 			r.rejectionPause *= 2
 		}
 		r.waitUntil = max(r.waitUntil, s.now+max(e.RetryAfter, r.rejectionPause))
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -560,7 +560,7 @@
 	w.step(0, completeList(Entry{Endpoint: "a", Weight: 1000}))
 	w.step(5*ms, w.newMessage("0", 0, 0))
 	w.step(100*ms, w.outcome("0", Success, 0))
-	w.step(5*ms, w.newMessage("lost", 0, 0), w.newMessage("unsafe", 2, 0), w.newMessage("next", 0, 0))
+	w.step(5*ms, w.newMessage("lost", 0, 0), w.newMessage("at most once", 2, 0), w.newMessage("next", 0, 0))
 	canceled := map[string]bool{}
 	for end := w.now + 950*ms; w.now < end; {
 		w.step(10*ms, WakeDue{})
@@ -570,7 +570,7 @@
 			}
 		}
 	}
-	if len(canceled) == 0 || canceled["unsafe"] {
+	if len(canceled) == 0 || canceled["at most once"] {
 		t.Errorf("canceled: %v; want repeatable calls only", canceled)
 	}
 }
@@ -605,9 +605,9 @@
 // a busy one.
 func TestTwoFailuresAreAnOutageForARareSender(t *testing.T) {
 	for _, c := range []struct {
-		gap  time.Duration
-		busy float64
-		sick bool
+		gap         time.Duration
+		busy        float64
+		breakerOpen bool
 	}{{3 * time.Second, 0, true}, {300 * ms, 30, false}} {
 		w := newScenario(t, testSettings(), 1)
 		w.step(0, listOfOne())
@@ -617,7 +617,7 @@
 			w.step(c.gap, w.newMessage(id, 0, 0))
 			w.step(5*ms, w.outcome(id, ServerError, 0), MessageAbandoned{ID: id})
 		}
-		if got := w.sender.endpoints["a"].route.breakerOpen; got != c.sick {
+		if got := w.sender.endpoints["a"].route.breakerOpen; got != c.breakerOpen {
 			t.Errorf("failures %v apart: the breaker is open: %v", c.gap, got)
 		}
 	}
@@ -822,19 +822,19 @@
 				ID: fmt.Sprint(i), Class: classOf([]Effect{Idempotent, Deduplicated, AtMostOnce}[i%3]), Deadline: time.Hour + time.Minute,
 			})
 		}
-		unsafe, repeatable := map[uint64]int{}, map[uint64]int{}
+		atMostOnce, repeatable := map[uint64]int{}, map[uint64]int{}
 		for _, a := range s.Step(time.Hour+time.Second, events) {
 			if a, ok := a.(Send); !ok {
 				continue
 			} else if a.ID == "2" || a.ID == "5" || a.ID == "8" {
-				unsafe[a.Call]++
+				atMostOnce[a.Call]++
 			} else {
 				repeatable[a.Call]++
 			}
 		}
 		mixed, together := false, 0
 		for call, n := range repeatable {
-			mixed = mixed || unsafe[call] > 0
+			mixed = mixed || atMostOnce[call] > 0
 			together = max(together, n)
 		}
 		if mixed == afterFailure {
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -131,8 +131,8 @@
 	if f.now < f.outageEnd {
 		return f.limit
 	}
-	warm := min(1, seconds(f.now-f.outageEnd)/seconds(f.cfg.SlowStartDuration))
-	return f.limit * (f.cfg.SlowStartShare + (1-f.cfg.SlowStartShare)*warm)
+	recovered := min(1, seconds(f.now-f.outageEnd)/seconds(f.cfg.SlowStartDuration))
+	return f.limit * (f.cfg.SlowStartShare + (1-f.cfg.SlowStartShare)*recovered)
 }
 
 func (f *fleet) serve(n *fleetNode) (Outcome, time.Duration) {
@@ -195,8 +195,8 @@
 			break
 		}
 		start := max(r.at-f.cfg.CollapseSpan, f.outageEnd)
-		warm := min(1, seconds(start-f.outageEnd)/seconds(f.cfg.SlowStartDuration))
-		n := f.cfg.CollapseMultiple * f.limit * (f.cfg.SlowStartShare + (1-f.cfg.SlowStartShare)*warm) * seconds(f.cfg.CollapseSpan)
+		recovered := min(1, seconds(start-f.outageEnd)/seconds(f.cfg.SlowStartDuration))
+		n := f.cfg.CollapseMultiple * f.limit * (f.cfg.SlowStartShare + (1-f.cfg.SlowStartShare)*recovered) * seconds(f.cfg.CollapseSpan)
 		if over := float64(i-from+1) - n - 2*math.Sqrt(n); over > excess {
 			excess, calls, knowing, budget = over, i-from+1, known, n
 		}
--- a/choice/growth_test.go
+++ b/choice/growth_test.go
@@ -73,7 +73,7 @@
 			t.Error("the new endpoint has the health of the old one")
 		}
 		if e.route.waitUntil != time.Hour+time.Second {
-			t.Error("the wait that the old endpoint told is lost")
+			t.Error("the wait of the old endpoint is lost")
 		}
 	}
 }
--- a/choice/lost_test.go
+++ b/choice/lost_test.go
@@ -69,8 +69,8 @@
 func TestOverdueCallsDoNotBlockTrialMessages(t *testing.T) {
 	s, now := New(testSettings(), 1), time.Hour
 	s.Step(now, []Event{listOfOne()})
-	unsafe := slices.IndexFunc(testSettings().Classes, func(c Class) bool { return c.Effect == AtMostOnce })
-	s.Step(now, []Event{MessageArrived{ID: "silent", Class: unsafe, Deadline: now + time.Minute}})
+	atMostOnce := slices.IndexFunc(testSettings().Classes, func(c Class) bool { return c.Effect == AtMostOnce })
+	s.Step(now, []Event{MessageArrived{ID: "silent", Class: atMostOnce, Deadline: now + time.Minute}})
 	s.dests[0].gates[0] = gate{sampled: true, baseline: 0.1, average: 9, updatedAt: now}
 	for _, c := range []struct {
 		after time.Duration
@@ -89,16 +89,16 @@
 // as no slot is free.
 func TestLostCallsFreeTheirSlots(t *testing.T) {
 	cfg := testSettings()
-	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == AtMostOnce })
+	atMostOnce := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == AtMostOnce })
 	for _, c := range []struct {
 		name   string
 		class  int
 		others int
 		want   bool
 	}{
-		{"a slot is free", unsafe, cfg.Slots - 2, false},
-		{"nobody waits", unsafe, cfg.Slots - 1, false},
-		{"one waits", unsafe, cfg.Slots, true},
+		{"a slot is free", atMostOnce, cfg.Slots - 2, false},
+		{"nobody waits", atMostOnce, cfg.Slots - 1, false},
+		{"one waits", atMostOnce, cfg.Slots, true},
 		{"a slot is free, repeatable", 0, cfg.Slots - 2, false},
 		{"none is free, repeatable", 0, cfg.Slots - 1, true},
 	} {
--- a/choice/resume_test.go
+++ b/choice/resume_test.go
@@ -19,8 +19,8 @@
 		t.Fatalf("no class of effect %d", e)
 		return 0
 	}
-	safe, keyed, unsafe := classOf(Idempotent), classOf(Deduplicated), classOf(AtMostOnce)
-	window := cfg.Classes[keyed].DedupWindow
+	idempotent, deduplicated, atMostOnce := classOf(Idempotent), classOf(Deduplicated), classOf(AtMostOnce)
+	window := cfg.Classes[deduplicated].DedupWindow
 	for _, c := range []struct {
 		name  string
 		class int
@@ -28,16 +28,16 @@
 		e     MessageResumed
 		want  string
 	}{
-		{"idempotent, not sent yet", safe, 5 * time.Second, MessageResumed{}, "send"},
-		{"idempotent, may have run", safe, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "send"},
-		{"deduplicated, inside its window", keyed, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - window/2}, "send"},
-		{"deduplicated, after its window", keyed, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - window}, "fail"},
-		{"at most once, not sent yet", unsafe, 5 * time.Second, MessageResumed{}, "send"},
-		{"at most once, never ran", unsafe, 5 * time.Second, MessageResumed{Attempts: 1}, "send"},
-		{"at most once, may have run", unsafe, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "fail"},
-		{"out of time", safe, -time.Second, MessageResumed{}, "refuse"},
-		{"at most once, out of time, may have run", unsafe, -time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "fail"},
-		{"out of attempts", safe, 5 * time.Second, MessageResumed{Attempts: cfg.MaxAttempts}, "refuse"},
+		{"idempotent, not sent yet", idempotent, 5 * time.Second, MessageResumed{}, "send"},
+		{"idempotent, may have run", idempotent, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "send"},
+		{"deduplicated, inside its window", deduplicated, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - window/2}, "send"},
+		{"deduplicated, after its window", deduplicated, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - window}, "fail"},
+		{"at most once, not sent yet", atMostOnce, 5 * time.Second, MessageResumed{}, "send"},
+		{"at most once, never ran", atMostOnce, 5 * time.Second, MessageResumed{Attempts: 1}, "send"},
+		{"at most once, may have run", atMostOnce, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "fail"},
+		{"out of time", idempotent, -time.Second, MessageResumed{}, "refuse"},
+		{"at most once, out of time, may have run", atMostOnce, -time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "fail"},
+		{"out of attempts", idempotent, 5 * time.Second, MessageResumed{Attempts: cfg.MaxAttempts}, "refuse"},
 	} {
 		s := New(cfg, 1)
 		c.e.MessageArrived = MessageArrived{ID: "m", Class: c.class, Deadline: now + c.left}
@@ -91,13 +91,13 @@
 	s := New(cfg, 1)
 	end := time.Hour + 2*time.Second
 	s.Step(time.Hour, []Event{listOfOne(), Stopping{By: end}})
-	unsafe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == AtMostOnce })
-	safe := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == Idempotent })
+	atMostOnce := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == AtMostOnce })
+	idempotent := slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == Idempotent })
 	for _, c := range []struct {
 		class int
 		left  time.Duration
 		sent  bool
-	}{{unsafe, 1500 * ms, true}, {unsafe, 900 * ms, false}, {safe, 800 * ms, true}, {safe, 200 * ms, false}} {
+	}{{atMostOnce, 1500 * ms, true}, {atMostOnce, 900 * ms, false}, {idempotent, 800 * ms, true}, {idempotent, 200 * ms, false}} {
 		id, sent := c.left.String(), false
 		for _, a := range s.Step(end-c.left, []Event{MessageArrived{ID: id, Class: c.class, Deadline: end + time.Minute}}) {
 			if _, ok := a.(Send); ok {
@@ -109,7 +109,7 @@
 			t.Errorf("class %d with %v left: sent: %v", c.class, c.left, sent)
 		}
 	}
-	s.Step(end-100*ms, []Event{MessageArrived{ID: "m", Class: safe, Deadline: end + time.Second}})
+	s.Step(end-100*ms, []Event{MessageArrived{ID: "m", Class: idempotent, Deadline: end + time.Second}})
 	ended := false
 	for _, a := range s.Step(end+time.Second, []Event{WakeDue{}}) {
 		if p, ok := a.(Refuse); ok && p.ID == "m" {
--- a/choice/state.go
+++ b/choice/state.go
@@ -21,7 +21,7 @@
 	keyQueues           map[string][]*message
 	keyPauses           map[string]time.Duration // keys that pause until then
 	pausedKeys          []keyPause               // the same in the order in which they end
-	removedWaits        map[string]time.Duration // waits that separate routes told before they left the list
+	removedWaits        map[string]time.Duration // waits of separate routes that have left the list
 	disabled            map[string]bool          // endpoints that an operator has disabled
 	tableFullUntil      map[int]time.Duration    // by kind: the connection tables seem full until then
 	distrustReusedUntil time.Duration            // reused connections are not trusted until then
@@ -209,7 +209,7 @@
 }
 
 // removeEndpoint removes an endpoint that has left the list. Calls out there refer to it until they end. If
-// its id comes back it starts without history, except for a wait told by a separate route.
+// its id comes back it starts without history, except for the wait of a separate route.
 func (s *Sender) removeEndpoint(e *endpoint) {
 	e.ready = false
 	delete(s.endpoints, e.id)
@@ -218,7 +218,7 @@
 	s.carryOverWait(e)
 }
 
-// carryOverWait keeps a wait that was told after its endpoint had left the list: it applies to any endpoint
+// carryOverWait keeps a wait that began after its endpoint had left the list: it applies to any endpoint
 // of that id.
 func (s *Sender) carryOverWait(e *endpoint) {
 	current := s.endpoints[e.id]
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -45,17 +45,17 @@
 func run(in io.Reader, out io.Writer) error {
 	h := newHost(out)
 	r := bufio.NewReaderSize(in, 1<<20)
-	var t *batch
+	var b *batch
 	for n := 1; ; n++ {
 		text, err := r.ReadBytes('\n')
 		if len(text) > 0 && text[0] != '\n' {
 			var fail error
-			if t, fail = h.handleLine(t, text); fail != nil {
+			if b, fail = h.handleLine(b, text); fail != nil {
 				return fmt.Errorf("line %d: %w", n, fail)
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if t != nil {
+			if b != nil {
 				return fmt.Errorf("line %d: input ends inside a batch", n)
 			}
 			return nil
@@ -67,91 +67,91 @@
 }
 
 // handleLine handles one line of input and returns the batch that is open after it.
-func (h *host) handleLine(t *batch, text []byte) (*batch, error) {
+func (h *host) handleLine(b *batch, text []byte) (*batch, error) {
 	l, err := wire.ParseLine(text)
 	if err != nil {
-		return t, err
+		return b, err
 	}
 	if l.Type == "Turn" {
-		if t != nil {
-			return t, errors.New("Turn inside a batch")
+		if b != nil {
+			return b, errors.New("Turn inside a batch")
 		}
-		return &batch{now: wire.Time(l.SimTime), events: map[string][]choice.Event{}}, nil
+		return &batch{now: wire.Duration(l.SimTime), events: map[string][]choice.Event{}}, nil
 	}
-	if t == nil {
-		return t, fmt.Errorf("%s outside a batch", l.Type)
+	if b == nil {
+		return b, fmt.Errorf("%s outside a batch", l.Type)
 	}
 	switch l.Type {
 	case "YourTurn":
-		for _, node := range t.order {
+		for _, node := range b.order {
 			if h.instances[node] != nil {
-				if err := h.step(t.now, node, t.events[node]); err != nil {
-					return t, err
+				if err := h.step(b.now, node, b.events[node]); err != nil {
+					return b, err
 				}
 			}
 		}
 		if _, err := fmt.Fprintln(h.out, wire.DoneLine); err != nil {
-			return t, err
+			return b, err
 		}
 		return nil, h.out.Flush()
 	case "Manifest":
 		entries, err := wire.Entries(l.Records)
 		if err != nil {
-			return t, fmt.Errorf("Manifest %d: %w", l.List, err)
+			return b, fmt.Errorf("Manifest %d: %w", l.List, err)
 		}
 		h.lists[l.List] = entries
-		return t, nil
+		return b, nil
 	case "Born":
 		settings, err := wire.ParseSettings(l.Settings)
 		if err != nil {
-			return t, fmt.Errorf("Born %s: %w", l.Node, err)
+			return b, fmt.Errorf("Born %s: %w", l.Node, err)
 		}
 		seed, err := strconv.ParseUint(l.Seed.String(), 10, 64)
 		if err != nil {
 			signed, serr := strconv.ParseInt(l.Seed.String(), 10, 64)
 			if serr != nil {
-				return t, fmt.Errorf("Born %s: nonce64: %w", l.Node, err)
+				return b, fmt.Errorf("Born %s: nonce64: %w", l.Node, err)
 			}
 			seed = uint64(signed)
 		}
 		h.instances[l.Node] = choice.New(settings, seed)
-		t.reset(l.Node)
-		return t, nil
+		b.reset(l.Node)
+		return b, nil
 	case "Down":
 		if h.instances[l.Node] == nil {
-			return t, fmt.Errorf("Down for unknown instance %q", l.Node)
+			return b, fmt.Errorf("Down for unknown instance %q", l.Node)
 		}
 		delete(h.instances, l.Node)
-		t.reset(l.Node)
-		return t, nil
+		b.reset(l.Node)
+		return b, nil
 	}
 	if h.instances[l.Node] == nil {
-		return t, fmt.Errorf("%s for unknown instance %q", l.Type, l.Node)
+		return b, fmt.Errorf("%s for unknown instance %q", l.Type, l.Node)
 	}
 	ev, err := wire.ParseEvent(l, h.lists)
 	if err != nil {
-		return t, fmt.Errorf("%s for %q: %w", l.Type, l.Node, err)
+		return b, fmt.Errorf("%s for %q: %w", l.Type, l.Node, err)
 	}
 	if ev != nil {
-		t.add(l.Node, ev)
+		b.add(l.Node, ev)
 	}
-	return t, nil
+	return b, nil
 }
 
-func (t *batch) add(node string, ev choice.Event) {
-	if _, ok := t.events[node]; !ok {
-		t.order = append(t.order, node)
+func (b *batch) add(node string, ev choice.Event) {
+	if _, ok := b.events[node]; !ok {
+		b.order = append(b.order, node)
 	}
-	t.events[node] = append(t.events[node], ev)
+	b.events[node] = append(b.events[node], ev)
 }
 
 // reset discards the events that an earlier run of the instance got in this batch; the instance still gets
 // its step.
-func (t *batch) reset(node string) {
-	if _, ok := t.events[node]; !ok {
-		t.order = append(t.order, node)
+func (b *batch) reset(node string) {
+	if _, ok := b.events[node]; !ok {
+		b.order = append(b.order, node)
 	}
-	t.events[node] = nil
+	b.events[node] = nil
 }
 
 // step runs one instance and writes its actions; a panic becomes a Broken line.
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -7,7 +7,7 @@
 	"starlingusher/choice"
 )
 
-const born = `{"event_type":"Turn","simTime":1000}
+const startBatch = `{"event_type":"Turn","simTime":1000}
 {"event_type":"Manifest","slot":0,"records":[{"endpoint":"endpoint-a","ownerNo":7,"phase":"healthy","heft":5}]}
 {"event_type":"Born","node":"node-0","nonce64":18446744073709551615,"conf":{"categories":[{"aim":1000,"deadline":5000,"effect":"idempotent","worth":1}]}}
 {"event_type":"Announce","node":"node-0","form":"stale_copy","gen":1,"slot":0}
@@ -16,7 +16,7 @@
 
 func TestBatchesAndReplies(t *testing.T) {
 	var out strings.Builder
-	err := run(strings.NewReader(born+`
+	err := run(strings.NewReader(startBatch+`
 {"event_type":"Turn","simTime":1005}
 {"event_type":"Query","node":"node-0","handle":"h","dropDead":6005,"farEnd":7}
 {"event_type":"YourTurn"}
@@ -39,10 +39,10 @@
 	for _, c := range []struct{ in, says string }{
 		{turn + "{oops\n", "line 2: malformed"},
 		{turn + `{"event_type":"Knock","node":"node-0"}` + "\n", "unknown instance"},
-		{born + turn + `{"event_type":"Knock","node":"node-0"}` + "\n", `unknown event "Knock"`},
+		{startBatch + turn + `{"event_type":"Knock","node":"node-0"}` + "\n", `unknown event "Knock"`},
 		{turn + `{"event_type":"Ring","node":"node-9"}` + "\n", `Ring for unknown instance "node-9"`},
 		{turn + `{"event_type":"Down","node":"node-9"}` + "\n", "unknown instance"},
-		{born + turn + `{"event_type":"Announce","node":"node-0","form":"whole","slot":5}` + "\n", "list 5, which was never sent"},
+		{startBatch + turn + `{"event_type":"Announce","node":"node-0","form":"whole","slot":5}` + "\n", "list 5, which was never sent"},
 		{turn + turn, "Turn inside a batch"},
 		{`{"event_type":"YourTurn"}` + "\n", "outside a batch"},
 		{turn, "input ends inside a batch"},
--- a/internal/wire/formats_test.go
+++ b/internal/wire/formats_test.go
@@ -27,7 +27,7 @@
 	var c simulatorSettings
 	golden.Fill(&c)
 	c.Discovery, c.Domain.Decay, c.Weights = "on_request", "halves", "rough"
-	c.Categories[0].Effect, c.Categories[0].Group, c.Categories[1].Effect = "deduplicated", "all", "at_most_once"
+	c.Classes[0].Effect, c.Classes[0].Group, c.Classes[1].Effect = "deduplicated", "all", "at_most_once"
 	raw, err := json.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,8 +8,8 @@
 )
 
 type simulatorSettings struct {
-	FleetSize  int `json:"fleetSize"`
-	Categories []struct {
+	FleetSize int `json:"fleetSize"`
+	Classes   []struct {
 		Aim        float64 `json:"aim"`
 		AimStretch float64 `json:"aimStretch"`
 		Deadline   float64 `json:"deadline"`
@@ -50,7 +50,7 @@
 		Fall         float64 `json:"fall"`
 		OrderSettle  float64 `json:"orderSettle"`
 	} `json:"contract"`
-	Customers []struct {
+	Tenants []struct {
 		PerS float64 `json:"allowancePerS"`
 	} `json:"customers"`
 	Tick    float64 `json:"tick"`
@@ -73,23 +73,23 @@
 		MayCancel: c.Limits.Cancel, WatchOnRequest: c.Discovery == "on_request",
 		WorthHalves:  c.Domain.Decay == "halves",
 		RoughWeights: c.Weights == "rough", WeightIsRate: c.Weights == "rough" || c.Weights == "nominal",
-		OverShareWorth: c.OverShareWorth, ZoneFee: c.Domain.Fee, Tick: Time(c.Tick),
-		DialTimeout: Time(c.Limits.DialTimeout), IdleConnTimeout: Time(c.Limits.ConnIdle), DrainGrace: Time(c.Contract.StopSending),
-		AnswerGrace: Time(c.Contract.Grace), CollapseMultiple: c.Contract.FallMultiple,
-		CollapseSpan: Time(c.Contract.Fall), SlowStartShare: c.Contract.ColdFrom, SlowStartDuration: Time(c.Contract.WarmWithin),
-		KeyPause: Time(c.Contract.OrderSettle), WatchWithin: Time(c.Contract.MustAskIn),
+		OverShareWorth: c.OverShareWorth, ZoneFee: c.Domain.Fee, Tick: Duration(c.Tick),
+		DialTimeout: Duration(c.Limits.DialTimeout), IdleConnTimeout: Duration(c.Limits.ConnIdle), DrainGrace: Duration(c.Contract.StopSending),
+		AnswerGrace: Duration(c.Contract.Grace), CollapseMultiple: c.Contract.FallMultiple,
+		CollapseSpan: Duration(c.Contract.Fall), SlowStartShare: c.Contract.ColdFrom, SlowStartDuration: Duration(c.Contract.WarmWithin),
+		KeyPause: Duration(c.Contract.OrderSettle), WatchWithin: Duration(c.Contract.MustAskIn),
 	}
 	if c.Limits.RetryAfter {
-		s.MaxRetryAfter = Time(c.Limits.MaxRetryAfter)
+		s.MaxRetryAfter = Duration(c.Limits.MaxRetryAfter)
 	}
-	for i, k := range c.Categories {
+	for i, k := range c.Classes {
 		effect, ok := effectByWord[k.Effect]
 		if !ok {
 			return s, fmt.Errorf("settings: class %d has unknown effect %q", i, k.Effect)
 		}
 		s.Classes = append(s.Classes, choice.Class{
-			SoftDeadline: Time(k.Aim), SoftDeadlineStretch: k.AimStretch, Deadline: Time(k.Deadline), Worth: k.Worth,
-			LateWorth: k.LateWorth, Effect: effect, DedupWindow: Time(k.Window), DedupEverywhere: k.Group == "all",
+			SoftDeadline: Duration(k.Aim), SoftDeadlineStretch: k.AimStretch, Deadline: Duration(k.Deadline), Worth: k.Worth,
+			LateWorth: k.LateWorth, Effect: effect, DedupWindow: Duration(k.Window), DedupEverywhere: k.Group == "all",
 			Ordered: k.Ordered,
 		})
 	}
@@ -103,7 +103,7 @@
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
-	for _, t := range c.Customers {
+	for _, t := range c.Tenants {
 		s.Tenants = append(s.Tenants, choice.Tenant{PerSecond: t.PerS})
 	}
 	return s, nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -33,7 +33,7 @@
 	Endpoint  string             `json:"endpoint"`
 	Outcome   string             `json:"rc"`
 	Duration  float64            `json:"duration"`
-	Closed    bool               `json:"closed"`
+	Final     bool               `json:"closed"`
 	Detail    float64            `json:"note"`
 	Report    map[string]float64 `json:"feedback"`
 	Tag       string             `json:"tag"`
@@ -51,8 +51,8 @@
 
 const hintValid = 1 // bit of opts: the hint is valid
 
-// Time converts milliseconds of the protocol to a duration; the simulator counts whole microseconds.
-func Time(ms float64) time.Duration {
+// Duration converts milliseconds of the protocol to a duration; the simulator counts whole microseconds.
+func Duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
@@ -112,10 +112,10 @@
 		return choice.ListUpdate{Complete: l.ListForm != "patch", Entries: entries}, nil
 	case "Query":
 		ev := choice.MessageArrived{
-			ID: l.MessageID, Class: l.Class, Tenant: l.Tenant, Dest: l.Dest, Key: l.Key, Deadline: Time(l.Deadline),
+			ID: l.MessageID, Class: l.Class, Tenant: l.Tenant, Dest: l.Dest, Key: l.Key, Deadline: Duration(l.Deadline),
 		}
 		if l.Options&hintValid != 0 {
-			ev.Hint = Time(l.Hint)
+			ev.Hint = Duration(l.Hint)
 		}
 		return ev, nil
 	case "AttemptEnd":
@@ -124,11 +124,11 @@
 			return nil, fmt.Errorf("AttemptEnd has unknown rc %q", l.Outcome)
 		}
 		ev := choice.AttemptEnded{
-			ID: l.MessageID, Attempt: l.Attempt, Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration),
-			Final: l.Closed, Report: parseReport(l.Report),
+			ID: l.MessageID, Attempt: l.Attempt, Endpoint: l.Endpoint, Outcome: o, Took: Duration(l.Duration),
+			Final: l.Final, Report: parseReport(l.Report),
 		}
 		if o == choice.Rejected {
-			ev.RetryAfter = Time(l.Detail)
+			ev.RetryAfter = Duration(l.Detail)
 		}
 		ev.NoSlot = o == choice.Stale && l.Detail != 0
 		return ev, nil
@@ -138,7 +138,7 @@
 			return nil, fmt.Errorf("Echo has unknown rc %q", l.Outcome)
 		}
 		return choice.ProbeEnded{
-			Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration), Report: parseReport(l.Report),
+			Endpoint: l.Endpoint, Outcome: o, Took: Duration(l.Duration), Report: parseReport(l.Report),
 		}, nil
 	case "Dropped":
 		return choice.MessageAbandoned{ID: l.MessageID}, nil
@@ -159,31 +159,31 @@
 
 // EncodeAction converts an action of the instance named node to its line.
 func EncodeAction(node string, a choice.Action) ([]byte, error) {
-	o := map[string]any{"node": node}
+	line := map[string]any{"node": node}
 	switch a := a.(type) {
 	case choice.Send:
-		o["event_type"], o["handle"], o["endpoint"] = "Transmit", a.ID, a.Endpoint
-		o["notPast"] = milliseconds(a.TimeoutAt)
+		line["event_type"], line["handle"], line["endpoint"] = "Transmit", a.ID, a.Endpoint
+		line["notPast"] = milliseconds(a.TimeoutAt)
 	case choice.Refuse:
-		o["event_type"], o["handle"], o["holdOff"] = "PushBack", a.ID, milliseconds(a.RetryAfter)
+		line["event_type"], line["handle"], line["holdOff"] = "PushBack", a.ID, milliseconds(a.RetryAfter)
 	case choice.Fail:
-		o["event_type"], o["handle"] = "RespondError", a.ID
+		line["event_type"], line["handle"] = "RespondError", a.ID
 	case choice.Cancel:
-		o["event_type"], o["handle"], o["go"] = "Recall", a.ID, a.Attempt
+		line["event_type"], line["handle"], line["go"] = "Recall", a.ID, a.Attempt
 	case choice.Probe:
-		o["event_type"], o["endpoint"] = "Test", a.Endpoint
+		line["event_type"], line["endpoint"] = "Test", a.Endpoint
 	case choice.CloseIdle:
-		o["event_type"], o["endpoint"] = "HangUp", a.Endpoint
+		line["event_type"], line["endpoint"] = "HangUp", a.Endpoint
 	case choice.Wake:
-		o["event_type"], o["when"], o["tag"] = "Defer", milliseconds(a.At), a.Tag
+		line["event_type"], line["when"], line["tag"] = "Defer", milliseconds(a.At), a.Tag
 	case choice.Watch:
-		o["event_type"], o["enable"] = "Track", true
+		line["event_type"], line["enable"] = "Track", true
 	case choice.LogLine:
-		o["event_type"], o["text"] = "JournalLine", a.Text
+		line["event_type"], line["text"] = "JournalLine", a.Text
 	default:
 		return nil, fmt.Errorf("no line for action %T", a)
 	}
-	return json.Marshal(o)
+	return json.Marshal(line)
 }
 
 // BrokenLine reports a crash of the decision module.
