--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -74,12 +74,12 @@
 	}
 	if l.Type == "Turn" {
 		if b != nil {
-			return b, errors.New("Turn inside a batch")
+			return b, errors.New("event Turn inside a batch")
 		}
 		return &batch{now: wire.Duration(l.SimTime), events: map[string][]choice.Event{}}, nil
 	}
 	if b == nil {
-		return b, fmt.Errorf("%s outside a batch", l.Type)
+		return b, fmt.Errorf("event %s outside a batch", l.Type)
 	}
 	switch l.Type {
 	case "YourTurn":
@@ -97,20 +97,20 @@
 	case "Manifest":
 		entries, err := wire.Entries(l.Records)
 		if err != nil {
-			return b, fmt.Errorf("Manifest %d: %w", l.List, err)
+			return b, fmt.Errorf("event Manifest %d: %w", l.List, err)
 		}
 		h.lists[l.List] = entries
 		return b, nil
 	case "Born":
 		settings, err := wire.ParseSettings(l.Settings)
 		if err != nil {
-			return b, fmt.Errorf("Born %s: %w", l.Node, err)
+			return b, fmt.Errorf("event Born %s: %w", l.Node, err)
 		}
 		seed, err := strconv.ParseUint(l.Seed.String(), 10, 64)
 		if err != nil {
 			signed, serr := strconv.ParseInt(l.Seed.String(), 10, 64)
 			if serr != nil {
-				return b, fmt.Errorf("Born %s: nonce64: %w", l.Node, err)
+				return b, fmt.Errorf("event Born %s: nonce64: %w", l.Node, err)
 			}
 			seed = uint64(signed)
 		}
@@ -119,18 +119,18 @@
 		return b, nil
 	case "Down":
 		if h.instances[l.Node] == nil {
-			return b, fmt.Errorf("Down for unknown instance %q", l.Node)
+			return b, fmt.Errorf("event Down for unknown instance %q", l.Node)
 		}
 		delete(h.instances, l.Node)
 		b.reset(l.Node)
 		return b, nil
 	}
 	if h.instances[l.Node] == nil {
-		return b, fmt.Errorf("%s for unknown instance %q", l.Type, l.Node)
+		return b, fmt.Errorf("event %s for unknown instance %q", l.Type, l.Node)
 	}
 	ev, err := wire.ParseEvent(l, h.lists)
 	if err != nil {
-		return b, fmt.Errorf("%s for %q: %w", l.Type, l.Node, err)
+		return b, fmt.Errorf("event %s for %q: %w", l.Type, l.Node, err)
 	}
 	if ev != nil {
 		b.add(l.Node, ev)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -103,11 +103,11 @@
 			return choice.ListUpdate{Failed: true}, nil
 		}
 		if l.ListForm != "patch" && l.ListForm != "whole" && l.ListForm != "stale_copy" {
-			return nil, fmt.Errorf("Announce has unknown form %q", l.ListForm)
+			return nil, fmt.Errorf("event Announce has unknown form %q", l.ListForm)
 		}
 		entries, ok := lists[l.List]
 		if !ok {
-			return nil, fmt.Errorf("Announce names list %d, which was never sent", l.List)
+			return nil, fmt.Errorf("event Announce names list %d, which was never sent", l.List)
 		}
 		return choice.ListUpdate{Complete: l.ListForm != "patch", Entries: entries}, nil
 	case "Query":
@@ -121,7 +121,7 @@
 	case "AttemptEnd":
 		o, ok := outcomeByWord[l.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("AttemptEnd has unknown rc %q", l.Outcome)
+			return nil, fmt.Errorf("event AttemptEnd has unknown rc %q", l.Outcome)
 		}
 		ev := choice.AttemptEnded{
 			ID: l.MessageID, Attempt: l.Attempt, Endpoint: l.Endpoint, Outcome: o, Took: Duration(l.Duration),
@@ -135,7 +135,7 @@
 	case "Echo":
 		o, ok := outcomeByWord[l.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("Echo has unknown rc %q", l.Outcome)
+			return nil, fmt.Errorf("event Echo has unknown rc %q", l.Outcome)
 		}
 		return choice.ProbeEnded{
 			Endpoint: l.Endpoint, Outcome: o, Took: Duration(l.Duration), Report: parseReport(l.Report),
