--- a/choice/checker_test.go
+++ b/choice/checker_test.go
@@ -307,7 +307,8 @@
 	return Settings{
 		Classes: []Class{
 			{SoftDeadline: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateWorth: 0.3},
-			{SoftDeadline: 2 * time.Second, Deadline: 10 * time.Second, Worth: 2, LateWorth: 0.3, Effect: Deduplicated, DedupWindow: 4 * time.Second, DedupEverywhere: true},
+			{SoftDeadline: 2 * time.Second, Deadline: 10 * time.Second, Worth: 2, LateWorth: 0.3, Effect: Deduplicated,
+				DedupWindow: 4 * time.Second, DedupEverywhere: true},
 			{SoftDeadline: 2 * time.Second, Deadline: 10 * time.Second, Worth: 3, LateWorth: 0.3, Effect: AtMostOnce},
 		},
 		Kinds:     []Kind{{}, {SeparateRoutes: true}, {MaxBatch: 3}},
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -207,7 +207,8 @@
 func outageSettings(nodes int) Settings {
 	return Settings{
 		Classes: []Class{
-			{SoftDeadline: 2500 * ms, Deadline: 24 * time.Second, Worth: 1, LateWorth: 0.5, Effect: Deduplicated, DedupEverywhere: true, DedupWindow: 10 * time.Second},
+			{SoftDeadline: 2500 * ms, Deadline: 24 * time.Second, Worth: 1, LateWorth: 0.5, Effect: Deduplicated,
+				DedupEverywhere: true, DedupWindow: 10 * time.Second},
 			{SoftDeadline: 1500 * ms, Deadline: 5 * time.Second, Worth: 2, Effect: Idempotent},
 			{SoftDeadline: 2500 * ms, Deadline: 28 * time.Second, Worth: 5, LateWorth: 0.4, Effect: AtMostOnce},
 		},
@@ -291,7 +292,8 @@
 		t.Run(fmt.Sprint(c.nodes), func(t *testing.T) {
 			t.Parallel()
 			runs, exceeded, violations, knowingRatio := runOutages(t, c.nodes, c.seeds)
-			t.Logf("%d runs: %d above the bound, %d break the rule; nodes that knew of the outage made at most %.2f of the allowed calls", runs, exceeded, violations, knowingRatio)
+			t.Logf("%d runs: %d above the bound, %d break the rule; nodes that knew of the outage made at most %.2f of the allowed calls",
+				runs, exceeded, violations, knowingRatio)
 			if knowingRatio > c.maxKnowingShare || violations > c.maxViolations {
 				t.Error("the fleet exceeds the slow start budget")
 			}
--- a/choice/growth_test.go
+++ b/choice/growth_test.go
@@ -10,7 +10,8 @@
 // once no call refers to them and their windows have passed.
 func TestRemovedStateIsForgotten(t *testing.T) {
 	s := New(Settings{
-		Classes: []Class{{Deadline: 10 * time.Second, SoftDeadline: time.Second, Worth: 1, Effect: Deduplicated, DedupWindow: time.Minute, DedupEverywhere: true,
+		Classes: []Class{{Deadline: 10 * time.Second, SoftDeadline: time.Second, Worth: 1, Effect: Deduplicated,
+			DedupWindow: time.Minute, DedupEverywhere: true,
 			Ordered: true}},
 		Kinds: []Kind{{}, {SeparateRoutes: true}}, Slots: 8, MaxAttempts: 2, KeyPause: 300 * time.Millisecond,
 	}, 1)
@@ -45,7 +46,8 @@
 	s.pauseKey("another")
 	for what, size := range map[string]int{
 		"endpoints": len(s.endpoints) - 1, "destinations": len(s.dests) - 1, "destination order": len(s.destOrder) - 1, "messages": len(s.messages),
-		"open": len(s.open), "key queues": len(s.keyQueues), "key pauses": len(s.keyPauses) - 1, "paused keys": len(s.pausedKeys) - 1, "attempts out": len(s.attemptsOut),
+		"open": len(s.open), "key queues": len(s.keyQueues), "key pauses": len(s.keyPauses) - 1, "paused keys": len(s.pausedKeys) - 1,
+		"attempts out":        len(s.attemptsOut),
 		"active destinations": len(s.activeDests), "waits of removed routes": len(s.removedWaits), "calls out": s.callsOut,
 	} {
 		if size > 1 { // the last of the cycle may have been in the list until the end
--- a/choice/lost_test.go
+++ b/choice/lost_test.go
@@ -60,7 +60,8 @@
 			s.Step(now, []Event{AttemptEnded{ID: fmt.Sprint("lost", i), Endpoint: "a", Outcome: TimedOut, Took: now - sent}})
 		}
 		if r := d.sharedRoute; r.breakerOpen == othersSucceed || (d.gates[0].average > average+0.1) == othersSucceed {
-			t.Errorf("other calls succeed: %v; the breaker is open: %v, the average went from %v to %v", othersSucceed, r.breakerOpen, average, d.gates[0].average)
+			t.Errorf("other calls succeed: %v; the breaker is open: %v, the average went from %v to %v",
+				othersSucceed, r.breakerOpen, average, d.gates[0].average)
 		}
 	}
 }
--- a/choice/resume_test.go
+++ b/choice/resume_test.go
@@ -29,14 +29,19 @@
 		want  string
 	}{
 		{"idempotent, not sent yet", idempotent, 5 * time.Second, MessageResumed{}, "send"},
-		{"idempotent, may have run", idempotent, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "send"},
-		{"deduplicated, inside its window", deduplicated, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - window/2}, "send"},
-		{"deduplicated, after its window", deduplicated, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - window}, "fail"},
+		{"idempotent, may have run", idempotent, 5 * time.Second,
+			MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "send"},
+		{"deduplicated, inside its window", deduplicated, 5 * time.Second,
+			MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - window/2}, "send"},
+		{"deduplicated, after its window", deduplicated, 5 * time.Second,
+			MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - window}, "fail"},
 		{"at most once, not sent yet", atMostOnce, 5 * time.Second, MessageResumed{}, "send"},
 		{"at most once, never ran", atMostOnce, 5 * time.Second, MessageResumed{Attempts: 1}, "send"},
-		{"at most once, may have run", atMostOnce, 5 * time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "fail"},
+		{"at most once, may have run", atMostOnce, 5 * time.Second,
+			MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "fail"},
 		{"out of time", idempotent, -time.Second, MessageResumed{}, "refuse"},
-		{"at most once, out of time, may have run", atMostOnce, -time.Second, MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "fail"},
+		{"at most once, out of time, may have run", atMostOnce, -time.Second,
+			MessageResumed{Attempts: 1, MayHaveRun: true, MayHaveRunSince: now - time.Second}, "fail"},
 		{"out of attempts", idempotent, 5 * time.Second, MessageResumed{Attempts: cfg.MaxAttempts}, "refuse"},
 	} {
 		s := New(cfg, 1)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,48 +10,48 @@
 type simulatorSettings struct {
 	FleetSize int `json:"fleetSize"`
 	Classes   []struct {
-		Aim        float64 `json:"aim"`
-		AimStretch float64 `json:"aimStretch"`
-		Deadline   float64 `json:"deadline"`
-		Effect     string  `json:"effect"`
-		Group      string  `json:"group"`
-		Ordered    bool    `json:"fifoByKey"`
-		LateWorth  float64 `json:"lateWorth"`
-		Window     float64 `json:"window"`
-		Worth      float64 `json:"worth"`
+		SoftDeadline        float64 `json:"aim"`
+		SoftDeadlineStretch float64 `json:"aimStretch"`
+		Deadline            float64 `json:"deadline"`
+		Effect              string  `json:"effect"`
+		Group               string  `json:"group"`
+		Ordered             bool    `json:"fifoByKey"`
+		LateWorth           float64 `json:"lateWorth"`
+		DedupWindow         float64 `json:"window"`
+		Worth               float64 `json:"worth"`
 	} `json:"categories"`
 	Discovery string `json:"discovery"`
 	Domain    struct {
-		Decay   string    `json:"decay"`
-		Apart   []bool    `json:"separateRoutes"`
-		Batch   []int     `json:"kindBatch"`
-		Workers int       `json:"workers"`
-		Fee     []float64 `json:"feeByZone"`
+		Decay          string    `json:"decay"`
+		SeparateRoutes []bool    `json:"separateRoutes"`
+		MaxBatch       []int     `json:"kindBatch"`
+		Slots          int       `json:"workers"`
+		ZoneFee        []float64 `json:"feeByZone"`
 	} `json:"domain"`
 	Limits struct {
-		DialTimeout   float64 `json:"dialTimeout"`
-		ConnIdle      float64 `json:"connIdle"`
-		MaxAttempts   int     `json:"maxAttempts"`
-		MaxOpen       int     `json:"maxOpen"`
-		MaxRetryAfter float64 `json:"maxRetryAfter"`
-		Probes        bool    `json:"probes"`
-		Cancel        bool    `json:"cancel"`
-		MayDuplicate  bool    `json:"mayDuplicate"`
-		RetryAfter    bool    `json:"retryAfter"`
+		DialTimeout     float64 `json:"dialTimeout"`
+		IdleConnTimeout float64 `json:"connIdle"`
+		MaxAttempts     int     `json:"maxAttempts"`
+		MaxOpen         int     `json:"maxOpen"`
+		MaxRetryAfter   float64 `json:"maxRetryAfter"`
+		Probes          bool    `json:"probes"`
+		Cancel          bool    `json:"cancel"`
+		MayDuplicate    bool    `json:"mayDuplicate"`
+		RetryAfter      bool    `json:"retryAfter"`
 	} `json:"limits"`
 	OverShareWorth float64 `json:"overShareWorth"`
 	Contract       struct {
-		Grace        float64 `json:"graceToAnswer"`
-		MustAskIn    float64 `json:"mustAskIn"`
-		ColdFrom     float64 `json:"coldFrom"`
-		WarmWithin   float64 `json:"warmWithin"`
-		StopSending  float64 `json:"stopSendingWithin"`
-		FallMultiple float64 `json:"fallMultiple"`
-		Fall         float64 `json:"fall"`
-		OrderSettle  float64 `json:"orderSettle"`
+		AnswerGrace       float64 `json:"graceToAnswer"`
+		WatchWithin       float64 `json:"mustAskIn"`
+		SlowStartShare    float64 `json:"coldFrom"`
+		SlowStartDuration float64 `json:"warmWithin"`
+		DrainGrace        float64 `json:"stopSendingWithin"`
+		CollapseMultiple  float64 `json:"fallMultiple"`
+		CollapseSpan      float64 `json:"fall"`
+		KeyPause          float64 `json:"orderSettle"`
 	} `json:"contract"`
 	Tenants []struct {
-		PerS float64 `json:"allowancePerS"`
+		PerSecond float64 `json:"allowancePerS"`
 	} `json:"customers"`
 	Tick    float64 `json:"tick"`
 	Weights string  `json:"weights"`
@@ -68,16 +68,16 @@
 		return choice.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := choice.Settings{
-		FleetSize: c.FleetSize, Slots: c.Domain.Workers, MaxOpen: c.Limits.MaxOpen,
+		FleetSize: c.FleetSize, Slots: c.Domain.Slots, MaxOpen: c.Limits.MaxOpen,
 		MaxAttempts: c.Limits.MaxAttempts, MayDuplicate: c.Limits.MayDuplicate, MayProbe: c.Limits.Probes,
 		MayCancel: c.Limits.Cancel, WatchOnRequest: c.Discovery == "on_request",
 		WorthHalves:  c.Domain.Decay == "halves",
 		RoughWeights: c.Weights == "rough", WeightIsRate: c.Weights == "rough" || c.Weights == "nominal",
-		OverShareWorth: c.OverShareWorth, ZoneFee: c.Domain.Fee, Tick: Duration(c.Tick),
-		DialTimeout: Duration(c.Limits.DialTimeout), IdleConnTimeout: Duration(c.Limits.ConnIdle), DrainGrace: Duration(c.Contract.StopSending),
-		AnswerGrace: Duration(c.Contract.Grace), CollapseMultiple: c.Contract.FallMultiple,
-		CollapseSpan: Duration(c.Contract.Fall), SlowStartShare: c.Contract.ColdFrom, SlowStartDuration: Duration(c.Contract.WarmWithin),
-		KeyPause: Duration(c.Contract.OrderSettle), WatchWithin: Duration(c.Contract.MustAskIn),
+		OverShareWorth: c.OverShareWorth, ZoneFee: c.Domain.ZoneFee, Tick: Duration(c.Tick),
+		DialTimeout: Duration(c.Limits.DialTimeout), IdleConnTimeout: Duration(c.Limits.IdleConnTimeout), DrainGrace: Duration(c.Contract.DrainGrace),
+		AnswerGrace: Duration(c.Contract.AnswerGrace), CollapseMultiple: c.Contract.CollapseMultiple,
+		CollapseSpan: Duration(c.Contract.CollapseSpan), SlowStartShare: c.Contract.SlowStartShare, SlowStartDuration: Duration(c.Contract.SlowStartDuration),
+		KeyPause: Duration(c.Contract.KeyPause), WatchWithin: Duration(c.Contract.WatchWithin),
 	}
 	if c.Limits.RetryAfter {
 		s.MaxRetryAfter = Duration(c.Limits.MaxRetryAfter)
@@ -88,23 +88,23 @@
 			return s, fmt.Errorf("settings: class %d has unknown effect %q", i, k.Effect)
 		}
 		s.Classes = append(s.Classes, choice.Class{
-			SoftDeadline: Duration(k.Aim), SoftDeadlineStretch: k.AimStretch, Deadline: Duration(k.Deadline), Worth: k.Worth,
-			LateWorth: k.LateWorth, Effect: effect, DedupWindow: Duration(k.Window), DedupEverywhere: k.Group == "all",
+			SoftDeadline: Duration(k.SoftDeadline), SoftDeadlineStretch: k.SoftDeadlineStretch, Deadline: Duration(k.Deadline), Worth: k.Worth,
+			LateWorth: k.LateWorth, Effect: effect, DedupWindow: Duration(k.DedupWindow), DedupEverywhere: k.Group == "all",
 			Ordered: k.Ordered,
 		})
 	}
-	for i := range max(len(c.Domain.Apart), len(c.Domain.Batch)) {
+	for i := range max(len(c.Domain.SeparateRoutes), len(c.Domain.MaxBatch)) {
 		var k choice.Kind
-		if i < len(c.Domain.Apart) {
-			k.SeparateRoutes = c.Domain.Apart[i]
+		if i < len(c.Domain.SeparateRoutes) {
+			k.SeparateRoutes = c.Domain.SeparateRoutes[i]
 		}
-		if i < len(c.Domain.Batch) {
-			k.MaxBatch = c.Domain.Batch[i]
+		if i < len(c.Domain.MaxBatch) {
+			k.MaxBatch = c.Domain.MaxBatch[i]
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
 	for _, t := range c.Tenants {
-		s.Tenants = append(s.Tenants, choice.Tenant{PerSecond: t.PerS})
+		s.Tenants = append(s.Tenants, choice.Tenant{PerSecond: t.PerSecond})
 	}
 	return s, nil
 }
