--- a/cmd/coralyard/main.go
+++ b/cmd/coralyard/main.go
@@ -47,9 +47,9 @@
 	for {
 		err := serve(ctx, cfg, log, hup, admin)
 		switch {
-		case ctx.Err() != nil && (errors.Is(err, ctx.Err()) || errors.Is(err, node.ErrHeirGone)):
+		case ctx.Err() != nil && (errors.Is(err, ctx.Err()) || errors.Is(err, node.ErrSuccessorGone)):
 			return nil // told to end while it had nothing to leave
-		case !errors.Is(err, node.ErrHeirGone):
+		case !errors.Is(err, node.ErrSuccessorGone):
 			return err
 		}
 		log.Error("taking the node back", "err", err)
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	admin.Serve(n)
+	admin.SetNode(n)
 	done := make(chan struct{})
 	var reloads sync.WaitGroup
 	reloads.Go(func() { reload(log, hup, done, n) })
--- a/fleet/capacity/print.go
+++ b/fleet/capacity/print.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// String is the figure as people read it, with three digits.
+// String returns the quantity for people to read, with three digits.
 func (q Quantity) String() string {
 	switch q.Unit {
 	case Bytes:
@@ -40,7 +40,7 @@
 	return digits(q.Value)
 }
 
-// scaled writes a figure in the largest of the units that it has one of.
+// formatScaled formats a value in the largest unit in which it is at least 1.
 func scaled(v, step float64, units ...string) string {
 	i := 0
 	for i < len(units)-1 && math.Abs(v) >= step {
@@ -50,7 +50,8 @@
 	return digits(v) + " " + units[i]
 }
 
-// digits writes a number with three digits, or all of them before the point.
+// formatNumber formats a number with three digits, or with all digits before the decimal point if there are
+// more.
 func digits(v float64) string {
 	if v == 0 {
 		return "0"
@@ -70,9 +71,9 @@
 	return strings.TrimRight(strings.TrimRight(s, "0"), ".")
 }
 
-// percent writes a share of the target, rounded down: it is what is carried.
+// formatShare formats a share of the target that is reached, rounded down.
 func percent(share float64) string {
-	const eps = 1e-9 // a share that was solved for may lie a hair under the whole number
+	const eps = 1e-9 // a share found by bisection may be slightly below the whole number
 	switch {
 	case share >= 10:
 		return digits(math.Floor(share+eps)) + " times"
@@ -84,14 +85,14 @@
 	return "under 0.1%"
 }
 
-// figure is what stands in the column of figures.
+// figureText returns the text of the "at the target" column.
 func (l Line) figure() string {
 	switch {
-	case l.Figure != nil && l.Error > 0:
-		return l.Figure.String() + " ± " + Quantity{l.Error, l.Figure.Unit}.String()
+	case l.Figure != nil && l.StdErr > 0:
+		return l.Figure.String() + " ± " + Quantity{l.StdErr, l.Figure.Unit}.String()
 	case l.Figure != nil:
 		return l.Figure.String()
-	case l.Known.How == Missing:
+	case l.Provenance.Source == Missing:
 		return "missing"
 	}
 	return "-"
@@ -104,12 +105,12 @@
 	return l.Budget.String()
 }
 
-// end is what stands in the column of ends.
+// endText returns the text of the "ends at" column.
 func (l Line) end() string {
 	switch {
-	case l.End.Nothing:
+	case l.End.NoMechanism:
 		return "nothing"
-	case l.End.Share == nil && l.Bounded:
+	case l.End.Share == nil && l.HasLimit:
 		return "missing"
 	case l.End.Share == nil:
 		return "-"
@@ -120,9 +121,9 @@
 	}
 	text += " the " + string(l.Axis)
 	switch {
-	case l.End.Beyond:
+	case l.End.BeyondSearch:
 		return "past " + text
-	case l.End.AtMost:
+	case l.End.UpperBound:
 		return "at most " + text
 	}
 	return text
@@ -130,47 +131,47 @@
 
 func (l Line) ending() string {
 	switch {
-	case l.End.Nothing:
-		return l.End.By
-	case l.End.Share == nil, l.End.Beyond:
+	case l.End.NoMechanism:
+		return l.End.Limit
+	case l.End.Share == nil, l.End.BeyondSearch:
 		return "-"
 	}
-	return string(l.End.Ending) + ": " + l.End.By
+	return string(l.End.Cause) + ": " + l.End.Limit
 }
 
-// String is how it is known.
-func (k Known) String() string {
-	s := string(k.How)
-	switch k.How {
-	case Past:
-		s = "worked out, " + digits(k.Times) + " times past what was measured"
-		if k.Times == 0 {
-			s = "worked out, " + digits(k.Below) + " times below what was measured"
+// String returns the text of the "known" column.
+func (k Provenance) String() string {
+	s := string(k.Source)
+	switch k.Source {
+	case Extrapolated:
+		s = "worked out, " + digits(k.AboveRange) + " times past what was measured"
+		if k.AboveRange == 0 {
+			s = "worked out, " + digits(k.BelowRange) + " times below what was measured"
 		}
 	case Missing:
 		s = "missing: " + strings.Join(k.Missing, ", ")
 	}
-	if len(k.Guessed) > 0 && k.How != Missing {
-		s = "guessed (" + strings.Join(k.Guessed, ", ") + "); " + s
+	if len(k.Assumptions) > 0 && k.Source != Missing {
+		s = "guessed (" + strings.Join(k.Assumptions, ", ") + "); " + s
 	}
 	return s
 }
 
 func (l Line) what() string {
-	if l.Owned {
+	if l.WithOwnership {
 		return "— with ownership"
 	}
-	return l.What
+	return l.Description
 }
 
-// Section is a table with its name on the page.
+// Section is a table and its name on the page.
 type Section struct {
 	Name  string
 	Title string
-	Table string // Markdown, one line a row
+	Table string // Markdown, one line for each row
 }
 
-// Sections are the tables, in their order on the page.
+// Sections returns the tables in their order on the page.
 func (r Report) Sections() []Section {
 	all := []Section{{"target", "The target", r.targetTable()}}
 	for _, s := range []struct {
@@ -203,7 +204,7 @@
 	var rows [][]string
 	for _, l := range r.Lines {
 		if l.Role == role {
-			rows = append(rows, []string{string(l.Kind), l.what(), l.figure(), l.budget(), l.end(), l.ending(), code(l.Mechanism), l.Known.String(), l.Formula})
+			rows = append(rows, []string{string(l.Kind), l.what(), l.figure(), l.budget(), l.end(), l.ending(), code(l.Mechanism), l.Provenance.String(), l.Formula})
 		}
 	}
 	return table([]string{"kind", "what", "at the target", "budget", "ends at", "what ends it", "carried by", "known", "worked out as"}, rows)
@@ -249,7 +250,8 @@
 	return table([]string{"setting", "value", "known"}, rows)
 }
 
-// orderTable has the rows by where they end, the nearest first; those whose end is not known stand behind them, and what carries the target does not.
+// orderTable lists the rows by where they end, the nearest first, then those whose end is unknown. Rows that
+// carry the target are only counted.
 func (r Report) orderTable() string {
 	lines := best(r.Lines)
 	at := func(l Line) float64 {
@@ -263,18 +265,18 @@
 	carried := 0
 	for _, l := range lines {
 		switch {
-		case l.End.Share != nil && *l.End.Share >= 1 && !l.End.AtMost:
+		case l.End.Share != nil && *l.End.Share >= 1 && !l.End.UpperBound:
 			carried++
 			continue
-		case l.End.Share == nil && !l.Bounded:
-			continue // nothing ends it that is known
+		case l.End.Share == nil && !l.HasLimit:
+			continue // no known limit ends it
 		}
 		waits := strings.Join(l.WaitsFor, ", ")
 		if waits == "" {
 			waits = "-"
 		}
-		what := l.What
-		if l.Owned {
+		what := l.Description
+		if l.WithOwnership {
 			what += ", with ownership"
 		}
 		rows = append(rows, []string{l.end(), l.ending(), string(l.Role) + ", " + string(l.Kind) + ": " + what, waits})
@@ -286,18 +288,18 @@
 func (r Report) stepsTable() string {
 	var rows [][]string
 	for i, s := range r.Steps {
-		least := percent(s.Least)
+		least := percent(s.MinShare)
 		switch {
 		case len(s.Rows) == 0:
 			least = "-"
-		case s.Least == 0:
+		case s.MinShare == 0:
 			least = "nothing"
 		}
 		needs := strings.Join(s.Needs, ", ")
 		if needs == "" {
 			needs = "-"
 		}
-		rows = append(rows, []string{strconv.Itoa(i + 1), s.Name, code(s.Place), least, strconv.Itoa(len(s.Rows)), strconv.Itoa(s.Near), strconv.Itoa(len(s.Unknown)), needs})
+		rows = append(rows, []string{strconv.Itoa(i + 1), s.Name, code(s.Place), least, strconv.Itoa(len(s.Rows)), strconv.Itoa(s.NearRows), strconv.Itoa(len(s.Unknown)), needs})
 	}
 	return table([]string{"", "mechanism that is missing", "its place", "least end of a row that waits", "rows that wait", "of them under 1%", "rows with unknown end", "needs first"}, rows)
 }
@@ -309,27 +311,27 @@
 	var rows [][]string
 	for _, s := range r.Slopes {
 		y := func(v float64) string { return Quantity{v, s.Unit}.String() }
-		form := y(s.At0)
+		form := y(s.Intercept)
 		if s.Form != Constant {
-			form += " + " + y(s.Slope) + " × x"
+			form += " + " + y(s.LinearCoef) + " × x"
 		}
 		if s.Form == Quadratic {
-			form += " + " + y(s.Square) + " × x²"
+			form += " + " + y(s.QuadraticCoef) + " × x²"
 		}
-		rows = append(rows, []string{s.ID, s.What, form, "± " + y(s.Spread), digits(s.From) + " to " + digits(s.To) + ", " + s.Per,
-			fmt.Sprintf("%d × %d", s.Points, s.Plays), digits(s.Worst*100) + "%", "`" + s.Run + "`", s.Commit})
+		rows = append(rows, []string{s.ID, s.Description, form, "± " + y(s.StdErr), digits(s.From) + " to " + digits(s.To) + ", " + s.XUnit,
+			fmt.Sprintf("%d × %d", s.Points, s.Repeats), digits(s.MaxResidual*100) + "%", "`" + s.Run + "`", s.Commit})
 	}
 	return table([]string{"slope", "of what", "figure at x", "spread", "measured x", "points × plays", "missed by", "run", "build"}, rows)
 }
 
 func (r Report) factsTable() string {
 	var rows [][]string
-	for _, f := range r.Facts {
+	for _, f := range r.Bounds {
 		setting := "constant"
 		if f.Setting != "" {
 			setting = "setting `" + f.Setting + "`"
 		}
-		rows = append(rows, []string{"`" + f.Name + "`", Quantity{f.Value, f.Unit}.String(), f.What, setting, "`" + f.Place + "`"})
+		rows = append(rows, []string{"`" + f.Name + "`", Quantity{f.Value, f.Unit}.String(), f.Description, setting, "`" + f.Place + "`"})
 	}
 	return table([]string{"bound", "value", "of what", "moved by", "place"}, rows)
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -36,25 +36,25 @@
 )
 
 // ErrHeirGone ends Run when the process that had taken over is gone. All that it held is in the journal.
-var ErrHeirGone = errors.New("the process that took over is gone")
+var ErrSuccessorGone = errors.New("the process that took over is gone")
 
 // errSilent says that the holder of the lock lives and does not answer.
 var errSilent = errors.New("the process that holds the lock does not answer")
 
 // message is what the two processes say to each other, one JSON value each. One of its fields is set.
 type message struct {
-	Hello  int    `json:",omitempty"` // the new one's version; the listening socket comes before the Legacy
-	Owner  string `json:",omitempty"` // beside Hello: its name in the map of owners
-	Legacy *legacy
-	Ready  bool // the new one has it all
-	Yours  bool // the old one lets go of the lock
+	Hello  int     `json:"Hello,omitempty"` // the new one's version; the listening socket comes before the Legacy
+	Owner  string  `json:",omitempty"`      // beside Hello: its name in the map of owners
+	Legacy *legacy `json:"Legacy"`
+	Ready  bool    // the new one has it all
+	Yours  bool    `json:"Yours"` // the old one lets go of the lock
 
 	Outcome *outcomeOf // of a call in the old process
-	Ask     *question  // a request that the old process read
-	Order   *orderOf   // of the operators, to the old process
+	Ask     *question  `json:"Ask"`   // a request that the old process read
+	Order   *orderOf   `json:"Order"` // of the operators, to the old process
 	Answer  *reply     // to an Ask or an Order
 	Cancel  *outState  // the new process calls an attempt off
-	Shut    string     // an endpoint that calls that have not begun must not go to
+	Shut    string     `json:"Shut"` // an endpoint that calls that have not begun must not go to
 	Wait    *waitOf    // that the new process was told
 }
 
@@ -64,11 +64,11 @@
 	At       time.Time
 	Sender   choice.Saved
 	Revision int64
-	ToldBy   string // the discovery that counts so
+	ToldBy   string `json:"ToldBy"`     // the discovery that counts so
 	History  int64  `json:",omitempty"` // that it counts by, if it tells one
 	Members  []catalog.Endpoint
 	Waits    map[string]int64 // by endpoint; those of one destination share it
-	Out      []outState
+	Out      []outState       `json:"Out"`
 }
 
 // outState names an attempt that is out, and of its message what is needed once the journal has forgotten it.
@@ -81,16 +81,16 @@
 type outcomeOf struct {
 	Attempts []outState
 	Endpoint string
-	Took     time.Duration
+	Took     time.Duration `json:"Took"`
 	Outcome  choice.Outcome
-	Each     []fateOf
+	Each     []fateOf `json:"Each"`
 	Wait     time.Duration
 	NoSlot   bool
-	Closed   bool
-	Unsure   bool // builds of old do not tell
+	Closed   bool `json:"Closed"`
+	Unsure   bool `json:"Unsure"` // builds of old do not tell
 	Report   choice.Report
-	Kept     bool
-	HungUp   bool
+	Kept     bool `json:"Kept"`
+	HungUp   bool `json:"HungUp"`
 }
 
 type waitOf struct {
@@ -100,32 +100,32 @@
 
 type fateOf struct {
 	Outcome choice.Outcome
-	Closed  bool
-	Unsure  bool
+	Closed  bool `json:"Closed"`
+	Unsure  bool `json:"Unsure"`
 }
 
 type question struct {
 	Number              uint64
 	ID, Key             string
 	Class, Dest, Tenant int
-	Life                time.Duration
+	Life                time.Duration `json:"Life"`
 	Body                []byte
-	Came                time.Time
+	Came                time.Time `json:"Came"`
 }
 
 type orderOf struct {
 	Number uint64
 	ID     string
-	Lift   bool
+	Lift   bool `json:"Lift"`
 }
 
 type reply struct {
 	Number  uint64
 	Refused bool
-	After   time.Duration
+	After   time.Duration `json:"After"`
 	Failed  string
-	Gone    bool
-	Unknown bool // an Order's ID
+	Gone    bool `json:"Gone"`
+	Unknown bool `json:"Unknown"` // an Order's ID
 }
 
 // forebearGone is the loop's event of the old process's end.
@@ -269,7 +269,7 @@
 // Start makes a node once the lasting folder is this process's own: from a process that hands it over, or from the
 // journal alone. It waits for both as long as ctx lives.
 func Start(ctx context.Context, cfg Config, log *slog.Logger) (n *Node, ln net.Listener, err error) {
-	lock, err := os.OpenFile(filepath.Join(cfg.State, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	lock, err := os.OpenFile(filepath.Join(cfg.StateDir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, nil, fmt.Errorf("lock: %w", err)
 	}
@@ -331,7 +331,7 @@
 
 // takeOver asks the process that holds the lock for the node. One that hangs is killed: its lock is free then.
 func takeOver(ctx context.Context, cfg Config, log *slog.Logger, lock *os.File) (*Node, net.Listener, error) {
-	conn, err := dialDoor(door(cfg.State))
+	conn, err := dialDoor(door(cfg.StateDir))
 	if err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
@@ -342,7 +342,7 @@
 	}
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		err = errors.Join(errSilent, l.fence(door(cfg.State), log))
+		err = errors.Join(errSilent, l.fence(door(cfg.StateDir), log))
 	}
 	conn.Close()
 	return nil, nil, err
@@ -441,12 +441,12 @@
 func (n *Node) inherit(l *link, from *legacy, sender *choice.Sender) {
 	n.sender, n.forebear = sender, l
 	n.start = time.Now().Add(epoch - from.Clock - time.Since(from.At))
-	n.cfg.Known = catalog.List{Revision: from.Revision, Complete: true, Members: from.Members}
-	n.told = registry.Position{History: from.History, Revision: from.Revision, From: from.ToldBy}
-	if from.History == 0 && !slices.Contains(n.cfg.Sources(), from.ToldBy) { // another server's revisions count something else
-		n.cfg.Known.Revision, n.told = 0, registry.Position{From: n.cfg.Discovery}
+	n.cfg.InitialList = catalog.List{Revision: from.Revision, Complete: true, Members: from.Members}
+	n.told = registry.Position{History: from.History, Revision: from.Revision, Server: from.ToldBy}
+	if from.History == 0 && !slices.Contains(n.cfg.DiscoveryAddresses(), from.ToldBy) { // another server's revisions count something else
+		n.cfg.InitialList.Revision, n.told = 0, registry.Position{Server: n.cfg.Discovery}
 	}
-	n.listed(n.cfg.Known) // the module has it already
+	n.listed(n.cfg.InitialList) // the module has it already
 	for id, until := range from.Waits {
 		if e := n.eps[id]; e != nil {
 			e.wait.Store(max(until, e.wait.Load()))
@@ -455,7 +455,7 @@
 	for _, o := range from.Out {
 		m := n.journal.live[o.Seq]
 		if m == nil { // over, and forgotten; its outcome is awaited all the same
-			m = &past{seq: o.Seq, dest: o.Dest, class: o.Class, ended: &ending{}}
+			m = &pendingMessage{seq: o.Seq, dest: o.Dest, class: o.Class, final: &finalAnswer{}}
 		}
 		n.out[attempt{o.Seq, o.Attempt}] = outCall{m: m, remote: true, cancel: func() { l.send(message{Cancel: &o}) }}
 	}
@@ -477,14 +477,14 @@
 		case m.Ask != nil: // as many at once as the old process has clients
 			parts.Go(func() {
 				a := n.hand(ctx, m.Ask.request())
-				l.send(message{Answer: &reply{Number: m.Ask.Number, Refused: a.refused, After: a.after, Failed: a.failed, Gone: a.gone}})
+				l.send(message{Answer: &reply{Number: m.Ask.Number, Refused: a.refused, After: a.retryAfter, Failed: a.failure, Gone: a.outcomeUnknown}})
 			})
 		case m.Order != nil: // as many at once as it has callers
 			parts.Go(func() {
-				within, cancel := context.WithTimeout(ctx, orderTimeout)
+				within, cancel := context.WithTimeout(ctx, adminCommandTimeout)
 				defer cancel()
-				err := n.Bar(within, m.Order.ID, m.Order.Lift)
-				l.send(message{Answer: &reply{Number: m.Order.Number, Gone: err != nil, Unknown: errors.Is(err, ErrUnknown)}})
+				err := n.SetEndpointEnabled(within, m.Order.ID, m.Order.Lift)
+				l.send(message{Answer: &reply{Number: m.Order.Number, Gone: err != nil, Unknown: errors.Is(err, ErrUnknownEndpoint)}})
 			})
 		}
 	}
@@ -492,7 +492,7 @@
 
 func (a *question) request() request {
 	return request{
-		id: a.ID, key: a.Key, class: a.Class, dest: a.Dest, tenant: a.Tenant, life: a.Life, body: a.Body, came: a.Came,
+		id: a.ID, key: a.Key, class: a.Class, dest: a.Dest, tenant: a.Tenant, ttl: a.Life, body: a.Body, receivedAt: a.Came,
 	}
 }
 
@@ -565,8 +565,8 @@
 
 // offer hands the node over, between two steps. On an error it is still ours.
 func (n *Node) offer(l *link) error {
-	if len(n.acts) > 0 || n.journal.broken {
-		return errJournalDown // the other process could not write it either
+	if len(n.acts) > 0 || n.journal.incomplete {
+		return errJournalUnavailable // the other process could not write it either
 	}
 	if err := errors.Join(n.journal.flush(), n.own.keep()); err != nil {
 		return err
@@ -576,7 +576,7 @@
 		return fmt.Errorf("handover: %w", err)
 	}
 	from := legacy{
-		Clock: n.now(), At: time.Now(), Sender: saved, ToldBy: n.told.From, Revision: n.told.Revision, History: n.told.History,
+		Clock: n.now(), At: time.Now(), Sender: saved, ToldBy: n.told.Server, Revision: n.told.Revision, History: n.told.History,
 		Members: slices.Collect(maps.Values(n.members)), Waits: map[string]int64{},
 	}
 	for id, e := range n.eps {
@@ -612,10 +612,10 @@
 		return false
 	}
 	n.heir = l
-	n.stage.Store(handedOver)
-	n.figures.active.Store(0)
+	n.stage.Store(stageHandedOver)
+	n.figures.activeMessages.Store(0)
 	n.door.Close()
-	n.journal.f.Close()
+	n.journal.file.Close()
 	n.lock.Close() // from here on the other process acts
 	n.lock = nil
 	n.log.Info("handed over", "calls out", len(n.out))
@@ -648,7 +648,7 @@
 		var e any
 		select {
 		case e = <-n.events:
-		case o := <-n.orders:
+		case o := <-n.commands:
 			if err != nil {
 				o.reply <- err
 				continue
@@ -657,14 +657,14 @@
 			asked[n.numbered] = func(r reply) {
 				switch {
 				case r.Unknown:
-					o.reply <- ErrUnknown
+					o.reply <- ErrUnknownEndpoint
 				case r.Gone:
-					o.reply <- ErrHeirGone
+					o.reply <- ErrSuccessorGone
 				default:
 					o.reply <- nil
 				}
 			}
-			n.heir.send(message{Order: &orderOf{n.numbered, o.id, o.lift}})
+			n.heir.send(message{Order: &orderOf{n.numbered, o.id, o.enable}})
 			continue
 		case late := <-n.heirs:
 			late.conn.Close() // it finds the new process
@@ -680,7 +680,7 @@
 			forsake()
 			continue
 		case <-down:
-			down, leaves, left, err = nil, true, nil, ErrHeirGone
+			down, leaves, left, err = nil, true, nil, ErrSuccessorGone
 			n.heir.conn.Close()
 			for _, c := range n.out { // what may be repeated must not have two attempts out
 				c.cancel()
@@ -696,12 +696,12 @@
 			n.heir.send(message{Outcome: n.outcome(e)})
 		case arrival:
 			if err != nil {
-				e.reply <- answer{gone: true, elsewhere: true}
+				e.reply <- answer{outcomeUnknown: true, countedElsewhere: true}
 				continue
 			}
 			n.numbered++
 			asked[n.numbered] = func(r reply) { e.reply <- answer{r.Refused, r.After, r.Failed, r.Gone, true} }
-			n.heir.send(message{Ask: &question{n.numbered, e.id, e.key, e.class, e.dest, e.tenant, e.life, e.body, e.came}})
+			n.heir.send(message{Ask: &question{n.numbered, e.id, e.key, e.class, e.dest, e.tenant, e.ttl, e.body, e.receivedAt}})
 		case message:
 			switch {
 			case e.Answer != nil:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,11 +35,11 @@
 
 // Of the descriptors that the process may hold.
 const (
-	defaultSockets = 256 // the least that a platform gives
-	clientsPart    = 2   // the parts of all are halves,
-	operatorsPart  = 16  // and sixteenths
-	ownDescriptors = 24  // journal and its next file, lock, logs, listeners, discovery, notices, the runtime's
-	leastIdle      = 8
+	defaultSockets         = 256 // the least that a platform gives
+	clientSocketsDivisor   = 2   // the parts of all are halves,
+	operatorSocketsDivisor = 16  // and sixteenths
+	ownDescriptors         = 24  // journal and its next file, lock, logs, listeners, discovery, notices, the runtime's
+	leastIdle              = 8
 )
 
 // attempt names a call that is out, by the journal's number of its message: an id may come again while a call
@@ -59,7 +59,7 @@
 
 // outCall is the call that an attempt is out in; one with several messages stands there for each of them.
 type outCall struct {
-	m      *past
+	m      *pendingMessage
 	cancel context.CancelFunc
 	remote bool // the process that this one took over from has it out
 }
@@ -73,18 +73,18 @@
 	pool     *pool
 	start    time.Time
 	events   chan any
-	orders   chan order
+	commands chan endpointCommand
 	notices  chan []notice
 	moves    chan []string // the new addresses of what tells the list
 	over     chan struct{}
-	messages map[string]*past // all in the journal, by id
+	messages map[string]*pendingMessage // all in the journal, by id
 	out      map[attempt]outCall
 	eps      map[string]*endpoint
 	waits    map[int]*atomic.Int64 // of destinations whose endpoints share them
 	owed     []notice              // not yet handed to the reporter
 	held     int                   // messages without their final answer
 	acts     []act                 // what the records that are not yet written guard, in order
-	figures  *figures
+	figures  *metrics
 	stage    atomic.Int32  // shared
 	revision atomic.Int64  // shared; of the list that the module last took
 	wakeAt   time.Duration // of the module; 0 none
@@ -119,65 +119,65 @@
 		result
 		took time.Duration
 	}
-	settled []notice
-	order   struct { // of the operators, for an endpoint
-		id    string
-		lift  bool
-		reply chan error
+	settled         []notice
+	endpointCommand struct { // of the operators, for an endpoint
+		id     string
+		enable bool
+		reply  chan error
 	}
 )
 
 // ErrUnknown says that no endpoint of that ID was ever listed.
-var ErrUnknown = errors.New("no endpoint of this ID was ever listed")
+var ErrUnknownEndpoint = errors.New("no endpoint of this ID was ever listed")
 
 // The stages of a node's life.
 const (
-	starting int32 = iota
-	inService
-	leaving
-	handedOver
+	stageStarting int32 = iota
+	stageServing
+	stageStopping
+	stageHandedOver
 )
 
-var stages = [...]string{starting: "starting", leaving: "leaving", handedOver: "handed over to another process"}
+var stages = [...]string{stageStarting: "starting", stageStopping: "leaving", stageHandedOver: "handed over to another process"}
 
 // New loads the journal. Its folder must be the node's alone.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
-	j, err := openJournal(cfg.State, cfg.journalMB())
+	j, err := openJournal(cfg.StateDir, cfg.journalMB())
 	if err != nil {
 		return nil, err
 	}
-	if j.spoilt != "" {
-		log.Warn("a part of the journal can't be read; what it may have been about ends as failed", "part", j.spoilt)
+	if j.corruption != "" {
+		log.Warn("a part of the journal can't be read; what it may have been about ends as failed", "part", j.corruption)
 	}
-	told := registry.Position{Revision: cfg.Known.Revision, From: cfg.Discovery}
-	if !slices.Contains(cfg.Sources(), cfg.Discovery) { // the revisions of what tells the list count something else
+	told := registry.Position{Revision: cfg.InitialList.Revision, Server: cfg.Discovery}
+	if !slices.Contains(cfg.DiscoveryAddresses(), cfg.Discovery) { // the revisions of what tells the list count something else
 		told = registry.Position{}
 	}
 	kept := openKept(cfg, log)
 	if kept != nil {
 		if l, at, heard, ok := kept.kept.List(); ok {
 			log.Info("beginning with the kept list", "revision", l.Revision, "endpoints", len(l.Members), "age", time.Since(heard).Round(time.Second))
-			cfg.Known, told = l, at
+			cfg.InitialList, told = l, at
 		}
 	}
 	own := openShare(cfg, j, log)
-	cfg.Known = own.only(cfg.Known)
-	_, idle := descriptors(max(cfg.Limits.Sockets, 4*leastIdle), cfg.Settings.Slots)
+	cfg.InitialList = own.only(cfg.InitialList)
+	_, idle := splitDescriptors(max(cfg.Limits.Sockets, 4*leastIdle), cfg.Settings.Slots)
 	return &Node{
 		told: told, kept: kept, own: own,
 		cfg: cfg, log: log, journal: j, sender: choice.New(cfg.moduleSettings(), seed(cfg.Seed)), start: time.Now(),
 		pool:   newPool(cfg.Settings.DialTimeout, cfg.Settings.IdleConnTimeout, idle),
-		events: make(chan any, eventQueue), orders: make(chan order), notices: make(chan []notice), moves: make(chan []string),
-		over: make(chan struct{}), messages: map[string]*past{},
+		events: make(chan any, eventQueue), commands: make(chan endpointCommand), notices: make(chan []notice), moves: make(chan []string),
+		over: make(chan struct{}), messages: map[string]*pendingMessage{},
 		out: map[attempt]outCall{}, eps: map[string]*endpoint{}, waits: map[int]*atomic.Int64{},
-		figures: newFigures(cfg.Names.Classes), members: map[string]catalog.Endpoint{}, heirs: make(chan *link),
+		figures: newMetrics(cfg.Names.Classes), members: map[string]catalog.Endpoint{}, heirs: make(chan *link),
 	}, nil
 }
 
 // descriptors shares out what clients, who may fill their half at any time, and operators leave of the process's limit: the
 // node's own get theirs, and what is left holds as many calls at once as there are slots, and connections idle between calls.
-func descriptors(sockets, slots int) (calls, idle int) {
-	left := max(sockets-sockets/clientsPart-sockets/operatorsPart-ownDescriptors, 2*leastIdle)
+func splitDescriptors(sockets, slots int) (calls, idle int) {
+	left := max(sockets-sockets/clientSocketsDivisor-sockets/operatorSocketsDivisor-ownDescriptors, 2*leastIdle)
 	if slots <= 0 || slots > left-leastIdle {
 		slots = left - leastIdle
 	}
@@ -185,14 +185,14 @@
 }
 
 // Unready tells why the node is not ready to serve, "" if it is. It may be called at any time.
-func (n *Node) Unready() string {
-	if s := n.stage.Load(); s != inService {
+func (n *Node) NotReadyReason() string {
+	if s := n.stage.Load(); s != stageServing {
 		return stages[s]
 	}
-	if s := n.figures.share.Load(); s != nil && s.unready() != "" {
+	if s := n.figures.ownership.Load(); s != nil && s.unready() != "" {
 		return s.unready()
 	}
-	if n.figures.listed.Load() == 0 {
+	if n.figures.listedEndpoints.Load() == 0 {
 		return "no endpoints are known"
 	}
 	return ""
@@ -200,9 +200,9 @@
 
 // Told is the revision of the list that is in force in the loop, by the count of who told it, and how many endpoints that has. It may
 // be called at any time.
-func (n *Node) Told() (revision int64, endpoints int) {
+func (n *Node) CurrentList() (revision int64, endpoints int) {
 	revision = n.revision.Load()
-	return revision, int(n.figures.listed.Load()) // of that revision or a later one
+	return revision, int(n.figures.listedEndpoints.Load()) // of that revision or a later one
 }
 
 // seed reads the configuration's hexadecimal seed; any other text serves as well.
@@ -237,7 +237,7 @@
 	parts.Go(func() { n.consult(news) })
 	n.log.Info("serving", "sockets", n.cfg.Limits.Sockets, "memory_mb", n.cfg.Limits.MemoryMB, "disk_mb", n.cfg.Limits.DiskMB,
 		"cores", n.cfg.Limits.Cores, "slots", n.cfg.Settings.Slots, "max_open", n.cfg.Settings.MaxOpen)
-	clients := newClients(ln, n.cfg.Limits.Sockets/clientsPart, n.cfg.Names, func(q request) answer { return n.hand(life, q) })
+	clients := newClientServer(ln, n.cfg.Limits.Sockets/clientSocketsDivisor, n.cfg.Names, func(q request) answer { return n.hand(life, q) })
 	parts.Go(func() { clients.serve(life) })
 	if n.forebear != nil {
 		forebear := n.forebear
@@ -245,13 +245,13 @@
 	}
 	if n.lock != nil {
 		var err error
-		if n.door, err = openDoor(door(n.cfg.State)); err != nil {
+		if n.door, err = openDoor(door(n.cfg.StateDir)); err != nil {
 			n.log.Error("no other process can take over from this one", "err", err)
 		} else {
 			parts.Go(func() { n.awaitHeir(life) })
 		}
 	}
-	n.stage.CompareAndSwap(starting, inService)
+	n.stage.CompareAndSwap(stageStarting, stageServing)
 	gone := make(chan struct{})
 	parts.Go(func() {
 		defer close(gone)
@@ -260,11 +260,11 @@
 		case <-life.Done(): // the process that took over is gone
 			return
 		}
-		n.stage.Store(leaving)
+		n.stage.Store(stageStopping)
 		leaveBy := time.Now().Add(leaveAfter)
 		n.tell(life, choice.Stopping{By: n.at(leaveBy)})
 		registry.Sleep(life, closeAfter)
-		clients.close(closeGrace) // those inside a request get their answers from the loop, which still runs
+		clients.close(shutdownGrace) // those inside a request get their answers from the loop, which still runs
 		registry.Sleep(life, time.Until(leaveBy))
 	})
 	n.loop(life, gone)
@@ -276,7 +276,7 @@
 		left := make(chan struct{})
 		parts.Go(func() {
 			defer close(left)
-			clients.close(requestTimeout + closeGrace) // nobody waits for this process, so they may take their time
+			clients.close(requestTimeout + shutdownGrace) // nobody waits for this process, so they may take their time
 		})
 		err = n.relay(life, gone, left)
 	} else {
@@ -308,7 +308,7 @@
 }
 
 // Move tells a running node that what tells the list is at other addresses now. It may be called at any time.
-func (n *Node) Move(addrs ...string) {
+func (n *Node) MoveDiscovery(addrs ...string) {
 	select {
 	case n.moves <- addrs:
 	case <-n.over:
@@ -319,8 +319,8 @@
 // server is asked for all it has, so that nothing is lost; while its list is older than what was told, it is not
 // taken, or a drain could be undone. Notices that were not answered go to the new address.
 func (n *Node) consult(ctx context.Context) {
-	addrs := n.cfg.Sources()
-	track := registry.NewTrack(n.told) // the watch's, of which there is one at a time
+	addrs := n.cfg.DiscoveryAddresses()
+	track := registry.NewCursor(n.told) // the watch's, of which there is one at a time
 	var unanswered []notice
 	for ctx.Err() == nil {
 		here, leave := context.WithCancel(ctx)
@@ -328,13 +328,13 @@
 		client := &http.Client{Transport: transport}
 		at := addrs // which change while the parts begin
 		var parts sync.WaitGroup
-		w := registry.Watcher{Addresses: at, Nodes: max(n.cfg.Settings.FleetSize, 1), Client: client, Log: n.log, Track: track}
+		w := registry.Watcher{Addresses: at, FleetSize: max(n.cfg.Settings.FleetSize, 1), Client: client, Log: n.log, Cursor: track}
 		if n.kept != nil {
-			w.Heard = n.kept.heard
+			w.OnLine = n.kept.heard
 			parts.Go(func() { n.kept.run(here) })
 		}
 		parts.Go(func() {
-			n.watch(here, &w, func(l registry.News) error {
+			n.watch(here, &w, func(l registry.Update) error {
 				n.tell(ctx, l)
 				if n.kept != nil {
 					n.kept.take(l)
@@ -343,7 +343,7 @@
 			})
 		})
 		parts.Go(func() {
-			unanswered = report(here, n.log, client, at, unanswered, n.notices, func(b []notice) { n.tell(ctx, settled(b)) })
+			unanswered = reportNotices(here, n.log, client, at, unanswered, n.notices, func(b []notice) { n.tell(ctx, settled(b)) })
 		})
 		for stay := true; stay; { // being told the same again changes nothing
 			select {
@@ -359,13 +359,13 @@
 		leave()
 		parts.Wait()
 		transport.CloseIdleConnections()
-		track.Moved(time.Now())
+		track.ServerChanged(time.Now())
 	}
 }
 
 // replayed makes the first events: the list as it was last known, and what the journal says is still owed.
 func (n *Node) replayed() []choice.Event {
-	known := n.cfg.Known
+	known := n.cfg.InitialList
 	known.Complete = true
 	var events []choice.Event
 	if n.forebear == nil { // whom one took over from has told the module
@@ -376,12 +376,12 @@
 	for _, seq := range slices.Sorted(maps.Keys(n.journal.live)) {
 		p := n.journal.live[seq]
 		n.messages[p.id] = p
-		if p.ended != nil {
+		if p.final != nil {
 			n.owed = append(n.owed, newNotice(p))
 			continue
 		}
 		n.held++
-		if !n.sender.HasMessage(p.name()) { // one that was taken over it has
+		if !n.sender.HasMessage(p.choiceID()) { // one that was taken over it has
 			events = append(events, n.resumed(p))
 		}
 	}
@@ -395,12 +395,12 @@
 // ago: that may still be cold.
 func (n *Node) barredBefore() []choice.Event {
 	var events []choice.Event
-	for _, id := range n.journal.known {
-		recent := time.Since(n.journal.lifted[id]) < n.cfg.Settings.SlowStartDuration
-		if n.journal.barred[id] || recent {
+	for _, id := range n.journal.knownEndpoints {
+		recent := time.Since(n.journal.enabledAt[id]) < n.cfg.Settings.SlowStartDuration
+		if n.journal.disabled[id] || recent {
 			events = append(events, choice.EndpointDisabled{Endpoint: id})
 		}
-		if !n.journal.barred[id] && recent {
+		if !n.journal.disabled[id] && recent {
 			events = append(events, choice.EndpointDisabled{Endpoint: id, Lifted: true})
 		}
 	}
@@ -408,12 +408,12 @@
 }
 
 // resumed tells the module of a message's past. An attempt that is not proven not to have run may have.
-func (n *Node) resumed(p *past) choice.MessageResumed {
-	r := choice.MessageResumed{MessageArrived: n.arrived(p, p.deadline), Attempts: len(p.sends)}
-	for _, s := range p.sends {
+func (n *Node) resumed(p *pendingMessage) choice.MessageResumed {
+	r := choice.MessageResumed{MessageArrived: n.arrived(p, p.deadline), Attempts: len(p.attempts)}
+	for _, s := range p.attempts {
 		r.Failed = r.Failed || s.failed
 		if !s.notRun && !r.MayHaveRun {
-			r.MayHaveRun, r.MayHaveRunSince, r.Zone = true, n.at(s.at), s.zone
+			r.MayHaveRun, r.MayHaveRunSince, r.Zone = true, n.at(s.sentAt), s.zone
 		}
 	}
 	return r
@@ -421,8 +421,8 @@
 
 // arrived is the module's event of a message. A deadline that has not been through the journal is on the
 // monotonic clock, so that a step of the wall clock does not move it.
-func (n *Node) arrived(p *past, deadline time.Time) choice.MessageArrived {
-	return choice.MessageArrived{ID: p.name(), Class: p.class, Tenant: p.tenant, Dest: p.dest, Key: p.key, Deadline: n.at(deadline)}
+func (n *Node) arrived(p *pendingMessage, deadline time.Time) choice.MessageArrived {
+	return choice.MessageArrived{ID: p.choiceID(), Class: p.class, Tenant: p.tenant, Dest: p.dest, Key: p.key, Deadline: n.at(deadline)}
 }
 
 // tell hands the loop an event.
@@ -444,11 +444,11 @@
 		select {
 		case r = <-a.reply:
 		default:
-			r = answer{refused: true, after: n.cfg.Settings.MaxRetryAfter} // the loop has ended and did not take it on
+			r = answer{refused: true, retryAfter: n.cfg.Settings.MaxRetryAfter} // the loop has ended and did not take it on
 		}
 	}
-	if (r.refused || r.failed != "") && !r.elsewhere {
-		n.figures.told(q.class, !r.refused)
+	if (r.refused || r.failure != "") && !r.countedElsewhere {
+		n.figures.countUndelivered(q.class, !r.refused)
 	}
 	return r
 }
@@ -471,7 +471,7 @@
 		case notices <- n.owed:
 			n.owed = nil
 			continue
-		case o := <-n.orders:
+		case o := <-n.commands:
 			batch = append(batch, o)
 		case l := <-n.heirs:
 			if n.handOver(l) {
@@ -499,8 +499,8 @@
 	if n.wakeAt > 0 {
 		wait = max(n.wakeAt-n.now(), 0)
 	}
-	if n.journal.broken {
-		wait = min(wait, compactPause)
+	if n.journal.incomplete {
+		wait = min(wait, compactRetryDelay)
 	}
 	return wait
 }
@@ -520,7 +520,7 @@
 	fresh := newcomers{}
 	for _, e := range batch {
 		switch e := e.(type) {
-		case registry.News:
+		case registry.Update:
 			n.told = e.Position()
 			events = append(events, n.listed(e.List))
 		case outcomeOf:
@@ -533,15 +533,15 @@
 			events = append(events, n.called(e)...)
 		case settled:
 			for _, s := range e {
-				n.forget(s.of)
+				n.forget(s.message)
 			}
 		case choice.Stopping:
 			events = append(events, e)
-		case order:
+		case endpointCommand:
 			events = append(events, n.bar(e)...)
 		case arrival:
 			if p := n.accept(e, fresh); p != nil {
-				events = append(events, n.arrived(p, e.came.Add(e.life)))
+				events = append(events, n.arrived(p, e.receivedAt.Add(e.ttl)))
 			}
 		}
 	}
@@ -565,7 +565,7 @@
 }
 
 // accept journals a new message and returns it; one that is not new, or can't be taken on, gets its answer.
-func (n *Node) accept(a arrival, fresh newcomers) *past {
+func (n *Node) accept(a arrival, fresh newcomers) *pendingMessage {
 	p := n.messages[a.id]
 	switch {
 	case p != nil && fresh[p.seq] != nil: // its fate is not known yet
@@ -577,14 +577,14 @@
 	case n.own != nil && n.foreign(a):
 		return nil
 	case !n.sender.KnowsDestination(a.dest):
-		a.reply <- answer{failed: "unknown destination"}
+		a.reply <- answer{failure: "unknown destination"}
 		return nil
 	case n.cfg.Settings.MaxOpen > 0 && n.held >= n.cfg.Settings.MaxOpen:
 		a.reply <- n.turnAway(a)
 		return nil
 	}
 	p, err := n.journal.accept(
-		&past{id: a.id, key: a.key, class: a.class, tenant: a.tenant, dest: a.dest, body: a.body, deadline: a.came.Add(a.life)})
+		&pendingMessage{id: a.id, key: a.key, class: a.class, tenant: a.tenant, dest: a.dest, body: a.body, deadline: a.receivedAt.Add(a.ttl)})
 	if err != nil {
 		a.reply <- n.turnAway(a)
 		return nil
@@ -600,19 +600,19 @@
 
 // turnAway refuses a message for want of room, before the module has heard of it.
 func (n *Node) turnAway(a arrival) answer {
-	return answer{refused: true, after: n.sender.RetryAfterIfFull(a.class, a.dest)}
+	return answer{refused: true, retryAfter: n.sender.RetryAfterIfFull(a.class, a.dest)}
 }
 
 // forget ends all that the node has of a message.
-func (n *Node) forget(p *past) {
+func (n *Node) forget(p *pendingMessage) {
 	if n.messages[p.id] != p {
 		return
 	}
-	if p.ended == nil {
+	if p.final == nil {
 		n.held--
 	}
 	delete(n.messages, p.id)
-	n.journal.add(record(recOver, p.seq))
+	n.journal.add(newRecord(recordDone, p.seq))
 }
 
 // listed brings the endpoints up to date. Calls that have not written their first byte hear of it by shut.
@@ -627,8 +627,8 @@
 		if entries[i].Phase == choice.Gone {
 			delete(n.members, m.ID)
 		}
-		if _, known := n.journal.barred[m.ID]; !known {
-			n.journal.add(endpointRecord(recListed, m.ID, time.Now()))
+		if _, known := n.journal.disabled[m.ID]; !known {
+			n.journal.add(endpointRecord(recordListed, m.ID, time.Now()))
 		}
 		n.place(m, entries[i])
 	}
@@ -646,7 +646,7 @@
 // place opens or shuts the way to an endpoint, as the list and the operators have it.
 func (n *Node) place(m catalog.Endpoint, entry choice.Entry) {
 	e := n.eps[m.ID]
-	if entry.Phase != choice.Ready || n.journal.barred[m.ID] {
+	if entry.Phase != choice.Ready || n.journal.disabled[m.ID] {
 		n.shut(e)
 		return
 	}
@@ -660,10 +660,10 @@
 
 // Bar leaves an endpoint out, or with lift lets it serve again. It returns once that is in the journal and the module
 // has it, or when ctx ends; then it may yet be done. It may be called at any time, and again.
-func (n *Node) Bar(ctx context.Context, id string, lift bool) error {
-	o := order{id, lift, make(chan error, 1)}
+func (n *Node) SetEndpointEnabled(ctx context.Context, id string, lift bool) error {
+	o := endpointCommand{id, lift, make(chan error, 1)}
 	select {
-	case n.orders <- o:
+	case n.commands <- o:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -676,26 +676,26 @@
 }
 
 // bar carries out what the operators say of an endpoint. Saying it again changes nothing.
-func (n *Node) bar(o order) []choice.Event {
-	was, known := n.journal.barred[o.id]
+func (n *Node) bar(o endpointCommand) []choice.Event {
+	was, known := n.journal.disabled[o.id]
 	if !known {
-		o.reply <- ErrUnknown
+		o.reply <- ErrUnknownEndpoint
 		return nil
 	}
 	n.acts = append(n.acts, act{do: func() { o.reply <- nil }})
-	if was != o.lift {
+	if was != o.enable {
 		return nil
 	}
-	kind := recBarred
-	if o.lift {
-		kind = recLifted
+	kind := recordDisabled
+	if o.enable {
+		kind = recordEnabled
 	}
 	n.journal.add(endpointRecord(kind, o.id, time.Now()))
-	n.log.Info("by hand", "endpoint", o.id, "serves", o.lift)
+	n.log.Info("by hand", "endpoint", o.id, "serves", o.enable)
 	if m, listed := n.members[o.id]; listed {
 		n.place(m, entries([]catalog.Endpoint{m}, n.cfg.Names)[0])
 	}
-	return []choice.Event{choice.EndpointDisabled{Endpoint: o.id, Lifted: o.lift}}
+	return []choice.Event{choice.EndpointDisabled{Endpoint: o.id, Lifted: o.enable}}
 }
 
 func (n *Node) shut(e *endpoint) {
@@ -747,25 +747,25 @@
 		m, fate := n.out[name].m, e.of(i)
 		delete(n.out, name)
 		ended := choice.AttemptEnded{
-			ID: m.name(), Attempt: name.n, Endpoint: e.endpoint.id, Outcome: fate.outcome, Took: e.took, Final: fate.closed, Ambiguous: fate.unsure,
+			ID: m.choiceID(), Attempt: name.n, Endpoint: e.endpoint.id, Outcome: fate.outcome, Took: e.took, Final: fate.closed, Ambiguous: fate.unsure,
 			RetryAfter: e.wait, NoSlot: e.noSlot, Report: e.report, ReusedConn: e.kept, ConnClosed: e.hungUp,
 		}
 		ominous := n.sender.IndicatesOutage(m.dest, ended)
 		switch fate.outcome {
 		case choice.Rejected, choice.Unreachable, choice.Stale:
-			kind := recTurnedAway
+			kind := recordRejected
 			if ominous {
-				kind = recNotRun
+				kind = recordNotRun
 			}
 			n.journal.add(outcomeRecord(kind, name.seq, name.n))
 		default:
 			if ominous {
-				n.journal.add(outcomeRecord(recFailed, name.seq, name.n))
+				n.journal.add(outcomeRecord(recordFailed, name.seq, name.n))
 			}
 		}
-		if fate.closed && m.ended == nil {
+		if fate.closed && m.final == nil {
 			if fate.outcome == choice.Success {
-				count(n.figures.ok, m.class)
+				countClass(n.figures.ok, m.class)
 			}
 			n.forget(m)
 		}
@@ -777,18 +777,18 @@
 // step lets the module decide and carries out what it says, in order, once the records are written that guard
 // it. fresh are the messages whose clients still wait to hear whether they are taken on.
 func (n *Node) step(ctx context.Context, events []choice.Event, fresh newcomers) {
-	calls := map[uint64]*outgoing{} // by the module's number: those that further sends of this step may join
+	calls := map[uint64]*outgoingCall{} // by the module's number: those that further sends of this step may join
 	for _, a := range n.sender.Step(n.now(), events) {
 		switch a := a.(type) {
 		case choice.Send:
 			n.send(ctx, a, calls)
 		case choice.Refuse:
-			n.end(a.ID, ending{after: a.RetryAfter}, fresh)
+			n.end(a.ID, finalAnswer{retryAfter: a.RetryAfter}, fresh)
 		case choice.Fail:
-			n.end(a.ID, ending{failed: true}, fresh)
+			n.end(a.ID, finalAnswer{failed: true}, fresh)
 		case choice.Cancel:
 			n.acts = append(n.acts, act{do: func() {
-				if c, ok := n.out[attempt{seqOf(a.ID), a.Attempt}]; ok {
+				if c, ok := n.out[attempt{parseChoiceID(a.ID), a.Attempt}]; ok {
 					c.cancel()
 				}
 			}})
@@ -846,9 +846,9 @@
 // show brings the figures that the loop alone knows up to date.
 func (n *Node) show() {
 	listed, avoided := n.sender.EndpointCounts()
-	n.figures.active.Store(int64(n.held))
-	n.figures.listed.Store(int64(listed))
-	n.figures.avoided.Store(int64(avoided))
+	n.figures.activeMessages.Store(int64(n.held))
+	n.figures.listedEndpoints.Store(int64(listed))
+	n.figures.avoidedEndpoints.Store(int64(avoided))
 	n.revision.Store(n.told.Revision)
 	if n.own != nil {
 		n.own.show(n.figures)
@@ -856,41 +856,41 @@
 }
 
 // end gives a message its final answer: to its client if that still waits, and by a notice otherwise.
-func (n *Node) end(id string, e ending, fresh newcomers) {
-	p := n.journal.live[seqOf(id)]
-	if p == nil || p.ended != nil {
+func (n *Node) end(id string, e finalAnswer, fresh newcomers) {
+	p := n.journal.live[parseChoiceID(id)]
+	if p == nil || p.final != nil {
 		return
 	}
 	if all, ok := fresh[p.seq]; ok {
 		delete(fresh, p.seq)
 		n.forget(p)
-		reply := answer{refused: true, after: e.after}
+		reply := answer{refused: true, retryAfter: e.retryAfter}
 		if e.failed {
-			reply = answer{failed: "the message failed"}
+			reply = answer{failure: "the message failed"}
 		}
 		n.acts = append(n.acts, act{do: func() { newcomers{p.seq: all}.reply(p.seq, reply) }})
 		return
 	}
 	n.held--
-	n.figures.told(p.class, e.failed)
-	n.journal.add(endedRecord(p.seq, e))
+	n.figures.countUndelivered(p.class, e.failed)
+	n.journal.add(finalRecord(p.seq, e))
 	notice := newNotice(p)
 	n.acts = append(n.acts, act{do: func() { n.owed = append(n.owed, notice) }, free: p.deadline})
 }
 
 // outgoing is a call while its step gathers the messages for it.
-type outgoing struct {
+type outgoingCall struct {
 	call
 	attempts []attempt
-	messages []*past
+	messages []*pendingMessage
 	room     int // what its items take in a batch's body
 	place    int // among the acts
 }
 
 // send journals an attempt, and makes the call once that is written. What the module sends together travels as one
 // call, as far as its kind and a body have room: the module counts one slot for it, and the endpoint one call.
-func (n *Node) send(ctx context.Context, a choice.Send, calls map[uint64]*outgoing) {
-	p, e := n.journal.live[seqOf(a.ID)], n.eps[a.Endpoint]
+func (n *Node) send(ctx context.Context, a choice.Send, calls map[uint64]*outgoingCall) {
+	p, e := n.journal.live[parseChoiceID(a.ID)], n.eps[a.Endpoint]
 	if p == nil {
 		return // the module and the journal differ, which only a journal that was lost in a handover can make them
 	}
@@ -899,13 +899,13 @@
 		e = &endpoint{id: a.Endpoint, wait: new(atomic.Int64)}
 		e.shut.Store(true)
 	}
-	name := attempt{p.seq, len(p.sends)}
+	name := attempt{p.seq, len(p.attempts)}
 	n.journal.add(attemptRecord(p.seq, time.Now(), e.zone))
 	one := item{p.id, p.key, p.body}
 	o := calls[a.Call]
 	if o == nil || len(o.items) >= e.batch || o.room+one.room() > maxBody {
-		o = &outgoing{call: call{endpoint: e}}
-		o.wrote = func() { n.wrote(o) }
+		o = &outgoingCall{call: call{endpoint: e}}
+		o.onWritten = func() { n.countWritten(o) }
 		calls[a.Call] = o
 		o.place = len(n.acts)
 		n.acts = append(n.acts, act{do: func() { n.call(ctx, o) }})
@@ -927,14 +927,14 @@
 }
 
 // wrote counts the messages of a call that is written whole.
-func (n *Node) wrote(o *outgoing) {
+func (n *Node) countWritten(o *outgoingCall) {
 	for _, m := range o.messages {
-		count(n.figures.tries, m.class)
+		countClass(n.figures.tries, m.class)
 	}
 }
 
 // call makes a call whose attempts are journaled.
-func (n *Node) call(ctx context.Context, o *outgoing) {
+func (n *Node) call(ctx context.Context, o *outgoingCall) {
 	ctx, cancel := context.WithCancel(ctx)
 	for i, name := range o.attempts {
 		n.out[name] = outCall{m: o.messages[i], cancel: cancel}
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -52,8 +52,8 @@
 // check tells what can't be, and fills in what is not given.
 func (o *Ownership) check(addresses []string) error {
 	switch {
-	case o.Name == "" || len(o.Name) > catalog.MaxName || strings.ContainsFunc(o.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }):
-		return fmt.Errorf("ownership.name has 1 to %d bytes, without spaces and control characters", catalog.MaxName)
+	case o.Name == "" || len(o.Name) > catalog.MaxNameBytes || strings.ContainsFunc(o.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }):
+		return fmt.Errorf("ownership.name has 1 to %d bytes, without spaces and control characters", catalog.MaxNameBytes)
 	case o.Owners < 0 || o.Owners > maxOwners:
 		return fmt.Errorf("ownership.owners is 1 to %d", maxOwners)
 	case len(addresses) == 0:
@@ -89,24 +89,24 @@
 
 // following is what a node follows: the partitions that it owns and, for some time, those that it has lost. It is not
 // changed once it has been handed on.
-type following struct {
-	number int64 // of the map; 0: there is none
-	member bool  // it names this node
-	owned  ownership.Set
-	lost   []lost
-	unkept bool // the folder could not take the map
+type followedPartitions struct {
+	mapNumber int64 // of the map; 0: there is none
+	member    bool  // it names this node
+	owned     ownership.Set
+	lingering []lingeringPartitions
+	unkept    bool // the folder could not take the map
 }
 
 // lost are partitions that are followed on, for what was taken on for them.
-type lost struct {
+type lingeringPartitions struct {
 	set   ownership.Set
 	until time.Time
 }
 
 // at is what is followed at a time, and when that becomes less; zero: never.
-func (f *following) at(now time.Time) (set ownership.Set, less time.Time) {
+func (f *followedPartitions) setAt(now time.Time) (set ownership.Set, less time.Time) {
 	set = f.owned
-	for _, l := range f.lost {
+	for _, l := range f.lingering {
 		if now.Before(l.until) {
 			set = set.Union(l.set)
 			if less.IsZero() || l.until.Before(less) {
@@ -118,9 +118,9 @@
 }
 
 // unready tells why it does not serve, "" if it does.
-func (f *following) unready() string {
+func (f *followedPartitions) unready() string {
 	switch {
-	case f.number == 0:
+	case f.mapNumber == 0:
 		return "no map of owners is known"
 	case !f.member:
 		return "not in the map of owners"
@@ -130,15 +130,15 @@
 
 // share is what a node owns. It is the loop's, but for follow.
 type share struct {
-	following
+	followedPartitions
 	name    string
 	path    string
 	log     *slog.Logger
-	longest time.Duration               // the longest deadline of a class
-	latest  [ownership.Partitions]int64 // Unix ns: the deadline of the last message taken on, by partition
-	due     []byte                      // the map, while the folder could not take it
-	listed  ownership.Set               // the list of these was handed to the module,
-	covered ownership.Set               // and it has had it
+	longest time.Duration                   // the longest deadline of a class
+	latest  [ownership.PartitionCount]int64 // Unix ns: the deadline of the last message taken on, by partition
+	due     []byte                          // the map, while the folder could not take it
+	listed  ownership.Set                   // the list of these was handed to the module,
+	covered ownership.Set                   // and it has had it
 	shown   bool
 	follow  follower
 }
@@ -148,7 +148,7 @@
 	if cfg.Fleet.Ownership == nil {
 		return nil
 	}
-	s := &share{name: cfg.owner(), path: filepath.Join(cfg.State, mapName), log: log}
+	s := &share{name: cfg.owner(), path: filepath.Join(cfg.StateDir, mapName), log: log}
 	for _, c := range cfg.Settings.Classes {
 		s.longest = max(s.longest, c.Deadline)
 	}
@@ -156,13 +156,13 @@
 	case err != nil:
 		log.Warn("the kept map of owners is lost", "err", err)
 	case m != nil:
-		s.number = m.Number
-		s.owned, s.member = m.Of(s.name)
-		log.Info("beginning with the kept map of owners", "map", s.number, "member", s.member, "partitions", s.owned.Len())
+		s.mapNumber = m.Number
+		s.owned, s.member = m.PartitionsOf(s.name)
+		log.Info("beginning with the kept map of owners", "map", s.mapNumber, "member", s.member, "partitions", s.owned.Len())
 	}
-	var owed lost
+	var owed lingeringPartitions
 	for _, p := range j.live {
-		if p.ended != nil {
+		if p.final != nil {
 			continue
 		}
 		if s.took(p); !s.owned.Has(ownership.PartitionOf(p.dest)) {
@@ -172,7 +172,7 @@
 			}
 		}
 	}
-	s.lost = []lost{owed}
+	s.lingering = []lingeringPartitions{owed}
 	s.follow = follower{name: s.name, log: log, nodes: max(cfg.Settings.FleetSize, 1), news: make(chan struct{}, 1), seen: -1, older: -1, unheard: unheardFor}
 	s.follow.told.Store(-1)
 	return s
@@ -196,7 +196,7 @@
 	if s == nil {
 		return l
 	}
-	set, _ := s.at(time.Now())
+	set, _ := s.setAt(time.Now())
 	var members []catalog.Endpoint
 	for _, m := range l.Members {
 		if set.Has(ownership.PartitionOf(m.Cell)) {
@@ -208,7 +208,7 @@
 }
 
 // took notes until when a message that was taken on has to be followed.
-func (s *share) took(p *past) {
+func (s *share) took(p *pendingMessage) {
 	last := &s.latest[ownership.PartitionOf(p.dest)]
 	*last = max(*last, p.deadline.UnixNano())
 }
@@ -226,7 +226,7 @@
 	if err != nil {
 		os.Remove(next)
 		if !s.unkept {
-			s.log.Warn("the map of owners can't be kept", "map", s.number, "err", err)
+			s.log.Warn("the map of owners can't be kept", "map", s.mapNumber, "err", err)
 		}
 		s.unkept = true
 		return fmt.Errorf("map of owners: %w", err)
@@ -242,10 +242,10 @@
 	if err != nil { // it was decoded a moment ago
 		s.log.Error("the map of owners can't be kept", "map", m.Number, "err", err)
 	}
-	owned, member := m.Of(s.name)
-	followed, _ := s.at(now)
+	owned, member := m.PartitionsOf(s.name)
+	followed, _ := s.setAt(now)
 	gone := s.owned.Without(owned)
-	soon, later := lost{until: now.Add(s.longest)}, lost{}
+	soon, later := lingeringPartitions{until: now.Add(s.longest)}, lingeringPartitions{}
 	for p := range gone.All() {
 		if last := time.Unix(0, s.latest[p]); last.After(soon.until) { // a client may give more time than its class has
 			later.set.Add(p)
@@ -255,26 +255,26 @@
 		}
 	}
 	soon.set = gone.Without(later.set)
-	var left []lost
-	for _, l := range append(slices.Clone(s.lost), soon, later) {
+	var left []lingeringPartitions
+	for _, l := range append(slices.Clone(s.lingering), soon, later) {
 		if l.set = l.set.Without(owned); l.set.Len() > 0 && now.Before(l.until) {
 			left = append(left, l)
 		}
 	}
-	s.log.Info("a new map of owners", "map", m.Number, "before", s.number, "member", member, "partitions", owned.Len(),
+	s.log.Info("a new map of owners", "map", m.Number, "before", s.mapNumber, "member", member, "partitions", owned.Len(),
 		"gained", owned.Without(s.owned).Len(), "lost", gone.Len())
-	s.number, s.member, s.owned, s.lost, s.shown = m.Number, member, owned, left, false
+	s.mapNumber, s.member, s.owned, s.lingering, s.shown = m.Number, member, owned, left, false
 	unlisted := owned.Without(followed)
 	s.listed, s.covered = s.listed.Without(unlisted), s.covered.Without(unlisted)
 	s.due = raw
 }
 
 // show brings the figures up to date after a step, by which the module has had the lists before it.
-func (s *share) show(f *figures) {
+func (s *share) show(f *metrics) {
 	s.covered = s.listed
 	if !s.shown {
-		now := s.following
-		f.share.Store(&now)
+		now := s.followedPartitions
+		f.ownership.Store(&now)
 		s.shown = true
 	}
 }
@@ -289,7 +289,7 @@
 	case n.own.covered.Has(part), n.sender.KnowsDestination(a.dest):
 		return false
 	}
-	a.reply <- answer{refused: true, after: n.cfg.Settings.MaxRetryAfter}
+	a.reply <- answer{refused: true, retryAfter: n.cfg.Settings.MaxRetryAfter}
 	return true
 }
 
@@ -299,29 +299,29 @@
 	// newMap brings a map, or with none asks again for what is followed.
 	newMap struct {
 		m     *ownership.Map
-		taken chan<- following
+		taken chan<- followedPartitions
 	}
 	// listedOf says of which partitions the list is that came before it.
 	listedOf ownership.Set
 )
 
 func (e newMap) tell(s *share) {
-	if e.m != nil && e.m.Number > s.number {
+	if e.m != nil && e.m.Number > s.mapNumber {
 		s.take(e.m, time.Now())
 	}
 	s.keep() // what it could not do is logged, and asked for again
-	e.taken <- s.following
+	e.taken <- s.followedPartitions
 }
 
 func (e listedOf) tell(s *share) { s.listed = ownership.Set(e) }
 
 // follower watches the list of what the share follows, and keeps the map up to date. One goroutine at a time has it.
 type follower struct {
-	following // as the loop had it last
-	name      string
-	log       *slog.Logger
-	nodes     int
-	unheard   time.Duration // unheardFor, but in tests
+	followedPartitions // as the loop had it last
+	name               string
+	log                *slog.Logger
+	nodes              int
+	unheard            time.Duration // unheardFor, but in tests
 
 	told  atomic.Int64 // shared: number of the map that the list named last; -1: none did
 	heard atomic.Int64 // shared: Unix ns of the last sign of life of a watch
@@ -335,7 +335,7 @@
 }
 
 // watch is w.Watch; with [ownership] of what the node follows, which it keeps up to date.
-func (n *Node) watch(ctx context.Context, w *registry.Watcher, tell func(registry.News) error) {
+func (n *Node) watch(ctx context.Context, w *registry.Watcher, tell func(registry.Update) error) {
 	if n.own == nil {
 		w.Watch(ctx, tell)
 		return
@@ -343,17 +343,17 @@
 	f := &n.own.follow
 	f.heard.Store(time.Now().UnixNano())
 	f.hand(ctx, n, nil)
-	if f.number == 0 {
+	if f.mapNumber == 0 {
 		f.look(time.Now())
 	}
 	for ctx.Err() == nil {
-		set, _ := f.at(time.Now())
+		set, _ := f.setAt(time.Now())
 		here, leave := context.WithCancel(ctx)
 		var parts sync.WaitGroup
 		var whole atomic.Bool
 		one := *w
 		parts.Go(func() {
-			f.watch(here, &one, set, func(l registry.News) error {
+			f.watch(here, &one, set, func(l registry.Update) error {
 				err := tell(l)
 				if err == nil && l.Complete {
 					whole.Store(true)
@@ -370,19 +370,19 @@
 }
 
 // watch follows the list of a set. Of no partition there is none: any one's tells of maps.
-func (f *follower) watch(ctx context.Context, w *registry.Watcher, set ownership.Set, tell func(registry.News) error) {
-	asked, none, heard := set, set.Len() == 0, w.Heard
+func (f *follower) watch(ctx context.Context, w *registry.Watcher, set ownership.Set, tell func(registry.Update) error) {
+	asked, none, heard := set, set.Len() == 0, w.OnLine
 	if none {
-		asked.Add(int(crc32.ChecksumIEEE([]byte(f.name)) % ownership.Partitions))
+		asked.Add(int(crc32.ChecksumIEEE([]byte(f.name)) % ownership.PartitionCount))
 	}
 	w.Partitions = &asked
-	w.Heard = func() {
+	w.OnLine = func() {
 		f.heard.Store(time.Now().UnixNano())
 		if heard != nil {
 			heard()
 		}
 	}
-	w.Watch(ctx, func(l registry.News) error {
+	w.Watch(ctx, func(l registry.Update) error {
 		if none {
 			l.Members = nil
 		}
@@ -417,7 +417,7 @@
 			f.look(now)
 		}
 		now = time.Now()
-		next, _ := f.at(now)
+		next, _ := f.setAt(now)
 		if next != set {
 			return
 		}
@@ -433,7 +433,7 @@
 
 // wake is when await has something to do next, later than now once it has done what was due. While a map is looked for, silence is no news.
 func (f *follower) wake(now time.Time) time.Time {
-	_, wake := f.at(now)
+	_, wake := f.setAt(now)
 	due := []time.Time{f.lookAt, f.keepAt}
 	if f.lookAt.IsZero() {
 		due = append(due, time.Unix(0, f.heard.Load()).Add(f.unheard))
@@ -455,11 +455,11 @@
 	}
 	f.seen = told
 	switch {
-	case told > f.number:
+	case told > f.mapNumber:
 		f.look(now)
-	case told < f.number && told != f.older:
+	case told < f.mapNumber && told != f.older:
 		f.older = told
-		f.log.Warn("the directory names an older map of owners; the newer one stays", "map", f.number, "directory", told)
+		f.log.Warn("the directory names an older map of owners; the newer one stays", "map", f.mapNumber, "directory", told)
 	}
 }
 
@@ -475,30 +475,30 @@
 func (f *follower) fetch(ctx context.Context, n *Node, w *registry.Watcher) {
 	within, cancel := context.WithTimeout(ctx, fetchTime)
 	defer cancel()
-	m, err := registry.FetchMap(within, w.Client, w.Addresses, max(f.told.Load(), f.number, 1))
+	m, err := registry.FetchMap(within, w.Client, w.Addresses, max(f.told.Load(), f.mapNumber, 1))
 	switch {
 	case ctx.Err() != nil:
 		return // what is next begins by looking again
 	case err != nil:
 		if f.pause == 0 {
-			f.log.Warn("no map of owners can be had; looking for it again and again", "map", f.number, "err", err)
+			f.log.Warn("no map of owners can be had; looking for it again and again", "map", f.mapNumber, "err", err)
 		}
 		f.pause = min(max(2*f.pause, fetchFirst), fetchLast)
 		f.lookAt = time.Now().Add(f.pause/2 + rand.N(f.pause/2))
 		return
 	}
 	f.pause, f.lookAt = 0, time.Time{}
-	if m.Number > f.number {
+	if m.Number > f.mapNumber {
 		f.hand(ctx, n, m)
 	}
 }
 
 // hand gives the loop a map, if there is one, and takes what follows from it.
 func (f *follower) hand(ctx context.Context, n *Node, m *ownership.Map) {
-	taken := make(chan following, 1)
+	taken := make(chan followedPartitions, 1)
 	n.tell(ctx, newMap{m, taken})
 	select {
-	case f.following = <-taken:
+	case f.followedPartitions = <-taken:
 	case <-ctx.Done():
 		return
 	}
@@ -526,16 +526,16 @@
 		n.log.Error("the old addresses stay: there is no directory among the new ones, and nothing else tells of partitions")
 		return
 	}
-	n.Move(cfg.Sources()...)
+	n.MoveDiscovery(cfg.DiscoveryAddresses()...)
 }
 
 // listDir is where the list is kept. A share's is kept apart: a start without [ownership], also of an older build, would take
 // it for the whole one, and go on from its revision.
 func (c *Config) listDir() (string, error) {
 	if c.Fleet.Ownership == nil {
-		return c.State, nil
+		return c.StateDir, nil
 	}
-	dir := filepath.Join(c.State, shareName)
+	dir := filepath.Join(c.StateDir, shareName)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", fmt.Errorf("kept list: %w", err)
 	}
@@ -548,5 +548,5 @@
 	if c.Fleet.Ownership == nil {
 		return 0
 	}
-	return 2*catalog.MaxValue>>10 + c.Fleet.Registry.KeepKB
+	return 2*catalog.MaxValueBytes>>10 + c.Fleet.Registry.KeepKB
 }
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -54,11 +54,11 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.asks = append(d.asks, req.Method+" "+req.URL.RequestURI())
-		if d.number == 0 || req.PathValue("name") != ownership.Record {
+		if d.number == 0 || req.PathValue("name") != ownership.RecordName {
 			http.Error(w, `{"error":"none","outcome":"refused"}`, http.StatusNotFound)
 			return
 		}
-		json.NewEncoder(w).Encode(catalog.Record{Name: ownership.Record, Token: 1, Value: d.value})
+		json.NewEncoder(w).Encode(catalog.Record{Name: ownership.RecordName, Token: 1, Value: d.value})
 	})
 	mux.HandleFunc("POST /reports", func(w http.ResponseWriter, req *http.Request) {
 		for lines := json.NewDecoder(req.Body); ; {
@@ -93,7 +93,7 @@
 	old, hold, cut := d.old || !q.Has("partitions"), d.hold, d.cut
 	w.Header().Set("Registry-History", strconv.FormatInt(d.history, 10))
 	if !old {
-		w.Header().Set("Registry-Partitions", strconv.Itoa(ownership.Partitions))
+		w.Header().Set("Registry-Partitions", strconv.Itoa(ownership.PartitionCount))
 		w.Header().Set("Registry-Map", strconv.FormatInt(d.number, 10))
 	}
 	d.mu.Unlock()
@@ -247,7 +247,7 @@
 	t.Helper()
 	all = mapOf(t, 1, nil, "n1")
 	half = mapOf(t, 2, all, "n1", "n2")
-	own, _ := half.Of("n1")
+	own, _ := half.PartitionsOf("n1")
 	for d := 1; len(stays) < 5 || len(goes) < 5; d++ {
 		if own.Has(ownership.PartitionOf(d)) {
 			stays = append(stays, d)
@@ -292,7 +292,7 @@
 
 // owner is a node that is n1, running.
 type owner struct {
-	*life
+	*nodeProcess
 	log  *logged
 	stop func()
 }
@@ -314,7 +314,7 @@
 		addr = "127.0.0.1:0"
 	}
 	cfg := ownerConfig(t, state, addr, alter)
-	o := &owner{life: &life{ended: make(chan error, 1)}, log: &logged{}}
+	o := &owner{nodeProcess: &nodeProcess{done: make(chan error, 1)}, log: &logged{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	n, ln, err := Start(ctx, cfg, slog.New(slog.NewTextHandler(o.log, nil)))
@@ -324,8 +324,8 @@
 	if see != nil {
 		see(n)
 	}
-	o.n, o.addr, o.end = n, ln.Addr().String(), cancel
-	go func() { o.ended <- n.Run(ctx, ln) }()
+	o.node, o.addr, o.cancel = n, ln.Addr().String(), cancel
+	go func() { o.done <- n.Run(ctx, ln) }()
 	o.stop = sync.OnceFunc(func() {
 		cancel()
 		if err := o.wait(t); err != nil {
@@ -337,27 +337,27 @@
 }
 
 // seen is the share as the figures have it.
-func (o *owner) seen() following {
-	if s := o.n.figures.share.Load(); s != nil {
+func (o *owner) seen() followedPartitions {
+	if s := o.node.figures.ownership.Load(); s != nil {
 		return *s
 	}
-	return following{}
+	return followedPartitions{}
 }
 
 func (o *owner) ready(t *testing.T) {
 	t.Helper()
-	eventually(t, "ready", func() bool { return o.n.Unready() == "" })
+	eventually(t, "ready", func() bool { return o.node.NotReadyReason() == "" })
 }
 
 func (o *owner) awaitMap(t *testing.T, number int64) {
 	t.Helper()
-	eventually(t, fmt.Sprint("map ", number), func() bool { return o.seen().number == number })
+	eventually(t, fmt.Sprint("map ", number), func() bool { return o.seen().mapNumber == number })
 }
 
 // awaitTaken waits until a request is taken on.
 func (o *owner) awaitTaken(t *testing.T, text string) {
 	t.Helper()
-	eventually(t, "it is taken on", func() bool { return ask(t, o.addr, text) == "+OK" })
+	eventually(t, "it is taken on", func() bool { return roundTrip(t, o.addr, text) == "+OK" })
 }
 
 func to(class string, dest int) string {
@@ -371,21 +371,21 @@
 func TestOwnerTakesOnWhatIsItsOwn(t *testing.T) {
 	t.Parallel()
 	_, half, stays, goes := parting(t)
-	p, d, state := newPartner(t, says(delivered)), newDirectory(t), t.TempDir()
+	p, d, state := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t), t.TempDir()
 	d.put(at("e1", p.addr(), stays[0], "SERVING"), at("e2", p.addr(), goes[0], "SERVING"))
 	o := startOwner(t, state, "", owns(d.addr()), nil)
-	mustAnswer(t, o.addr, enqueue("early", to("status", stays[0]), ""), busy)
-	if why := o.n.Unready(); why != "no map of owners is known" {
+	mustAnswer(t, o.addr, enqueueCommand("early", to("status", stays[0]), ""), busy)
+	if why := o.node.NotReadyReason(); why != "no map of owners is known" {
 		t.Errorf("without a map: %q", why)
 	}
 	d.setMap(t, half)
 	o.ready(t)
-	mustAnswer(t, o.addr, enqueue("mine", to("order", stays[0]), ""), "+OK")
-	p.next(t)
-	mustAnswer(t, o.addr, enqueue("foreign", to("order", goes[0]), ""), busy)
-	mustAnswer(t, o.addr, enqueue("nowhere", to("order", stays[1]), ""), "-ERR unknown destination")
+	mustAnswer(t, o.addr, enqueueCommand("mine", to("order", stays[0]), ""), "+OK")
+	p.nextRequest(t)
+	mustAnswer(t, o.addr, enqueueCommand("foreign", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("nowhere", to("order", stays[1]), ""), "-ERR unknown destination")
 	var figures strings.Builder
-	o.n.figures.write(&figures)
+	o.node.figures.write(&figures)
 	for _, want := range []string{
 		"app.map:2|g\n", fmt.Sprintf("app.partitions_owned:%d|g\n", o.seen().owned.Len()), "app.partitions_lingering:0|g\n",
 		"app.not_owned:2|c\n", "app.pool_size:1|g\n",
@@ -395,8 +395,8 @@
 		}
 	}
 	d.setMap(t, mapOf(t, 3, half, "n2"))
-	eventually(t, "not in the map", func() bool { return o.n.Unready() == "not in the map of owners" })
-	mustAnswer(t, o.addr, enqueue("late", to("order", stays[0]), ""), busy)
+	eventually(t, "not in the map", func() bool { return o.node.NotReadyReason() == "not in the map of owners" })
+	mustAnswer(t, o.addr, enqueueCommand("late", to("order", stays[0]), ""), busy)
 	o.stop()
 	raw, err := os.ReadFile(filepath.Join(state, journalName))
 	if err != nil {
@@ -417,27 +417,27 @@
 func TestLostPartitionsEndByTheirOwnRules(t *testing.T) {
 	t.Parallel()
 	all, half, stays, goes := parting(t)
-	p, d := newPartner(t, says(delivered)), newDirectory(t)
+	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
 	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", p.addr(), stays[0], "SERVING"))
 	d.setMap(t, all)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), func(n *Node) { n.own.longest = 300 * time.Millisecond })
 	o.ready(t)
-	mustAnswer(t, o.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
-	mustAnswer(t, o.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), busy)
-	if !slices.ContainsFunc(o.seen().lost, func(l lost) bool { // a has 50 s
+	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
+	if !slices.ContainsFunc(o.seen().lingering, func(l lingeringPartitions) bool { // a has 50 s
 		return l.set.Has(ownership.PartitionOf(goes[0])) && time.Until(l.until) > 20*time.Second
 	}) {
-		t.Fatalf("followed on: %+v", o.seen().lost)
+		t.Fatalf("followed on: %+v", o.seen().lingering)
 	}
 	d.put(at("e3", p.addr(), goes[0], "SERVING"))
-	if id := p.next(t).Header.Get("X-Trace-Id"); id != "a" {
+	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
 		t.Errorf("got %q", id)
 	}
-	mustAnswer(t, o.addr, enqueue("c", to("order", stays[0]), ""), "+OK")
-	p.next(t)
+	mustAnswer(t, o.addr, enqueueCommand("c", to("order", stays[0]), ""), "+OK")
+	p.nextRequest(t)
 	if asks := d.asked("watch=1&after=0&history"); asks+d.asked("watch=1&after=0&part") > 2 { // of the map, and of all
 		t.Errorf("asks %q", d.asks)
 	}
@@ -451,23 +451,23 @@
 func TestLostPartitionsAreLetGoOf(t *testing.T) {
 	t.Parallel()
 	all, half, stays, goes := parting(t)
-	p, d := newPartner(t, says(delivered)), newDirectory(t)
+	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
 	d.put(at("e1", p.addr(), goes[0], "SERVING"), at("e2", p.addr(), stays[0], "SERVING"))
 	d.setMap(t, all)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), func(n *Node) { n.own.longest = 100 * time.Millisecond })
 	o.ready(t)
-	o.awaitTaken(t, enqueue("a", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""))
-	p.next(t)
-	if n := o.n.figures.listed.Load(); n != 2 {
+	o.awaitTaken(t, enqueueCommand("a", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""))
+	p.nextRequest(t)
+	if n := o.node.figures.listedEndpoints.Load(); n != 2 {
 		t.Errorf("%d endpoints", n)
 	}
 	d.setMap(t, half)
-	own, _ := half.Of("n1")
+	own, _ := half.PartitionsOf("n1")
 	eventually(t, "the smaller set", func() bool {
-		return d.asked("partitions="+own.String()) == 1 && o.n.figures.listed.Load() == 1
+		return d.asked("partitions="+own.String()) == 1 && o.node.figures.listedEndpoints.Load() == 1
 	})
-	mustAnswer(t, o.addr, enqueue("b", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""), "+OK")
-	p.next(t)
+	mustAnswer(t, o.addr, enqueueCommand("b", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""), "+OK")
+	p.nextRequest(t)
 	if calls, conns := p.counts(); calls != 2 || conns != 1 {
 		t.Errorf("%d calls on %d connections", calls, conns)
 	}
@@ -475,7 +475,7 @@
 	// its own, whose endpoints it passes over.
 	none := mapOf(t, 3, half, "n2")
 	d.setMap(t, none)
-	eventually(t, "nothing", func() bool { return o.seen().number == 3 && o.n.figures.listed.Load() == 0 })
+	eventually(t, "nothing", func() bool { return o.seen().mapNumber == 3 && o.node.figures.listedEndpoints.Load() == 0 })
 	d.mu.Lock()
 	last := d.asks[len(d.asks)-1]
 	d.mu.Unlock()
@@ -493,12 +493,12 @@
 	eventually(t, "another watch", func() bool { return d.asked("watch=1") > asks })
 	d.setMap(t, mapOf(t, 4, none, "n2", "n3"))
 	o.awaitMap(t, 4)
-	if n := o.n.figures.listed.Load(); n != 0 {
+	if n := o.node.figures.listedEndpoints.Load(); n != 0 {
 		t.Errorf("%d endpoints of nothing", n)
 	}
 	d.setMap(t, mapOf(t, 5, none, "n1"))
 	o.ready(t)
-	eventually(t, "all", func() bool { return o.n.figures.listed.Load() == 3 })
+	eventually(t, "all", func() bool { return o.node.figures.listedEndpoints.Load() == 3 })
 }
 
 // A set's watch begins when that of the set before it is over, to its last list: one that came later would be taken for the
@@ -521,8 +521,8 @@
 			select {
 			case e := <-n.events:
 				n.take(ctx, []any{e})
-				if n.own.number != last {
-					last = n.own.number
+				if n.own.mapNumber != last {
+					last = n.own.mapNumber
 					numbers <- last
 				}
 			case <-ctx.Done():
@@ -532,11 +532,11 @@
 	})
 	whole, held, release := make(chan int, 10), make(chan struct{}, 10), make(chan struct{})
 	w := registry.Watcher{
-		Addresses: []string{d.addr()}, Nodes: 1, Client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
-		Log: slog.New(slog.DiscardHandler), Track: registry.NewTrack(registry.Position{}),
+		Addresses: []string{d.addr()}, FleetSize: 1, Client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		Log: slog.New(slog.DiscardHandler), Cursor: registry.NewCursor(registry.Position{}),
 	}
 	parts.Go(func() {
-		n.watch(ctx, &w, func(l registry.News) error {
+		n.watch(ctx, &w, func(l registry.Update) error {
 			if l.Complete {
 				whole <- len(l.Members)
 			}
@@ -576,32 +576,32 @@
 func TestShareGivenBack(t *testing.T) {
 	t.Parallel()
 	all, half, _, goes := parting(t)
-	p, d := newPartner(t, says(delivered)), newDirectory(t)
+	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
 	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", "127.0.0.1:9", goes[1], "DRAINING"))
 	d.setMap(t, all)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
 	o.ready(t)
-	o.awaitTaken(t, enqueue("a", to("order", goes[0]), ""))
-	mustAnswer(t, o.addr, enqueue("b", to("payout", goes[1]), ""), "+OK")
+	o.awaitTaken(t, enqueueCommand("a", to("order", goes[0]), ""))
+	mustAnswer(t, o.addr, enqueueCommand("b", to("payout", goes[1]), ""), "+OK")
 	watches := d.asked("watch=1")
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
-	mustAnswer(t, o.addr, enqueue("c", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("c", to("order", goes[0]), ""), busy)
 	d.put(at("e3", p.addr(), goes[0], "SERVING"))
-	p.next(t)
+	p.nextRequest(t)
 	d.setMap(t, mapOf(t, 3, half, "n1"))
 	o.awaitMap(t, 3)
-	if len(o.seen().lost) != 0 {
-		t.Errorf("lost: %+v", o.seen().lost)
+	if len(o.seen().lingering) != 0 {
+		t.Errorf("lost: %+v", o.seen().lingering)
 	}
-	mustAnswer(t, o.addr, enqueue("b", to("payout", goes[1]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueue("c", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", to("payout", goes[1]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("c", to("order", goes[0]), ""), "+OK")
 	d.put(at("e4", p.addr(), goes[1], "SERVING"))
-	got := []string{p.next(t).Header.Get("X-Trace-Id"), p.next(t).Header.Get("X-Trace-Id")}
+	got := []string{p.nextRequest(t).Header.Get("X-Trace-Id"), p.nextRequest(t).Header.Get("X-Trace-Id")}
 	if slices.Sort(got); !slices.Equal(got, []string{"b", "c"}) {
 		t.Errorf("got %v", got)
 	}
-	eventually(t, "all delivered", func() bool { return o.n.figures.ok[1].Load() == 2 && o.n.figures.ok[2].Load() == 1 })
+	eventually(t, "all delivered", func() bool { return o.node.figures.ok[1].Load() == 2 && o.node.figures.ok[2].Load() == 1 })
 	if calls, _ := p.counts(); calls != 3 || d.asked("watch=1") != watches || len(d.told()) != 0 {
 		t.Errorf("%d calls, %d watches after %d, notices %v", calls, d.asked("watch=1"), watches, d.told())
 	}
@@ -612,12 +612,12 @@
 func TestRestartBetweenMaps(t *testing.T) {
 	t.Parallel()
 	all, half, stays, goes := parting(t)
-	p, d, state := newPartner(t, says(delivered)), newDirectory(t), t.TempDir()
+	p, d, state := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t), t.TempDir()
 	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", p.addr(), stays[0], "SERVING"), at("e3", p.addr(), goes[1], "SERVING"))
 	d.setMap(t, all)
 	o := startOwner(t, state, "", owns(d.addr()), nil)
 	o.ready(t)
-	o.awaitTaken(t, enqueue("a", to("order", goes[0]), ""))
+	o.awaitTaken(t, enqueueCommand("a", to("order", goes[0]), ""))
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
 	o.stop()
@@ -626,23 +626,23 @@
 	dead.close()
 	o = startOwner(t, state, "", owns(dead.addr()), nil)
 	o.ready(t)
-	if s := o.seen(); s.number != 2 || len(s.lost) != 1 || s.lost[0].set.Len() != 1 || time.Until(s.lost[0].until) < 20*time.Second {
-		t.Errorf("got %d, %+v", s.number, s.lost)
+	if s := o.seen(); s.mapNumber != 2 || len(s.lingering) != 1 || s.lingering[0].set.Len() != 1 || time.Until(s.lingering[0].until) < 20*time.Second {
+		t.Errorf("got %d, %+v", s.mapNumber, s.lingering)
 	}
-	if listed := o.n.figures.listed.Load(); listed != 2 { // e3's partition is not followed
+	if listed := o.node.figures.listedEndpoints.Load(); listed != 2 { // e3's partition is not followed
 		t.Errorf("%d endpoints", listed)
 	}
-	mustAnswer(t, o.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), busy)
-	mustAnswer(t, o.addr, enqueue("c", to("order", stays[0]), ""), "+OK")
-	p.next(t)
-	mustAnswer(t, o.addr, enqueue("d", to("order", stays[1]), ""), busy) // it may be on the list that nobody tells
+	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("c", to("order", stays[0]), ""), "+OK")
+	p.nextRequest(t)
+	mustAnswer(t, o.addr, enqueueCommand("d", to("order", stays[1]), ""), busy) // it may be on the list that nobody tells
 	o.stop()
 
 	o = startOwner(t, state, "", owns(d.addr()), nil)
 	o.ready(t)
 	d.put(at("e4", p.addr(), goes[0], "SERVING"))
-	if id := p.next(t).Header.Get("X-Trace-Id"); id != "a" {
+	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
 		t.Errorf("got %q", id)
 	}
 	if len(d.told()) != 0 {
@@ -655,37 +655,37 @@
 func TestGainedPartitionsWaitForTheirList(t *testing.T) {
 	t.Parallel()
 	_, half, stays, goes := parting(t)
-	p, d := newPartner(t, says(delivered)), newDirectory(t)
+	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
 	d.put(at("e1", p.addr(), stays[0], "SERVING"), at("e2", p.addr(), goes[0], "SERVING"))
 	d.setMap(t, half)
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
 	o.ready(t)
-	o.awaitTaken(t, enqueue("a", to("order", stays[0]), ""))
-	p.next(t)
+	o.awaitTaken(t, enqueueCommand("a", to("order", stays[0]), ""))
+	p.nextRequest(t)
 	hold, watches := make(chan struct{}), d.asked("watch=1")
 	d.change(func() { d.hold = hold })
 	d.setMap(t, mapOf(t, 3, half, "n1"))
 	eventually(t, "the new watch", func() bool { return d.asked("watch=1") > watches })
-	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), busy)
-	mustAnswer(t, o.addr, enqueue("c", to("order", goes[1]), ""), busy)
-	mustAnswer(t, o.addr, enqueue("d", to("order", stays[0]), ""), "+OK")
-	p.next(t)
+	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("c", to("order", goes[1]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("d", to("order", stays[0]), ""), "+OK")
+	p.nextRequest(t)
 	d.change(func() { d.hold = nil })
 	close(hold)
-	eventually(t, "the list", func() bool { return o.n.figures.listed.Load() == 2 })
+	eventually(t, "the list", func() bool { return o.node.figures.listedEndpoints.Load() == 2 })
 	eventually(t, "it is known", func() bool {
-		return ask(t, o.addr, enqueue("c", to("order", goes[1]), "")) == "-ERR unknown destination"
+		return roundTrip(t, o.addr, enqueueCommand("c", to("order", goes[1]), "")) == "-ERR unknown destination"
 	})
-	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), "+OK")
-	p.next(t)
-	mustAnswer(t, o.addr, enqueue("e", to("order", stays[0]), ""), "+OK")
-	p.next(t)
+	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), "+OK")
+	p.nextRequest(t)
+	mustAnswer(t, o.addr, enqueueCommand("e", to("order", stays[0]), ""), "+OK")
+	p.nextRequest(t)
 	if _, conns := p.counts(); conns != 2 { // e1's, which was never hung up, and e2's
 		t.Errorf("%d connections", conns)
 	}
 	// A change reaches the new watch.
 	d.put(at("e3", p.addr(), goes[2], "SERVING"))
-	eventually(t, "a change", func() bool { return o.n.figures.listed.Load() == 3 })
+	eventually(t, "a change", func() bool { return o.node.figures.listedEndpoints.Load() == 3 })
 }
 
 // A number that a node has known is never undone: not by a replica that is behind, nor by a directory restored from a
@@ -707,16 +707,16 @@
 		d.cutWatches()
 		eventually(t, "another watch", func() bool { return d.asked("watch=1") > asks })
 	}
-	mustAnswer(t, o.addr, enqueue("a", to("order", goes[0]), ""), busy)
-	if s := o.seen(); s.number != 2 || o.log.with(line) != 1 {
-		t.Errorf("number %d, logged %d times", s.number, o.log.with(line))
+	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), busy)
+	if s := o.seen(); s.mapNumber != 2 || o.log.with(line) != 1 {
+		t.Errorf("number %d, logged %d times", s.mapNumber, o.log.with(line))
 	}
 	o.stop()
 	o = startOwner(t, state, "", owns(d.addr()), nil)
 	o.ready(t)
 	eventually(t, "it is logged", func() bool { return o.log.with(line) == 1 })
-	if s := o.seen(); s.number != 2 {
-		t.Errorf("number %d", s.number)
+	if s := o.seen(); s.mapNumber != 2 {
+		t.Errorf("number %d", s.mapNumber)
 	}
 	d.setMap(t, mapOf(t, 3, half, "n1"))
 	o.awaitMap(t, 3)
@@ -730,17 +730,17 @@
 	t.Parallel()
 	all, half, stays, goes := parting(t)
 	n := bareAltered(t, owns("127.0.0.1:9"))
-	hand := func(m *ownership.Map) following {
-		taken := make(chan following, 1)
+	hand := func(m *ownership.Map) followedPartitions {
+		taken := make(chan followedPartitions, 1)
 		n.take(t.Context(), []any{newMap{m, taken}})
 		return <-taken
 	}
 	set := func(m *ownership.Map) ownership.Set {
-		own, _ := m.Of("n1")
+		own, _ := m.PartitionsOf("n1")
 		return own
 	}
-	list := func(whole bool, members ...catalog.Endpoint) registry.News {
-		return registry.News{List: catalog.List{Revision: 1, Complete: whole, Members: members}}
+	list := func(whole bool, members ...catalog.Endpoint) registry.Update {
+		return registry.Update{List: catalog.List{Revision: 1, Complete: whole, Members: members}}
 	}
 	mine, other := at("e1", "127.0.0.1:9", stays[0], "DRAINING"), at("e2", "127.0.0.1:9", goes[0], "DRAINING")
 	second := at("e3", "127.0.0.1:9", stays[1], "SERVING")
@@ -749,8 +749,8 @@
 		a.dest = dest
 		return a
 	}
-	refused := answer{refused: true, after: 3 * time.Second}
-	if f := hand(half); f.number != 2 || f.owned != set(half) || len(f.lost) != 0 {
+	refused := answer{refused: true, retryAfter: 3 * time.Second}
+	if f := hand(half); f.mapNumber != 2 || f.owned != set(half) || len(f.lingering) != 0 {
 		t.Fatalf("got %+v", f)
 	}
 	// An arrival in the batch that brings its list: the module does not know it yet, and it is not unknown.
@@ -764,15 +764,15 @@
 		t.Errorf("after its list: %+v", got)
 	}
 	e := n.eps["e3"]
-	if f := hand(all); f.number != 2 || f.owned != set(half) {
-		t.Errorf("an older map: %+v", f.number)
+	if f := hand(all); f.mapNumber != 2 || f.owned != set(half) {
+		t.Errorf("an older map: %+v", f.mapNumber)
 	}
 	// All is gained; the old set's watch says its whole list once more, then the new one's comes.
 	whole := mapOf(t, 3, half, "n1")
-	if f := hand(whole); f.number != 3 || f.owned.Len() != ownership.Partitions {
-		t.Errorf("got %+v", f.number)
+	if f := hand(whole); f.mapNumber != 3 || f.owned.Len() != ownership.PartitionCount {
+		t.Errorf("got %+v", f.mapNumber)
 	}
-	for i, l := range []registry.News{list(true, mine, second), list(false), list(true, mine, second, other)} {
+	for i, l := range []registry.Update{list(true, mine, second), list(false), list(true, mine, second, other)} {
 		late := arrive("late"+itoa(i), goes[1])
 		n.take(t.Context(), []any{l, late})
 		if got := <-late.reply; got != refused {
@@ -785,14 +785,14 @@
 	n.take(t.Context(), []any{listedOf(set(whole))})
 	unknown := arrive("u", goes[1])
 	n.take(t.Context(), []any{unknown})
-	if got := <-unknown.reply; got.failed == "" {
+	if got := <-unknown.reply; got.failure == "" {
 		t.Errorf("owned, listed and not there: %+v", got)
 	}
 	// Lost, with nothing held, and let go of at once; gained anew, nothing is known of it until its list comes.
 	n.own.longest = 0
 	parted := mapOf(t, 4, whole, "n1", "n2")
-	if f := hand(parted); len(f.lost) != 0 {
-		t.Errorf("with nothing held: %+v", f.lost)
+	if f := hand(parted); len(f.lingering) != 0 {
+		t.Errorf("with nothing held: %+v", f.lingering)
 	}
 	hand(mapOf(t, 5, parted, "n1"))
 	for i, dest := range goes[1:] {
@@ -809,12 +809,12 @@
 func TestHandoverOfAShare(t *testing.T) {
 	t.Parallel()
 	all, half, stays, goes := parting(t)
-	p, d, state := newPartner(t, says(delivered)), newDirectory(t), t.TempDir()
+	p, d, state := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t), t.TempDir()
 	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", p.addr(), stays[0], "SERVING"))
 	d.setMap(t, all)
 	old := startOwner(t, state, "", owns(d.addr()), nil)
 	old.ready(t)
-	old.awaitTaken(t, enqueue("a", to("order", goes[0]), ""))
+	old.awaitTaken(t, enqueueCommand("a", to("order", goes[0]), ""))
 	d.setMap(t, half)
 	old.awaitMap(t, 2)
 
@@ -838,7 +838,7 @@
 		if err := <-ended; err == nil {
 			t.Errorf("%s: it has the node", name)
 		}
-		mustAnswer(t, old.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
+		mustAnswer(t, old.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
 	}
 	conn, err := dialDoor(door(state)) // as an older build says it
 	if err != nil {
@@ -851,20 +851,22 @@
 	}
 
 	young := startOwner(t, state, old.addr, owns(d.addr()), nil)
-	eventually(t, "handed over", func() bool { return old.n.Unready() == stages[handedOver] && young.n.Unready() == "" })
+	eventually(t, "handed over", func() bool {
+		return old.node.NotReadyReason() == stages[stageHandedOver] && young.node.NotReadyReason() == ""
+	})
 	s := young.seen()
-	if s.number != 2 || len(s.lost) != 1 || !s.lost[0].set.Has(ownership.PartitionOf(goes[0])) {
-		t.Errorf("got %d, %+v", s.number, s.lost)
+	if s.mapNumber != 2 || len(s.lingering) != 1 || !s.lingering[0].set.Has(ownership.PartitionOf(goes[0])) {
+		t.Errorf("got %d, %+v", s.mapNumber, s.lingering)
 	}
-	mustAnswer(t, young.addr, enqueue("a", to("order", goes[0]), ""), "+OK")
-	mustAnswer(t, young.addr, enqueue("b", to("order", goes[0]), ""), busy)
-	mustAnswer(t, young.addr, enqueue("c", to("order", stays[0]), ""), "+OK")
-	p.next(t)
+	mustAnswer(t, young.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, young.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
+	mustAnswer(t, young.addr, enqueueCommand("c", to("order", stays[0]), ""), "+OK")
+	p.nextRequest(t)
 	d.setMap(t, mapOf(t, 3, half, "n1", "n2", "n3"))
 	young.awaitMap(t, 3)
 	old.stop()
 	d.put(at("e3", p.addr(), goes[0], "SERVING"))
-	if id := p.next(t).Header.Get("X-Trace-Id"); id != "a" {
+	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
 		t.Errorf("got %q", id)
 	}
 	young.stop()
@@ -927,7 +929,7 @@
 	}
 	o := startOwner(t, state, "", owns(d.addr()), nil)
 	eventually(t, "no map", func() bool {
-		return o.n.Unready() == "no map of owners is known" && o.log.with("the kept map of owners is lost") == 1
+		return o.node.NotReadyReason() == "no map of owners is known" && o.log.with("the kept map of owners is lost") == 1
 	})
 	d.setMap(t, half)
 	o.ready(t)
@@ -953,8 +955,8 @@
 	o = startOwner(t, state, "", owns(old.addr()), nil)
 	o.ready(t)
 	eventually(t, "asked", func() bool { return old.asked("partitions=") > asks })
-	mustAnswer(t, o.addr, enqueue("a", to("order", stays[0]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueue("b", to("order", goes[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("a", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
 }
 
 // Where no watch tells of a map, it is looked for from time to time.
@@ -1001,20 +1003,20 @@
 	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
 	o.ready(t)
 	const ignored = "a change of ownership is ignored"
-	o.n.Reload(Config{Discovery: "127.0.0.1:9"})
+	o.node.Reload(Config{Discovery: "127.0.0.1:9"})
 	if o.log.with(ignored) != 1 || o.log.with("the old addresses stay") != 1 {
 		t.Errorf("got %q", o.log.all)
 	}
 	var cfg Config
 	owns(next.addr())(&cfg)
 	cfg.Fleet.Ownership.Name = "n2"
-	o.n.Reload(cfg)
+	o.node.Reload(cfg)
 	eventually(t, "the new address", func() bool { return next.asked("partitions=") > 0 })
 	if o.log.with(ignored) != 2 {
 		t.Errorf("got %q", o.log.all)
 	}
 	owns(next.addr())(&cfg)
-	o.n.Reload(cfg)
+	o.node.Reload(cfg)
 	if o.log.with(ignored) != 2 {
 		t.Errorf("the same is no change: %q", o.log.all)
 	}
@@ -1045,7 +1047,7 @@
 			alter(c)
 		}, nil)
 		o.ready(t)
-		o.awaitTaken(t, enqueue("a", to("order", stays[0]), ""))
+		o.awaitTaken(t, enqueueCommand("a", to("order", stays[0]), ""))
 		settled := 0 // in a row
 		eventually(t, "it has settled", func() bool {
 			was := goroutines
@@ -1065,8 +1067,8 @@
 		asks = slices.Clone(d.asks)
 		d.mu.Unlock()
 		var figures strings.Builder
-		o.n.figures.write(&figures)
-		if owned := strings.Contains(figures.String(), "app.map"); owned != (o.n.own != nil) {
+		o.node.figures.write(&figures)
+		if owned := strings.Contains(figures.String(), "app.map"); owned != (o.node.own != nil) {
 			t.Errorf("figures: %s", figures.String())
 		}
 		o.stop()
