--- a/choice/types.go
+++ b/choice/types.go
@@ -60,11 +60,11 @@
 	IdleConnTimeout   time.Duration // idle connections are closed after this time
 	DrainGrace        time.Duration
 	AnswerGrace       time.Duration
-	CollapseMultiple  float64 // a destination in slow start collapses above this multiple of its capacity,
+	CollapseMultiple  float64 // a destination in slow start collapses above this multiple of its capacity within CollapseSpan
 	CollapseSpan      time.Duration
-	SlowStartShare    float64 // share of its capacity that a destination has when it returns from an outage
-	SlowStartDuration time.Duration
-	KeyPause          time.Duration
+	SlowStartShare    float64       // share of its capacity that a destination has when it returns from an outage
+	SlowStartDuration time.Duration // from then until it has all of its capacity
+	KeyPause          time.Duration // pause of an ordered key after an attempt without an answer
 	WatchWithin       time.Duration
 }
 
