--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -24,19 +24,19 @@
 
 // host keeps the instances of this process, and the lists of endpoints by number.
 type host struct {
-	nodes map[string]*choice.Sender
-	lists map[int][]choice.Entry
-	out   *bufio.Writer
+	instances map[string]*choice.Sender
+	lists     map[int][]choice.Entry
+	out       *bufio.Writer
 }
 
 func newHost(out io.Writer) *host {
 	return &host{
-		nodes: map[string]*choice.Sender{}, lists: map[int][]choice.Entry{}, out: bufio.NewWriter(out),
+		instances: map[string]*choice.Sender{}, lists: map[int][]choice.Entry{}, out: bufio.NewWriter(out),
 	}
 }
 
 // batch collects the events of one batch by instance, with the instances in order of appearance.
-type turn struct {
+type batch struct {
 	now    time.Duration
 	order  []string
 	events map[string][]choice.Event
@@ -45,17 +45,17 @@
 func run(in io.Reader, out io.Writer) error {
 	h := newHost(out)
 	r := bufio.NewReaderSize(in, 1<<20)
-	var t *turn
+	var b *batch
 	for n := 1; ; n++ {
 		text, err := r.ReadBytes('\n')
 		if len(text) > 0 && text[0] != '\n' {
 			var fail error
-			if t, fail = h.line(t, text); fail != nil {
+			if b, fail = h.handleLine(b, text); fail != nil {
 				return fmt.Errorf("line %d: %w", n, fail)
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if t != nil {
+			if b != nil {
 				return fmt.Errorf("line %d: input ends inside a batch", n)
 			}
 			return nil
@@ -67,102 +67,102 @@
 }
 
 // handleLine handles one line of input and returns the batch that is open after it.
-func (h *host) line(t *turn, text []byte) (*turn, error) {
-	l, err := wire.Parse(text)
+func (h *host) handleLine(b *batch, text []byte) (*batch, error) {
+	l, err := wire.ParseLine(text)
 	if err != nil {
-		return t, err
+		return b, err
 	}
 	if l.Type == "Turn" {
-		if t != nil {
-			return t, errors.New("Turn inside a batch")
+		if b != nil {
+			return b, errors.New("event Turn inside a batch")
 		}
-		return &turn{now: wire.Time(l.SimTime), events: map[string][]choice.Event{}}, nil
+		return &batch{now: wire.Duration(l.SimTime), events: map[string][]choice.Event{}}, nil
 	}
-	if t == nil {
-		return t, fmt.Errorf("%s outside a batch", l.Type)
+	if b == nil {
+		return b, fmt.Errorf("event %s outside a batch", l.Type)
 	}
 	switch l.Type {
 	case "YourTurn":
-		for _, node := range t.order {
-			if h.nodes[node] != nil {
-				if err := h.step(t.now, node, t.events[node]); err != nil {
-					return t, err
+		for _, node := range b.order {
+			if h.instances[node] != nil {
+				if err := h.step(b.now, node, b.events[node]); err != nil {
+					return b, err
 				}
 			}
 		}
-		if _, err := fmt.Fprintln(h.out, wire.Done); err != nil {
-			return t, err
+		if _, err := fmt.Fprintln(h.out, wire.DoneLine); err != nil {
+			return b, err
 		}
 		return nil, h.out.Flush()
 	case "Manifest":
 		entries, err := wire.Entries(l.Records)
 		if err != nil {
-			return t, fmt.Errorf("Manifest %d: %w", l.Slot, err)
+			return b, fmt.Errorf("event Manifest %d: %w", l.List, err)
 		}
-		h.lists[l.Slot] = entries
-		return t, nil
+		h.lists[l.List] = entries
+		return b, nil
 	case "Born":
-		settings, err := wire.ParseSettings(l.Conf)
+		settings, err := wire.ParseSettings(l.Settings)
 		if err != nil {
-			return t, fmt.Errorf("Born %s: %w", l.Node, err)
+			return b, fmt.Errorf("event Born %s: %w", l.Node, err)
 		}
-		seed, err := strconv.ParseUint(l.Nonce.String(), 10, 64)
+		seed, err := strconv.ParseUint(l.Seed.String(), 10, 64)
 		if err != nil {
-			signed, serr := strconv.ParseInt(l.Nonce.String(), 10, 64)
+			signed, serr := strconv.ParseInt(l.Seed.String(), 10, 64)
 			if serr != nil {
-				return t, fmt.Errorf("Born %s: nonce64: %w", l.Node, err)
+				return b, fmt.Errorf("event Born %s: nonce64: %w", l.Node, err)
 			}
 			seed = uint64(signed)
 		}
-		h.nodes[l.Node] = choice.New(settings, seed)
-		t.reset(l.Node)
-		return t, nil
+		h.instances[l.Node] = choice.New(settings, seed)
+		b.reset(l.Node)
+		return b, nil
 	case "Down":
-		if h.nodes[l.Node] == nil {
-			return t, fmt.Errorf("Down for unknown instance %q", l.Node)
+		if h.instances[l.Node] == nil {
+			return b, fmt.Errorf("event Down for unknown instance %q", l.Node)
 		}
-		delete(h.nodes, l.Node)
-		t.reset(l.Node)
-		return t, nil
+		delete(h.instances, l.Node)
+		b.reset(l.Node)
+		return b, nil
 	}
-	if h.nodes[l.Node] == nil {
-		return t, fmt.Errorf("%s for unknown instance %q", l.Type, l.Node)
+	if h.instances[l.Node] == nil {
+		return b, fmt.Errorf("event %s for unknown instance %q", l.Type, l.Node)
 	}
-	ev, err := wire.Event(l, h.lists)
+	ev, err := wire.ParseEvent(l, h.lists)
 	if err != nil {
-		return t, fmt.Errorf("%s for %q: %w", l.Type, l.Node, err)
+		return b, fmt.Errorf("event %s for %q: %w", l.Type, l.Node, err)
 	}
 	if ev != nil {
-		t.add(l.Node, ev)
+		b.add(l.Node, ev)
 	}
-	return t, nil
+	return b, nil
 }
 
-func (t *turn) add(node string, ev choice.Event) {
-	if _, ok := t.events[node]; !ok {
-		t.order = append(t.order, node)
+func (b *batch) add(node string, ev choice.Event) {
+	if _, ok := b.events[node]; !ok {
+		b.order = append(b.order, node)
 	}
-	t.events[node] = append(t.events[node], ev)
+	b.events[node] = append(b.events[node], ev)
 }
 
 // reset discards the events that an earlier run of the instance got in this batch; the instance still gets
 // its step.
-func (t *turn) reset(node string) {
-	if _, ok := t.events[node]; !ok {
-		t.order = append(t.order, node)
+func (b *batch) reset(node string) {
+	if _, ok := b.events[node]; !ok {
+		b.order = append(b.order, node)
 	}
-	t.events[node] = nil
+	b.events[node] = nil
 }
 
 // step runs one instance and writes its actions; a panic becomes a Broken line.
 func (h *host) step(now time.Duration, node string, events []choice.Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			_, err = fmt.Fprintf(h.out, "%s\n", wire.Broken(node, fmt.Sprint(p)))
+			_, err = fmt.Fprintf(h.out, "%s\n", wire.BrokenLine(node, fmt.Sprint(p)))
 		}
 	}()
-	for _, a := range h.nodes[node].Step(now, events) {
-		b, err := wire.Action(node, a)
+	for _, a := range h.instances[node].Step(now, events) {
+		b, err := wire.EncodeAction(node, a)
 		if err != nil {
 			return err
 		}
