--- a/internal/lab/trial/check.go
+++ b/internal/lab/trial/check.go
@@ -99,7 +99,7 @@
 
 // Truth is what the service itself agreed on, by history: the list before the first of the changes, and those.
 type Truth struct {
-	From    catalog.List
+	From    catalog.List `json:"From"`
 	Changes []catalog.Change
 }
 
--- a/internal/lab/trial/ownership_check.go
+++ b/internal/lab/trial/ownership_check.go
@@ -90,9 +90,9 @@
 // Era is a map that was agreed on, or may have been.
 type Era struct {
 	Number int64
-	Sum    uint64                // of its bytes
-	Asked  time.Duration         // nobody can have it before
-	Known  time.Duration         // the directory had it by then; never: that is not known
+	Sum    uint64                `json:"Sum"`   // of its bytes
+	Asked  time.Duration         `json:"Asked"` // nobody can have it before
+	Known  time.Duration         `json:"Known"` // the directory had it by then; never: that is not known
 	Owned  map[int]ownership.Set // by node; one that is not in the map owns nothing
 }
 
