--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,104 +7,104 @@
 	"starlingusher/choice"
 )
 
-type conf struct {
-	FleetSize  int `json:"fleetSize"`
-	Categories []struct {
-		Aim        float64 `json:"aim"`
-		AimStretch float64 `json:"aimStretch"`
-		Deadline   float64 `json:"deadline"`
-		Effect     string  `json:"effect"`
-		Group      string  `json:"group"`
-		Ordered    bool    `json:"fifoByKey"`
-		LateWorth  float64 `json:"lateWorth"`
-		Window     float64 `json:"window"`
-		Worth      float64 `json:"worth"`
+type simulatorSettings struct {
+	FleetSize int `json:"fleetSize"`
+	Classes   []struct {
+		SoftDeadline        float64 `json:"aim"`
+		SoftDeadlineStretch float64 `json:"aimStretch"`
+		Deadline            float64 `json:"deadline"`
+		Effect              string  `json:"effect"`
+		Group               string  `json:"group"`
+		Ordered             bool    `json:"fifoByKey"`
+		LateWorth           float64 `json:"lateWorth"`
+		DedupWindow         float64 `json:"window"`
+		Worth               float64 `json:"worth"`
 	} `json:"categories"`
 	Discovery string `json:"discovery"`
 	Domain    struct {
-		Decay   string    `json:"decay"`
-		Apart   []bool    `json:"separateRoutes"`
-		Batch   []int     `json:"kindBatch"`
-		Workers int       `json:"workers"`
-		Fee     []float64 `json:"feeByZone"`
+		Decay          string    `json:"decay"`
+		SeparateRoutes []bool    `json:"separateRoutes"`
+		MaxBatch       []int     `json:"kindBatch"`
+		Slots          int       `json:"workers"`
+		ZoneFee        []float64 `json:"feeByZone"`
 	} `json:"domain"`
 	Limits struct {
-		DialTimeout   float64 `json:"dialTimeout"`
-		ConnIdle      float64 `json:"connIdle"`
-		MaxAttempts   int     `json:"maxAttempts"`
-		MaxOpen       int     `json:"maxOpen"`
-		MaxRetryAfter float64 `json:"maxRetryAfter"`
-		Probes        bool    `json:"probes"`
-		Cancel        bool    `json:"cancel"`
-		MayDuplicate  bool    `json:"mayDuplicate"`
-		RetryAfter    bool    `json:"retryAfter"`
+		DialTimeout     float64 `json:"dialTimeout"`
+		IdleConnTimeout float64 `json:"connIdle"`
+		MaxAttempts     int     `json:"maxAttempts"`
+		MaxOpen         int     `json:"maxOpen"`
+		MaxRetryAfter   float64 `json:"maxRetryAfter"`
+		Probes          bool    `json:"probes"`
+		Cancel          bool    `json:"cancel"`
+		MayDuplicate    bool    `json:"mayDuplicate"`
+		RetryAfter      bool    `json:"retryAfter"`
 	} `json:"limits"`
 	OverShareWorth float64 `json:"overShareWorth"`
 	Contract       struct {
-		Grace        float64 `json:"graceToAnswer"`
-		MustAskIn    float64 `json:"mustAskIn"`
-		ColdFrom     float64 `json:"coldFrom"`
-		WarmWithin   float64 `json:"warmWithin"`
-		StopSending  float64 `json:"stopSendingWithin"`
-		FallMultiple float64 `json:"fallMultiple"`
-		Fall         float64 `json:"fall"`
-		OrderSettle  float64 `json:"orderSettle"`
+		AnswerGrace       float64 `json:"graceToAnswer"`
+		WatchWithin       float64 `json:"mustAskIn"`
+		SlowStartShare    float64 `json:"coldFrom"`
+		SlowStartDuration float64 `json:"warmWithin"`
+		DrainGrace        float64 `json:"stopSendingWithin"`
+		CollapseMultiple  float64 `json:"fallMultiple"`
+		CollapseSpan      float64 `json:"fall"`
+		KeyPause          float64 `json:"orderSettle"`
 	} `json:"contract"`
-	Customers []struct {
-		PerS float64 `json:"allowancePerS"`
+	Tenants []struct {
+		PerSecond float64 `json:"allowancePerS"`
 	} `json:"customers"`
 	Tick    float64 `json:"tick"`
 	Weights string  `json:"weights"`
 }
 
-var effects = map[string]choice.Effect{
+var effectByWord = map[string]choice.Effect{
 	"idempotent": choice.Idempotent, "deduplicated": choice.Deduplicated, "at_most_once": choice.AtMostOnce,
 }
 
 // ParseSettings converts the settings of a Born line.
 func ParseSettings(raw json.RawMessage) (choice.Settings, error) {
-	var c conf
+	var c simulatorSettings
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return choice.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := choice.Settings{
-		FleetSize: c.FleetSize, Slots: c.Domain.Workers, MaxOpen: c.Limits.MaxOpen,
+		FleetSize: c.FleetSize, Slots: c.Domain.Slots, MaxOpen: c.Limits.MaxOpen,
 		MaxAttempts: c.Limits.MaxAttempts, MayDuplicate: c.Limits.MayDuplicate, MayProbe: c.Limits.Probes,
 		MayCancel: c.Limits.Cancel, WatchOnRequest: c.Discovery == "on_request",
 		WorthHalves:  c.Domain.Decay == "halves",
 		RoughWeights: c.Weights == "rough", WeightIsRate: c.Weights == "rough" || c.Weights == "nominal",
-		OverShareWorth: c.OverShareWorth, ZoneFee: c.Domain.Fee, Tick: Time(c.Tick),
-		DialTimeout: Time(c.Limits.DialTimeout), IdleConnTimeout: Time(c.Limits.ConnIdle), DrainGrace: Time(c.Contract.StopSending),
-		AnswerGrace: Time(c.Contract.Grace), CollapseMultiple: c.Contract.FallMultiple,
-		CollapseSpan: Time(c.Contract.Fall), SlowStartShare: c.Contract.ColdFrom, SlowStartDuration: Time(c.Contract.WarmWithin),
-		KeyPause: Time(c.Contract.OrderSettle), WatchWithin: Time(c.Contract.MustAskIn),
+		OverShareWorth: c.OverShareWorth, ZoneFee: c.Domain.ZoneFee, Tick: Duration(c.Tick),
+		DialTimeout: Duration(c.Limits.DialTimeout), IdleConnTimeout: Duration(c.Limits.IdleConnTimeout), DrainGrace: Duration(c.Contract.DrainGrace),
+		AnswerGrace: Duration(c.Contract.AnswerGrace), CollapseMultiple: c.Contract.CollapseMultiple,
+		CollapseSpan: Duration(c.Contract.CollapseSpan), SlowStartShare: c.Contract.SlowStartShare, SlowStartDuration: Duration(c.Contract.SlowStartDuration),
+		KeyPause: Duration(c.Contract.KeyPause), WatchWithin: Duration(c.Contract.WatchWithin),
 	}
 	if c.Limits.RetryAfter {
-		s.MaxRetryAfter = Time(c.Limits.MaxRetryAfter)
+		s.MaxRetryAfter = Duration(c.Limits.MaxRetryAfter)
 	}
-	for i, k := range c.Categories {
-		effect, ok := effects[k.Effect]
+	for i, k := range c.Classes {
+		effect, ok := effectByWord[k.Effect]
 		if !ok {
 			return s, fmt.Errorf("settings: class %d has unknown effect %q", i, k.Effect)
 		}
 		s.Classes = append(s.Classes, choice.Class{
-			SoftDeadline: Time(k.Aim), SoftDeadlineStretch: k.AimStretch, Deadline: Time(k.Deadline), Worth: k.Worth,
-			LateWorth: k.LateWorth, Effect: effect, DedupWindow: Time(k.Window), DedupEverywhere: k.Group == "all",
+			SoftDeadline: Duration(k.SoftDeadline), SoftDeadlineStretch: k.SoftDeadlineStretch, Deadline: Duration(k.Deadline), Worth: k.Worth,
+			LateWorth: k.LateWorth, Effect: effect, DedupWindow: Duration(k.DedupWindow), DedupEverywhere: k.Group == "all",
 			Ordered: k.Ordered,
 		})
 	}
-	for i := range max(len(c.Domain.Apart), len(c.Domain.Batch)) {
+	for i := range max(len(c.Domain.SeparateRoutes), len(c.Domain.MaxBatch)) {
 		var k choice.Kind
-		if i < len(c.Domain.Apart) {
-			k.SeparateRoutes = c.Domain.Apart[i]
+		if i < len(c.Domain.SeparateRoutes) {
+			k.SeparateRoutes = c.Domain.SeparateRoutes[i]
 		}
-		if i < len(c.Domain.Batch) {
-			k.MaxBatch = c.Domain.Batch[i]
+		if i < len(c.Domain.MaxBatch) {
+			k.MaxBatch = c.Domain.MaxBatch[i]
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
-	for _, t := range c.Customers {
-		s.Tenants = append(s.Tenants, choice.Tenant{PerSecond: t.PerS})
+	for _, t := range c.Tenants {
+		s.Tenants = append(s.Tenants, choice.Tenant{PerSecond: t.PerSecond})
 	}
 	return s, nil
 }
