--- a/cmd/cottonrack/scale.go
+++ b/cmd/cottonrack/scale.go
@@ -75,7 +75,7 @@
 	opts.Progress = show
 	res, err := scale.Run(a.ctx, f, opts)
 	done()
-	var refused *scale.RefusedError
+	var refused *scale.ResumeError
 	switch {
 	case errors.As(err, &refused):
 		return wrongUse{err}
@@ -99,11 +99,11 @@
 	if err != nil {
 		return err
 	}
-	if passing && len(res.Expects) > 0 && res.Kept {
+	if passing && len(res.Expectations) > 0 && res.Met {
 		return os.RemoveAll(opts.Dir)
 	}
 	fmt.Fprintf(a.err, "results: %s\n", opts.Dir)
-	if !res.Kept {
+	if !res.Met {
 		return errNotKept
 	}
 	return nil
@@ -123,7 +123,7 @@
 	if err != nil {
 		return o, err
 	}
-	o.Node, o.Self, o.Command = node, self, []string{self, "--log-level", "info", "lab", "scale-play"}
+	o.NodeProgram, o.LabProgram, o.Command = node, self, []string{self, "--log-level", "info", "lab", "scale-play"}
 	o.Build = scale.Build{Commit: commit(), Programs: map[string]string{}}
 	switch {
 	case o.Build.Commit == "":
@@ -169,14 +169,14 @@
 }
 
 // scaleProgress shows how far a run is: one line that changes on a terminal, a plain line with each play and each ten seconds elsewhere.
-func (a *app) scaleProgress(f scale.File) (show func(scale.Progress), done func()) {
+func (a *app) scaleProgress(f scale.RunFile) (show func(scale.Progress), done func()) {
 	line := func(p scale.Progress) string {
 		left := "time left not known yet"
-		if p.Guessed {
-			left = fmt.Sprintf("some %v left", p.Left.Round(time.Second))
+		if p.RemainingKnown {
+			left = fmt.Sprintf("some %v left", p.Remaining.Round(time.Second))
 		}
-		return fmt.Sprintf("%s: play %d of %d, %v %g for %v, %d MB in %d processes, %s", f.Name, p.Done+1, p.All, f.Axis.Per, p.X, p.For.Round(time.Second),
-			p.RSS>>20, p.Procs, left)
+		return fmt.Sprintf("%s: play %d of %d, %v %g for %v, %d MB in %d processes, %s", f.Name, p.Done+1, p.Total, f.Axis.XUnit, p.X, p.Elapsed.Round(time.Second),
+			p.RSS>>20, p.Processes, left)
 	}
 	if file, ok := a.err.(*os.File); ok && term.IsTerminal(int(file.Fd())) {
 		return func(p scale.Progress) { fmt.Fprintf(a.err, "\r\x1b[K%s", line(p)) }, func() { fmt.Fprint(a.err, "\r\x1b[K") }
@@ -192,19 +192,19 @@
 
 func printScale(w io.Writer, res *scale.Result) error {
 	verdict := "kept"
-	if !res.Kept {
+	if !res.Met {
 		verdict = "NOT KEPT"
 	}
-	if len(res.Expects) == 0 && res.Kept {
+	if len(res.Expectations) == 0 && res.Met {
 		verdict = "played"
 	}
-	fmt.Fprintf(w, "%s: %s. %d points of %s, %d plays each; %d spoilt by the machine, %d failed\n", res.Name, verdict, len(res.Points), res.Axis, res.Plays, res.Spoilt, res.Failed)
+	fmt.Fprintf(w, "%s: %s. %d points of %s, %d plays each; %d spoilt by the machine, %d failed\n", res.Name, verdict, len(res.Points), res.Axis, res.Plays, res.Disturbed, res.Failed)
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\tunit\tform\tat 0\tslope\tsquare\tspread\tfrom\tto\tworst")
 	for _, f := range res.Fits {
 		s := f.Slope
 		if s == nil {
-			fmt.Fprintf(t, "%s\t%s\t%s\n", f.ID, f.Unit, strings.Join(f.Why, "; "))
+			fmt.Fprintf(t, "%s\t%s\t%s\n", f.ID, f.Unit, strings.Join(f.Reasons, "; "))
 			continue
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%.2g\t%g\t%g\t%.1f%%\n", f.ID, f.Unit, s.Form, s.Intercept, s.LinearCoef, s.QuadraticCoef, s.StdErr, s.From, s.To, 100*s.MaxResidual)
@@ -212,20 +212,20 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, e := range res.Ends {
+	for _, e := range res.Limits {
 		fmt.Fprintf(w, "  today's program ends at %g: %s\n", e.X, strings.Join(e.Reasons, "; "))
 	}
 	for _, k := range res.Records {
-		if k.Failed != "" {
-			fmt.Fprintf(w, "  failed at %g, play %d: %s\n", k.X, k.Play, k.Failed)
+		if k.Failure != "" {
+			fmt.Fprintf(w, "  failed at %g, play %d: %s\n", k.X, k.Play, k.Failure)
 		}
-		for _, why := range k.Spoilt() {
+		for _, why := range k.Disturbances() {
 			fmt.Fprintf(w, "  spoilt at %g, play %d: %s\n", k.X, k.Play, why)
 		}
 	}
-	for _, k := range res.Expects {
-		if !k.Kept {
-			fmt.Fprintf(w, "  not kept: %s; got %s\n", k.What, k.Got)
+	for _, k := range res.Expectations {
+		if !k.Met {
+			fmt.Fprintf(w, "  not kept: %s; got %s\n", k.Expected, k.Got)
 		}
 	}
 	return nil
@@ -243,7 +243,7 @@
 		}
 		var all []axis
 		for _, x := range axes() {
-			all = append(all, axis{x.Name, x.About, x.Per, x.Measures, x.Settings})
+			all = append(all, axis{x.Name, x.Description, x.XUnit, x.Measures, x.Settings})
 		}
 		return printJSON(a.out, all)
 	}
@@ -252,17 +252,17 @@
 		if i > 0 {
 			fmt.Fprintln(t)
 		}
-		fmt.Fprintf(t, "%s, by %s: %s\n", x.Name, x.Per, x.About)
+		fmt.Fprintf(t, "%s, by %s: %s\n", x.Name, x.XUnit, x.Description)
 		for _, m := range x.Measures {
 			exact := ""
 			if m.Exact {
 				exact = ", exact"
 			}
-			fmt.Fprintf(t, "  %s\t%s%s\t%s\n", m.ID, m.Unit, exact, m.What)
+			fmt.Fprintf(t, "  %s\t%s%s\t%s\n", m.ID, m.Unit, exact, m.Description)
 		}
 		for _, name := range slices.Sorted(maps.Keys(x.Settings)) {
 			s := x.Settings[name]
-			fmt.Fprintf(t, "  %s\t%g (%g to %g)\t%s\n", name, s.Default, s.Least, s.Most, s.About)
+			fmt.Fprintf(t, "  %s\t%g (%g to %g)\t%s\n", name, s.Default, s.Min, s.Max, s.Description)
 		}
 	}
 	return t.Flush()
@@ -271,4 +271,4 @@
 type labScalePlayCmd struct{}
 
 // Run plays one play, as its run asks for on the standard input.
-func (labScalePlayCmd) Run(a *app) error { return scale.PlayOne(a.ctx, os.Stdin, a.out, axes(), a.log) }
+func (labScalePlayCmd) Run(a *app) error { return scale.RunPlay(a.ctx, os.Stdin, a.out, axes(), a.log) }
--- a/internal/lab/scale/burden/burden_test.go
+++ b/internal/lab/scale/burden/burden_test.go
@@ -24,11 +24,11 @@
 // spec is a play of an axis with its defaults but for what is given.
 func spec(t *testing.T, a play.Axis, x float64, seed uint64, set map[string]float64) play.Spec {
 	t.Helper()
-	all, err := a.Fill(set)
+	all, err := a.FillSettings(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return play.Spec{Axis: a.Name, X: x, Seed: seed, Dir: t.TempDir(), Set: all}
+	return play.Spec{Axis: a.Name, X: x, Seed: seed, Dir: t.TempDir(), Settings: all}
 }
 
 func playOf(t *testing.T, a play.Axis, s play.Spec) play.Reading {
@@ -38,12 +38,12 @@
 		t.Fatal(err)
 	}
 	for id := range r.Values {
-		if _, ok := a.Measure(id); !ok {
+		if _, ok := a.FindMeasure(id); !ok {
 			t.Errorf("%s is read and not declared", id)
 		}
 	}
-	if len(r.Spoilt) > 0 {
-		t.Errorf("spoilt: %v", r.Spoilt)
+	if len(r.Disturbed) > 0 {
+		t.Errorf("spoilt: %v", r.Disturbed)
 	}
 	return r
 }
@@ -215,9 +215,9 @@
 	a, node := held(), program(t)
 	sets := map[string]float64{"destinations": 5, "clients": 8}
 	s := spec(t, a, 300, 1, sets)
-	s.Node = node
+	s.NodeProgram = node
 	r := playOf(t, a, s)
-	if len(r.Ended()) > 0 || len(r.Values) != len(a.Measures) {
+	if len(r.Limits()) > 0 || len(r.Values) != len(a.Measures) {
 		t.Fatalf("read %v, notes %v", r.Values, r.Notes)
 	}
 	// The body, and what stands around it: 8 bytes of head, kind, number, id, key, class, destination, deadline, lengths, tenant.
@@ -236,9 +236,9 @@
 		set := maps.Clone(sets)
 		set[name] = v
 		s := spec(t, a, 300, 1, set)
-		s.Node = node
+		s.NodeProgram = node
 		r := playOf(t, a, s)
-		if len(r.Ended()) != 1 {
+		if len(r.Limits()) != 1 {
 			t.Errorf("%s %v: no end is told: %v", name, v, r.Notes)
 		}
 		if taken := r.Counts["journal_taken"]; taken < end.least || taken > end.most {
--- a/internal/lab/scale/burden/down.go
+++ b/internal/lab/scale/burden/down.go
@@ -17,29 +17,29 @@
 // down is the axis of the destinations that are down.
 func down() play.Axis {
 	return play.Axis{
-		Name: "down",
-		Per:  "destination down",
-		About: "Of the destinations that a node has traffic for, D are down: each call and probe there fails. The decision module alone, on a " +
+		Name:  "down",
+		XUnit: "destination down",
+		Description: "Of the destinations that a node has traffic for, D are down: each call and probe there fails. The decision module alone, on a " +
 			"clock of its own: what it sends there once it knows, and the processor time of its steps. The module asks for no probe of its own " +
 			"accord today: what it sends are trials, with events that wait. A step walks the destinations that something waits for by their square " +
 			"where all their endpoints failed last (choice.go: release, next, lameHeld).",
 		Measures: []play.Measure{
-			{ID: "node.down.probes", What: "probes and calls to destinations that are down, once that is known, all together", Unit: "count/s", Exact: true},
-			{ID: "node.down.cpu", What: "processor time of the decision module's steps, by the destinations that are down", Unit: "s/s"},
-			{ID: "node.down.step", What: "processor time of a step, in the mean, by the destinations that are down", Unit: "s"},
-			{ID: "node.down.heap", What: "heap of the module, by the destinations that are down", Unit: "B"},
+			{ID: "node.down.probes", Description: "probes and calls to destinations that are down, once that is known, all together", Unit: "count/s", Exact: true},
+			{ID: "node.down.cpu", Description: "processor time of the decision module's steps, by the destinations that are down", Unit: "s/s"},
+			{ID: "node.down.step", Description: "processor time of a step, in the mean, by the destinations that are down", Unit: "s"},
+			{ID: "node.down.heap", Description: "heap of the module, by the destinations that are down", Unit: "B"},
 		},
 		Settings: map[string]play.Setting{
-			"destinations": {Default: 2000, Least: 1, Most: 400000, About: "that there is traffic for, evenly"},
-			"rate":         {Default: 232, Least: 0.01, Most: 10000, About: "events a second"},
-			"deadline":     {Default: 15, Least: 1, Most: 86400, About: "seconds that an event may take"},
-			"silent":       {Default: 0, Least: 0, Most: 1, About: "share of those down that don't answer; the others refuse connections"},
-			"slots":        {Default: 64, Least: 1, Most: 10000, About: "calls out at once"},
+			"destinations": {Default: 2000, Min: 1, Max: 400000, Description: "that there is traffic for, evenly"},
+			"rate":         {Default: 232, Min: 0.01, Max: 10000, Description: "events a second"},
+			"deadline":     {Default: 15, Min: 1, Max: 86400, Description: "seconds that an event may take"},
+			"silent":       {Default: 0, Min: 0, Max: 1, Description: "share of those down that don't answer; the others refuse connections"},
+			"slots":        {Default: 64, Min: 1, Max: 10000, Description: "calls out at once"},
 			// 232 events a second over 2,000 destinations are a quarter of the half event a second that each gets from all nodes.
-			"fleet":   {Default: 4, Least: 1, Most: 100000, About: "nodes altogether, as the module is told; what a destination takes is parted among them"},
-			"weight":  {Default: 2, Least: 0, Most: 10000, About: "calls a second that a destination takes; 0: not known"},
-			"warm":    {Default: 20, Least: 0, Most: 3600, About: "seconds before anything is counted"},
-			"seconds": {Default: 20, Least: 1, Most: 3600, About: "seconds that are counted"},
+			"fleet":   {Default: 4, Min: 1, Max: 100000, Description: "nodes altogether, as the module is told; what a destination takes is parted among them"},
+			"weight":  {Default: 2, Min: 0, Max: 10000, Description: "calls a second that a destination takes; 0: not known"},
+			"warm":    {Default: 20, Min: 0, Max: 3600, Description: "seconds before anything is counted"},
+			"seconds": {Default: 20, Min: 1, Max: 3600, Description: "seconds that are counted"},
 		},
 		Play: playDown,
 	}
@@ -47,19 +47,19 @@
 
 func playDown(ctx context.Context, s play.Spec, _ *slog.Logger) (play.Reading, error) {
 	var r play.Reading
-	n, d := int(s.Set["destinations"]), int(s.X)
+	n, d := int(s.Settings["destinations"]), int(s.X)
 	if d > n {
 		return r, fmt.Errorf("%d destinations can't be down of %d", d, n)
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	seconds := func(name string) time.Duration { return time.Duration(s.Set[name] * float64(time.Second)) }
+	seconds := func(name string) time.Duration { return time.Duration(s.Settings[name] * float64(time.Second)) }
 	before := liveHeap()
-	sender := choice.New(settings(int(s.Set["fleet"]), int(s.Set["slots"]), seconds("deadline")), s.Seed)
+	sender := choice.New(settings(int(s.Settings["fleet"]), int(s.Settings["slots"]), seconds("deadline")), s.Seed)
 	m := &meter{of: sender}
-	w := newWorld(m, n, d, s.Set["silent"], s.Seed)
-	w.every, w.life = time.Duration(float64(time.Second)/s.Set["rate"]), seconds("deadline")
-	w.step(oneEach(n, s.Set["weight"]))
+	w := newWorld(m, n, d, s.Settings["silent"], s.Seed)
+	w.every, w.life = time.Duration(float64(time.Second)/s.Settings["rate"]), seconds("deadline")
+	w.step(oneEach(n, s.Settings["weight"]))
 	if err := w.run(ctx, seconds("warm")); err != nil {
 		return r, err
 	}
@@ -72,22 +72,22 @@
 	if m.err != nil {
 		return r, m.err
 	}
-	span := s.Set["seconds"]
-	r.Value("node.down.probes", float64(w.count.probes+w.count.callsDown)/span)
-	r.Value("node.down.cpu", m.used.Seconds()/span)
-	r.Value("node.down.step", m.mean())
-	r.Count("probes", float64(w.count.probes))
-	r.Count("calls_down", float64(w.count.callsDown))
-	r.Count("calls", float64(w.count.calls))
-	r.Count("arrived", float64(w.count.arrived))
-	r.Count("refused", float64(w.count.refused))
-	r.Count("delivered", float64(w.count.delivered))
-	r.Count("steps", float64(m.steps))
-	r.Count("step_longest_s", m.most.Seconds())
-	r.Count("listed", float64(listed))
-	r.Count("avoided", float64(avoided)) // when the count began
+	span := s.Settings["seconds"]
+	r.SetValue("node.down.probes", float64(w.count.probes+w.count.callsDown)/span)
+	r.SetValue("node.down.cpu", m.used.Seconds()/span)
+	r.SetValue("node.down.step", m.mean())
+	r.SetCount("probes", float64(w.count.probes))
+	r.SetCount("calls_down", float64(w.count.callsDown))
+	r.SetCount("calls", float64(w.count.calls))
+	r.SetCount("arrived", float64(w.count.arrived))
+	r.SetCount("refused", float64(w.count.refused))
+	r.SetCount("delivered", float64(w.count.delivered))
+	r.SetCount("steps", float64(m.steps))
+	r.SetCount("step_longest_s", m.most.Seconds())
+	r.SetCount("listed", float64(listed))
+	r.SetCount("avoided", float64(avoided)) // when the count began
 	w.queue, w.attempts, w.over = nil, nil, nil
-	r.Value("node.down.heap", liveHeap()-before)
+	r.SetValue("node.down.heap", liveHeap()-before)
 	runtime.KeepAlive(sender)
 	return r, nil
 }
--- a/internal/lab/scale/burden/formats_test.go
+++ b/internal/lab/scale/burden/formats_test.go
@@ -18,13 +18,13 @@
 	}
 	var all []axis
 	for _, a := range Axes() {
-		pinned := axis{a.Name, a.Per, nil, map[string]play.Setting{}}
+		pinned := axis{a.Name, a.XUnit, nil, map[string]play.Setting{}}
 		for _, m := range a.Measures {
-			m.What = ""
+			m.Description = ""
 			pinned.Measures = append(pinned.Measures, m)
 		}
 		for name, s := range a.Settings {
-			s.About = ""
+			s.Description = ""
 			pinned.Settings[name] = s
 		}
 		all = append(all, pinned)
--- a/internal/lab/scale/burden/held.go
+++ b/internal/lab/scale/burden/held.go
@@ -15,35 +15,35 @@
 // held is the axis of the events that a node holds because nobody takes them.
 func held() play.Axis {
 	return play.Axis{
-		Name: "held",
-		Per:  "event",
-		About: "A node holds N events that no partner takes. The decision module alone: one event more in a step, a step in which nothing " +
+		Name:  "held",
+		XUnit: "event",
+		Description: "A node holds N events that no partner takes. The decision module alone: one event more in a step, a step in which nothing " +
 			"happens, and its memory. A real node: memory and file with N events handed in by clients, then a kill and the time until it is ready " +
 			"again. Each step walks all that is held twice (choice.go: expire and arm), and the destinations that something waits for by their " +
 			"square where all their endpoints failed last (release, next, lameHeld).",
 		Measures: []play.Measure{
-			{ID: "module.held.step", What: "processor time of a step that takes one event, by the events held", Unit: "s"},
-			{ID: "module.held.wake", What: "processor time of a step in which nothing happens, by the events held", Unit: "s"},
-			{ID: "module.held.heap", What: "heap of the module, by the events held", Unit: "B"},
-			{ID: "journal.held.rss", What: "resident memory of a real node, module included, by the events held", Unit: "B"},
-			{ID: "journal.held.file", What: "the journal's file, by the events held", Unit: "B"},
-			{ID: "journal.start", What: "from a real node's start after a kill until it answers, by the events held", Unit: "s"},
-			{ID: "journal.start.rss", What: "most memory that a real node held in a start after a kill, by the events held", Unit: "B"},
-			{ID: "journal.stall", What: "longest that one event handed in alone waited for its answer, by the events held", Unit: "s"},
+			{ID: "module.held.step", Description: "processor time of a step that takes one event, by the events held", Unit: "s"},
+			{ID: "module.held.wake", Description: "processor time of a step in which nothing happens, by the events held", Unit: "s"},
+			{ID: "module.held.heap", Description: "heap of the module, by the events held", Unit: "B"},
+			{ID: "journal.held.rss", Description: "resident memory of a real node, module included, by the events held", Unit: "B"},
+			{ID: "journal.held.file", Description: "the journal's file, by the events held", Unit: "B"},
+			{ID: "journal.start", Description: "from a real node's start after a kill until it answers, by the events held", Unit: "s"},
+			{ID: "journal.start.rss", Description: "most memory that a real node held in a start after a kill, by the events held", Unit: "B"},
+			{ID: "journal.stall", Description: "longest that one event handed in alone waited for its answer, by the events held", Unit: "s"},
 		},
 		Settings: map[string]play.Setting{
-			"destinations": {Default: 100, Least: 1, Most: 10000, About: "that the events are for, evenly"},
-			"fleet":        {Default: 820, Least: 1, Most: 100000, About: "nodes altogether, as the node is told"},
-			"journal_most": {Default: 200000, Least: 0, Most: 1e7, About: "events from which on the real node is left out; 0 leaves it out"},
-			"body":         {Default: 200, Least: 0, Most: 60000, About: "bytes of an event's body"},
-			"clients":      {Default: 256, Least: 1, Most: 300, About: "connections that hand events in"},
-			"load_seconds": {Default: 120, Least: 1, Most: 3600, About: "within which the real node must have taken all events"},
-			"max_open":     {Default: 0, Least: 0, Most: 1e9, About: "events that the real node may hold; 0: as many as it takes"},
-			"disk_mb":      {Default: 0, Least: 0, Most: 1 << 20, About: "of the real node's lasting folder; 0: as much as it takes"},
-			"memory_mb":    {Default: 8192, Least: 16, Most: 1 << 20, About: "of the real node"},
-			"cores":        {Default: 1, Least: 0.1, Most: 64, About: "of the real node from its second start on"},
+			"destinations": {Default: 100, Min: 1, Max: 10000, Description: "that the events are for, evenly"},
+			"fleet":        {Default: 820, Min: 1, Max: 100000, Description: "nodes altogether, as the node is told"},
+			"journal_most": {Default: 200000, Min: 0, Max: 1e7, Description: "events from which on the real node is left out; 0 leaves it out"},
+			"body":         {Default: 200, Min: 0, Max: 60000, Description: "bytes of an event's body"},
+			"clients":      {Default: 256, Min: 1, Max: 300, Description: "connections that hand events in"},
+			"load_seconds": {Default: 120, Min: 1, Max: 3600, Description: "within which the real node must have taken all events"},
+			"max_open":     {Default: 0, Min: 0, Max: 1e9, Description: "events that the real node may hold; 0: as many as it takes"},
+			"disk_mb":      {Default: 0, Min: 0, Max: 1 << 20, Description: "of the real node's lasting folder; 0: as much as it takes"},
+			"memory_mb":    {Default: 8192, Min: 16, Max: 1 << 20, Description: "of the real node"},
+			"cores":        {Default: 1, Min: 0.1, Max: 64, Description: "of the real node from its second start on"},
 			// With one a step takes one event, as the loop is run for each that comes, and the load takes time by the square of the events.
-			"load_cores": {Default: 4, Least: 0.1, Most: 64, About: "of the real node while it is filled"},
+			"load_cores": {Default: 4, Min: 0.1, Max: 64, Description: "of the real node while it is filled"},
 		},
 		Play: playHeld,
 	}
@@ -51,13 +51,13 @@
 
 func playHeld(ctx context.Context, s play.Spec, log *slog.Logger) (play.Reading, error) {
 	var r play.Reading
-	n, dests := int(s.X), int(s.Set["destinations"])
-	if err := moduleHeld(ctx, &r, n, dests, int(s.Set["fleet"]), s.Seed); err != nil {
+	n, dests := int(s.X), int(s.Settings["destinations"])
+	if err := moduleHeld(ctx, &r, n, dests, int(s.Settings["fleet"]), s.Seed); err != nil {
 		return r, err
 	}
-	if most := s.Set["journal_most"]; s.X > most {
+	if most := s.Settings["journal_most"]; s.X > most {
 		if most > 0 {
-			r.Note("the real node is left out above %.0f events", most)
+			r.AddNote("the real node is left out above %.0f events", most)
 		}
 		return r, nil
 	}
@@ -107,9 +107,9 @@
 		return fmt.Errorf("the module refused or ended %d of %d events", f.refused, n)
 	}
 	if n > dests { // those of the first round were there before
-		r.Value("module.held.heap", (after-before)*float64(n)/float64(n-dests))
+		r.SetValue("module.held.heap", (after-before)*float64(n)/float64(n-dests))
 	}
-	r.Count("module_calls", float64(f.calls))
+	r.SetCount("module_calls", float64(f.calls))
 
 	m := &meter{of: sender}
 	f.of = m
@@ -135,10 +135,10 @@
 	if f.refused > 0 {
 		return fmt.Errorf("the module refused or ended %d of %d timed events", f.refused, steps)
 	}
-	r.Value("module.held.step", used.Seconds()/float64(steps))
-	r.Value("module.held.wake", wakes.Seconds()/float64(steps))
-	r.Count("module_step_longest_s", most.Seconds())
-	r.Count("module_steps", float64(steps))
+	r.SetValue("module.held.step", used.Seconds()/float64(steps))
+	r.SetValue("module.held.wake", wakes.Seconds()/float64(steps))
+	r.SetCount("module_step_longest_s", most.Seconds())
+	r.SetCount("module_steps", float64(steps))
 	return nil
 }
 
--- a/internal/lab/scale/burden/real.go
+++ b/internal/lab/scale/burden/real.go
@@ -38,7 +38,7 @@
 
 // journalHeld lets clients hand n events in to a real node whose partners take nothing, kills it and starts it again.
 func journalHeld(ctx context.Context, r *play.Reading, s play.Spec, log *slog.Logger) (err error) {
-	n, dests := int(s.X), int(s.Set["destinations"])
+	n, dests := int(s.X), int(s.Settings["destinations"])
 	around, err := newSurroundings(dests)
 	if err != nil {
 		return err
@@ -49,32 +49,32 @@
 		return err
 	}
 	defer func() { err = errors.Join(err, node.close()) }()
-	if _, err := node.start(ctx, s.Set["load_cores"]); err != nil {
+	if _, err := node.start(ctx, s.Settings["load_cores"]); err != nil {
 		return err
 	}
-	c := handers{addr: node.addr, dests: dests, body: strings.Repeat("x", int(s.Set["body"]))}
-	load, cancel := context.WithTimeout(ctx, time.Duration(s.Set["load_seconds"]*float64(time.Second)))
+	c := handers{addr: node.addr, dests: dests, body: strings.Repeat("x", int(s.Settings["body"]))}
+	load, cancel := context.WithTimeout(ctx, time.Duration(s.Settings["load_seconds"]*float64(time.Second)))
 	defer cancel()
 	began := time.Now()
-	longest, err := c.handIn(load, n, int(s.Set["clients"]))
+	longest, err := c.handIn(load, n, int(s.Settings["clients"]))
 	took := time.Since(began).Seconds()
-	r.Count("journal_taken", float64(c.taken.Load()))
-	r.Count("journal_load_s", took)
-	r.Count("journal_load_answer_longest_s", longest.Seconds())
+	r.SetCount("journal_taken", float64(c.taken.Load()))
+	r.SetCount("journal_load_s", took)
+	r.SetCount("journal_load_answer_longest_s", longest.Seconds())
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
 	var refused refusedError
 	switch {
 	case errors.As(err, &refused):
-		r.End("%d events are held, and the next one is refused (%s): max_open %.0f, disk_mb %.0f (0: raised as needed)",
-			c.taken.Load(), refused.answer, s.Set["max_open"], s.Set["disk_mb"])
+		r.AddLimit("%d events are held, and the next one is refused (%s): max_open %.0f, disk_mb %.0f (0: raised as needed)",
+			c.taken.Load(), refused.answer, s.Settings["max_open"], s.Settings["disk_mb"])
 		return nil
 	case load.Err() != nil:
-		r.End("%d of %d events were taken in %.0f s", c.taken.Load(), n, took)
+		r.AddLimit("%d of %d events were taken in %.0f s", c.taken.Load(), n, took)
 		return nil
 	case err != nil && node.ended():
-		r.End("the node ended %v at %d events", node.p.Exit(), c.taken.Load())
+		r.AddLimit("the node ended %v at %d events", node.p.Exit(), c.taken.Load())
 		return nil
 	case err != nil:
 		return err
@@ -93,24 +93,24 @@
 	if err := node.kill(); err != nil {
 		return err
 	}
-	ready, err := node.start(ctx, s.Set["cores"])
+	ready, err := node.start(ctx, s.Settings["cores"])
 	if err != nil {
 		return err
 	}
-	r.Value("journal.held.rss", float64(use.RSS))
-	r.Value("journal.held.file", float64(file.Size()))
-	r.Value("journal.start", ready.Seconds())
+	r.SetValue("journal.held.rss", float64(use.RSS))
+	r.SetValue("journal.held.file", float64(file.Size()))
+	r.SetValue("journal.start", ready.Seconds())
 	stall, mean, err := c.handInAlone(ctx, alone)
 	if err != nil {
 		return fmt.Errorf("after the start: %w", err)
 	}
-	r.Value("journal.stall", stall.Seconds())
-	r.Count("journal_answer_mean_s", mean.Seconds())
+	r.SetValue("journal.stall", stall.Seconds())
+	r.SetCount("journal_answer_mean_s", mean.Seconds())
 	if err := node.kill(); err != nil {
 		return err
 	}
-	r.Value("journal.start.rss", float64(node.p.Exit().RSS))
-	r.Count("journal_start_cpu_s", node.p.Exit().CPU.Seconds())
+	r.SetValue("journal.start.rss", float64(node.p.Exit().RSS))
+	r.SetCount("journal_start_cpu_s", node.p.Exit().CPU.Seconds())
 	return nil
 }
 
@@ -233,16 +233,16 @@
 // configure writes the configuration as the lab does, but for one class that lasts long and for the limits.
 func (n *realNode) configure(cores float64) error {
 	s := n.spec
-	maxOpen, diskMB := s.Set["max_open"], s.Set["disk_mb"]
+	maxOpen, diskMB := s.Settings["max_open"], s.Settings["disk_mb"]
 	if maxOpen == 0 { // the module lets one destination hold no more than what is left for all (admit)
 		maxOpen = 2*s.X + 10000
 	}
 	if diskMB == 0 { // twice what is held must fit
-		diskMB = 64 + 2*(s.X+10000)*(s.Set["body"]+perHeld)/(1<<20)
+		diskMB = 64 + 2*(s.X+10000)*(s.Settings["body"]+perHeld)/(1<<20)
 	}
 	type object = map[string]any
 	settings := object{
-		"fleetSize": int(s.Set["fleet"]), "myNumber": 0, "zone": "z0", "failureDomains": []string{"z0"}, "flavors": []string{"hook"},
+		"fleetSize": int(s.Settings["fleet"]), "myNumber": 0, "zone": "z0", "failureDomains": []string{"z0"}, "flavors": []string{"hook"},
 		"discovery": "pushed", "weights": "nominal", "worthBy": "request", "overShareWorth": 1, "tick": 5.0,
 		"categories": []object{{"name": "c", "aim": 1000.0, "deadline": float64(messageLife / time.Millisecond), "effect": "idempotent",
 			"group": "all", "lateWorth": 0.1, "window": 0.0, "worth": 1.0}},
@@ -255,7 +255,7 @@
 	}
 	raw, err := json.Marshal(object{
 		"name": "held", "listen": n.addr, "discovery": n.around.addr, "seed": fmt.Sprintf("%016x", s.Seed), "known": n.around.list,
-		"limits":   object{"cores": cores, "memory_mb": int64(s.Set["memory_mb"]), "sockets": sockets, "disk_mb": diskMB},
+		"limits":   object{"cores": cores, "memory_mb": int64(s.Settings["memory_mb"]), "sockets": sockets, "disk_mb": diskMB},
 		"settings": settings,
 	})
 	if err != nil {
@@ -280,7 +280,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	began := time.Now()
-	p, err := n.sup.Start(proc.Spec{Name: "held", Command: []string{n.spec.Node}, Env: n.env, Log: n.out, Sockets: sockets})
+	p, err := n.sup.Start(proc.Spec{Name: "held", Command: []string{n.spec.NodeProgram}, Env: n.env, Log: n.out, Sockets: sockets})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/lab/scale/child.go
+++ b/internal/lab/scale/child.go
@@ -13,7 +13,7 @@
 )
 
 // PlayOne reads a Spec as JSON, plays it, and writes its Reading as JSON. It's all that the process of one play does.
-func PlayOne(ctx context.Context, in io.Reader, out io.Writer, axes []play.Axis, log *slog.Logger) error {
+func RunPlay(ctx context.Context, in io.Reader, out io.Writer, axes []play.Axis, log *slog.Logger) error {
 	dec := json.NewDecoder(in)
 	dec.DisallowUnknownFields()
 	var s play.Spec
@@ -25,23 +25,23 @@
 		return fmt.Errorf("spec of a play: there is no axis %q", s.Axis)
 	}
 	var err error
-	if s.Set, err = axes[i].Fill(s.Set); err != nil {
+	if s.Settings, err = axes[i].FillSettings(s.Settings); err != nil {
 		return fmt.Errorf("spec of a play: %w", err)
 	}
 	r, err := axes[i].Play(ctx, s, log)
 	if err != nil {
 		return err
 	}
-	if err := check(axes[i], r); err != nil {
+	if err := checkReading(axes[i], r); err != nil {
 		return err
 	}
 	return json.NewEncoder(out).Encode(r)
 }
 
 // check holds a reading to what its axis says that it reads.
-func check(a play.Axis, r play.Reading) error {
+func checkReading(a play.Axis, r play.Reading) error {
 	for id, v := range r.Values {
-		if _, ok := a.Measure(id); !ok {
+		if _, ok := a.FindMeasure(id); !ok {
 			return fmt.Errorf("the axis %s read %q, which it doesn't name among its figures", a.Name, id)
 		}
 		if math.IsNaN(v) || math.IsInf(v, 0) {
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -18,57 +18,57 @@
 
 // Bounds of a file.
 const (
-	mostPoints = 100
-	mostPlays  = 100
-	mostLimit  = time.Hour
+	maxPoints      = 100
+	maxPlays       = 100
+	maxPlayTimeout = time.Hour
 )
 
 // File is a scale run as its author wrote it.
-type File struct {
-	Name   string
-	About  string
-	Axis   play.Axis
-	Points []float64 // rising
-	Plays  int       // of each point
-	Seed   uint64    // of the first play; each further one has the next
-	Limit  time.Duration
-	Set    map[string]float64 // all settings of the axis
-	Expect []Expect
-	Hash   string // of the text
+type RunFile struct {
+	Name         string
+	Description  string
+	Axis         play.Axis
+	Points       []float64 // rising
+	Plays        int       // of each point
+	Seed         uint64    // of the first play; each further one has the next
+	PlayTimeout  time.Duration
+	Settings     map[string]float64 // all settings of the axis
+	Expectations []Expectation
+	Hash         string // of the text
 }
 
 // Expect is a bound that an exact figure of each play has to keep.
-type Expect struct {
-	ID          string   `toml:"id"`
-	At          *float64 `toml:"at"` // a point; nil: at each
-	Least, Most *float64
+type Expectation struct {
+	ID       string   `toml:"id"`
+	X        *float64 `toml:"at"` // a point; nil: at each
+	Min, Max *float64
 }
 
-func (e Expect) String() string {
+func (e Expectation) String() string {
 	s := e.ID
-	if e.At != nil {
-		s += fmt.Sprintf(" at %v", number(*e.At))
+	if e.X != nil {
+		s += fmt.Sprintf(" at %v", formatNumber(*e.X))
 	}
-	if e.Least != nil {
-		s += fmt.Sprintf(", %v at least", number(*e.Least))
+	if e.Min != nil {
+		s += fmt.Sprintf(", %v at least", formatNumber(*e.Min))
 	}
-	if e.Most != nil {
-		s += fmt.Sprintf(", %v at most", number(*e.Most))
+	if e.Max != nil {
+		s += fmt.Sprintf(", %v at most", formatNumber(*e.Max))
 	}
 	return s
 }
 
 // text is the form of a file.
-type text struct {
-	Name   string             `toml:"name"`
-	About  string             `toml:"about"`
-	Axis   string             `toml:"axis"`
-	Points []float64          `toml:"points"`
-	Plays  int                `toml:"plays"`
-	Seed   int64              `toml:"seed"`
-	Limit  span               `toml:"limit"`
-	Set    map[string]float64 `toml:"set"`
-	Expect []struct {
+type runFileTOML struct {
+	Name         string             `toml:"name"`
+	Description  string             `toml:"about"`
+	Axis         string             `toml:"axis"`
+	Points       []float64          `toml:"points"`
+	Plays        int                `toml:"plays"`
+	Seed         int64              `toml:"seed"`
+	PlayTimeout  durationText       `toml:"limit"`
+	Settings     map[string]float64 `toml:"set"`
+	Expectations []struct {
 		ID    string   `toml:"id"`
 		At    *float64 `toml:"at"`
 		Least *float64 `toml:"least"`
@@ -77,23 +77,23 @@
 }
 
 // span is a time, as "90s".
-type span time.Duration
+type durationText time.Duration
 
-func (s *span) UnmarshalText(raw []byte) error {
+func (s *durationText) UnmarshalText(raw []byte) error {
 	d, err := time.ParseDuration(string(raw))
-	*s = span(d)
+	*s = durationText(d)
 	return err
 }
 
 // Parse reads and checks a file against the axes that there are. Its errors are of type *tomlfile.Error, all that were found, joined.
-func Parse(raw []byte, axes []play.Axis) (File, error) {
-	t := text{Plays: 3, Seed: 1, Limit: span(2 * time.Minute)}
-	if err := tomlfile.Decode(raw, &t, unknown); err != nil {
-		return File{}, err
+func Parse(raw []byte, axes []play.Axis) (RunFile, error) {
+	t := runFileTOML{Plays: 3, Seed: 1, PlayTimeout: durationText(2 * time.Minute)}
+	if err := tomlfile.Decode(raw, &t, unknownKeyMessage); err != nil {
+		return RunFile{}, err
 	}
 	sum := sha256.Sum256(raw)
-	f := File{
-		Name: t.Name, About: t.About, Points: t.Points, Plays: t.Plays, Seed: uint64(t.Seed), Limit: time.Duration(t.Limit), Hash: hex.EncodeToString(sum[:]),
+	f := RunFile{
+		Name: t.Name, Description: t.Description, Points: t.Points, Plays: t.Plays, Seed: uint64(t.Seed), PlayTimeout: time.Duration(t.PlayTimeout), Hash: hex.EncodeToString(sum[:]),
 	}
 	where := tomlfile.KeyLines(raw)
 	var found []error
@@ -105,24 +105,24 @@
 		}
 		found = append(found, &tomlfile.Error{Line: line, Message: fmt.Sprintf(form, args...)})
 	}
-	if !nameForm.MatchString(t.Name) {
+	if !namePattern.MatchString(t.Name) {
 		bad("name", "name is of small letters, digits and dashes, since the results' files are called so")
 	}
-	if t.Plays < 1 || t.Plays > mostPlays {
-		bad("plays", "plays is from 1 to %d", mostPlays)
+	if t.Plays < 1 || t.Plays > maxPlays {
+		bad("plays", "plays is from 1 to %d", maxPlays)
 	}
 	if t.Seed < 1 {
 		bad("seed", "seed is 1 or more")
 	}
-	if f.Limit < time.Second || f.Limit > mostLimit {
-		bad("limit", "limit is from 1s to %v", mostLimit)
+	if f.PlayTimeout < time.Second || f.PlayTimeout > maxPlayTimeout {
+		bad("limit", "limit is from 1s to %v", maxPlayTimeout)
 	}
-	if len(t.Points) == 0 || len(t.Points) > mostPoints {
-		bad("points", "points are from 1 to %d values of the axis", mostPoints)
+	if len(t.Points) == 0 || len(t.Points) > maxPoints {
+		bad("points", "points are from 1 to %d values of the axis", maxPoints)
 	}
 	for i, x := range t.Points {
 		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 || i > 0 && x <= t.Points[i-1] {
-			bad("points", "points are 0 or more, each larger than the one before it; %v is not", number(x))
+			bad("points", "points are 0 or more, each larger than the one before it; %v is not", formatNumber(x))
 		}
 	}
 	i := slices.IndexFunc(axes, func(a play.Axis) bool { return a.Name == t.Axis })
@@ -136,17 +136,17 @@
 	}
 	f.Axis = axes[i]
 	var err error
-	if f.Set, err = f.Axis.Fill(t.Set); err != nil {
+	if f.Settings, err = f.Axis.FillSettings(t.Settings); err != nil {
 		// All of them, so that no mistake hides behind another.
-		for _, name := range slices.Sorted(maps.Keys(t.Set)) {
-			if _, err := f.Axis.Fill(map[string]float64{name: t.Set[name]}); err != nil {
+		for _, name := range slices.Sorted(maps.Keys(t.Settings)) {
+			if _, err := f.Axis.FillSettings(map[string]float64{name: t.Settings[name]}); err != nil {
 				bad("set."+name, "%v", err)
 			}
 		}
 	}
-	for i, e := range t.Expect {
+	for i, e := range t.Expectations {
 		key := fmt.Sprintf("expect[%d]", i)
-		m, ok := f.Axis.Measure(e.ID)
+		m, ok := f.Axis.FindMeasure(e.ID)
 		switch {
 		case !ok:
 			bad(key+".id", "the axis %s reads no figure %q", t.Axis, e.ID)
@@ -160,16 +160,16 @@
 			bad(key+".least", "least is more than most")
 		}
 		if e.At != nil && !slices.Contains(t.Points, *e.At) {
-			bad(key+".at", "%v is no point of this file", number(*e.At))
+			bad(key+".at", "%v is no point of this file", formatNumber(*e.At))
 		}
-		f.Expect = append(f.Expect, Expect{ID: e.ID, At: e.At, Least: e.Least, Most: e.Most})
+		f.Expectations = append(f.Expectations, Expectation{ID: e.ID, X: e.At, Min: e.Least, Max: e.Most})
 	}
 	return f, errors.Join(found...)
 }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*$`)
 
-func unknown(name string) string {
+func unknownKeyMessage(name string) string {
 	if name == "form" {
 		return "the form of a slope is tested, not given"
 	}
--- a/internal/lab/scale/file_test.go
+++ b/internal/lab/scale/file_test.go
@@ -31,16 +31,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Name != "stub-small" || f.Axis.Name != "stub" || len(f.Points) != 4 || f.Points[2] != 4.5 || f.Seed != 7 || f.Limit != 10*time.Second || len(f.Hash) != 64 {
+	if f.Name != "stub-small" || f.Axis.Name != "stub" || len(f.Points) != 4 || f.Points[2] != 4.5 || f.Seed != 7 || f.PlayTimeout != 10*time.Second || len(f.Hash) != 64 {
 		t.Errorf("%+v", f)
 	}
-	if f.Set["mode"] != 2 || f.Set["step"] != 10 { // one given, one by default
-		t.Errorf("settings %v", f.Set)
+	if f.Settings["mode"] != 2 || f.Settings["step"] != 10 { // one given, one by default
+		t.Errorf("settings %v", f.Settings)
 	}
-	if len(f.Expect) != 1 || *f.Expect[0].At != 4.5 || *f.Expect[0].Most != 1e6 {
-		t.Errorf("expected %v", f.Expect)
+	if len(f.Expectations) != 1 || *f.Expectations[0].X != 4.5 || *f.Expectations[0].Max != 1e6 {
+		t.Errorf("expected %v", f.Expectations)
 	}
-	if f, err = Parse([]byte("name = \"a\"\naxis = \"stub\"\npoints = [1]\n"), stubAxes); err != nil || f.Plays != 3 || f.Limit != 2*time.Minute || f.Seed != 1 {
+	if f, err = Parse([]byte("name = \"a\"\naxis = \"stub\"\npoints = [1]\n"), stubAxes); err != nil || f.Plays != 3 || f.PlayTimeout != 2*time.Minute || f.Seed != 1 {
 		t.Errorf("defaults: %+v, %v", f, err)
 	}
 }
@@ -91,10 +91,10 @@
 
 func TestFill(t *testing.T) {
 	given := map[string]float64{"mode": 1}
-	if _, err := stubAxes[0].Fill(given); err != nil || len(given) != 1 {
+	if _, err := stubAxes[0].FillSettings(given); err != nil || len(given) != 1 {
 		t.Errorf("%v, and the given map is now %v", err, given)
 	}
-	if _, err := (play.Axis{Name: "bare"}).Fill(given); err == nil || !strings.Contains(err.Error(), "it has none") {
+	if _, err := (play.Axis{Name: "bare"}).FillSettings(given); err == nil || !strings.Contains(err.Error(), "it has none") {
 		t.Errorf("got %v", err)
 	}
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -23,37 +23,37 @@
 
 // What a fit is held to.
 const (
-	leastPlays   = 3    // of a point, that it is fitted
-	leastPoints  = 3    // of a slope
-	leastScatter = 5e-3 // relative; less than this is told apart by no run
-	tinyShare    = 1e-2 // of the largest figure: what lies below is judged as if it were so large, since nothing is relative to zero
-	trendChance  = 0.01 // a trend in the residuals is one that scatter alone shows less often than this
-	trendMatters = 0.02 // and that the simpler form misses some point by more than this share for it
-	missBound    = 0.10 // by how much of it a form may miss the last point when it is fitted to the others
-	missErrors   = 3    // a miss is one when it is more than so many standard errors
+	minPlaysToFit      = 3    // of a point, that it is fitted
+	minPointsToFit     = 3    // of a slope
+	minRelativeScatter = 5e-3 // relative; less than this is told apart by no run
+	minRelativeSize    = 1e-2 // of the largest figure: what lies below is judged as if it were so large, since nothing is relative to zero
+	trendPValue        = 0.01 // a trend in the residuals is one that scatter alone shows less often than this
+	minTrendResidual   = 0.02 // and that the simpler form misses some point by more than this share for it
+	maxPredictionError = 0.10 // by how much of it a form may miss the last point when it is fitted to the others
+	minMissStdErrors   = 3    // a miss is one when it is more than so many standard errors
 )
 
 // sample is what the plays of one point read of one figure.
 type sample struct {
-	x  float64
-	ys []float64 // one of each play that is fitted
+	x      float64
+	values []float64 // one of each play that is fitted
 }
 
 // curve is a fitted form: y = c[0] + c[1]*x + c[2]*x*x.
 type curve struct {
-	c      [3]float64
-	errors [3]float64 // standard errors, from the plays' scatter
-	order  int        // 0 constant, 1 linear, 2 quadratic
-	chi    float64    // sum of the squares of the residuals, each in standard errors
-	cov    *mat.SymDense
-	scale  float64 // of x, for cov
+	coefs     [3]float64
+	stdErrors [3]float64 // standard errors, from the plays' scatter
+	degree    int        // 0 constant, 1 linear, 2 quadratic
+	chiSquare float64    // sum of the squares of the residuals, each in standard errors
+	cov       *mat.SymDense
+	xScale    float64 // of x, for cov
 }
 
-func (f curve) at(x float64) float64 { return f.c[0] + x*(f.c[1]+x*f.c[2]) }
+func (f curve) valueAt(x float64) float64 { return f.coefs[0] + x*(f.coefs[1]+x*f.coefs[2]) }
 
 // errorAt is the standard error of what the curve tells at x.
-func (f curve) errorAt(x float64) float64 {
-	v := powers(x/f.scale, f.order)
+func (f curve) stdErrorAt(x float64) float64 {
+	v := powers(x/f.xScale, f.degree)
 	return math.Sqrt(max(0, mat.Inner(v, f.cov, v)))
 }
 
@@ -68,14 +68,14 @@
 }
 
 // point is a sample's mean with its standard error.
-type point struct{ x, y, err, size float64 }
+type weightedPoint struct{ x, y, stdErr, size float64 }
 
 // weigh works out each point's mean and its standard error. A point's relative scatter is drawn to that of all points, since few plays
 // tell little of it.
-func weigh(samples []sample) (points []point, freedom int) {
+func weightPoints(samples []sample) (points []weightedPoint, freedom int) {
 	biggest := 0.0
 	for _, s := range samples {
-		biggest = max(biggest, math.Abs(mean(s.ys)))
+		biggest = max(biggest, math.Abs(mean(s.values)))
 	}
 	type scatter struct {
 		squares float64 // relative
@@ -84,15 +84,15 @@
 	each := make([]scatter, len(samples))
 	var all scatter
 	for i, s := range samples {
-		m := mean(s.ys)
-		size := max(math.Abs(m), tinyShare*biggest)
-		p := point{x: s.x, y: m, size: size}
-		for _, y := range s.ys {
+		m := mean(s.values)
+		size := max(math.Abs(m), minRelativeSize*biggest)
+		p := weightedPoint{x: s.x, y: m, size: size}
+		for _, y := range s.values {
 			if size > 0 {
 				each[i].squares += (y - m) / size * (y - m) / size
 			}
 		}
-		each[i].freedom = len(s.ys) - 1
+		each[i].freedom = len(s.values) - 1
 		all.squares += each[i].squares
 		all.freedom += each[i].freedom
 		points = append(points, p)
@@ -104,26 +104,26 @@
 	const asMuchAs = 2 // plays
 	for i := range points {
 		square := (each[i].squares + asMuchAs*pooled) / float64(each[i].freedom+asMuchAs)
-		r := max(math.Sqrt(square), leastScatter)
-		points[i].err = r * points[i].size / math.Sqrt(float64(len(samples[i].ys)))
+		r := max(math.Sqrt(square), minRelativeScatter)
+		points[i].stdErr = r * points[i].size / math.Sqrt(float64(len(samples[i].values)))
 	}
 	return points, all.freedom
 }
 
 // leastSquares fits a form to the points, each weighted by its standard error.
-func leastSquares(points []point, order int) (curve, error) {
+func leastSquares(points []weightedPoint, order int) (curve, error) {
 	n := order + 1
-	f := curve{order: order, scale: 1}
+	f := curve{degree: order, xScale: 1}
 	if len(points) < n {
 		return f, errors.New("fewer points than coefficients")
 	}
 	for _, p := range points {
-		f.scale = max(f.scale, math.Abs(p.x))
+		f.xScale = max(f.xScale, math.Abs(p.x))
 	}
 	normal, right := mat.NewSymDense(n, nil), mat.NewVecDense(n, nil)
 	for _, p := range points {
-		v := powers(p.x/f.scale, order)
-		w := 1 / (p.err * p.err)
+		v := powers(p.x/f.xScale, order)
+		w := 1 / (p.stdErr * p.stdErr)
 		normal.SymRankOne(normal, w, v)
 		right.AddScaledVec(right, w*p.y, v)
 	}
@@ -141,50 +141,50 @@
 	}
 	s := 1.0
 	for i := range n {
-		f.c[i] = c.AtVec(i) / s
-		f.errors[i] = math.Sqrt(f.cov.At(i, i)) / s
-		s *= f.scale
+		f.coefs[i] = c.AtVec(i) / s
+		f.stdErrors[i] = math.Sqrt(f.cov.At(i, i)) / s
+		s *= f.xScale
 	}
 	for _, p := range points {
-		d := (p.y - f.at(p.x)) / p.err
-		f.chi += d * d
+		d := (p.y - f.valueAt(p.x)) / p.stdErr
+		f.chiSquare += d * d
 	}
 	return f, nil
 }
 
 // fitted is a slope's form and figures, and how the form was found.
-type fitted struct {
+type slopeFit struct {
 	curve
-	worst float64  // largest relative residual, or how far the others' fit missed the last point
-	why   []string // what spoke against each simpler form, and what else is to be known
+	maxResidual float64  // largest relative residual, or how far the others' fit missed the last point
+	reasons     []string // what spoke against each simpler form, and what else is to be known
 }
 
 // errNotFitted says that there is too little to fit.
 var errNotFitted = errors.New("not fitted")
 
 // fitSamples finds the simplest form that the samples, rising in x, don't speak against.
-func fitSamples(samples []sample) (fitted, error) {
-	samples = slices.DeleteFunc(slices.Clone(samples), func(s sample) bool { return len(s.ys) < leastPlays })
-	if len(samples) < leastPoints {
-		return fitted{}, fmt.Errorf("%w: %d points with %d plays or more, %d are needed", errNotFitted, len(samples), leastPlays, leastPoints)
+func fitSamples(samples []sample) (slopeFit, error) {
+	samples = slices.DeleteFunc(slices.Clone(samples), func(s sample) bool { return len(s.values) < minPlaysToFit })
+	if len(samples) < minPointsToFit {
+		return slopeFit{}, fmt.Errorf("%w: %d points with %d plays or more, %d are needed", errNotFitted, len(samples), minPlaysToFit, minPointsToFit)
 	}
-	points, freedom := weigh(samples)
-	if !slices.ContainsFunc(points, func(p point) bool { return p.size > 0 }) { // all zero
-		return fitted{curve: curve{order: 0, scale: 1, cov: mat.NewSymDense(1, nil)}}, nil
+	points, freedom := weightPoints(samples)
+	if !slices.ContainsFunc(points, func(p weightedPoint) bool { return p.size > 0 }) { // all zero
+		return slopeFit{curve: curve{degree: 0, xScale: 1, cov: mat.NewSymDense(1, nil)}}, nil
 	}
-	var found fitted
+	var found slopeFit
 	for order := range forms {
 		f, err := leastSquares(points, order)
 		if err != nil {
-			return fitted{}, fmt.Errorf("%w: %w", errNotFitted, err)
+			return slopeFit{}, fmt.Errorf("%w: %w", errNotFitted, err)
 		}
-		found = fitted{curve: f, why: found.why}
-		found.worst = worstResidual(f, points)
-		miss, missErr, foretold := foretell(points, order)
+		found = slopeFit{curve: f, reasons: found.reasons}
+		found.maxResidual = maxRelativeResidual(f, points)
+		miss, missErr, foretold := predictLast(points, order)
 		if foretold {
-			found.worst = max(found.worst, math.Abs(miss))
+			found.maxResidual = max(found.maxResidual, math.Abs(miss))
 		}
-		missed := foretold && math.Abs(miss) > missBound && missErr > missErrors
+		missed := foretold && math.Abs(miss) > maxPredictionError && missErr > minMissStdErrors
 		if order+1 == len(forms) || len(points) < order+3 { // a richer form would have no point left to be tested by
 			return found, nil
 		}
@@ -194,42 +194,42 @@
 		}
 		var against []string
 		// Where the richer form leaves more than scatter, too, it has to lower the sum by as much more: steps are no trend.
-		left := max(1, richer.chi/float64(len(points)-order-2))
-		if p := chance((f.chi-richer.chi)/left, freedom); worstResidual(f, points) > trendMatters && p < trendChance {
+		left := max(1, richer.chiSquare/float64(len(points)-order-2))
+		if p := fTestPValue((f.chiSquare-richer.chiSquare)/left, freedom); maxRelativeResidual(f, points) > minTrendResidual && p < trendPValue {
 			against = append(against, fmt.Sprintf("the residuals of the %s form have a trend (chance %.1g)", forms[order], p))
 		}
-		if better, _, _ := foretell(points, order+1); missed && math.Abs(better) < math.Abs(miss) {
+		if better, _, _ := predictLast(points, order+1); missed && math.Abs(better) < math.Abs(miss) {
 			against = append(against, fmt.Sprintf("the %s form of the others misses the last point by %.0f%%", forms[order], 100*math.Abs(miss)))
 		}
 		switch {
-		case order == 1 && (len(against) > 0 && richer.c[2] <= 0 || missed && miss > 0):
+		case order == 1 && (len(against) > 0 && richer.coefs[2] <= 0 || missed && miss > 0):
 			// Bent down, a parabola falls past its top; the line lies above the measured end.
-			found.why = append(found.why, "grows slower than a line: past the range the line is an upper estimate")
+			found.reasons = append(found.reasons, "grows slower than a line: past the range the line is an upper estimate")
 			return found, nil
 		case len(against) == 0 && missed:
-			found.why = append(found.why, fmt.Sprintf("no form tells the last point from the others; the %s one misses it by %.0f%%", forms[order], 100*math.Abs(miss)))
+			found.reasons = append(found.reasons, fmt.Sprintf("no form tells the last point from the others; the %s one misses it by %.0f%%", forms[order], 100*math.Abs(miss)))
 			return found, nil
 		case len(against) == 0:
 			return found, nil
 		}
-		found.why = append(found.why, against...)
+		found.reasons = append(found.reasons, against...)
 	}
 	return found, nil
 }
 
 // chance is that of scatter alone lowering the sum of squares by so much with one coefficient more.
-func chance(gain float64, freedom int) float64 {
+func fTestPValue(gain float64, freedom int) float64 {
 	if gain <= 0 {
 		return 1
 	}
 	return distuv.F{D1: 1, D2: float64(max(freedom, 1))}.Survival(gain)
 }
 
-func worstResidual(f curve, points []point) float64 {
+func maxRelativeResidual(f curve, points []weightedPoint) float64 {
 	worst := 0.0
 	for _, p := range points {
 		if p.size > 0 {
-			worst = max(worst, math.Abs(p.y-f.at(p.x))/p.size)
+			worst = max(worst, math.Abs(p.y-f.valueAt(p.x))/p.size)
 		}
 	}
 	return worst
@@ -237,14 +237,14 @@
 
 // foretell fits a form to all points but the last, and tells by which share of it the last one is missed (above 0: more was foretold), and
 // by how many standard errors.
-func foretell(points []point, order int) (share, errs float64, ok bool) {
+func predictLast(points []weightedPoint, order int) (share, errs float64, ok bool) {
 	last := points[len(points)-1]
 	f, err := leastSquares(points[:len(points)-1], order)
 	if err != nil || last.size == 0 {
 		return 0, 0, false
 	}
-	d := f.at(last.x) - last.y
-	return d / last.size, math.Abs(d) / math.Hypot(last.err, f.errorAt(last.x)), true
+	d := f.valueAt(last.x) - last.y
+	return d / last.size, math.Abs(d) / math.Hypot(last.stdErr, f.stdErrorAt(last.x)), true
 }
 
 func mean(ys []float64) float64 {
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -17,7 +17,7 @@
 	for _, x := range xs {
 		s := sample{x: x}
 		for range plays {
-			s.ys = append(s.ys, y(x)*(1+noise*(2*rng.Float64()-1)))
+			s.values = append(s.values, y(x)*(1+noise*(2*rng.Float64()-1)))
 		}
 		all = append(all, s)
 	}
@@ -52,16 +52,16 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if f.order != order {
-					t.Fatalf("found %s, worst %v, because %v", forms[f.order], f.worst, f.why)
+				if f.degree != order {
+					t.Fatalf("found %s, worst %v, because %v", forms[f.degree], f.maxResidual, f.reasons)
 				}
 				for _, x := range xs {
-					if off := math.Abs(f.at(x)/y(x) - 1); off > 4*noise {
+					if off := math.Abs(f.valueAt(x)/y(x) - 1); off > 4*noise {
 						t.Errorf("at %v off by %.3f", x, off)
 					}
 				}
-				if f.errors[order] <= 0 || f.errors[order] > math.Abs(c[order]) {
-					t.Errorf("the spread of %v is %v", c[order], f.errors[order])
+				if f.stdErrors[order] <= 0 || f.stdErrors[order] > math.Abs(c[order]) {
+					t.Errorf("the spread of %v is %v", c[order], f.stdErrors[order])
 				}
 			})
 		})
@@ -78,7 +78,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.order != 0 {
+		if f.degree != 0 {
 			wrong++
 		}
 	}
@@ -96,8 +96,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.order == 1 {
-			slopes, spreads = append(slopes, f.c[1]), append(spreads, f.errors[1])
+		if f.degree == 1 {
+			slopes, spreads = append(slopes, f.coefs[1]), append(spreads, f.stdErrors[1])
 		}
 	}
 	m, sum := mean(slopes), 0.0
@@ -122,22 +122,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.order != 2 || !slices.ContainsFunc(f.why, func(w string) bool { return strings.Contains(w, "linear form of the others misses the last point") }) {
-		t.Errorf("found %s because %v", forms[f.order], f.why)
+	if f.degree != 2 || !slices.ContainsFunc(f.reasons, func(w string) bool { return strings.Contains(w, "linear form of the others misses the last point") }) {
+		t.Errorf("found %s because %v", forms[f.degree], f.reasons)
 	}
 	// The wrong form itself, as the test of the forms sees it.
-	points, _ := weigh(samples)
-	miss, errs, ok := foretell(points, 1)
-	if !ok || -miss < 5*missBound || errs < 5*missErrors {
+	points, _ := weightPoints(samples)
+	miss, errs, ok := predictLast(points, 1)
+	if !ok || -miss < 5*maxPredictionError || errs < 5*minMissStdErrors {
 		t.Errorf("the line misses the last point by %v, %v standard errors", miss, errs)
 	}
 	// One point that has slipped is no form, and shows in the worst.
 	slipped := made(rng, xs, 3, 0.01, func(x float64) float64 { return 10 + x })
-	for i := range slipped[1].ys {
-		slipped[1].ys[i] *= 1.5
+	for i := range slipped[1].values {
+		slipped[1].values[i] *= 1.5
 	}
-	if f, err = fitSamples(slipped); err != nil || f.worst < 0.15 {
-		t.Errorf("worst %v, %v", f.worst, err)
+	if f, err = fitSamples(slipped); err != nil || f.maxResidual < 0.15 {
+		t.Errorf("worst %v, %v", f.maxResidual, err)
 	}
 }
 
@@ -148,8 +148,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.order != 1 || f.at(380000) < math.Sqrt(380000) || !slices.ContainsFunc(f.why, func(w string) bool { return strings.Contains(w, "slower") }) {
-		t.Errorf("found %s with %v at 380000 because %v", forms[f.order], f.at(380000), f.why)
+	if f.degree != 1 || f.valueAt(380000) < math.Sqrt(380000) || !slices.ContainsFunc(f.reasons, func(w string) bool { return strings.Contains(w, "slower") }) {
+		t.Errorf("found %s with %v at 380000 because %v", forms[f.degree], f.valueAt(380000), f.reasons)
 	}
 }
 
@@ -174,15 +174,15 @@
 		return all
 	}
 	f, err := fitSamples(exact(func(x float64) float64 { return 120 + 204*x }, 0, 1000, 29000, 380000))
-	if err != nil || f.order != 1 || math.Abs(f.c[1]-204) > 1e-6 || math.Abs(f.c[0]-120) > 1e-3 {
+	if err != nil || f.degree != 1 || math.Abs(f.coefs[1]-204) > 1e-6 || math.Abs(f.coefs[0]-120) > 1e-3 {
 		t.Errorf("%+v, %v", f, err)
 	}
 	f, err = fitSamples(exact(func(x float64) float64 { return 3 * x }, 0, 10, 40, 160))
-	if err != nil || f.order != 1 || math.Abs(f.c[1]-3) > 1e-6 || f.worst > 1e-6 {
+	if err != nil || f.degree != 1 || math.Abs(f.coefs[1]-3) > 1e-6 || f.maxResidual > 1e-6 {
 		t.Errorf("%+v, %v", f, err)
 	}
 	f, err = fitSamples(exact(func(x float64) float64 { return 0 }, 9, 34, 68, 137))
-	if err != nil || f.order != 0 || f.c[0] != 0 || f.worst != 0 {
+	if err != nil || f.degree != 0 || f.coefs[0] != 0 || f.maxResidual != 0 {
 		t.Errorf("%+v, %v", f, err)
 	}
 	// A step up and down again is no trend.
@@ -192,7 +192,7 @@
 		}
 		return 100 + x
 	}, 1000, 4000, 13000, 29000, 100000))
-	if err != nil || f.order != 1 {
-		t.Errorf("found %s because %v, %v", forms[f.order], f.why, err)
+	if err != nil || f.degree != 1 {
+		t.Errorf("found %s because %v, %v", forms[f.degree], f.reasons, err)
 	}
 }
--- a/internal/lab/scale/formats_test.go
+++ b/internal/lab/scale/formats_test.go
@@ -12,7 +12,7 @@
 
 // TestPointsFileFormat pins the file that a run is resumed from: its first line and one line for each play.
 func TestPointsFileFormat(t *testing.T) {
-	var first head
+	var first runHeader
 	var play Record
 	golden.Fill(&first)
 	golden.Fill(&play)
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.line(play); err != nil {
+	if err := s.appendLine(play); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.close(); err != nil {
--- a/internal/lab/scale/hollow/alone.go
+++ b/internal/lab/scale/hollow/alone.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		return err
 	}
-	r.Value(id+".rss", now-a.rss)
-	r.Value(id+".heap", heap()-a.heap)
+	r.SetValue(id+".rss", now-a.rss)
+	r.SetValue(id+".heap", heap()-a.heap)
 	return nil
 }
 
--- a/internal/lab/scale/hollow/axes.go
+++ b/internal/lab/scale/hollow/axes.go
@@ -8,7 +8,7 @@
 }
 
 // quickSetting shortens all waits of an axis, for runs that expect bytes and counts and fit nothing.
-var quickSetting = play.Setting{Default: 0, Least: 0, Most: 1, About: "1: as short as it goes; bytes and counts are as exact, times and memory are rough"}
+var quickSetting = play.Setting{Default: 0, Min: 0, Max: 1, Description: "1: as short as it goes; bytes and counts are as exact, times and memory are rough"}
 
 // endpointsSetting is the list of those axes in which it stays as it is: a node's share of 646,000 endpoints with three owners each.
-var endpointsSetting = play.Setting{Default: 2364, Least: 1, Most: 50_000, About: "endpoints of the list"}
+var endpointsSetting = play.Setting{Default: 2364, Min: 1, Max: 50_000, Description: "endpoints of the list"}
--- a/internal/lab/scale/hollow/changes.go
+++ b/internal/lab/scale/hollow/changes.go
@@ -20,18 +20,18 @@
 
 func changesAxis() play.Axis {
 	return play.Axis{
-		Name: "changes", Per: "change/s",
-		About: "so many endpoints change each second, while hollow nodes follow the list on three replicas of the directory",
+		Name: "changes", XUnit: "change/s",
+		Description: "so many endpoints change each second, while hollow nodes follow the list on three replicas of the directory",
 		Measures: []play.Measure{
-			{ID: "node.change.bytes", What: "bytes both ways of one node's watch, by the changes a second", Unit: "B/s", Exact: true},
-			{ID: "node.change.cpu", What: "processor time of one hollow node, by the changes a second", Unit: "s/s"},
-			{ID: "directory.change.cpu", What: "processor time of the busiest of three replicas, by the changes a second", Unit: "s/s"},
+			{ID: "node.change.bytes", Description: "bytes both ways of one node's watch, by the changes a second", Unit: "B/s", Exact: true},
+			{ID: "node.change.cpu", Description: "processor time of one hollow node, by the changes a second", Unit: "s/s"},
+			{ID: "directory.change.cpu", Description: "processor time of the busiest of three replicas, by the changes a second", Unit: "s/s"},
 		},
 		Settings: map[string]play.Setting{
-			"nodes":     {Default: 100, Least: 1, Most: 820, About: "hollow nodes"},
+			"nodes":     {Default: 100, Min: 1, Max: 820, Description: "hollow nodes"},
 			"endpoints": endpointsSetting,
 			"keep_kb":   keepSetting,
-			"seconds":   {Default: 6, Least: 1, Most: 60, About: "for how long endpoints change"},
+			"seconds":   {Default: 6, Min: 1, Max: 60, Description: "for how long endpoints change"},
 			"quick":     quickSetting,
 		},
 		Play: playChanges,
@@ -75,10 +75,10 @@
 }
 
 func playChanges(ctx context.Context, s play.Spec, log *slog.Logger) (r play.Reading, err error) {
-	nodes, endpoints, rate := int(s.Set["nodes"]), int(s.Set["endpoints"]), s.X
-	lasts := time.Duration(s.Set["seconds"] * float64(time.Second))
+	nodes, endpoints, rate := int(s.Settings["nodes"]), int(s.Settings["endpoints"]), s.X
+	lasts := time.Duration(s.Settings["seconds"] * float64(time.Second))
 	alone := writersTime
-	if s.Set["quick"] > 0 {
+	if s.Settings["quick"] > 0 {
 		lasts, alone = time.Second, 0
 	}
 	svc, err := openService(ctx, s, replicas, false, listOf(endpoints))
@@ -103,7 +103,7 @@
 			return r, err
 		}
 		writer = (after - before) / alone.Seconds()
-		r.Count("writer.cpu", writer)
+		r.SetCount("writer.cpu", writer)
 	}
 	specs, err := g.prepare(nodes)
 	if err == nil {
@@ -119,7 +119,7 @@
 	if err != nil {
 		return r, err
 	}
-	if s.Set["quick"] == 0 {
+	if s.Settings["quick"] == 0 {
 		registry.Sleep(ctx, keptWait)
 	}
 	at := svc.places()
@@ -161,26 +161,26 @@
 		}
 	}
 	n, sec := float64(nodes), took.Seconds()
-	r.Count("written", float64(written))
-	r.Count("behind", behind.Seconds())
+	r.SetCount("written", float64(written))
+	r.SetCount("behind", behind.Seconds())
 	if due := float64(int(rate * lasts.Seconds())); float64(written) < due*lateWrites {
-		r.Spoil("%d of %v changes were written in time", written, due)
+		r.AddDisturbance("%d of %v changes were written in time", written, due)
 	}
 	if bytes[0].conns == nodes && bytes[1].conns == nodes {
 		d := bytes[1].sub(bytes[0])
-		r.Value("node.change.bytes", (d.in+d.out)/n/sec)
-		r.Count("node.change.sent", d.out/n/sec)
+		r.SetValue("node.change.bytes", (d.in+d.out)/n/sec)
+		r.SetCount("node.change.sent", d.out/n/sec)
 		if written > 0 {
-			r.Count("change.bytes", d.in/n/float64(written))
+			r.SetCount("change.bytes", d.in/n/float64(written))
 		}
 	} else {
-		r.Note("%d hollow nodes had %d and then %d watches, so node.change.bytes is missing", nodes, bytes[0].conns, bytes[1].conns)
+		r.AddNote("%d hollow nodes had %d and then %d watches, so node.change.bytes is missing", nodes, bytes[0].conns, bytes[1].conns)
 	}
-	r.Value("node.change.cpu", ((used[1]-used[0])/sec-writer)/n)
+	r.SetValue("node.change.cpu", ((used[1]-used[0])/sec-writer)/n)
 	busy := dir[1].since(dir[0])
-	r.Value("directory.change.cpu", slices.Max(busy)/sec)
+	r.SetValue("directory.change.cpu", slices.Max(busy)/sec)
 	for i := range busy {
-		r.Count(fmt.Sprintf("directory.%d.cpu", i), busy[i]/sec)
+		r.SetCount(fmt.Sprintf("directory.%d.cpu", i), busy[i]/sec)
 	}
 	return r, nil
 }
--- a/internal/lab/scale/hollow/destinations.go
+++ b/internal/lab/scale/hollow/destinations.go
@@ -26,27 +26,27 @@
 
 func destinationsAxis() play.Axis {
 	return play.Axis{
-		Name: "destinations", Per: "destination",
-		About: "one hollow node follows the whole list of so many destinations, with 1.7 endpoints each: of a replica of the directory up to its cap, past that of a stand-in that tells a list of any length",
+		Name: "destinations", XUnit: "destination",
+		Description: "one hollow node follows the whole list of so many destinations, with 1.7 endpoints each: of a replica of the directory up to its cap, past that of a stand-in that tells a list of any length",
 		Measures: []play.Measure{
-			{ID: "node.destinations.heap", What: "heap of a node's control side, by the destinations it follows (1.7 endpoints each)", Unit: "B"},
-			{ID: "node.destinations.rss", What: "resident memory that a node's control side adds to its process, by the destinations it follows", Unit: "B"},
-			{ID: "node.list.bytes", What: "bytes that a node receives until it has its first list, by the destinations in it", Unit: "B", Exact: true},
-			{ID: "node.list.step", What: "time for which a node's loop stands still for a whole list, by the destinations in it", Unit: "s"},
-			{ID: "node.change.step", What: "time for which a node's loop stands still for a change of one endpoint, by the destinations it knows", Unit: "s"},
-			{ID: "node.empty.step", What: "time that a node's loop takes for a step in which nothing is new (its figures count all endpoints), by the destinations it knows", Unit: "s"},
-			{ID: "directory.destinations.rss", What: "resident memory of a replica of the directory, by the destinations in its list", Unit: "B"},
+			{ID: "node.destinations.heap", Description: "heap of a node's control side, by the destinations it follows (1.7 endpoints each)", Unit: "B"},
+			{ID: "node.destinations.rss", Description: "resident memory that a node's control side adds to its process, by the destinations it follows", Unit: "B"},
+			{ID: "node.list.bytes", Description: "bytes that a node receives until it has its first list, by the destinations in it", Unit: "B", Exact: true},
+			{ID: "node.list.step", Description: "time for which a node's loop stands still for a whole list, by the destinations in it", Unit: "s"},
+			{ID: "node.change.step", Description: "time for which a node's loop stands still for a change of one endpoint, by the destinations it knows", Unit: "s"},
+			{ID: "node.empty.step", Description: "time that a node's loop takes for a step in which nothing is new (its figures count all endpoints), by the destinations it knows", Unit: "s"},
+			{ID: "directory.destinations.rss", Description: "resident memory of a replica of the directory, by the destinations in its list", Unit: "B"},
 		},
 		Settings: map[string]play.Setting{
 			"keep_kb":  keepSetting,
-			"changes":  {Default: mostChanges, Least: 0, Most: 1000, About: "changes of one endpoint each, one after the other; node.change.step is the median of them"},
-			"stand_in": {Default: 0, Least: 0, Most: 1, About: "1: the stand-in tells the list also where the directory could"},
+			"changes":  {Default: mostChanges, Min: 0, Max: 1000, Description: "changes of one endpoint each, one after the other; node.change.step is the median of them"},
+			"stand_in": {Default: 0, Min: 0, Max: 1, Description: "1: the stand-in tells the list also where the directory could"},
 		},
 		Play: playDestinations,
 	}
 }
 
-var keepSetting = play.Setting{Default: -1, Least: -1, Most: 1 << 20, About: "room for the kept list in the lasting folder, in KB; -1: what the list needs, 0: it is not kept"}
+var keepSetting = play.Setting{Default: -1, Min: -1, Max: 1 << 20, Description: "room for the kept list in the lasting folder, in KB; -1: what the list needs, 0: it is not kept"}
 
 // teller is what tells a node its list in this axis: a service or a source.
 type teller struct {
@@ -60,7 +60,7 @@
 }
 
 func openTeller(ctx context.Context, s play.Spec, endpoints int, r *play.Reading) (*teller, error) {
-	if endpoints <= catalog.DefaultMaxEndpoints && s.Set["stand_in"] == 0 {
+	if endpoints <= catalog.DefaultMaxEndpoints && s.Settings["stand_in"] == 0 {
 		svc, err := openService(ctx, s, 1, false, listOf(endpoints))
 		if err != nil {
 			return nil, err
@@ -79,7 +79,7 @@
 		if err := capped(ctx, s, endpoints); err != nil {
 			return nil, err
 		}
-		r.Note("the directory ended before: it takes %d endpoints at most and refused %d (507); a stand-in tells the list", catalog.DefaultMaxEndpoints, endpoints)
+		r.AddNote("the directory ended before: it takes %d endpoints at most and refused %d (507); a stand-in tells the list", catalog.DefaultMaxEndpoints, endpoints)
 	}
 	src, err := openSource(endpoints)
 	if err != nil {
@@ -114,7 +114,7 @@
 		return r, err
 	}
 	defer t.close()
-	r.Count("endpoints", float64(endpoints))
+	r.SetCount("endpoints", float64(endpoints))
 
 	spec := Spec{Name: "h0", Nodes: 1, Dir: filepath.Join(s.Dir, "h0"), Addresses: []string{t.address}, KeepKB: keepFor(s, endpoints)}
 	if err := spec.Write(); err != nil {
@@ -137,16 +137,16 @@
 		return r, err
 	}
 	if !took {
-		r.Count("list.bytes", float64(t.src.bytes()))
-		r.End("a node takes no list of %d bytes (%d endpoints): 16 MB at most, and it asks for it again and again", t.src.bytes(), endpoints)
-		r.Note("past this end the module alone is fed")
+		r.SetCount("list.bytes", float64(t.src.bytes()))
+		r.AddLimit("a node takes no list of %d bytes (%d endpoints): 16 MB at most, and it asks for it again and again", t.src.bytes(), endpoints)
+		r.AddNote("past this end the module alone is fed")
 		of, err := module(ctx, spec, s)
 		for id, v := range of {
-			r.Count(id, v)
+			r.SetCount(id, v)
 		}
 		return r, err
 	}
-	r.Count("ready", time.Since(n.began).Seconds())
+	r.SetCount("ready", time.Since(n.began).Seconds())
 	bytes, err := carried(map[string]bool{t.address: true}, t.from)
 	if err != nil {
 		return r, err
@@ -155,18 +155,18 @@
 		return r, err
 	}
 	if worst, asks := loop.take(); asks > 1 {
-		r.Value("node.list.step", worst.Seconds())
+		r.SetValue("node.list.step", worst.Seconds())
 	} else {
-		r.Note("the list was there before the loop could be watched, so node.list.step is missing")
+		r.AddNote("the list was there before the loop could be watched, so node.list.step is missing")
 	}
 	if bytes.conns == 1 && bytes.in > float64(endpoints*leastEntry) { // else the list came over one that has ended since
-		r.Value("node.list.bytes", bytes.in)
-		r.Count("node.list.sent", bytes.out)
+		r.SetValue("node.list.bytes", bytes.in)
+		r.SetCount("node.list.sent", bytes.out)
 	} else {
-		r.Note("%d connections have carried %v bytes, so the list came over another, and node.list.bytes is missing", bytes.conns, bytes.in)
+		r.AddNote("%d connections have carried %v bytes, so the list came over another, and node.list.bytes is missing", bytes.conns, bytes.in)
 	}
 	var steps []float64
-	for i := range int(s.Set["changes"]) {
+	for i := range int(s.Settings["changes"]) {
 		loop.take()
 		revision, err := t.change(ctx, turned(i%endpoints, int64(i+1)))
 		if err == nil {
@@ -182,27 +182,27 @@
 		steps = append(steps, worst.Seconds())
 	}
 	if len(steps) > 0 {
-		r.Value("node.change.step", median(steps))
-		r.Count("node.change.step.worst", slices.Max(steps))
+		r.SetValue("node.change.step", median(steps))
+		r.SetCount("node.change.step.worst", slices.Max(steps))
 		after, err := carried(map[string]bool{t.address: true}, t.from)
 		if err != nil {
 			return r, err
 		}
-		r.Count("change.bytes", after.sub(bytes).in/float64(len(steps)))
+		r.SetCount("change.bytes", after.sub(bytes).in/float64(len(steps)))
 	}
 	loop.close()
 	empty, err := emptyStep(ctx, n.Node.Node)
 	if err != nil {
 		return r, err
 	}
-	r.Value("node.empty.step", empty)
+	r.SetValue("node.empty.step", empty)
 	registry.Sleep(ctx, keptWait)
 	if t.svc != nil {
 		use, err := t.svc.use()
 		if err != nil {
 			return r, err
 		}
-		r.Value("directory.destinations.rss", use.rss[0])
+		r.SetValue("directory.destinations.rss", use.rss[0])
 	}
 	if err := n.read(&r, "node.destinations"); err != nil {
 		return r, err
@@ -223,10 +223,10 @@
 
 func moduleAxis() play.Axis {
 	return play.Axis{
-		Name: "module", Per: "destination",
-		About:    "the decision module alone is told the whole list of so many destinations, with 1.7 endpoints each: no sockets, no journal, so it goes on where a node ends",
-		Measures: moduleMeasures,
-		Settings: map[string]play.Setting{"changes": {Default: mostChanges, Least: 0, Most: 1000, About: "changes of one endpoint each; module.change.step is the median of them"}},
+		Name: "module", XUnit: "destination",
+		Description: "the decision module alone is told the whole list of so many destinations, with 1.7 endpoints each: no sockets, no journal, so it goes on where a node ends",
+		Measures:    moduleMeasures,
+		Settings:    map[string]play.Setting{"changes": {Default: mostChanges, Min: 0, Max: 1000, Description: "changes of one endpoint each; module.change.step is the median of them"}},
 		Play: func(ctx context.Context, s play.Spec, _ *slog.Logger) (r play.Reading, err error) {
 			spec := Spec{Name: "m0", Nodes: 1, Dir: filepath.Join(s.Dir, "m0"), Addresses: []string{"127.0.0.1:1"}}
 			if err := spec.Write(); err != nil {
@@ -239,10 +239,10 @@
 }
 
 var moduleMeasures = []play.Measure{
-	{ID: "module.destinations.heap", What: "heap of the decision module, by the destinations it knows (1.7 endpoints each)", Unit: "B"},
-	{ID: "module.list.step", What: "one step of the module for a whole list, by the destinations in it", Unit: "s"},
-	{ID: "module.empty.step", What: "one step of the module in which nothing is new, and the count of its endpoints that a node asks for after each, by the destinations it knows", Unit: "s"},
-	{ID: "module.change.step", What: "one step of the module for a change of one endpoint, by the destinations it knows", Unit: "s"},
+	{ID: "module.destinations.heap", Description: "heap of the decision module, by the destinations it knows (1.7 endpoints each)", Unit: "B"},
+	{ID: "module.list.step", Description: "one step of the module for a whole list, by the destinations in it", Unit: "s"},
+	{ID: "module.empty.step", Description: "one step of the module in which nothing is new, and the count of its endpoints that a node asks for after each, by the destinations it knows", Unit: "s"},
+	{ID: "module.change.step", Description: "one step of the module for a change of one endpoint, by the destinations it knows", Unit: "s"},
 }
 
 // module feeds the decision module alone, made as the node of a spec makes its own, and returns what moduleMeasures name. What the list
@@ -276,7 +276,7 @@
 	list = nil
 	of["module.destinations.heap"] = heap() - before
 	var steps []float64
-	for i := range int(s.Set["changes"]) {
+	for i := range int(s.Settings["changes"]) {
 		phase := choice.Draining
 		if i%2 == 1 {
 			phase = choice.Ready
--- a/internal/lab/scale/hollow/faults.go
+++ b/internal/lab/scale/hollow/faults.go
@@ -27,9 +27,9 @@
 // faults has those of a play that its settings say, one after the other, each with a change in it and one after it. Its verdict is
 // that all nodes, hollow and real, have the list again each time: else it is an error. The list has endpoints of ours, and more in all.
 func faults(ctx context.Context, g *group, s play.Spec, r *play.Reading, endpoints, more int) error {
-	lasts := time.Duration(s.Set["fault_seconds"] * float64(time.Second))
+	lasts := time.Duration(s.Settings["fault_seconds"] * float64(time.Second))
 	for _, f := range everyFault {
-		if s.Set[f.name] == 0 {
+		if s.Settings[f.name] == 0 {
 			continue
 		}
 		end, err := f.begin(ctx, g)
@@ -54,7 +54,7 @@
 		if err != nil {
 			return fmt.Errorf("after fault %s: %w", f.name, err)
 		}
-		r.Count("fault."+f.name+".back", time.Since(over).Seconds())
+		r.SetCount("fault."+f.name+".back", time.Since(over).Seconds())
 		if err := awaitEvery(ctx, lookWide, "the replicas' votes", func() bool { return g.svc.voters(ctx) == len(g.svc.replicas) }); err != nil {
 			return fmt.Errorf("after fault %s: %w", f.name, err)
 		}
--- a/internal/lab/scale/hollow/fleet.go
+++ b/internal/lab/scale/hollow/fleet.go
@@ -34,7 +34,7 @@
 
 // keepFor is the room of the kept list: as the setting says, or what a list needs.
 func keepFor(s play.Spec, endpoints int) int64 {
-	if kb := s.Set["keep_kb"]; kb >= 0 {
+	if kb := s.Settings["keep_kb"]; kb >= 0 {
 		return int64(kb)
 	}
 	return int64(endpoints)*keptEntry/1024 + 16
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -332,11 +332,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set, err = a.Fill(set)
+	set, err = a.FillSettings(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return play.Spec{Axis: a.Name, X: x, Seed: 1, Dir: t.TempDir(), Node: self, Self: self, Set: set}
+	return play.Spec{Axis: a.Name, X: x, Seed: 1, Dir: t.TempDir(), NodeProgram: self, LabProgram: self, Settings: set}
 }
 
 // plays plays a point, and holds what it read to what the axis names. missing are figures that it may lack.
@@ -354,7 +354,7 @@
 		t.Fatal(err)
 	}
 	for id := range r.Values {
-		if _, ok := a.Measure(id); !ok {
+		if _, ok := a.FindMeasure(id); !ok {
 			t.Errorf("%s is not among the axis' figures", id)
 		}
 	}
@@ -363,7 +363,7 @@
 			t.Errorf("%s is %v (read: %v)", m.ID, v, ok)
 		}
 	}
-	t.Log(a.Name, x, r.Values, r.Counts, r.Spoilt, r.Notes)
+	t.Log(a.Name, x, r.Values, r.Counts, r.Disturbed, r.Notes)
 	return r
 }
 
@@ -381,17 +381,17 @@
 	t.Parallel()
 	ids := map[string]bool{}
 	for _, a := range Axes() {
-		if a.Name == "" || a.About == "" || a.Per == "" || a.Play == nil {
+		if a.Name == "" || a.Description == "" || a.XUnit == "" || a.Play == nil {
 			t.Errorf("axis %q says too little of itself", a.Name)
 		}
 		for _, m := range a.Measures {
-			if ids[m.ID] || m.What == "" || !slices.Contains([]string{"B", "B/s", "s", "s/s", "count", "count/s"}, m.Unit) {
+			if ids[m.ID] || m.Description == "" || !slices.Contains([]string{"B", "B/s", "s", "s/s", "count", "count/s"}, m.Unit) {
 				t.Errorf("%s: %+v", a.Name, m)
 			}
 			ids[m.ID] = true
 		}
 		for _, name := range slices.Sorted(maps.Keys(a.Settings)) {
-			if s := a.Settings[name]; s.About == "" || s.Default < s.Least || s.Default > s.Most {
+			if s := a.Settings[name]; s.Description == "" || s.Default < s.Min || s.Default > s.Max {
 				t.Errorf("%s: setting %s: %+v", a.Name, name, s)
 			}
 		}
--- a/internal/lab/scale/hollow/load.go
+++ b/internal/lab/scale/hollow/load.go
@@ -59,7 +59,7 @@
 
 // openLoad makes the partners. The plan's settings are then the real nodes'.
 func openLoad(s play.Spec, svc *service, real int) (l *load, err error) {
-	f, err := experiment.Parse(fmt.Appendf(nil, loadText, s.Set["load"]))
+	f, err := experiment.Parse(fmt.Appendf(nil, loadText, s.Settings["load"]))
 	if err != nil {
 		return nil, err
 	}
@@ -119,8 +119,8 @@
 			}
 		}
 	}
-	r.Count("load.asked", float64(asked))
-	r.Count("load.taken", float64(taken))
-	r.Count("load.delivered", float64(l.log.Count(history.Executed)))
-	r.Count("load.seconds", l.log.Now().Round(time.Millisecond).Seconds())
+	r.SetCount("load.asked", float64(asked))
+	r.SetCount("load.taken", float64(taken))
+	r.SetCount("load.delivered", float64(l.log.Count(history.Executed)))
+	r.SetCount("load.seconds", l.log.Now().Round(time.Millisecond).Seconds())
 }
--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -26,30 +26,30 @@
 )
 
 func nodesAxis() play.Axis {
-	flag := func(about string) play.Setting { return play.Setting{Default: 0, Least: 0, Most: 1, About: about} }
+	flag := func(about string) play.Setting { return play.Setting{Default: 0, Min: 0, Max: 1, Description: about} }
 	return play.Axis{
-		Name: "nodes", Per: "node",
-		About: "so many hollow nodes, and eight real ones beside them, follow one list on three replicas of the directory",
+		Name: "nodes", XUnit: "node",
+		Description: "so many hollow nodes, and eight real ones beside them, follow one list on three replicas of the directory",
 		Measures: []play.Measure{
-			{ID: "directory.nodes.rss", What: "resident memory of the largest of three replicas, by the nodes that watch the three", Unit: "B"},
-			{ID: "directory.nodes.cpu", What: "processor time of the busiest of three replicas while nothing changes, by the nodes that watch the three", Unit: "s/s"},
-			{ID: "node.watch.bytes", What: "bytes both ways of one node's watch while nothing changes, by the nodes in all", Unit: "B/s", Exact: true},
-			{ID: "directory.change.last", What: "time from the ask for a change until it is in force at the last hollow node, by the nodes in all", Unit: "s"},
-			{ID: "node.idle.cpu", What: "processor time of one hollow node while nothing changes, by the nodes in all", Unit: "s/s"},
-			{ID: "node.idle.heap", What: "heap of one hollow node, by the nodes in all", Unit: "B"},
+			{ID: "directory.nodes.rss", Description: "resident memory of the largest of three replicas, by the nodes that watch the three", Unit: "B"},
+			{ID: "directory.nodes.cpu", Description: "processor time of the busiest of three replicas while nothing changes, by the nodes that watch the three", Unit: "s/s"},
+			{ID: "node.watch.bytes", Description: "bytes both ways of one node's watch while nothing changes, by the nodes in all", Unit: "B/s", Exact: true},
+			{ID: "directory.change.last", Description: "time from the ask for a change until it is in force at the last hollow node, by the nodes in all", Unit: "s"},
+			{ID: "node.idle.cpu", Description: "processor time of one hollow node while nothing changes, by the nodes in all", Unit: "s/s"},
+			{ID: "node.idle.heap", Description: "heap of one hollow node, by the nodes in all", Unit: "B"},
 		},
 		Settings: map[string]play.Setting{
 			"endpoints":     endpointsSetting,
 			"keep_kb":       keepSetting,
-			"real":          {Default: realNodes, Least: 0, Most: 200, About: "coralyard processes beside the hollow nodes"},
-			"load":          {Default: 0, Least: 0, Most: 500, About: "events a second that the lab's clients hand in to the real nodes; none while hollow and real nodes are held against each other"},
+			"real":          {Default: realNodes, Min: 0, Max: 200, Description: "coralyard processes beside the hollow nodes"},
+			"load":          {Default: 0, Min: 0, Max: 500, Description: "events a second that the lab's clients hand in to the real nodes; none while hollow and real nodes are held against each other"},
 			"quick":         quickSetting,
 			"kill":          flag("1: the leader of the directory is killed, and started again after fault_seconds"),
 			"stop":          flag("1: a follower of the directory is stopped (SIGSTOP) for fault_seconds"),
 			"cut_zone":      flag("1: a zone is cut off from the directory for fault_seconds"),
 			"cut_region":    flag("1: a region with its replica is cut off from the others for fault_seconds; its nodes reach that replica"),
 			"restart":       flag("1: the nodes of a zone, a sixth of all, are ended and start again at once; the real ones by SIGKILL"),
-			"fault_seconds": {Default: 4, Least: 0.5, Most: 60, About: "for how long a fault lasts"},
+			"fault_seconds": {Default: 4, Min: 0.5, Max: 60, Description: "for how long a fault lasts"},
 		},
 		Play: playNodes,
 	}
@@ -60,16 +60,16 @@
 		return r, fmt.Errorf("%v nodes can't be played", s.X)
 	}
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(memoryCap))
-	hollow, real, endpoints := int(s.X), int(s.Set["real"]), int(s.Set["endpoints"])
-	quick := s.Set["quick"] > 0
-	linked := s.Set["cut_zone"] > 0 || s.Set["cut_region"] > 0
+	hollow, real, endpoints := int(s.X), int(s.Settings["real"]), int(s.Settings["endpoints"])
+	quick := s.Settings["quick"] > 0
+	linked := s.Settings["cut_zone"] > 0 || s.Settings["cut_region"] > 0
 	svc, err := openService(ctx, s, replicas, linked, listOf(1)) // a short list first: what the long one adds is read apart
 	if err != nil {
 		return r, err
 	}
 	g := newGroup(s, svc, hollow+real, endpoints, log)
 	defer g.end(&err)
-	if s.Set["load"] > 0 && real > 0 {
+	if s.Settings["load"] > 0 && real > 0 {
 		if g.load, err = openLoad(s, svc, real); err != nil {
 			return r, err
 		}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return r, err
 	}
-	if err := g.startReal(s.Node, real); err != nil {
+	if err := g.startReal(s.NodeProgram, real); err != nil {
 		return r, err
 	}
 	if err := g.run(specs); err != nil {
@@ -101,8 +101,8 @@
 		return r, err
 	}
 	nodes := float64(hollow)
-	r.Count("node.goroutines", float64(short.goroutines-before.goroutines)/nodes)
-	r.Count("node.descriptors", float64(short.descriptors-before.descriptors)/nodes)
+	r.SetCount("node.goroutines", float64(short.goroutines-before.goroutines)/nodes)
+	r.SetCount("node.descriptors", float64(short.descriptors-before.descriptors)/nodes)
 
 	// The whole list.
 	list := listOf(endpoints)
@@ -124,7 +124,7 @@
 	if err != nil {
 		return r, err
 	}
-	r.Count("list.last", last.Sub(began).Seconds())
+	r.SetCount("list.last", last.Sub(began).Seconds())
 	if err := g.have(ctx, revision, more); err != nil {
 		return r, err
 	}
@@ -136,17 +136,17 @@
 		return r, err
 	}
 	calibrate := func(what string, hollow, real float64) {
-		r.Count("calibration.hollow."+what, hollow)
+		r.SetCount("calibration.hollow."+what, hollow)
 		if len(g.real) > 0 {
-			r.Count("calibration.real."+what, real)
+			r.SetCount("calibration.real."+what, real)
 		}
 	}
 	calibrate("list.cpu", (long.cpu-short.cpu)/nodes, long.realCPU-short.realCPU)
 	calibrate("list.rss", (long.rss-short.rss)/nodes, long.realRSS-short.realRSS)
 	calibrate("rss", (long.rss-before.rss)/nodes, long.realRSS)
-	r.Count("calibration.hollow.list.heap", (long.heap-short.heap)/nodes)
-	r.Value("node.idle.heap", (long.heap-before.heap)/nodes)
-	r.Count("process.rss", long.rss)
+	r.SetCount("calibration.hollow.list.heap", (long.heap-short.heap)/nodes)
+	r.SetValue("node.idle.heap", (long.heap-before.heap)/nodes)
+	r.SetCount("process.rss", long.rss)
 
 	if g.load != nil {
 		g.load.begin()
@@ -234,20 +234,20 @@
 	nodes, sec := float64(len(g.hollow)), window.Seconds()
 	if carriedBefore.conns == carriedAfter.conns && carriedAfter.conns == len(g.hollow) {
 		d := carriedAfter.sub(carriedBefore)
-		r.Value("node.watch.bytes", (d.in+d.out)/nodes/sec)
-		r.Count("node.watch.received", d.in/nodes/sec)
-		r.Count("node.watch.sent", d.out/nodes/sec)
+		r.SetValue("node.watch.bytes", (d.in+d.out)/nodes/sec)
+		r.SetCount("node.watch.received", d.in/nodes/sec)
+		r.SetCount("node.watch.sent", d.out/nodes/sec)
 	} else {
-		r.Note("%d hollow nodes had %d and then %d watches, so node.watch.bytes is missing", len(g.hollow), carriedBefore.conns, carriedAfter.conns)
+		r.AddNote("%d hollow nodes had %d and then %d watches, so node.watch.bytes is missing", len(g.hollow), carriedBefore.conns, carriedAfter.conns)
 	}
-	r.Value("node.idle.cpu", (used[1]-used[0])/nodes/sec)
+	r.SetValue("node.idle.cpu", (used[1]-used[0])/nodes/sec)
 	calibrate("idle.cpu", (used[1]-used[0])/nodes/sec, (real[1]-real[0])/sec)
 	busy := dir[1].since(dir[0])
-	r.Value("directory.nodes.cpu", slices.Max(busy)/sec)
-	r.Value("directory.nodes.rss", slices.Max(dir[1].rss))
+	r.SetValue("directory.nodes.cpu", slices.Max(busy)/sec)
+	r.SetValue("directory.nodes.rss", slices.Max(dir[1].rss))
 	for i := range busy {
-		r.Count(fmt.Sprintf("directory.%d.cpu", i), busy[i]/sec)
-		r.Count(fmt.Sprintf("directory.%d.rss", i), dir[1].rss[i])
+		r.SetCount(fmt.Sprintf("directory.%d.cpu", i), busy[i]/sec)
+		r.SetCount(fmt.Sprintf("directory.%d.rss", i), dir[1].rss[i])
 	}
 	return nil
 }
@@ -281,10 +281,10 @@
 			tookReal = append(tookReal, last.Sub(began).Seconds())
 		}
 	}
-	r.Value("directory.change.last", median(took))
-	r.Count("change.last.worst", slices.Max(took))
+	r.SetValue("directory.change.last", median(took))
+	r.SetCount("change.last.worst", slices.Max(took))
 	if len(tookReal) > 0 {
-		r.Count("change.last.real", median(tookReal)) // as the operators' address was seen to tell, after the hollow ones
+		r.SetCount("change.last.real", median(tookReal)) // as the operators' address was seen to tell, after the hollow ones
 	}
 	return nil
 }
--- a/internal/lab/scale/hollow/owned.go
+++ b/internal/lab/scale/hollow/owned.go
@@ -35,22 +35,22 @@
 
 func ownedAxis() play.Axis {
 	return play.Axis{
-		Name: "owned", Per: "destination owned",
-		About: "one hollow node follows its share of the list of a whole fleet on a replica of the directory: so many destinations, by a map in which each has three owners. It is the node whose share is nearest to the point",
+		Name: "owned", XUnit: "destination owned",
+		Description: "one hollow node follows its share of the list of a whole fleet on a replica of the directory: so many destinations, by a map in which each has three owners. It is the node whose share is nearest to the point",
 		Measures: []play.Measure{
-			{ID: "owned.destinations.heap", What: "heap of a node's control side, by the destinations it owns (1.7 endpoints each)", Unit: "B"},
-			{ID: "owned.destinations.rss", What: "resident memory that a node's control side adds to its process, by the destinations it owns", Unit: "B"},
-			{ID: "owned.list.bytes", What: "bytes that a node receives for the first list of its share, by the destinations in it; without the map", Unit: "B", Exact: true},
-			{ID: "owned.map.bytes", What: "bytes that a node receives for the map of owners, by the destinations it owns", Unit: "B", Exact: true},
-			{ID: "owned.list.step", What: "time for which a node's loop stands still for the first list of its share, by the destinations in it", Unit: "s"},
-			{ID: "owned.change.step", What: "time for which a node's loop stands still for a change of one endpoint of its share, by the destinations it owns", Unit: "s"},
-			{ID: "owned.change.bytes", What: "bytes that a node receives for a change of one endpoint of its share, by the destinations it owns", Unit: "B", Exact: true},
-			{ID: "owned.empty.step", What: "time that a node's loop takes for a step in which nothing is new, by the destinations it owns", Unit: "s"},
+			{ID: "owned.destinations.heap", Description: "heap of a node's control side, by the destinations it owns (1.7 endpoints each)", Unit: "B"},
+			{ID: "owned.destinations.rss", Description: "resident memory that a node's control side adds to its process, by the destinations it owns", Unit: "B"},
+			{ID: "owned.list.bytes", Description: "bytes that a node receives for the first list of its share, by the destinations in it; without the map", Unit: "B", Exact: true},
+			{ID: "owned.map.bytes", Description: "bytes that a node receives for the map of owners, by the destinations it owns", Unit: "B", Exact: true},
+			{ID: "owned.list.step", Description: "time for which a node's loop stands still for the first list of its share, by the destinations in it", Unit: "s"},
+			{ID: "owned.change.step", Description: "time for which a node's loop stands still for a change of one endpoint of its share, by the destinations it owns", Unit: "s"},
+			{ID: "owned.change.bytes", Description: "bytes that a node receives for a change of one endpoint of its share, by the destinations it owns", Unit: "B", Exact: true},
+			{ID: "owned.empty.step", Description: "time that a node's loop takes for a step in which nothing is new, by the destinations it owns", Unit: "s"},
 		},
 		Settings: map[string]play.Setting{
-			"nodes":   {Default: 820, Least: 24, Most: 2000, About: "nodes in the map; the whole list has nodes/3 times the point's destinations"},
+			"nodes":   {Default: 820, Min: 24, Max: 2000, Description: "nodes in the map; the whole list has nodes/3 times the point's destinations"},
 			"keep_kb": keepSetting,
-			"changes": {Default: mostChanges, Least: 1, Most: 1000, About: "changes of one endpoint each, first of the share and then of others; the figures are medians"},
+			"changes": {Default: mostChanges, Min: 1, Max: 1000, Description: "changes of one endpoint each, first of the share and then of others; the figures are medians"},
 			"quick":   quickSetting,
 		},
 		Play: playOwned,
@@ -187,8 +187,8 @@
 }
 
 func playOwned(ctx context.Context, s play.Spec, log *slog.Logger) (r play.Reading, err error) {
-	changes := int(s.Set["changes"])
-	of, err := realmOf(s.X, int(s.Set["nodes"]), changes)
+	changes := int(s.Settings["changes"])
+	of, err := realmOf(s.X, int(s.Settings["nodes"]), changes)
 	if err != nil {
 		return r, err
 	}
@@ -198,7 +198,7 @@
 		return r, err
 	}
 	defer svc.close()
-	r.Count("filled", time.Since(laid).Seconds())
+	r.SetCount("filled", time.Since(laid).Seconds())
 	size, err := svc.putMap(ctx, of.owners)
 	if err != nil {
 		return r, err
@@ -207,11 +207,11 @@
 	if err != nil {
 		return r, err
 	}
-	r.Count("endpoints", float64(len(of.mine)))
-	r.Count("endpoints.all", float64(of.endpoints))
-	r.Count("destinations", float64(of.owned))
-	r.Count("partitions", float64(of.set.Len()))
-	r.Count("map.size", float64(size))
+	r.SetCount("endpoints", float64(len(of.mine)))
+	r.SetCount("endpoints.all", float64(of.endpoints))
+	r.SetCount("destinations", float64(of.owned))
+	r.SetCount("partitions", float64(of.set.Len()))
+	r.SetCount("map.size", float64(size))
 
 	m, err := openMeter(svc.addresses(0)[0])
 	if err != nil {
@@ -219,7 +219,7 @@
 	}
 	defer m.close()
 	spec := Spec{
-		Name: "h0", Number: of.node, Nodes: int(s.Set["nodes"]), Dir: filepath.Join(s.Dir, "h0"), Addresses: []string{m.address()},
+		Name: "h0", Number: of.node, Nodes: int(s.Settings["nodes"]), Dir: filepath.Join(s.Dir, "h0"), Addresses: []string{m.address()},
 		KeepKB: keepFor(s, len(of.mine)), Fleet: fmt.Sprintf("[ownership]\nname = %q\nowners = %d\n", memberName(of.node), ownersEach),
 	}
 	if err := spec.Write(); err != nil {
@@ -254,29 +254,29 @@
 	if err != nil {
 		return r, err
 	}
-	r.Count("ready", time.Since(n.began).Seconds())
+	r.SetCount("ready", time.Since(n.began).Seconds())
 	if err := loop.after(ctx, 1); err != nil {
 		return r, err
 	}
 	worst, _ := loop.take()
-	r.Value("owned.list.step", worst.Seconds())
-	r.Count("map.step", time.Duration(mapStep.Load()).Seconds()) // with the file that it is kept in
-	registry.Sleep(ctx, trailWait)                               // a chunk's last two bytes come after what they end
+	r.SetValue("owned.list.step", worst.Seconds())
+	r.SetCount("map.step", time.Duration(mapStep.Load()).Seconds()) // with the file that it is kept in
+	registry.Sleep(ctx, trailWait)                                  // a chunk's last two bytes come after what they end
 	lists, asks := m.received(asksList)
 	if asks == 1 {
-		r.Value("owned.list.bytes", lists)
+		r.SetValue("owned.list.bytes", lists)
 	} else {
-		r.Note("the list was asked for %d times, so owned.list.bytes is missing", asks)
+		r.AddNote("the list was asked for %d times, so owned.list.bytes is missing", asks)
 	}
 	maps, asks := m.received(func(path string) bool { return strings.HasPrefix(path, "/records/") })
 	if asks == 1 {
-		r.Value("owned.map.bytes", maps)
+		r.SetValue("owned.map.bytes", maps)
 	} else {
-		r.Note("the map was asked for %d times, so owned.map.bytes is missing", asks)
+		r.AddNote("the map was asked for %d times, so owned.map.bytes is missing", asks)
 	}
 	every := func(string) bool { return true }
 	all, _ := m.received(every) // also the list of the partition that it asks for before it has a map
-	r.Count("start.bytes", all)
+	r.SetCount("start.bytes", all)
 
 	var steps, lines []float64
 	var at int64 = firstTurn
@@ -304,9 +304,9 @@
 		worst, _ := loop.take()
 		steps, lines = append(steps, worst.Seconds()), append(lines, after-before)
 	}
-	r.Value("owned.change.step", median(steps))
-	r.Value("owned.change.bytes", median(lines)) // a heartbeat may come with one of them
-	r.Count("owned.change.step.worst", slices.Max(steps))
+	r.SetValue("owned.change.step", median(steps))
+	r.SetValue("owned.change.bytes", median(lines)) // a heartbeat may come with one of them
+	r.SetCount("owned.change.step.worst", slices.Max(steps))
 
 	// Changes of others' shares: the next heartbeat carries the revision on, and that is all.
 	before, _ := m.received(asksList)
@@ -321,28 +321,28 @@
 	}
 	registry.Sleep(ctx, trailWait)
 	after, _ := m.received(asksList)
-	r.Count("foreign.changes", float64(changes))
-	r.Count("foreign.bytes", after-before)
+	r.SetCount("foreign.changes", float64(changes))
+	r.SetCount("foreign.bytes", after-before)
 
-	if s.Set["quick"] == 0 {
+	if s.Settings["quick"] == 0 {
 		idle, _ := m.received(every)
 		began := time.Now()
 		registry.Sleep(ctx, idleOwned)
 		still, _ := m.received(every)
-		r.Count("idle.bytes_s", (still-idle)/time.Since(began).Seconds())
+		r.SetCount("idle.bytes_s", (still-idle)/time.Since(began).Seconds())
 	}
 	loop.close()
 	empty, err := emptyStep(ctx, n.Node.Node)
 	if err != nil {
 		return r, err
 	}
-	r.Value("owned.empty.step", empty)
+	r.SetValue("owned.empty.step", empty)
 	registry.Sleep(ctx, keptWait)
 	use, err := svc.use()
 	if err != nil {
 		return r, err
 	}
-	r.Count("directory.rss", use.rss[0])
+	r.SetCount("directory.rss", use.rss[0])
 	if err := n.read(&r, "owned.destinations"); err != nil {
 		return r, err
 	}
@@ -352,9 +352,9 @@
 	if err != nil {
 		return r, err
 	}
-	r.Count("remembered", float64(barrable))
+	r.SetCount("remembered", float64(barrable))
 	if barrable < len(of.mine) {
-		r.Note("the journal remembers %d of the %d endpoints of the share: operators can't bar the others", barrable, len(of.mine))
+		r.AddNote("the journal remembers %d of the %d endpoints of the share: operators can't bar the others", barrable, len(of.mine))
 	}
 	told, err := svc.partSize(ctx, of.set)
 	if err == nil && told != len(of.mine) {
@@ -574,11 +574,11 @@
 
 func directoryAxis() play.Axis {
 	return play.Axis{
-		Name: "directory", Per: "destination",
-		About: "one replica of the directory, its bound raised, holds the whole list of so many destinations, with 1.7 endpoints each, and its index by partition; nobody watches it",
+		Name: "directory", XUnit: "destination",
+		Description: "one replica of the directory, its bound raised, holds the whole list of so many destinations, with 1.7 endpoints each, and its index by partition; nobody watches it",
 		Measures: []play.Measure{
-			{ID: "directory.owned.rss", What: "resident memory of a replica of the directory that tells lists by partition, by the destinations in its list", Unit: "B"},
-			{ID: "directory.owned.start", What: "time from the start of a killed replica, which is alone and has its log and no snapshot, until it serves, by the destinations in its list", Unit: "s"},
+			{ID: "directory.owned.rss", Description: "resident memory of a replica of the directory that tells lists by partition, by the destinations in its list", Unit: "B"},
+			{ID: "directory.owned.start", Description: "time from the start of a killed replica, which is alone and has its log and no snapshot, until it serves, by the destinations in its list", Unit: "s"},
 		},
 		Play: playDirectory,
 	}
@@ -592,13 +592,13 @@
 		return r, err
 	}
 	defer svc.close()
-	r.Count("endpoints", float64(endpoints))
-	r.Count("filled", time.Since(began).Seconds())
+	r.SetCount("endpoints", float64(endpoints))
+	r.SetCount("filled", time.Since(began).Seconds())
 	use, err := svc.use()
 	if err != nil {
 		return r, err
 	}
-	r.Value("directory.owned.rss", use.rss[0])
+	r.SetValue("directory.owned.rss", use.rss[0])
 	if err := svc.replicas[0].Kill(); err != nil {
 		return r, err
 	}
@@ -609,11 +609,11 @@
 	if err := svc.reached(ctx, revision); err != nil {
 		return r, err
 	}
-	r.Value("directory.owned.start", time.Since(began).Seconds())
+	r.SetValue("directory.owned.start", time.Since(began).Seconds())
 	if use, err = svc.use(); err != nil {
 		return r, err
 	}
-	r.Count("directory.owned.rss.again", use.rss[0])
+	r.SetCount("directory.owned.rss.again", use.rss[0])
 	var set ownership.Set // a third of all
 	told, mine := 0, 0
 	for p := 0; p < ownership.PartitionCount; p += ownersEach {
--- a/internal/lab/scale/hollow/past_test.go
+++ b/internal/lab/scale/hollow/past_test.go
@@ -14,7 +14,7 @@
 	a := axis(t, "destinations")
 	set := map[string]float64{"changes": 2}
 	r := plays(t, a, 30_000, set, "directory.destinations.rss")
-	if len(r.Ended()) > 0 || len(r.Notes) != 1 || !strings.Contains(r.Notes[0], "50000 endpoints at most") {
+	if len(r.Limits()) > 0 || len(r.Notes) != 1 || !strings.Contains(r.Notes[0], "50000 endpoints at most") {
 		t.Errorf("notes: %q", r.Notes)
 	}
 	var all []string
@@ -22,7 +22,7 @@
 		all = append(all, m.ID)
 	}
 	r = plays(t, a, 90_000, set, all...)
-	if ends := r.Ended(); len(ends) != 1 || !strings.Contains(ends[0], "16 MB") || len(r.Values) > 0 {
+	if ends := r.Limits(); len(ends) != 1 || !strings.Contains(ends[0], "16 MB") || len(r.Values) > 0 {
 		t.Errorf("ends: %q, values %v", ends, r.Values)
 	}
 	for _, m := range moduleMeasures {
--- a/internal/lab/scale/hollow/service.go
+++ b/internal/lab/scale/hollow/service.go
@@ -68,7 +68,7 @@
 	// Writes come from an address of their own, so that carried does not count them among the nodes'.
 	dial := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(svc.from())}}
 	svc.client = &http.Client{Timeout: listWait, Transport: &http.Transport{DialContext: dial.DialContext, MaxIdleConnsPerHost: 64}}
-	o := replica.Options{Command: []string{s.Self, "directory", "serve"}, Dir: filepath.Join(s.Dir, "directory"), Block: svc.block, Supervisor: svc.sup, Seed: s.Seed, Settings: settings}
+	o := replica.Options{Command: []string{s.LabProgram, "directory", "serve"}, Dir: filepath.Join(s.Dir, "directory"), Block: svc.block, Supervisor: svc.sup, Seed: s.Seed, Settings: settings}
 	if linked {
 		o.Weather = &relay.Weather{}
 	}
--- a/internal/lab/scale/hollow/together.go
+++ b/internal/lab/scale/hollow/together.go
@@ -14,15 +14,15 @@
 
 func togetherAxis() play.Axis {
 	return play.Axis{
-		Name: "together", Per: "node",
-		About: "so many hollow nodes start at once, with nothing kept, on three replicas of the directory that others may follow",
+		Name: "together", XUnit: "node",
+		Description: "so many hollow nodes start at once, with nothing kept, on three replicas of the directory that others may follow",
 		Measures: []play.Measure{
-			{ID: "together.ready", What: "time from the start until the last node has its list, by the nodes that start together", Unit: "s"},
-			{ID: "together.refused", What: "asks that the replicas refuse meanwhile, by the nodes that start together", Unit: "count", Exact: true},
-			{ID: "directory.together.cpu", What: "processor time that the three replicas use for it, by the nodes that start together", Unit: "s"},
+			{ID: "together.ready", Description: "time from the start until the last node has its list, by the nodes that start together", Unit: "s"},
+			{ID: "together.refused", Description: "asks that the replicas refuse meanwhile, by the nodes that start together", Unit: "count", Exact: true},
+			{ID: "directory.together.cpu", Description: "processor time that the three replicas use for it, by the nodes that start together", Unit: "s"},
 		},
 		Settings: map[string]play.Setting{
-			"others":    {Default: 0, Least: 0, Most: 820, About: "hollow nodes that follow the list before"},
+			"others":    {Default: 0, Min: 0, Max: 820, Description: "hollow nodes that follow the list before"},
 			"endpoints": endpointsSetting,
 			"keep_kb":   keepSetting,
 			"quick":     quickSetting,
@@ -32,7 +32,7 @@
 }
 
 func playTogether(ctx context.Context, s play.Spec, log *slog.Logger) (r play.Reading, err error) {
-	nodes, others, endpoints := int(s.X), int(s.Set["others"]), int(s.Set["endpoints"])
+	nodes, others, endpoints := int(s.X), int(s.Settings["others"]), int(s.Settings["endpoints"])
 	if nodes < 1 {
 		return r, fmt.Errorf("%d nodes can't start", nodes)
 	}
@@ -60,7 +60,7 @@
 	if err != nil {
 		return r, err
 	}
-	if s.Set["quick"] == 0 {
+	if s.Settings["quick"] == 0 {
 		registry.Sleep(ctx, calm)
 	}
 	refusedBefore, err := svc.refused(ctx)
@@ -91,11 +91,11 @@
 	total := 0.0
 	for i, used := range use.since(useBefore) {
 		total += used
-		r.Count(fmt.Sprintf("directory.%d.cpu", i), used)
+		r.SetCount(fmt.Sprintf("directory.%d.cpu", i), used)
 	}
-	r.Value("together.ready", last.Sub(began).Seconds())
-	r.Value("together.refused", refused-refusedBefore)
-	r.Value("directory.together.cpu", total)
-	r.Count("together.made", running.Sub(began).Seconds()) // the nodes' own making, one after the other here
+	r.SetValue("together.ready", last.Sub(began).Seconds())
+	r.SetValue("together.refused", refused-refusedBefore)
+	r.SetValue("directory.together.cpu", total)
+	r.SetCount("together.made", running.Sub(began).Seconds()) // the nodes' own making, one after the other here
 	return r, g.have(ctx, st.Revision, endpoints)
 }
--- a/internal/lab/scale/machine_test.go
+++ b/internal/lab/scale/machine_test.go
@@ -16,10 +16,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := (stat{parent: 42, used: 110, began: 9001, pages: 250}); s != want {
+	if want := (procStat{parent: 42, cpuTicks: 110, startTicks: 9001, rssPages: 250}); s != want {
 		t.Errorf("got %+v, want %+v", s, want)
 	}
-	if s, err = parseStat([]byte(strings.Replace(raw, "S 42", "Z 42", 1))); err != nil || !s.ended {
+	if s, err = parseStat([]byte(strings.Replace(raw, "S 42", "Z 42", 1))); err != nil || !s.zombie {
 		t.Errorf("got %+v, %v", s, err)
 	}
 	for _, bad := range []string{"", "77 (x", "77 (x) S 1 2", strings.Replace(raw, " 9001 ", " x ", 1)} {
@@ -30,31 +30,31 @@
 }
 
 func TestShares(t *testing.T) {
-	a := Look{Cores: Ticks{All: 1000, Idle: 500, Interrupts: 10, Steal: 5}, Own: 100}
-	b := Look{Cores: Ticks{All: 2000, Idle: 1000, Interrupts: 60, Steal: 55}, Own: 350}
-	got := shares(a, b) // 1000 ticks: 500 idle, 50 in interrupts, 250 own, and 200 of others, of which 50 the host took
+	a := Snapshot{CPU: CPUTicks{Total: 1000, Idle: 500, Interrupts: 10, Steal: 5}, OwnTicks: 100}
+	b := Snapshot{CPU: CPUTicks{Total: 2000, Idle: 1000, Interrupts: 60, Steal: 55}, OwnTicks: 350}
+	got := cpuShares(a, b) // 1000 ticks: 500 idle, 50 in interrupts, 250 own, and 200 of others, of which 50 the host took
 	for name, v := range map[string][2]float64{"idle": {got.Idle, 0.5}, "own": {got.Own, 0.25}, "others": {got.Others, 0.2}} {
 		if math.Abs(v[0]-v[1]) > 1e-9 {
 			t.Errorf("%s %v, want %v", name, v[0], v[1])
 		}
 	}
-	if got := shares(a, a); got.Idle != 1 || got.Others != 0 {
+	if got := cpuShares(a, a); got.Idle != 1 || got.Others != 0 {
 		t.Errorf("in no time %+v", got)
 	}
 }
 
 func TestParseMachine(t *testing.T) {
-	c, err := parseCores([]byte("cpu  10 20 30 400 50 6 7 8 9 0\ncpu0 1 2 3\n"))
-	if want := (Ticks{All: 531, Idle: 450, Interrupts: 13, Steal: 8}); err != nil || c != want {
+	c, err := parseCPUTicks([]byte("cpu  10 20 30 400 50 6 7 8 9 0\ncpu0 1 2 3\n"))
+	if want := (CPUTicks{Total: 531, Idle: 450, Interrupts: 13, Steal: 8}); err != nil || c != want {
 		t.Errorf("got %+v, %v, want %+v", c, err, want)
 	}
-	if _, err := parseCores([]byte("intr 1\n")); err == nil {
+	if _, err := parseCPUTicks([]byte("intr 1\n")); err == nil {
 		t.Error("cores of nothing were read")
 	}
-	if free, err := parseFree([]byte("MemTotal: 9 kB\nMemAvailable:   2048 kB\n")); err != nil || free != 2<<20 {
+	if free, err := parseAvailableMemory([]byte("MemTotal: 9 kB\nMemAvailable:   2048 kB\n")); err != nil || free != 2<<20 {
 		t.Errorf("%d free, %v", free, err)
 	}
-	if _, err := parseFree([]byte("MemTotal: 9 kB\n")); err == nil {
+	if _, err := parseAvailableMemory([]byte("MemTotal: 9 kB\n")); err == nil {
 		t.Error("the memory of nothing was read")
 	}
 }
@@ -65,21 +65,21 @@
 		t.Fatal(err)
 	}
 	pid := cmd.Process.Pid
-	l, err := Linux{}.Look(os.Getpid())
+	l, err := Linux{}.Snapshot(os.Getpid())
 	cmd.Process.Kill()
 	cmd.Wait()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []int{os.Getpid(), pid} {
-		if !slices.ContainsFunc(l.Tree, func(p Proc) bool { return p.PID == want && p.Began > 0 }) {
-			t.Errorf("process %d is not among %v", want, l.Tree)
+		if !slices.ContainsFunc(l.Processes, func(p Process) bool { return p.PID == want && p.StartTicks > 0 }) {
+			t.Errorf("process %d is not among %v", want, l.Processes)
 		}
 	}
-	if l.RSS() < 1<<20 || l.Free <= 0 || l.Cores.All <= l.Cores.Idle {
+	if l.RSS() < 1<<20 || l.AvailableMemory <= 0 || l.CPU.Total <= l.CPU.Idle {
 		t.Errorf("%+v", l)
 	}
-	if _, err := (Linux{}).Look(1 << 30); err == nil {
+	if _, err := (Linux{}).Snapshot(1 << 30); err == nil {
 		t.Error("a process that isn't there was looked at")
 	}
 }
--- a/internal/lab/scale/play/formats_test.go
+++ b/internal/lab/scale/play/formats_test.go
@@ -33,7 +33,7 @@
 
 func TestEndNotePrefix(t *testing.T) {
 	var r Reading
-	r.End("a cap of %d", 19)
+	r.AddLimit("a cap of %d", 19)
 	if want := []string{"end: a cap of 19"}; !reflect.DeepEqual(r.Notes, want) {
 		t.Errorf("notes %q, want %q", r.Notes, want)
 	}
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -18,26 +18,26 @@
 )
 
 // page is the result as a page of Markdown.
-func (res *Result) page() string {
+func (res *Result) markdown() string {
 	var b strings.Builder
 	table, _, plots := res.Files()
-	fmt.Fprintf(&b, "# Scale run: %s\n\n%s\n\nThe axis `%s`: %s.\n\n", res.Name, res.About, res.Axis, strings.TrimSuffix(res.Grows, "."))
+	fmt.Fprintf(&b, "# Scale run: %s\n\n%s\n\nThe axis `%s`: %s.\n\n", res.Name, res.Description, res.Axis, strings.TrimSuffix(res.AxisDescription, "."))
 	fmt.Fprintf(&b, "Written by `cottonrack lab scale`; all plays are in `%s`. Build %s, begun %s, %d cores, %d plays a point, seeds from %d on, %v of plays.\n",
-		table, res.Build, res.Began.Format(time.RFC3339), res.Cores, res.Plays, res.Seed, seconds(res.Played))
-	if len(res.Set) > 0 {
+		table, res.Build, res.StartedAt.Format(time.RFC3339), res.Cores, res.Plays, res.Seed, roundSeconds(res.PlaySeconds))
+	if len(res.Settings) > 0 {
 		b.WriteString("\nSettings:")
-		for i, name := range slices.Sorted(maps.Keys(res.Set)) {
+		for i, name := range slices.Sorted(maps.Keys(res.Settings)) {
 			if i > 0 {
 				b.WriteString(",")
 			}
-			fmt.Fprintf(&b, " %s %s", name, number(res.Set[name]))
+			fmt.Fprintf(&b, " %s %s", name, formatNumber(res.Settings[name]))
 		}
 		b.WriteString(".\n")
 	}
-	fmt.Fprintf(&b, "\n![each figure by %s](%s)\n\n## Points\n\nMedian, and the range of the plays behind it. Plays that were spoilt, failed or met an end are not in it.\n\n", res.Per, plots)
+	fmt.Fprintf(&b, "\n![each figure by %s](%s)\n\n## Points\n\nMedian, and the range of the plays behind it. Plays that were spoilt, failed or met an end are not in it.\n\n", res.XUnit, plots)
 	b.WriteString("| figure | unit |")
 	for _, p := range res.Points {
-		fmt.Fprintf(&b, " %s |", number(p.X))
+		fmt.Fprintf(&b, " %s |", formatNumber(p.X))
 	}
 	b.WriteString("\n|" + strings.Repeat(" --- |", 2+len(res.Points)) + "\n| plays | |")
 	for _, p := range res.Points {
@@ -55,50 +55,50 @@
 	b.WriteString("| figure | what | form | at 0 | slope | square | spread | from | to | points | worst |\n|" + strings.Repeat(" --- |", 11) + "\n")
 	for _, f := range res.Fits {
 		if s := f.Slope; s != nil {
-			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | %s | %.4g | %.4g | %.4g | %.2g | %s | %s | %d | %.1f%% |\n", f.ID, f.What, f.Unit, s.XUnit, s.Form, s.Intercept, s.LinearCoef,
-				s.QuadraticCoef, s.StdErr, number(s.From), number(s.To), s.Points, 100*s.MaxResidual)
+			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | %s | %.4g | %.4g | %.4g | %.2g | %s | %s | %d | %.1f%% |\n", f.ID, f.Description, f.Unit, s.XUnit, s.Form, s.Intercept, s.LinearCoef,
+				s.QuadraticCoef, s.StdErr, formatNumber(s.From), formatNumber(s.To), s.Points, 100*s.MaxResidual)
 		} else {
-			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | none |%s\n", f.ID, f.What, f.Unit, res.Per, strings.Repeat(" |", 8))
+			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | none |%s\n", f.ID, f.Description, f.Unit, res.XUnit, strings.Repeat(" |", 8))
 		}
 	}
-	if slices.ContainsFunc(res.Fits, func(f Fit) bool { return len(f.Why) > 0 }) {
+	if slices.ContainsFunc(res.Fits, func(f Fit) bool { return len(f.Reasons) > 0 }) {
 		b.WriteString("\nWhy these forms and no simpler ones, or none:\n\n")
 		for _, f := range res.Fits {
-			if len(f.Why) > 0 {
-				fmt.Fprintf(&b, "- `%s`: %s\n", f.ID, strings.Join(f.Why, "; "))
+			if len(f.Reasons) > 0 {
+				fmt.Fprintf(&b, "- `%s`: %s\n", f.ID, strings.Join(f.Reasons, "; "))
 			}
 		}
 	}
-	if len(res.Ends) > 0 {
+	if len(res.Limits) > 0 {
 		b.WriteString("\n## Ends of today's program\n\nNot fitted.\n\n")
-		for _, e := range res.Ends {
-			fmt.Fprintf(&b, "- at %s: %s\n", number(e.X), strings.Join(e.Reasons, "; "))
+		for _, e := range res.Limits {
+			fmt.Fprintf(&b, "- at %s: %s\n", formatNumber(e.X), strings.Join(e.Reasons, "; "))
 		}
 	}
-	if len(res.Expects) > 0 {
+	if len(res.Expectations) > 0 {
 		b.WriteString("\n## Expected\n\n| expected | got | |\n| --- | --- | --- |\n")
-		for _, k := range res.Expects {
-			fmt.Fprintf(&b, "| %s | %s | %s |\n", k.What, k.Got, map[bool]string{true: "kept", false: "**not kept**"}[k.Kept])
+		for _, k := range res.Expectations {
+			fmt.Fprintf(&b, "| %s | %s | %s |\n", k.Expected, k.Got, map[bool]string{true: "kept", false: "**not kept**"}[k.Met])
 		}
 	}
-	res.plainLists(&b)
+	res.writeLists(&b)
 	return b.String()
 }
 
 // plainLists tells of the plays what is no figure: those that aren't fitted, notes, and facts beside.
-func (res *Result) plainLists(b *strings.Builder) {
+func (res *Result) writeLists(b *strings.Builder) {
 	var bad, notes []string
 	counts := map[string]map[float64][]float64{}
 	for _, k := range res.Records {
-		at := fmt.Sprintf("at %s, play %d: ", number(k.X), k.Play)
-		if k.Failed != "" {
-			bad = append(bad, at+"failed: "+k.Failed)
+		at := fmt.Sprintf("at %s, play %d: ", formatNumber(k.X), k.Play)
+		if k.Failure != "" {
+			bad = append(bad, at+"failed: "+k.Failure)
 		}
-		for _, why := range k.Spoilt() {
+		for _, why := range k.Disturbances() {
 			bad = append(bad, at+"spoilt: "+why)
 		}
 		for _, n := range k.Reading.Notes {
-			if n = "at " + number(k.X) + ": " + n; !slices.Contains(notes, n) {
+			if n = "at " + formatNumber(k.X) + ": " + n; !slices.Contains(notes, n) {
 				notes = append(notes, n)
 			}
 		}
@@ -125,14 +125,14 @@
 	}
 	b.WriteString("\n## Beside\n\nMedian of all plays.\n\n| |")
 	for _, p := range res.Points {
-		fmt.Fprintf(b, " %s |", number(p.X))
+		fmt.Fprintf(b, " %s |", formatNumber(p.X))
 	}
 	b.WriteString("\n|" + strings.Repeat(" --- |", 1+len(res.Points)) + "\n")
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(b, "| %s |", name)
 		for _, p := range res.Points {
 			if v := counts[name][p.X]; len(v) > 0 {
-				fmt.Fprintf(b, " %s |", number(median(v)))
+				fmt.Fprintf(b, " %s |", formatNumber(median(v)))
 			} else {
 				b.WriteString(" |")
 			}
@@ -146,10 +146,10 @@
 	switch {
 	case f.Plays == 0:
 		return ""
-	case f.Least == f.Most:
-		return number(f.Median)
+	case f.Min == f.Max:
+		return formatNumber(f.Median)
 	}
-	return fmt.Sprintf("%.4g (%.4g to %.4g)", f.Median, f.Least, f.Most)
+	return fmt.Sprintf("%.4g (%.4g to %.4g)", f.Median, f.Min, f.Max)
 }
 
 func (b Build) String() string {
@@ -159,16 +159,16 @@
 	return b.Commit
 }
 
-func seconds(s float64) time.Duration {
+func roundSeconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second)).Round(time.Second / 10)
 }
 
 // The sheet of plots.
 const (
-	plotColumns = 2
-	plotWidth   = 12 * vg.Centimeter
-	plotHeight  = 8 * vg.Centimeter
-	logFrom     = 20 // the scales are logarithmic where x grows by more than this
+	plotColumns   = 2
+	plotWidth     = 12 * vg.Centimeter
+	plotHeight    = 8 * vg.Centimeter
+	logScaleRatio = 20 // the scales are logarithmic where x grows by more than this
 )
 
 var (
@@ -203,10 +203,10 @@
 func (res *Result) plot(f Fit) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = f.ID
-	p.X.Label.Text, p.Y.Label.Text = res.Per, f.Unit
+	p.X.Label.Text, p.Y.Label.Text = res.XUnit, f.Unit
 	var dots plotter.XYs
 	for _, pt := range res.Points {
-		for _, y := range res.values(f.ID, pt.X) {
+		for _, y := range res.fittedValues(f.ID, pt.X) {
 			dots = append(dots, plotter.XY{X: pt.X, Y: y})
 		}
 	}
@@ -215,7 +215,7 @@
 		return p, nil
 	}
 	first, last := dots[0].X, dots[len(dots)-1].X
-	logs := first > 0 && last/first > logFrom && !slices.ContainsFunc(dots, func(d plotter.XY) bool { return d.Y <= 0 })
+	logs := first > 0 && last/first > logScaleRatio && !slices.ContainsFunc(dots, func(d plotter.XY) bool { return d.Y <= 0 })
 	sc, err := plotter.NewScatter(dots)
 	if err != nil {
 		return nil, err
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -17,28 +17,28 @@
 
 // Result is what came of a run. It holds no path of the machine that it ran on, but for what a failed play may have said.
 type Result struct {
-	Name   string             `json:"name"`
-	About  string             `json:"about,omitempty"`
-	Axis   string             `json:"axis"`
-	Grows  string             `json:"grows"` // what the axis is, in words
-	Per    string             `json:"per"`   // unit of x
-	Set    map[string]float64 `json:"set,omitempty"`
-	Plays  int                `json:"plays"` // of each point
-	Seed   uint64             `json:"seed"`
-	File   string             `json:"file"` // SHA-256 of its text
-	Build  Build              `json:"build"`
-	Began  time.Time          `json:"began"`
-	Played float64            `json:"played_s"` // all plays together
-	Cores  int                `json:"cores"`    // of the machine
-
-	Points  []Point  `json:"points"`
-	Fits    []Fit    `json:"fits"`
-	Ends    []End    `json:"ends,omitempty"` // points where today's program ended
-	Failed  int      `json:"failed"`         // plays that went wrong themselves
-	Spoilt  int      `json:"spoilt"`         // plays that the machine spoilt
-	Expects []Kept   `json:"expected,omitempty"`
-	Kept    bool     `json:"kept"` // no play failed, and all that was expected was kept
-	Records []Record `json:"plays_of_points"`
+	Name            string             `json:"name"`
+	Description     string             `json:"about,omitempty"`
+	Axis            string             `json:"axis"`
+	AxisDescription string             `json:"grows"` // what the axis is, in words
+	XUnit           string             `json:"per"`   // unit of x
+	Settings        map[string]float64 `json:"set,omitempty"`
+	Plays           int                `json:"plays"` // of each point
+	Seed            uint64             `json:"seed"`
+	FileHash        string             `json:"file"` // SHA-256 of its text
+	Build           Build              `json:"build"`
+	StartedAt       time.Time          `json:"began"`
+	PlaySeconds     float64            `json:"played_s"` // all plays together
+	Cores           int                `json:"cores"`    // of the machine
+
+	Points       []Point             `json:"points"`
+	Fits         []Fit               `json:"fits"`
+	Limits       []ReachedLimit      `json:"ends,omitempty"` // points where today's program ended
+	Failed       int                 `json:"failed"`         // plays that went wrong themselves
+	Disturbed    int                 `json:"spoilt"`         // plays that the machine spoilt
+	Expectations []ExpectationResult `json:"expected,omitempty"`
+	Met          bool                `json:"kept"` // no play failed, and all that was expected was kept
+	Records      []Record            `json:"plays_of_points"`
 }
 
 // Point is what the plays of one point read, without those that aren't fitted.
@@ -52,80 +52,80 @@
 type Figure struct {
 	Plays  int     `json:"plays"`
 	Median float64 `json:"median"`
-	Least  float64 `json:"least"`
-	Most   float64 `json:"most"`
+	Min    float64 `json:"least"`
+	Max    float64 `json:"most"`
 }
 
 // Fit is what came of one figure.
 type Fit struct {
-	ID    string          `json:"id"`
-	What  string          `json:"what"`
-	Unit  string          `json:"unit"`
-	Exact bool            `json:"exact"` // hangs on no machine's speed
-	Slope *capacity.Slope `json:"slope,omitempty"`
-	Why   []string        `json:"why,omitempty"` // what spoke against simpler forms; why there is no slope
+	ID          string          `json:"id"`
+	Description string          `json:"what"`
+	Unit        string          `json:"unit"`
+	Exact       bool            `json:"exact"` // hangs on no machine's speed
+	Slope       *capacity.Slope `json:"slope,omitempty"`
+	Reasons     []string        `json:"why,omitempty"` // what spoke against simpler forms; why there is no slope
 }
 
 // End is a point at which today's program ended, with the reasons that the plays gave.
-type End struct {
+type ReachedLimit struct {
 	X       float64  `json:"x"`
 	Reasons []string `json:"reasons"`
 }
 
 // Kept is one thing that was expected, and what came.
-type Kept struct {
-	What string `json:"what"`
-	Got  string `json:"got"`
-	Kept bool   `json:"kept"`
+type ExpectationResult struct {
+	Expected string `json:"what"`
+	Got      string `json:"got"`
+	Met      bool   `json:"kept"`
 }
 
 // result fits a run's records.
-func result(f File, h head, records []Record) *Result {
+func newResult(f RunFile, h runHeader, records []Record) *Result {
 	res := &Result{
-		Name: f.Name, About: f.About, Axis: f.Axis.Name, Grows: f.Axis.About, Per: f.Axis.Per, Set: f.Set, Plays: f.Plays, Seed: f.Seed, File: f.Hash,
-		Build: h.Build, Began: h.Began, Cores: runtime.NumCPU(), Records: sorted(records),
+		Name: f.Name, Description: f.Description, Axis: f.Axis.Name, AxisDescription: f.Axis.Description, XUnit: f.Axis.XUnit, Settings: f.Settings, Plays: f.Plays, Seed: f.Seed, FileHash: f.Hash,
+		Build: h.Build, StartedAt: h.StartedAt, Cores: runtime.NumCPU(), Records: sortedRecords(records),
 	}
 	for _, k := range res.Records {
-		res.Played += k.Took
-		if k.Failed != "" {
+		res.PlaySeconds += k.TookSeconds
+		if k.Failure != "" {
 			res.Failed++
-		} else if len(k.Spoilt()) > 0 {
-			res.Spoilt++
+		} else if len(k.Disturbances()) > 0 {
+			res.Disturbed++
 		}
 	}
-	res.Played = math.Round(10*res.Played) / 10
+	res.PlaySeconds = math.Round(10*res.PlaySeconds) / 10
 	for _, x := range f.Points {
-		res.point(x)
+		res.addPoint(x)
 	}
 	for _, m := range f.Axis.Measures {
-		fit := Fit{ID: m.ID, What: m.What, Unit: m.Unit, Exact: m.Exact}
+		fit := Fit{ID: m.ID, Description: m.Description, Unit: m.Unit, Exact: m.Exact}
 		var samples []sample
 		for _, x := range f.Points {
-			if ys := res.values(m.ID, x); len(ys) >= leastPlays {
+			if ys := res.fittedValues(m.ID, x); len(ys) >= minPlaysToFit {
 				samples = append(samples, sample{x, ys})
 			}
 		}
 		if fd, err := fitSamples(samples); err != nil {
-			fit.Why = []string{err.Error()}
+			fit.Reasons = []string{err.Error()}
 		} else {
 			fewest := math.MaxInt
 			for _, s := range samples {
-				fewest = min(fewest, len(s.ys))
+				fewest = min(fewest, len(s.values))
 			}
-			fit.Why = fd.why
+			fit.Reasons = fd.reasons
 			fit.Slope = &capacity.Slope{
-				ID: m.ID, Description: m.What, XUnit: f.Axis.Per, Unit: m.Unit, Form: forms[fd.order], Intercept: fd.c[0], LinearCoef: fd.c[1], QuadraticCoef: fd.c[2],
-				StdErr: fd.errors[fd.order], From: samples[0].x, To: samples[len(samples)-1].x, Points: len(samples), Repeats: fewest, MaxResidual: fd.worst,
+				ID: m.ID, Description: m.Description, XUnit: f.Axis.XUnit, Unit: m.Unit, Form: forms[fd.degree], Intercept: fd.coefs[0], LinearCoef: fd.coefs[1], QuadraticCoef: fd.coefs[2],
+				StdErr: fd.stdErrors[fd.degree], From: samples[0].x, To: samples[len(samples)-1].x, Points: len(samples), Repeats: fewest, MaxResidual: fd.maxResidual,
 				Commit: h.Build.Commit,
 			}
 		}
 		res.Fits = append(res.Fits, fit)
 	}
-	res.Kept = res.Failed == 0
-	for _, e := range f.Expect {
+	res.Met = res.Failed == 0
+	for _, e := range f.Expectations {
 		for _, x := range f.Points {
-			if e.At == nil || *e.At == x {
-				res.expect(e, x, f.Plays)
+			if e.X == nil || *e.X == x {
+				res.checkExpectation(e, x, f.Plays)
 			}
 		}
 	}
@@ -133,16 +133,16 @@
 }
 
 // values are the figures of one point that are fitted.
-func (res *Result) values(id string, x float64) (ys []float64) {
+func (res *Result) fittedValues(id string, x float64) (ys []float64) {
 	for _, k := range res.Records {
-		if y, ok := k.Reading.Values[id]; ok && k.X == x && k.counts() {
+		if y, ok := k.Reading.Values[id]; ok && k.X == x && k.isFitted() {
 			ys = append(ys, y)
 		}
 	}
 	return ys
 }
 
-func (res *Result) point(x float64) {
+func (res *Result) addPoint(x float64) {
 	p := Point{X: x, Figures: map[string]Figure{}}
 	var reasons []string
 	ids := map[string]bool{}
@@ -150,12 +150,12 @@
 		if k.X != x {
 			continue
 		}
-		for _, why := range k.Reading.Ended() {
+		for _, why := range k.Reading.Limits() {
 			if !slices.Contains(reasons, why) {
 				reasons = append(reasons, why)
 			}
 		}
-		if k.counts() {
+		if k.isFitted() {
 			p.Plays++
 			for id := range k.Reading.Values {
 				ids[id] = true
@@ -163,19 +163,19 @@
 		}
 	}
 	for id := range ids {
-		ys := res.values(id, x)
+		ys := res.fittedValues(id, x)
 		p.Figures[id] = Figure{len(ys), median(ys), slices.Min(ys), slices.Max(ys)}
 	}
 	res.Points = append(res.Points, p)
 	if len(reasons) > 0 {
-		res.Ends = append(res.Ends, End{x, reasons})
+		res.Limits = append(res.Limits, ReachedLimit{x, reasons})
 	}
 }
 
 // expect holds each play of a point to a bound. That the machine was busy excuses nothing: the figure doesn't hang on it.
-func (res *Result) expect(e Expect, x float64, plays int) {
-	e.At = &x
-	kept := Kept{What: e.String(), Kept: true}
+func (res *Result) checkExpectation(e Expectation, x float64, plays int) {
+	e.X = &x
+	kept := ExpectationResult{Expected: e.String(), Met: true}
 	n := 0
 	var got []float64
 	for _, k := range res.Records {
@@ -185,20 +185,20 @@
 		}
 		n++
 		got = append(got, y)
-		if e.Least != nil && y < *e.Least || e.Most != nil && y > *e.Most {
-			kept.Kept = false
+		if e.Min != nil && y < *e.Min || e.Max != nil && y > *e.Max {
+			kept.Met = false
 		}
 	}
 	switch {
 	case n < plays:
-		kept.Kept, kept.Got = false, fmt.Sprintf("read in %d of %d plays", n, plays)
+		kept.Met, kept.Got = false, fmt.Sprintf("read in %d of %d plays", n, plays)
 	case slices.Min(got) == slices.Max(got):
-		kept.Got = number(got[0])
+		kept.Got = formatNumber(got[0])
 	default:
-		kept.Got = number(slices.Min(got)) + " to " + number(slices.Max(got))
+		kept.Got = formatNumber(slices.Min(got)) + " to " + formatNumber(slices.Max(got))
 	}
-	res.Expects = append(res.Expects, kept)
-	res.Kept = res.Kept && kept.Kept
+	res.Expectations = append(res.Expectations, kept)
+	res.Met = res.Met && kept.Met
 }
 
 // Files of a result in its folder.
@@ -220,8 +220,8 @@
 		return err
 	}
 	table, page, plots := res.Files()
-	err = errors.Join(writeWhole(filepath.Join(dir, table), append(raw, '\n')), writeWhole(filepath.Join(dir, page), []byte(res.page())),
-		writeWhole(filepath.Join(dir, plots), svg))
+	err = errors.Join(writeFileAtomically(filepath.Join(dir, table), append(raw, '\n')), writeFileAtomically(filepath.Join(dir, page), []byte(res.markdown())),
+		writeFileAtomically(filepath.Join(dir, plots), svg))
 	if err != nil {
 		return fmt.Errorf("results: %w", err)
 	}
@@ -229,7 +229,7 @@
 }
 
 // number writes a figure with four digits or, if it is whole, with all of them.
-func number(v float64) string {
+func formatNumber(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e15 {
 		return strconv.FormatFloat(v, 'f', -1, 64)
 	}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -26,57 +26,57 @@
 
 // Times of a run.
 const (
-	lookEvery  = 250 * time.Millisecond // at the machine, while a play runs
-	graceToEnd = 5 * time.Second        // of a play that is to end early
+	snapshotInterval = 250 * time.Millisecond // at the machine, while a play runs
+	stopTimeout      = 5 * time.Second        // of a play that is to end early
 )
 
 // Files beside PointsFile while a run goes on.
 const (
-	playFolder = "play"     // of the play that runs now
-	LogFile    = "play.log" // what the plays said on their standard error
+	playDir = "play"     // of the play that runs now
+	LogFile = "play.log" // what the plays said on their standard error
 )
 
 // Options say how a file is played.
 type Options struct {
-	Dir      string   // of the results; it's there, and empty unless Resume
-	Resume   bool     // go on with the run in Dir that was cut short
-	Command  []string // a process that is PlayOne
-	Env      []string // of it, all
-	Node     string   // path of the coralyard program
-	Self     string   // path of the cottonrack program
-	Build    Build
-	Machine  Machine // nil: this one
-	Progress func(Progress)
-	Log      *slog.Logger
+	Dir         string   // of the results; it's there, and empty unless Resume
+	Resume      bool     // go on with the run in Dir that was cut short
+	Command     []string // a process that is PlayOne
+	Env         []string // of it, all
+	NodeProgram string   // path of the coralyard program
+	LabProgram  string   // path of the cottonrack program
+	Build       Build
+	Machine     Machine // nil: this one
+	Progress    func(Progress)
+	Log         *slog.Logger
 }
 
 // Progress is how far a run has come.
 type Progress struct {
-	Done, All int     // plays
-	X         float64 // point of the play that runs now
-	Play      int     // its number
-	For       time.Duration
-	Left      time.Duration // of the whole run, guessed from the plays that are done
-	Guessed   bool          // that Left is known
-	RSS       int64         // of all processes
-	Procs     int
+	Done, Total    int     // plays
+	X              float64 // point of the play that runs now
+	Play           int     // its number
+	Elapsed        time.Duration
+	Remaining      time.Duration // of the whole run, guessed from the plays that are done
+	RemainingKnown bool          // that Left is known
+	RSS            int64         // of all processes
+	Processes      int
 }
 
 // run is a file being played.
 type run struct {
-	file    File
-	opts    Options
-	sup     *proc.Supervisor
-	store   *store
-	log     *os.File
-	head    head
-	records []Record // those that were kept, the last one of each play
-	todo    []Record // plays that are to come, the one that runs now first
+	file       RunFile
+	opts       Options
+	supervisor *proc.Supervisor
+	store      *store
+	log        *os.File
+	header     runHeader
+	records    []Record // those that were kept, the last one of each play
+	pending    []Record // plays that are to come, the one that runs now first
 }
 
 // Run plays a file and returns its results. When the context ends, so does the run, with what it has kept in its points file, and with
 // nothing left behind.
-func Run(ctx context.Context, f File, opts Options) (*Result, error) {
+func Run(ctx context.Context, f RunFile, opts Options) (*Result, error) {
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
 	}
@@ -86,73 +86,73 @@
 	if opts.Progress == nil {
 		opts.Progress = func(Progress) {}
 	}
-	r := &run{file: f, opts: opts, head: head{Name: f.Name, Axis: f.Axis.Name, File: f.Hash, Build: opts.Build, Began: time.Now().UTC().Round(time.Second)}}
+	r := &run{file: f, opts: opts, header: runHeader{Name: f.Name, Axis: f.Axis.Name, FileHash: f.Hash, Build: opts.Build, StartedAt: time.Now().UTC().Round(time.Second)}}
 	if err := r.open(); err != nil {
 		return nil, err
 	}
-	err := r.plays(ctx)
+	err := r.playAll(ctx)
 	if err = errors.Join(err, r.close()); err != nil {
 		return nil, err
 	}
-	return result(f, r.head, r.records), nil
+	return newResult(f, r.header, r.records), nil
 }
 
 func (r *run) open() (err error) {
 	var kept []Record
 	if r.opts.Resume {
-		if r.store, r.head, kept, err = resumeStore(r.opts.Dir, r.head); err != nil {
+		if r.store, r.header, kept, err = resumeStore(r.opts.Dir, r.header); err != nil {
 			return err
 		}
-	} else if r.store, err = createStore(r.opts.Dir, r.head); err != nil {
+	} else if r.store, err = createStore(r.opts.Dir, r.header); err != nil {
 		return err
 	}
 	for _, k := range kept {
-		r.keep(k)
+		r.addRecord(k)
 	}
 	if r.log, err = os.OpenFile(filepath.Join(r.opts.Dir, LogFile), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644); err != nil {
 		return errors.Join(fmt.Errorf("log: %w", err), r.store.close())
 	}
-	r.sup = proc.NewSupervisor()
+	r.supervisor = proc.NewSupervisor()
 	return nil
 }
 
 func (r *run) close() error {
-	r.sup.Close()
-	return errors.Join(r.store.close(), r.log.Close(), os.RemoveAll(filepath.Join(r.opts.Dir, playFolder)))
+	r.supervisor.Close()
+	return errors.Join(r.store.close(), r.log.Close(), os.RemoveAll(filepath.Join(r.opts.Dir, playDir)))
 }
 
 // keep takes in a record, in place of an earlier one of the same play.
-func (r *run) keep(k Record) {
+func (r *run) addRecord(k Record) {
 	r.records = slices.DeleteFunc(r.records, func(o Record) bool { return o.X == k.X && o.Play == k.Play })
 	r.records = append(r.records, k)
 }
 
 // plays plays what is not done yet: each point once, then each again, so that a change of the machine's mood meets all points alike.
-func (r *run) plays(ctx context.Context) error {
+func (r *run) playAll(ctx context.Context) error {
 	for n := range r.file.Plays {
 		for i, x := range r.file.Points {
-			if !slices.ContainsFunc(r.records, func(k Record) bool { return k.X == x && k.Play == n && k.done() }) {
-				r.todo = append(r.todo, Record{X: x, Play: n, Seed: r.file.Seed + uint64(n*len(r.file.Points)+i)})
+			if !slices.ContainsFunc(r.records, func(k Record) bool { return k.X == x && k.Play == n && k.isDone() }) {
+				r.pending = append(r.pending, Record{X: x, Play: n, Seed: r.file.Seed + uint64(n*len(r.file.Points)+i)})
 			}
 		}
 	}
-	for len(r.todo) > 0 {
-		k, err := r.play(ctx, r.todo[0])
+	for len(r.pending) > 0 {
+		k, err := r.playOnce(ctx, r.pending[0])
 		if err != nil {
 			return err
 		}
-		if err := r.store.line(k); err != nil {
+		if err := r.store.appendLine(k); err != nil {
 			return err
 		}
-		r.keep(k)
-		r.todo = r.todo[1:]
+		r.addRecord(k)
+		r.pending = r.pending[1:]
 	}
 	return nil
 }
 
 // play plays one point once. Its error ends the run; what went wrong with the play alone stands in the record.
-func (r *run) play(ctx context.Context, k Record) (Record, error) {
-	dir := filepath.Join(r.opts.Dir, playFolder)
+func (r *run) playOnce(ctx context.Context, k Record) (Record, error) {
+	dir := filepath.Join(r.opts.Dir, playDir)
 	if err := errors.Join(os.RemoveAll(dir), os.Mkdir(dir, 0o755)); err != nil { // an earlier run may have been killed
 		return k, fmt.Errorf("folder of a play: %w", err)
 	}
@@ -160,110 +160,110 @@
 	if err != nil {
 		return k, fmt.Errorf("folder of a play: %w", err)
 	}
-	spec, err := json.Marshal(play.Spec{Axis: r.file.Axis.Name, X: k.X, Seed: k.Seed, Dir: dir, Node: r.opts.Node, Self: r.opts.Self, Set: r.file.Set})
+	spec, err := json.Marshal(play.Spec{Axis: r.file.Axis.Name, X: k.X, Seed: k.Seed, Dir: dir, NodeProgram: r.opts.NodeProgram, LabProgram: r.opts.LabProgram, Settings: r.file.Settings})
 	if err != nil {
 		return k, fmt.Errorf("spec of a play: %w", err)
 	}
-	before, err := r.opts.Machine.Look(os.Getpid())
+	before, err := r.opts.Machine.Snapshot(os.Getpid())
 	if err != nil {
 		return k, err
 	}
-	w := watch{record: &k, before: before, seen: map[Proc]bool{}}
-	if w.look(before); len(k.Machine) > 0 { // short before anything has begun
+	w := playMonitor{record: &k, before: before, seen: map[Process]bool{}}
+	if w.observe(before); len(k.MachineFaults) > 0 { // short before anything has begun
 		return k, nil
 	}
-	fmt.Fprintf(r.log, "--- %s at %v, play %d, seed %d\n", r.file.Axis.Name, number(k.X), k.Play, k.Seed)
-	var out limited
-	tail := &tail{to: r.log}
+	fmt.Fprintf(r.log, "--- %s at %v, play %d, seed %d\n", r.file.Axis.Name, formatNumber(k.X), k.Play, k.Seed)
+	var out cappedBuffer
+	tail := &tailWriter{out: r.log}
 	began := time.Now()
-	p, err := r.sup.Start(proc.Spec{Name: "play", Command: r.opts.Command, Env: r.opts.Env, In: bytes.NewReader(spec), Out: &out, Log: tail})
+	p, err := r.supervisor.Start(proc.Spec{Name: "play", Command: r.opts.Command, Env: r.opts.Env, In: bytes.NewReader(spec), Out: &out, Log: tail})
 	if err != nil {
 		return k, err
 	}
-	limit := time.NewTimer(r.file.Limit)
+	limit := time.NewTimer(r.file.PlayTimeout)
 	defer limit.Stop()
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
 	stop := "" // why it is to end early
 	for running := true; running && stop == ""; {
-		r.progress(&k, time.Since(began))
+		r.reportProgress(&k, time.Since(began))
 		select {
 		case <-p.Done():
 			running = false
 		case <-ctx.Done():
 			stop = "the run was ended"
 		case <-limit.C:
-			stop = fmt.Sprintf("it didn't end within its limit of %v", r.file.Limit)
-			k.Failed = stop
+			stop = fmt.Sprintf("it didn't end within its limit of %v", r.file.PlayTimeout)
+			k.Failure = stop
 		case <-ticker.C:
-			now, err := r.opts.Machine.Look(os.Getpid())
+			now, err := r.opts.Machine.Snapshot(os.Getpid())
 			if err != nil {
 				stop = err.Error()
-				k.Failed = stop
+				k.Failure = stop
 				break
 			}
-			if past := w.look(now); past != "" {
+			if past := w.observe(now); past != "" {
 				stop = past
 			}
 		}
 	}
 	if stop != "" {
 		r.opts.Log.Info("play ended early", "axis", r.file.Axis.Name, "x", k.X, "play", k.Play, "why", stop)
-		if err := p.End(context.WithoutCancel(ctx), graceToEnd); err != nil {
+		if err := p.End(context.WithoutCancel(ctx), stopTimeout); err != nil {
 			return k, err
 		}
 	}
-	k.Took = time.Since(began).Seconds()
-	if left := w.endLeft(); left > 0 && stop == "" {
-		k.Failed = fmt.Sprintf("it left %d processes behind; they were ended", left)
+	k.TookSeconds = time.Since(began).Seconds()
+	if left := w.killLeftProcesses(); left > 0 && stop == "" {
+		k.Failure = fmt.Sprintf("it left %d processes behind; they were ended", left)
 	}
 	if err := ctx.Err(); err != nil {
-		return k, fmt.Errorf("the run was ended in play %d at %v: %w", k.Play, number(k.X), context.Cause(ctx))
+		return k, fmt.Errorf("the run was ended in play %d at %v: %w", k.Play, formatNumber(k.X), context.Cause(ctx))
 	}
-	if stop != "" || k.Failed != "" {
+	if stop != "" || k.Failure != "" {
 		return k, nil
 	}
-	after, err := r.opts.Machine.Look(os.Getpid())
+	after, err := r.opts.Machine.Snapshot(os.Getpid())
 	if err != nil {
 		return k, err
 	}
-	w.end(after)
+	w.judgeCPUShares(after)
 	if e := p.Exit(); e.Code != 0 {
-		k.Failed = strings.TrimSpace(fmt.Sprintf("its process ended %v: %s", e, tail))
+		k.Failure = strings.TrimSpace(fmt.Sprintf("its process ended %v: %s", e, tail))
 		return k, nil
 	}
 	dec := json.NewDecoder(bytes.NewReader(out.Bytes()))
 	dec.DisallowUnknownFields()
 	err = dec.Decode(&k.Reading)
-	if err == nil && out.over {
+	if err == nil && out.truncated {
 		err = errors.New("it is too long")
 	}
 	if err == nil {
-		err = check(r.file.Axis, k.Reading)
+		err = checkReading(r.file.Axis, k.Reading)
 	}
 	if err != nil {
-		k.Reading, k.Failed = play.Reading{}, fmt.Sprintf("its reading: %v", err)
+		k.Reading, k.Failure = play.Reading{}, fmt.Sprintf("its reading: %v", err)
 	}
 	return k, nil
 }
 
 // progress tells how far the run is.
-func (r *run) progress(k *Record, since time.Duration) {
+func (r *run) reportProgress(k *Record, since time.Duration) {
 	all := len(r.file.Points) * r.file.Plays
-	p := Progress{Done: all - len(r.todo), All: all, X: k.X, Play: k.Play, For: since, RSS: k.RSS, Procs: k.Procs}
-	p.Left, p.Guessed = r.left(since)
+	p := Progress{Done: all - len(r.pending), Total: all, X: k.X, Play: k.Play, Elapsed: since, RSS: k.PeakRSS, Processes: k.PeakProcesses}
+	p.Remaining, p.RemainingKnown = r.remainingTime(since)
 	r.opts.Progress(p)
 }
 
 // left guesses the time that the rest takes: a point takes as long as it took before, a new one as long as the next smaller one and more
 // by the root of x: much of a play hangs on no x.
-func (r *run) left(since time.Duration) (time.Duration, bool) {
+func (r *run) remainingTime(since time.Duration) (time.Duration, bool) {
 	took := map[float64][]float64{} // by point
 	for _, k := range r.records {
-		took[k.X] = append(took[k.X], k.Took)
+		took[k.X] = append(took[k.X], k.TookSeconds)
 	}
 	left := 0.0
-	for i, t := range r.todo {
+	for i, t := range r.pending {
 		near := -1.0
 		for x := range took {
 			if x <= t.X {
@@ -286,59 +286,59 @@
 }
 
 // watch follows one play on the machine.
-type watch struct {
+type playMonitor struct {
 	record *Record
-	before Look
-	seen   map[Proc]bool // processes of the play, without their memory
+	before Snapshot
+	seen   map[Process]bool // processes of the play, without their memory
 }
 
 // look takes in one look, and tells a bound that has been passed, if one has.
-func (w *watch) look(l Look) (past string) {
+func (w *playMonitor) observe(l Snapshot) (past string) {
 	k := w.record
-	k.RSS, k.Procs = max(k.RSS, l.RSS()), max(k.Procs, len(l.Tree))
-	if k.Free == 0 || l.Free < k.Free {
-		k.Free = l.Free
+	k.PeakRSS, k.PeakProcesses = max(k.PeakRSS, l.RSS()), max(k.PeakProcesses, len(l.Processes))
+	if k.MinAvailableMemory == 0 || l.AvailableMemory < k.MinAvailableMemory {
+		k.MinAvailableMemory = l.AvailableMemory
 	}
-	for _, p := range l.Tree {
+	for _, p := range l.Processes {
 		if p.PID != os.Getpid() {
-			w.seen[Proc{PID: p.PID, Began: p.Began}] = true
+			w.seen[Process{PID: p.PID, StartTicks: p.StartTicks}] = true
 		}
 	}
 	switch {
-	case l.RSS() > MostMemory:
-		past = fmt.Sprintf("its processes held more than %d GB together", MostMemory>>30)
-	case len(l.Tree) > MostProcesses:
-		past = fmt.Sprintf("there were more than %d processes", MostProcesses)
-	case l.Free < leastFree:
-		past = fmt.Sprintf("memory was short: %d MB left", l.Free>>20)
+	case l.RSS() > MaxMemory:
+		past = fmt.Sprintf("its processes held more than %d GB together", MaxMemory>>30)
+	case len(l.Processes) > MaxProcesses:
+		past = fmt.Sprintf("there were more than %d processes", MaxProcesses)
+	case l.AvailableMemory < minAvailableMemory:
+		past = fmt.Sprintf("memory was short: %d MB left", l.AvailableMemory>>20)
 	}
 	if past != "" {
-		k.Machine = append(k.Machine, past)
+		k.MachineFaults = append(k.MachineFaults, past)
 	}
 	return past
 }
 
 // end judges the whole play by the look after it.
-func (w *watch) end(after Look) {
+func (w *playMonitor) judgeCPUShares(after Snapshot) {
 	k := w.record
-	k.Cores = shares(w.before, after)
-	all := after.Cores.All - w.before.Cores.All
-	if k.Cores.Others*all-rounding > mostOthers*all {
-		k.Machine = append(k.Machine, fmt.Sprintf("others took %.0f%% of the cores (%.0f%% at most)", 100*k.Cores.Others, 100*mostOthers))
+	k.CPUShares = cpuShares(w.before, after)
+	all := after.CPU.Total - w.before.CPU.Total
+	if k.CPUShares.Others*all-othersTickError > maxOthersShare*all {
+		k.MachineFaults = append(k.MachineFaults, fmt.Sprintf("others took %.0f%% of the cores (%.0f%% at most)", 100*k.CPUShares.Others, 100*maxOthersShare))
 	}
-	if k.Cores.Idle < leastIdle {
-		k.Machine = append(k.Machine, fmt.Sprintf("the cores were full: %.1f%% idle (%.0f%% at least)", 100*k.Cores.Idle, 100*leastIdle))
+	if k.CPUShares.Idle < minIdleShare {
+		k.MachineFaults = append(k.MachineFaults, fmt.Sprintf("the cores were full: %.1f%% idle (%.0f%% at least)", 100*k.CPUShares.Idle, 100*minIdleShare))
 	}
 }
 
 // endLeft ends those processes of the play that have outlived it, and tells how many there were.
-func (w *watch) endLeft() (n int) {
+func (w *playMonitor) killLeftProcesses() (n int) {
 	for p := range w.seen {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID))
 		if err != nil {
 			continue // gone
 		}
-		if s, err := parseStat(raw); err != nil || s.ended || s.began != p.Began {
+		if s, err := parseStat(raw); err != nil || s.zombie || s.startTicks != p.StartTicks {
 			continue
 		}
 		if syscall.Kill(p.PID, syscall.SIGKILL) == nil {
@@ -349,44 +349,44 @@
 }
 
 // limited keeps what a play writes, up to a bound.
-type limited struct {
+type cappedBuffer struct {
 	bytes.Buffer
-	over bool
+	truncated bool
 }
 
-func (l *limited) Write(p []byte) (int, error) {
+func (l *cappedBuffer) Write(p []byte) (int, error) {
 	const most = 4 << 20
 	if l.Len()+len(p) > most {
-		l.over = true
+		l.truncated = true
 		return len(p), nil
 	}
 	return l.Buffer.Write(p)
 }
 
 // tail hands on what is written, and remembers the end of it.
-type tail struct {
-	to io.Writer
+type tailWriter struct {
+	out io.Writer
 
-	mu  sync.Mutex
-	end []byte
+	mu   sync.Mutex
+	last []byte
 }
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *tailWriter) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	const most = 1000
-	t.end = append(t.end, p...)
-	t.end = t.end[max(0, len(t.end)-most):]
+	t.last = append(t.last, p...)
+	t.last = t.last[max(0, len(t.last)-most):]
 	t.mu.Unlock()
-	return t.to.Write(p)
+	return t.out.Write(p)
 }
 
-func (t *tail) String() string {
+func (t *tailWriter) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return strings.ToValidUTF8(strings.TrimSpace(string(t.end)), "?")
+	return strings.ToValidUTF8(strings.TrimSpace(string(t.last)), "?")
 }
 
 // sorted are the records by point and play.
-func sorted(records []Record) []Record {
+func sortedRecords(records []Record) []Record {
 	return slices.SortedFunc(slices.Values(records), func(a, b Record) int { return cmp.Or(cmp.Compare(a.X, b.X), cmp.Compare(a.Play, b.Play)) })
 }
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -37,7 +37,7 @@
 	case "play":
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 		defer stop()
-		if err := PlayOne(ctx, os.Stdin, os.Stdout, stubAxes, slog.New(slog.DiscardHandler)); err != nil {
+		if err := RunPlay(ctx, os.Stdin, os.Stdout, stubAxes, slog.New(slog.DiscardHandler)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -65,14 +65,14 @@
 
 // stubAxes are a made-up axis. Its plays tell of themselves through files in the folder that SCALE_TEST_MARKS names.
 var stubAxes = []play.Axis{{
-	Name: "stub", About: "nothing real", Per: "thing",
+	Name: "stub", Description: "nothing real", XUnit: "thing",
 	Measures: []play.Measure{
-		{ID: "stub.bytes", What: "bytes of a thing", Unit: "B", Exact: true},
-		{ID: "stub.step", What: "time of a thing", Unit: "s"},
+		{ID: "stub.bytes", Description: "bytes of a thing", Unit: "B", Exact: true},
+		{ID: "stub.step", Description: "time of a thing", Unit: "s"},
 	},
 	Settings: map[string]play.Setting{
-		"mode": {Default: plain, Least: 0, Most: 9, About: "what goes wrong"},
-		"step": {Default: 10, Least: 0, Most: 1e9, About: "bytes of a thing"},
+		"mode": {Default: plain, Min: 0, Max: 9, Description: "what goes wrong"},
+		"step": {Default: 10, Min: 0, Max: 1e9, Description: "bytes of a thing"},
 	},
 	Play: playStub,
 }}
@@ -99,16 +99,16 @@
 	if err := os.WriteFile(filepath.Join(s.Dir, "left"), nil, 0o600); err != nil { // for the run to remove
 		return r, err
 	}
-	r.Value("stub.bytes", 100+s.Set["step"]*s.X)
-	r.Value("stub.step", 1+0.001*float64(s.Seed%3))
-	r.Count("seed", float64(s.Seed))
-	switch mode := s.Set["mode"]; {
+	r.SetValue("stub.bytes", 100+s.Settings["step"]*s.X)
+	r.SetValue("stub.step", 1+0.001*float64(s.Seed%3))
+	r.SetCount("seed", float64(s.Seed))
+	switch mode := s.Settings["mode"]; {
 	case mode == spoils && s.Seed%2 == 0:
-		r.Spoil("a made-up reason")
+		r.AddDisturbance("a made-up reason")
 	case mode == ends && s.X == 20:
-		r.End("a cap of %d", 19)
+		r.AddLimit("a cap of %d", 19)
 	case mode == odd && s.X == 4:
-		r.Value("stub.odd", 1)
+		r.SetValue("stub.odd", 1)
 	case mode == fails && s.X == 4:
 		return r, errors.New("a made-up fault")
 	case mode == dies && s.X == 4:
@@ -156,24 +156,24 @@
 	looks  int
 	others float64 // share of the cores that others take
 	own    float64
-	more   []Proc // beside the real tree; none of them is there
-	free   int64  // if not 0
-	seen   func(Look)
+	more   []Process // beside the real tree; none of them is there
+	free   int64     // if not 0
+	seen   func(Snapshot)
 }
 
-func (m *testMachine) Look(root int) (Look, error) {
-	l, err := Linux{}.Look(root)
+func (m *testMachine) Snapshot(root int) (Snapshot, error) {
+	l, err := Linux{}.Snapshot(root)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.looks++
 	all := 1000 * float64(m.looks)
-	l.Cores, l.Own = Ticks{All: all, Idle: all * (1 - m.others - m.own)}, all*m.own
-	l.Free = 4 << 30
+	l.CPU, l.OwnTicks = CPUTicks{Total: all, Idle: all * (1 - m.others - m.own)}, all*m.own
+	l.AvailableMemory = 4 << 30
 	if m.free != 0 && m.looks > 1 {
-		l.Free = m.free
+		l.AvailableMemory = m.free
 	}
 	if m.looks > 1 {
-		l.Tree = append(l.Tree, m.more...)
+		l.Processes = append(l.Processes, m.more...)
 	}
 	if m.seen != nil {
 		m.seen(l)
@@ -191,7 +191,7 @@
 }
 
 // stubFile is a run of the stub axis in some mode.
-func stubFile(t *testing.T, mode int, change ...string) File {
+func stubFile(t *testing.T, mode int, change ...string) RunFile {
 	t.Helper()
 	t.Setenv("SCALE_TEST_MARKS", t.TempDir())
 	f, err := Parse([]byte(stubText(mode, change...)), stubAxes)
@@ -206,13 +206,13 @@
 	return strings.NewReplacer(change...).Replace(text)
 }
 
-func lookAt(t *testing.T, f File, o Options) *Result {
+func lookAt(t *testing.T, f RunFile, o Options) *Result {
 	t.Helper()
 	res, err := Run(t.Context(), f, o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if exists(filepath.Join(o.Dir, playFolder)) {
+	if exists(filepath.Join(o.Dir, playDir)) {
 		t.Error("the folder of a play was left")
 	}
 	return res
@@ -271,7 +271,7 @@
 	var told []Progress
 	o.Progress = func(p Progress) { told = append(told, p) }
 	res := lookAt(t, f, o)
-	if !res.Kept || res.Failed+res.Spoilt != 0 || len(res.Records) != 9 {
+	if !res.Met || res.Failed+res.Disturbed != 0 || len(res.Records) != 9 {
 		t.Fatalf("%+v", res)
 	}
 	s := slopeOf(t, res, "stub.bytes")
@@ -284,14 +284,14 @@
 	seeds := map[uint64]bool{}
 	for _, k := range res.Records {
 		seeds[k.Seed] = true
-		if k.RSS <= 0 || k.Procs < 1 || k.Took <= 0 {
+		if k.PeakRSS <= 0 || k.PeakProcesses < 1 || k.TookSeconds <= 0 {
 			t.Errorf("record %+v", k)
 		}
 	}
 	if len(seeds) != 9 {
 		t.Errorf("the plays had %d seeds", len(seeds))
 	}
-	if last := told[len(told)-1]; last.Done != 8 || last.All != 9 || !last.Guessed || told[0].Done != 0 || told[0].Guessed {
+	if last := told[len(told)-1]; last.Done != 8 || last.Total != 9 || !last.RemainingKnown || told[0].Done != 0 || told[0].RemainingKnown {
 		t.Errorf("told %+v first and %+v last", told[0], last)
 	}
 	// A folder in which a run has begun is no place for another one.
@@ -319,16 +319,16 @@
 	t.Run("by the play", func(t *testing.T) {
 		f := stubFile(t, spoils)
 		res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
-		if res.Spoilt != 4 || slopeOf(t, res, "stub.bytes") != nil { // seeds 1 to 9, of which the even ones are spoilt
-			t.Errorf("%d spoilt, slope %+v", res.Spoilt, slopeOf(t, res, "stub.bytes"))
+		if res.Disturbed != 4 || slopeOf(t, res, "stub.bytes") != nil { // seeds 1 to 9, of which the even ones are spoilt
+			t.Errorf("%d spoilt, slope %+v", res.Disturbed, slopeOf(t, res, "stub.bytes"))
 		}
 	})
 	for name, m := range map[string]*testMachine{
 		"others":    {others: 0.3, own: 0.1},
 		"full":      {own: 0.99},
-		"memory":    {more: []Proc{{PID: -1, RSS: MostMemory}}},
-		"processes": {more: make([]Proc, MostProcesses)},
-		"short":     {free: leastFree / 2},
+		"memory":    {more: []Process{{PID: -1, RSS: MaxMemory}}},
+		"processes": {more: make([]Process, MaxProcesses)},
+		"short":     {free: minAvailableMemory / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := stubFile(t, hangs) // what passes a bound is ended; what doesn't, would hang
@@ -337,23 +337,23 @@
 			}
 			o := stubOptions(t.TempDir(), m)
 			res := lookAt(t, f, o)
-			if res.Spoilt == 0 || res.Failed != 0 || slopeOf(t, res, "stub.bytes") != nil {
-				t.Errorf("%d spoilt, %d failed, slope %+v", res.Spoilt, res.Failed, slopeOf(t, res, "stub.bytes"))
+			if res.Disturbed == 0 || res.Failed != 0 || slopeOf(t, res, "stub.bytes") != nil {
+				t.Errorf("%d spoilt, %d failed, slope %+v", res.Disturbed, res.Failed, slopeOf(t, res, "stub.bytes"))
 			}
 			if name == "memory" || name == "processes" || name == "short" {
 				if exists(marks("hung")) {
 					gone(t, marked(t, "hung")...)
 				}
 			}
-			page := res.page()
+			page := res.markdown()
 			if !strings.Contains(page, "## Not fitted") || !strings.Contains(page, "spoilt: ") {
 				t.Errorf("the page doesn't say so:\n%s", page)
 			}
 			// A machine that has come to rest lets it be played again.
 			o.Resume, o.Machine = true, &testMachine{}
 			mark("hung", "")
-			if res = lookAt(t, f, o); res.Spoilt != 0 || slopeOf(t, res, "stub.bytes") == nil {
-				t.Errorf("resumed: %d spoilt, slope %+v", res.Spoilt, slopeOf(t, res, "stub.bytes"))
+			if res = lookAt(t, f, o); res.Disturbed != 0 || slopeOf(t, res, "stub.bytes") == nil {
+				t.Errorf("resumed: %d spoilt, slope %+v", res.Disturbed, slopeOf(t, res, "stub.bytes"))
 			}
 		})
 	}
@@ -362,13 +362,13 @@
 func TestEndsAreListed(t *testing.T) {
 	f := stubFile(t, ends, "[1, 4, 20]", "[1, 2, 4, 20]")
 	res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
-	if len(res.Ends) != 1 || res.Ends[0].X != 20 || !slices.Equal(res.Ends[0].Reasons, []string{"a cap of 19"}) {
-		t.Errorf("ends %+v", res.Ends)
+	if len(res.Limits) != 1 || res.Limits[0].X != 20 || !slices.Equal(res.Limits[0].Reasons, []string{"a cap of 19"}) {
+		t.Errorf("ends %+v", res.Limits)
 	}
 	if s := slopeOf(t, res, "stub.bytes"); s == nil || s.To != 4 {
 		t.Errorf("slope %+v", s)
 	}
-	if !res.Kept {
+	if !res.Met {
 		t.Error("an end is no failure")
 	}
 }
@@ -392,11 +392,11 @@
 			f := stubFile(t, c.mode, "1m", limit)
 			o := stubOptions(t.TempDir(), &testMachine{})
 			res := lookAt(t, f, o)
-			if res.Kept || res.Failed == 0 || res.Failed > 3 || len(res.Records) != 9 {
+			if res.Met || res.Failed == 0 || res.Failed > 3 || len(res.Records) != 9 {
 				t.Fatalf("%d failed of %d", res.Failed, len(res.Records))
 			}
 			for _, k := range res.Records {
-				if k.Failed != "" && (k.X != 4 || !strings.Contains(k.Failed, c.want) || len(k.Reading.Values) > 0) {
+				if k.Failure != "" && (k.X != 4 || !strings.Contains(k.Failure, c.want) || len(k.Reading.Values) > 0) {
 					t.Errorf("record %+v", k)
 				}
 			}
@@ -405,7 +405,7 @@
 			}
 			if c.mode == dies || c.mode == hangs { // only the first time
 				o.Resume = true
-				if res = lookAt(t, f, o); !res.Kept || res.Failed != 0 || slopeOf(t, res, "stub.bytes") == nil {
+				if res = lookAt(t, f, o); !res.Met || res.Failed != 0 || slopeOf(t, res, "stub.bytes") == nil {
 					t.Errorf("resumed: %d failed", res.Failed)
 				}
 			}
@@ -415,17 +415,17 @@
 
 func TestLeftProcessesAreEnded(t *testing.T) {
 	f := stubFile(t, leaves, "plays = 3", "plays = 1")
-	m := &testMachine{seen: func(l Look) {
+	m := &testMachine{seen: func(l Snapshot) {
 		if !exists(marks("left")) || exists(marks("seen")) {
 			return
 		}
 		pid := marked(t, "left")[0]
-		if slices.ContainsFunc(l.Tree, func(p Proc) bool { return p.PID == pid }) {
+		if slices.ContainsFunc(l.Processes, func(p Process) bool { return p.PID == pid }) {
 			mark("seen", "")
 		}
 	}}
 	res := lookAt(t, f, stubOptions(t.TempDir(), m))
-	if res.Failed != 1 || !strings.Contains(res.Records[1].Failed, "left 1 processes behind") {
+	if res.Failed != 1 || !strings.Contains(res.Records[1].Failure, "left 1 processes behind") {
 		t.Errorf("%+v", res.Records)
 	}
 	gone(t, marked(t, "left")...)
@@ -445,7 +445,7 @@
 		t.Fatalf("ended with %v", err)
 	}
 	gone(t, marked(t, "hung")...)
-	if exists(filepath.Join(o.Dir, playFolder)) {
+	if exists(filepath.Join(o.Dir, playDir)) {
 		t.Error("the folder of a play was left")
 	}
 	resumed(t, f, o)
@@ -477,7 +477,7 @@
 }
 
 // resumed goes on with a run that has kept one play.
-func resumed(t *testing.T, f File, o Options) {
+func resumed(t *testing.T, f RunFile, o Options) {
 	t.Helper()
 	before, err := os.ReadFile(filepath.Join(o.Dir, PointsFile))
 	if err != nil {
@@ -498,7 +498,7 @@
 	if first == nil || first.Done != 1 || first.X != 4 {
 		t.Errorf("went on at %+v", first)
 	}
-	if !res.Kept || len(res.Records) != 9 || slopeOf(t, res, "stub.bytes") == nil {
+	if !res.Met || len(res.Records) != 9 || slopeOf(t, res, "stub.bytes") == nil {
 		t.Errorf("%+v", res)
 	}
 	after, err := os.ReadFile(filepath.Join(o.Dir, PointsFile))
@@ -517,9 +517,9 @@
 		t.Fatal(err)
 	}
 	o.Resume = true
-	refused := func(name, want string, f File, o Options) {
+	refused := func(name, want string, f RunFile, o Options) {
 		t.Helper()
-		var r *RefusedError
+		var r *ResumeError
 		if _, err := Run(t.Context(), f, o); !errors.As(err, &r) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -551,17 +551,17 @@
 	// Bounds of bytes hold on a busy machine, too.
 	res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{others: 0.9}))
 	var got []bool
-	for _, k := range res.Expects {
-		got = append(got, k.Kept)
+	for _, k := range res.Expectations {
+		got = append(got, k.Met)
 	}
-	if res.Kept || !slices.Equal(got, []bool{true, true, false, true}) || res.Spoilt != 3 {
-		t.Errorf("%+v", res.Expects)
+	if res.Met || !slices.Equal(got, []bool{true, true, false, true}) || res.Disturbed != 3 {
+		t.Errorf("%+v", res.Expectations)
 	}
 	// A figure that wasn't read keeps no bound.
 	f = stubFile(t, fails, "plays = 3", "plays = 1", "mode = 3", "mode = 3"+bound)
 	res = lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
-	if k := res.Expects[1]; k.Kept || !strings.Contains(k.Got, "0 of 1") {
-		t.Errorf("%+v", res.Expects)
+	if k := res.Expectations[1]; k.Met || !strings.Contains(k.Got, "0 of 1") {
+		t.Errorf("%+v", res.Expectations)
 	}
 }
 
@@ -577,10 +577,10 @@
 		"nothing":  {"", "EOF"},
 		"unknown":  {`{"axes":"stub"}`, "axes"},
 		"axis":     {spec(play.Spec{Axis: "stab"}), `no axis "stab"`},
-		"settings": {spec(play.Spec{Axis: "stub", Set: map[string]float64{"mode": 99}}), "mode"},
+		"settings": {spec(play.Spec{Axis: "stub", Settings: map[string]float64{"mode": 99}}), "mode"},
 	} {
 		var out bytes.Buffer
-		err := PlayOne(t.Context(), strings.NewReader(c.in), &out, stubAxes, slog.New(slog.DiscardHandler))
+		err := RunPlay(t.Context(), strings.NewReader(c.in), &out, stubAxes, slog.New(slog.DiscardHandler))
 		if err == nil || !strings.Contains(err.Error(), c.want) || out.Len() > 0 {
 			t.Errorf("%s: %v, %q", name, err, out.String())
 		}
@@ -589,15 +589,15 @@
 
 func TestTimeLeft(t *testing.T) {
 	r := run{
-		records: []Record{{X: 0, Took: 1}, {X: 10, Took: 2}, {X: 10, Play: 1, Took: 4}},
-		todo:    []Record{{X: 40}, {X: 0, Play: 1}, {X: 10, Play: 2}},
+		records: []Record{{X: 0, TookSeconds: 1}, {X: 10, TookSeconds: 2}, {X: 10, Play: 1, TookSeconds: 4}},
+		pending: []Record{{X: 40}, {X: 0, Play: 1}, {X: 10, Play: 2}},
 	}
 	// Twice the 3 s at 10 for four times the 10, less what it has run; then 1 s and 3 s.
-	if got, ok := r.left(2 * time.Second); !ok || got != 8*time.Second {
+	if got, ok := r.remainingTime(2 * time.Second); !ok || got != 8*time.Second {
 		t.Errorf("%v left, %v", got, ok)
 	}
 	r.records = nil
-	if _, ok := r.left(0); ok {
+	if _, ok := r.remainingTime(0); ok {
 		t.Error("guessed from nothing")
 	}
 }
--- a/internal/lab/scale/slopes.go
+++ b/internal/lab/scale/slopes.go
@@ -36,14 +36,14 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return fmt.Errorf("slopes: %w", err)
 	}
-	if err := writeWhole(path, raw); err != nil {
+	if err := writeFileAtomically(path, raw); err != nil {
 		return fmt.Errorf("slopes: %w", err)
 	}
 	return nil
 }
 
 // writeWhole replaces a file by a new one in one step.
-func writeWhole(path string, raw []byte) error {
+func writeFileAtomically(path string, raw []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+"-")
 	if err != nil {
 		return err
