--- a/cmd/cottonrack/lab.go
+++ b/cmd/cottonrack/lab.go
@@ -72,7 +72,7 @@
 		if err != nil {
 			return err
 		}
-		if !res.Kept {
+		if !res.Passed {
 			bad++
 		}
 		all = append(all, res)
@@ -113,7 +113,7 @@
 		return nil, err
 	}
 	show, done := a.progress(plan.Name, plan.Seed, len(plan.Nodes))
-	res, err := lab.Play(a.ctx, plan, lab.Options{Command: command, Dir: dir, Progress: show, Log: a.log})
+	res, err := lab.RunPlan(a.ctx, plan, lab.Options{Command: command, Dir: dir, Progress: show, Log: a.log})
 	done()
 	if err != nil && passing && a.ctx.Err() != nil {
 		os.RemoveAll(dir) // who ends a run early wants nothing of it
@@ -122,7 +122,7 @@
 	if err != nil { // the nodes' logs may tell why
 		return nil, fmt.Errorf("%s, seed %d: %w; the logs are in %s", plan.Name, plan.Seed, err, dir)
 	}
-	if passing && res.Kept {
+	if passing && res.Passed {
 		return res, os.RemoveAll(dir)
 	}
 	if err := res.Write(dir); err != nil {
@@ -180,17 +180,17 @@
 	live := ok && term.IsTerminal(int(file.Fd()))
 	last := time.Now()
 	line := func(p lab.Progress) string {
-		if p.Preparing {
-			return fmt.Sprintf("%s seed %d: %d of %d nodes ready", name, seed, p.Ready, nodes)
+		if p.Starting {
+			return fmt.Sprintf("%s seed %d: %d of %d nodes ready", name, seed, p.ReadyNodes, nodes)
 		}
 		return fmt.Sprintf("%s seed %d: %v of %v, %d handed in, %d calls, %d notices, %d of %d nodes up, lab late by %v", name, seed,
-			p.At.Round(time.Second), p.End, p.Handed, p.Calls, p.Notices, p.Ready, nodes, p.Lateness)
+			p.Elapsed.Round(time.Second), p.End, p.Submitted, p.Calls, p.Notices, p.ReadyNodes, nodes, p.Lateness)
 	}
 	if live {
 		return func(p lab.Progress) { fmt.Fprintf(a.err, "\r\x1b[K%s", line(p)) }, func() { fmt.Fprint(a.err, "\r\x1b[K") }
 	}
 	return func(p lab.Progress) {
-		if now := time.Now(); !p.Preparing && now.Sub(last) >= 5*time.Second {
+		if now := time.Now(); !p.Starting && now.Sub(last) >= 5*time.Second {
 			last = now
 			fmt.Fprintln(a.err, line(p))
 		}
@@ -216,7 +216,7 @@
 
 func printResult(w io.Writer, res *lab.Result) {
 	verdict := "kept"
-	if !res.Kept {
+	if !res.Passed {
 		verdict = "NOT KEPT"
 	}
 	all := res.Tally.All
@@ -234,17 +234,17 @@
 	fmt.Fprintf(t, "  lab late by\t%v\t99th percentile %v\n", res.Lateness.P50, res.Lateness.P99)
 	t.Flush()
 	for _, e := range res.Expectations {
-		if !e.Kept {
-			fmt.Fprintf(w, "  not kept: %s; got %s\n", e.What, e.Got)
+		if !e.Met {
+			fmt.Fprintf(w, "  not kept: %s; got %s\n", e.Condition, e.Actual)
 		}
 	}
-	for _, s := range res.Spoilt {
+	for _, s := range res.InvalidReasons {
 		fmt.Fprintf(w, "  spoilt: %s\n", s)
 	}
 	const most = 10
-	for i, b := range res.Breaches {
+	for i, b := range res.Violations {
 		if i == most {
-			fmt.Fprintf(w, "  and %d more breaches, in %s\n", len(res.Breaches)-most, lab.ResultFile)
+			fmt.Fprintf(w, "  and %d more breaches, in %s\n", len(res.Violations)-most, lab.ResultFile)
 			break
 		}
 		fmt.Fprintf(w, "  breach of %s\n", b)
@@ -386,20 +386,20 @@
 
 func (a *app) printComparison(c *lab.Comparison) error {
 	if a.asJSON {
-		if err := printJSON(a.out, c.Table()); err != nil {
+		if err := printJSON(a.out, c.Differences()); err != nil {
 			return err
 		}
 	} else {
 		fmt.Fprintf(a.out, "A is %s, B is %s; %d seeds from %d on; each difference is B less A of one seed\n", c.A, c.B, len(c.Pairs), c.Pairs[0].Seed)
 		t := tabwriter.NewWriter(a.out, 2, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "figure\tA\tB\tmean difference\t95% from\tto\t")
-		for _, l := range c.Table() {
+		for _, l := range c.Differences() {
 			fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%+.4g\t%+.4g\t%+.4g\t%s\n", l.Name, l.A, l.B, l.Mean, l.Low, l.High, l.Verdict)
 		}
 		t.Flush()
 	}
-	if c.Broken() > 0 {
-		fmt.Fprintf(a.err, "%d of the runs did not keep what was expected\n", c.Broken())
+	if c.FailedRuns() > 0 {
+		fmt.Fprintf(a.err, "%d of the runs did not keep what was expected\n", c.FailedRuns())
 		return errNotKept
 	}
 	return nil
--- a/fleet/experiment/plan.go
+++ b/fleet/experiment/plan.go
@@ -236,7 +236,7 @@
 	r := pl.source("classes")
 	sum := 0.0
 	for _, c := range pl.f.Classes {
-		effect := map[string]judge.Effect{"safe": judge.Safe, "keyed": judge.Keyed, "unsafe": judge.Unsafe}[c.Effect]
+		effect := map[string]judge.Effect{"safe": judge.EffectIdempotent, "keyed": judge.EffectDeduplicated, "unsafe": judge.EffectAtMostOnce}[c.Effect]
 		one := ClassPlan{
 			Name: c.Name, Share: c.Share.draw(r), SoftDeadline: c.SoftDeadline.draw(r), Deadline: c.Deadline.draw(r), Worth: c.Worth.draw(r),
 			WorthAtDeadline: c.WorthAtDeadline.draw(r), Effect: effect, Window: c.Window.draw(r),
@@ -327,7 +327,7 @@
 				SlowStartFrom: p.Rules.SlowStartFrom, SlowStartDuration: p.Rules.SlowStartDuration, CollapseMultiple: p.Rules.CollapseMultiple, CollapseSpan: p.Rules.CollapseSpan,
 			}
 			for _, c := range p.Classes {
-				if c.Effect == judge.Keyed {
+				if c.Effect == judge.EffectDeduplicated {
 					m.DedupWindow = max(m.DedupWindow, c.Window)
 				}
 			}
@@ -614,7 +614,7 @@
 
 // IdempotencyKey returns the idempotency key of a message, "" if its class has none.
 func (p *Plan) IdempotencyKey(c int) string {
-	if p.Classes[p.Arrivals[c-1].Class].Effect != judge.Keyed {
+	if p.Classes[p.Arrivals[c-1].Class].Effect != judge.EffectDeduplicated {
 		return ""
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("key %d %d", p.Seed, c)))
--- a/fleet/experiment/settings.go
+++ b/fleet/experiment/settings.go
@@ -14,7 +14,7 @@
 func (p *Plan) Settings(node int) (json.RawMessage, error) {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	n := p.Nodes[node]
-	effects := map[judge.Effect]string{judge.Safe: "idempotent", judge.Keyed: "deduplicated", judge.Unsafe: "at_most_once"}
+	effects := map[judge.Effect]string{judge.EffectIdempotent: "idempotent", judge.EffectDeduplicated: "deduplicated", judge.EffectAtMostOnce: "at_most_once"}
 	var classes, members []object
 	for _, c := range p.Classes {
 		classes = append(classes, object{
--- a/fleet/judge/judge.go
+++ b/fleet/judge/judge.go
@@ -39,9 +39,9 @@
 type Effect uint8
 
 const (
-	Safe   Effect = iota // repeats are harmless
-	Keyed                // repeats are dropped within a window
-	Unsafe               // must never run twice
+	EffectIdempotent   Effect = iota // repeats are harmless
+	EffectDeduplicated               // repeats are dropped within a window
+	EffectAtMostOnce                 // must never run twice
 )
 
 // Class holds the properties of a message class that the rules need.
@@ -406,18 +406,18 @@
 			evidence := []history.Event{m.submitted, before.started, before.ended, c.started}
 			late := c.started.FirstAt - before.started.FirstAt - class.Window - j.config.Slack
 			switch {
-			case class.Effect == Unsafe && !repeatFound:
+			case class.Effect == EffectAtMostOnce && !repeatFound:
 				repeatFound = true
 				j.report(AtMostOnce, m.submitted.Node, m.submitted.ID, c.started.FirstAt, evidence, "it was sent again although call %d may have run it (%s)", before.started.Call,
 					endState(before))
-			case class.Effect == Keyed && late > 0 && !windowFound:
+			case class.Effect == EffectDeduplicated && late > 0 && !windowFound:
 				windowFound = true
 				j.report(KeyWindow, m.submitted.Node, m.submitted.ID, c.started.FirstAt, evidence, "it was sent again %v after its deduplication window",
 					late.Round(time.Millisecond))
 			}
 		}
 	}
-	if class.Effect != Unsafe {
+	if class.Effect != EffectAtMostOnce {
 		return
 	}
 	for _, n := range m.notices {
@@ -451,7 +451,7 @@
 	byCase := map[int][]run{}
 	for _, id := range j.messageIDs {
 		m := j.messages[id]
-		if m.submitted.Class < len(j.config.Classes) && j.config.Classes[m.submitted.Class].Effect == Unsafe {
+		if m.submitted.Class < len(j.config.Classes) && j.config.Classes[m.submitted.Class].Effect == EffectAtMostOnce {
 			for _, r := range m.ran {
 				byCase[m.submitted.MessageNumber] = append(byCase[m.submitted.MessageNumber], run{m, r})
 			}
--- a/fleet/judge/judge_test.go
+++ b/fleet/judge/judge_test.go
@@ -17,7 +17,7 @@
 
 func testConfig() Config {
 	config := DefaultConfig()
-	config.Classes = []Class{{"notice", Safe, 0}, {"order", Keyed, 2 * time.Second}, {"payout", Unsafe, 0}}
+	config.Classes = []Class{{"notice", EffectIdempotent, 0}, {"order", EffectDeduplicated, 2 * time.Second}, {"payout", EffectAtMostOnce, 0}}
 	config.Slots = []int{2, 2}
 	return config
 }
--- a/internal/lab/block/block.go
+++ b/internal/lab/block/block.go
@@ -16,7 +16,7 @@
 }
 
 // Take finds one that is free.
-func Take() (*Block, error) {
+func Reserve() (*Block, error) {
 	for i := range 100 {
 		number := 20 + (os.Getpid()+i)%100
 		pc, err := net.ListenPacket("udp", fmt.Sprintf("127.%d.255.254:9007", number))
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -36,11 +36,11 @@
 }
 
 // Broken counts the runs in which not all was kept.
-func (c *Comparison) Broken() int {
+func (c *Comparison) FailedRuns() int {
 	n := 0
 	for _, p := range c.Pairs {
 		for _, r := range []*Result{p.A, p.B} {
-			if !r.Kept {
+			if !r.Passed {
 				n++
 			}
 		}
@@ -49,7 +49,7 @@
 }
 
 // Table gives the differences. With fewer than two pairs there is no interval.
-func (c *Comparison) Table() []Difference {
+func (c *Comparison) Differences() []Difference {
 	figures := []struct {
 		name string
 		of   func(*Result) float64
@@ -68,19 +68,19 @@
 		{"99th percentile of it, s", func(r *Result) float64 { return r.Tally.TimeToDelivery.P99.Seconds() }},
 		{"CPU of the nodes, s", func(r *Result) float64 {
 			sum := 0.0
-			for _, u := range r.Use {
+			for _, u := range r.Processes {
 				sum += u.CPU.Seconds()
 			}
 			return sum
 		}},
 		{"most memory of a node, MB", func(r *Result) float64 {
 			most := 0.0
-			for _, u := range r.Use {
+			for _, u := range r.Processes {
 				most = max(most, float64(u.RSS)/(1<<20))
 			}
 			return most
 		}},
-		{"breaches", func(r *Result) float64 { return float64(len(r.Breaches)) }},
+		{"breaches", func(r *Result) float64 { return float64(len(r.Violations)) }},
 	}
 	if len(c.Pairs) > 0 {
 		for i, l := range c.Pairs[0].A.Tally.Classes {
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -38,10 +38,10 @@
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
 	for _, s := range steps {
-		if !observe.SleepUntil(ctx, r.log.Wall(s.at)) {
+		if !observe.SleepUntil(ctx, r.log.WallTime(s.at)) {
 			return
 		}
-		r.log.Late(observe.ByTimeline, r.log.Now()-s.at)
+		r.log.RecordLateness(observe.Timeline, r.log.Now()-s.at)
 		note := "begins: "
 		if s.ends {
 			note = "ends: "
@@ -64,7 +64,7 @@
 	if t, ok := partner.ParseFaultKind(x.Kind); ok {
 		for _, p := range x.Partners {
 			if !ends {
-				r.partners[p].Trouble(t, x.Size, x.Until)
+				r.partners[p].StartFault(t, x.Size, x.Until)
 			}
 		}
 		return
@@ -89,11 +89,11 @@
 			a := r.platform.Agent(n)
 			switch {
 			case x.Kind == "silent-list":
-				a.Silent(!ends)
+				a.SetSilent(!ends)
 			case ends:
-				a.Late(0)
+				a.SetExtraDelay(0)
 			default:
-				a.Late(time.Duration(x.Size * float64(time.Second)))
+				a.SetExtraDelay(time.Duration(x.Size * float64(time.Second)))
 			}
 		}
 	case "move":
@@ -129,7 +129,7 @@
 		for _, n := range x.Nodes {
 			for _, p := range x.Partners {
 				for _, e := range r.partners[p].Endpoints() {
-					e.Link(n).Reset()
+					e.Link(n).ResetConnections()
 				}
 			}
 		}
@@ -152,7 +152,7 @@
 			share *= s
 		}
 		r.mu.Unlock()
-		r.partners[p].Limit(share)
+		r.partners[p].SetLimitShare(share)
 	}
 }
 
@@ -168,12 +168,12 @@
 			ID: old.ID, Locality: r.plan.Zones[old.Zone], Flavor: r.plan.PartnerKinds[r.plan.Partners[number].Kind], Cell: number,
 			Phase: history.Draining, Size: r.plan.Partners[number].TotalRate(),
 		}
-		r.platform.Put(member, nil, false)
+		r.platform.PutMember(member, nil, false)
 		if !observe.SleepUntil(ctx, time.Now().Add(drain)) {
 			return nil
 		}
 		member.Phase = history.Deleted
-		r.platform.Put(member, old.Addr, false)
+		r.platform.PutMember(member, old.Addr, false)
 		if !observe.SleepUntil(ctx, time.Now().Add(drain)) {
 			return nil
 		}
@@ -198,17 +198,17 @@
 		for _, e := range r.partners[p].Endpoints() {
 			for _, n := range x.Nodes {
 				if breaks {
-					e.Link(n).Reset()
+					e.Link(n).ResetConnections()
 				}
-				e.Link(n).Set(r.weather(n, p, e.Zone))
+				e.Link(n).SetConditions(r.weather(n, p, e.Zone))
 			}
 		}
 	}
 }
 
 // weather is what a link has to be like now; the lock is held.
-func (r *run) weather(node, number, zone int) relay.Weather {
-	w := relay.Weather{Delay: r.plan.Network.CrossZone, Jitter: r.plan.Network.Jitter}
+func (r *run) weather(node, number, zone int) relay.Conditions {
+	w := relay.Conditions{Delay: r.plan.Network.CrossZone, Jitter: r.plan.Network.Jitter}
 	if r.plan.Nodes[node].Zone == zone {
 		w.Delay = r.plan.Network.SameZone
 	}
@@ -218,17 +218,17 @@
 		}
 		switch x.Kind {
 		case "cut":
-			w.CutOut = w.CutOut || x.Direction != "back"
-			w.CutBack = w.CutBack || x.Direction != "out"
+			w.CutOutbound = w.CutOutbound || x.Direction != "back"
+			w.CutReturn = w.CutReturn || x.Direction != "out"
 		case "delay":
 			w.Delay += time.Duration(x.Size * float64(time.Millisecond))
 		case "loss":
 			w.Loss = max(w.Loss, x.Size)
 		case "swallow":
-			w.Swallow = max(w.Swallow, x.Size)
+			w.CutReturnShare = max(w.CutReturnShare, x.Size)
 		case "rate":
-			if rate := x.Size * 1000; w.Rate == 0 || rate < w.Rate {
-				w.Rate = rate
+			if rate := x.Size * 1000; w.BytesPerSecond == 0 || rate < w.BytesPerSecond {
+				w.BytesPerSecond = rate
 			}
 		}
 	}
--- a/internal/lab/formats_test.go
+++ b/internal/lab/formats_test.go
@@ -36,8 +36,8 @@
 	var differences []Difference
 	golden.Fill(&differences)
 	checkJSON(t, "differences.json", differences)
-	golden.Check(t, "names.txt", []byte(ResultFile+" "+EventsFile+" "+ReportFile+" "+string(observe.ByClients)+" "+string(observe.ByPartners)+" "+
-		string(observe.ByLinks)+" "+string(observe.ByTimeline)+"\n"))
+	golden.Check(t, "names.txt", []byte(ResultFile+" "+EventsFile+" "+ReportFile+" "+string(observe.Clients)+" "+string(observe.Partners)+" "+
+		string(observe.Links)+" "+string(observe.Timeline)+"\n"))
 }
 
 // The configuration file that a node is started with.
@@ -46,7 +46,7 @@
 	r := &run{plan: &p, opts: Options{Dir: t.TempDir()}, block: &block.Block{}}
 	r.platform = standin.NewPlatform(len(p.Nodes), 0, 0, 1, observe.NewLog(), func(int, string, string, time.Duration) {})
 	defer r.platform.Close()
-	r.platform.Put(standin.Member{ID: "s-0-0", Locality: "z0", Flavor: "hook", Phase: history.Serving, Size: 2}, func(int) string { return "127.0.0.1:10000" }, true)
+	r.platform.PutMember(standin.Member{ID: "s-0-0", Locality: "z0", Flavor: "hook", Phase: history.Serving, Size: 2}, func(int) string { return "127.0.0.1:10000" }, true)
 	n, err := newNode(r, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -121,16 +121,16 @@
 	} {
 		t.Run("fault "+string(test.fault), func(t *testing.T) {
 			t.Parallel()
-			res, err := Play(context.Background(), plan(t, test.text), sendWith(t, string(test.fault)))
+			res, err := RunPlan(context.Background(), plan(t, test.text), sendWith(t, string(test.fault)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if res.Kinds[string(history.Submitted)] < 30 {
-				t.Fatalf("hardly anything happened: %v", res.Kinds)
+			if res.EventCounts[string(history.Submitted)] < 30 {
+				t.Fatalf("hardly anything happened: %v", res.EventCounts)
 			}
-			found := slices.ContainsFunc(res.Breaches, func(b judge.Violation) bool { return b.Rule == test.fault })
+			found := slices.ContainsFunc(res.Violations, func(b judge.Violation) bool { return b.Rule == test.fault })
 			if !found {
-				t.Errorf("the breach of %s was not found among %v", test.fault, res.Breaches)
+				t.Errorf("the breach of %s was not found among %v", test.fault, res.Violations)
 			}
 		})
 	}
@@ -140,15 +140,15 @@
 func TestNoBreaches(t *testing.T) {
 	for name, faults := range map[string]string{"lossy, replaced": lossy + replace, "shut": shut, "cold, slow": cold + slow} {
 		t.Run(name, func(t *testing.T) {
-			res, err := Play(context.Background(), plan(t, base+faults), sendWith(t, ""))
+			res, err := RunPlan(context.Background(), plan(t, base+faults), sendWith(t, ""))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(res.Spoilt) > 0 {
-				t.Skipf("this machine is too busy for a verdict: %v", res.Spoilt)
+			if len(res.InvalidReasons) > 0 {
+				t.Skipf("this machine is too busy for a verdict: %v", res.InvalidReasons)
 			}
-			if len(res.Breaches) > 0 {
-				t.Errorf("found in a sender without fault: %v", res.Breaches)
+			if len(res.Violations) > 0 {
+				t.Errorf("found in a sender without fault: %v", res.Violations)
 			}
 		})
 	}
@@ -161,27 +161,27 @@
 	opts := sendWith(t, "")
 	enough := errors.New("enough")
 	opts.Progress = func(p Progress) {
-		if p.At > 0 {
+		if p.Elapsed > 0 {
 			cancel(enough)
 		}
 	}
-	if _, err := Play(ctx, plan(t, base), opts); !errors.Is(err, enough) {
+	if _, err := RunPlan(ctx, plan(t, base), opts); !errors.Is(err, enough) {
 		t.Errorf("got %v", err)
 	}
 	opts = sendWith(t, "")
 	opts.Command = []string{"/bin/false"}
-	if _, err := Play(context.Background(), plan(t, base), opts); err == nil || !strings.Contains(err.Error(), "exit code 1") {
+	if _, err := RunPlan(context.Background(), plan(t, base), opts); err == nil || !strings.Contains(err.Error(), "exit code 1") {
 		t.Errorf("got %v", err)
 	}
 }
 
 // What a run has come to can be written, read and reported.
 func TestResults(t *testing.T) {
-	res, err := Play(context.Background(), plan(t, strings.Replace(base, "2500ms", "1s", 1)), sendWith(t, "one-end"))
+	res, err := RunPlan(context.Background(), plan(t, strings.Replace(base, "2500ms", "1s", 1)), sendWith(t, "one-end"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res.Kept {
+	if res.Passed {
 		t.Error("a run with breaches was kept")
 	}
 	dir := t.TempDir()
@@ -196,8 +196,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(events) != len(res.Events) || len(got.Breaches) != len(res.Breaches) || got.Tally.All != res.Tally.All {
-		t.Errorf("read %d events of %d, %d breaches of %d", len(events), len(res.Events), len(got.Breaches), len(res.Breaches))
+	if len(events) != len(res.Events) || len(got.Violations) != len(res.Violations) || got.Tally.All != res.Tally.All {
+		t.Errorf("read %d events of %d, %d breaches of %d", len(events), len(res.Events), len(got.Violations), len(res.Violations))
 	}
 	path, err := WriteReport(dir, got)
 	if err != nil {
@@ -244,7 +244,7 @@
 		t.Fatal(err)
 	}
 	res.judge(f.Expect)
-	if res.Kept || len(res.Spoilt) != 1 || !strings.Contains(res.Spoilt[0], "its own lateness") {
+	if res.Passed || len(res.InvalidReasons) != 1 || !strings.Contains(res.InvalidReasons[0], "its own lateness") {
 		t.Errorf("got %+v", res)
 	}
 }
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -43,11 +43,11 @@
 	full   bool // its disk
 	down   int  // faults that keep it down
 	paused bool // by SIGSTOP
-	use    ProcessUse
+	use    ProcessUsage
 }
 
 // ProcessUse is what a node's processes have used.
-type ProcessUse struct {
+type ProcessUsage struct {
 	Node        string        `json:"node"`
 	Starts      int           `json:"starts"`
 	CPU         time.Duration `json:"cpu"`
@@ -57,7 +57,7 @@
 }
 
 func newNode(r *run, number int) (*node, error) {
-	n := &node{r: r, number: number, dir: filepath.Join(r.opts.Dir, r.plan.Nodes[number].Name), use: ProcessUse{Node: r.plan.Nodes[number].Name}}
+	n := &node{r: r, number: number, dir: filepath.Join(r.opts.Dir, r.plan.Nodes[number].Name), use: ProcessUsage{Node: r.plan.Nodes[number].Name}}
 	for _, d := range []string{"state", "tmp"} {
 		if err := os.MkdirAll(filepath.Join(n.dir, d), 0o700); err != nil {
 			return nil, fmt.Errorf("folder of %s: %w", n.name(), err)
@@ -87,7 +87,7 @@
 	agent := n.r.platform.Agent(n.number)
 	raw, err := json.Marshal(map[string]any{
 		"name": p.Name, "listen": n.r.addr(n.number, clientPort), "discovery": agent.Addr(),
-		"seed": fmt.Sprintf("%016x", p.Seed+uint64(n.use.Starts)), "known": agent.Known(), "settings": settings,
+		"seed": fmt.Sprintf("%016x", p.Seed+uint64(n.use.Starts)), "known": agent.FullList(), "settings": settings,
 		"limits": map[string]any{"cores": p.Cores, "memory_mb": p.MemoryMB, "sockets": p.Sockets, "disk_mb": p.DiskMB},
 	})
 	if err != nil {
@@ -120,7 +120,7 @@
 		env = append(env, "ROUTER_FLEET="+filepath.Join(n.dir, "fleet.toml"))
 	}
 	process, err := n.r.sup.Start(proc.Spec{
-		Name: p.Name, Command: n.r.opts.Command, Env: env, Log: n.out, Sockets: p.Sockets, Full: n.full,
+		Name: p.Name, Command: n.r.opts.Command, Env: env, Output: n.out, MaxDescriptors: p.Sockets, DiskFull: n.full,
 	})
 	if err != nil {
 		return err
@@ -147,11 +147,11 @@
 
 // follow notes the end of a process.
 func (n *node) follow(p *proc.Process) {
-	exit := p.Exit()
+	exit := p.Wait()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.use.CPU += exit.CPU
-	n.use.RSS = max(n.use.RSS, exit.RSS)
+	n.use.RSS = max(n.use.RSS, exit.MaxRSS)
 	if n.p == p {
 		n.ready = false
 	}
@@ -188,7 +188,7 @@
 		case <-t.C:
 		case <-p.Done():
 			t.Stop()
-			return fmt.Errorf("%s ended %v before it was ready; its log is %s", n.name(), p.Exit(), n.out.f.Name())
+			return fmt.Errorf("%s ended %v before it was ready; its log is %s", n.name(), p.Wait(), n.out.f.Name())
 		case <-ctx.Done():
 			t.Stop()
 			return fmt.Errorf("%s: %w", n.name(), context.Cause(ctx))
@@ -257,7 +257,7 @@
 	if err := os.RemoveAll(state); err != nil {
 		return err
 	}
-	n.r.clients.Lost(n.number)
+	n.r.clients.HandleStateLoss(n.number)
 	return os.Mkdir(state, 0o700)
 }
 
@@ -328,7 +328,7 @@
 	if n.over || !n.running() {
 		return nil // it has the limit from its next start on
 	}
-	return n.p.DiskFull(on)
+	return n.p.SetDiskFull(on)
 }
 
 // sample looks at what the process uses.
--- a/internal/lab/observe/observe.go
+++ b/internal/lab/observe/observe.go
@@ -13,14 +13,14 @@
 )
 
 // Part is a part of the lab that has something to do at a time.
-type Part string
+type Component string
 
 // The parts.
 const (
-	ByClients  Part = "clients"  // handing in
-	ByPartners Part = "partners" // answering, by the model's time
-	ByLinks    Part = "links"    // passing on, by their delay
-	ByTimeline Part = "timeline" // faults
+	Clients  Component = "clients"  // handing in
+	Partners Component = "partners" // answering, by the model's time
+	Links    Component = "links"    // passing on, by their delay
+	Timeline Component = "timeline" // faults
 )
 
 // Log takes events from any goroutine.
@@ -29,7 +29,7 @@
 
 	mu     sync.Mutex
 	events [][]history.Event // in pieces: one slice that grows is copied whole, and all wait
-	late   map[Part]tally.Recorder
+	late   map[Component]tally.Recorder
 	counts map[history.Kind]int
 }
 
@@ -40,14 +40,14 @@
 
 // NewLog makes a log whose clock is far under zero until Begin.
 func NewLog() *Log {
-	l := &Log{late: map[Part]tally.Recorder{}, counts: map[history.Kind]int{}}
+	l := &Log{late: map[Component]tally.Recorder{}, counts: map[history.Kind]int{}}
 	start := time.Now().Add(notYet)
 	l.start.Store(&start)
 	return l
 }
 
 // Begin lets the run's time begin now. What was seen before has times under zero.
-func (l *Log) Begin() {
+func (l *Log) Start() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -65,10 +65,10 @@
 func (l *Log) Now() time.Duration { return time.Since(*l.start.Load()) }
 
 // At is the run's time at another one.
-func (l *Log) At(t time.Time) time.Duration { return t.Sub(*l.start.Load()) }
+func (l *Log) RunTime(t time.Time) time.Duration { return t.Sub(*l.start.Load()) }
 
 // Wall is the time at a run's time.
-func (l *Log) Wall(d time.Duration) time.Time { return l.start.Load().Add(d) }
+func (l *Log) WallTime(d time.Duration) time.Time { return l.start.Load().Add(d) }
 
 // SleepUntil waits until a time, and tells whether the context is still alive then.
 func SleepUntil(ctx context.Context, at time.Time) bool {
@@ -103,7 +103,7 @@
 }
 
 // Late notes by how much a part of the lab was behind with something.
-func (l *Log) Late(part Part, by time.Duration) {
+func (l *Log) RecordLateness(part Component, by time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.late[part]
@@ -115,10 +115,10 @@
 }
 
 // Lateness is how late each part of the lab was so far.
-func (l *Log) Lateness() map[Part]tally.Percentiles {
+func (l *Log) Lateness() map[Component]tally.Percentiles {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := map[Part]tally.Percentiles{}
+	out := map[Component]tally.Percentiles{}
 	for part, r := range l.late {
 		out[part] = r.Percentiles()
 	}
@@ -126,7 +126,7 @@
 }
 
 // Latest is the lateness of the part that was latest, by the 99th percentile.
-func Latest(all map[Part]tally.Percentiles) tally.Percentiles {
+func WorstLateness(all map[Component]tally.Percentiles) tally.Percentiles {
 	var worst tally.Percentiles
 	for _, t := range all {
 		if t.P99 > worst.P99 {
@@ -137,7 +137,7 @@
 }
 
 // Count is how many events of a kind there are so far.
-func (l *Log) Count(k history.Kind) int {
+func (l *Log) CountKind(k history.Kind) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts[k]
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -21,15 +21,15 @@
 
 // Spec says what to start.
 type Spec struct {
-	Name    string
-	Command []string
-	Env     []string // all of it
-	Dir     string
-	In      io.Reader // its standard input; nil: none
-	Out     io.Writer // its standard output; nil: the Log has it too
-	Log     io.Writer // its standard output and error; nil: none
-	Sockets int       // descriptors at most; 0: as here
-	Full    bool      // it can write to no file, as on a full disk, until DiskFull(false)
+	Name           string
+	Command        []string
+	Env            []string // all of it
+	Dir            string
+	Stdin          io.Reader // its standard input; nil: none
+	Stdout         io.Writer // its standard output; nil: the Log has it too
+	Output         io.Writer // its standard output and error; nil: none
+	MaxDescriptors int       // descriptors at most; 0: as here
+	DiskFull       bool      // it can write to no file, as on a full disk, until DiskFull(false)
 }
 
 // Exit is how a process ended.
@@ -38,7 +38,7 @@
 	Signal syscall.Signal
 	At     time.Time
 	CPU    time.Duration // used in all
-	RSS    int64         // the most it held, in bytes
+	MaxRSS int64         // the most it held, in bytes
 }
 
 func (e Exit) String() string {
@@ -103,13 +103,13 @@
 		return nil, errors.New("no command")
 	}
 	args := spec.Command
-	if spec.Full { // from its first instruction on; the limit is a soft one, for DiskFull to lift
+	if spec.DiskFull { // from its first instruction on; the limit is a soft one, for DiskFull to lift
 		args = append([]string{"/bin/sh", "-c", `ulimit -S -f 0; exec "$0" "$@"`}, args...)
 	}
 	cmd := exec.Command(args[0], args[1:]...)
-	cmd.Env, cmd.Dir, cmd.Stdin, cmd.Stdout, cmd.Stderr = spec.Env, spec.Dir, spec.In, spec.Log, spec.Log
-	if spec.Out != nil {
-		cmd.Stdout = spec.Out
+	cmd.Env, cmd.Dir, cmd.Stdin, cmd.Stdout, cmd.Stderr = spec.Env, spec.Dir, spec.Stdin, spec.Output, spec.Output
+	if spec.Stdout != nil {
+		cmd.Stdout = spec.Stdout
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	cmd.WaitDelay = 2 * time.Second // for its log, if something holds that open
@@ -124,8 +124,8 @@
 	if err := <-x.done; err != nil {
 		return nil, fmt.Errorf("start of %s: %w", spec.Name, err)
 	}
-	if spec.Sockets > 0 {
-		n := uint64(spec.Sockets)
+	if spec.MaxDescriptors > 0 {
+		n := uint64(spec.MaxDescriptors)
 		if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: n}, nil); err != nil {
 			cmd.Process.Kill()
 			cmd.Wait()
@@ -140,7 +140,7 @@
 			p.exit.Signal = ws.Signal()
 		}
 		if ru, ok := cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-			p.exit.RSS = ru.Maxrss << 10
+			p.exit.MaxRSS = ru.Maxrss << 10
 		}
 		s.mu.Lock()
 		delete(s.all, p)
@@ -174,7 +174,7 @@
 func (p *Process) Done() <-chan struct{} { return p.done }
 
 // Exit is how it ended, once Done is closed.
-func (p *Process) Exit() Exit {
+func (p *Process) Wait() Exit {
 	<-p.done
 	return p.exit
 }
@@ -189,7 +189,7 @@
 
 // End sends SIGTERM, and SIGKILL if the process has not ended after the grace or when the context ends. It returns
 // when the process has ended.
-func (p *Process) End(ctx context.Context, grace time.Duration) error {
+func (p *Process) Terminate(ctx context.Context, grace time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 }
 
 // DiskFull lets every write of the process to a file fail, or no longer.
-func (p *Process) DiskFull(on bool) error {
+func (p *Process) SetDiskFull(on bool) error {
 	var old unix.Rlimit
 	if err := unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, nil, &old); err != nil {
 		return fmt.Errorf("disk of %s: %w", p.spec.Name, err)
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -83,30 +83,30 @@
 func TestEndsAndSignals(t *testing.T) {
 	s := NewSupervisor()
 	defer s.Close()
-	p, err := s.Start(Spec{Name: "sleeper", Command: []string{"/bin/sleep", "600"}, Sockets: 50})
+	p, err := s.Start(Spec{Name: "sleeper", Command: []string{"/bin/sleep", "600"}, MaxDescriptors: 50})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if u, err := p.Usage(); err != nil || u.RSS <= 0 || u.Descriptors <= 0 {
 		t.Errorf("usage %+v, %v", u, err)
 	}
-	if err := p.End(context.Background(), patience); err != nil {
+	if err := p.Terminate(context.Background(), patience); err != nil {
 		t.Fatal(err)
 	}
-	if e := p.Exit(); e.Signal != syscall.SIGTERM {
+	if e := p.Wait(); e.Signal != syscall.SIGTERM {
 		t.Errorf("ended %v", e)
 	}
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		t.Errorf("a signal to a process that has ended: %v", err)
 	}
 	// One that heeds no SIGTERM is killed.
-	deaf, err := s.Start(Spec{Name: "deaf", Command: []string{"/bin/sh", "-c", "trap '' TERM; echo; while :; do sleep 600; done"}, Log: io.Discard})
+	deaf, err := s.Start(Spec{Name: "deaf", Command: []string{"/bin/sh", "-c", "trap '' TERM; echo; while :; do sleep 600; done"}, Output: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := deaf.End(ctx, patience); err != nil {
+	if err := deaf.Terminate(ctx, patience); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Start(Spec{Name: "none", Command: []string{"/nonexistent"}}); err == nil {
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e := code.Exit(); e.Code != 3 || !strings.Contains(e.String(), "3") {
+	if e := code.Wait(); e.Code != 3 || !strings.Contains(e.String(), "3") {
 		t.Errorf("ended %v", e)
 	}
 }
@@ -177,7 +177,7 @@
 			defer s.Close()
 			out := &lines{c: make(chan string, 10)}
 			p, err := s.Start(Spec{
-				Name: "writer", Command: []string{os.Args[0]}, Log: out, Full: fromStart,
+				Name: "writer", Command: []string{os.Args[0]}, Output: out, DiskFull: fromStart,
 				Env: []string{"PROC_TEST_CHILD=writer", "PROC_TEST_FILE=" + filepath.Join(t.TempDir(), "f")},
 			})
 			if err != nil {
@@ -195,12 +195,12 @@
 				}
 			}
 			if !fromStart {
-				if err := p.DiskFull(true); err != nil {
+				if err := p.SetDiskFull(true); err != nil {
 					t.Fatal(err)
 				}
 			}
 			next("can write: false")
-			if err := p.DiskFull(false); err != nil {
+			if err := p.SetDiskFull(false); err != nil {
 				t.Fatal(err)
 			}
 			next("can write: true")
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -17,14 +17,14 @@
 )
 
 // Weather is what a link does to what passes. The zero value passes all at once.
-type Weather struct {
-	Delay   time.Duration // one way
-	Jitter  float64       // of the delay, evenly up to this share more
-	Loss    float64       // share of pieces: over TCP they come resendAfter later, over UDP never
-	Rate    float64       // bytes a second of each connection and way; 0: any
-	CutOut  bool          // nothing passes from the one who dials, new connections included
-	CutBack bool          // nothing passes back to it
-	Swallow float64       // share of connections whose way back is cut
+type Conditions struct {
+	Delay          time.Duration // one way
+	Jitter         float64       // of the delay, evenly up to this share more
+	Loss           float64       // share of pieces: over TCP they come resendAfter later, over UDP never
+	BytesPerSecond float64       // bytes a second of each connection and way; 0: any
+	CutOutbound    bool          // nothing passes from the one who dials, new connections included
+	CutReturn      bool          // nothing passes back to it
+	CutReturnShare float64       // share of connections whose way back is cut
 }
 
 const (
@@ -45,29 +45,29 @@
 // Link listens at one address and passes each connection on to where dial leads. Close ends it and all that it holds.
 type Link struct {
 	addr string
-	dial func(context.Context, *Pair) (net.Conn, error)
+	dial func(context.Context, *Connection) (net.Conn, error)
 	late func(time.Duration) // is told how late each piece left; may be nil
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	ln      *net.TCPListener // nil while connections are refused
-	held    bool             // connections neither come up nor are refused
-	weather Weather
-	changed chan struct{} // closed at each change of weather
-	pairs   map[*Pair]bool
-	filler  net.Conn // it keeps the accept queue full
-	rand    *rand.Rand
+	mu         sync.Mutex
+	ln         *net.TCPListener // nil while connections are refused
+	held       bool             // connections neither come up nor are refused
+	conditions Conditions
+	changed    chan struct{} // closed at each change of weather
+	pairs      map[*Connection]bool
+	filler     net.Conn // it keeps the accept queue full
+	rand       *rand.Rand
 }
 
 // Listen makes a link. Its address is host:port; where dial leads is asked for each connection. The seed is for jitter
 // and loss.
-func Listen(addr string, seed uint64, dial func(context.Context, *Pair) (net.Conn, error), late func(time.Duration)) (*Link, error) {
+func Listen(addr string, seed uint64, dial func(context.Context, *Connection) (net.Conn, error), late func(time.Duration)) (*Link, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Link{
-		addr: addr, dial: dial, late: late, ctx: ctx, cancel: cancel, changed: make(chan struct{}), pairs: map[*Pair]bool{},
+		addr: addr, dial: dial, late: late, ctx: ctx, cancel: cancel, changed: make(chan struct{}), pairs: map[*Connection]bool{},
 		rand: rand.New(rand.NewPCG(seed, 1)),
 	}
 	l.mu.Lock()
@@ -80,8 +80,8 @@
 }
 
 // To leads to a TCP address.
-func To(addr string) func(context.Context, *Pair) (net.Conn, error) {
-	return func(ctx context.Context, _ *Pair) (net.Conn, error) {
+func DialTo(addr string) func(context.Context, *Connection) (net.Conn, error) {
+	return func(ctx context.Context, _ *Connection) (net.Conn, error) {
 		var d net.Dialer
 		return d.DialContext(ctx, "tcp", addr)
 	}
@@ -134,11 +134,11 @@
 }
 
 // Set changes the weather.
-func (l *Link) Set(w Weather) {
+func (l *Link) SetConditions(w Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.weather = w
-	cut := w.CutOut || w.CutBack
+	l.conditions = w
+	cut := w.CutOutbound || w.CutReturn
 	if cut != l.held {
 		l.hold(cut)
 	}
@@ -202,7 +202,7 @@
 }
 
 // Refuse closes the address, or opens it again. Open connections stay.
-func (l *Link) Refuse(on bool) error {
+func (l *Link) SetRefusing(on bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -221,16 +221,16 @@
 }
 
 // Reset breaks all open connections.
-func (l *Link) Reset() {
+func (l *Link) ResetConnections() {
 	for _, p := range l.open() {
 		p.Reset()
 	}
 }
 
-func (l *Link) open() []*Pair {
+func (l *Link) open() []*Connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]*Pair, 0, len(l.pairs))
+	out := make([]*Connection, 0, len(l.pairs))
 	for p := range l.pairs {
 		out = append(out, p)
 	}
@@ -247,7 +247,7 @@
 	}
 	l.dropFiller()
 	l.mu.Unlock()
-	l.Reset()
+	l.ResetConnections()
 	l.wg.Wait()
 }
 
@@ -259,7 +259,7 @@
 }
 
 // Pair is one connection and its continuation.
-type Pair struct {
+type Connection struct {
 	link    *Link
 	near    *net.TCPConn // of the one who dialed
 	far     net.Conn
@@ -283,7 +283,7 @@
 }
 
 func (l *Link) pass(near *net.TCPConn) {
-	p := &Pair{link: l, near: near, gone: make(chan struct{}), quiet: true}
+	p := &Connection{link: l, near: near, gone: make(chan struct{}), quiet: true}
 	near.SetNoDelay(true)
 	l.mu.Lock()
 	p.swallow = l.rand.Float64()
@@ -316,17 +316,17 @@
 	out, back := make(chan piece, maxPieces), make(chan piece, maxPieces)
 	var pumps sync.WaitGroup
 	pumps.Go(func() { p.read(near, out, p.heard, p.ended) })
-	pumps.Go(func() { p.write(far, out, func(w Weather) bool { return w.CutOut }, nil) })
+	pumps.Go(func() { p.write(far, out, func(w Conditions) bool { return w.CutOutbound }, nil) })
 	pumps.Go(func() { p.read(far, back, nil, nil) })
 	pumps.Go(func() {
-		p.write(near, back, func(w Weather) bool { return w.CutBack || p.swallow < w.Swallow }, p.sent)
+		p.write(near, back, func(w Conditions) bool { return w.CutReturn || p.swallow < w.CutReturnShare }, p.sent)
 	})
 	pumps.Wait()
 	p.end(false)
 }
 
 // end closes both sides, near with a reset if hard.
-func (p *Pair) end(hard bool) {
+func (p *Connection) end(hard bool) {
 	p.once.Do(func() {
 		if hard {
 			p.near.SetLinger(0)
@@ -351,24 +351,24 @@
 }
 
 // Reset breaks the connection; the one who dialed sees a reset.
-func (p *Pair) Reset() { p.end(true) }
+func (p *Connection) Reset() { p.end(true) }
 
 // Began is when the first byte came of what was sent last by the one who dialed.
-func (p *Pair) Began() time.Time {
+func (p *Connection) RequestStartedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.began
 }
 
 // NearEnded is when the one who dialed ended the connection, as the link saw it; the zero time if it has not.
-func (p *Pair) NearEnded() time.Time {
+func (p *Connection) ClientClosedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.nearEnded
 }
 
 // WhenReached calls tell once all that far has written so far was sent to near, or the connection has ended without it.
-func (p *Pair) WhenReached(tell func(at time.Time, reached bool)) {
+func (p *Connection) OnDelivered(tell func(at time.Time, reached bool)) {
 	p.mu.Lock()
 	select {
 	case <-p.gone:
@@ -390,7 +390,7 @@
 	p.mu.Unlock()
 }
 
-func (p *Pair) heard(int) {
+func (p *Connection) heard(int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.quiet {
@@ -398,7 +398,7 @@
 	}
 }
 
-func (p *Pair) ended() {
+func (p *Connection) ended() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.nearEnded.IsZero() {
@@ -408,7 +408,7 @@
 
 // Pipe makes the far side of a pair whose other end is served in this process: here is for the link, there for the one
 // who serves. Only such a pair can tell WhenReached.
-func (p *Pair) Pipe() (here, there net.Conn) {
+func (p *Connection) Pipe() (here, there net.Conn) {
 	here, there = net.Pipe()
 	return here, &counted{there, p}
 }
@@ -416,7 +416,7 @@
 // counted counts what is written before it can be read.
 type counted struct {
 	net.Conn
-	of *Pair
+	of *Connection
 }
 
 func (c *counted) Write(b []byte) (int, error) {
@@ -428,7 +428,7 @@
 
 // crossed tells that near had ended before what was just written came to it, though this is not known here yet: its
 // kernel has answered with a reset. One that had read all and ended then leaves the connection half closed.
-func (p *Pair) crossed() bool {
+func (p *Connection) crossed() bool {
 	raw, err := p.near.SyscallConn()
 	if err != nil {
 		return true
@@ -447,7 +447,7 @@
 
 // sending notes that something is about to be written to near, and tells whether near is still there. What comes from
 // there next is a new request, and may come before the write has returned here.
-func (p *Pair) sending() bool {
+func (p *Connection) sending() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.quiet = true
@@ -456,7 +456,7 @@
 
 // sent notes that so much has been written to near, and whether near was still there when that began: it may well end
 // as soon as it has read the last of it.
-func (p *Pair) sent(n int, reached bool) {
+func (p *Connection) sent(n int, reached bool) {
 	now := time.Now()
 	p.mu.Lock()
 	if !reached {
@@ -484,7 +484,7 @@
 
 // settle tells of something that was written to near a moment ago: if near has left it unread and ended meanwhile, the
 // two have crossed, and whoever wrote it can't hold near to it.
-func (p *Pair) settle(w waiter, at time.Time) {
+func (p *Connection) settle(w waiter, at time.Time) {
 	p.mu.Lock()
 	reset := p.nearReset
 	p.mu.Unlock()
@@ -496,7 +496,7 @@
 }
 
 // read takes pieces from one side until it ends.
-func (p *Pair) read(from net.Conn, to chan<- piece, seen func(int), ended func()) {
+func (p *Connection) read(from net.Conn, to chan<- piece, seen func(int), ended func()) {
 	defer close(to)
 	buf := make([]byte, maxPiece)
 	for {
@@ -525,7 +525,7 @@
 	}
 }
 
-func (p *Pair) put(to chan<- piece, x piece) bool {
+func (p *Connection) put(to chan<- piece, x piece) bool {
 	select {
 	case to <- x:
 		return true
@@ -538,19 +538,19 @@
 func (l *Link) due(size int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.weather
+	w := l.conditions
 	d := time.Duration(float64(w.Delay) * (1 + w.Jitter*l.rand.Float64()))
 	if w.Loss > 0 && l.rand.Float64() < w.Loss {
 		d += resendAfter
 	}
-	if w.Rate > 0 {
-		d += time.Duration(float64(size) / w.Rate * float64(time.Second))
+	if w.BytesPerSecond > 0 {
+		d += time.Duration(float64(size) / w.BytesPerSecond * float64(time.Second))
 	}
 	return time.Now().Add(d)
 }
 
 // write gives pieces to the other side in their order, each when it is due and nothing cuts its way.
-func (p *Pair) write(to io.Writer, from <-chan piece, cut func(Weather) bool, sent func(n int, reached bool)) {
+func (p *Connection) write(to io.Writer, from <-chan piece, cut func(Conditions) bool, sent func(n int, reached bool)) {
 	defer p.end(false)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -567,7 +567,7 @@
 		}
 		for {
 			p.link.mu.Lock()
-			w, changed := p.link.weather, p.link.changed
+			w, changed := p.link.conditions, p.link.changed
 			p.link.mu.Unlock()
 			if !cut(w) {
 				break
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -50,7 +50,7 @@
 
 func link(t *testing.T, target string) *Link {
 	t.Helper()
-	l, err := Listen("127.0.0.1:0", 1, To(target), nil)
+	l, err := Listen("127.0.0.1:0", 1, DialTo(target), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	nc := dial(t, l.Addr())
 	says(t, nc, "one")
 	const delay = 30 * time.Millisecond
-	l.Set(Weather{Delay: delay, Jitter: 0.5})
+	l.SetConditions(Conditions{Delay: delay, Jitter: 0.5})
 	began := time.Now()
 	says(t, nc, "two")
 	if took := time.Since(began); took < 2*delay {
@@ -102,7 +102,7 @@
 
 func TestRate(t *testing.T) {
 	l := link(t, echo(t))
-	l.Set(Weather{Rate: 1000})
+	l.SetConditions(Conditions{BytesPerSecond: 1000})
 	nc := dial(t, l.Addr())
 	began := time.Now()
 	says(t, nc, string(make([]byte, 99)))
@@ -117,7 +117,7 @@
 	l := link(t, echo(t))
 	nc := dial(t, l.Addr())
 	says(t, nc, "before")
-	l.Set(Weather{CutOut: true, CutBack: true})
+	l.SetConditions(Conditions{CutOutbound: true, CutReturn: true})
 	io.WriteString(nc, "in the cut\nand more\n")
 	up := make(chan error, 1)
 	go func() {
@@ -139,7 +139,7 @@
 		t.Fatalf("a connection came up and was answered over a cut, or was refused: %v", err)
 	default:
 	}
-	l.Set(Weather{})
+	l.SetConditions(Conditions{})
 	nc.SetReadDeadline(time.Now().Add(patience))
 	hears(t, nc, "in the cut")
 	hears(t, nc, "and more")
@@ -154,11 +154,11 @@
 	l.mu.Lock()
 	l.ln.SetDeadline(time.Unix(1, 0)) // nothing is accepted, and no filler is there yet
 	l.held = true
-	l.weather = Weather{CutOut: true}
+	l.conditions = Conditions{CutOutbound: true}
 	l.mu.Unlock()
 	nc := dial(t, l.Addr())
 	io.WriteString(nc, "written in the cut\n")
-	l.Set(Weather{})
+	l.SetConditions(Conditions{})
 	if n, err := nc.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("%d bytes, %v; want a reset", n, err)
 	}
@@ -167,18 +167,18 @@
 
 // Cut on its way back, a call arrives and its answer does not.
 func TestOneWay(t *testing.T) {
-	for name, w := range map[string]Weather{"cut": {CutBack: true}, "swallowed": {Swallow: 1}} {
+	for name, w := range map[string]Conditions{"cut": {CutReturn: true}, "swallowed": {CutReturnShare: 1}} {
 		t.Run(name, func(t *testing.T) {
 			came := make(chan string, 10)
-			up := make(chan *Pair, 1)
-			l, err := Listen("127.0.0.1:0", 1, func(_ context.Context, p *Pair) (net.Conn, error) {
+			up := make(chan *Connection, 1)
+			l, err := Listen("127.0.0.1:0", 1, func(_ context.Context, p *Connection) (net.Conn, error) {
 				here, there := p.Pipe()
 				up <- p
 				go func() {
 					line, _ := bufio.NewReader(there).ReadString('\n')
 					came <- line
 					io.WriteString(there, "answer\n")
-					p.WhenReached(func(_ time.Time, reached bool) { came <- fmt.Sprint(reached) })
+					p.OnDelivered(func(_ time.Time, reached bool) { came <- fmt.Sprint(reached) })
 				}()
 				return here, nil
 			}, nil)
@@ -188,17 +188,17 @@
 			defer l.Close()
 			nc := dial(t, l.Addr())
 			pair := <-up // accepted, so that the cut finds it open
-			l.Set(w)
+			l.SetConditions(w)
 			io.WriteString(nc, "call\n")
 			if got := <-came; got != "call\n" {
 				t.Fatalf("got %q", got)
 			}
 			nc.Close() // the one who waits gives up
-			for pair.NearEnded().IsZero() {
+			for pair.ClientClosedAt().IsZero() {
 				time.Sleep(time.Millisecond)
 			}
-			if w.CutBack {
-				l.Set(Weather{})
+			if w.CutReturn {
+				l.SetConditions(Conditions{})
 			}
 			if got := <-came; got != "false" {
 				t.Errorf("the answer reached who had gone: %v", got)
@@ -211,17 +211,17 @@
 	l := link(t, echo(t))
 	nc := dial(t, l.Addr())
 	says(t, nc, "one")
-	l.Reset()
+	l.ResetConnections()
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("after a reset: %v", err)
 	}
-	if err := l.Refuse(true); err != nil {
+	if err := l.SetRefusing(true); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := net.DialTimeout("tcp", l.Addr(), patience); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("while refused: %v", err)
 	}
-	if err := l.Refuse(false); err != nil {
+	if err := l.SetRefusing(false); err != nil {
 		t.Fatal(err)
 	}
 	says(t, dial(t, l.Addr()), "two")
@@ -229,15 +229,15 @@
 
 // The next request may come before the link's write of the answer has returned; it has a beginning of its own.
 func TestRequestThatOvertakesTheWrite(t *testing.T) {
-	p := &Pair{quiet: true}
+	p := &Connection{quiet: true}
 	p.heard(1)
-	first := p.Began()
+	first := p.RequestStartedAt()
 	p.sending() // the answer is being written, and near has it already
 	for time.Now().Equal(first) {
 	}
 	p.heard(1)
 	p.sent(1, true)
-	if p.Began().Equal(first) {
+	if p.RequestStartedAt().Equal(first) {
 		t.Error("the second request began with the first")
 	}
 }
@@ -256,7 +256,7 @@
 			t.Fatal(err)
 		}
 		defer near.Close()
-		p := &Pair{near: near.(*net.TCPConn)}
+		p := &Connection{near: near.(*net.TCPConn)}
 		if reads {
 			io.WriteString(near, "answer\n")
 			hears(t, nc, "answer")
@@ -279,8 +279,8 @@
 // An end that leaves an answer unread is told from one after it was read.
 func TestEndWithTheAnswerUnread(t *testing.T) {
 	for _, reads := range []bool{true, false} {
-		pairs := make(chan *Pair, 1)
-		l, err := Listen("127.0.0.1:0", 1, func(_ context.Context, p *Pair) (net.Conn, error) {
+		pairs := make(chan *Connection, 1)
+		l, err := Listen("127.0.0.1:0", 1, func(_ context.Context, p *Connection) (net.Conn, error) {
 			here, there := p.Pipe()
 			go func() {
 				bufio.NewReader(there).ReadString('\n')
@@ -308,7 +308,7 @@
 		}
 		p := <-pairs
 		nc.Close()
-		for by := time.Now().Add(patience); p.NearEnded().IsZero(); time.Sleep(time.Millisecond) {
+		for by := time.Now().Add(patience); p.ClientClosedAt().IsZero(); time.Sleep(time.Millisecond) {
 			if time.Now().After(by) {
 				t.Fatal("its end was not seen")
 			}
@@ -331,7 +331,7 @@
 		"just after": {at.Add(crossSlack / 2), false},
 		"later":      {at.Add(2 * crossSlack), true},
 	} {
-		p := &Pair{nearReset: c.reset}
+		p := &Connection{nearReset: c.reset}
 		p.settle(waiter{tell: func(_ time.Time, reached bool) {
 			if reached != c.reached {
 				t.Errorf("%s: reached %v", name, reached)
@@ -344,7 +344,7 @@
 func TestPairWatchesCalls(t *testing.T) {
 	reached := make(chan time.Time, 1)
 	began := make(chan time.Time, 2)
-	l, err := Listen("127.0.0.1:0", 1, func(_ context.Context, p *Pair) (net.Conn, error) {
+	l, err := Listen("127.0.0.1:0", 1, func(_ context.Context, p *Connection) (net.Conn, error) {
 		here, there := p.Pipe()
 		go func() {
 			r := bufio.NewReader(there)
@@ -352,9 +352,9 @@
 				if _, err := r.ReadString('\n'); err != nil {
 					return
 				}
-				began <- p.Began()
+				began <- p.RequestStartedAt()
 				io.WriteString(there, "answer\n")
-				p.WhenReached(func(at time.Time, ok bool) {
+				p.OnDelivered(func(at time.Time, ok bool) {
 					if ok {
 						reached <- at
 					}
@@ -412,15 +412,15 @@
 		}
 	}
 	round("one")
-	d.Set(Weather{Delay: 5 * time.Millisecond, Jitter: 1})
+	d.SetConditions(Conditions{Delay: 5 * time.Millisecond, Jitter: 1})
 	round("two")
-	for i, w := range []Weather{{CutOut: true}, {Loss: 1}} {
-		d.Set(w)
+	for i, w := range []Conditions{{CutOutbound: true}, {Loss: 1}} {
+		d.SetConditions(w)
 		io.WriteString(nc, "lost")
-		for d.Lost() < int64(i+1) {
+		for d.Dropped() < int64(i+1) {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	d.Set(Weather{})
+	d.SetConditions(Conditions{})
 	round("three")
 }
--- a/internal/lab/relay/udp.go
+++ b/internal/lab/relay/udp.go
@@ -19,7 +19,7 @@
 
 // Datagrams is a link for UDP: what comes to its address goes on to the target, from a socket for each sender, and
 // what comes back there goes back to that sender. Close ends it.
-type Datagrams struct {
+type DatagramLink struct {
 	conn   *net.UDPConn
 	target netip.AddrPort
 	done   chan struct{}
@@ -27,15 +27,15 @@
 	flying chan struct{}
 	lost   atomic.Int64
 
-	mu      sync.Mutex
-	weather Weather
-	rand    *rand.Rand
-	peers   map[netip.AddrPort]*net.UDPConn
-	closed  bool
+	mu         sync.Mutex
+	conditions Conditions
+	rand       *rand.Rand
+	peers      map[netip.AddrPort]*net.UDPConn
+	closed     bool
 }
 
 // ListenDatagrams makes a UDP link from an address to a target.
-func ListenDatagrams(addr, target string, seed uint64) (*Datagrams, error) {
+func ListenDatagrams(addr, target string, seed uint64) (*DatagramLink, error) {
 	to, err := netip.ParseAddrPort(target)
 	if err != nil {
 		return nil, fmt.Errorf("UDP link: %w", err)
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("UDP link: %w", err)
 	}
-	d := &Datagrams{
+	d := &DatagramLink{
 		conn: conn, target: to, done: make(chan struct{}), flying: make(chan struct{}, maxFlying), rand: rand.New(rand.NewPCG(seed, 2)),
 		peers: map[netip.AddrPort]*net.UDPConn{},
 	}
@@ -57,20 +57,20 @@
 }
 
 // Addr is where it listens.
-func (d *Datagrams) Addr() string { return d.conn.LocalAddr().String() }
+func (d *DatagramLink) Addr() string { return d.conn.LocalAddr().String() }
 
 // Lost counts the datagrams that were not sent on.
-func (d *Datagrams) Lost() int64 { return d.lost.Load() }
+func (d *DatagramLink) Dropped() int64 { return d.lost.Load() }
 
 // Set changes the weather.
-func (d *Datagrams) Set(w Weather) {
+func (d *DatagramLink) SetConditions(w Conditions) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.weather = w
+	d.conditions = w
 }
 
 // Close ends the link and returns when nothing of it is left.
-func (d *Datagrams) Close() {
+func (d *DatagramLink) Close() {
 	d.mu.Lock()
 	d.closed = true
 	for _, c := range d.peers {
@@ -82,7 +82,7 @@
 	d.wg.Wait()
 }
 
-func (d *Datagrams) out() {
+func (d *DatagramLink) out() {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
@@ -96,12 +96,12 @@
 		if peer == nil {
 			continue
 		}
-		d.carry(append([]byte(nil), buf[:n]...), func(w Weather) bool { return w.CutOut }, func(b []byte) { peer.Write(b) })
+		d.carry(append([]byte(nil), buf[:n]...), func(w Conditions) bool { return w.CutOutbound }, func(b []byte) { peer.Write(b) })
 	}
 }
 
 // peer is the socket for a sender, made when it first speaks.
-func (d *Datagrams) peer(from netip.AddrPort) *net.UDPConn {
+func (d *DatagramLink) peer(from netip.AddrPort) *net.UDPConn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c := d.peers[from]; c != nil || d.closed || len(d.peers) >= maxPeers {
@@ -122,16 +122,16 @@
 			if err != nil {
 				continue // an ICMP error: the target is not there now
 			}
-			d.carry(append([]byte(nil), buf[:n]...), func(w Weather) bool { return w.CutBack }, func(b []byte) { d.conn.WriteToUDPAddrPort(b, from) })
+			d.carry(append([]byte(nil), buf[:n]...), func(w Conditions) bool { return w.CutReturn }, func(b []byte) { d.conn.WriteToUDPAddrPort(b, from) })
 		}
 	})
 	return c
 }
 
 // carry sends a datagram on after its delay, unless it is lost.
-func (d *Datagrams) carry(data []byte, cut func(Weather) bool, send func([]byte)) {
+func (d *DatagramLink) carry(data []byte, cut func(Conditions) bool, send func([]byte)) {
 	d.mu.Lock()
-	w := d.weather
+	w := d.conditions
 	lost := cut(w) || (w.Loss > 0 && d.rand.Float64() < w.Loss)
 	delay := time.Duration(float64(w.Delay) * (1 + w.Jitter*d.rand.Float64()))
 	d.mu.Unlock()
--- a/internal/lab/replica/replica.go
+++ b/internal/lab/replica/replica.go
@@ -21,7 +21,7 @@
 const (
 	HTTP = iota
 	Raft
-	addresses
+	addressCount
 )
 
 const (
@@ -32,24 +32,24 @@
 
 // Options say what replicas are made of.
 type Options struct {
-	Command    []string // of one; `--config FILE` is put behind it
-	Dir        string   // each has a folder in it
-	Block      *block.Block
-	Supervisor *proc.Supervisor
-	Seed       uint64                   // of the links' chances
-	Weather    *relay.Weather           // of the links; nil: they are reached without
-	Settings   string                   // TOML that each one's file has beside its addresses
-	Log        func(*os.File) io.Writer // what their output goes through; nil: all is kept
+	Command      []string // of one; `--config FILE` is put behind it
+	Dir          string   // each has a folder in it
+	Block        *block.Block
+	Supervisor   *proc.Supervisor
+	Seed         uint64                   // of the links' chances
+	Conditions   *relay.Conditions        // of the links; nil: they are reached without
+	Settings     string                   // TOML that each one's file has beside its addresses
+	OutputFilter func(*os.File) io.Writer // what their output goes through; nil: all is kept
 }
 
 // Replica is one of a service. Its maker owns it, until Close.
 type Replica struct {
 	ID    string
 	Dir   string
-	Links [addresses]*relay.Link // nil without
+	Links [addressCount]*relay.Link // nil without
 
 	opts Options
-	own  [addresses]string
+	own  [addressCount]string
 	file *os.File
 
 	mu sync.Mutex
@@ -72,23 +72,23 @@
 		all = append(all, r)
 		for n := range r.own {
 			r.own[n] = fmt.Sprintf("%s:%d", o.Block.IP(ownHost, i+1), firstPort+n)
-			if o.Weather == nil {
+			if o.Conditions == nil {
 				continue
 			}
 			at := fmt.Sprintf("%s:%d", o.Block.IP(linkHost, i+1), firstPort+n)
-			if r.Links[n], err = relay.Listen(at, o.Seed+uint64(10*i+n), relay.To(r.own[n]), func(time.Duration) {}); err != nil {
+			if r.Links[n], err = relay.Listen(at, o.Seed+uint64(10*i+n), relay.DialTo(r.own[n]), func(time.Duration) {}); err != nil {
 				return all, err
 			}
-			r.Links[n].Set(*o.Weather)
+			r.Links[n].SetConditions(*o.Conditions)
 		}
 	}
 	for _, r := range all {
 		var b strings.Builder
-		fmt.Fprintf(&b, "id = %q\nhttp = %q\nraft = %q\nbind_http = %q\nbind_raft = %q\ndata = %q\n%s", r.ID, r.Reached(HTTP), r.Reached(Raft),
-			r.own[HTTP], r.own[Raft], r.Data(), o.Settings)
+		fmt.Fprintf(&b, "id = %q\nhttp = %q\nraft = %q\nbind_http = %q\nbind_raft = %q\ndata = %q\n%s", r.ID, r.AdvertisedAddr(HTTP), r.AdvertisedAddr(Raft),
+			r.own[HTTP], r.own[Raft], r.DataDir(), o.Settings)
 		for _, p := range all {
 			if p != r {
-				fmt.Fprintf(&b, "[[peer]]\nid = %q\nhttp = %q\nraft = %q\n", p.ID, p.Reached(HTTP), p.Reached(Raft))
+				fmt.Fprintf(&b, "[[peer]]\nid = %q\nhttp = %q\nraft = %q\n", p.ID, p.AdvertisedAddr(HTTP), p.AdvertisedAddr(Raft))
 			}
 		}
 		if err := os.WriteFile(r.config(), []byte(b.String()), 0o600); err != nil {
@@ -99,10 +99,10 @@
 }
 
 // Own is one of its own addresses, past its links.
-func (r *Replica) Own(n int) string { return r.own[n] }
+func (r *Replica) OwnAddr(n int) string { return r.own[n] }
 
 // Reached is where all others reach it.
-func (r *Replica) Reached(n int) string {
+func (r *Replica) AdvertisedAddr(n int) string {
 	if r.Links[n] != nil {
 		return r.Links[n].Addr()
 	}
@@ -110,7 +110,7 @@
 }
 
 // Data is the folder that it keeps.
-func (r *Replica) Data() string { return filepath.Join(r.Dir, "data") }
+func (r *Replica) DataDir() string { return filepath.Join(r.Dir, "data") }
 
 func (r *Replica) config() string { return filepath.Join(r.Dir, "directory.toml") }
 
@@ -126,12 +126,12 @@
 		}
 	}
 	var out io.Writer = r.file
-	if r.opts.Log != nil {
-		out = r.opts.Log(r.file)
+	if r.opts.OutputFilter != nil {
+		out = r.opts.OutputFilter(r.file)
 	}
 	p, err := r.opts.Supervisor.Start(proc.Spec{
 		Name: "replica " + r.ID, Command: append(slices.Clone(r.opts.Command), "--config", r.config()),
-		Env: []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + r.Dir}, Log: out,
+		Env: []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + r.Dir}, Output: out,
 	})
 	if err == nil {
 		r.p = p
--- a/internal/lab/replicas.go
+++ b/internal/lab/replicas.go
@@ -30,7 +30,7 @@
 	if r.plan.Replicas == 0 {
 		return nil
 	}
-	command := r.opts.Directory
+	command := r.opts.DirectoryCommand
 	if len(command) == 0 {
 		self, err := os.Executable()
 		if err != nil {
@@ -41,8 +41,8 @@
 	calm := r.calm()
 	var err error
 	r.replicas, err = replica.New(r.plan.Replicas, replica.Options{
-		Command: command, Dir: r.opts.Dir, Block: r.block, Supervisor: r.sup, Seed: r.plan.Seed, Weather: &calm,
-		Log: func(f *os.File) io.Writer { return &bounded{f: f, left: maxNodeLog} },
+		Command: command, Dir: r.opts.Dir, Block: r.block, Supervisor: r.sup, Seed: r.plan.Seed, Conditions: &calm,
+		OutputFilter: func(f *os.File) io.Writer { return &bounded{f: f, left: maxNodeLog} },
 	})
 	if err != nil {
 		return err
@@ -54,10 +54,10 @@
 	}
 	for n := range r.plan.Nodes {
 		a := r.platform.Agent(n)
-		a.Quiet()
+		a.DelegateToDirectory()
 		var addresses []string
 		for i, d := range r.replicas {
-			w, err := standin.OpenWindow(a, r.addr(n, windowPort+i), d.Reached(replica.HTTP))
+			w, err := standin.StartDirectoryProxy(a, r.addr(n, windowPort+i), d.AdvertisedAddr(replica.HTTP))
 			if err != nil {
 				return err
 			}
@@ -84,15 +84,15 @@
 }
 
 // calm is the weather between replicas, and between them and nodes.
-func (r *run) calm() relay.Weather {
-	return relay.Weather{Delay: r.plan.Network.SameZone, Jitter: r.plan.Network.Jitter}
+func (r *run) calm() relay.Conditions {
+	return relay.Conditions{Delay: r.plan.Network.SameZone, Jitter: r.plan.Network.Jitter}
 }
 
 // keepList writes the list as the platform has it to the directory, again and again until it is there.
 func (r *run) keepList(ctx context.Context, first chan<- struct{}) {
 	var addresses []string
 	for _, d := range r.replicas {
-		addresses = append(addresses, d.Reached(replica.HTTP))
+		addresses = append(addresses, d.AdvertisedAddr(replica.HTTP))
 	}
 	op := &directory.AdminClient{Addresses: addresses, By: "lab", HTTPClient: &http.Client{Timeout: writeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for {
@@ -140,10 +140,10 @@
 		case "replica-cut":
 			for _, l := range d.Links {
 				w := r.calm()
-				w.CutOut, w.CutBack = !ends && x.Direction != "back", !ends && x.Direction != "out"
-				l.Set(w)
+				w.CutOutbound, w.CutReturn = !ends && x.Direction != "back", !ends && x.Direction != "out"
+				l.SetConditions(w)
 				if ends {
-					l.Reset()
+					l.ResetConnections()
 				}
 			}
 		}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -38,17 +38,17 @@
 	}
 	var b strings.Builder
 	verdict := "All that was expected was kept."
-	if !res.Kept {
+	if !res.Passed {
 		verdict = "**Not all that was expected was kept.**"
 	}
 	fmt.Fprintf(&b, "# %s, seed %d\n\n%s\n\n%s\n\n", res.Experiment, res.Seed, res.About, verdict)
 	fmt.Fprintf(&b, "%d nodes, %d messages in %v, on %d cores. Began %s, took %v.\n\n", res.Nodes, res.Tally.All.Messages, res.Length, res.Cores,
-		res.Began.UTC().Format(time.RFC3339), res.Took.Round(time.Second))
+		res.StartedAt.UTC().Format(time.RFC3339), res.Elapsed.Round(time.Second))
 	b.WriteString("| expected | got | |\n| --- | --- | --- |\n")
 	for _, e := range res.Expectations {
-		fmt.Fprintf(&b, "| %s | %s | %s |\n", e.What, e.Got, map[bool]string{true: "kept", false: "**not kept**"}[e.Kept])
+		fmt.Fprintf(&b, "| %s | %s | %s |\n", e.Condition, e.Actual, map[bool]string{true: "kept", false: "**not kept**"}[e.Met])
 	}
-	for _, s := range res.Spoilt {
+	for _, s := range res.InvalidReasons {
 		fmt.Fprintf(&b, "\n**Spoilt:** %s\n", s)
 	}
 	if len(res.Faults) > 0 {
@@ -57,9 +57,9 @@
 			fmt.Fprintf(&b, "- %s\n", x)
 		}
 	}
-	if len(res.Breaches) > 0 {
+	if len(res.Violations) > 0 {
 		b.WriteString("\n## Breaches\n\n")
-		for _, x := range res.Breaches {
+		for _, x := range res.Violations {
 			fmt.Fprintf(&b, "- %s\n", x)
 		}
 	}
@@ -87,13 +87,13 @@
 			e[history.Rejected]+e[history.QueueFull]+e[history.TooManyConns], e[history.Abandoned], e[history.Errored]+e[history.AnswerLost]+e[history.AnswerUnreadable])
 	}
 	b.WriteString("\n## Processes\n\n| node | starts | CPU | most memory, MB | most descriptors | most disk, KB |\n|" + strings.Repeat(" --- |", 6) + "\n")
-	for _, u := range res.Use {
+	for _, u := range res.Processes {
 		fmt.Fprintf(&b, "| %s | %d | %v | %.1f | %d | %d |\n", u.Node, u.Starts, u.CPU.Round(10*time.Millisecond), float64(u.RSS)/(1<<20), u.Descriptors,
 			u.Disk>>10)
 	}
 	b.WriteString("\n| the lab itself, late with | times | median | 99th percentile | most |\n|" + strings.Repeat(" --- |", 5) + "\n")
-	for _, part := range sortedKeys(res.LateBy) {
-		l := res.LateBy[part]
+	for _, part := range sortedKeys(res.LatenessByComponent) {
+		l := res.LatenessByComponent[part]
 		fmt.Fprintf(&b, "| %s | %d | %v | %v | %v |\n", part, l.Count, l.P50, l.P99, l.Max)
 	}
 	path := filepath.Join(dir, ReportFile)
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -33,60 +33,60 @@
 	About      string        `json:"about,omitempty"`
 	Seed       uint64        `json:"seed"`
 	Command    []string      `json:"command"`
-	Began      time.Time     `json:"began"`
-	Took       time.Duration `json:"took"` // with starts and ends
+	StartedAt  time.Time     `json:"began"`
+	Elapsed    time.Duration `json:"took"` // with starts and ends
 	Length     time.Duration `json:"length"`
 	Nodes      int           `json:"nodes"`
 	Cores      int           `json:"cores"` // of the machine
 
-	Kept         bool          `json:"kept"` // all expectations
+	Passed       bool          `json:"kept"` // all expectations
 	Expectations []Expectation `json:"expectations"`
 	// Spoilt says that the lab itself was too late or failed: what the run shows of the nodes is not to be trusted.
-	Spoilt   []string                           `json:"spoilt,omitempty"`
-	Breaches []judge.Violation                  `json:"breaches"`
-	Tally    tally.Report                       `json:"tally"`
-	Lateness tally.Percentiles                  `json:"lateness"` // of the lab: its part that was latest
-	LateBy   map[observe.Part]tally.Percentiles `json:"lateness_by"`
-	Use      []ProcessUse                       `json:"processes"`
-	Rude     standin.RudeCount                  `json:"rude_peers"`
-	Faults   []string                           `json:"faults"`
-	Kinds    map[string]int                     `json:"events"`
-	Limits   map[string]float64                 `json:"limits"` // of partners, calls a second
+	InvalidReasons      []string                                `json:"spoilt,omitempty"`
+	Violations          []judge.Violation                       `json:"breaches"`
+	Tally               tally.Report                            `json:"tally"`
+	Lateness            tally.Percentiles                       `json:"lateness"` // of the lab: its part that was latest
+	LatenessByComponent map[observe.Component]tally.Percentiles `json:"lateness_by"`
+	Processes           []ProcessUsage                          `json:"processes"`
+	RudePeers           standin.RudePeerCounts                  `json:"rude_peers"`
+	Faults              []string                                `json:"faults"`
+	EventCounts         map[string]int                          `json:"events"`
+	PartnerLimits       map[string]float64                      `json:"limits"` // of partners, calls a second
 
 	Events []history.Event `json:"-"`
 }
 
 // Expectation is one thing that was expected, and what came.
 type Expectation struct {
-	What string `json:"what"`
-	Got  string `json:"got"`
-	Kept bool   `json:"kept"`
+	Condition string `json:"what"`
+	Actual    string `json:"got"`
+	Met       bool   `json:"kept"`
 }
 
 // result reads what was seen. All that wrote events must have ended.
 func (r *run) result(began time.Time) *Result {
 	events := r.log.Events()
 	res := &Result{
-		Experiment: r.plan.Name, About: r.plan.About, Seed: r.plan.Seed, Command: r.opts.Command, Began: began, Took: time.Since(began),
-		Length: r.plan.EndTime(), Nodes: len(r.plan.Nodes), Cores: runtime.NumCPU(), Breaches: judge.FindViolations(r.plan.JudgeConfig(), events),
-		Tally: tally.Count(r.plan.TallyConfig(), events), LateBy: r.log.Lateness(), Rude: r.clients.Rude(), Spoilt: r.failed, Events: events,
-		Kinds: map[string]int{}, Limits: map[string]float64{},
+		Experiment: r.plan.Name, About: r.plan.About, Seed: r.plan.Seed, Command: r.opts.Command, StartedAt: began, Elapsed: time.Since(began),
+		Length: r.plan.EndTime(), Nodes: len(r.plan.Nodes), Cores: runtime.NumCPU(), Violations: judge.FindViolations(r.plan.JudgeConfig(), events),
+		Tally: tally.Count(r.plan.TallyConfig(), events), LatenessByComponent: r.log.Lateness(), RudePeers: r.clients.RudePeerCounts(), InvalidReasons: r.failed, Events: events,
+		EventCounts: map[string]int{}, PartnerLimits: map[string]float64{},
 	}
-	res.Lateness = observe.Latest(res.LateBy)
-	if res.Breaches == nil {
-		res.Breaches = []judge.Violation{} // a list in JSON, too
+	res.Lateness = observe.WorstLateness(res.LatenessByComponent)
+	if res.Violations == nil {
+		res.Violations = []judge.Violation{} // a list in JSON, too
 	}
 	for _, e := range events {
-		res.Kinds[string(e.Kind)]++
+		res.EventCounts[string(e.Kind)]++
 	}
 	for _, n := range r.nodes {
-		res.Use = append(res.Use, n.use)
+		res.Processes = append(res.Processes, n.use)
 	}
 	for _, x := range r.plan.Faults {
 		res.Faults = append(res.Faults, fmt.Sprintf("%v: %v", x.At.Round(time.Millisecond), x))
 	}
 	for i, p := range r.plan.Partners {
-		res.Limits[fmt.Sprint(i)] = p.Config.Limit.PerSecond
+		res.PartnerLimits[fmt.Sprint(i)] = p.Config.Limit.PerSecond
 	}
 	res.judge(r.plan.Expect)
 	return res
@@ -98,7 +98,7 @@
 		res.Expectations = append(res.Expectations, Expectation{what, fmt.Sprintf(got, args...), kept})
 	}
 	broken := map[string]int{}
-	for _, b := range res.Breaches {
+	for _, b := range res.Violations {
 		broken[string(b.Rule)]++
 	}
 	others := 0
@@ -136,20 +136,20 @@
 	if want := int(x.MinDelivered.Low); want > 0 {
 		expect(res.Tally.All.Delivered >= want, fmt.Sprintf("%d messages delivered at least", want), "%d", res.Tally.All.Delivered)
 	}
-	if res.Rude.Came > 0 {
-		bad := res.Rude.Unanswered + res.Rude.TakenOn
-		expect(bad == 0, "rude peers get an error or a close in time", "%d of %d did not", bad, res.Rude.Came)
+	if res.RudePeers.Connected > 0 {
+		bad := res.RudePeers.Unanswered + res.RudePeers.Accepted
+		expect(bad == 0, "rude peers get an error or a close in time", "%d of %d did not", bad, res.RudePeers.Connected)
 	}
 	if most := x.MaxLateness.High; most > 0 {
 		kept := res.Lateness.P99 <= most
 		expect(kept, fmt.Sprintf("the lab itself at most %v late (99th percentile)", most), "%v", res.Lateness.P99)
 		if !kept {
-			res.Spoilt = append(res.Spoilt, fmt.Sprintf("the lab was %v late (99th percentile): its own lateness spoilt the run", res.Lateness.P99))
+			res.InvalidReasons = append(res.InvalidReasons, fmt.Sprintf("the lab was %v late (99th percentile): its own lateness spoilt the run", res.Lateness.P99))
 		}
 	}
-	res.Kept = len(res.Spoilt) == 0
+	res.Passed = len(res.InvalidReasons) == 0
 	for _, e := range res.Expectations {
-		res.Kept = res.Kept && e.Kept
+		res.Passed = res.Passed && e.Met
 	}
 }
 
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -39,21 +39,21 @@
 	Command []string // one node's process; its environment tells it what it is
 	Env     []string // on top of what the protocol names
 	// Directory is the command of a directory's replica, to which `--config FILE` is added; by default this program's own.
-	Directory []string
-	Dir       string // an empty folder for the nodes' folders and logs; it stays
-	Progress  func(Progress)
-	Log       *slog.Logger
+	DirectoryCommand []string
+	Dir              string // an empty folder for the nodes' folders and logs; it stays
+	Progress         func(Progress)
+	Log              *slog.Logger
 }
 
 // Progress is how far a run has come.
 type Progress struct {
-	At, End   time.Duration
-	Handed    int // messages, each try
-	Calls     int
-	Notices   int
-	Ready     int           // nodes
-	Lateness  time.Duration // 99th percentile so far
-	Preparing bool
+	Elapsed, End time.Duration
+	Submitted    int // messages, each try
+	Calls        int
+	Notices      int
+	ReadyNodes   int           // nodes
+	Lateness     time.Duration // 99th percentile so far
+	Starting     bool
 }
 
 // run is one plan being played.
@@ -68,9 +68,9 @@
 	clients  *standin.Clients
 	partners []*standin.Partner
 	nodes    []*node
-	replicas []*replica.Replica // of the directory, if there is one
-	windows  []*standin.Window  // the nodes' on them
-	wg       sync.WaitGroup     // what the timeline has set going
+	replicas []*replica.Replica        // of the directory, if there is one
+	windows  []*standin.DirectoryProxy // the nodes' on them
+	wg       sync.WaitGroup            // what the timeline has set going
 
 	mu        sync.Mutex
 	endpoints int // so many were ever made
@@ -82,7 +82,7 @@
 }
 
 // Play plays a plan once. The context ends it early, with an error and nothing left behind.
-func Play(ctx context.Context, plan experiment.Plan, opts Options) (*Result, error) {
+func RunPlan(ctx context.Context, plan experiment.Plan, opts Options) (*Result, error) {
 	if len(plan.Nodes) > maxNodes {
 		return nil, fmt.Errorf("%d nodes, the lab has addresses for %d", len(plan.Nodes), maxNodes)
 	}
@@ -103,7 +103,7 @@
 
 func (r *run) play(ctx context.Context) error {
 	var err error
-	if r.block, err = block.Take(); err != nil {
+	if r.block, err = block.Reserve(); err != nil {
 		return err
 	}
 	r.sup = proc.NewSupervisor()
@@ -116,9 +116,9 @@
 	if err := r.startAll(ctx); err != nil {
 		return err
 	}
-	r.log.Begin()
+	r.log.Start()
 	for _, p := range r.partners {
-		p.Wake()
+		p.CatchUp()
 	}
 	r.opts.Log.Info("run begins", "experiment", r.plan.Name, "seed", r.plan.Seed, "nodes", len(r.plan.Nodes), "messages", len(r.plan.Arrivals),
 		"partners", len(r.plan.Partners), "faults", len(r.plan.Faults))
@@ -129,7 +129,7 @@
 	parts.Go(func() { r.timeline(running) })
 	parts.Go(func() { r.sample(running) })
 	parts.Go(func() { r.tell(running) })
-	ended := observe.SleepUntil(ctx, r.log.Wall(r.plan.EndTime()))
+	ended := observe.SleepUntil(ctx, r.log.WallTime(r.plan.EndTime()))
 	if ended {
 		r.log.Add(history.Event{Kind: history.RunEnded, Node: -1, Partner: -1})
 	}
@@ -150,10 +150,10 @@
 func (r *run) build() error {
 	p := r.plan
 	r.platform = standin.NewPlatform(len(p.Nodes), p.DiscoveryDelay.Low, p.DiscoveryDelay.High, p.Seed, r.log,
-		func(node int, id, state string, after time.Duration) { r.clients.Heard(node, id, state, after) })
+		func(node int, id, state string, after time.Duration) { r.clients.HandleNotice(node, id, state, after) })
 	r.clients = standin.NewClients(p, func(n int) string { return r.addr(n, clientPort) }, func(n int) bool { return r.nodes[n].up() }, r.log)
 	for i, q := range p.Partners {
-		one := standin.NewPartner(i, q.Config, q.Seed, len(p.Nodes), p.Rules.ConnIdleTimeout, r.log, r.clients.Saw)
+		one := standin.NewPartner(i, q.Config, q.Seed, len(p.Nodes), p.Rules.ConnIdleTimeout, r.log, r.clients.RecordReached)
 		r.partners = append(r.partners, one)
 		for _, zone := range q.Zones {
 			if err := r.addEndpoint(i, zone, true); err != nil {
@@ -181,13 +181,13 @@
 	r.endpoints++
 	r.mu.Unlock()
 	id := fmt.Sprintf("s-%d-%d", number, e)
-	one, err := r.partners[number].Add(id, zone, func(n int) string { return r.addr(n, linkPort+e) })
+	one, err := r.partners[number].AddEndpoint(id, zone, func(n int) string { return r.addr(n, linkPort+e) })
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	for n := range r.plan.Nodes {
-		one.Link(n).Set(r.weather(n, number, zone))
+		one.Link(n).SetConditions(r.weather(n, number, zone))
 	}
 	r.mu.Unlock()
 	up := int64(0)
@@ -195,7 +195,7 @@
 		up = time.Now().UnixMilli()
 	}
 	q := r.plan.Partners[number]
-	r.platform.Put(standin.Member{
+	r.platform.PutMember(standin.Member{
 		ID: id, Locality: r.plan.Zones[zone], Flavor: r.plan.PartnerKinds[q.Kind], Cell: number, Phase: history.Serving, Size: q.TotalRate(), UpSince: up,
 	}, one.Addr, atOnce)
 	return nil
@@ -220,7 +220,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			ready++
-			r.progress(Progress{Preparing: true, Ready: ready})
+			r.progress(Progress{Starting: true, ReadyNodes: ready})
 		})
 	}
 	wg.Wait()
@@ -253,8 +253,8 @@
 			}
 		}
 		r.progress(Progress{
-			At: r.log.Now(), End: r.plan.EndTime(), Handed: r.log.Count(history.Submitted), Calls: r.log.Count(history.CallStarted),
-			Notices: r.log.Count(history.NoticeReceived), Ready: up, Lateness: observe.Latest(r.log.Lateness()).P99,
+			Elapsed: r.log.Now(), End: r.plan.EndTime(), Submitted: r.log.CountKind(history.Submitted), Calls: r.log.CountKind(history.CallStarted),
+			Notices: r.log.CountKind(history.NoticeReceived), ReadyNodes: up, Lateness: observe.WorstLateness(r.log.Lateness()).P99,
 		})
 	}
 }
--- a/internal/lab/scale/burden/real.go
+++ b/internal/lab/scale/burden/real.go
@@ -74,7 +74,7 @@
 		r.AddLimit("%d of %d events were taken in %.0f s", c.taken.Load(), n, took)
 		return nil
 	case err != nil && node.ended():
-		r.AddLimit("the node ended %v at %d events", node.p.Exit(), c.taken.Load())
+		r.AddLimit("the node ended %v at %d events", node.p.Wait(), c.taken.Load())
 		return nil
 	case err != nil:
 		return err
@@ -109,8 +109,8 @@
 	if err := node.kill(); err != nil {
 		return err
 	}
-	r.SetValue("journal.start.rss", float64(node.p.Exit().RSS))
-	r.SetCount("journal_start_cpu_s", node.p.Exit().CPU.Seconds())
+	r.SetValue("journal.start.rss", float64(node.p.Wait().MaxRSS))
+	r.SetCount("journal_start_cpu_s", node.p.Wait().CPU.Seconds())
 	return nil
 }
 
@@ -280,14 +280,14 @@
 	ctx, cancel := context.WithTimeout(ctx, readyWithin)
 	defer cancel()
 	began := time.Now()
-	p, err := n.sup.Start(proc.Spec{Name: "held", Command: []string{n.spec.NodeProgram}, Env: n.env, Log: n.out, Sockets: sockets})
+	p, err := n.sup.Start(proc.Spec{Name: "held", Command: []string{n.spec.NodeProgram}, Env: n.env, Output: n.out, MaxDescriptors: sockets})
 	if err != nil {
 		return 0, err
 	}
 	n.p = p
 	for !n.answers() {
 		if n.ended() {
-			return 0, fmt.Errorf("the node ended %v before it was ready%s", p.Exit(), n.lastWords())
+			return 0, fmt.Errorf("the node ended %v before it was ready%s", p.Wait(), n.lastWords())
 		}
 		if err := sleep(ctx, readyPoll); err != nil {
 			return 0, fmt.Errorf("the node is not ready: %w", err)
--- a/internal/lab/scale/hollow/faults.go
+++ b/internal/lab/scale/hollow/faults.go
@@ -115,12 +115,12 @@
 // cut cuts links both ways, and returns what mends them; what hung on them is reset then.
 func cut(links ...*relay.Link) func() error {
 	for _, l := range links {
-		l.Set(relay.Weather{CutOut: true, CutBack: true})
+		l.SetConditions(relay.Conditions{CutOutbound: true, CutReturn: true})
 	}
 	return func() error {
 		for _, l := range links {
-			l.Set(relay.Weather{})
-			l.Reset()
+			l.SetConditions(relay.Conditions{})
+			l.ResetConnections()
 		}
 		return nil
 	}
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -201,7 +201,7 @@
 func TestCutAndReturn(t *testing.T) {
 	t.Parallel()
 	address, op := newReplica(t)
-	link, err := relay.Listen("127.0.0.1:0", 1, relay.To(address), func(time.Duration) {})
+	link, err := relay.Listen("127.0.0.1:0", 1, relay.DialTo(address), func(time.Duration) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scale/hollow/load.go
+++ b/internal/lab/scale/hollow/load.go
@@ -66,11 +66,11 @@
 	l = &load{plan: f.DrawPlan(s.Seed, real), log: observe.NewLog()}
 	l.clients = standin.NewClients(&l.plan, func(n int) string { return realAddress(svc, n, realPort) }, func(int) bool { return true }, l.log)
 	for i, q := range l.plan.Partners {
-		p := standin.NewPartner(i, q.Config, q.Seed, 1, l.plan.Rules.ConnIdleTimeout, l.log, l.clients.Saw)
+		p := standin.NewPartner(i, q.Config, q.Seed, 1, l.plan.Rules.ConnIdleTimeout, l.log, l.clients.RecordReached)
 		l.partners = append(l.partners, p)
 		for n, zone := range q.Zones {
 			at := net.JoinHostPort(svc.block.IP(partnerHost, i+1), strconv.Itoa(loadPartner+n))
-			e, err := p.Add(fmt.Sprintf("p-%d-%d", i, n), zone, func(int) string { return at }) // one link for all nodes
+			e, err := p.AddEndpoint(fmt.Sprintf("p-%d-%d", i, n), zone, func(int) string { return at }) // one link for all nodes
 			if err != nil {
 				l.close()
 				return nil, err
@@ -90,9 +90,9 @@
 func (l *load) begin() {
 	var ctx context.Context
 	ctx, l.cancel = context.WithCancel(context.Background())
-	l.log.Begin()
+	l.log.Start()
 	for _, p := range l.partners {
-		p.Wake()
+		p.CatchUp()
 	}
 	l.wg.Go(func() { l.clients.Run(ctx) })
 }
@@ -121,6 +121,6 @@
 	}
 	r.SetCount("load.asked", float64(asked))
 	r.SetCount("load.taken", float64(taken))
-	r.SetCount("load.delivered", float64(l.log.Count(history.Executed)))
+	r.SetCount("load.delivered", float64(l.log.CountKind(history.Executed)))
 	r.SetCount("load.seconds", l.log.Now().Round(time.Millisecond).Seconds())
 }
--- a/internal/lab/scale/hollow/real.go
+++ b/internal/lab/scale/hollow/real.go
@@ -56,7 +56,7 @@
 
 func (r *realNode) start() error {
 	p, err := r.sup.Start(proc.Spec{
-		Name: r.spec.Name, Command: []string{r.program}, Sockets: realSockets, Log: r.log,
+		Name: r.spec.Name, Command: []string{r.program}, MaxDescriptors: realSockets, Output: r.log,
 		Env: []string{
 			"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=" + r.spec.Name, "ROUTER_LISTEN=" + r.spec.Listen, "ROUTER_DISCOVERY=" + r.spec.Addresses[0],
 			"ROUTER_STATE=" + r.spec.state(), "ROUTER_CONFIG=" + r.spec.config(), "ROUTER_FLEET=" + r.spec.fleet(),
--- a/internal/lab/scale/hollow/service.go
+++ b/internal/lab/scale/hollow/service.go
@@ -62,7 +62,7 @@
 			svc.close()
 		}
 	}()
-	if svc.block, err = block.Take(); err != nil {
+	if svc.block, err = block.Reserve(); err != nil {
 		return svc, err
 	}
 	// Writes come from an address of their own, so that carried does not count them among the nodes'.
@@ -70,7 +70,7 @@
 	svc.client = &http.Client{Timeout: listWait, Transport: &http.Transport{DialContext: dial.DialContext, MaxIdleConnsPerHost: 64}}
 	o := replica.Options{Command: []string{s.LabProgram, "directory", "serve"}, Dir: filepath.Join(s.Dir, "directory"), Block: svc.block, Supervisor: svc.sup, Seed: s.Seed, Settings: settings}
 	if linked {
-		o.Weather = &relay.Weather{}
+		o.Conditions = &relay.Conditions{}
 	}
 	if svc.replicas, err = replica.New(replicas, o); err != nil {
 		return svc, err
@@ -100,7 +100,7 @@
 	for z := range zones {
 		var row []*relay.Link
 		for i, r := range s.replicas {
-			l, err := relay.Listen(fmt.Sprintf("%s:%d", s.block.IP(zoneHost+z, i+1), 8600), seed+uint64(100*z+i), relay.To(r.Own(replica.HTTP)), func(time.Duration) {})
+			l, err := relay.Listen(fmt.Sprintf("%s:%d", s.block.IP(zoneHost+z, i+1), 8600), seed+uint64(100*z+i), relay.DialTo(r.OwnAddr(replica.HTTP)), func(time.Duration) {})
 			if err != nil {
 				return err
 			}
@@ -115,7 +115,7 @@
 func (s *service) addresses(zone int) []string {
 	var all []string
 	for i, r := range s.replicas {
-		at := r.Own(replica.HTTP)
+		at := r.OwnAddr(replica.HTTP)
 		if s.links != nil {
 			at = s.links[zone][i].Addr()
 		}
@@ -141,7 +141,7 @@
 func (s *service) operator(replicas ...*replica.Replica) *directory.AdminClient {
 	op := &directory.AdminClient{By: "scale", RetryFor: serviceWait, HTTPClient: s.client}
 	for _, r := range replicas {
-		op.Addresses = append(op.Addresses, r.Own(replica.HTTP))
+		op.Addresses = append(op.Addresses, r.OwnAddr(replica.HTTP))
 	}
 	return op
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -176,7 +176,7 @@
 	var out cappedBuffer
 	tail := &tailWriter{out: r.log}
 	began := time.Now()
-	p, err := r.supervisor.Start(proc.Spec{Name: "play", Command: r.opts.Command, Env: r.opts.Env, In: bytes.NewReader(spec), Out: &out, Log: tail})
+	p, err := r.supervisor.Start(proc.Spec{Name: "play", Command: r.opts.Command, Env: r.opts.Env, Stdin: bytes.NewReader(spec), Stdout: &out, Output: tail})
 	if err != nil {
 		return k, err
 	}
@@ -209,7 +209,7 @@
 	}
 	if stop != "" {
 		r.opts.Log.Info("play ended early", "axis", r.file.Axis.Name, "x", k.X, "play", k.Play, "why", stop)
-		if err := p.End(context.WithoutCancel(ctx), stopTimeout); err != nil {
+		if err := p.Terminate(context.WithoutCancel(ctx), stopTimeout); err != nil {
 			return k, err
 		}
 	}
@@ -228,7 +228,7 @@
 		return k, err
 	}
 	w.judgeCPUShares(after)
-	if e := p.Exit(); e.Code != 0 {
+	if e := p.Wait(); e.Code != 0 {
 		k.Failure = strings.TrimSpace(fmt.Sprintf("its process ended %v: %s", e, tail))
 		return k, nil
 	}
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -43,14 +43,14 @@
 	cases []caseState // by number, from 1
 	ids   map[string]int
 	idle  []idleConns
-	rude  RudeCount
+	rude  RudePeerCounts
 }
 
 // RudeCount is how rude peers fared.
-type RudeCount struct {
-	Came       int `json:"came"`
+type RudePeerCounts struct {
+	Connected  int `json:"came"`
 	Unanswered int `json:"unanswered"` // had neither an error line nor a close in time
-	TakenOn    int `json:"taken_on"`   // had a message taken on
+	Accepted   int `json:"taken_on"`   // had a message taken on
 }
 
 type idleConns struct {
@@ -91,10 +91,10 @@
 	c.mu.Unlock()
 	c.wg.Go(func() { c.rudePeers(ctx) })
 	for i, a := range c.plan.Arrivals {
-		if !observe.SleepUntil(ctx, c.log.Wall(a.At)) {
+		if !observe.SleepUntil(ctx, c.log.WallTime(a.At)) {
 			break
 		}
-		c.log.Late(observe.ByClients, c.log.Now()-a.At)
+		c.log.RecordLateness(observe.Clients, c.log.Now()-a.At)
 		c.wg.Go(func() { c.handIn(ctx, i+1, a.Node, false) })
 	}
 	<-ctx.Done()
@@ -107,14 +107,14 @@
 }
 
 // Rude is how the rude peers have fared.
-func (c *Clients) Rude() RudeCount {
+func (c *Clients) RudePeerCounts() RudePeerCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rude
 }
 
 // Saw is told of the messages of a call that has reached a partner.
-func (c *Clients) Saw(ids []string) {
+func (c *Clients) RecordReached(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
@@ -134,7 +134,7 @@
 }
 
 // Heard is told of a node's notice: a message that was handed back may come again.
-func (c *Clients) Heard(_ int, id, state string, after time.Duration) {
+func (c *Clients) HandleNotice(_ int, id, state string, after time.Duration) {
 	c.mu.Lock()
 	s := c.of(id)
 	if s == nil || s.over || !s.taken {
@@ -155,7 +155,7 @@
 
 // Lost is told that a node's folder has gone: what it held comes again to a node that runs, unless it may have run and
 // must not run twice.
-func (c *Clients) Lost(node int) {
+func (c *Clients) HandleStateLoss(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ctx == nil {
@@ -176,7 +176,7 @@
 			}
 			// Not before: a call may still have been on its way when its node was lost.
 			c.mu.Lock()
-			s.over = s.touched && (class.Effect == judge.Unsafe || class.Effect == judge.Keyed && c.log.Now()-s.first > class.Window/2)
+			s.over = s.touched && (class.Effect == judge.EffectAtMostOnce || class.Effect == judge.EffectDeduplicated && c.log.Now()-s.first > class.Window/2)
 			over := s.over
 			c.mu.Unlock()
 			if over {
@@ -270,7 +270,7 @@
 		c.comeAgain(ctx, n, node, wait)
 	case history.ClientTimedOut, history.ConnectionLost:
 		// It may be with the node, and may yet run: only what may be repeated comes again, under a new id.
-		if class.Effect == judge.Safe || class.Effect == judge.Keyed && (!touched || since < class.Window/2) {
+		if class.Effect == judge.EffectIdempotent || class.Effect == judge.EffectDeduplicated && (!touched || since < class.Window/2) {
 			c.comeAgain(ctx, n, node, 0)
 		}
 	}
@@ -379,7 +379,7 @@
 // rudePeers come and say nothing, nonsense, too much, or half a request.
 func (c *Clients) rudePeers(ctx context.Context) {
 	for _, r := range c.plan.RudePeers {
-		if !observe.SleepUntil(ctx, c.log.Wall(r.At)) {
+		if !observe.SleepUntil(ctx, c.log.WallTime(r.At)) {
 			return
 		}
 		c.wg.Go(func() { c.beRude(ctx, r) })
@@ -411,11 +411,11 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rude.Came++
+	c.rude.Connected++
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.rude.Unanswered++
 	case strings.HasPrefix(line, "+"):
-		c.rude.TakenOn++
+		c.rude.Accepted++
 	}
 }
--- a/internal/lab/standin/formats_test.go
+++ b/internal/lab/standin/formats_test.go
@@ -19,7 +19,7 @@
 func TestJSONFormats(t *testing.T) {
 	type formats struct {
 		Batch []item
-		Rude  RudeCount
+		Rude  RudePeerCounts
 	}
 	var value, got formats
 	golden.Fill(&value)
@@ -44,7 +44,7 @@
 			e := &Endpoint{of: &Partner{log: observe.NewLog()}}
 			w := httptest.NewRecorder()
 			answer := partner.Answer{Status: status, RetryAfter: retryAfter, Outcomes: []partner.Outcome{partner.Accepted, partner.Failed, partner.Deferred}}
-			e.answer(w, &served{pair: &relay.Pair{}}, []item{{ID: "a"}, {ID: "b"}, {ID: "c"}}, answer, history.Event{})
+			e.answer(w, &served{pair: &relay.Connection{}}, []item{{ID: "a"}, {ID: "b"}, {ID: "c"}}, answer, history.Event{})
 			ended := e.of.log.Events()[0]
 			fmt.Fprintf(&b, "%s %v: %d %v %s %v\n", ended.State, retryAfter, w.Code, w.Header(), bytes.TrimSpace(w.Body.Bytes()), ended.Outcomes)
 		}
--- a/internal/lab/standin/partner.go
+++ b/internal/lab/standin/partner.go
@@ -62,7 +62,7 @@
 // served is a connection as an endpoint's server sees it.
 type served struct {
 	net.Conn
-	pair     *relay.Pair
+	pair     *relay.Connection
 	node     int
 	number   uint64
 	endpoint int
@@ -81,7 +81,7 @@
 }
 
 // Add brings an endpoint into service, with a link at an address for each node.
-func (p *Partner) Add(id string, zone int, addr func(node int) string) (*Endpoint, error) {
+func (p *Partner) AddEndpoint(id string, zone int, addr func(node int) string) (*Endpoint, error) {
 	p.mu.Lock()
 	index := len(p.endpoints)
 	if index >= p.model.Endpoints {
@@ -100,9 +100,9 @@
 		e.srv.Serve(e.ln)
 	}()
 	for n := range p.nodes {
-		link, err := relay.Listen(addr(n), uint64(index)<<32|uint64(n), func(ctx context.Context, pair *relay.Pair) (net.Conn, error) {
+		link, err := relay.Listen(addr(n), uint64(index)<<32|uint64(n), func(ctx context.Context, pair *relay.Connection) (net.Conn, error) {
 			return e.connect(ctx, n, pair)
-		}, func(by time.Duration) { p.log.Late(observe.ByLinks, by) })
+		}, func(by time.Duration) { p.log.RecordLateness(observe.Links, by) })
 		if err != nil {
 			e.close()
 			return nil, fmt.Errorf("endpoint %s: %w", id, err)
@@ -115,7 +115,7 @@
 type connKey struct{}
 
 // connect makes a connection of a node's link.
-func (e *Endpoint) connect(ctx context.Context, node int, pair *relay.Pair) (net.Conn, error) {
+func (e *Endpoint) connect(ctx context.Context, node int, pair *relay.Connection) (net.Conn, error) {
 	p := e.of
 	p.mu.Lock()
 	if p.closed || p.state.IsDown(e.index) {
@@ -179,14 +179,14 @@
 }
 
 // Trouble begins a spell on all endpoints.
-func (p *Partner) Trouble(what partner.FaultKind, size float64, until time.Duration) {
+func (p *Partner) StartFault(what partner.FaultKind, size float64, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if what != partner.Slow && what != partner.Lossy && (what != partner.Failing || size >= 0.5) {
 		p.outages++
 		p.log.Add(history.Event{Kind: history.OutageBegan, Node: -1, Partner: p.number, Note: what.String()})
 		if until > 0 {
-			time.AfterFunc(time.Until(p.log.Wall(until)), func() {
+			time.AfterFunc(time.Until(p.log.WallTime(until)), func() {
 				p.mu.Lock()
 				defer p.mu.Unlock()
 				if p.outages--; p.outages == 0 && !p.closed {
@@ -199,14 +199,14 @@
 }
 
 // Wake lets the model catch up with the run's time, once that has begun.
-func (p *Partner) Wake() {
+func (p *Partner) CatchUp() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.step(partner.Tick{})
 }
 
 // Limit sets its limit to a share of what it was.
-func (p *Partner) Limit(share float64) {
+func (p *Partner) SetLimitShare(share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.step(partner.LimitChanged{Share: share})
@@ -231,7 +231,7 @@
 		return
 	}
 	if now := p.log.Now(); now >= p.due {
-		p.log.Late(observe.ByPartners, now-p.due)
+		p.log.RecordLateness(observe.Partners, now-p.due)
 	}
 	p.step(partner.Tick{})
 }
@@ -256,13 +256,13 @@
 			}
 			if a.Endpoint < len(p.endpoints) {
 				for _, l := range p.endpoints[a.Endpoint].links {
-					l.Refuse(true)
+					l.SetRefusing(true)
 				}
 			}
 		case partner.EndpointRestored:
 			if a.Endpoint < len(p.endpoints) {
 				for n, l := range p.endpoints[a.Endpoint].links {
-					if err := l.Refuse(false); err != nil {
+					if err := l.SetRefusing(false); err != nil {
 						p.log.Add(history.Event{Kind: history.Fault, Node: n, Partner: p.number, Note: "the lab can't open an address again: " + err.Error()})
 					}
 				}
@@ -273,7 +273,7 @@
 	}
 	if next, ok := p.state.NextTick(); ok && !p.closed {
 		p.due = next
-		p.timer.Reset(time.Until(p.log.Wall(next)))
+		p.timer.Reset(time.Until(p.log.WallTime(next)))
 	}
 }
 
@@ -334,7 +334,7 @@
 		return
 	}
 	p.log.Add(history.Event{
-		Kind: history.CallStarted, Node: c.node, Partner: p.number, Endpoint: e.ID, Call: call.Call, IDs: ids, FirstAt: p.log.At(c.pair.Began()),
+		Kind: history.CallStarted, Node: c.node, Partner: p.number, Endpoint: e.ID, Call: call.Call, IDs: ids, FirstAt: p.log.RunTime(c.pair.RequestStartedAt()),
 	})
 	p.out[call.Call] = answered
 	p.step(call)
@@ -348,8 +348,8 @@
 		delete(p.out, call.Call)
 		p.mu.Unlock()
 		end.State = history.Abandoned
-		if at := c.pair.NearEnded(); !at.IsZero() {
-			end.At = p.log.At(at)
+		if at := c.pair.ClientClosedAt(); !at.IsZero() {
+			end.At = p.log.RunTime(at)
 		} else {
 			end.State = history.AnswerLost
 		}
@@ -420,11 +420,11 @@
 
 // note notes a call's end once its answer has reached the node. One that never does has ended without it.
 func (e *Endpoint) note(c *served, end history.Event) {
-	c.pair.WhenReached(func(at time.Time, reached bool) {
+	c.pair.OnDelivered(func(at time.Time, reached bool) {
 		if !reached {
 			end.State, end.Outcomes, end.RetryAfter = history.Abandoned, nil, 0
 		}
-		end.At = e.of.log.At(at)
+		end.At = e.of.log.RunTime(at)
 		e.of.log.Add(end)
 	})
 }
--- a/internal/lab/standin/platform.go
+++ b/internal/lab/standin/platform.go
@@ -95,7 +95,7 @@
 func (p *Platform) Agent(node int) *Agent { return p.agents[node] }
 
 // Put changes an endpoint of the list, or adds one. With atOnce all agents have it without delay, as at the start.
-func (p *Platform) Put(m Member, addr func(node int) string, atOnce bool) {
+func (p *Platform) PutMember(m Member, addr func(node int) string, atOnce bool) {
 	p.mu.Lock()
 	c := change{at: p.log.Now(), revision: int64(len(p.changes) + 1), member: m, addr: addr}
 	if addr == nil {
@@ -164,7 +164,7 @@
 				drawn, late = c.revision, a.delay()
 			}
 			due := c.at + late + extra
-			wait = time.Until(a.platform.log.Wall(due))
+			wait = time.Until(a.platform.log.WallTime(due))
 			if wait <= 0 && !silent {
 				a.learn(next[:1])
 				a.tell(c, a.platform.log.Now())
@@ -218,7 +218,7 @@
 }
 
 // Late sets what every change takes on top of its delay.
-func (a *Agent) Late(extra time.Duration) {
+func (a *Agent) SetExtraDelay(extra time.Duration) {
 	a.mu.Lock()
 	a.extra = extra
 	a.mu.Unlock()
@@ -226,7 +226,7 @@
 }
 
 // Silent lets the agent hear and say nothing, or speak again.
-func (a *Agent) Silent(on bool) {
+func (a *Agent) SetSilent(on bool) {
 	a.mu.Lock()
 	if a.silent && !on {
 		close(a.woken)
@@ -238,7 +238,7 @@
 }
 
 // Known is the whole list as the agent has it.
-func (a *Agent) Known() List {
+func (a *Agent) FullList() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.whole()
@@ -354,7 +354,7 @@
 	enc := json.NewEncoder(w)
 	w.Header().Set("Content-Type", "application/json")
 	if req.URL.Query().Get("watch") != "1" {
-		enc.Encode(a.Known())
+		enc.Encode(a.FullList())
 		return
 	}
 	after, err := strconv.ParseInt(req.URL.Query().Get("after"), 10, 64)
@@ -429,7 +429,7 @@
 }
 
 // Quiet lets a directory tell the node in the agent's place.
-func (a *Agent) Quiet() {
+func (a *Agent) DelegateToDirectory() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.quiet = true
--- a/internal/lab/standin/window.go
+++ b/internal/lab/standin/window.go
@@ -17,7 +17,7 @@
 
 // Window is a replica of a directory as one node sees it: it passes the node's asks on, tells it the addresses at which
 // it reaches the endpoints, and notes what the node was told. A replica that is gone looks so through it.
-type Window struct {
+type DirectoryProxy struct {
 	agent  *Agent
 	addr   string // of the replica
 	client *http.Client
@@ -28,12 +28,12 @@
 }
 
 // OpenWindow opens one at an address. Notices that the replica has taken are handed to the node's agent.
-func OpenWindow(a *Agent, at, replica string) (*Window, error) {
+func StartDirectoryProxy(a *Agent, at, replica string) (*DirectoryProxy, error) {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
 		return nil, fmt.Errorf("directory of node %d: %w", a.node, err)
 	}
-	w := &Window{agent: a, addr: replica, client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
+	w := &DirectoryProxy{agent: a, addr: replica, client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
 	w.life, w.end = context.WithCancel(context.Background())
 	w.srv = &http.Server{Handler: w, ReadHeaderTimeout: 30 * time.Second, BaseContext: func(net.Listener) context.Context { return w.life }}
 	w.wg.Go(func() { w.srv.Serve(ln) })
@@ -41,7 +41,7 @@
 }
 
 // Close ends it.
-func (w *Window) Close() {
+func (w *DirectoryProxy) Close() {
 	w.end()
 	w.srv.Close()
 	w.wg.Wait()
@@ -49,7 +49,7 @@
 }
 
 // ServeHTTP passes a request on.
-func (w *Window) ServeHTTP(out http.ResponseWriter, req *http.Request) {
+func (w *DirectoryProxy) ServeHTTP(out http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(req.Body, 4*maxBody))
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -335,7 +335,7 @@
 // looks reads the map at one replica again and again.
 func (t *ownershipTrial) looks(ctx context.Context, r *replica.Replica) {
 	for registry.Sleep(ctx, pollPause) {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Own(replica.HTTP)+mapPath, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.OwnAddr(replica.HTTP)+mapPath, nil)
 		if err != nil {
 			return
 		}
@@ -575,7 +575,7 @@
 		return n.start(ctx)
 	})},
 	{"node ended", onNode(func(t *ownershipTrial, ctx context.Context, n *ownedNode, d time.Duration) error {
-		n.process().End(ctx, termWait)
+		n.process().Terminate(ctx, termWait)
 		registry.Sleep(ctx, d/4)
 		return n.start(ctx)
 	})},
@@ -589,7 +589,7 @@
 		return n.handOver(ctx, d)
 	})},
 	{"node killed and started while cut off", onNode(func(t *ownershipTrial, ctx context.Context, n *ownedNode, d time.Duration) error {
-		t.cut(n.fronts, relay.Weather{CutOut: true, CutBack: true})
+		t.cut(n.fronts, relay.Conditions{CutOutbound: true, CutReturn: true})
 		defer t.cut(n.fronts, calm)
 		n.kill()
 		kept, _ := n.list() // it may not have had the time to keep one
@@ -603,7 +603,7 @@
 		return nil
 	})},
 	{"node cut off", onNode(func(t *ownershipTrial, ctx context.Context, n *ownedNode, d time.Duration) error {
-		t.cut(n.fronts, relay.Weather{CutOut: t.r.IntN(2) == 0, CutBack: true})
+		t.cut(n.fronts, relay.Conditions{CutOutbound: t.r.IntN(2) == 0, CutReturn: true})
 		registry.Sleep(ctx, d)
 		t.cut(n.fronts, calm)
 		return nil
@@ -650,12 +650,12 @@
 			}
 		}
 		defer t.disturb(-1, "region cut off")()
-		cutOff := relay.Weather{CutOut: true, CutBack: true}
-		t.all[of].Links[replica.Raft].Set(cutOff)
+		cutOff := relay.Conditions{CutOutbound: true, CutReturn: true}
+		t.all[of].Links[replica.Raft].SetConditions(cutOff)
 		t.cut(away, cutOff)
 		registry.Sleep(ctx, d)
-		t.all[of].Links[replica.Raft].Set(calm)
-		t.all[of].Links[replica.Raft].Reset()
+		t.all[of].Links[replica.Raft].SetConditions(calm)
+		t.all[of].Links[replica.Raft].ResetConnections()
 		t.cut(away, calm)
 		return fmt.Sprint("region ", of), nil
 	}},
@@ -766,11 +766,11 @@
 }
 
 // cut sets the weather of the links to fronts. A path that is whole again comes back with its connections broken.
-func (t *ownershipTrial) cut(all []*front, w relay.Weather) {
+func (t *ownershipTrial) cut(all []*front, w relay.Conditions) {
 	for _, f := range all {
-		f.link.Set(w)
+		f.link.SetConditions(w)
 		if w == calm {
-			f.link.Reset()
+			f.link.ResetConnections()
 		}
 	}
 }
@@ -781,7 +781,7 @@
 		for _, r := range which {
 			t.older[r].Store(on)
 			for _, n := range t.nodes { // the replica was started anew
-				n.fronts[r].link.Reset()
+				n.fronts[r].link.ResetConnections()
 			}
 		}
 		if on {
--- a/internal/lab/trial/ownership_front.go
+++ b/internal/lab/trial/ownership_front.go
@@ -46,11 +46,11 @@
 	f.life, f.end = context.WithCancel(context.Background())
 	f.srv = &http.Server{Handler: f, ReadHeaderTimeout: 30 * time.Second, BaseContext: func(net.Listener) context.Context { return f.life }}
 	f.wg.Go(func() { f.srv.Serve(ln) })
-	if f.link, err = relay.Listen(reached, t.opts.Seed+uint64(100*node+number), relay.To(at), nil); err != nil {
+	if f.link, err = relay.Listen(reached, t.opts.Seed+uint64(100*node+number), relay.DialTo(at), nil); err != nil {
 		f.close()
 		return nil, err
 	}
-	f.link.Set(calm)
+	f.link.SetConditions(calm)
 	return f, nil
 }
 
--- a/internal/lab/trial/ownership_node.go
+++ b/internal/lab/trial/ownership_node.go
@@ -57,7 +57,7 @@
 	}
 	p := experiment.Plan{
 		Zones: zones, PartnerKinds: []string{"hook"}, Tenants: []experiment.TenantPlan{{Name: "m", Share: 1, Allowance: 1e6}},
-		Classes: []experiment.ClassPlan{class(classSafe, judge.Safe), class(classKeyed, judge.Keyed), class(classUnsafe, judge.Unsafe)},
+		Classes: []experiment.ClassPlan{class(classSafe, judge.EffectIdempotent), class(classKeyed, judge.EffectDeduplicated), class(classUnsafe, judge.EffectAtMostOnce)},
 		Rules: experiment.RulesPlan{
 			MaxAttempts: 6, DrainGrace: time.Second, CollapseMultiple: 1.5, CollapseSpan: 2 * time.Second, SlowStartFrom: 0.3, SlowStartDuration: 2 * time.Second,
 			DialTimeout: time.Second, ConnIdleTimeout: 5 * time.Second, MaxRetryAfter: 3 * time.Second,
@@ -97,7 +97,7 @@
 	var addresses []string
 	for i, r := range t.all {
 		reached := fmt.Sprintf("%s:%d", t.block.IP(windowHost+i, number+1), frontPort)
-		f, err := openFront(t, number, i, fmt.Sprintf("%s:%d", t.block.IP(frontHost+i, number+1), frontPort), reached, r.Reached(0))
+		f, err := openFront(t, number, i, fmt.Sprintf("%s:%d", t.block.IP(frontHost+i, number+1), frontPort), reached, r.AdvertisedAddr(0))
 		if err != nil {
 			return n, fmt.Errorf("front of %s: %w", n.name, err)
 		}
@@ -160,7 +160,7 @@
 	p := n.process()
 	err := await(ctx, n.name+" in service", func() bool { return over(p) || n.ping() })
 	if err == nil && over(p) {
-		err = fmt.Errorf("%s ended %v before it was in service", n.name, p.Exit())
+		err = fmt.Errorf("%s ended %v before it was in service", n.name, p.Wait())
 	}
 	return err
 }
@@ -168,7 +168,7 @@
 // launch starts a process; the lock is held.
 func (n *ownedNode) launch() error {
 	n.starts++
-	p, err := n.t.sup.Start(proc.Spec{Name: n.name, Command: n.t.own.Node, Log: n.log, Sockets: 512, Env: []string{
+	p, err := n.t.sup.Start(proc.Spec{Name: n.name, Command: n.t.own.Node, Output: n.log, MaxDescriptors: 512, Env: []string{
 		"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=" + n.name, "ROUTER_LISTEN=" + n.addr(), "ROUTER_DISCOVERY=" + reachedFirst(n),
 		"ROUTER_STATE=" + filepath.Join(n.dir, "state"), "ROUTER_CONFIG=" + filepath.Join(n.dir, "config.json"), "TMPDIR=" + filepath.Join(n.dir, "tmp"),
 		"ROUTER_FLEET=" + filepath.Join(n.dir, "fleet.toml"), "ROUTER_ADMIN_ADDR=" + n.adminAt(),
@@ -189,7 +189,7 @@
 		return err
 	}
 	registry.Sleep(ctx, after)
-	if err := old.End(ctx, termWait); err != nil {
+	if err := old.Terminate(ctx, termWait); err != nil {
 		return err
 	}
 	return n.awaitUp(ctx)
--- a/internal/lab/trial/size.go
+++ b/internal/lab/trial/size.go
@@ -118,7 +118,7 @@
 	defer p.Close()
 	at := func(n int) func(int) string { return func(int) string { return numbered(n, 0).Addr } }
 	put := func(n int, stamp int64, first bool) {
-		p.Put(numbered(n, stamp), at(n), first)
+		p.PutMember(numbered(n, stamp), at(n), first)
 	}
 	for n := range endpoints {
 		put(n, 0, true)
@@ -197,11 +197,11 @@
 		}
 		command = []string{o.Self, "directory", "serve", "--config", config}
 	}
-	p, err := sup.Start(proc.Spec{Name: way, Command: command, Env: []string{"PATH=" + os.Getenv("PATH")}, Log: io.Discard})
+	p, err := sup.Start(proc.Spec{Name: way, Command: command, Env: []string{"PATH=" + os.Getenv("PATH")}, Output: io.Discard})
 	if err != nil {
 		return err
 	}
-	defer p.End(ctx, 3*time.Second)
+	defer p.Terminate(ctx, 3*time.Second)
 	op := &directory.AdminClient{Addresses: []string{addr}, RetryFor: settleWait, HTTPClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	if way != "encode for each" {
 		var all []catalog.Endpoint
@@ -423,7 +423,7 @@
 		parts.Go(func() {
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			defer client.CloseIdleConnections()
-			op := &directory.AdminClient{Addresses: []string{lead.Own(replica.HTTP)}, HTTPClient: client}
+			op := &directory.AdminClient{Addresses: []string{lead.OwnAddr(replica.HTTP)}, HTTPClient: client}
 			for i := int64(1); time.Since(begin) < o.Length && ctx.Err() == nil; i++ {
 				at := time.Now()
 				if _, err := op.Put(ctx, []catalog.Endpoint{numbered(w, i)}, false, false, "*"); err == nil {
@@ -453,7 +453,7 @@
 	defer t.close()
 	var addresses []string
 	for _, r := range t.all {
-		addresses = append(addresses, r.Own(replica.HTTP))
+		addresses = append(addresses, r.OwnAddr(replica.HTTP))
 	}
 	op := &directory.AdminClient{Addresses: addresses, HTTPClient: &http.Client{Timeout: opWait, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for i := range o.Kills {
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -65,7 +65,7 @@
 }
 
 // calm is the weather of a link without a fault.
-var calm = relay.Weather{Delay: 200 * time.Microsecond, Jitter: 1}
+var calm = relay.Conditions{Delay: 200 * time.Microsecond, Jitter: 1}
 
 type trial struct {
 	opts  Options
@@ -122,12 +122,12 @@
 // buildOf makes so many replicas. Everything reaches one by its links, unless they are left out.
 func (t *trial) buildOf(count int, direct bool) error {
 	var err error
-	if t.block, err = block.Take(); err != nil {
+	if t.block, err = block.Reserve(); err != nil {
 		return err
 	}
 	o := replica.Options{Command: t.opts.Command, Dir: t.opts.Dir, Block: t.block, Supervisor: t.sup, Seed: t.opts.Seed}
 	if !direct { // much happens in a short time
-		o.Weather = &calm
+		o.Conditions = &calm
 		o.Settings = "election = \"300ms\"\n[snapshot]\nevery = 40\ntrailing = 20\ninterval = \"200ms\"\n[watch]\nlag_kb = 64\n"
 	}
 	t.all, err = replica.New(count, o)
@@ -136,7 +136,7 @@
 
 // operator asks one replica past its links.
 func operator(r *replica.Replica) *directory.AdminClient {
-	return &directory.AdminClient{Addresses: []string{r.Own(replica.HTTP)}, HTTPClient: &http.Client{Timeout: opWait, Transport: &http.Transport{DisableKeepAlives: true}}}
+	return &directory.AdminClient{Addresses: []string{r.OwnAddr(replica.HTTP)}, HTTPClient: &http.Client{Timeout: opWait, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // leader is the replica that says it leads, or any.
@@ -170,7 +170,7 @@
 func (t *trial) addresses(seed uint64) []string {
 	var all []string
 	for _, r := range t.all {
-		all = append(all, r.Reached(replica.HTTP))
+		all = append(all, r.AdvertisedAddr(replica.HTTP))
 	}
 	rand.New(rand.NewPCG(t.opts.Seed, seed)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all
@@ -358,14 +358,14 @@
 		registry.Sleep(ctx, d)
 		return p.Signal(syscall.SIGCONT)
 	}},
-	{"cut towards", cutting(replica.Raft, relay.Weather{CutOut: true})},
-	{"cut from", cutting(replica.Raft, relay.Weather{CutBack: true})},
-	{"cut both ways", cutting(replica.Raft, relay.Weather{CutOut: true, CutBack: true})},
-	{"cut from callers", cutting(replica.HTTP, relay.Weather{CutOut: true, CutBack: true})},
-	{"answers to callers lost", cutting(replica.HTTP, relay.Weather{CutBack: true})},
+	{"cut towards", cutting(replica.Raft, relay.Conditions{CutOutbound: true})},
+	{"cut from", cutting(replica.Raft, relay.Conditions{CutReturn: true})},
+	{"cut both ways", cutting(replica.Raft, relay.Conditions{CutOutbound: true, CutReturn: true})},
+	{"cut from callers", cutting(replica.HTTP, relay.Conditions{CutOutbound: true, CutReturn: true})},
+	{"answers to callers lost", cutting(replica.HTTP, relay.Conditions{CutReturn: true})},
 	{"disk full", func(t *trial, ctx context.Context, r *replica.Replica, d time.Duration) error {
 		p := r.Process()
-		if err := p.DiskFull(true); err != nil {
+		if err := p.SetDiskFull(true); err != nil {
 			return err
 		}
 		registry.Sleep(ctx, d)
@@ -373,12 +373,12 @@
 		case <-p.Done():
 			return r.Start()
 		default:
-			return p.DiskFull(false)
+			return p.SetDiskFull(false)
 		}
 	}},
 	{"folder lost", func(t *trial, ctx context.Context, r *replica.Replica, d time.Duration) error {
 		r.Kill()
-		if err := os.RemoveAll(r.Data()); err != nil {
+		if err := os.RemoveAll(r.DataDir()); err != nil {
 			return err
 		}
 		registry.Sleep(ctx, d/4)
@@ -386,7 +386,7 @@
 	}},
 	{"log damaged", func(t *trial, ctx context.Context, r *replica.Replica, d time.Duration) error {
 		r.Kill()
-		path := filepath.Join(r.Data(), "log.db")
+		path := filepath.Join(r.DataDir(), "log.db")
 		info, err := os.Stat(path)
 		if err != nil {
 			return err
@@ -410,12 +410,12 @@
 	}},
 }
 
-func cutting(link int, w relay.Weather) func(*trial, context.Context, *replica.Replica, time.Duration) error {
+func cutting(link int, w relay.Conditions) func(*trial, context.Context, *replica.Replica, time.Duration) error {
 	return func(_ *trial, ctx context.Context, r *replica.Replica, d time.Duration) error {
-		r.Links[link].Set(w)
+		r.Links[link].SetConditions(w)
 		registry.Sleep(ctx, d)
-		r.Links[link].Set(calm)
-		r.Links[link].Reset()
+		r.Links[link].SetConditions(calm)
+		r.Links[link].ResetConnections()
 		return nil
 	}
 }
