--- a/cmd/cottonrack/labownership.go
+++ b/cmd/cottonrack/labownership.go
@@ -45,8 +45,8 @@
 			return err
 		}
 		res, err := trial.RunOwnership(a.ctx, trial.OwnershipOptions{
-			Directory: []string{self, "--log-level", "info", "directory", "serve"}, Node: node, Dir: dir, Seed: s, Length: c.Length,
-			Only: c.Only, Breach: c.Breach, Log: a.log,
+			Directory: []string{self, "--log-level", "info", "directory", "serve"}, Node: node, Dir: dir, Seed: s, Duration: c.Length,
+			FaultKinds: c.Only, Inject: c.Breach, Log: a.log,
 		})
 		if err != nil {
 			if passing && a.ctx.Err() != nil { // who ends a trial early wants nothing of it
@@ -59,7 +59,7 @@
 		if !a.asJSON {
 			printOwnership(a, res)
 		}
-		if !res.Kept() {
+		if !res.Passed() {
 			bad++
 			fmt.Fprintf(a.err, "results: %s; again: %s\n", dir, c.again(s))
 		} else if passing {
@@ -96,43 +96,43 @@
 func printOwnership(a *app, r *trial.OwnershipResult) {
 	verdict := "kept"
 	switch {
-	case r.Breach != "" && r.Found:
-		verdict = "the seeded breach, " + r.Breach + ", was found"
-	case r.Breach != "":
-		verdict = "THE SEEDED BREACH, " + r.Breach + ", WAS NOT FOUND"
-	case len(r.Breaches) > 0:
+	case r.Injected != "" && r.InjectedFound:
+		verdict = "the seeded breach, " + r.Injected + ", was found"
+	case r.Injected != "":
+		verdict = "THE SEEDED BREACH, " + r.Injected + ", WAS NOT FOUND"
+	case len(r.Violations) > 0:
 		verdict = "NOT KEPT"
 	}
 	fmt.Fprintf(a.out, "seed %d: %s; %d faults, %d maps, %d watches with %d lines; a former owner accepted for %v at the longest, all acted by the last map within %v\n",
-		r.Seed, verdict, len(r.Faults), r.Maps, r.Asks, r.Lines, r.Over.Round(time.Millisecond), r.Quiet.Round(time.Millisecond))
-	for _, k := range slices.Sorted(maps.Keys(r.Handed)) {
-		fmt.Fprintf(a.out, "  %s %d", k, r.Handed[k])
+		r.Seed, verdict, len(r.Faults), r.LastMapNumber, r.WatchRequests, r.WatchLines, r.LongestLateAccept.Round(time.Millisecond), r.ConvergenceTime.Round(time.Millisecond))
+	for _, k := range slices.Sorted(maps.Keys(r.Submissions)) {
+		fmt.Fprintf(a.out, "  %s %d", k, r.Submissions[k])
 	}
-	fmt.Fprintf(a.out, "; %d handed in again while held, %d ended after their node had lost them; %d times a node went on without a directory\n", r.Again, r.Outlived, r.GoneOn)
-	for _, k := range slices.Sorted(maps.Keys(r.Changes)) {
-		fmt.Fprintf(a.out, "  %s %d;", k, r.Changes[k])
+	fmt.Fprintf(a.out, "; %d handed in again while held, %d ended after their node had lost them; %d times a node went on without a directory\n", r.AcceptedRepeats, r.EndedAfterLoss, r.AcceptedWithoutDirectory)
+	for _, k := range slices.Sorted(maps.Keys(r.MapChanges)) {
+		fmt.Fprintf(a.out, "  %s %d;", k, r.MapChanges[k])
 	}
 	fmt.Fprintln(a.out)
-	if r.Late > 0 {
-		fmt.Fprintf(a.out, "  the machine held the trial up %d times, by %v at the longest; what came of that is not judged\n", r.Late, r.LateMost.Round(time.Millisecond))
+	if r.HostStalls > 0 {
+		fmt.Fprintf(a.out, "  the machine held the trial up %d times, by %v at the longest; what came of that is not judged\n", r.HostStalls, r.LongestHostStall.Round(time.Millisecond))
 	}
-	if len(r.Breaches) == 0 {
+	if len(r.Violations) == 0 {
 		return
 	}
-	if !r.Kept() {
+	if !r.Passed() {
 		for _, f := range r.Faults {
 			fmt.Fprintln(a.out, "  ", f)
 		}
 	}
 	most := 10
-	if r.Found {
+	if r.InjectedFound {
 		most = 2
 	}
-	for i, b := range r.Breaches {
+	for i, b := range r.Violations {
 		if i == most {
-			fmt.Fprintf(a.out, "   and %d more\n", len(r.Breaches)-i)
+			fmt.Fprintf(a.out, "   and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintf(a.out, "   breach of %s: %s\n", b.Rule, first(b.What, 400))
+		fmt.Fprintf(a.out, "   breach of %s: %s\n", b.Rule, first(b.Description, 400))
 	}
 }
--- a/cmd/cottonrack/trial.go
+++ b/cmd/cottonrack/trial.go
@@ -39,7 +39,7 @@
 			return err
 		}
 		res, err := trial.Run(a.ctx, trial.Options{
-			Command: []string{self, "--log-level", "info", "directory", "serve"}, Dir: dir, Seed: s, Length: c.Length, Only: c.Only, Stale: c.Stale, Log: a.log,
+			Command: []string{self, "--log-level", "info", "directory", "serve"}, Dir: dir, Seed: s, Duration: c.Length, FaultKinds: c.Only, StaleReads: c.Stale, Log: a.log,
 		})
 		if err != nil {
 			if passing && a.ctx.Err() != nil {
@@ -48,7 +48,7 @@
 			return fmt.Errorf("seed %d: %w; the logs are in %s", s, err, dir)
 		}
 		all = append(all, res)
-		if len(res.Problems) > 0 {
+		if len(res.Violations) > 0 {
 			bad++
 			fmt.Fprintf(a.err, "results: %s\n", dir)
 		} else if passing {
@@ -75,24 +75,24 @@
 
 func printTrial(a *app, r *trial.Result) {
 	verdict := "kept"
-	if len(r.Problems) > 0 {
+	if len(r.Violations) > 0 {
 		verdict = "NOT KEPT"
 	}
 	fmt.Fprintf(a.out, "seed %d: %s; %d faults, %d revisions in %d histories, %d lines told, %d leases, no write for %v at the longest, refused within %v\n", r.Seed, verdict,
-		len(r.Faults), r.Revisions, r.Histories, r.Told, r.Leases, r.NoWrites.Round(time.Millisecond), r.Refusal.Round(time.Millisecond))
-	for _, k := range slices.Sorted(maps.Keys(r.Ops)) {
-		fmt.Fprintf(a.out, "  %s %d", k, r.Ops[k])
+		len(r.Faults), r.Revisions, r.Histories, r.WatchLines, r.LeaseHoldings, r.LongestWriteGap.Round(time.Millisecond), r.LongestRefusal.Round(time.Millisecond))
+	for _, k := range slices.Sorted(maps.Keys(r.Operations)) {
+		fmt.Fprintf(a.out, "  %s %d", k, r.Operations[k])
 	}
 	fmt.Fprintln(a.out)
-	if len(r.Problems) == 0 {
+	if len(r.Violations) == 0 {
 		return
 	}
 	for _, f := range r.Faults {
 		fmt.Fprintln(a.out, "  ", f)
 	}
-	for i, p := range r.Problems {
+	for i, p := range r.Violations {
 		if i == 10 {
-			fmt.Fprintf(a.out, "   and %d more\n", len(r.Problems)-i)
+			fmt.Fprintf(a.out, "   and %d more\n", len(r.Violations)-i)
 			break
 		}
 		fmt.Fprintln(a.out, "   NOT KEPT:", first(p, 400))
@@ -122,8 +122,8 @@
 		return fmt.Errorf("results: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	s, err := trial.Measure(a.ctx, trial.SizeOptions{Self: self, Dir: dir, Watchers: c.Watchers, Rate: c.Rate, Endpoints: c.Endpoints, Length: c.Length,
-		Poll: c.Poll, Kills: c.Kills, Progress: func(what string) { fmt.Fprintln(a.err, "measuring", what) }})
+	s, err := trial.Measure(a.ctx, trial.SizeOptions{Program: self, Dir: dir, Watchers: c.Watchers, ChangesPerSecond: c.Rate, Endpoints: c.Endpoints, Duration: c.Length,
+		PollInterval: c.Poll, LeaderKills: c.Kills, Progress: func(what string) { fmt.Fprintln(a.err, "measuring", what) }})
 	if err != nil {
 		return err
 	}
@@ -137,6 +137,8 @@
 }
 
 // Run is the plain way that the list service is measured against.
-func (c *labPlainCmd) Run(a *app) error { return trial.PlainServe(a.ctx, c.Addr, c.Endpoints, c.Rate) }
+func (c *labPlainCmd) Run(a *app) error {
+	return trial.ServePlainDirectory(a.ctx, c.Addr, c.Endpoints, c.Rate)
+}
 
 func first(s string, n int) string { return s[:min(len(s), n)] }
--- a/internal/lab/trial/check.go
+++ b/internal/lab/trial/check.go
@@ -15,13 +15,13 @@
 )
 
 // Kind is what an operation on one endpoint's value does. The value stands in up_since_ms; each write's is new.
-type Kind string
+type OperationKind string
 
 // The operations.
 const (
-	Read Kind = "read" // of the whole list, fresh
-	Put  Kind = "put"  // resting on nothing
-	Swap Kind = "swap" // resting on the revision at which Old was read
+	Read           OperationKind = "read" // of the whole list, fresh
+	Put            OperationKind = "put"  // resting on nothing
+	CompareAndSwap OperationKind = "swap" // resting on the revision at which Old was read
 )
 
 // Outcome is what came of an operation.
@@ -29,38 +29,38 @@
 
 // The outcomes. An operation that was surely not done is not noted.
 const (
-	Done     Outcome = "done"
-	Conflict Outcome = "conflict" // a swap's only
-	Unknown  Outcome = "unknown"
+	Done      Outcome = "done"
+	Conflict  Outcome = "conflict" // a swap's only
+	Ambiguous Outcome = "unknown"
 )
 
 // Op is one operation, as its client saw it.
-type Op struct {
-	Client   int           `json:"client"`
-	Kind     Kind          `json:"kind"`
-	ID       string        `json:"id"`
-	Old      int64         `json:"old,omitempty"` // of a swap
-	New      int64         `json:"new,omitempty"` // of a put or swap
-	Got      int64         `json:"got,omitempty"` // of a read
-	Revision int64         `json:"revision,omitempty"`
-	Outcome  Outcome       `json:"outcome"`
-	Call     time.Duration `json:"call"`
-	Return   time.Duration `json:"return"`
+type Operation struct {
+	Client     int           `json:"client"`
+	Kind       OperationKind `json:"kind"`
+	EndpointID string        `json:"id"`
+	Old        int64         `json:"old,omitempty"` // of a swap
+	New        int64         `json:"new,omitempty"` // of a put or swap
+	ReadValue  int64         `json:"got,omitempty"` // of a read
+	Revision   int64         `json:"revision,omitempty"`
+	Outcome    Outcome       `json:"outcome"`
+	Call       time.Duration `json:"call"`
+	Return     time.Duration `json:"return"`
 }
 
 // model is one endpoint's value, from its first one on.
-var model = porcupine.Model{
+var registerModel = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(before, input, _ any) (bool, any) {
-		state, op := before.(int64), input.(Op)
+		state, op := before.(int64), input.(Operation)
 		switch {
 		case op.Kind == Read:
-			return op.Got == state, state
+			return op.ReadValue == state, state
 		case op.Kind == Put:
 			return true, op.New
 		case op.Outcome == Conflict:
 			return state != op.Old, state
-		case op.Outcome == Unknown && state != op.Old:
+		case op.Outcome == Ambiguous && state != op.Old:
 			return true, state
 		}
 		return state == op.Old, op.New
@@ -69,18 +69,18 @@
 
 // Linearizable tells for which endpoints the operations can't have happened one after the other, each between its call
 // and its return; first is each one's value at the start.
-func Linearizable(ops []Op, limit time.Duration) []string {
+func CheckLinearizable(ops []Operation, limit time.Duration) []string {
 	of := map[string][]porcupine.Operation{}
 	for _, op := range ops {
 		end := int64(op.Return)
-		if op.Outcome == Unknown { // it may be done at any time to come
+		if op.Outcome == Ambiguous { // it may be done at any time to come
 			end = math.MaxInt64
 		}
-		of[op.ID] = append(of[op.ID], porcupine.Operation{ClientId: op.Client, Input: op, Call: int64(op.Call), Return: end})
+		of[op.EndpointID] = append(of[op.EndpointID], porcupine.Operation{ClientId: op.Client, Input: op, Call: int64(op.Call), Return: end})
 	}
 	var bad []string
 	for _, id := range slices.Sorted(maps.Keys(of)) {
-		switch porcupine.CheckOperationsTimeout(model, of[id], limit) {
+		switch porcupine.CheckOperationsTimeout(registerModel, of[id], limit) {
 		case porcupine.Illegal:
 			bad = append(bad, fmt.Sprintf("endpoint %s: its %d reads and writes fit into no order", id, len(of[id])))
 		case porcupine.Unknown:
@@ -91,36 +91,36 @@
 }
 
 // Told is what a watcher was told at once.
-type Told struct {
+type WatcherUpdate struct {
 	Watcher int   `json:"watcher"`
 	History int64 `json:"history"`
 	catalog.List
 }
 
 // Truth is what the service itself agreed on, by history: the list before the first of the changes, and those.
-type Truth struct {
-	From    catalog.List `json:"From"`
+type CommittedHistory struct {
+	Initial catalog.List `json:"From"`
 	Changes []catalog.Change
 }
 
 // Watches tells where what a watcher was told is not the list: a change missed, invented, twice or out of order shows as
 // another list than the one of its revision. Each watcher is told of every history in turn, and must come to the end of
 // the last one.
-func Watches(truth map[int64]Truth, told [][]Told) []string {
+func CheckWatches(truth map[int64]CommittedHistory, told [][]WatcherUpdate) []string {
 	var bad []string
 	last := int64(0)
 	for h := range truth {
 		last = max(last, h)
 	}
 	for w, all := range told {
-		if problem := follow(truth, last, all); problem != "" {
+		if problem := checkWatcher(truth, last, all); problem != "" {
 			bad = append(bad, fmt.Sprintf("watcher %d: %s", w, problem))
 		}
 	}
 	return bad
 }
 
-func follow(truth map[int64]Truth, last int64, all []Told) string {
+func checkWatcher(truth map[int64]CommittedHistory, last int64, all []WatcherUpdate) string {
 	has := map[string]catalog.Endpoint{}
 	history, revision := int64(0), int64(-1)
 	want := map[string]catalog.Endpoint{}
@@ -138,8 +138,8 @@
 			if !t.Complete {
 				return fmt.Sprintf("line %d begins history %d without its list", n, t.History)
 			}
-			history, revision, next, at = t.History, -1, tr.Changes, tr.From.Revision
-			want = listed(tr.From)
+			history, revision, next, at = t.History, -1, tr.Changes, tr.Initial.Revision
+			want = endpointsByID(tr.Initial)
 		}
 		if t.Revision < revision {
 			return fmt.Sprintf("line %d is of revision %d, after %d", n, t.Revision, revision)
@@ -148,9 +148,9 @@
 		if t.Complete {
 			clear(has)
 		}
-		change(has, t.Members)
+		applyChanges(has, t.Members)
 		for len(next) > 0 && next[0].Revision <= revision {
-			change(want, next[0].Members)
+			applyChanges(want, next[0].Members)
 			at, next = next[0].Revision, next[1:]
 		}
 		if at != revision {
@@ -166,13 +166,13 @@
 	return ""
 }
 
-func listed(l catalog.List) map[string]catalog.Endpoint {
+func endpointsByID(l catalog.List) map[string]catalog.Endpoint {
 	m := map[string]catalog.Endpoint{}
-	change(m, l.Members)
+	applyChanges(m, l.Members)
 	return m
 }
 
-func change(m map[string]catalog.Endpoint, by []catalog.Endpoint) {
+func applyChanges(m map[string]catalog.Endpoint, by []catalog.Endpoint) {
 	for _, e := range by {
 		if m[e.ID] = e; e.Phase == catalog.Deleted {
 			delete(m, e.ID)
@@ -181,7 +181,7 @@
 }
 
 // Writes tells which acknowledged writes the service does not have at their revision, and which changes nobody asked for.
-func Writes(truth Truth, ops []Op) []string {
+func CheckWrites(truth CommittedHistory, ops []Operation) []string {
 	var bad []string
 	by := map[int64]map[string]int64{}
 	times := map[int64]int{}
@@ -198,11 +198,11 @@
 			continue
 		}
 		asked[op.New] = true
-		if op.Outcome == Done && by[op.Revision][op.ID] != op.New {
-			bad = append(bad, fmt.Sprintf("%s was acknowledged %d at revision %d, where the service has %v", op.ID, op.New, op.Revision, by[op.Revision]))
+		if op.Outcome == Done && by[op.Revision][op.EndpointID] != op.New {
+			bad = append(bad, fmt.Sprintf("%s was acknowledged %d at revision %d, where the service has %v", op.EndpointID, op.New, op.Revision, by[op.Revision]))
 		}
 		if op.Outcome == Conflict && times[op.New] > 0 {
-			bad = append(bad, fmt.Sprintf("%s: the write of %d was refused, and done", op.ID, op.New))
+			bad = append(bad, fmt.Sprintf("%s: the write of %d was refused, and done", op.EndpointID, op.New))
 		}
 	}
 	for v, n := range times {
--- a/internal/lab/trial/formats_test.go
+++ b/internal/lab/trial/formats_test.go
@@ -34,10 +34,10 @@
 }
 
 func TestSizeFormat(t *testing.T) {
-	var want, got Size
+	var want, got Measurements
 	golden.Fill(&want)
 	dir := t.TempDir()
-	if err := want.Write(dir); err != nil {
+	if err := want.Save(dir); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := os.ReadFile(filepath.Join(dir, "size.json"))
@@ -52,10 +52,10 @@
 // The values of seen.json, under the keys that it has in each of the two kinds of trials.
 func TestSeenFormats(t *testing.T) {
 	type seenByTrial struct {
-		Ops   []Op            `json:"ops"`
-		Told  [][]Told        `json:"told"`
-		Truth map[int64]Truth `json:"truth"`
-		Held  []Held          `json:"held"`
+		Ops   []Operation                `json:"ops"`
+		Told  [][]WatcherUpdate          `json:"told"`
+		Truth map[int64]CommittedHistory `json:"truth"`
+		Held  []LeaseHolding             `json:"held"`
 	}
 	checkJSON(t, "seen.json", func(s *seenByTrial) {
 		for _, t := range s.Truth {
@@ -66,13 +66,13 @@
 	})
 
 	type seenByOwnershipTrial struct {
-		Sights    []MapSight  `json:"sights"`
-		Writes    []MapWrite  `json:"writes"`
-		Eras      []Era       `json:"eras"`
-		Handed    []Handed    `json:"handed"`
-		Asks      []Ask       `json:"asks"`
-		Ends      []End       `json:"ends"`
-		Disturbed []Disturbed `json:"disturbed"`
+		Sights    []MapObservation `json:"sights"`
+		Writes    []MapWrite       `json:"writes"`
+		Eras      []PublishedMap   `json:"eras"`
+		Handed    []Submission     `json:"handed"`
+		Asks      []WatchRequest   `json:"asks"`
+		Ends      []MessageEnd     `json:"ends"`
+		Disturbed []Disturbance    `json:"disturbed"`
 	}
 	checkJSON(t, "ownership-seen.json", func(s *seenByOwnershipTrial) {
 		for i := range s.Asks {
@@ -87,22 +87,22 @@
 	for _, f := range faults {
 		faultNames = append(faultNames, f.name)
 	}
-	for _, f := range ownFaults {
+	for _, f := range ownershipFaults {
 		ownFaultNames = append(ownFaultNames, f.name)
 	}
 	raw, err := json.MarshalIndent(map[string]any{
 		"faults":           faultNames,
 		"ownership faults": ownFaultNames,
-		"boundaries":       boundaries,
-		"breaches":         Breaches,
-		"rules":            []OwnershipRule{OneMap, Forward, InTime, OwnersOnly, Listed, Answers, Ended, Returns},
-		"kinds":            []Kind{Read, Put, Swap},
-		"outcomes":         []Outcome{Done, Conflict, Unknown},
-		"ends":             []string{RanThere, AnsweredOK, NoticeFail, NoticeBack},
+		"boundaries":       interruptions,
+		"breaches":         InjectedViolations,
+		"rules":            []OwnershipRule{RuleUniqueMaps, RuleForwardOnly, RuleTimelyRelease, RuleOwnersOnly, RuleFilteredLists, RuleAnswers, RuleMessagesEnd, RuleRecovery},
+		"kinds":            []OperationKind{Read, Put, CompareAndSwap},
+		"outcomes":         []Outcome{Done, Conflict, Ambiguous},
+		"ends":             []string{RanAtPartner, AnsweredByPartner, NoticeFailed, NoticeReturned},
 		"classes":          classNames,
-		"unknown":          unknownDest,
+		"unknown":          unknownDestination,
 		"nodes":            nodeName(3),
-		"record":           leaseRec,
+		"record":           leaseRecord,
 		"map path":         mapPath,
 		"headers":          []string{headerPartitions, headerMap},
 	}, "", " ")
--- a/internal/lab/trial/leases.go
+++ b/internal/lab/trial/leases.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	holders  = 3
-	leaseTTL = 300 * time.Millisecond
-	leaseRec = "trial"
+	leaseHolderCount = 3
+	leaseTTL         = 300 * time.Millisecond
+	leaseRecord      = "trial"
 )
 
 // Held is a time in which a holder could rely on a record being its own: from when it was told so until its lease had
 // run since it last asked and was told yes, or until it let go.
-type Held struct {
+type LeaseHolding struct {
 	Holder int           `json:"holder"`
 	Token  int64         `json:"token"`
 	From   time.Duration `json:"from"`
@@ -29,8 +29,8 @@
 }
 
 // Leases tells where two could rely on the same record at once, and where tokens do not grow from holder to holder.
-func Leases(all []Held) []string {
-	all = slices.SortedFunc(slices.Values(all), func(a, b Held) int { return cmp.Compare(a.Token, b.Token) })
+func CheckLeases(all []LeaseHolding) []string {
+	all = slices.SortedFunc(slices.Values(all), func(a, b LeaseHolding) int { return cmp.Compare(a.Token, b.Token) })
 	var bad []string
 	for i := 1; i < len(all); i++ {
 		a, b := all[i-1], all[i]
@@ -45,9 +45,9 @@
 }
 
 // holds acquires the record, renews it some times, and lets go of it or forgets it, until the context ends.
-func (t *trial) holds(ctx context.Context, n int) {
-	r := rand.New(rand.NewPCG(t.opts.Seed, uint64(2000+n)))
-	c := t.client(200 + n)
+func (t *trial) acquireLeases(ctx context.Context, n int) {
+	r := rand.New(rand.NewPCG(t.options.Seed, uint64(2000+n)))
+	c := t.newClient(200 + n)
 	type answer struct {
 		Token   int64    `json:"token"`
 		Unknown []string `json:"unknown"`
@@ -57,7 +57,7 @@
 		if err != nil {
 			return answer{}, false
 		}
-		c.Addresses = t.addresses(r.Uint64())
+		c.Addresses = t.shuffledAddresses(r.Uint64())
 		if raw, _, err = c.Do(context.Background(), method, path, "", raw); err != nil {
 			return answer{}, false
 		}
@@ -66,18 +66,18 @@
 		return v, err == nil
 	}
 	for registry.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(80*time.Millisecond))) {
-		at := t.now()
-		a, ok := ask(http.MethodPut, "/records/"+leaseRec, map[string]any{"holder": fmt.Sprint("h", n), "ttl_ms": leaseTTL.Milliseconds()})
+		at := t.elapsed()
+		a, ok := ask(http.MethodPut, "/records/"+leaseRecord, map[string]any{"holder": fmt.Sprint("h", n), "ttl_ms": leaseTTL.Milliseconds()})
 		if !ok {
 			continue
 		}
-		held := Held{Holder: n, Token: a.Token, From: t.now(), Until: at + leaseTTL}
+		held := LeaseHolding{Holder: n, Token: a.Token, From: t.elapsed(), Until: at + leaseTTL}
 		for range r.IntN(8) {
 			if !registry.Sleep(ctx, time.Duration(r.Int64N(int64(leaseTTL)))) {
 				break
 			}
-			at := t.now()
-			a, ok := ask(http.MethodPost, "/registry/renewals", map[string]any{"records": []any{map[string]any{"name": leaseRec, "token": held.Token}}})
+			at := t.elapsed()
+			a, ok := ask(http.MethodPost, "/registry/renewals", map[string]any{"records": []any{map[string]any{"name": leaseRecord, "token": held.Token}}})
 			if ok && len(a.Unknown) > 0 {
 				break
 			}
@@ -85,12 +85,12 @@
 				held.Until = at + leaseTTL
 			}
 		}
-		if r.IntN(2) == 0 && t.now() < held.Until {
-			held.Until = t.now()
-			ask(http.MethodDelete, "/records/"+leaseRec, map[string]any{"token": held.Token})
+		if r.IntN(2) == 0 && t.elapsed() < held.Until {
+			held.Until = t.elapsed()
+			ask(http.MethodDelete, "/records/"+leaseRecord, map[string]any{"token": held.Token})
 		}
 		t.mu.Lock()
-		t.held = append(t.held, held)
+		t.holdings = append(t.holdings, held)
 		t.mu.Unlock()
 	}
 }
--- a/internal/lab/trial/ownership_control.go
+++ b/internal/lab/trial/ownership_control.go
@@ -16,61 +16,61 @@
 )
 
 const (
-	mapTTL      = 400 * time.Millisecond // a controller's lease of the record
-	controlRest = 700 * time.Millisecond // between two changes of one controller, on the average
-	changeWait  = 3 * time.Second        // for one change
-	controlWait = 800 * time.Millisecond // for one answer: a replica may be stopped
-	leastNodes  = 5                      // in a map
+	mapLeaseTTL           = 400 * time.Millisecond // a controller's lease of the record
+	meanMapChangeInterval = 700 * time.Millisecond // between two changes of one controller, on the average
+	mapChangeTimeout      = 3 * time.Second        // for one change
+	controllerTimeout     = 800 * time.Millisecond // for one answer: a replica may be stopped
+	minMapMembers         = 5                      // in a map
 )
 
 // boundary is where a controller is killed, sleeps, or loses an answer in the midst of a change. One that was killed remembers nothing:
 // who comes next is another one.
-type boundary string
+type interruption string
 
 const (
-	whole         boundary = "whole"
-	afterAcquire  boundary = "killed after acquire"
-	beforeUpdate  boundary = "killed before update"
-	afterUpdate   boundary = "killed after update, its answer lost"
-	inUpdate      boundary = "killed while its update is under way"
-	beforeRelease boundary = "killed before release"
-	asleep        boundary = "asleep past its lease before update"
-	answerLost    boundary = "the answer to its update lost"
+	uninterrupted       interruption = "whole"
+	killedAfterAcquire  interruption = "killed after acquire"
+	killedBeforeUpdate  interruption = "killed before update"
+	killedAfterUpdate   interruption = "killed after update, its answer lost"
+	killedDuringUpdate  interruption = "killed while its update is under way"
+	killedBeforeRelease interruption = "killed before release"
+	sleepsPastLease     interruption = "asleep past its lease before update"
+	updateAnswerLost    interruption = "the answer to its update lost"
 )
 
-var boundaries = []boundary{whole, afterAcquire, beforeUpdate, afterUpdate, inUpdate, beforeRelease, asleep, answerLost}
+var interruptions = []interruption{uninterrupted, killedAfterAcquire, killedBeforeUpdate, killedAfterUpdate, killedDuringUpdate, killedBeforeRelease, sleepsPastLease, updateAnswerLost}
 
 // errKilled says that a controller was killed where it should be.
-var errKilled = errors.New("killed")
+var errControllerKilled = errors.New("killed")
 
 // controller makes new maps by the agreement of package ownership, and carries out what that says.
 type controller struct {
-	t     *ownershipTrial
-	name  string
-	lives int
-	r     *rand.Rand
-	op    *directory.AdminClient
+	trial       *ownershipTrial
+	name        string
+	incarnation int
+	random      *rand.Rand
+	admin       *directory.AdminClient
 }
 
 func (t *ownershipTrial) newController(n int) *controller {
-	op := t.client(300 + n)
-	op.HTTPClient.Timeout = controlWait
-	return &controller{t: t, name: fmt.Sprint("c", n), r: rand.New(rand.NewPCG(t.opts.Seed, uint64(3000+n))), op: op}
+	op := t.newClient(300 + n)
+	op.HTTPClient.Timeout = controllerTimeout
+	return &controller{trial: t, name: fmt.Sprint("c", n), random: rand.New(rand.NewPCG(t.options.Seed, uint64(3000+n))), admin: op}
 }
 
 // run changes the map again and again until the context ends.
 func (c *controller) run(ctx context.Context) {
-	var deck []boundary
-	for registry.Sleep(ctx, time.Duration((0.5+c.r.Float64())*float64(controlRest))) {
+	var deck []interruption
+	for registry.Sleep(ctx, time.Duration((0.5+c.random.Float64())*float64(meanMapChangeInterval))) {
 		if len(deck) == 0 {
-			deck = slices.Clone(boundaries)
-			c.r.Shuffle(len(deck), func(i, j int) { deck[i], deck[j] = deck[j], deck[i] })
+			deck = slices.Clone(interruptions)
+			c.random.Shuffle(len(deck), func(i, j int) { deck[i], deck[j] = deck[j], deck[i] })
 		}
-		c.op.Addresses = c.t.addresses(c.r.Uint64())
+		c.admin.Addresses = c.trial.shuffledAddresses(c.random.Uint64())
 		// What is under way is let finish: its outcome counts.
-		m, err := c.change(context.WithoutCancel(ctx), deck[0], c.anyMembers)
-		c.t.changed(c.name, deck[0], m, err)
-		if err == nil || errors.Is(err, errKilled) {
+		m, err := c.publishMap(context.WithoutCancel(ctx), deck[0], c.randomMembers)
+		c.trial.countMapChange(c.name, deck[0], m, err)
+		if err == nil || errors.Is(err, errControllerKilled) {
 			deck = deck[1:]
 		}
 	}
@@ -81,7 +81,7 @@
 	Value []byte `json:"value"`
 }
 
-func (c *controller) ask(ctx context.Context, method, path string, body any) (recordAnswer, error) {
+func (c *controller) request(ctx context.Context, method, path string, body any) (recordAnswer, error) {
 	var v recordAnswer
 	var raw []byte
 	var err error
@@ -90,7 +90,7 @@
 			return v, err
 		}
 	}
-	if raw, _, err = c.op.Do(ctx, method, path, "", raw); err != nil {
+	if raw, _, err = c.admin.Do(ctx, method, path, "", raw); err != nil {
 		return v, err
 	}
 	return v, json.Unmarshal(raw, &v)
@@ -100,35 +100,35 @@
 
 // change makes one new map, of members that come from those of the map before, and returns it. The controller dies or loses what the
 // boundary says.
-func (c *controller) change(ctx context.Context, at boundary, members func([]ownership.Member) []ownership.Member) (*ownership.Map, error) {
-	until := time.Now().Add(changeWait + c.op.RetryFor)
+func (c *controller) publishMap(ctx context.Context, at interruption, members func([]ownership.Member) []ownership.Member) (*ownership.Map, error) {
+	until := time.Now().Add(mapChangeTimeout + c.admin.RetryFor)
 	var sought *ownership.Map
 	a := ownership.Publisher{Plan: func(number int64, before *ownership.Map) (m *ownership.Map, err error) {
 		var now []ownership.Member
 		if before != nil {
 			now = before.Members
 		}
-		sought, err = ownership.Make(number, copies, members(now), before)
+		sought, err = ownership.Make(number, ownersPerPartition, members(now), before)
 		return sought, err
 	}}
 	act := a.Begin()
 	for act.Operation != ownership.End {
-		if at.dies(act.Operation) {
-			c.lives++ // who comes after it has another name, and waits for the lease
-			return nil, errKilled
+		if at.killsBefore(act.Operation) {
+			c.incarnation++ // who comes after it has another name, and waits for the lease
+			return nil, errControllerKilled
 		}
-		ans := c.carryOut(ctx, at, act, sought)
+		ans := c.execute(ctx, at, act, sought)
 		switch {
-		case at == afterUpdate && act.Operation == ownership.Update && ans.Outcome == ownership.Done, at == inUpdate && act.Operation == ownership.Update:
-			c.lives++
-			return nil, errKilled
-		case at == answerLost && act.Operation == ownership.Update && ans.Outcome == ownership.Done:
+		case at == killedAfterUpdate && act.Operation == ownership.Update && ans.Outcome == ownership.Done, at == killedDuringUpdate && act.Operation == ownership.Update:
+			c.incarnation++
+			return nil, errControllerKilled
+		case at == updateAnswerLost && act.Operation == ownership.Update && ans.Outcome == ownership.Done:
 			ans = ownership.Answer{Seq: act.Seq, Outcome: ownership.Ambiguous}
-			at = whole
+			at = uninterrupted
 		case ans.Outcome != ownership.Done && time.Now().After(until):
 			ans.Outcome = ownership.TimedOut
 		case ans.Outcome == ownership.Refused: // another holds it, or too few replicas are there
-			registry.Sleep(ctx, operatorPause)
+			registry.Sleep(ctx, retryPause)
 		}
 		var ok bool
 		if act, ok = a.Step(ans); !ok {
@@ -139,51 +139,51 @@
 }
 
 // dies tells that a controller ends before it does something.
-func (b boundary) dies(before ownership.Operation) bool {
+func (b interruption) killsBefore(before ownership.Operation) bool {
 	switch before {
 	case ownership.Read:
-		return b == afterAcquire
+		return b == killedAfterAcquire
 	case ownership.Update:
-		return b == beforeUpdate
+		return b == killedBeforeUpdate
 	case ownership.Release:
-		return b == beforeRelease
+		return b == killedBeforeRelease
 	}
 	return false
 }
 
 // carryOut does one action, and notes a map that may be written by it.
-func (c *controller) carryOut(ctx context.Context, at boundary, act ownership.Action, sought *ownership.Map) ownership.Answer {
+func (c *controller) execute(ctx context.Context, at interruption, act ownership.Action, sought *ownership.Map) ownership.Answer {
 	var a recordAnswer
 	var err error
 	switch act.Operation {
 	case ownership.Acquire:
-		a, err = c.ask(ctx, http.MethodPut, mapPath, map[string]any{"holder": fmt.Sprint(c.name, "-", c.lives), "ttl_ms": mapTTL.Milliseconds()})
+		a, err = c.request(ctx, http.MethodPut, mapPath, map[string]any{"holder": fmt.Sprint(c.name, "-", c.incarnation), "ttl_ms": mapLeaseTTL.Milliseconds()})
 	case ownership.Read:
-		a, err = c.ask(ctx, http.MethodGet, mapPath+"?fresh=1", nil)
+		a, err = c.request(ctx, http.MethodGet, mapPath+"?fresh=1", nil)
 	case ownership.Update:
-		if at == asleep {
-			registry.Sleep(ctx, mapTTL+time.Duration(c.r.Int64N(int64(mapTTL))))
+		if at == sleepsPastLease {
+			registry.Sleep(ctx, mapLeaseTTL+time.Duration(c.random.Int64N(int64(mapLeaseTTL))))
 		}
-		w := MapWrite{By: fmt.Sprint(c.name, "-", c.lives), Number: sought.Number, Sum: sum(act.Value), Outcome: Done, Call: c.t.now()}
-		e := c.t.begun(sought, w)
-		if at == inUpdate {
+		w := MapWrite{Writer: fmt.Sprint(c.name, "-", c.incarnation), Number: sought.Number, Checksum: checksum(act.Value), Outcome: Done, Call: c.trial.elapsed()}
+		e := c.trial.recordMapIntent(sought, w)
+		if at == killedDuringUpdate {
 			var cancel context.CancelFunc
-			ctx, cancel = context.WithTimeout(ctx, time.Duration(c.r.Int64N(int64(8*time.Millisecond))))
+			ctx, cancel = context.WithTimeout(ctx, time.Duration(c.random.Int64N(int64(8*time.Millisecond))))
 			defer cancel()
 		}
-		_, err = c.ask(ctx, http.MethodPost, mapPath, map[string]any{"token": act.Token, "value": act.Value})
-		w.Return = c.t.now()
+		_, err = c.request(ctx, http.MethodPost, mapPath, map[string]any{"token": act.Token, "value": act.Value})
+		w.Return = c.trial.elapsed()
 		switch {
 		case err != nil && !errors.Is(err, directory.ErrAmbiguous):
-			c.t.dropped(e)
+			c.trial.forgetMap(e)
 		case err != nil:
-			w.Outcome = Unknown
+			w.Outcome = Ambiguous
 			fallthrough
 		default:
-			c.t.wrote(e, w)
+			c.trial.recordMapWrite(e, w)
 		}
 	case ownership.Release:
-		_, err = c.ask(ctx, http.MethodDelete, mapPath, map[string]any{"token": act.Token})
+		_, err = c.request(ctx, http.MethodDelete, mapPath, map[string]any{"token": act.Token})
 	}
 	ans := ownership.Answer{Seq: act.Seq, Outcome: ownership.Done, Token: a.Token, Value: a.Value, Err: err}
 	if err != nil {
@@ -196,22 +196,22 @@
 }
 
 // anyMembers lets a member leave, one come back, or another weigh more or less.
-func (c *controller) anyMembers(now []ownership.Member) []ownership.Member {
-	all := c.t.members()
+func (c *controller) randomMembers(now []ownership.Member) []ownership.Member {
+	all := c.trial.members()
 	out := slices.Clone(now)
 	absent := slices.DeleteFunc(all, func(m ownership.Member) bool {
 		return slices.ContainsFunc(now, func(o ownership.Member) bool { return o.Name == m.Name })
 	})
-	switch k := c.r.IntN(5); {
+	switch k := c.random.IntN(5); {
 	case len(now) == 0:
 		return all
-	case k < 2 && len(now) > leastNodes:
-		i := c.r.IntN(len(out))
+	case k < 2 && len(now) > minMapMembers:
+		i := c.random.IntN(len(out))
 		return slices.Delete(out, i, i+1)
 	case k < 4 && len(absent) > 0:
-		return append(out, absent[c.r.IntN(len(absent))])
+		return append(out, absent[c.random.IntN(len(absent))])
 	default:
-		out[c.r.IntN(len(out))].Weight = 0.5 + c.r.Float64()
+		out[c.random.IntN(len(out))].Weight = 0.5 + c.random.Float64()
 		return out
 	}
 }
--- a/internal/lab/trial/ownership_front.go
+++ b/internal/lab/trial/ownership_front.go
@@ -20,21 +20,21 @@
 	"starlingusher/internal/lab/relay"
 )
 
-const maxFrontBody = 16 << 20
+const maxFrontBodyBytes = 16 << 20
 
 // front stands between one node and one replica: it passes all on and notes what the node asks and is told. The node comes to it
 // over a link, which can be cut.
 type front struct {
-	t       *ownershipTrial
-	node    int
-	replica int
-	to      string // the replica's address
-	link    *relay.Link
-	client  *http.Client
-	srv     *http.Server
-	life    context.Context
-	end     context.CancelFunc
-	wg      sync.WaitGroup
+	trial       *ownershipTrial
+	node        int
+	replica     int
+	replicaAddr string // the replica's address
+	link        *relay.Link
+	client      *http.Client
+	server      *http.Server
+	ctx         context.Context
+	cancel      context.CancelFunc
+	serving     sync.WaitGroup
 }
 
 func openFront(t *ownershipTrial, node, number int, at, reached, to string) (*front, error) {
@@ -42,11 +42,11 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &front{t: t, node: node, replica: number, to: to, client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
-	f.life, f.end = context.WithCancel(context.Background())
-	f.srv = &http.Server{Handler: f, ReadHeaderTimeout: 30 * time.Second, BaseContext: func(net.Listener) context.Context { return f.life }}
-	f.wg.Go(func() { f.srv.Serve(ln) })
-	if f.link, err = relay.Listen(reached, t.opts.Seed+uint64(100*node+number), relay.DialTo(at), nil); err != nil {
+	f := &front{trial: t, node: node, replica: number, replicaAddr: to, client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
+	f.ctx, f.cancel = context.WithCancel(context.Background())
+	f.server = &http.Server{Handler: f, ReadHeaderTimeout: 30 * time.Second, BaseContext: func(net.Listener) context.Context { return f.ctx }}
+	f.serving.Go(func() { f.server.Serve(ln) })
+	if f.link, err = relay.Listen(reached, t.options.Seed+uint64(100*node+number), relay.DialTo(at), nil); err != nil {
 		f.close()
 		return nil, err
 	}
@@ -58,24 +58,24 @@
 	if f.link != nil {
 		f.link.Close()
 	}
-	f.end()
-	f.srv.Close()
-	f.wg.Wait()
+	f.cancel()
+	f.server.Close()
+	f.serving.Wait()
 	f.client.CloseIdleConnections()
 }
 
 // ServeHTTP passes a request on. What breaks there breaks here.
 func (f *front) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(req.Body, maxFrontBody))
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxFrontBodyBytes))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	list := req.Method == http.MethodGet && req.URL.Path == "/registry/instances"
-	var ask *Ask
-	older := f.t.older[f.replica].Load()
+	var ask *WatchRequest
+	older := f.trial.olderBuilds[f.replica].Load()
 	url := *req.URL
 	if list {
-		if ask, err = f.asked(req, older); err != nil {
+		if ask, err = f.recordWatch(req, older); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -85,7 +85,7 @@
 			url.RawQuery = q.Encode()
 		}
 	}
-	next, err := http.NewRequestWithContext(req.Context(), req.Method, "http://"+f.to+url.RequestURI(), bytes.NewReader(body))
+	next, err := http.NewRequestWithContext(req.Context(), req.Method, "http://"+f.replicaAddr+url.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -102,24 +102,24 @@
 	switch {
 	case list && resp.StatusCode == http.StatusOK:
 		w.WriteHeader(resp.StatusCode)
-		f.watch(w, resp, ask)
+		f.relayWatch(w, resp, ask)
 		if req.URL.Query().Get("watch") == "1" {
 			panic(http.ErrAbortHandler)
 		}
 		return
 	case req.Method == http.MethodGet && req.URL.Path == "/records/"+ownership.RecordName:
-		raw, err := io.ReadAll(io.LimitReader(resp.Body, maxFrontBody))
+		raw, err := io.ReadAll(io.LimitReader(resp.Body, maxFrontBodyBytes))
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		f.t.fetched(f.node, raw, func() {
+		f.trial.handleMapFetch(f.node, raw, func() {
 			w.WriteHeader(resp.StatusCode)
 			w.Write(raw)
 			http.NewResponseController(w).Flush()
 		})
 		return
 	case req.Method == http.MethodPost && req.URL.Path == "/reports" && resp.StatusCode/100 == 2:
-		f.t.noticed(body)
+		f.trial.recordNotices(body)
 	}
 	w.WriteHeader(resp.StatusCode)
 	io.Copy(w, resp.Body)
@@ -132,35 +132,35 @@
 )
 
 // asked notes a watch that a node asks for.
-func (f *front) asked(req *http.Request, older bool) (*Ask, error) {
+func (f *front) recordWatch(req *http.Request, older bool) (*WatchRequest, error) {
 	q := req.URL.Query()
-	a := &Ask{Node: f.node, Replica: f.replica, At: f.t.now(), Older: older, Whole: !q.Has("partitions")}
+	a := &WatchRequest{Node: f.node, Replica: f.replica, At: f.trial.elapsed(), OlderBuild: older, AllPartitions: !q.Has("partitions")}
 	var err error
-	if !a.Whole {
+	if !a.AllPartitions {
 		if a.Partitions, err = ownership.ParseSet(q.Get("partitions")); err != nil {
 			return nil, err
 		}
 	}
 	a.After, _ = strconv.ParseInt(q.Get("after"), 10, 64)
-	a.Asked, _ = strconv.ParseInt(q.Get("history"), 10, 64)
-	f.t.mu.Lock()
-	defer f.t.mu.Unlock()
-	f.t.asks = append(f.t.asks, a)
+	a.AskedHistory, _ = strconv.ParseInt(q.Get("history"), 10, 64)
+	f.trial.mu.Lock()
+	defer f.trial.mu.Unlock()
+	f.trial.watchRequests = append(f.trial.watchRequests, a)
 	return a, nil
 }
 
 // watch passes the lines of a watch on.
-func (f *front) watch(w http.ResponseWriter, resp *http.Response, a *Ask) {
+func (f *front) relayWatch(w http.ResponseWriter, resp *http.Response, a *WatchRequest) {
 	history, _ := strconv.ParseInt(resp.Header.Get(directory.HeaderHistory), 10, 64)
-	f.t.mu.Lock()
+	f.trial.mu.Lock()
 	a.History = history
-	f.t.mu.Unlock()
+	f.trial.mu.Unlock()
 	out := http.NewResponseController(w)
 	if out.Flush() != nil {
 		return
 	}
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, maxFrontBody)
+	lines.Buffer(nil, maxFrontBodyBytes)
 	for n := 0; lines.Scan(); {
 		line := bytes.Clone(lines.Bytes())
 		if len(bytes.TrimSpace(line)) > 0 {
@@ -168,14 +168,14 @@
 			if json.Unmarshal(line, &l) != nil {
 				return
 			}
-			if n > 0 && len(l.Members) > 0 && !a.Older && f.t.leavesOut(f.node) {
+			if n > 0 && len(l.Members) > 0 && !a.OlderBuild && f.trial.claimChangeDrop(f.node) {
 				l.Members = []catalog.Endpoint{}
 				line, _ = json.Marshal(l) // it was read from the like
 			}
 			n++
-			f.t.mu.Lock()
-			a.Lines = append(a.Lines, ToldLine{f.t.now(), l})
-			f.t.mu.Unlock()
+			f.trial.mu.Lock()
+			a.Lines = append(a.Lines, WatchLine{f.trial.elapsed(), l})
+			f.trial.mu.Unlock()
 		}
 		if _, err := w.Write(append(line, '\n')); err != nil || out.Flush() != nil {
 			return
@@ -184,4 +184,4 @@
 }
 
 // sum tells maps apart.
-func sum(value []byte) uint64 { return xxhash.Sum64(value) }
+func checksum(value []byte) uint64 { return xxhash.Sum64(value) }
--- a/internal/lab/trial/ownership_partner.go
+++ b/internal/lab/trial/ownership_partner.go
@@ -13,25 +13,25 @@
 // partners serve all endpoints, each at an address of its own, and note what runs. The stand-ins of the experiments have models,
 // limits and links for each node: none of it matters to who owns a destination.
 type partners struct {
-	t   *ownershipTrial
-	srv *http.Server
-	wg  sync.WaitGroup
-	at  []string // addresses, by number
+	trial     *ownershipTrial
+	server    *http.Server
+	serving   sync.WaitGroup
+	addresses []string // addresses, by number
 }
 
 func (t *ownershipTrial) openPartners(count int) (*partners, error) {
-	p := &partners{t: t}
-	p.srv = &http.Server{Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: 30 * time.Second, IdleTimeout: 10 * time.Second}
+	p := &partners{trial: t}
+	p.server = &http.Server{Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: 30 * time.Second, IdleTimeout: 10 * time.Second}
 	for i := range count {
 		ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", t.block.IP(partnerHost, i+1), partnerPort))
 		if err != nil {
 			p.close()
 			return nil, fmt.Errorf("partner: %w", err)
 		}
-		p.at = append(p.at, ln.Addr().String())
-		p.wg.Go(func() {
-			if err := p.srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-				t.own.Log.Error("partner", "err", err)
+		p.addresses = append(p.addresses, ln.Addr().String())
+		p.serving.Go(func() {
+			if err := p.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+				t.ownershipOptions.Log.Error("partner", "err", err)
 			}
 		})
 	}
@@ -39,8 +39,8 @@
 }
 
 func (p *partners) close() {
-	p.srv.Close()
-	p.wg.Wait()
+	p.server.Close()
+	p.serving.Wait()
 }
 
 // serve takes a message, holds its answer if its ID asks for that, and says yes.
@@ -52,14 +52,14 @@
 		return
 	}
 	id := req.Header.Get("X-Trace-Id")
-	p.t.ended(id, RanThere)
-	hold := time.NewTimer(p.t.hold(id))
+	p.trial.recordEnd(id, RanAtPartner)
+	hold := time.NewTimer(p.trial.answerDelay(id))
 	defer hold.Stop()
 	select {
 	case <-hold.C:
 	case <-req.Context().Done():
 		return
 	}
-	p.t.ended(id, AnsweredOK)
+	p.trial.recordEnd(id, AnsweredByPartner)
 	io.WriteString(w, "ok\n")
 }
--- a/internal/lab/trial/size.go
+++ b/internal/lab/trial/size.go
@@ -34,58 +34,58 @@
 
 // SizeOptions say what is measured. Self is the operators' program.
 type SizeOptions struct {
-	Self      string
-	Dir       string
-	Watchers  int
-	Rate      int // changes a second
-	Endpoints int
-	Length    time.Duration
-	Poll      time.Duration // of a node that polls
-	Kills     int
-	Progress  func(string)
+	Program          string
+	Dir              string
+	Watchers         int
+	ChangesPerSecond int // changes a second
+	Endpoints        int
+	Duration         time.Duration
+	PollInterval     time.Duration // of a node that polls
+	LeaderKills      int
+	Progress         func(string)
 }
 
 // Reach is how changes came to all watchers. All times are from when the change was asked for.
-type Reach struct {
-	Way        string        `json:"way"`
-	Changes    int           `json:"changes"`
-	LastMedian time.Duration `json:"last_median"` // to the last watcher
-	LastP99    time.Duration `json:"last_p99"`
-	EachMedian time.Duration `json:"each_median"` // to any
-	EachP99    time.Duration `json:"each_p99"`
-	Missed     int           `json:"missed"`    // changes that some watcher was not told within the run
-	PerWatch   int64         `json:"per_watch"` // bytes of memory more than without watchers
-	CPU        float64       `json:"cpu"`       // cores
+type Propagation struct {
+	Method          string        `json:"way"`
+	Changes         int           `json:"changes"`
+	LastMedian      time.Duration `json:"last_median"` // to the last watcher
+	LastP99         time.Duration `json:"last_p99"`
+	EachMedian      time.Duration `json:"each_median"` // to any
+	EachP99         time.Duration `json:"each_p99"`
+	Missed          int           `json:"missed"`    // changes that some watcher was not told within the run
+	BytesPerWatcher int64         `json:"per_watch"` // bytes of memory more than without watchers
+	Cores           float64       `json:"cpu"`       // cores
 }
 
 // Size is all that was measured.
-type Size struct {
-	Watchers  int                `json:"watchers"`
-	Rate      int                `json:"rate"`
-	Endpoints int                `json:"endpoints"`
-	Reach     []Reach            `json:"reach"`
-	Return    time.Duration      `json:"return"`  // until the last of all watchers that return in one second is told the list
-	Refused   int                `json:"refused"` // asks meanwhile
-	Writes    map[string]float64 `json:"writes"`  // a second, by number of replicas
-	WriteP99  map[string]float64 `json:"write_p99_ms"`
-	FailOver  []time.Duration    `json:"fail_over"`
+type Measurements struct {
+	Watchers         int                `json:"watchers"`
+	ChangesPerSecond int                `json:"rate"`
+	Endpoints        int                `json:"endpoints"`
+	Propagation      []Propagation      `json:"reach"`
+	ReconnectTime    time.Duration      `json:"return"`  // until the last of all watchers that return in one second is told the list
+	RefusedWatches   int                `json:"refused"` // asks meanwhile
+	WritesPerSecond  map[string]float64 `json:"writes"`  // a second, by number of replicas
+	WriteP99Millis   map[string]float64 `json:"write_p99_ms"`
+	FailoverTimes    []time.Duration    `json:"fail_over"`
 }
 
 // Measure measures the service, and the plain ways beside it.
-func Measure(ctx context.Context, o SizeOptions) (*Size, error) {
-	s := &Size{Watchers: o.Watchers, Rate: o.Rate, Endpoints: o.Endpoints, Writes: map[string]float64{}, WriteP99: map[string]float64{}}
+func Measure(ctx context.Context, o SizeOptions) (*Measurements, error) {
+	s := &Measurements{Watchers: o.Watchers, ChangesPerSecond: o.ChangesPerSecond, Endpoints: o.Endpoints, WritesPerSecond: map[string]float64{}, WriteP99Millis: map[string]float64{}}
 	sup := proc.NewSupervisor()
 	defer sup.Close()
 	steps := []struct {
 		name string
 		do   func() error
 	}{
-		{"watches of one replica", func() error { return s.reach(ctx, o, sup, "directory") }},
-		{"watches that are each encoded for", func() error { return s.reach(ctx, o, sup, "encode for each") }},
-		{"nodes that poll", func() error { return s.reach(ctx, o, sup, "poll") }},
-		{"writes at one replica", func() error { return s.writes(ctx, o, 1) }},
-		{"writes at three", func() error { return s.writes(ctx, o, 3) }},
-		{"fail-over", func() error { return s.failOver(ctx, o) }},
+		{"watches of one replica", func() error { return s.measurePropagation(ctx, o, sup, "directory") }},
+		{"watches that are each encoded for", func() error { return s.measurePropagation(ctx, o, sup, "encode for each") }},
+		{"nodes that poll", func() error { return s.measurePropagation(ctx, o, sup, "poll") }},
+		{"writes at one replica", func() error { return s.measureWrites(ctx, o, 1) }},
+		{"writes at three", func() error { return s.measureWrites(ctx, o, 3) }},
+		{"fail-over", func() error { return s.measureFailover(ctx, o) }},
 	}
 	for _, step := range steps {
 		o.Progress(step.name)
@@ -106,19 +106,19 @@
 }
 
 // numbered is the endpoint of a number; its time of start carries when the change was asked for, in microseconds.
-func numbered(n int, stamp int64) catalog.Endpoint {
+func stampedEndpoint(n int, stamp int64) catalog.Endpoint {
 	return catalog.Endpoint{ID: fmt.Sprintf("s-%08x", n), Addr: fmt.Sprintf("10.1.%d.%d:6379", n/250, n%250), Locality: "a", Flavor: "m2", Cell: n / 4,
 		Phase: catalog.Serving, Size: 1, UpSince: stamp}
 }
 
 // PlainServe is a discovery that does the plain thing: every watch encodes each change for itself. It changes an
 // endpoint at a rate, until the context ends.
-func PlainServe(ctx context.Context, addr string, endpoints, rate int) error {
+func ServePlainDirectory(ctx context.Context, addr string, endpoints, rate int) error {
 	p := standin.NewPlatform(1, 0, 0, 1, observe.NewLog(), func(int, string, string, time.Duration) {})
 	defer p.Close()
-	at := func(n int) func(int) string { return func(int) string { return numbered(n, 0).Addr } }
+	at := func(n int) func(int) string { return func(int) string { return stampedEndpoint(n, 0).Addr } }
 	put := func(n int, stamp int64, first bool) {
-		p.PutMember(numbered(n, stamp), at(n), first)
+		p.PutMember(stampedEndpoint(n, stamp), at(n), first)
 	}
 	for n := range endpoints {
 		put(n, 0, true)
@@ -140,31 +140,31 @@
 
 // arrivals notes when changes come to watchers.
 type arrivals struct {
-	mu   sync.Mutex
-	each *hdrhistogram.Histogram // µs
-	last map[int64]int64         // by stamp, the latest arrival
-	n    map[int64]int
+	mu            sync.Mutex
+	delays        *hdrhistogram.Histogram // µs
+	latestByStamp map[int64]int64         // by stamp, the latest arrival
+	countByStamp  map[int64]int
 }
 
-func (a *arrivals) note(stamp, now int64) {
+func (a *arrivals) record(stamp, now int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.each.RecordValue(max(now-stamp, 1))
-	a.last[stamp] = max(a.last[stamp], now)
-	a.n[stamp]++
+	a.delays.RecordValue(max(now-stamp, 1))
+	a.latestByStamp[stamp] = max(a.latestByStamp[stamp], now)
+	a.countByStamp[stamp]++
 }
 
-var stampMark = []byte(`"up_since_ms":`)
+var stampField = []byte(`"up_since_ms":`)
 
 // stamps finds the times of the changes in a line, each one after a given one.
-func stamps(line []byte, after int64, found func(int64)) (latest int64) {
+func parseStamps(line []byte, after int64, found func(int64)) (latest int64) {
 	latest = after
 	for {
-		i := bytes.Index(line, stampMark)
+		i := bytes.Index(line, stampField)
 		if i < 0 {
 			return latest
 		}
-		line = line[i+len(stampMark):]
+		line = line[i+len(stampField):]
 		end := bytes.IndexAny(line, ",}")
 		if end < 0 {
 			return latest
@@ -176,7 +176,7 @@
 	}
 }
 
-func (s *Size) reach(ctx context.Context, o SizeOptions, sup *proc.Supervisor, way string) error {
+func (s *Measurements) measurePropagation(ctx context.Context, o SizeOptions, sup *proc.Supervisor, way string) error {
 	addr, err := freeAddress()
 	if err != nil {
 		return err
@@ -185,7 +185,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	command := []string{o.Self, "lab", "plain-directory", addr, "--endpoints", strconv.Itoa(o.Endpoints), "--rate", strconv.Itoa(o.Rate)}
+	command := []string{o.Program, "lab", "plain-directory", addr, "--endpoints", strconv.Itoa(o.Endpoints), "--rate", strconv.Itoa(o.ChangesPerSecond)}
 	if way != "encode for each" {
 		config := filepath.Join(dir, "directory.toml")
 		text := fmt.Sprintf("id = \"d\"\nhttp = %q\ndata = %q\n", addr, filepath.Join(dir, "data"))
@@ -195,18 +195,18 @@
 		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 			return err
 		}
-		command = []string{o.Self, "directory", "serve", "--config", config}
+		command = []string{o.Program, "directory", "serve", "--config", config}
 	}
 	p, err := sup.Start(proc.Spec{Name: way, Command: command, Env: []string{"PATH=" + os.Getenv("PATH")}, Output: io.Discard})
 	if err != nil {
 		return err
 	}
 	defer p.Terminate(ctx, 3*time.Second)
-	op := &directory.AdminClient{Addresses: []string{addr}, RetryFor: settleWait, HTTPClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	op := &directory.AdminClient{Addresses: []string{addr}, RetryFor: settleTimeout, HTTPClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	if way != "encode for each" {
 		var all []catalog.Endpoint
 		for n := range o.Endpoints {
-			all = append(all, numbered(n, 0))
+			all = append(all, stampedEndpoint(n, 0))
 		}
 		if _, err := op.Put(ctx, all, true, true, "*"); err != nil {
 			return err
@@ -218,7 +218,7 @@
 	if err != nil {
 		return err
 	}
-	a := &arrivals{each: hdrhistogram.New(1, 60e6, 3), last: map[int64]int64{}, n: map[int64]int{}}
+	a := &arrivals{delays: hdrhistogram.New(1, 60e6, 3), latestByStamp: map[int64]int64{}, countByStamp: map[int64]int{}}
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	var parts sync.WaitGroup
@@ -235,10 +235,10 @@
 			}
 			if way == "poll" {
 				up.Add(1)
-				poll(running, addr, o.Poll, r, a)
+				pollAndRecord(running, addr, o.PollInterval, r, a)
 				return
 			}
-			watchOnce(running, addr, a, &refused, r, func() {
+			watchAndRecord(running, addr, a, &refused, r, func() {
 				up.Add(1)
 				lastUp.Store(int64(time.Since(began)))
 			})
@@ -248,26 +248,26 @@
 		return fmt.Errorf("%w: %d of %d", err, up.Load(), o.Watchers)
 	}
 	if way == "directory" {
-		s.Return, s.Refused = time.Duration(lastUp.Load()), int(refused.Load())
+		s.ReconnectTime, s.RefusedWatches = time.Duration(lastUp.Load()), int(refused.Load())
 	}
 	registry.Sleep(ctx, 2*time.Second)
 	with, err := p.Usage()
 	if err != nil {
 		return err
 	}
-	cpu, begin := cpuOf(p.PID()), time.Now()
+	cpu, begin := cpuTime(p.PID()), time.Now()
 	from := begin.UnixMicro()
 	if way == "encode for each" {
-		registry.Sleep(ctx, o.Length)
+		registry.Sleep(ctx, o.Duration)
 	} else {
 		var writes sync.WaitGroup
-		for n := 0; time.Since(begin) < o.Length; n++ {
-			if !observe.SleepUntil(ctx, begin.Add(time.Duration(n)*time.Second/time.Duration(o.Rate))) {
+		for n := 0; time.Since(begin) < o.Duration; n++ {
+			if !observe.SleepUntil(ctx, begin.Add(time.Duration(n)*time.Second/time.Duration(o.ChangesPerSecond))) {
 				break
 			}
 			writes.Go(func() {
 				op := *op
-				if _, err := op.Put(ctx, []catalog.Endpoint{numbered(n%o.Endpoints, time.Now().UnixMicro())}, false, false, "*"); err != nil {
+				if _, err := op.Put(ctx, []catalog.Endpoint{stampedEndpoint(n%o.Endpoints, time.Now().UnixMicro())}, false, false, "*"); err != nil {
 					slog.Warn("a change was not written", "err", err)
 				}
 			})
@@ -275,19 +275,19 @@
 		writes.Wait()
 	}
 	to := time.Now().UnixMicro()
-	used := cpuOf(p.PID()) - cpu
+	used := cpuTime(p.PID()) - cpu
 	took := time.Since(begin)
 	registry.Sleep(ctx, 2*time.Second)
 	stop()
 	parts.Wait()
-	re := Reach{Way: way, PerWatch: (with.RSS - before.RSS) / int64(o.Watchers), CPU: used.Seconds() / took.Seconds()}
+	re := Propagation{Method: way, BytesPerWatcher: (with.RSS - before.RSS) / int64(o.Watchers), Cores: used.Seconds() / took.Seconds()}
 	last := hdrhistogram.New(1, 60e6, 3)
-	for stamp, at := range a.last {
+	for stamp, at := range a.latestByStamp {
 		if stamp < from || stamp > to {
 			continue
 		}
 		re.Changes++
-		if a.n[stamp] < o.Watchers {
+		if a.countByStamp[stamp] < o.Watchers {
 			re.Missed++
 		}
 		last.RecordValue(max(at-stamp, 1))
@@ -295,13 +295,13 @@
 	us := func(h *hdrhistogram.Histogram, q float64) time.Duration {
 		return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 	}
-	re.LastMedian, re.LastP99, re.EachMedian, re.EachP99 = us(last, 50), us(last, 99), us(a.each, 50), us(a.each, 99)
-	s.Reach = append(s.Reach, re)
+	re.LastMedian, re.LastP99, re.EachMedian, re.EachP99 = us(last, 50), us(last, 99), us(a.delays, 50), us(a.delays, 99)
+	s.Propagation = append(s.Propagation, re)
 	return nil
 }
 
 // cpuOf is the processor time that a process has used, all its threads together.
-func cpuOf(pid int) time.Duration {
+func cpuTime(pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -316,7 +316,7 @@
 }
 
 // watchOnce reads one watch as cheaply as it can, so that what is measured is the service.
-func watchOnce(ctx context.Context, addr string, a *arrivals, refused *atomic.Int64, r *rand.Rand, up func()) {
+func watchAndRecord(ctx context.Context, addr string, a *arrivals, refused *atomic.Int64, r *rand.Rand, up func()) {
 	for {
 		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		if err != nil {
@@ -351,7 +351,7 @@
 					first = false
 					up()
 				}
-				latest = stamps(line, latest, func(v int64) { a.note(v, now) })
+				latest = parseStamps(line, latest, func(v int64) { a.record(v, now) })
 			}
 		}
 		stop()
@@ -361,7 +361,7 @@
 }
 
 // poll asks for the whole list again and again.
-func poll(ctx context.Context, addr string, every time.Duration, r *rand.Rand, a *arrivals) {
+func pollAndRecord(ctx context.Context, addr string, every time.Duration, r *rand.Rand, a *arrivals) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	latest := int64(0)
@@ -376,7 +376,7 @@
 			raw, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if now := time.Now().UnixMicro(); err == nil && resp.StatusCode == http.StatusOK {
-				latest = stamps(raw, latest, func(v int64) { a.note(v, now) })
+				latest = parseStamps(raw, latest, func(v int64) { a.record(v, now) })
 			}
 		}
 		registry.Sleep(ctx, every)
@@ -384,30 +384,30 @@
 }
 
 // service starts so many replicas without links, as a trial does with them.
-func (o SizeOptions) service(ctx context.Context, n int, dir string) (*trial, error) {
-	t := &trial{opts: Options{Command: []string{o.Self, "directory", "serve"}, Dir: dir, Seed: 1, Log: slog.New(slog.DiscardHandler)},
-		sup: proc.NewSupervisor(), r: rand.New(rand.NewPCG(1, 1))}
-	if err := t.buildOf(n, true); err != nil {
+func (o SizeOptions) startService(ctx context.Context, n int, dir string) (*trial, error) {
+	t := &trial{options: Options{Command: []string{o.Program, "directory", "serve"}, Dir: dir, Seed: 1, Log: slog.New(slog.DiscardHandler)},
+		supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(1, 1))}
+	if err := t.buildReplicas(n, true); err != nil {
 		t.close()
 		return nil, err
 	}
-	for _, r := range t.all {
+	for _, r := range t.replicas {
 		if err := r.Start(); err != nil {
 			t.close()
 			return nil, err
 		}
 	}
-	if err := await(ctx, "the service", func() bool { return t.voters(ctx, n) }); err != nil {
+	if err := await(ctx, "the service", func() bool { return t.hasVoters(ctx, n) }); err != nil {
 		t.close()
 		return nil, err
 	}
-	t.began = time.Now()
+	t.startedAt = time.Now()
 	return t, nil
 }
 
-func (s *Size) writes(ctx context.Context, o SizeOptions, n int) error {
+func (s *Measurements) measureWrites(ctx context.Context, o SizeOptions, n int) error {
 	dir := filepath.Join(o.Dir, fmt.Sprint("writes-", n))
-	t, err := o.service(ctx, n, dir)
+	t, err := o.startService(ctx, n, dir)
 	if err != nil {
 		return err
 	}
@@ -424,9 +424,9 @@
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			defer client.CloseIdleConnections()
 			op := &directory.AdminClient{Addresses: []string{lead.OwnAddr(replica.HTTP)}, HTTPClient: client}
-			for i := int64(1); time.Since(begin) < o.Length && ctx.Err() == nil; i++ {
+			for i := int64(1); time.Since(begin) < o.Duration && ctx.Err() == nil; i++ {
 				at := time.Now()
-				if _, err := op.Put(ctx, []catalog.Endpoint{numbered(w, i)}, false, false, "*"); err == nil {
+				if _, err := op.Put(ctx, []catalog.Endpoint{stampedEndpoint(w, i)}, false, false, "*"); err == nil {
 					done.Add(1)
 					times[w].RecordValue(max(time.Since(at).Microseconds(), 1))
 				}
@@ -439,41 +439,41 @@
 		all.Merge(h)
 	}
 	key := strconv.Itoa(n)
-	s.Writes[key] = float64(done.Load()) / time.Since(begin).Seconds()
-	s.WriteP99[key] = float64(all.ValueAtQuantile(99)) / 1000
+	s.WritesPerSecond[key] = float64(done.Load()) / time.Since(begin).Seconds()
+	s.WriteP99Millis[key] = float64(all.ValueAtQuantile(99)) / 1000
 	return nil
 }
 
 // failOver kills the leader again and again, and tells for how long no write was done.
-func (s *Size) failOver(ctx context.Context, o SizeOptions) error {
-	t, err := o.service(ctx, replicas, filepath.Join(o.Dir, "fail-over"))
+func (s *Measurements) measureFailover(ctx context.Context, o SizeOptions) error {
+	t, err := o.startService(ctx, replicaCount, filepath.Join(o.Dir, "fail-over"))
 	if err != nil {
 		return err
 	}
 	defer t.close()
 	var addresses []string
-	for _, r := range t.all {
+	for _, r := range t.replicas {
 		addresses = append(addresses, r.OwnAddr(replica.HTTP))
 	}
-	op := &directory.AdminClient{Addresses: addresses, HTTPClient: &http.Client{Timeout: opWait, Transport: &http.Transport{DisableKeepAlives: true}}}
-	for i := range o.Kills {
+	op := &directory.AdminClient{Addresses: addresses, HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+	for i := range o.LeaderKills {
 		lead := t.leader(ctx)
 		lead.Process().Signal(syscall.SIGKILL)
 		at := time.Now()
 		for n := int64(1); ; n++ {
-			if _, err := op.Put(ctx, []catalog.Endpoint{numbered(i, time.Now().UnixMicro())}, false, false, "*"); err == nil {
+			if _, err := op.Put(ctx, []catalog.Endpoint{stampedEndpoint(i, time.Now().UnixMicro())}, false, false, "*"); err == nil {
 				break
 			}
-			if time.Since(at) > settleWait || !registry.Sleep(ctx, 5*time.Millisecond) {
+			if time.Since(at) > settleTimeout || !registry.Sleep(ctx, 5*time.Millisecond) {
 				return errors.New("no write was done any more")
 			}
 		}
-		s.FailOver = append(s.FailOver, time.Since(at))
+		s.FailoverTimes = append(s.FailoverTimes, time.Since(at))
 		<-lead.Process().Done()
 		if err := lead.Start(); err != nil {
 			return err
 		}
-		if err := await(ctx, "three votes", func() bool { return t.voters(ctx, replicas) }); err != nil {
+		if err := await(ctx, "three votes", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			return err
 		}
 	}
@@ -481,7 +481,7 @@
 }
 
 // Write stores the figures in a folder.
-func (s *Size) Write(dir string) error {
+func (s *Measurements) Save(dir string) error {
 	raw, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
 		return err
