--- a/internal/lab/trial/check.go
+++ b/internal/lab/trial/check.go
@@ -69,25 +69,25 @@
 
 // Linearizable tells for which endpoints the operations can't have happened one after the other, each between its call
 // and its return; first is each one's value at the start.
-func CheckLinearizable(ops []Operation, limit time.Duration) []string {
-	of := map[string][]porcupine.Operation{}
+func CheckLinearizable(ops []Operation, timeout time.Duration) []string {
+	byEndpoint := map[string][]porcupine.Operation{}
 	for _, op := range ops {
 		end := int64(op.Return)
 		if op.Outcome == Ambiguous { // it may be done at any time to come
 			end = math.MaxInt64
 		}
-		of[op.EndpointID] = append(of[op.EndpointID], porcupine.Operation{ClientId: op.Client, Input: op, Call: int64(op.Call), Return: end})
+		byEndpoint[op.EndpointID] = append(byEndpoint[op.EndpointID], porcupine.Operation{ClientId: op.Client, Input: op, Call: int64(op.Call), Return: end})
 	}
-	var bad []string
-	for _, id := range slices.Sorted(maps.Keys(of)) {
-		switch porcupine.CheckOperationsTimeout(registerModel, of[id], limit) {
+	var violations []string
+	for _, id := range slices.Sorted(maps.Keys(byEndpoint)) {
+		switch porcupine.CheckOperationsTimeout(registerModel, byEndpoint[id], timeout) {
 		case porcupine.Illegal:
-			bad = append(bad, fmt.Sprintf("endpoint %s: its %d reads and writes fit into no order", id, len(of[id])))
+			violations = append(violations, fmt.Sprintf("endpoint %s: its %d reads and writes fit into no order", id, len(byEndpoint[id])))
 		case porcupine.Unknown:
-			bad = append(bad, fmt.Sprintf("endpoint %s: %d reads and writes could not be checked within %v", id, len(of[id]), limit))
+			violations = append(violations, fmt.Sprintf("endpoint %s: %d reads and writes could not be checked within %v", id, len(byEndpoint[id]), timeout))
 		}
 	}
-	return bad
+	return violations
 }
 
 // Told is what a watcher was told at once.
@@ -106,113 +106,113 @@
 // Watches tells where what a watcher was told is not the list: a change missed, invented, twice or out of order shows as
 // another list than the one of its revision. Each watcher is told of every history in turn, and must come to the end of
 // the last one.
-func CheckWatches(truth map[int64]CommittedHistory, told [][]WatcherUpdate) []string {
-	var bad []string
-	last := int64(0)
-	for h := range truth {
-		last = max(last, h)
+func CheckWatches(histories map[int64]CommittedHistory, updates [][]WatcherUpdate) []string {
+	var violations []string
+	lastHistory := int64(0)
+	for number := range histories {
+		lastHistory = max(lastHistory, number)
 	}
-	for w, all := range told {
-		if problem := checkWatcher(truth, last, all); problem != "" {
-			bad = append(bad, fmt.Sprintf("watcher %d: %s", w, problem))
+	for watcher, received := range updates {
+		if violation := checkWatcher(histories, lastHistory, received); violation != "" {
+			violations = append(violations, fmt.Sprintf("watcher %d: %s", watcher, violation))
 		}
 	}
-	return bad
+	return violations
 }
 
-func checkWatcher(truth map[int64]CommittedHistory, last int64, all []WatcherUpdate) string {
-	has := map[string]catalog.Endpoint{}
+func checkWatcher(histories map[int64]CommittedHistory, lastHistory int64, received []WatcherUpdate) string {
+	actual := map[string]catalog.Endpoint{}
 	history, revision := int64(0), int64(-1)
-	want := map[string]catalog.Endpoint{}
-	var next []catalog.Change
-	at := int64(0)
-	for n, t := range all {
+	expected := map[string]catalog.Endpoint{}
+	var pending []catalog.Change
+	applied := int64(0)
+	for i, update := range received {
 		switch {
-		case t.History < history:
-			return fmt.Sprintf("line %d is of history %d, after %d", n, t.History, history)
-		case t.History > history:
-			tr, ok := truth[t.History]
+		case update.History < history:
+			return fmt.Sprintf("line %d is of history %d, after %d", i, update.History, history)
+		case update.History > history:
+			committed, ok := histories[update.History]
 			if !ok {
-				return fmt.Sprintf("line %d is of history %d, which never was", n, t.History)
+				return fmt.Sprintf("line %d is of history %d, which never was", i, update.History)
 			}
-			if !t.Complete {
-				return fmt.Sprintf("line %d begins history %d without its list", n, t.History)
+			if !update.Complete {
+				return fmt.Sprintf("line %d begins history %d without its list", i, update.History)
 			}
-			history, revision, next, at = t.History, -1, tr.Changes, tr.Initial.Revision
-			want = endpointsByID(tr.Initial)
+			history, revision, pending, applied = update.History, -1, committed.Changes, committed.Initial.Revision
+			expected = endpointsByID(committed.Initial)
 		}
-		if t.Revision < revision {
-			return fmt.Sprintf("line %d is of revision %d, after %d", n, t.Revision, revision)
+		if update.Revision < revision {
+			return fmt.Sprintf("line %d is of revision %d, after %d", i, update.Revision, revision)
 		}
-		revision = t.Revision
-		if t.Complete {
-			clear(has)
+		revision = update.Revision
+		if update.Complete {
+			clear(actual)
 		}
-		applyChanges(has, t.Members)
-		for len(next) > 0 && next[0].Revision <= revision {
-			applyChanges(want, next[0].Members)
-			at, next = next[0].Revision, next[1:]
+		applyChanges(actual, update.Members)
+		for len(pending) > 0 && pending[0].Revision <= revision {
+			applyChanges(expected, pending[0].Members)
+			applied, pending = pending[0].Revision, pending[1:]
 		}
-		if at != revision {
-			return fmt.Sprintf("line %d is of revision %d, which the service does not have", n, revision)
+		if applied != revision {
+			return fmt.Sprintf("line %d is of revision %d, which the service does not have", i, revision)
 		}
-		if !maps.Equal(has, want) {
-			return fmt.Sprintf("line %d, revision %d: it has %v, the list is %v", n, revision, has, want)
+		if !maps.Equal(actual, expected) {
+			return fmt.Sprintf("line %d, revision %d: it has %v, the list is %v", i, revision, actual, expected)
 		}
 	}
-	if history != last || len(next) > 0 {
-		return fmt.Sprintf("it has come to revision %d of history %d, and not to the end: %d more changes of history %d", revision, history, len(next), last)
+	if history != lastHistory || len(pending) > 0 {
+		return fmt.Sprintf("it has come to revision %d of history %d, and not to the end: %d more changes of history %d", revision, history, len(pending), lastHistory)
 	}
 	return ""
 }
 
-func endpointsByID(l catalog.List) map[string]catalog.Endpoint {
-	m := map[string]catalog.Endpoint{}
-	applyChanges(m, l.Members)
-	return m
+func endpointsByID(list catalog.List) map[string]catalog.Endpoint {
+	endpoints := map[string]catalog.Endpoint{}
+	applyChanges(endpoints, list.Members)
+	return endpoints
 }
 
-func applyChanges(m map[string]catalog.Endpoint, by []catalog.Endpoint) {
-	for _, e := range by {
-		if m[e.ID] = e; e.Phase == catalog.Deleted {
-			delete(m, e.ID)
+func applyChanges(endpoints map[string]catalog.Endpoint, changed []catalog.Endpoint) {
+	for _, e := range changed {
+		if endpoints[e.ID] = e; e.Phase == catalog.Deleted {
+			delete(endpoints, e.ID)
 		}
 	}
 }
 
 // Writes tells which acknowledged writes the service does not have at their revision, and which changes nobody asked for.
-func CheckWrites(truth CommittedHistory, ops []Operation) []string {
-	var bad []string
-	by := map[int64]map[string]int64{}
-	times := map[int64]int{}
-	for _, c := range truth.Changes {
-		by[c.Revision] = map[string]int64{}
-		for _, m := range c.Members {
-			by[c.Revision][m.ID] = m.UpSince
-			times[m.UpSince]++
+func CheckWrites(committed CommittedHistory, ops []Operation) []string {
+	var violations []string
+	valuesAt := map[int64]map[string]int64{}
+	writeCounts := map[int64]int{}
+	for _, change := range committed.Changes {
+		valuesAt[change.Revision] = map[string]int64{}
+		for _, member := range change.Members {
+			valuesAt[change.Revision][member.ID] = member.UpSince
+			writeCounts[member.UpSince]++
 		}
 	}
-	asked := map[int64]bool{0: true}
+	requested := map[int64]bool{0: true}
 	for _, op := range ops {
 		if op.Kind == Read {
 			continue
 		}
-		asked[op.New] = true
-		if op.Outcome == Done && by[op.Revision][op.EndpointID] != op.New {
-			bad = append(bad, fmt.Sprintf("%s was acknowledged %d at revision %d, where the service has %v", op.EndpointID, op.New, op.Revision, by[op.Revision]))
+		requested[op.New] = true
+		if op.Outcome == Done && valuesAt[op.Revision][op.EndpointID] != op.New {
+			violations = append(violations, fmt.Sprintf("%s was acknowledged %d at revision %d, where the service has %v", op.EndpointID, op.New, op.Revision, valuesAt[op.Revision]))
 		}
-		if op.Outcome == Conflict && times[op.New] > 0 {
-			bad = append(bad, fmt.Sprintf("%s: the write of %d was refused, and done", op.EndpointID, op.New))
+		if op.Outcome == Conflict && writeCounts[op.New] > 0 {
+			violations = append(violations, fmt.Sprintf("%s: the write of %d was refused, and done", op.EndpointID, op.New))
 		}
 	}
-	for v, n := range times {
-		if !asked[v] {
-			bad = append(bad, fmt.Sprintf("nobody has asked for the value %d", v))
+	for value, count := range writeCounts {
+		if !requested[value] {
+			violations = append(violations, fmt.Sprintf("nobody has asked for the value %d", value))
 		}
-		if n > 1 && v != 0 {
-			bad = append(bad, fmt.Sprintf("the value %d was written %d times", v, n))
+		if count > 1 && value != 0 {
+			violations = append(violations, fmt.Sprintf("the value %d was written %d times", value, count))
 		}
 	}
-	slices.Sort(bad)
-	return bad
+	slices.Sort(violations)
+	return violations
 }
--- a/internal/lab/trial/formats_test.go
+++ b/internal/lab/trial/formats_test.go
@@ -85,10 +85,10 @@
 func TestNames(t *testing.T) {
 	var faultNames, ownFaultNames []string
 	for _, f := range faults {
-		faultNames = append(faultNames, f.name)
+		faultNames = append(faultNames, f.description)
 	}
 	for _, f := range ownershipFaults {
-		ownFaultNames = append(ownFaultNames, f.name)
+		ownFaultNames = append(ownFaultNames, f.description)
 	}
 	raw, err := json.MarshalIndent(map[string]any{
 		"faults":           faultNames,
--- a/internal/lab/trial/leases.go
+++ b/internal/lab/trial/leases.go
@@ -29,25 +29,25 @@
 }
 
 // Leases tells where two could rely on the same record at once, and where tokens do not grow from holder to holder.
-func CheckLeases(all []LeaseHolding) []string {
-	all = slices.SortedFunc(slices.Values(all), func(a, b LeaseHolding) int { return cmp.Compare(a.Token, b.Token) })
-	var bad []string
-	for i := 1; i < len(all); i++ {
-		a, b := all[i-1], all[i]
+func CheckLeases(holdings []LeaseHolding) []string {
+	holdings = slices.SortedFunc(slices.Values(holdings), func(a, b LeaseHolding) int { return cmp.Compare(a.Token, b.Token) })
+	var violations []string
+	for i := 1; i < len(holdings); i++ {
+		previous, b := holdings[i-1], holdings[i]
 		switch {
-		case a.Token == b.Token:
-			bad = append(bad, fmt.Sprintf("token %d was given to holder %d and to holder %d", a.Token, a.Holder, b.Holder))
-		case a.Holder != b.Holder && b.From < a.Until:
-			bad = append(bad, fmt.Sprintf("holder %d had token %d from %v, while holder %d could rely on token %d until %v", b.Holder, b.Token, b.From, a.Holder, a.Token, a.Until))
+		case previous.Token == b.Token:
+			violations = append(violations, fmt.Sprintf("token %d was given to holder %d and to holder %d", previous.Token, previous.Holder, b.Holder))
+		case previous.Holder != b.Holder && b.From < previous.Until:
+			violations = append(violations, fmt.Sprintf("holder %d had token %d from %v, while holder %d could rely on token %d until %v", b.Holder, b.Token, b.From, previous.Holder, previous.Token, previous.Until))
 		}
 	}
-	return bad
+	return violations
 }
 
 // holds acquires the record, renews it some times, and lets go of it or forgets it, until the context ends.
-func (t *trial) acquireLeases(ctx context.Context, n int) {
-	r := rand.New(rand.NewPCG(t.options.Seed, uint64(2000+n)))
-	c := t.newClient(200 + n)
+func (t *trial) acquireLeases(ctx context.Context, holder int) {
+	random := rand.New(rand.NewPCG(t.options.Seed, uint64(2000+holder)))
+	client := t.newClient(200 + holder)
 	type answer struct {
 		Token   int64    `json:"token"`
 		Unknown []string `json:"unknown"`
@@ -57,40 +57,40 @@
 		if err != nil {
 			return answer{}, false
 		}
-		c.Addresses = t.shuffledAddresses(r.Uint64())
-		if raw, _, err = c.Do(context.Background(), method, path, "", raw); err != nil {
+		client.Addresses = t.shuffledAddresses(random.Uint64())
+		if raw, _, err = client.Do(context.Background(), method, path, "", raw); err != nil {
 			return answer{}, false
 		}
-		var v answer
-		err = json.Unmarshal(raw, &v)
-		return v, err == nil
+		var decoded answer
+		err = json.Unmarshal(raw, &decoded)
+		return decoded, err == nil
 	}
-	for registry.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(80*time.Millisecond))) {
-		at := t.elapsed()
-		a, ok := ask(http.MethodPut, "/records/"+leaseRecord, map[string]any{"holder": fmt.Sprint("h", n), "ttl_ms": leaseTTL.Milliseconds()})
+	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(80*time.Millisecond))) {
+		requestedAt := t.elapsed()
+		a, ok := ask(http.MethodPut, "/records/"+leaseRecord, map[string]any{"holder": fmt.Sprint("h", holder), "ttl_ms": leaseTTL.Milliseconds()})
 		if !ok {
 			continue
 		}
-		held := LeaseHolding{Holder: n, Token: a.Token, From: t.elapsed(), Until: at + leaseTTL}
-		for range r.IntN(8) {
-			if !registry.Sleep(ctx, time.Duration(r.Int64N(int64(leaseTTL)))) {
+		holding := LeaseHolding{Holder: holder, Token: a.Token, From: t.elapsed(), Until: requestedAt + leaseTTL}
+		for range random.IntN(8) {
+			if !registry.Sleep(ctx, time.Duration(random.Int64N(int64(leaseTTL)))) {
 				break
 			}
 			at := t.elapsed()
-			a, ok := ask(http.MethodPost, "/registry/renewals", map[string]any{"records": []any{map[string]any{"name": leaseRecord, "token": held.Token}}})
+			a, ok := ask(http.MethodPost, "/registry/renewals", map[string]any{"records": []any{map[string]any{"name": leaseRecord, "token": holding.Token}}})
 			if ok && len(a.Unknown) > 0 {
 				break
 			}
 			if ok {
-				held.Until = at + leaseTTL
+				holding.Until = at + leaseTTL
 			}
 		}
-		if r.IntN(2) == 0 && t.elapsed() < held.Until {
-			held.Until = t.elapsed()
-			ask(http.MethodDelete, "/records/"+leaseRecord, map[string]any{"token": held.Token})
+		if random.IntN(2) == 0 && t.elapsed() < holding.Until {
+			holding.Until = t.elapsed()
+			ask(http.MethodDelete, "/records/"+leaseRecord, map[string]any{"token": holding.Token})
 		}
 		t.mu.Lock()
-		t.holdings = append(t.holdings, held)
+		t.holdings = append(t.holdings, holding)
 		t.mu.Unlock()
 	}
 }
--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -140,16 +140,16 @@
 }
 
 // RunOwnership runs a trial of ownership.
-func RunOwnership(ctx context.Context, o OwnershipOptions) (*OwnershipResult, error) {
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+func RunOwnership(ctx context.Context, options OwnershipOptions) (*OwnershipResult, error) {
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
-	base := Options{Command: o.Directory, Dir: o.Dir, Seed: o.Seed, Duration: o.Duration, Log: o.Log}
+	base := Options{Command: options.Directory, Dir: options.Dir, Seed: options.Seed, Duration: options.Duration, Log: options.Log}
 	t := &ownershipTrial{
-		trial: &trial{options: base, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(o.Seed, 1))}, ownershipOptions: o, killedNodes: make(chan killedNode, nodeCount),
+		trial: &trial{options: base, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(options.Seed, 1))}, ownershipOptions: options, killedNodes: make(chan killedNode, nodeCount),
 		pollClient:   &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 		answerDelays: map[string]time.Duration{}, killOnFetch: map[int]bool{}, lateAcceptor: -1,
-		result: OwnershipResult{Seed: o.Seed, Injected: o.Inject, MapChanges: map[string]int{}, Submissions: map[string]int{}, Faults: []string{}, Violations: []Violation{}},
+		result: OwnershipResult{Seed: options.Seed, Injected: options.Inject, MapChanges: map[string]int{}, Submissions: map[string]int{}, Faults: []string{}, Violations: []Violation{}},
 	}
 	for z := range zoneCount {
 		t.zones = append(t.zones, fmt.Sprint("z", z))
@@ -163,21 +163,21 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := &t.result
-	for _, b := range r.Violations {
-		r.InjectedFound = r.InjectedFound || o.Inject != "" && b.Rule == InjectedViolations[o.Inject]
+	result := &t.result
+	for _, violation := range result.Violations {
+		result.InjectedFound = result.InjectedFound || options.Inject != "" && violation.Rule == InjectedViolations[options.Inject]
 	}
-	if len(r.Violations) == 0 || r.InjectedFound {
-		return r, nil
+	if len(result.Violations) == 0 || result.InjectedFound {
+		return result, nil
 	}
-	for _, n := range t.nodes { // where each one stands may tell why
-		n.process().Signal(syscall.SIGQUIT)
+	for _, node := range t.nodes { // where each one stands may tell why
+		node.process().Signal(syscall.SIGQUIT)
 	}
 	raw, err := json.Marshal(map[string]any{"sights": t.observations, "writes": t.mapWrites, "eras": t.maps, "handed": t.submissions, "asks": t.watchRequests, "ends": t.messageEnds, "disturbed": t.disturbances})
 	if err != nil {
 		return nil, err
 	}
-	return r, os.WriteFile(filepath.Join(o.Dir, "seen.json"), raw, 0o600)
+	return result, os.WriteFile(filepath.Join(options.Dir, "seen.json"), raw, 0o600)
 }
 
 func (t *ownershipTrial) build() error {
@@ -213,11 +213,11 @@
 
 // members are all nodes as members of a map.
 func (t *ownershipTrial) members() []ownership.Member {
-	var all []ownership.Member
+	var members []ownership.Member
 	for i := range nodeCount {
-		all = append(all, ownership.Member{Name: nodeName(i), Zone: t.zones[i%zoneCount], Weight: 1})
+		members = append(members, ownership.Member{Name: nodeName(i), Zone: t.zones[i%zoneCount], Weight: 1})
 	}
-	return all
+	return members
 }
 
 func regionOf(node int) int { return node % zoneCount * regionCount / zoneCount }
@@ -235,23 +235,23 @@
 	if err := t.startNodes(ctx); err != nil {
 		return err
 	}
-	var background, chaos sync.WaitGroup
-	watching, unwatch := context.WithCancel(ctx)
+	var background, load sync.WaitGroup
+	watchCtx, stopWatching := context.WithCancel(ctx)
 	defer background.Wait()
-	defer unwatch()
+	defer stopWatching()
 	for _, r := range t.replicas {
-		background.Go(func() { t.pollMap(watching, r) })
+		background.Go(func() { t.pollMap(watchCtx, r) })
 	}
-	background.Go(func() { t.detectStalls(watching) })
-	faulty, calmDown := context.WithCancel(ctx)
-	defer chaos.Wait()
-	defer calmDown()
+	background.Go(func() { t.detectStalls(watchCtx) })
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer load.Wait()
+	defer stopLoad()
 	for _, n := range t.nodes {
-		chaos.Go(func() { t.submitMessages(faulty, n) })
+		load.Go(func() { t.submitMessages(loadCtx, n) })
 	}
-	chaos.Go(func() { t.changeList(faulty) })
+	load.Go(func() { t.changeList(loadCtx) })
 	for i := range controllerCount {
-		chaos.Go(func() { t.newController(i).run(faulty) })
+		load.Go(func() { t.newController(i).run(loadCtx) })
 	}
 	if t.ownershipOptions.Inject == InjectDroppedChange {
 		t.mu.Lock()
@@ -259,8 +259,8 @@
 		t.mu.Unlock()
 	}
 	err := t.injectFaults(ctx)
-	calmDown()
-	chaos.Wait()
+	stopLoad()
+	load.Wait()
 	if err != nil {
 		return err
 	}
@@ -275,17 +275,17 @@
 // begin writes the first list and the first map, and starts the nodes.
 func (t *ownershipTrial) startNodes(ctx context.Context) error {
 	var members []catalog.Endpoint
-	for d := range steadyDestinations {
-		members = append(members, t.destinationEndpoint(fmt.Sprint("s", d), d, d))
+	for destination := range steadyDestinations {
+		members = append(members, t.destinationEndpoint(fmt.Sprint("s", destination), destination, destination))
 	}
-	op := t.newClient(99)
-	op.RetryFor = settleTimeout
-	if _, err := op.Put(ctx, members, true, true, "*"); err != nil {
+	admin := t.newClient(99)
+	admin.RetryFor = settleTimeout
+	if _, err := admin.Put(ctx, members, true, true, "*"); err != nil {
 		return fmt.Errorf("the first list: %w", err)
 	}
-	first := t.newController(controllerCount)
-	first.admin.RetryFor = settleTimeout
-	if _, err := first.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member { return t.members() }); err != nil {
+	firstController := t.newController(controllerCount)
+	firstController.admin.RetryFor = settleTimeout
+	if _, err := firstController.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member { return t.members() }); err != nil {
 		return fmt.Errorf("the first map: %w", err)
 	}
 	errs := make([]error, len(t.nodes))
@@ -298,35 +298,35 @@
 		return err
 	}
 	for _, n := range t.nodes {
-		var why string
-		ready := func() (ok bool) { ok, why = n.ready(ctx); return ok }
+		var reason string
+		ready := func() (ok bool) { ok, reason = n.ready(ctx); return ok }
 		if err := await(ctx, n.name+" ready", ready); err != nil {
-			return fmt.Errorf("%w: %s", err, why)
+			return fmt.Errorf("%w: %s", err, reason)
 		}
 	}
 	return nil
 }
 
-func (t *ownershipTrial) destinationEndpoint(id string, dest, address int) catalog.Endpoint {
-	return catalog.Endpoint{ID: id, Addr: t.partners.addresses[address], Locality: t.zones[address%zoneCount], Flavor: "hook", Cell: dest, Phase: catalog.Serving, Size: 1}
+func (t *ownershipTrial) destinationEndpoint(id string, destination, address int) catalog.Endpoint {
+	return catalog.Endpoint{ID: id, Addr: t.partners.addresses[address], Locality: t.zones[address%zoneCount], Flavor: "hook", Cell: destination, Phase: catalog.Serving, Size: 1}
 }
 
 // changesList changes the list until the context ends.
 func (t *ownershipTrial) changeList(ctx context.Context) {
-	r := rand.New(rand.NewPCG(t.options.Seed, 4000))
-	op := t.newClient(400)
-	for registry.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(meanListChangeInterval))) {
-		i := r.IntN(changingEndpoints)
-		e := t.destinationEndpoint(fmt.Sprint("c", i), r.IntN(steadyDestinations+intermittentDestinations), steadyDestinations+i)
-		e.Size = float64(1 + r.IntN(4))
-		switch r.IntN(6) {
+	random := rand.New(rand.NewPCG(t.options.Seed, 4000))
+	admin := t.newClient(400)
+	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(meanListChangeInterval))) {
+		i := random.IntN(changingEndpoints)
+		endpoint := t.destinationEndpoint(fmt.Sprint("c", i), random.IntN(steadyDestinations+intermittentDestinations), steadyDestinations+i)
+		endpoint.Size = float64(1 + random.IntN(4))
+		switch random.IntN(6) {
 		case 0:
-			e.Phase = catalog.Draining
+			endpoint.Phase = catalog.Draining
 		case 1:
-			e.Phase = catalog.Deleted
+			endpoint.Phase = catalog.Deleted
 		}
-		op.Addresses = t.shuffledAddresses(r.Uint64())
-		if _, err := op.Put(context.WithoutCancel(ctx), []catalog.Endpoint{e}, false, true, "*"); err != nil {
+		admin.Addresses = t.shuffledAddresses(random.Uint64())
+		if _, err := admin.Put(context.WithoutCancel(ctx), []catalog.Endpoint{endpoint}, false, true, "*"); err != nil {
 			t.ownershipOptions.Log.Debug("a change of the list", "err", err) // its outcome stands in the history
 		}
 	}
@@ -343,17 +343,17 @@
 		if err != nil {
 			continue
 		}
-		var a recordAnswer
-		err = json.NewDecoder(resp.Body).Decode(&a)
+		var answer recordAnswer
+		err = json.NewDecoder(resp.Body).Decode(&answer)
 		resp.Body.Close()
 		if err == nil && resp.StatusCode == http.StatusOK {
-			t.recordObservation(r.ID, a.Value)
+			t.recordObservation(r.ID, answer.Value)
 		}
 	}
 }
 
 // saw notes that somebody has a map.
-func (t *ownershipTrial) recordObservation(by string, value []byte) {
+func (t *ownershipTrial) recordObservation(observer string, value []byte) {
 	if len(value) == 0 {
 		return
 	}
@@ -361,62 +361,62 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.result.Violations = append(t.result.Violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s has a map that can't be read: %v", by, err)})
+		t.result.Violations = append(t.result.Violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s has a map that can't be read: %v", observer, err)})
 		return
 	}
-	now, s := t.elapsed(), checksum(value)
-	for _, e := range t.maps {
-		if e.Number == m.Number && e.Checksum == s {
-			e.CommittedBy = min(e.CommittedBy, now)
+	now, sum := t.elapsed(), checksum(value)
+	for _, published := range t.maps {
+		if published.Number == m.Number && published.Checksum == sum {
+			published.CommittedBy = min(published.CommittedBy, now)
 		}
 	}
-	for _, before := range slices.Backward(t.observations) {
-		if before.Observer == by {
-			if before.Number == m.Number && before.Checksum == s {
+	for _, previous := range slices.Backward(t.observations) {
+		if previous.Observer == observer {
+			if previous.Number == m.Number && previous.Checksum == sum {
 				return
 			}
 			break
 		}
 	}
-	t.observations = append(t.observations, MapObservation{now, by, m.Number, s})
+	t.observations = append(t.observations, MapObservation{now, observer, m.Number, sum})
 }
 
 // begun notes that a map is about to be written.
-func (t *ownershipTrial) recordMapIntent(m *ownership.Map, w MapWrite) *PublishedMap {
-	e := &PublishedMap{Number: w.Number, Checksum: w.Checksum, WrittenAfter: w.Call, CommittedBy: never, Owned: map[int]ownership.Set{}}
+func (t *ownershipTrial) recordMapIntent(m *ownership.Map, write MapWrite) *PublishedMap {
+	published := &PublishedMap{Number: write.Number, Checksum: write.Checksum, WrittenAfter: write.Call, CommittedBy: never, Owned: map[int]ownership.Set{}}
 	for i := range nodeCount {
-		if s, ok := m.PartitionsOf(nodeName(i)); ok {
-			e.Owned[i] = s
+		if owned, ok := m.PartitionsOf(nodeName(i)); ok {
+			published.Owned[i] = owned
 		}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.maps = append(t.maps, e)
-	return e
+	t.maps = append(t.maps, published)
+	return published
 }
 
 // dropped notes that it was surely not written.
-func (t *ownershipTrial) forgetMap(e *PublishedMap) {
+func (t *ownershipTrial) forgetMap(published *PublishedMap) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.maps = slices.DeleteFunc(t.maps, func(o *PublishedMap) bool { return o == e })
+	t.maps = slices.DeleteFunc(t.maps, func(other *PublishedMap) bool { return other == published })
 }
 
-func (t *ownershipTrial) recordMapWrite(e *PublishedMap, w MapWrite) {
+func (t *ownershipTrial) recordMapWrite(published *PublishedMap, write MapWrite) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mapWrites = append(t.mapWrites, w)
-	if w.Outcome == Done {
-		e.CommittedBy = min(e.CommittedBy, w.Return)
-		t.result.LastMapNumber = max(t.result.LastMapNumber, w.Number)
+	t.mapWrites = append(t.mapWrites, write)
+	if write.Outcome == Done {
+		published.CommittedBy = min(published.CommittedBy, write.Return)
+		t.result.LastMapNumber = max(t.result.LastMapNumber, write.Number)
 	}
 }
 
 // changed counts a change of the map.
-func (t *ownershipTrial) countMapChange(by string, at interruption, m *ownership.Map, err error) {
-	what := string(at)
+func (t *ownershipTrial) countMapChange(controller string, interrupted interruption, m *ownership.Map, err error) {
+	outcome := string(interrupted)
 	if err != nil && !errors.Is(err, errControllerKilled) {
-		what = "given up"
+		outcome = "given up"
 	}
 	number := int64(0)
 	if m != nil {
@@ -424,48 +424,48 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.result.MapChanges[what]++
-	t.ownershipOptions.Log.Debug("map", "by", by, "number", number, "how", at, "err", err)
+	t.result.MapChanges[outcome]++
+	t.ownershipOptions.Log.Debug("map", "by", controller, "number", number, "how", interrupted, "err", err)
 }
 
 // fetched is told that a node fetches the map; pass sends it on.
-func (t *ownershipTrial) handleMapFetch(node int, raw []byte, pass func()) {
+func (t *ownershipTrial) handleMapFetch(node int, raw []byte, forward func()) {
 	t.mu.Lock()
-	after, armed := t.killOnFetch[node]
+	afterForward, armed := t.killOnFetch[node]
 	delete(t.killOnFetch, node)
 	t.mu.Unlock()
-	var a recordAnswer
-	if json.Unmarshal(raw, &a) == nil {
-		t.recordObservation(nodeName(node), a.Value)
+	var answer recordAnswer
+	if json.Unmarshal(raw, &answer) == nil {
+		t.recordObservation(nodeName(node), answer.Value)
 	}
-	if armed && after { // it has a moment to begin with what it does then
-		pass()
+	if armed && afterForward { // it has a moment to begin with what it does then
+		forward()
 		time.Sleep(time.Duration(rand.Int64N(int64(20 * time.Millisecond))))
 	}
 	if armed {
-		back := t.beginDisturbance(node, "killed as it fetched the map")
+		endDisturbance := t.beginDisturbance(node, "killed as it fetched the map")
 		t.nodes[node].kill()
-		t.killedNodes <- killedNode{node, back}
+		t.killedNodes <- killedNode{node, endDisturbance}
 		return
 	}
-	pass()
+	forward()
 }
 
 // leavesOut tells that the change that is about to be told to a node is to be left out.
 func (t *ownershipTrial) claimChangeDrop(int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.dropNextChange
+	drop := t.dropNextChange
 	t.dropNextChange = false
-	return now
+	return drop
 }
 
 // noticed notes the notices of a body that a replica has taken.
 func (t *ownershipTrial) recordNotices(body []byte) {
 	for line := range bytes.Lines(body) {
-		var n struct{ ID, State string }
-		if json.Unmarshal(line, &n) == nil && n.ID != "" {
-			t.recordEnd(n.ID, n.State)
+		var notice struct{ ID, State string }
+		if json.Unmarshal(line, &notice) == nil && notice.ID != "" {
+			t.recordEnd(notice.ID, notice.State)
 		}
 	}
 }
@@ -484,63 +484,63 @@
 }
 
 // disturb notes that a node (-1: all) can't do as it would, until what it returns is called.
-func (t *ownershipTrial) beginDisturbance(node int, why string) (back func()) {
+func (t *ownershipTrial) beginDisturbance(node int, reason string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	d := &Disturbance{node, t.elapsed(), never, why}
-	t.disturbances = append(t.disturbances, d)
+	disturbance := &Disturbance{node, t.elapsed(), never, reason}
+	t.disturbances = append(t.disturbances, disturbance)
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		d.Until = t.elapsed()
+		disturbance.Until = t.elapsed()
 	}
 }
 
 // lateness notes when the machine held this process up: it may have held up all others as well.
 func (t *ownershipTrial) detectStalls(ctx context.Context) {
 	for {
-		from := t.elapsed()
+		before := t.elapsed()
 		if !registry.Sleep(ctx, stallCheckInterval) {
 			return
 		}
-		if late := t.elapsed() - from - stallCheckInterval; late > stallThreshold {
+		if stall := t.elapsed() - before - stallCheckInterval; stall > stallThreshold {
 			t.mu.Lock()
-			t.disturbances = append(t.disturbances, &Disturbance{-1, from, t.elapsed(), "the machine"})
+			t.disturbances = append(t.disturbances, &Disturbance{-1, before, t.elapsed(), "the machine"})
 			t.result.HostStalls++
-			t.result.LongestHostStall = max(t.result.LongestHostStall, late)
+			t.result.LongestHostStall = max(t.result.LongestHostStall, stall)
 			t.mu.Unlock()
 		}
 	}
 }
 
 // hands hands messages in at a node until the context ends, and some of those that it took on once more.
-func (t *ownershipTrial) submitMessages(ctx context.Context, n *deliveryNode) {
-	r := rand.New(rand.NewPCG(t.options.Seed, uint64(5000+n.number)))
-	var open []Submission
-	for registry.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(meanSubmitInterval))) {
-		if len(open) > 0 && r.IntN(4) == 0 {
-			h := open[0]
-			open = open[1:]
-			if t.elapsed() < h.Deadline-messageLifetime/4 {
-				t.submit(n, h.ID, classDeduplicated, h.Destination, h.Deadline, true)
+func (t *ownershipTrial) submitMessages(ctx context.Context, node *deliveryNode) {
+	random := rand.New(rand.NewPCG(t.options.Seed, uint64(5000+node.number)))
+	var accepted []Submission
+	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(meanSubmitInterval))) {
+		if len(accepted) > 0 && random.IntN(4) == 0 {
+			submission := accepted[0]
+			accepted = accepted[1:]
+			if t.elapsed() < submission.Deadline-messageLifetime/4 {
+				t.submit(node, submission.ID, classDeduplicated, submission.Destination, submission.Deadline, true)
 			}
 			continue
 		}
-		dest := r.IntN(steadyDestinations)
-		switch k := r.IntN(20); k {
+		destination := random.IntN(steadyDestinations)
+		switch k := random.IntN(20); k {
 		case 0:
-			dest = firstUnlisted + r.IntN(unlistedDestinations)
+			destination = firstUnlisted + random.IntN(unlistedDestinations)
 		case 1, 2:
-			dest = steadyDestinations + r.IntN(intermittentDestinations)
+			destination = steadyDestinations + random.IntN(intermittentDestinations)
 		}
-		class, id := r.IntN(len(classNames)), t.newMessageID()
+		class, id := random.IntN(len(classNames)), t.newMessageID()
 		if class == classDeduplicated {
 			t.mu.Lock()
-			t.answerDelays[id] = maxAnswerDelay/3 + time.Duration(r.Int64N(int64(maxAnswerDelay*2/3)))
+			t.answerDelays[id] = maxAnswerDelay/3 + time.Duration(random.Int64N(int64(maxAnswerDelay*2/3)))
 			t.mu.Unlock()
 		}
-		if h := t.submit(n, id, class, dest, t.elapsed()+messageLifetime, false); class == classDeduplicated && h.Answer == history.Taken {
-			open = append(open, h)
+		if h := t.submit(node, id, class, destination, t.elapsed()+messageLifetime, false); class == classDeduplicated && h.Answer == history.Taken {
+			accepted = append(accepted, h)
 		}
 	}
 }
@@ -548,23 +548,23 @@
 func (t *ownershipTrial) newMessageID() string { return fmt.Sprint("m", t.lastMessage.Add(1)) }
 
 // hand hands a message in, and notes the answer.
-func (t *ownershipTrial) submit(n *deliveryNode, id string, class, dest int, by time.Duration, again bool) Submission {
-	h := Submission{Node: n.number, Destination: dest, ID: id, AtMostOnce: class == classAtMostOnce, Repeat: again, Deadline: by, Call: t.elapsed()}
-	h.Answer, h.RetryAfter, h.Reason = n.submit(id, class, dest, by-h.Call)
-	h.Return = t.elapsed()
+func (t *ownershipTrial) submit(node *deliveryNode, id string, class, destination int, deadline time.Duration, repeat bool) Submission {
+	submission := Submission{Node: node.number, Destination: destination, ID: id, AtMostOnce: class == classAtMostOnce, Repeat: repeat, Deadline: deadline, Call: t.elapsed()}
+	submission.Answer, submission.RetryAfter, submission.Reason = node.submit(id, class, destination, deadline-submission.Call)
+	submission.Return = t.elapsed()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if n.number == t.lateAcceptor && h.Answer == history.Refused && slices.ContainsFunc(t.maps, func(e *PublishedMap) bool { return e.Owned[n.number].Has(ownership.PartitionOf(dest)) }) {
-		h.Answer, h.RetryAfter = history.Taken, 0
+	if node.number == t.lateAcceptor && submission.Answer == history.Refused && slices.ContainsFunc(t.maps, func(m *PublishedMap) bool { return m.Owned[node.number].Has(ownership.PartitionOf(destination)) }) {
+		submission.Answer, submission.RetryAfter = history.Taken, 0
 	}
-	t.submissions = append(t.submissions, h)
-	t.result.Submissions[h.Answer]++
-	return h
+	t.submissions = append(t.submissions, submission)
+	t.result.Submissions[submission.Answer]++
+	return submission
 }
 
 // ownFault is one kind of what may happen to the parts of the trial.
 type ownershipFault struct {
-	name   string
+	description   string
 	inject func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error)
 }
 
@@ -640,24 +640,24 @@
 		return strings.Join(names, " "), errors.Join(errs...)
 	}},
 	{"region cut off", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		of := t.random.IntN(regionCount)
+		region := t.random.IntN(regionCount)
 		var away []*front
 		for _, n := range t.nodes {
 			for i, f := range n.fronts {
-				if (regionOf(n.number) == of) != (i == of) {
+				if (regionOf(n.number) == region) != (i == region) {
 					away = append(away, f)
 				}
 			}
 		}
 		defer t.beginDisturbance(-1, "region cut off")()
 		cutOff := relay.Conditions{CutOutbound: true, CutReturn: true}
-		t.replicas[of].Links[replica.Raft].SetConditions(cutOff)
+		t.replicas[region].Links[replica.Raft].SetConditions(cutOff)
 		t.setLinks(away, cutOff)
 		registry.Sleep(ctx, d)
-		t.replicas[of].Links[replica.Raft].SetConditions(calm)
-		t.replicas[of].Links[replica.Raft].ResetConnections()
+		t.replicas[region].Links[replica.Raft].SetConditions(calm)
+		t.replicas[region].Links[replica.Raft].ResetConnections()
 		t.setLinks(away, calm)
-		return fmt.Sprint("region ", of), nil
+		return fmt.Sprint("region ", region), nil
 	}},
 	{"region killed", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		of := t.random.IntN(regionCount)
@@ -708,7 +708,7 @@
 	}},
 }
 
-func nodeFault(do func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
+func nodeFault(do func(t *ownershipTrial, ctx context.Context, node *deliveryNode, duration time.Duration) error) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
 	return func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		n := t.nodes[t.random.IntN(len(t.nodes))]
 		defer t.beginDisturbance(n.number, "a fault of its own")()
@@ -718,48 +718,48 @@
 
 // onReplica plays a fault of the list service's own trial. Who watches there goes to another replica, unless this one goes on
 // answering and hears nothing itself.
-func replicaFault(name string, deaf bool) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
-	return func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		r := t.replicas[t.random.IntN(replicaCount)]
+func replicaFault(name string, cutsOffWatchers bool) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
+	return func(t *ownershipTrial, ctx context.Context, duration time.Duration) (string, error) {
+		target := t.replicas[t.random.IntN(replicaCount)]
 		if t.random.IntN(2) == 0 {
-			r = t.leader(ctx)
+			target = t.leader(ctx)
 		}
-		if deaf {
+		if cutsOffWatchers {
 			defer t.beginDisturbance(-1, "a replica cut off")()
 		}
-		i := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
-		return r.ID, faults[i].inject(t.trial, ctx, r, d)
+		index := slices.IndexFunc(faults, func(f fault) bool { return f.description == name })
+		return target.ID, faults[index].inject(t.trial, ctx, target, duration)
 	}
 }
 
 // goesOn holds a node without a directory to its map and list: it accepts what it owns by all maps of late, whichever of them it
 // has, and what is on its list.
-func (t *ownershipTrial) checkAcceptsWithoutDirectory(ctx context.Context, n *deliveryNode, listed func(dest int) bool) {
-	s := t.copyObservations()
-	since := int64(0)
-	for _, e := range s.published {
-		if e.CommittedBy < t.elapsed()-2*mapAdoptionLimit {
-			since = max(since, e.Number)
+func (t *ownershipTrial) checkAcceptsWithoutDirectory(ctx context.Context, node *deliveryNode, isListed func(dest int) bool) {
+	observed := t.copyObservations()
+	oldest := int64(0)
+	for _, m := range observed.published {
+		if m.CommittedBy < t.elapsed()-2*mapAdoptionLimit {
+			oldest = max(oldest, m.Number)
 		}
 	}
-	var dests []int
+	var destinations []int
 	for d := range steadyDestinations {
-		if listed(d) && !slices.ContainsFunc(s.published, func(e PublishedMap) bool {
-			return e.Number >= since && !e.Owned[n.number].Has(ownership.PartitionOf(d))
+		if isListed(d) && !slices.ContainsFunc(observed.published, func(m PublishedMap) bool {
+			return m.Number >= oldest && !m.Owned[node.number].Has(ownership.PartitionOf(d))
 		}) {
-			dests = append(dests, d)
+			destinations = append(destinations, d)
 		}
 	}
-	if len(dests) == 0 {
+	if len(destinations) == 0 {
 		return // it may be in none of them
 	}
-	i := 0
+	next := 0
 	accepts := func() bool {
-		i++
-		return t.submit(n, t.newMessageID(), classIdempotent, dests[i%len(dests)], t.elapsed()+messageLifetime, false).Answer == history.Taken
+		next++
+		return t.submit(node, t.newMessageID(), classIdempotent, destinations[next%len(destinations)], t.elapsed()+messageLifetime, false).Answer == history.Taken
 	}
-	if err := await(ctx, n.name+" accepting without a directory", accepts); err != nil && ctx.Err() == nil {
-		t.addViolation(RuleRecovery, "%v, of %d destinations that it owned all the time", err, len(dests))
+	if err := await(ctx, node.name+" accepting without a directory", accepts); err != nil && ctx.Err() == nil {
+		t.addViolation(RuleRecovery, "%v, of %d destinations that it owned all the time", err, len(destinations))
 		return
 	}
 	t.mu.Lock()
@@ -768,26 +768,26 @@
 }
 
 // cut sets the weather of the links to fronts. A path that is whole again comes back with its connections broken.
-func (t *ownershipTrial) setLinks(all []*front, w relay.Conditions) {
-	for _, f := range all {
-		f.link.SetConditions(w)
-		if w == calm {
+func (t *ownershipTrial) setLinks(fronts []*front, weather relay.Conditions) {
+	for _, f := range fronts {
+		f.link.SetConditions(weather)
+		if weather == calm {
 			f.link.ResetConnections()
 		}
 	}
 }
 
 // playOlder lets the fronts of some replicas answer as an older build would.
-func (t *ownershipTrial) playOlderBuild(ctx context.Context, d time.Duration, which ...int) {
-	for _, on := range []bool{true, false} {
-		for _, r := range which {
-			t.olderBuilds[r].Store(on)
-			for _, n := range t.nodes { // the replica was started anew
-				n.fronts[r].link.ResetConnections()
+func (t *ownershipTrial) playOlderBuild(ctx context.Context, duration time.Duration, replicas ...int) {
+	for _, older := range []bool{true, false} {
+		for _, replica := range replicas {
+			t.olderBuilds[replica].Store(older)
+			for _, node := range t.nodes { // the replica was started anew
+				node.fronts[replica].link.ResetConnections()
 			}
 		}
-		if on {
-			registry.Sleep(ctx, d)
+		if older {
+			registry.Sleep(ctx, duration)
 		}
 	}
 }
@@ -795,13 +795,13 @@
 // faults plays all kinds in an order of the seed, and again, with a moment between two of them.
 func (t *ownershipTrial) injectFaults(ctx context.Context) error {
 	kinds := slices.DeleteFunc(slices.Clone(ownershipFaults), func(f ownershipFault) bool {
-		return len(t.ownershipOptions.FaultKinds) > 0 && !slices.Contains(t.ownershipOptions.FaultKinds, f.name)
+		return len(t.ownershipOptions.FaultKinds) > 0 && !slices.Contains(t.ownershipOptions.FaultKinds, f.description)
 	})
 	if len(kinds) == 0 {
 		return fmt.Errorf("none of the faults is called %q", t.ownershipOptions.FaultKinds)
 	}
 	var deck []ownershipFault
-	for until := t.elapsed() + t.options.Duration; t.elapsed() < until; {
+	for end := t.elapsed() + t.options.Duration; t.elapsed() < end; {
 		if !registry.Sleep(ctx, time.Duration(100+t.random.IntN(400))*time.Millisecond) {
 			return ctx.Err()
 		}
@@ -809,17 +809,17 @@
 			deck = slices.Clone(kinds)
 			t.random.Shuffle(len(deck), func(i, j int) { deck[i], deck[j] = deck[j], deck[i] })
 		}
-		f, d := deck[0], time.Duration(200+t.random.IntN(1000))*time.Millisecond
+		f, duration := deck[0], time.Duration(200+t.random.IntN(1000))*time.Millisecond
 		deck = deck[1:]
-		at := t.elapsed()
-		who, err := f.inject(t, ctx, d)
-		name := fmt.Sprintf("%v %s: %s for %v", at.Round(time.Millisecond), f.name, who, d)
-		t.ownershipOptions.Log.Info("fault", "what", name)
-		t.result.Faults = append(t.result.Faults, name)
+		start := t.elapsed()
+		target, err := f.inject(t, ctx, duration)
+		description := fmt.Sprintf("%v %s: %s for %v", start.Round(time.Millisecond), f.description, target, duration)
+		t.ownershipOptions.Log.Info("fault", "what", description)
+		t.result.Faults = append(t.result.Faults, description)
 		if err != nil {
-			return fmt.Errorf("%s: %w", name, err)
+			return fmt.Errorf("%s: %w", description, err)
 		}
-		if err := await(ctx, "the service after "+f.name, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+		if err := await(ctx, "the service after "+f.description, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			return err
 		}
 	}
@@ -846,18 +846,18 @@
 }
 
 // lastMap makes the map that stays: one node is not in it.
-func (t *ownershipTrial) publishLastMap(ctx context.Context, c *controller, out int) (PublishedMap, error) {
-	m, err := c.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member {
-		return slices.DeleteFunc(t.members(), func(m ownership.Member) bool { return m.Name == nodeName(out) })
+func (t *ownershipTrial) publishLastMap(ctx context.Context, controller *controller, excluded int) (PublishedMap, error) {
+	m, err := controller.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member {
+		return slices.DeleteFunc(t.members(), func(m ownership.Member) bool { return m.Name == nodeName(excluded) })
 	})
 	if err != nil {
 		return PublishedMap{}, fmt.Errorf("the last map: %w", err)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range slices.Backward(t.maps) {
-		if e.Number == m.Number {
-			return *e, nil
+	for _, published := range slices.Backward(t.maps) {
+		if published.Number == m.Number {
+			return *published, nil
 		}
 	}
 	return PublishedMap{}, fmt.Errorf("the last map, %d, is not among those that were made", m.Number)
@@ -865,36 +865,36 @@
 
 // settle makes the last map, waits until all act by it, and checks all that was seen.
 func (t *ownershipTrial) converge(ctx context.Context) error {
-	out := t.random.IntN(nodeCount)
-	c := t.newController(controllerCount + 1)
-	c.admin.RetryFor = settleTimeout
+	excluded := t.random.IntN(nodeCount)
+	controller := t.newController(controllerCount + 1)
+	controller.admin.RetryFor = settleTimeout
 	if t.ownershipOptions.Inject == InjectLateAccept {
 		t.mu.Lock()
-		t.lateAcceptor = out
+		t.lateAcceptor = excluded
 		t.mu.Unlock()
 	}
-	var saved []byte
+	var backup []byte
 	var err error
 	if t.ownershipOptions.Inject == InjectDuplicateNumber {
-		if saved, _, err = c.admin.Backup(ctx, true); err != nil {
+		if backup, _, err = controller.admin.Backup(ctx, true); err != nil {
 			return err
 		}
 	}
-	last, err := t.publishLastMap(ctx, c, out)
+	lastMap, err := t.publishLastMap(ctx, controller, excluded)
 	if err != nil {
 		return err
 	}
 	if t.ownershipOptions.Inject == InjectDuplicateNumber {
-		if _, err := c.admin.Restore(ctx, saved); err != nil {
+		if _, err := controller.admin.Restore(ctx, backup); err != nil {
 			return err
 		}
-		if _, err := t.publishLastMap(ctx, c, (out+1)%nodeCount); err != nil {
+		if _, err := t.publishLastMap(ctx, controller, (excluded+1)%nodeCount); err != nil {
 			return err
 		}
 		return t.check(ctx)
 	}
-	t.ownershipOptions.Log.Info("the last map", "number", last.Number, "at", t.elapsed())
-	t.awaitConvergence(ctx, last, out)
+	t.ownershipOptions.Log.Info("the last map", "number", lastMap.Number, "at", t.elapsed())
+	t.awaitConvergence(ctx, lastMap, excluded)
 	t.ownershipOptions.Log.Info("judging", "at", t.elapsed())
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -910,66 +910,66 @@
 }
 
 // quiet waits until each node acts by the last map, and then looks once more that all do.
-func (t *ownershipTrial) awaitConvergence(ctx context.Context, last PublishedMap, out int) {
+func (t *ownershipTrial) awaitConvergence(ctx context.Context, lastMap PublishedMap, excluded int) {
 	ctx, cancel := context.WithTimeout(ctx, convergenceTimeout)
 	defer cancel()
-	now, _, _, err := t.newClient(99).List(ctx, true)
+	current, _, _, err := t.newClient(99).List(ctx, true)
 	if err != nil {
 		t.addViolation(RuleRecovery, "the list after the faults: %v", err)
 		return
 	}
 	serving := map[int]bool{}
-	for _, m := range now.Members {
-		serving[m.Cell] = serving[m.Cell] || m.Phase == catalog.Serving
+	for _, member := range current.Members {
+		serving[member.Cell] = serving[member.Cell] || member.Phase == catalog.Serving
 	}
-	dests := slices.DeleteFunc(slices.Sorted(maps.Keys(serving)), func(d int) bool { return !serving[d] })
+	destinations := slices.DeleteFunc(slices.Sorted(maps.Keys(serving)), func(d int) bool { return !serving[d] })
 	for i := range unlistedDestinations {
-		dests = append(dests, firstUnlisted+i)
+		destinations = append(destinations, firstUnlisted+i)
 	}
-	exists := func(d int) bool { return serving[d] }
+	isListed := func(d int) bool { return serving[d] }
 
-	var pass []Submission
-	for _, first := range []bool{true, false} {
+	var submissions []Submission
+	for _, firstPass := range []bool{true, false} {
 		answers := make([][]Submission, len(t.nodes))
-		var all sync.WaitGroup
-		for i, n := range t.nodes {
-			all.Go(func() { answers[i] = t.submitToAll(ctx, n, last, dests, exists, first) })
+		var submitters sync.WaitGroup
+		for i, node := range t.nodes {
+			submitters.Go(func() { answers[i] = t.submitToAll(ctx, node, lastMap, destinations, isListed, firstPass) })
 		}
-		all.Wait()
-		if first {
-			t.result.ConvergenceTime = t.elapsed() - last.CommittedBy
+		submitters.Wait()
+		if firstPass {
+			t.result.ConvergenceTime = t.elapsed() - lastMap.CommittedBy
 		}
-		pass = slices.Concat(answers...)
-		if bad := CheckConverged(last, len(t.nodes), dests, exists, pass); len(bad) > 0 {
+		submissions = slices.Concat(answers...)
+		if violations := CheckConverged(lastMap, len(t.nodes), destinations, isListed, submissions); len(violations) > 0 {
 			t.mu.Lock()
-			t.result.Violations = append(t.result.Violations, bad...)
+			t.result.Violations = append(t.result.Violations, violations...)
 			t.mu.Unlock()
 			return
 		}
 	}
 	t.ownershipOptions.Log.Info("all accept as they should", "at", t.elapsed())
-	t.awaitLists(ctx, last, out, now)
+	t.awaitLists(ctx, lastMap, excluded, current)
 }
 
 // askAll hands in a message for each destination at a node. With wait it asks again until the answer is as it should be; without, only
 // an owner that is busy is.
-func (t *ownershipTrial) submitToAll(ctx context.Context, n *deliveryNode, last PublishedMap, dests []int, exists func(int) bool, wait bool) []Submission {
-	var out []Submission
-	for _, d := range dests {
+func (t *ownershipTrial) submitToAll(ctx context.Context, node *deliveryNode, lastMap PublishedMap, destinations []int, isListed func(int) bool, untilCorrect bool) []Submission {
+	var submissions []Submission
+	for _, destination := range destinations {
 		for {
-			h := t.submit(n, t.newMessageID(), classIdempotent, d, t.elapsed()+messageLifetime, false)
-			right := h.isCorrect(last, exists(d))
-			busy := h.Answer == history.Refused && h.RetryAfter > 0
-			if !right {
-				t.ownershipOptions.Log.Debug("not yet", "node", n.name, "dest", d, "state", h.Answer, "wait", h.RetryAfter, "why", h.Reason, "took", h.Return-h.Call)
+			submission := t.submit(node, t.newMessageID(), classIdempotent, destination, t.elapsed()+messageLifetime, false)
+			correct := submission.isCorrect(lastMap, isListed(destination))
+			busy := submission.Answer == history.Refused && submission.RetryAfter > 0
+			if !correct {
+				t.ownershipOptions.Log.Debug("not yet", "node", node.name, "dest", destination, "state", submission.Answer, "wait", submission.RetryAfter, "why", submission.Reason, "took", submission.Return-submission.Call)
 			}
-			if right || !wait && !busy || t.hasFoundInjected() || !registry.Sleep(ctx, pollInterval) {
-				out = append(out, h)
+			if correct || !untilCorrect && !busy || t.hasFoundInjected() || !registry.Sleep(ctx, pollInterval) {
+				submissions = append(submissions, submission)
 				break
 			}
 		}
 	}
-	return out
+	return submissions
 }
 
 // found tells that a seeded breach has shown in what was accepted, so that nothing more needs to be waited for.
@@ -977,43 +977,43 @@
 	if t.ownershipOptions.Inject != InjectLateAccept {
 		return false
 	}
-	s := t.copyObservations()
-	bad, _ := CheckAccepts(s.published, s.submissions, s.disturbances, mapAdoptionLimit)
-	return slices.ContainsFunc(bad, func(b Violation) bool { return b.Rule == InjectedViolations[InjectLateAccept] })
+	observed := t.copyObservations()
+	violations, _ := CheckAccepts(observed.published, observed.submissions, observed.disturbances, mapAdoptionLimit)
+	return slices.ContainsFunc(violations, func(violation Violation) bool { return violation.Rule == InjectedViolations[InjectLateAccept] })
 }
 
 // quietLists waits until each node is told, and keeps, the list of its partitions alone, and until what it accepted has ended.
-func (t *ownershipTrial) awaitLists(ctx context.Context, last PublishedMap, out int, now catalog.List) {
-	for i, n := range t.nodes {
-		want := map[string]catalog.Endpoint{}
-		for id, e := range endpointsByID(now) {
-			if last.Owned[i].Has(ownership.PartitionOf(e.Cell)) {
-				want[id] = e
+func (t *ownershipTrial) awaitLists(ctx context.Context, lastMap PublishedMap, excluded int, current catalog.List) {
+	for i, node := range t.nodes {
+		expected := map[string]catalog.Endpoint{}
+		for id, e := range endpointsByID(current) {
+			if lastMap.Owned[i].Has(ownership.PartitionOf(e.Cell)) {
+				expected[id] = e
 			}
 		}
-		why := ""
-		is := func() bool {
-			ready, says := n.ready(ctx)
-			if ready != (i != out) || i == out && !strings.Contains(says, "map") {
-				why = fmt.Sprintf("ready: %v, %s", ready, says)
+		problem := ""
+		isDone := func() bool {
+			ready, body := node.ready(ctx)
+			if ready != (i != excluded) || i == excluded && !strings.Contains(body, "map") {
+				problem = fmt.Sprintf("ready: %v, %s", ready, body)
 				return false
 			}
-			has, err := n.savedList()
-			if err != nil || !maps.Equal(has, want) {
-				why = fmt.Sprintf("it keeps %s, %v", describeDifference(has, want), err)
+			actual, err := node.savedList()
+			if err != nil || !maps.Equal(actual, expected) {
+				problem = fmt.Sprintf("it keeps %s, %v", describeDifference(actual, expected), err)
 				return false
 			}
-			s := t.copyObservations()
-			for _, a := range slices.Backward(s.watchRequests) {
-				if a.Node == i {
-					why = "it asks for " + summarize(a.Partitions)
-					return a.Partitions == last.Owned[i] || i == out && a.Partitions.Len() == 1
+			observed := t.copyObservations()
+			for _, request := range slices.Backward(observed.watchRequests) {
+				if request.Node == i {
+					problem = "it asks for " + summarize(request.Partitions)
+					return request.Partitions == lastMap.Owned[i] || i == excluded && request.Partitions.Len() == 1
 				}
 			}
 			return false
 		}
-		if await(ctx, n.name, is) != nil {
-			t.addViolation(RuleFilteredLists, "node %d, %d of whose partitions have endpoints, is not as map %d has it: %s", i, len(want), last.Number, why)
+		if await(ctx, node.name, isDone) != nil {
+			t.addViolation(RuleFilteredLists, "node %d, %d of whose partitions have endpoints, is not as map %d has it: %s", i, len(expected), lastMap.Number, problem)
 		}
 	}
 	await(ctx, "the ends of all messages", func() bool { // what has none is told by judge
@@ -1036,47 +1036,47 @@
 func (t *ownershipTrial) copyObservations() observations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := observations{maps: slices.Clone(t.observations), writes: slices.Clone(t.mapWrites), submissions: slices.Clone(t.submissions), messageEnds: slices.Clone(t.messageEnds)}
-	for _, e := range t.maps {
-		s.published = append(s.published, *e)
+	observed := observations{maps: slices.Clone(t.observations), writes: slices.Clone(t.mapWrites), submissions: slices.Clone(t.submissions), messageEnds: slices.Clone(t.messageEnds)}
+	for _, m := range t.maps {
+		observed.published = append(observed.published, *m)
 	}
-	for _, a := range t.watchRequests {
-		s.watchRequests = append(s.watchRequests, *a)
+	for _, request := range t.watchRequests {
+		observed.watchRequests = append(observed.watchRequests, *request)
 	}
-	for _, d := range t.disturbances {
-		s.disturbances = append(s.disturbances, *d)
+	for _, disturbance := range t.disturbances {
+		observed.disturbances = append(observed.disturbances, *disturbance)
 	}
-	return s
+	return observed
 }
 
 // judge checks all that was seen.
 func (t *ownershipTrial) check(ctx context.Context) error {
-	s := t.copyObservations()
-	at := t.elapsed()
-	var bad []Violation
-	accepts, over := CheckAccepts(s.published, s.submissions, s.disturbances, mapAdoptionLimit)
-	bad = slices.Concat(bad, CheckMapNumbers(s.maps, s.writes), accepts, CheckWatchRequests(s.published, s.watchRequests, watchCrossingSlack), CheckEnds(s.submissions, s.messageEnds, s.disturbances, messageEndSlack, at),
-		CheckAnswers(s.submissions, s.messageEnds, func(d int) bool { return d < steadyDestinations }))
+	observed := t.copyObservations()
+	checkedAt := t.elapsed()
+	var violations []Violation
+	acceptViolations, longestLateAccept := CheckAccepts(observed.published, observed.submissions, observed.disturbances, mapAdoptionLimit)
+	violations = slices.Concat(violations, CheckMapNumbers(observed.maps, observed.writes), acceptViolations, CheckWatchRequests(observed.published, observed.watchRequests, watchCrossingSlack), CheckEnds(observed.submissions, observed.messageEnds, observed.disturbances, messageEndSlack, checkedAt),
+		CheckAnswers(observed.submissions, observed.messageEnds, func(destination int) bool { return destination < steadyDestinations }))
 	if t.ownershipOptions.Inject != InjectDuplicateNumber { // which makes another history
-		op := t.newClient(99)
-		op.RetryFor = settleTimeout
-		truth, err := t.readHistory(ctx, op)
+		admin := t.newClient(99)
+		admin.RetryFor = settleTimeout
+		committed, err := t.readHistory(ctx, admin)
 		if err != nil {
 			return err
 		}
-		bad = append(bad, CheckFilteredWatches(map[int64]CommittedHistory{truth.number: truth.CommittedHistory}, s.watchRequests)...)
+		violations = append(violations, CheckFilteredWatches(map[int64]CommittedHistory{committed.number: committed.CommittedHistory}, observed.watchRequests)...)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.result.Violations = append(t.result.Violations, bad...)
-	t.result.LongestLateAccept, t.result.WatchRequests, t.result.EndedAfterLoss = over, len(s.watchRequests), CountEndedAfterLoss(s.published, s.submissions, s.messageEnds)
-	for _, h := range s.submissions {
-		if h.Repeat && h.Answer == history.Taken {
+	t.result.Violations = append(t.result.Violations, violations...)
+	t.result.LongestLateAccept, t.result.WatchRequests, t.result.EndedAfterLoss = longestLateAccept, len(observed.watchRequests), CountEndedAfterLoss(observed.published, observed.submissions, observed.messageEnds)
+	for _, submission := range observed.submissions {
+		if submission.Repeat && submission.Answer == history.Taken {
 			t.result.AcceptedRepeats++
 		}
 	}
-	for _, a := range s.watchRequests {
-		t.result.WatchLines += len(a.Lines)
+	for _, request := range observed.watchRequests {
+		t.result.WatchLines += len(request.Lines)
 	}
 	return nil
 }
--- a/internal/lab/trial/ownership_check.go
+++ b/internal/lab/trial/ownership_check.go
@@ -56,35 +56,35 @@
 }
 
 // Numbers tells which number was given to two maps, and which was given after a number that is not smaller.
-func CheckMapNumbers(sights []MapObservation, writes []MapWrite) []Violation {
-	var bad []Violation
+func CheckMapNumbers(observations []MapObservation, writes []MapWrite) []Violation {
+	var violations []Violation
 	first := map[int64]MapObservation{}
-	all := slices.Clone(sights)
-	for _, w := range writes {
-		if w.Outcome == Done {
-			all = append(all, MapObservation{At: w.Return, Observer: w.Writer, Number: w.Number, Checksum: w.Checksum})
+	ordered := slices.Clone(observations)
+	for _, write := range writes {
+		if write.Outcome == Done {
+			ordered = append(ordered, MapObservation{At: write.Return, Observer: write.Writer, Number: write.Number, Checksum: write.Checksum})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b MapObservation) int { return cmp.Compare(a.At, b.At) })
-	told := map[int64]bool{}
-	for _, s := range all {
-		f, ok := first[s.Number]
+	slices.SortStableFunc(ordered, func(a, b MapObservation) int { return cmp.Compare(a.At, b.At) })
+	reported := map[int64]bool{}
+	for _, observation := range ordered {
+		firstSeen, ok := first[observation.Number]
 		switch {
 		case !ok:
-			first[s.Number] = s
-		case f.Checksum != s.Checksum && !told[s.Number]:
-			told[s.Number] = true
-			bad = append(bad, Violation{RuleUniqueMaps, fmt.Sprintf("number %d is map %x at %v by %s, and map %x at %v by %s", s.Number, f.Checksum, f.At, f.Observer, s.Checksum, s.At, s.Observer)})
+			first[observation.Number] = observation
+		case firstSeen.Checksum != observation.Checksum && !reported[observation.Number]:
+			reported[observation.Number] = true
+			violations = append(violations, Violation{RuleUniqueMaps, fmt.Sprintf("number %d is map %x at %v by %s, and map %x at %v by %s", observation.Number, firstSeen.Checksum, firstSeen.At, firstSeen.Observer, observation.Checksum, observation.At, observation.Observer)})
 		}
 	}
-	for _, a := range writes {
-		for _, b := range writes {
-			if a.Outcome == Done && b.Outcome == Done && a.Return < b.Call && b.Number <= a.Number {
-				bad = append(bad, Violation{RuleUniqueMaps, fmt.Sprintf("%s was given number %d at %v, after %s was given %d at %v", b.Writer, b.Number, b.Return, a.Writer, a.Number, a.Return)})
+	for _, earlier := range writes {
+		for _, later := range writes {
+			if earlier.Outcome == Done && later.Outcome == Done && earlier.Return < later.Call && later.Number <= earlier.Number {
+				violations = append(violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s was given number %d at %v, after %s was given %d at %v", later.Writer, later.Number, later.Return, earlier.Writer, earlier.Number, earlier.Return)})
 			}
 		}
 	}
-	return bad
+	return violations
 }
 
 // Era is a map that was agreed on, or may have been.
@@ -107,18 +107,18 @@
 func (d Disturbance) affects(node int) bool { return d.Node == node || d.Node < 0 }
 
 // calmSince is when the last disturbance of a node before a time had ended; false in the midst of one.
-func undisturbedSince(all []Disturbance, node int, at time.Duration) (time.Duration, bool) {
-	last := time.Duration(0)
-	for _, d := range all {
-		if !d.affects(node) || d.From > at {
+func undisturbedSince(disturbances []Disturbance, node int, at time.Duration) (time.Duration, bool) {
+	lastEnd := time.Duration(0)
+	for _, disturbance := range disturbances {
+		if !disturbance.affects(node) || disturbance.From > at {
 			continue
 		}
-		if d.Until >= at {
+		if disturbance.Until >= at {
 			return 0, false
 		}
-		last = max(last, d.Until)
+		lastEnd = max(lastEnd, disturbance.Until)
 	}
-	return last, true
+	return lastEnd, true
 }
 
 // Handed is a message that was handed in, and its answer.
@@ -137,60 +137,60 @@
 }
 
 // accepts tells that a node has accepted something new.
-func (h Submission) acceptsNew() bool { return h.Answer == history.Taken && !h.Repeat }
+func (s Submission) acceptsNew() bool { return s.Answer == history.Taken && !s.Repeat }
 
-func (h Submission) String() string {
-	return fmt.Sprintf("node %d accepted %s for destination %d (partition %d) at %v", h.Node, h.ID, h.Destination, ownership.PartitionOf(h.Destination), h.Return)
+func (s Submission) String() string {
+	return fmt.Sprintf("node %d accepted %s for destination %d (partition %d) at %v", s.Node, s.ID, s.Destination, ownership.PartitionOf(s.Destination), s.Return)
 }
 
 // Accepts tells where a node accepted what no map explains that it could have: going by the numbers one after the other, none of
 // those from the last one it must have had owns the destination (Forward), or the bound for hearing of that one has passed (InTime).
 // slowest is the longest time after a map in which a node that lost a destination by it still accepted for that.
-func CheckAccepts(eras []PublishedMap, handed []Submission, disturbed []Disturbance, bound time.Duration) (bad []Violation, slowest time.Duration) {
-	eras = slices.SortedStableFunc(slices.Values(eras), func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
-	handed = slices.SortedStableFunc(slices.Values(handed), func(a, b Submission) int { return cmp.Compare(a.Return, b.Return) })
-	reached := map[int]int64{} // the least number that explains what a node has accepted so far
-	for _, h := range handed {
-		if !h.acceptsNew() {
+func CheckAccepts(published []PublishedMap, submissions []Submission, disturbances []Disturbance, limit time.Duration) (violations []Violation, longest time.Duration) {
+	published = slices.SortedStableFunc(slices.Values(published), func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
+	submissions = slices.SortedStableFunc(slices.Values(submissions), func(a, b Submission) int { return cmp.Compare(a.Return, b.Return) })
+	lowest := map[int]int64{} // the least number that explains what a node has accepted so far
+	for _, submission := range submissions {
+		if !submission.acceptsNew() {
 			continue
 		}
-		p := ownership.PartitionOf(h.Destination)
-		heard := int64(0) // it must have this one
-		since, calm := undisturbedSince(disturbed, h.Node, h.Call)
+		partition := ownership.PartitionOf(submission.Destination)
+		required := int64(0) // it must have this one
+		since, undisturbed := undisturbedSince(disturbances, submission.Node, submission.Call)
 		newest := int64(0) // that gives it the destination
-		for _, e := range eras {
-			if calm && e.CommittedBy != never && max(e.CommittedBy, since)+bound < h.Call {
-				heard = max(heard, e.Number)
+		for _, e := range published {
+			if undisturbed && e.CommittedBy != never && max(e.CommittedBy, since)+limit < submission.Call {
+				required = max(required, e.Number)
 			}
-			if e.WrittenAfter <= h.Return && e.Owned[h.Node].Has(p) {
+			if e.WrittenAfter <= submission.Return && e.Owned[submission.Node].Has(partition) {
 				newest = e.Number
 			}
 		}
-		explains := int64(0)
-		for _, e := range eras {
-			if e.Number >= reached[h.Node] && e.WrittenAfter <= h.Return && e.Owned[h.Node].Has(p) {
-				explains = e.Number
+		explaining := int64(0)
+		for _, e := range published {
+			if e.Number >= lowest[submission.Node] && e.WrittenAfter <= submission.Return && e.Owned[submission.Node].Has(partition) {
+				explaining = e.Number
 				break
 			}
 		}
 		switch {
-		case newest < heard:
-			bad = append(bad, Violation{RuleTimelyRelease, fmt.Sprintf("%v, %v after it must have had map %d, by which it does not own it", h, bound, heard)})
-		case explains == 0:
-			bad = append(bad, Violation{RuleForwardOnly, fmt.Sprintf("%v; none of the maps from number %d on, which it had before, gives it to it", h, reached[h.Node])})
+		case newest < required:
+			violations = append(violations, Violation{RuleTimelyRelease, fmt.Sprintf("%v, %v after it must have had map %d, by which it does not own it", submission, limit, required)})
+		case explaining == 0:
+			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("%v; none of the maps from number %d on, which it had before, gives it to it", submission, lowest[submission.Node])})
 		default:
-			reached[h.Node] = explains
+			lowest[submission.Node] = explaining
 		}
-		for _, e := range eras { // by the first map after the last one that gives it to the node
+		for _, e := range published { // by the first map after the last one that gives it to the node
 			if e.Number > newest && e.CommittedBy != never {
-				if calm {
-					slowest = max(slowest, h.Return-max(e.CommittedBy, since))
+				if undisturbed {
+					longest = max(longest, submission.Return-max(e.CommittedBy, since))
 				}
 				break
 			}
 		}
 	}
-	return bad, slowest
+	return violations, longest
 }
 
 // Ask is a watch of the list that a node has asked for, as the front between it and a replica saw it.
@@ -216,53 +216,53 @@
 // Follows tells where a node's asks do not fit the maps in the order of their numbers. The set that a node asks for has all it owns by its
 // map, and nothing that it never owned; who owns nothing, or has no map yet, may ask for any one, to hear of maps. An ask that crossed a newer one
 // within the slack is no way back.
-func CheckWatchRequests(eras []PublishedMap, asks []WatchRequest, slack time.Duration) []Violation {
-	eras = slices.SortedStableFunc(slices.Values(eras), func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
-	asks = slices.SortedStableFunc(slices.Values(asks), func(a, b WatchRequest) int { return cmp.Compare(a.At, b.At) })
-	type reach struct {
+func CheckWatchRequests(published []PublishedMap, requests []WatchRequest, slack time.Duration) []Violation {
+	published = slices.SortedStableFunc(slices.Values(published), func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
+	requests = slices.SortedStableFunc(slices.Values(requests), func(a, b WatchRequest) int { return cmp.Compare(a.At, b.At) })
+	type position struct {
 		number int64
 		at     time.Duration
 	}
-	var bad []Violation
-	reached := map[int]reach{}
-	for _, a := range asks {
-		if a.AllPartitions {
-			bad = append(bad, Violation{RuleFilteredLists, fmt.Sprintf("node %d asked for the list of all partitions at %v", a.Node, a.At)})
+	var violations []Violation
+	reached := map[int]position{}
+	for _, request := range requests {
+		if request.AllPartitions {
+			violations = append(violations, Violation{RuleFilteredLists, fmt.Sprintf("node %d asked for the list of all partitions at %v", request.Node, request.At)})
 			continue
 		}
-		from := reached[a.Node]
-		fits := func(least int64) (int64, bool) {
-			if least == 0 && a.Partitions.Len() == 1 { // it has no map yet
+		previous := reached[request.Node]
+		findMap := func(minNumber int64) (int64, bool) {
+			if minNumber == 0 && request.Partitions.Len() == 1 { // it has no map yet
 				return 0, true
 			}
-			var ever ownership.Set
-			for _, e := range eras {
-				if e.WrittenAfter > a.At {
+			var everOwned ownership.Set
+			for _, e := range published {
+				if e.WrittenAfter > request.At {
 					continue
 				}
-				ever = ever.Union(e.Owned[a.Node])
-				own := e.Owned[a.Node]
-				idle := own.Len() == 0 && a.Partitions.Len() == 1
-				if e.Number >= least && own.Without(a.Partitions).Len() == 0 && (idle || a.Partitions.Without(ever).Len() == 0) {
+				everOwned = everOwned.Union(e.Owned[request.Node])
+				owned := e.Owned[request.Node]
+				ownsNothing := owned.Len() == 0 && request.Partitions.Len() == 1
+				if e.Number >= minNumber && owned.Without(request.Partitions).Len() == 0 && (ownsNothing || request.Partitions.Without(everOwned).Len() == 0) {
 					return e.Number, true
 				}
 			}
 			return 0, false
 		}
-		n, ok := fits(from.number)
-		was, ever := fits(0)
+		number, ok := findMap(previous.number)
+		olderNumber, fitsAny := findMap(0)
 		switch {
-		case ok && n > from.number:
-			reached[a.Node] = reach{n, a.At}
+		case ok && number > previous.number:
+			reached[request.Node] = position{number, request.At}
 		case ok:
-		case !ever:
-			bad = append(bad, Violation{RuleForwardOnly, fmt.Sprintf("node %d asked for %s at %v, which fit none of the maps", a.Node, summarize(a.Partitions), a.At)})
-		case a.At > from.at+slack:
-			bad = append(bad, Violation{RuleForwardOnly, fmt.Sprintf("node %d asked for %s at %v, which are those of map %d, after it had map %d at %v",
-				a.Node, summarize(a.Partitions), a.At, was, from.number, from.at)})
+		case !fitsAny:
+			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("node %d asked for %s at %v, which fit none of the maps", request.Node, summarize(request.Partitions), request.At)})
+		case request.At > previous.at+slack:
+			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("node %d asked for %s at %v, which are those of map %d, after it had map %d at %v",
+				request.Node, summarize(request.Partitions), request.At, olderNumber, previous.number, previous.at)})
 		}
 	}
-	return bad
+	return violations
 }
 
 // brief names a set of partitions in a few words.
@@ -280,148 +280,148 @@
 	lists         []map[string]catalog.Endpoint
 }
 
-func (t CommittedHistory) snapshots() historySnapshots {
-	now := endpointsByID(t.Initial)
-	s := historySnapshots{t.Initial.Revision, []map[string]catalog.Endpoint{maps.Clone(now)}}
-	for _, c := range t.Changes {
-		applyChanges(now, c.Members)
-		s.lists = append(s.lists, maps.Clone(now))
+func (h CommittedHistory) snapshots() historySnapshots {
+	current := endpointsByID(h.Initial)
+	s := historySnapshots{h.Initial.Revision, []map[string]catalog.Endpoint{maps.Clone(current)}}
+	for _, change := range h.Changes {
+		applyChanges(current, change.Members)
+		s.lists = append(s.lists, maps.Clone(current))
 	}
 	return s
 }
 
 // list is what of a revision's list is in a set of partitions.
-func (s historySnapshots) filtered(revision int64, in ownership.Set) (map[string]catalog.Endpoint, bool) {
+func (s historySnapshots) filtered(revision int64, partitions ownership.Set) (map[string]catalog.Endpoint, bool) {
 	if n := revision - s.firstRevision; n < 0 || n >= int64(len(s.lists)) {
 		return nil, false
 	}
-	out := map[string]catalog.Endpoint{}
-	for id, e := range s.lists[revision-s.firstRevision] {
-		if in.Has(ownership.PartitionOf(e.Cell)) {
-			out[id] = e
+	endpoints := map[string]catalog.Endpoint{}
+	for id, endpoint := range s.lists[revision-s.firstRevision] {
+		if partitions.Has(ownership.PartitionOf(endpoint.Cell)) {
+			endpoints[id] = endpoint
 		}
 	}
-	return out, true
+	return endpoints, true
 }
 
 // FilteredWatches tells where what a node was told is not the list of the partitions it asked for. truth has the histories by their number.
-func CheckFilteredWatches(truth map[int64]CommittedHistory, asks []WatchRequest) []Violation {
-	lists := map[int64]historySnapshots{}
-	for h, t := range truth {
-		lists[h] = t.snapshots()
+func CheckFilteredWatches(histories map[int64]CommittedHistory, requests []WatchRequest) []Violation {
+	snapshotsOf := map[int64]historySnapshots{}
+	for number, history := range histories {
+		snapshotsOf[number] = history.snapshots()
 	}
 	type position struct{ history, revision int64 }
-	told := map[int]position{} // by node, at most
-	var bad []Violation
-	for _, a := range slices.SortedStableFunc(slices.Values(asks), func(a, b WatchRequest) int { return cmp.Compare(a.At, b.At) }) {
-		if a.AllPartitions || a.OlderBuild || len(a.Lines) == 0 {
+	delivered := map[int]position{} // by node, at most
+	var violations []Violation
+	for _, request := range slices.SortedStableFunc(slices.Values(requests), func(request, b WatchRequest) int { return cmp.Compare(request.At, b.At) }) {
+		if request.AllPartitions || request.OlderBuild || len(request.Lines) == 0 {
 			continue
 		}
-		wrong := func(format string, args ...any) {
-			bad = append(bad, Violation{RuleFilteredLists, fmt.Sprintf("node %d, watch of %v at replica %d for %s: ", a.Node, a.At, a.Replica, summarize(a.Partitions)) + fmt.Sprintf(format, args...)})
+		report := func(format string, args ...any) {
+			violations = append(violations, Violation{RuleFilteredLists, fmt.Sprintf("node %d, watch of %v at replica %d for %s: ", request.Node, request.At, request.Replica, summarize(request.Partitions)) + fmt.Sprintf(format, args...)})
 		}
-		s, ok := lists[a.History]
+		snapshots, ok := snapshotsOf[request.History]
 		if !ok {
-			wrong("history %d, which never was", a.History)
+			report("history %d, which never was", request.History)
 			continue
 		}
-		has := map[string]catalog.Endpoint{}
-		whole := false
-		revision, number := int64(-1), int64(0)
-		if at := told[a.Node]; a.After > 0 {
+		actual := map[string]catalog.Endpoint{}
+		complete := false
+		revision, mapNumber := int64(-1), int64(0)
+		if at := delivered[request.Node]; request.After > 0 {
 			// In the node's name: it has what it was told before.
-			if a.AskedHistory > at.history || a.AskedHistory == at.history && a.After > at.revision {
-				wrong("it goes on from revision %d of history %d, and was told no more than %d of %d", a.After, a.AskedHistory, at.revision, at.history)
+			if request.AskedHistory > at.history || request.AskedHistory == at.history && request.After > at.revision {
+				report("it goes on from revision %d of history %d, and was told no more than %d of %d", request.After, request.AskedHistory, at.revision, at.history)
 				continue
 			}
-			if a.AskedHistory == a.History {
-				has, whole = s.filtered(a.After, a.Partitions)
-				revision = a.After
+			if request.AskedHistory == request.History {
+				actual, complete = snapshots.filtered(request.After, request.Partitions)
+				revision = request.After
 			}
 		}
-		for n, l := range a.Lines {
-			if l.Revision < revision || l.Map < number {
-				wrong("line %d has revision %d and map %d, after %d and %d", n, l.Revision, l.Map, revision, number)
+		for i, line := range request.Lines {
+			if line.Revision < revision || line.Map < mapNumber {
+				report("line %d has revision %d and map %d, after %d and %d", i, line.Revision, line.Map, revision, mapNumber)
 				break
 			}
-			revision, number = l.Revision, l.Map
-			if l.Complete {
-				has, whole = map[string]catalog.Endpoint{}, true
+			revision, mapNumber = line.Revision, line.Map
+			if line.Complete {
+				actual, complete = map[string]catalog.Endpoint{}, true
 			}
-			if !whole {
-				wrong("line %d has changes of a list that it was not told", n)
+			if !complete {
+				report("line %d has changes of a list that it was not told", i)
 				break
 			}
-			applyChanges(has, l.Members)
-			want, ok := s.filtered(revision, a.Partitions)
+			applyChanges(actual, line.Members)
+			expected, ok := snapshots.filtered(revision, request.Partitions)
 			if !ok {
-				wrong("line %d is of revision %d, which the service does not have", n, revision)
+				report("line %d is of revision %d, which the service does not have", i, revision)
 				break
 			}
-			if !maps.Equal(has, want) {
-				wrong("line %d, revision %d: it has been told %s", n, revision, describeDifference(has, want))
+			if !maps.Equal(actual, expected) {
+				report("line %d, revision %d: it has been told %s", i, revision, describeDifference(actual, expected))
 				break
 			}
-			if at := told[a.Node]; a.History > at.history || a.History == at.history && revision > at.revision {
-				told[a.Node] = position{a.History, revision}
+			if at := delivered[request.Node]; request.History > at.history || request.History == at.history && revision > at.revision {
+				delivered[request.Node] = position{request.History, revision}
 			}
 		}
 	}
-	return bad
+	return violations
 }
 
 // difference says in what one list is not the other.
-func describeDifference(has, want map[string]catalog.Endpoint) string {
-	var less, more, other []string
-	for id, e := range want {
-		if h, ok := has[id]; !ok {
-			less = append(less, id)
-		} else if h != e {
-			other = append(other, id)
+func describeDifference(actual, expected map[string]catalog.Endpoint) string {
+	var missing, extra, different []string
+	for id, endpoint := range expected {
+		if got, ok := actual[id]; !ok {
+			missing = append(missing, id)
+		} else if got != endpoint {
+			different = append(different, id)
 		}
 	}
-	for id := range has {
-		if _, ok := want[id]; !ok {
-			more = append(more, id)
+	for id := range actual {
+		if _, ok := expected[id]; !ok {
+			extra = append(extra, id)
 		}
 	}
-	slices.Sort(less)
-	slices.Sort(more)
-	slices.Sort(other)
-	return fmt.Sprintf("%d of %d endpoints: without %v, with %v that are not there, with %v as they are not", len(has), len(want), less, more, other)
+	slices.Sort(missing)
+	slices.Sort(extra)
+	slices.Sort(different)
+	return fmt.Sprintf("%d of %d endpoints: without %v, with %v that are not there, with %v as they are not", len(actual), len(expected), missing, extra, different)
 }
 
 // AfterQuiet tells where a pass over all nodes and destinations, after the faults and with all nodes told, did not find that owners
 // accept and all others refuse with a time. exists tells the destinations that were ever on the list.
-func CheckConverged(last PublishedMap, nodes int, dests []int, exists func(int) bool, pass []Submission) []Violation {
+func CheckConverged(lastMap PublishedMap, nodes int, destinations []int, isListed func(int) bool, submissions []Submission) []Violation {
 	type place struct{ node, dest int }
 	answers := map[place]Submission{}
-	for _, h := range pass {
-		answers[place{h.Node, h.Destination}] = h
+	for _, submission := range submissions {
+		answers[place{submission.Node, submission.Destination}] = submission
 	}
-	var bad []Violation
-	for n := range nodes {
-		for _, d := range dests {
-			h, ok := answers[place{n, d}]
-			h.Node, h.Destination = n, d
-			if !ok || !h.isCorrect(last, exists(d)) {
-				bad = append(bad, Violation{RuleOwnersOnly, fmt.Sprintf("node %d, destination %d (owner by map %d: %v, listed: %v): %s %v %s",
-					n, d, last.Number, last.Owned[n].Has(ownership.PartitionOf(d)), exists(d), cmp.Or(h.Answer, "not heard"), h.RetryAfter, h.Reason)})
+	var violations []Violation
+	for node := range nodes {
+		for _, destination := range destinations {
+			submission, ok := answers[place{node, destination}]
+			submission.Node, submission.Destination = node, destination
+			if !ok || !submission.isCorrect(lastMap, isListed(destination)) {
+				violations = append(violations, Violation{RuleOwnersOnly, fmt.Sprintf("node %d, destination %d (owner by map %d: %v, listed: %v): %s %v %s",
+					node, destination, lastMap.Number, lastMap.Owned[node].Has(ownership.PartitionOf(destination)), isListed(destination), cmp.Or(submission.Answer, "not heard"), submission.RetryAfter, submission.Reason)})
 			}
 		}
 	}
-	return bad
+	return violations
 }
 
 // right tells that an answer is as a map and the list have it.
-func (h Submission) isCorrect(by PublishedMap, listed bool) bool {
-	switch owns := by.Owned[h.Node].Has(ownership.PartitionOf(h.Destination)); {
+func (s Submission) isCorrect(m PublishedMap, listed bool) bool {
+	switch owns := m.Owned[s.Node].Has(ownership.PartitionOf(s.Destination)); {
 	case owns && listed:
-		return h.Answer == history.Taken
+		return s.Answer == history.Taken
 	case owns:
-		return h.Answer == history.Failed && h.Reason == unknownDestination
+		return s.Answer == history.Failed && s.Reason == unknownDestination
 	}
-	return h.Answer == history.Refused && h.RetryAfter > 0
+	return s.Answer == history.Refused && s.RetryAfter > 0
 }
 
 const unknownDestination = "unknown destination"
@@ -442,102 +442,102 @@
 )
 
 // Open counts the messages that were accepted and have not ended.
-func CountPending(handed []Submission, ends []MessageEnd) int {
-	over := map[string]bool{}
-	for _, e := range ends {
-		over[e.ID] = over[e.ID] || e.Kind != RanAtPartner
+func CountPending(submissions []Submission, ends []MessageEnd) int {
+	ended := map[string]bool{}
+	for _, end := range ends {
+		ended[end.ID] = ended[end.ID] || end.Kind != RanAtPartner
 	}
-	n := 0
-	for _, h := range handed {
-		if h.acceptsNew() && !over[h.ID] {
-			n++
+	count := 0
+	for _, submission := range submissions {
+		if submission.acceptsNew() && !ended[submission.ID] {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Outlived counts the messages that ended after a map was known by which their node had lost them.
-func CountEndedAfterLoss(eras []PublishedMap, handed []Submission, ends []MessageEnd) int {
-	over := map[string]time.Duration{}
-	for _, e := range ends {
-		if e.Kind != RanAtPartner {
-			over[e.ID] = max(over[e.ID], e.At)
+func CountEndedAfterLoss(published []PublishedMap, submissions []Submission, ends []MessageEnd) int {
+	endedAt := map[string]time.Duration{}
+	for _, end := range ends {
+		if end.Kind != RanAtPartner {
+			endedAt[end.ID] = max(endedAt[end.ID], end.At)
 		}
 	}
-	n := 0
-	for _, h := range handed {
-		lost := func(e PublishedMap) bool {
-			return e.CommittedBy > h.Return && e.CommittedBy < over[h.ID] && !e.Owned[h.Node].Has(ownership.PartitionOf(h.Destination))
+	count := 0
+	for _, submission := range submissions {
+		lost := func(m PublishedMap) bool {
+			return m.CommittedBy > submission.Return && m.CommittedBy < endedAt[submission.ID] && !m.Owned[submission.Node].Has(ownership.PartitionOf(submission.Destination))
 		}
-		if h.acceptsNew() && slices.ContainsFunc(eras, lost) {
-			n++
+		if submission.acceptsNew() && slices.ContainsFunc(published, lost) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Ends tells which messages that were accepted have no end in time, and which ended against their effect's rules. A node that was
 // disturbed meanwhile has its time after that. at is when the looking ended: what is due later is not judged.
-func CheckEnds(handed []Submission, ends []MessageEnd, disturbed []Disturbance, slack, at time.Duration) []Violation {
-	of := map[string][]MessageEnd{}
-	for _, e := range ends {
-		of[e.ID] = append(of[e.ID], e)
+func CheckEnds(submissions []Submission, ends []MessageEnd, disturbances []Disturbance, slack, checkedAt time.Duration) []Violation {
+	endsByID := map[string][]MessageEnd{}
+	for _, end := range ends {
+		endsByID[end.ID] = append(endsByID[end.ID], end)
 	}
-	disturbed = slices.SortedFunc(slices.Values(disturbed), func(a, b Disturbance) int { return cmp.Compare(a.From, b.From) })
-	var bad []Violation
-	for _, h := range handed {
-		runs, back, over := 0, false, never
-		for _, e := range of[h.ID] {
-			switch e.Kind {
+	disturbances = slices.SortedFunc(slices.Values(disturbances), func(a, b Disturbance) int { return cmp.Compare(a.From, b.From) })
+	var violations []Violation
+	for _, submission := range submissions {
+		runs, returned, endedAt := 0, false, never
+		for _, end := range endsByID[submission.ID] {
+			switch end.Kind {
 			case RanAtPartner:
 				runs++
 				continue
 			case NoticeReturned:
-				back = true
+				returned = true
 			}
-			over = min(over, e.At)
+			endedAt = min(endedAt, end.At)
 		}
-		if h.AtMostOnce && (runs > 1 || runs > 0 && back) {
-			bad = append(bad, Violation{RuleMessagesEnd, fmt.Sprintf("%s at node %d must not run twice; it ran %d times, handed back: %v", h.ID, h.Node, runs, back)})
+		if submission.AtMostOnce && (runs > 1 || runs > 0 && returned) {
+			violations = append(violations, Violation{RuleMessagesEnd, fmt.Sprintf("%s at node %d must not run twice; it ran %d times, handed back: %v", submission.ID, submission.Node, runs, returned)})
 		}
-		if !h.acceptsNew() {
+		if !submission.acceptsNew() {
 			continue
 		}
-		due := h.Deadline + slack
-		for _, d := range disturbed {
-			if d.affects(h.Node) && d.From <= due && d.Until > h.Call {
-				due = max(due, d.Until+slack)
+		due := submission.Deadline + slack
+		for _, disturbance := range disturbances {
+			if disturbance.affects(submission.Node) && disturbance.From <= due && disturbance.Until > submission.Call {
+				due = max(due, disturbance.Until+slack)
 			}
 		}
 		switch {
-		case over <= due:
-		case over != never:
-			bad = append(bad, Violation{RuleMessagesEnd, fmt.Sprintf("%s, accepted by node %d at %v, ended at %v and was due by %v", h.ID, h.Node, h.Return, over, due)})
-		case due < at:
-			bad = append(bad, Violation{RuleMessagesEnd, fmt.Sprintf("%s, accepted by node %d at %v, has no end; it was due by %v", h.ID, h.Node, h.Return, due)})
+		case endedAt <= due:
+		case endedAt != never:
+			violations = append(violations, Violation{RuleMessagesEnd, fmt.Sprintf("%s, accepted by node %d at %v, ended at %v and was due by %v", submission.ID, submission.Node, submission.Return, endedAt, due)})
+		case due < checkedAt:
+			violations = append(violations, Violation{RuleMessagesEnd, fmt.Sprintf("%s, accepted by node %d at %v, has no end; it was due by %v", submission.ID, submission.Node, submission.Return, due)})
 		}
 	}
-	return bad
+	return violations
 }
 
 // Given tells which answers may never be given: that a destination is unknown which was on the list all the time, and a no to what
 // the same node had taken on and not yet ended.
-func CheckAnswers(handed []Submission, ends []MessageEnd, steady func(dest int) bool) []Violation {
-	over := map[string]time.Duration{}
-	for _, e := range ends {
-		if at, ok := over[e.ID]; e.Kind != RanAtPartner && (!ok || e.At < at) {
-			over[e.ID] = e.At
+func CheckAnswers(submissions []Submission, ends []MessageEnd, alwaysListed func(dest int) bool) []Violation {
+	endedAt := map[string]time.Duration{}
+	for _, end := range ends {
+		if at, ok := endedAt[end.ID]; end.Kind != RanAtPartner && (!ok || end.At < at) {
+			endedAt[end.ID] = end.At
 		}
 	}
-	var bad []Violation
-	for _, h := range handed {
-		no := h.Answer == history.Failed || h.Answer == history.Refused
-		if h.Answer == history.Failed && !h.Repeat && (steady(h.Destination) || h.Reason != unknownDestination) {
-			bad = append(bad, Violation{RuleAnswers, fmt.Sprintf("node %d, destination %d at %v: failed: %s", h.Node, h.Destination, h.Return, h.Reason)})
+	var violations []Violation
+	for _, submission := range submissions {
+		negative := submission.Answer == history.Failed || submission.Answer == history.Refused
+		if submission.Answer == history.Failed && !submission.Repeat && (alwaysListed(submission.Destination) || submission.Reason != unknownDestination) {
+			violations = append(violations, Violation{RuleAnswers, fmt.Sprintf("node %d, destination %d at %v: failed: %s", submission.Node, submission.Destination, submission.Return, submission.Reason)})
 		}
-		if at, ended := over[h.ID]; h.Repeat && no && (!ended || at > h.Return) {
-			bad = append(bad, Violation{RuleAnswers, fmt.Sprintf("node %d had taken %s on and not ended it, and said no to it at %v: %s %v %s", h.Node, h.ID, h.Return, h.Answer, h.RetryAfter, h.Reason)})
+		if at, ended := endedAt[submission.ID]; submission.Repeat && negative && (!ended || at > submission.Return) {
+			violations = append(violations, Violation{RuleAnswers, fmt.Sprintf("node %d had taken %s on and not ended it, and said no to it at %v: %s %v %s", submission.Node, submission.ID, submission.Return, submission.Answer, submission.RetryAfter, submission.Reason)})
 		}
 	}
-	return bad
+	return violations
 }
--- a/internal/lab/trial/ownership_control.go
+++ b/internal/lab/trial/ownership_control.go
@@ -52,10 +52,10 @@
 	admin       *directory.AdminClient
 }
 
-func (t *ownershipTrial) newController(n int) *controller {
-	op := t.newClient(300 + n)
-	op.HTTPClient.Timeout = controllerTimeout
-	return &controller{trial: t, name: fmt.Sprint("c", n), random: rand.New(rand.NewPCG(t.options.Seed, uint64(3000+n))), admin: op}
+func (t *ownershipTrial) newController(number int) *controller {
+	admin := t.newClient(300 + number)
+	admin.HTTPClient.Timeout = controllerTimeout
+	return &controller{trial: t, name: fmt.Sprint("c", number), random: rand.New(rand.NewPCG(t.options.Seed, uint64(3000+number))), admin: admin}
 }
 
 // run changes the map again and again until the context ends.
@@ -82,136 +82,136 @@
 }
 
 func (c *controller) request(ctx context.Context, method, path string, body any) (recordAnswer, error) {
-	var v recordAnswer
+	var answer recordAnswer
 	var raw []byte
 	var err error
 	if body != nil {
 		if raw, err = json.Marshal(body); err != nil {
-			return v, err
+			return answer, err
 		}
 	}
 	if raw, _, err = c.admin.Do(ctx, method, path, "", raw); err != nil {
-		return v, err
+		return answer, err
 	}
-	return v, json.Unmarshal(raw, &v)
+	return answer, json.Unmarshal(raw, &answer)
 }
 
 const mapPath = "/records/" + ownership.RecordName
 
 // change makes one new map, of members that come from those of the map before, and returns it. The controller dies or loses what the
 // boundary says.
-func (c *controller) publishMap(ctx context.Context, at interruption, members func([]ownership.Member) []ownership.Member) (*ownership.Map, error) {
-	until := time.Now().Add(mapChangeTimeout + c.admin.RetryFor)
-	var sought *ownership.Map
-	a := ownership.Publisher{Plan: func(number int64, before *ownership.Map) (m *ownership.Map, err error) {
+func (c *controller) publishMap(ctx context.Context, interrupted interruption, members func([]ownership.Member) []ownership.Member) (*ownership.Map, error) {
+	deadline := time.Now().Add(mapChangeTimeout + c.admin.RetryFor)
+	var planned *ownership.Map
+	publisher := ownership.Publisher{Plan: func(number int64, before *ownership.Map) (m *ownership.Map, err error) {
 		var now []ownership.Member
 		if before != nil {
 			now = before.Members
 		}
-		sought, err = ownership.Make(number, ownersPerPartition, members(now), before)
-		return sought, err
+		planned, err = ownership.Make(number, ownersPerPartition, members(now), before)
+		return planned, err
 	}}
-	act := a.Begin()
-	for act.Operation != ownership.End {
-		if at.killsBefore(act.Operation) {
+	action := publisher.Begin()
+	for action.Operation != ownership.End {
+		if interrupted.killsBefore(action.Operation) {
 			c.incarnation++ // who comes after it has another name, and waits for the lease
 			return nil, errControllerKilled
 		}
-		ans := c.execute(ctx, at, act, sought)
+		answer := c.execute(ctx, interrupted, action, planned)
 		switch {
-		case at == killedAfterUpdate && act.Operation == ownership.Update && ans.Outcome == ownership.Done, at == killedDuringUpdate && act.Operation == ownership.Update:
+		case interrupted == killedAfterUpdate && action.Operation == ownership.Update && answer.Outcome == ownership.Done, interrupted == killedDuringUpdate && action.Operation == ownership.Update:
 			c.incarnation++
 			return nil, errControllerKilled
-		case at == updateAnswerLost && act.Operation == ownership.Update && ans.Outcome == ownership.Done:
-			ans = ownership.Answer{Seq: act.Seq, Outcome: ownership.Ambiguous}
-			at = uninterrupted
-		case ans.Outcome != ownership.Done && time.Now().After(until):
-			ans.Outcome = ownership.TimedOut
-		case ans.Outcome == ownership.Refused: // another holds it, or too few replicas are there
+		case interrupted == updateAnswerLost && action.Operation == ownership.Update && answer.Outcome == ownership.Done:
+			answer = ownership.Answer{Seq: action.Seq, Outcome: ownership.Ambiguous}
+			interrupted = uninterrupted
+		case answer.Outcome != ownership.Done && time.Now().After(deadline):
+			answer.Outcome = ownership.TimedOut
+		case answer.Outcome == ownership.Refused: // another holds it, or too few replicas are there
 			registry.Sleep(ctx, retryPause)
 		}
 		var ok bool
-		if act, ok = a.Step(ans); !ok {
-			return nil, fmt.Errorf("the agreement knows nothing of action %d", ans.Seq)
+		if action, ok = publisher.Step(answer); !ok {
+			return nil, fmt.Errorf("the agreement knows nothing of action %d", answer.Seq)
 		}
 	}
-	return act.Map, act.Err
+	return action.Map, action.Err
 }
 
 // dies tells that a controller ends before it does something.
-func (b interruption) killsBefore(before ownership.Operation) bool {
-	switch before {
+func (i interruption) killsBefore(operation ownership.Operation) bool {
+	switch operation {
 	case ownership.Read:
-		return b == killedAfterAcquire
+		return i == killedAfterAcquire
 	case ownership.Update:
-		return b == killedBeforeUpdate
+		return i == killedBeforeUpdate
 	case ownership.Release:
-		return b == killedBeforeRelease
+		return i == killedBeforeRelease
 	}
 	return false
 }
 
 // carryOut does one action, and notes a map that may be written by it.
-func (c *controller) execute(ctx context.Context, at interruption, act ownership.Action, sought *ownership.Map) ownership.Answer {
-	var a recordAnswer
+func (c *controller) execute(ctx context.Context, interrupted interruption, action ownership.Action, planned *ownership.Map) ownership.Answer {
+	var record recordAnswer
 	var err error
-	switch act.Operation {
+	switch action.Operation {
 	case ownership.Acquire:
-		a, err = c.request(ctx, http.MethodPut, mapPath, map[string]any{"holder": fmt.Sprint(c.name, "-", c.incarnation), "ttl_ms": mapLeaseTTL.Milliseconds()})
+		record, err = c.request(ctx, http.MethodPut, mapPath, map[string]any{"holder": fmt.Sprint(c.name, "-", c.incarnation), "ttl_ms": mapLeaseTTL.Milliseconds()})
 	case ownership.Read:
-		a, err = c.request(ctx, http.MethodGet, mapPath+"?fresh=1", nil)
+		record, err = c.request(ctx, http.MethodGet, mapPath+"?fresh=1", nil)
 	case ownership.Update:
-		if at == sleepsPastLease {
+		if interrupted == sleepsPastLease {
 			registry.Sleep(ctx, mapLeaseTTL+time.Duration(c.random.Int64N(int64(mapLeaseTTL))))
 		}
-		w := MapWrite{Writer: fmt.Sprint(c.name, "-", c.incarnation), Number: sought.Number, Checksum: checksum(act.Value), Outcome: Done, Call: c.trial.elapsed()}
-		e := c.trial.recordMapIntent(sought, w)
-		if at == killedDuringUpdate {
+		write := MapWrite{Writer: fmt.Sprint(c.name, "-", c.incarnation), Number: planned.Number, Checksum: checksum(action.Value), Outcome: Done, Call: c.trial.elapsed()}
+		published := c.trial.recordMapIntent(planned, write)
+		if interrupted == killedDuringUpdate {
 			var cancel context.CancelFunc
 			ctx, cancel = context.WithTimeout(ctx, time.Duration(c.random.Int64N(int64(8*time.Millisecond))))
 			defer cancel()
 		}
-		_, err = c.request(ctx, http.MethodPost, mapPath, map[string]any{"token": act.Token, "value": act.Value})
-		w.Return = c.trial.elapsed()
+		_, err = c.request(ctx, http.MethodPost, mapPath, map[string]any{"token": action.Token, "value": action.Value})
+		write.Return = c.trial.elapsed()
 		switch {
 		case err != nil && !errors.Is(err, directory.ErrAmbiguous):
-			c.trial.forgetMap(e)
+			c.trial.forgetMap(published)
 		case err != nil:
-			w.Outcome = Ambiguous
+			write.Outcome = Ambiguous
 			fallthrough
 		default:
-			c.trial.recordMapWrite(e, w)
+			c.trial.recordMapWrite(published, write)
 		}
 	case ownership.Release:
-		_, err = c.request(ctx, http.MethodDelete, mapPath, map[string]any{"token": act.Token})
+		_, err = c.request(ctx, http.MethodDelete, mapPath, map[string]any{"token": action.Token})
 	}
-	ans := ownership.Answer{Seq: act.Seq, Outcome: ownership.Done, Token: a.Token, Value: a.Value, Err: err}
+	answer := ownership.Answer{Seq: action.Seq, Outcome: ownership.Done, Token: record.Token, Value: record.Value, Err: err}
 	if err != nil {
-		ans.Outcome = ownership.Refused
+		answer.Outcome = ownership.Refused
 	}
 	if errors.Is(err, directory.ErrAmbiguous) {
-		ans.Outcome = ownership.Ambiguous
+		answer.Outcome = ownership.Ambiguous
 	}
-	return ans
+	return answer
 }
 
 // anyMembers lets a member leave, one come back, or another weigh more or less.
-func (c *controller) randomMembers(now []ownership.Member) []ownership.Member {
+func (c *controller) randomMembers(current []ownership.Member) []ownership.Member {
 	all := c.trial.members()
-	out := slices.Clone(now)
+	changed := slices.Clone(current)
 	absent := slices.DeleteFunc(all, func(m ownership.Member) bool {
-		return slices.ContainsFunc(now, func(o ownership.Member) bool { return o.Name == m.Name })
+		return slices.ContainsFunc(current, func(o ownership.Member) bool { return o.Name == m.Name })
 	})
-	switch k := c.random.IntN(5); {
-	case len(now) == 0:
+	switch choice := c.random.IntN(5); {
+	case len(current) == 0:
 		return all
-	case k < 2 && len(now) > minMapMembers:
-		i := c.random.IntN(len(out))
-		return slices.Delete(out, i, i+1)
-	case k < 4 && len(absent) > 0:
-		return append(out, absent[c.random.IntN(len(absent))])
+	case choice < 2 && len(current) > minMapMembers:
+		i := c.random.IntN(len(changed))
+		return slices.Delete(changed, i, i+1)
+	case choice < 4 && len(absent) > 0:
+		return append(changed, absent[c.random.IntN(len(absent))])
 	default:
-		out[c.random.IntN(len(out))].Weight = 0.5 + c.random.Float64()
-		return out
+		changed[c.random.IntN(len(changed))].Weight = 0.5 + c.random.Float64()
+		return changed
 	}
 }
--- a/internal/lab/trial/ownership_front.go
+++ b/internal/lab/trial/ownership_front.go
@@ -37,16 +37,16 @@
 	serving     sync.WaitGroup
 }
 
-func openFront(t *ownershipTrial, node, number int, at, reached, to string) (*front, error) {
-	ln, err := net.Listen("tcp", at)
+func openFront(t *ownershipTrial, node, replica int, addr, linkAddr, replicaAddr string) (*front, error) {
+	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	f := &front{trial: t, node: node, replica: number, replicaAddr: to, client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
+	f := &front{trial: t, node: node, replica: replica, replicaAddr: replicaAddr, client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	f.server = &http.Server{Handler: f, ReadHeaderTimeout: 30 * time.Second, BaseContext: func(net.Listener) context.Context { return f.ctx }}
 	f.serving.Go(func() { f.server.Serve(ln) })
-	if f.link, err = relay.Listen(reached, t.options.Seed+uint64(100*node+number), relay.DialTo(at), nil); err != nil {
+	if f.link, err = relay.Listen(linkAddr, t.options.Seed+uint64(100*node+replica), relay.DialTo(addr), nil); err != nil {
 		f.close()
 		return nil, err
 	}
@@ -70,39 +70,39 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	list := req.Method == http.MethodGet && req.URL.Path == "/registry/instances"
-	var ask *WatchRequest
-	older := f.trial.olderBuilds[f.replica].Load()
+	isList := req.Method == http.MethodGet && req.URL.Path == "/registry/instances"
+	var request *WatchRequest
+	olderBuild := f.trial.olderBuilds[f.replica].Load()
 	url := *req.URL
-	if list {
-		if ask, err = f.recordWatch(req, older); err != nil {
+	if isList {
+		if request, err = f.recordWatch(req, olderBuild); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if older {
+		if olderBuild {
 			q := url.Query()
 			q.Del("partitions")
 			url.RawQuery = q.Encode()
 		}
 	}
-	next, err := http.NewRequestWithContext(req.Context(), req.Method, "http://"+f.replicaAddr+url.RequestURI(), bytes.NewReader(body))
+	forwarded, err := http.NewRequestWithContext(req.Context(), req.Method, "http://"+f.replicaAddr+url.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	resp, err := f.client.Do(next)
+	resp, err := f.client.Do(forwarded)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer resp.Body.Close()
 	for name, v := range resp.Header {
-		if name != "Content-Length" && !(older && (name == headerPartitions || name == headerMap)) {
+		if name != "Content-Length" && !(olderBuild && (name == headerPartitions || name == headerMap)) {
 			w.Header()[name] = v
 		}
 	}
 	switch {
-	case list && resp.StatusCode == http.StatusOK:
+	case isList && resp.StatusCode == http.StatusOK:
 		w.WriteHeader(resp.StatusCode)
-		f.relayWatch(w, resp, ask)
+		f.relayWatch(w, resp, request)
 		if req.URL.Query().Get("watch") == "1" {
 			panic(http.ErrAbortHandler)
 		}
@@ -132,31 +132,31 @@
 )
 
 // asked notes a watch that a node asks for.
-func (f *front) recordWatch(req *http.Request, older bool) (*WatchRequest, error) {
-	q := req.URL.Query()
-	a := &WatchRequest{Node: f.node, Replica: f.replica, At: f.trial.elapsed(), OlderBuild: older, AllPartitions: !q.Has("partitions")}
+func (f *front) recordWatch(req *http.Request, olderBuild bool) (*WatchRequest, error) {
+	query := req.URL.Query()
+	request := &WatchRequest{Node: f.node, Replica: f.replica, At: f.trial.elapsed(), OlderBuild: olderBuild, AllPartitions: !query.Has("partitions")}
 	var err error
-	if !a.AllPartitions {
-		if a.Partitions, err = ownership.ParseSet(q.Get("partitions")); err != nil {
+	if !request.AllPartitions {
+		if request.Partitions, err = ownership.ParseSet(query.Get("partitions")); err != nil {
 			return nil, err
 		}
 	}
-	a.After, _ = strconv.ParseInt(q.Get("after"), 10, 64)
-	a.AskedHistory, _ = strconv.ParseInt(q.Get("history"), 10, 64)
+	request.After, _ = strconv.ParseInt(query.Get("after"), 10, 64)
+	request.AskedHistory, _ = strconv.ParseInt(query.Get("history"), 10, 64)
 	f.trial.mu.Lock()
 	defer f.trial.mu.Unlock()
-	f.trial.watchRequests = append(f.trial.watchRequests, a)
-	return a, nil
+	f.trial.watchRequests = append(f.trial.watchRequests, request)
+	return request, nil
 }
 
 // watch passes the lines of a watch on.
-func (f *front) relayWatch(w http.ResponseWriter, resp *http.Response, a *WatchRequest) {
+func (f *front) relayWatch(w http.ResponseWriter, resp *http.Response, request *WatchRequest) {
 	history, _ := strconv.ParseInt(resp.Header.Get(directory.HeaderHistory), 10, 64)
 	f.trial.mu.Lock()
-	a.History = history
+	request.History = history
 	f.trial.mu.Unlock()
-	out := http.NewResponseController(w)
-	if out.Flush() != nil {
+	controller := http.NewResponseController(w)
+	if controller.Flush() != nil {
 		return
 	}
 	lines := bufio.NewScanner(resp.Body)
@@ -164,20 +164,20 @@
 	for n := 0; lines.Scan(); {
 		line := bytes.Clone(lines.Bytes())
 		if len(bytes.TrimSpace(line)) > 0 {
-			var l catalog.List
-			if json.Unmarshal(line, &l) != nil {
+			var list catalog.List
+			if json.Unmarshal(line, &list) != nil {
 				return
 			}
-			if n > 0 && len(l.Members) > 0 && !a.OlderBuild && f.trial.claimChangeDrop(f.node) {
-				l.Members = []catalog.Endpoint{}
-				line, _ = json.Marshal(l) // it was read from the like
+			if n > 0 && len(list.Members) > 0 && !request.OlderBuild && f.trial.claimChangeDrop(f.node) {
+				list.Members = []catalog.Endpoint{}
+				line, _ = json.Marshal(list) // it was read from the like
 			}
 			n++
 			f.trial.mu.Lock()
-			a.Lines = append(a.Lines, WatchLine{f.trial.elapsed(), l})
+			request.Lines = append(request.Lines, WatchLine{f.trial.elapsed(), list})
 			f.trial.mu.Unlock()
 		}
-		if _, err := w.Write(append(line, '\n')); err != nil || out.Flush() != nil {
+		if _, err := w.Write(append(line, '\n')); err != nil || controller.Flush() != nil {
 			return
 		}
 	}
--- a/internal/lab/trial/ownership_node.go
+++ b/internal/lab/trial/ownership_node.go
@@ -52,10 +52,10 @@
 
 // settingsOf is what the platform tells a node as its settings.
 func nodeSettings(node int, zones []string, nodes int) (json.RawMessage, error) {
-	class := func(n int, e judge.Effect) experiment.ClassPlan {
-		return experiment.ClassPlan{Name: classNames[n], SoftDeadline: time.Second, Deadline: messageLifetime, Worth: 1, WorthAtDeadline: 0.5, Effect: e, Window: time.Minute}
+	class := func(n int, effect judge.Effect) experiment.ClassPlan {
+		return experiment.ClassPlan{Name: classNames[n], SoftDeadline: time.Second, Deadline: messageLifetime, Worth: 1, WorthAtDeadline: 0.5, Effect: effect, Window: time.Minute}
 	}
-	p := experiment.Plan{
+	plan := experiment.Plan{
 		Zones: zones, PartnerKinds: []string{"hook"}, Tenants: []experiment.TenantPlan{{Name: "m", Share: 1, Allowance: 1e6}},
 		Classes: []experiment.ClassPlan{class(classIdempotent, judge.EffectIdempotent), class(classDeduplicated, judge.EffectDeduplicated), class(classAtMostOnce, judge.EffectAtMostOnce)},
 		Rules: experiment.RulesPlan{
@@ -64,9 +64,9 @@
 		},
 	}
 	for i := range nodes {
-		p.Nodes = append(p.Nodes, experiment.NodePlan{Zone: i % len(zones), Slots: 64, MaxOpen: maxOpenMessages})
+		plan.Nodes = append(plan.Nodes, experiment.NodePlan{Zone: i % len(zones), Slots: 64, MaxOpen: maxOpenMessages})
 	}
-	return p.Settings(node)
+	return plan.Settings(node)
 }
 
 // ownedNode is one delivery node: its folder, its fronts, and the process that is it now.
@@ -85,8 +85,8 @@
 
 func (t *ownershipTrial) newNode(number int) (*deliveryNode, error) {
 	n := &deliveryNode{trial: t, number: number, name: nodeName(number), folder: filepath.Join(t.options.Dir, nodeName(number))}
-	for _, d := range []string{"state", "tmp"} {
-		if err := os.MkdirAll(filepath.Join(n.folder, d), 0o700); err != nil {
+	for _, folder := range []string{"state", "tmp"} {
+		if err := os.MkdirAll(filepath.Join(n.folder, folder), 0o700); err != nil {
 			return nil, fmt.Errorf("folder of %s: %w", n.name, err)
 		}
 	}
@@ -95,17 +95,17 @@
 		return nil, fmt.Errorf("log of %s: %w", n.name, err)
 	}
 	var addresses []string
-	for i, r := range t.replicas {
-		reached := fmt.Sprintf("%s:%d", t.block.IP(frontLinkHost+i, number+1), frontPort)
-		f, err := openFront(t, number, i, fmt.Sprintf("%s:%d", t.block.IP(frontHost+i, number+1), frontPort), reached, r.AdvertisedAddr(0))
+	for i, replica := range t.replicas {
+		linkAddr := fmt.Sprintf("%s:%d", t.block.IP(frontLinkHost+i, number+1), frontPort)
+		front, err := openFront(t, number, i, fmt.Sprintf("%s:%d", t.block.IP(frontHost+i, number+1), frontPort), linkAddr, replica.AdvertisedAddr(0))
 		if err != nil {
 			return n, fmt.Errorf("front of %s: %w", n.name, err)
 		}
-		n.fronts = append(n.fronts, f)
-		addresses = append(addresses, strconv.Quote(reached))
+		n.fronts = append(n.fronts, front)
+		addresses = append(addresses, strconv.Quote(linkAddr))
 	}
-	text := fmt.Sprintf("[registry]\naddresses = [%s]\nkeep_kb = 64\n[ownership]\nname = %q\nowners = %d\n", strings.Join(addresses, ", "), n.name, ownersPerPartition)
-	if err := os.WriteFile(filepath.Join(n.folder, "fleet.toml"), []byte(text), 0o600); err != nil {
+	fleetConfig := fmt.Sprintf("[registry]\naddresses = [%s]\nkeep_kb = 64\n[ownership]\nname = %q\nowners = %d\n", strings.Join(addresses, ", "), n.name, ownersPerPartition)
+	if err := os.WriteFile(filepath.Join(n.folder, "fleet.toml"), []byte(fleetConfig), 0o600); err != nil {
 		return n, err
 	}
 	settings, err := nodeSettings(number, t.zones, nodeCount)
@@ -157,10 +157,10 @@
 }
 
 func (n *deliveryNode) awaitServing(ctx context.Context) error {
-	p := n.process()
-	err := await(ctx, n.name+" in service", func() bool { return hasExited(p) || n.ping() })
-	if err == nil && hasExited(p) {
-		err = fmt.Errorf("%s ended %v before it was in service", n.name, p.Wait())
+	process := n.process()
+	err := await(ctx, n.name+" in service", func() bool { return hasExited(process) || n.ping() })
+	if err == nil && hasExited(process) {
+		err = fmt.Errorf("%s ended %v before it was in service", n.name, process.Wait())
 	}
 	return err
 }
@@ -168,19 +168,19 @@
 // launch starts a process; the lock is held.
 func (n *deliveryNode) launchLocked() error {
 	n.startCount++
-	p, err := n.trial.supervisor.Start(proc.Spec{Name: n.name, Command: n.trial.ownershipOptions.Node, Output: n.logFile, MaxDescriptors: 512, Env: []string{
+	process, err := n.trial.supervisor.Start(proc.Spec{Name: n.name, Command: n.trial.ownershipOptions.Node, Output: n.logFile, MaxDescriptors: 512, Env: []string{
 		"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=" + n.name, "ROUTER_LISTEN=" + n.clientAddr(), "ROUTER_DISCOVERY=" + discoveryAddr(n),
 		"ROUTER_STATE=" + filepath.Join(n.folder, "state"), "ROUTER_CONFIG=" + filepath.Join(n.folder, "config.json"), "TMPDIR=" + filepath.Join(n.folder, "tmp"),
 		"ROUTER_FLEET=" + filepath.Join(n.folder, "fleet.toml"), "ROUTER_ADMIN_ADDR=" + n.adminAddrLocked(),
 	}})
 	if err == nil {
-		n.running = p
+		n.running = process
 	}
 	return err
 }
 
 // handOver starts another process, which takes over, and ends the one that was there.
-func (n *deliveryNode) handOver(ctx context.Context, after time.Duration) error {
+func (n *deliveryNode) handOver(ctx context.Context, delay time.Duration) error {
 	n.mu.Lock()
 	old := n.running
 	err := n.launchLocked()
@@ -188,7 +188,7 @@
 	if err != nil {
 		return err
 	}
-	registry.Sleep(ctx, after)
+	registry.Sleep(ctx, delay)
 	if err := old.Terminate(ctx, stopTimeout); err != nil {
 		return err
 	}
@@ -219,16 +219,16 @@
 }
 
 func (n *deliveryNode) ping() bool {
-	nc, err := net.DialTimeout("tcp", n.clientAddr(), 200*time.Millisecond)
+	conn, err := net.DialTimeout("tcp", n.clientAddr(), 200*time.Millisecond)
 	if err != nil {
 		return false
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(time.Second))
-	if _, err := io.WriteString(nc, "*1\r\n$4\r\nPING\r\n"); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(time.Second))
+	if _, err := io.WriteString(conn, "*1\r\n$4\r\nPING\r\n"); err != nil {
 		return false
 	}
-	line, err := bufio.NewReader(nc).ReadString('\n')
+	line, err := bufio.NewReader(conn).ReadString('\n')
 	return err == nil && line == "+PONG\r\n"
 }
 
@@ -255,11 +255,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var l catalog.List
-	if err := json.Unmarshal(raw, &l); err != nil {
+	var list catalog.List
+	if err := json.Unmarshal(raw, &list); err != nil {
 		return nil, err
 	}
-	return endpointsByID(l), nil
+	return endpointsByID(list), nil
 }
 
 func (n *deliveryNode) close() {
@@ -270,26 +270,26 @@
 }
 
 // handIn hands a message in, on a connection of its own, and waits for the answer.
-func (n *deliveryNode) submit(id string, class, dest int, left time.Duration) (state string, wait time.Duration, why string) {
-	words := fmt.Sprintf("c=%s,t=m,d=%d,dest=%d", classNames[class], left.Milliseconds(), dest)
+func (n *deliveryNode) submit(id string, class, destination int, timeLeft time.Duration) (state string, wait time.Duration, why string) {
+	attributes := fmt.Sprintf("c=%s,t=m,d=%d,dest=%d", classNames[class], timeLeft.Milliseconds(), destination)
 	if class == classDeduplicated {
-		words += ",k=" + id
+		attributes += ",k=" + id
 	}
-	nc, err := net.DialTimeout("tcp", n.clientAddr(), time.Second)
+	conn, err := net.DialTimeout("tcp", n.clientAddr(), time.Second)
 	if err != nil {
 		return history.Unsent, 0, ""
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(clientTimeout))
-	var b strings.Builder
-	b.WriteString("*5\r\n")
-	for _, w := range []string{"ENQUEUE", strings.Repeat("0", 16), id, words, "x"} {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(clientTimeout))
+	var request strings.Builder
+	request.WriteString("*5\r\n")
+	for _, word := range []string{"ENQUEUE", strings.Repeat("0", 16), id, attributes, "x"} {
+		fmt.Fprintf(&request, "$%d\r\n%s\r\n", len(word), word)
 	}
-	if _, err := io.WriteString(nc, b.String()); err != nil {
+	if _, err := io.WriteString(conn, request.String()); err != nil {
 		return history.ConnectionLost, 0, ""
 	}
-	line, err := bufio.NewReader(nc).ReadString('\n')
+	line, err := bufio.NewReader(conn).ReadString('\n')
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return history.ClientTimedOut, 0, ""
--- a/internal/lab/trial/ownership_partner.go
+++ b/internal/lab/trial/ownership_partner.go
@@ -53,10 +53,10 @@
 	}
 	id := req.Header.Get("X-Trace-Id")
 	p.trial.recordEnd(id, RanAtPartner)
-	hold := time.NewTimer(p.trial.answerDelay(id))
-	defer hold.Stop()
+	timer := time.NewTimer(p.trial.answerDelay(id))
+	defer timer.Stop()
 	select {
-	case <-hold.C:
+	case <-timer.C:
 	case <-req.Context().Done():
 		return
 	}
--- a/internal/lab/trial/size.go
+++ b/internal/lab/trial/size.go
@@ -72,28 +72,28 @@
 }
 
 // Measure measures the service, and the plain ways beside it.
-func Measure(ctx context.Context, o SizeOptions) (*Measurements, error) {
-	s := &Measurements{Watchers: o.Watchers, ChangesPerSecond: o.ChangesPerSecond, Endpoints: o.Endpoints, WritesPerSecond: map[string]float64{}, WriteP99Millis: map[string]float64{}}
+func Measure(ctx context.Context, options SizeOptions) (*Measurements, error) {
+	measurements := &Measurements{Watchers: options.Watchers, ChangesPerSecond: options.ChangesPerSecond, Endpoints: options.Endpoints, WritesPerSecond: map[string]float64{}, WriteP99Millis: map[string]float64{}}
 	sup := proc.NewSupervisor()
 	defer sup.Close()
 	steps := []struct {
 		name string
 		do   func() error
 	}{
-		{"watches of one replica", func() error { return s.measurePropagation(ctx, o, sup, "directory") }},
-		{"watches that are each encoded for", func() error { return s.measurePropagation(ctx, o, sup, "encode for each") }},
-		{"nodes that poll", func() error { return s.measurePropagation(ctx, o, sup, "poll") }},
-		{"writes at one replica", func() error { return s.measureWrites(ctx, o, 1) }},
-		{"writes at three", func() error { return s.measureWrites(ctx, o, 3) }},
-		{"fail-over", func() error { return s.measureFailover(ctx, o) }},
+		{"watches of one replica", func() error { return measurements.measurePropagation(ctx, options, sup, "directory") }},
+		{"watches that are each encoded for", func() error { return measurements.measurePropagation(ctx, options, sup, "encode for each") }},
+		{"nodes that poll", func() error { return measurements.measurePropagation(ctx, options, sup, "poll") }},
+		{"writes at one replica", func() error { return measurements.measureWrites(ctx, options, 1) }},
+		{"writes at three", func() error { return measurements.measureWrites(ctx, options, 3) }},
+		{"fail-over", func() error { return measurements.measureFailover(ctx, options) }},
 	}
 	for _, step := range steps {
-		o.Progress(step.name)
+		options.Progress(step.name)
 		if err := step.do(); err != nil {
-			return s, fmt.Errorf("%s: %w", step.name, err)
+			return measurements, fmt.Errorf("%s: %w", step.name, err)
 		}
 	}
-	return s, nil
+	return measurements, nil
 }
 
 func freeAddress() (string, error) {
@@ -114,23 +114,23 @@
 // PlainServe is a discovery that does the plain thing: every watch encodes each change for itself. It changes an
 // endpoint at a rate, until the context ends.
 func ServePlainDirectory(ctx context.Context, addr string, endpoints, rate int) error {
-	p := standin.NewPlatform(1, 0, 0, 1, observe.NewLog(), func(int, string, string, time.Duration) {})
-	defer p.Close()
-	at := func(n int) func(int) string { return func(int) string { return stampedEndpoint(n, 0).Addr } }
+	platform := standin.NewPlatform(1, 0, 0, 1, observe.NewLog(), func(int, string, string, time.Duration) {})
+	defer platform.Close()
+	addrOf := func(n int) func(int) string { return func(int) string { return stampedEndpoint(n, 0).Addr } }
 	put := func(n int, stamp int64, first bool) {
-		p.PutMember(stampedEndpoint(n, stamp), at(n), first)
+		platform.PutMember(stampedEndpoint(n, stamp), addrOf(n), first)
 	}
 	for n := range endpoints {
 		put(n, 0, true)
 	}
-	if err := p.Agent(0).Listen(addr); err != nil {
+	if err := platform.Agent(0).Listen(addr); err != nil {
 		return err
 	}
-	tick := time.NewTicker(time.Second / time.Duration(rate))
-	defer tick.Stop()
+	ticker := time.NewTicker(time.Second / time.Duration(rate))
+	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			put(n%endpoints, time.Now().UnixMicro(), false)
 		case <-ctx.Done():
 			return nil
@@ -157,7 +157,7 @@
 var stampField = []byte(`"up_since_ms":`)
 
 // stamps finds the times of the changes in a line, each one after a given one.
-func parseStamps(line []byte, after int64, found func(int64)) (latest int64) {
+func parseStamps(line []byte, after int64, record func(int64)) (latest int64) {
 	latest = after
 	for {
 		i := bytes.Index(line, stampField)
@@ -170,133 +170,133 @@
 			return latest
 		}
 		if v, err := strconv.ParseInt(string(line[:end]), 10, 64); err == nil && v > after {
-			found(v)
+			record(v)
 			latest = max(latest, v)
 		}
 	}
 }
 
-func (s *Measurements) measurePropagation(ctx context.Context, o SizeOptions, sup *proc.Supervisor, way string) error {
+func (s *Measurements) measurePropagation(ctx context.Context, options SizeOptions, supervisor *proc.Supervisor, method string) error {
 	addr, err := freeAddress()
 	if err != nil {
 		return err
 	}
-	dir := filepath.Join(o.Dir, strings.ReplaceAll(way, " ", "-"))
+	dir := filepath.Join(options.Dir, strings.ReplaceAll(method, " ", "-"))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	command := []string{o.Program, "lab", "plain-directory", addr, "--endpoints", strconv.Itoa(o.Endpoints), "--rate", strconv.Itoa(o.ChangesPerSecond)}
-	if way != "encode for each" {
+	command := []string{options.Program, "lab", "plain-directory", addr, "--endpoints", strconv.Itoa(options.Endpoints), "--rate", strconv.Itoa(options.ChangesPerSecond)}
+	if method != "encode for each" {
 		config := filepath.Join(dir, "directory.toml")
 		text := fmt.Sprintf("id = \"d\"\nhttp = %q\ndata = %q\n", addr, filepath.Join(dir, "data"))
-		if way == "poll" {
+		if method == "poll" {
 			text += "[asks]\nrate = 1e6\nburst = 1000000\n"
 		}
 		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 			return err
 		}
-		command = []string{o.Program, "directory", "serve", "--config", config}
+		command = []string{options.Program, "directory", "serve", "--config", config}
 	}
-	p, err := sup.Start(proc.Spec{Name: way, Command: command, Env: []string{"PATH=" + os.Getenv("PATH")}, Output: io.Discard})
+	process, err := supervisor.Start(proc.Spec{Name: method, Command: command, Env: []string{"PATH=" + os.Getenv("PATH")}, Output: io.Discard})
 	if err != nil {
 		return err
 	}
-	defer p.Terminate(ctx, 3*time.Second)
-	op := &directory.AdminClient{Addresses: []string{addr}, RetryFor: settleTimeout, HTTPClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	if way != "encode for each" {
-		var all []catalog.Endpoint
-		for n := range o.Endpoints {
-			all = append(all, stampedEndpoint(n, 0))
+	defer process.Terminate(ctx, 3*time.Second)
+	admin := &directory.AdminClient{Addresses: []string{addr}, RetryFor: settleTimeout, HTTPClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	if method != "encode for each" {
+		var list []catalog.Endpoint
+		for n := range options.Endpoints {
+			list = append(list, stampedEndpoint(n, 0))
 		}
-		if _, err := op.Put(ctx, all, true, true, "*"); err != nil {
+		if _, err := admin.Put(ctx, list, true, true, "*"); err != nil {
 			return err
 		}
-	} else if err := await(ctx, "the plain discovery", func() bool { _, _, _, err := op.List(ctx, false); return err == nil }); err != nil {
+	} else if err := await(ctx, "the plain discovery", func() bool { _, _, _, err := admin.List(ctx, false); return err == nil }); err != nil {
 		return err
 	}
-	before, err := p.Usage()
+	usageBefore, err := process.Usage()
 	if err != nil {
 		return err
 	}
-	a := &arrivals{delays: hdrhistogram.New(1, 60e6, 3), latestByStamp: map[int64]int64{}, countByStamp: map[int64]int{}}
+	recorded := &arrivals{delays: hdrhistogram.New(1, 60e6, 3), latestByStamp: map[int64]int64{}, countByStamp: map[int64]int{}}
 	running, stop := context.WithCancel(ctx)
 	defer stop()
-	var parts sync.WaitGroup
-	defer parts.Wait()
+	var watchers sync.WaitGroup
+	defer watchers.Wait()
 	defer stop()
-	var up, refused atomic.Int64
+	var connected, refused atomic.Int64
 	began := time.Now()
-	var lastUp atomic.Int64
-	for n := range o.Watchers {
-		parts.Go(func() {
-			r := rand.New(rand.NewPCG(uint64(n), 7))
-			if !registry.Sleep(running, time.Duration(r.Int64N(int64(time.Second)))) { // all within one second
+	var lastConnected atomic.Int64
+	for n := range options.Watchers {
+		watchers.Go(func() {
+			random := rand.New(rand.NewPCG(uint64(n), 7))
+			if !registry.Sleep(running, time.Duration(random.Int64N(int64(time.Second)))) { // all within one second
 				return
 			}
-			if way == "poll" {
-				up.Add(1)
-				pollAndRecord(running, addr, o.PollInterval, r, a)
+			if method == "poll" {
+				connected.Add(1)
+				pollAndRecord(running, addr, options.PollInterval, random, recorded)
 				return
 			}
-			watchAndRecord(running, addr, a, &refused, r, func() {
-				up.Add(1)
-				lastUp.Store(int64(time.Since(began)))
+			watchAndRecord(running, addr, recorded, &refused, random, func() {
+				connected.Add(1)
+				lastConnected.Store(int64(time.Since(began)))
 			})
 		})
 	}
-	if err := await(ctx, "all watchers", func() bool { return up.Load() == int64(o.Watchers) }); err != nil {
-		return fmt.Errorf("%w: %d of %d", err, up.Load(), o.Watchers)
+	if err := await(ctx, "all watchers", func() bool { return connected.Load() == int64(options.Watchers) }); err != nil {
+		return fmt.Errorf("%w: %d of %d", err, connected.Load(), options.Watchers)
 	}
-	if way == "directory" {
-		s.ReconnectTime, s.RefusedWatches = time.Duration(lastUp.Load()), int(refused.Load())
+	if method == "directory" {
+		s.ReconnectTime, s.RefusedWatches = time.Duration(lastConnected.Load()), int(refused.Load())
 	}
 	registry.Sleep(ctx, 2*time.Second)
-	with, err := p.Usage()
+	usageWith, err := process.Usage()
 	if err != nil {
 		return err
 	}
-	cpu, begin := cpuTime(p.PID()), time.Now()
-	from := begin.UnixMicro()
-	if way == "encode for each" {
-		registry.Sleep(ctx, o.Duration)
+	cpuBefore, measuredFrom := cpuTime(process.PID()), time.Now()
+	firstStamp := measuredFrom.UnixMicro()
+	if method == "encode for each" {
+		registry.Sleep(ctx, options.Duration)
 	} else {
 		var writes sync.WaitGroup
-		for n := 0; time.Since(begin) < o.Duration; n++ {
-			if !observe.SleepUntil(ctx, begin.Add(time.Duration(n)*time.Second/time.Duration(o.ChangesPerSecond))) {
+		for sent := 0; time.Since(measuredFrom) < options.Duration; sent++ {
+			if !observe.SleepUntil(ctx, measuredFrom.Add(time.Duration(sent)*time.Second/time.Duration(options.ChangesPerSecond))) {
 				break
 			}
 			writes.Go(func() {
-				op := *op
-				if _, err := op.Put(ctx, []catalog.Endpoint{stampedEndpoint(n%o.Endpoints, time.Now().UnixMicro())}, false, false, "*"); err != nil {
+				op := *admin
+				if _, err := op.Put(ctx, []catalog.Endpoint{stampedEndpoint(sent%options.Endpoints, time.Now().UnixMicro())}, false, false, "*"); err != nil {
 					slog.Warn("a change was not written", "err", err)
 				}
 			})
 		}
 		writes.Wait()
 	}
-	to := time.Now().UnixMicro()
-	used := cpuTime(p.PID()) - cpu
-	took := time.Since(begin)
+	lastStamp := time.Now().UnixMicro()
+	cpuUsed := cpuTime(process.PID()) - cpuBefore
+	elapsed := time.Since(measuredFrom)
 	registry.Sleep(ctx, 2*time.Second)
 	stop()
-	parts.Wait()
-	re := Propagation{Method: way, BytesPerWatcher: (with.RSS - before.RSS) / int64(o.Watchers), Cores: used.Seconds() / took.Seconds()}
-	last := hdrhistogram.New(1, 60e6, 3)
-	for stamp, at := range a.latestByStamp {
-		if stamp < from || stamp > to {
+	watchers.Wait()
+	propagation := Propagation{Method: method, BytesPerWatcher: (usageWith.RSS - usageBefore.RSS) / int64(options.Watchers), Cores: cpuUsed.Seconds() / elapsed.Seconds()}
+	toLast := hdrhistogram.New(1, 60e6, 3)
+	for stamp, latest := range recorded.latestByStamp {
+		if stamp < firstStamp || stamp > lastStamp {
 			continue
 		}
-		re.Changes++
-		if a.countByStamp[stamp] < o.Watchers {
-			re.Missed++
+		propagation.Changes++
+		if recorded.countByStamp[stamp] < options.Watchers {
+			propagation.Missed++
 		}
-		last.RecordValue(max(at-stamp, 1))
+		toLast.RecordValue(max(latest-stamp, 1))
 	}
-	us := func(h *hdrhistogram.Histogram, q float64) time.Duration {
-		return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
+	quantile := func(delays *hdrhistogram.Histogram, q float64) time.Duration {
+		return time.Duration(delays.ValueAtQuantile(q)) * time.Microsecond
 	}
-	re.LastMedian, re.LastP99, re.EachMedian, re.EachP99 = us(last, 50), us(last, 99), us(a.delays, 50), us(a.delays, 99)
-	s.Propagation = append(s.Propagation, re)
+	propagation.LastMedian, propagation.LastP99, propagation.EachMedian, propagation.EachP99 = quantile(toLast, 50), quantile(toLast, 99), quantile(recorded.delays, 50), quantile(recorded.delays, 99)
+	s.Propagation = append(s.Propagation, propagation)
 	return nil
 }
 
@@ -306,31 +306,31 @@
 	if err != nil {
 		return 0
 	}
-	f := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
-	if len(f) < 13 {
+	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
+	if len(fields) < 13 {
 		return 0
 	}
-	user, _ := strconv.ParseInt(f[11], 10, 64)
-	system, _ := strconv.ParseInt(f[12], 10, 64)
+	user, _ := strconv.ParseInt(fields[11], 10, 64)
+	system, _ := strconv.ParseInt(fields[12], 10, 64)
 	return time.Duration(user+system) * 10 * time.Millisecond // of 100 ticks a second
 }
 
 // watchOnce reads one watch as cheaply as it can, so that what is measured is the service.
-func watchAndRecord(ctx context.Context, addr string, a *arrivals, refused *atomic.Int64, r *rand.Rand, up func()) {
+func watchAndRecord(ctx context.Context, addr string, recorded *arrivals, refused *atomic.Int64, random *rand.Rand, connected func()) {
 	for {
-		nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		if err != nil {
 			return
 		}
-		stop := context.AfterFunc(ctx, func() { nc.Close() })
-		fmt.Fprintf(nc, "GET /registry/instances?watch=1&after=0 HTTP/1.1\r\nHost: d\r\n\r\n")
-		in := bufio.NewReaderSize(nc, 4096)
-		status, err := in.ReadSlice('\n')
+		stop := context.AfterFunc(ctx, func() { conn.Close() })
+		fmt.Fprintf(conn, "GET /registry/instances?watch=1&after=0 HTTP/1.1\r\nHost: d\r\n\r\n")
+		reader := bufio.NewReaderSize(conn, 4096)
+		status, err := reader.ReadSlice('\n')
 		if err == nil && !bytes.Contains(status, []byte(" 200 ")) { // told when to come back, within the second named
 			refused.Add(1)
 			stop()
-			nc.Close()
-			if !registry.Sleep(ctx, time.Second+time.Duration(r.Int64N(int64(time.Second)))) {
+			conn.Close()
+			if !registry.Sleep(ctx, time.Second+time.Duration(random.Int64N(int64(time.Second)))) {
 				return
 			}
 			continue
@@ -339,33 +339,33 @@
 		var line []byte
 		for err == nil {
 			var part []byte
-			part, err = in.ReadSlice('\n')
+			part, err = reader.ReadSlice('\n')
 			line = append(line[:0], part...)
 			for errors.Is(err, bufio.ErrBufferFull) {
-				part, err = in.ReadSlice('\n')
+				part, err = reader.ReadSlice('\n')
 				line = append(line, part...)
 			}
 			if bytes.HasPrefix(line, []byte("{")) {
 				now := time.Now().UnixMicro()
 				if first {
 					first = false
-					up()
+					connected()
 				}
-				latest = parseStamps(line, latest, func(v int64) { a.record(v, now) })
+				latest = parseStamps(line, latest, func(v int64) { recorded.record(v, now) })
 			}
 		}
 		stop()
-		nc.Close()
+		conn.Close()
 		return
 	}
 }
 
 // poll asks for the whole list again and again.
-func pollAndRecord(ctx context.Context, addr string, every time.Duration, r *rand.Rand, a *arrivals) {
+func pollAndRecord(ctx context.Context, addr string, interval time.Duration, random *rand.Rand, recorded *arrivals) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	defer client.CloseIdleConnections()
 	latest := int64(0)
-	registry.Sleep(ctx, time.Duration(r.Int64N(int64(every))))
+	registry.Sleep(ctx, time.Duration(random.Int64N(int64(interval))))
 	for ctx.Err() == nil {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/registry/instances", nil)
 		if err != nil {
@@ -376,18 +376,18 @@
 			raw, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if now := time.Now().UnixMicro(); err == nil && resp.StatusCode == http.StatusOK {
-				latest = parseStamps(raw, latest, func(v int64) { a.record(v, now) })
+				latest = parseStamps(raw, latest, func(v int64) { recorded.record(v, now) })
 			}
 		}
-		registry.Sleep(ctx, every)
+		registry.Sleep(ctx, interval)
 	}
 }
 
 // service starts so many replicas without links, as a trial does with them.
-func (o SizeOptions) startService(ctx context.Context, n int, dir string) (*trial, error) {
+func (o SizeOptions) startService(ctx context.Context, count int, dir string) (*trial, error) {
 	t := &trial{options: Options{Command: []string{o.Program, "directory", "serve"}, Dir: dir, Seed: 1, Log: slog.New(slog.DiscardHandler)},
 		supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(1, 1))}
-	if err := t.buildReplicas(n, true); err != nil {
+	if err := t.buildReplicas(count, true); err != nil {
 		t.close()
 		return nil, err
 	}
@@ -397,7 +397,7 @@
 			return nil, err
 		}
 	}
-	if err := await(ctx, "the service", func() bool { return t.hasVoters(ctx, n) }); err != nil {
+	if err := await(ctx, "the service", func() bool { return t.hasVoters(ctx, count) }); err != nil {
 		t.close()
 		return nil, err
 	}
@@ -405,48 +405,48 @@
 	return t, nil
 }
 
-func (s *Measurements) measureWrites(ctx context.Context, o SizeOptions, n int) error {
-	dir := filepath.Join(o.Dir, fmt.Sprint("writes-", n))
-	t, err := o.startService(ctx, n, dir)
+func (s *Measurements) measureWrites(ctx context.Context, options SizeOptions, count int) error {
+	dir := filepath.Join(options.Dir, fmt.Sprint("writes-", count))
+	t, err := options.startService(ctx, count, dir)
 	if err != nil {
 		return err
 	}
 	defer t.close()
-	lead := t.leader(ctx)
+	leader := t.leader(ctx)
 	const callers = 64
-	var done atomic.Int64
-	times := make([]*hdrhistogram.Histogram, callers)
-	var parts sync.WaitGroup
-	begin := time.Now()
+	var written atomic.Int64
+	delays := make([]*hdrhistogram.Histogram, callers)
+	var callersDone sync.WaitGroup
+	began := time.Now()
 	for w := range callers {
-		times[w] = hdrhistogram.New(1, 60e6, 3)
-		parts.Go(func() {
+		delays[w] = hdrhistogram.New(1, 60e6, 3)
+		callersDone.Go(func() {
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			defer client.CloseIdleConnections()
-			op := &directory.AdminClient{Addresses: []string{lead.OwnAddr(replica.HTTP)}, HTTPClient: client}
-			for i := int64(1); time.Since(begin) < o.Duration && ctx.Err() == nil; i++ {
-				at := time.Now()
-				if _, err := op.Put(ctx, []catalog.Endpoint{stampedEndpoint(w, i)}, false, false, "*"); err == nil {
-					done.Add(1)
-					times[w].RecordValue(max(time.Since(at).Microseconds(), 1))
+			admin := &directory.AdminClient{Addresses: []string{leader.OwnAddr(replica.HTTP)}, HTTPClient: client}
+			for i := int64(1); time.Since(began) < options.Duration && ctx.Err() == nil; i++ {
+				sentAt := time.Now()
+				if _, err := admin.Put(ctx, []catalog.Endpoint{stampedEndpoint(w, i)}, false, false, "*"); err == nil {
+					written.Add(1)
+					delays[w].RecordValue(max(time.Since(sentAt).Microseconds(), 1))
 				}
 			}
 		})
 	}
-	parts.Wait()
-	all := hdrhistogram.New(1, 60e6, 3)
-	for _, h := range times {
-		all.Merge(h)
+	callersDone.Wait()
+	merged := hdrhistogram.New(1, 60e6, 3)
+	for _, h := range delays {
+		merged.Merge(h)
 	}
-	key := strconv.Itoa(n)
-	s.WritesPerSecond[key] = float64(done.Load()) / time.Since(begin).Seconds()
-	s.WriteP99Millis[key] = float64(all.ValueAtQuantile(99)) / 1000
+	key := strconv.Itoa(count)
+	s.WritesPerSecond[key] = float64(written.Load()) / time.Since(began).Seconds()
+	s.WriteP99Millis[key] = float64(merged.ValueAtQuantile(99)) / 1000
 	return nil
 }
 
 // failOver kills the leader again and again, and tells for how long no write was done.
-func (s *Measurements) measureFailover(ctx context.Context, o SizeOptions) error {
-	t, err := o.startService(ctx, replicaCount, filepath.Join(o.Dir, "fail-over"))
+func (s *Measurements) measureFailover(ctx context.Context, options SizeOptions) error {
+	t, err := options.startService(ctx, replicaCount, filepath.Join(options.Dir, "fail-over"))
 	if err != nil {
 		return err
 	}
@@ -455,22 +455,22 @@
 	for _, r := range t.replicas {
 		addresses = append(addresses, r.OwnAddr(replica.HTTP))
 	}
-	op := &directory.AdminClient{Addresses: addresses, HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
-	for i := range o.LeaderKills {
-		lead := t.leader(ctx)
-		lead.Process().Signal(syscall.SIGKILL)
-		at := time.Now()
+	admin := &directory.AdminClient{Addresses: addresses, HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+	for i := range options.LeaderKills {
+		leader := t.leader(ctx)
+		leader.Process().Signal(syscall.SIGKILL)
+		killedAt := time.Now()
 		for n := int64(1); ; n++ {
-			if _, err := op.Put(ctx, []catalog.Endpoint{stampedEndpoint(i, time.Now().UnixMicro())}, false, false, "*"); err == nil {
+			if _, err := admin.Put(ctx, []catalog.Endpoint{stampedEndpoint(i, time.Now().UnixMicro())}, false, false, "*"); err == nil {
 				break
 			}
-			if time.Since(at) > settleTimeout || !registry.Sleep(ctx, 5*time.Millisecond) {
+			if time.Since(killedAt) > settleTimeout || !registry.Sleep(ctx, 5*time.Millisecond) {
 				return errors.New("no write was done any more")
 			}
 		}
-		s.FailoverTimes = append(s.FailoverTimes, time.Since(at))
-		<-lead.Process().Done()
-		if err := lead.Start(); err != nil {
+		s.FailoverTimes = append(s.FailoverTimes, time.Since(killedAt))
+		<-leader.Process().Done()
+		if err := leader.Start(); err != nil {
 			return err
 		}
 		if err := await(ctx, "three votes", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -120,32 +120,32 @@
 }
 
 // buildOf makes so many replicas. Everything reaches one by its links, unless they are left out.
-func (t *trial) buildReplicas(count int, direct bool) error {
+func (t *trial) buildReplicas(count int, withoutLinks bool) error {
 	var err error
 	if t.block, err = block.Reserve(); err != nil {
 		return err
 	}
-	o := replica.Options{Command: t.options.Command, Dir: t.options.Dir, Block: t.block, Supervisor: t.supervisor, Seed: t.options.Seed}
-	if !direct { // much happens in a short time
-		o.Conditions = &calm
-		o.Settings = "election = \"300ms\"\n[snapshot]\nevery = 40\ntrailing = 20\ninterval = \"200ms\"\n[watch]\nlag_kb = 64\n"
+	options := replica.Options{Command: t.options.Command, Dir: t.options.Dir, Block: t.block, Supervisor: t.supervisor, Seed: t.options.Seed}
+	if !withoutLinks { // much happens in a short time
+		options.Conditions = &calm
+		options.Settings = "election = \"300ms\"\n[snapshot]\nevery = 40\ntrailing = 20\ninterval = \"200ms\"\n[watch]\nlag_kb = 64\n"
 	}
-	t.replicas, err = replica.New(count, o)
+	t.replicas, err = replica.New(count, options)
 	return err
 }
 
 // operator asks one replica past its links.
-func operatorClient(r *replica.Replica) *directory.AdminClient {
-	return &directory.AdminClient{Addresses: []string{r.OwnAddr(replica.HTTP)}, HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+func operatorClient(target *replica.Replica) *directory.AdminClient {
+	return &directory.AdminClient{Addresses: []string{target.OwnAddr(replica.HTTP)}, HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // leader is the replica that says it leads, or any.
 func (t *trial) leader(ctx context.Context) *replica.Replica {
 	for _, r := range t.replicas {
 		ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
-		st, err := operatorClient(r).Status(ctx)
+		status, err := operatorClient(r).Status(ctx)
 		cancel()
-		if err == nil && st.State == "Leader" {
+		if err == nil && status.State == "Leader" {
 			return r
 		}
 	}
@@ -155,10 +155,10 @@
 func (t *trial) elapsed() time.Duration { return time.Since(t.startedAt) }
 
 // await waits for something that must come.
-func await(ctx context.Context, what string, is func() bool) error {
-	for end := time.Now().Add(settleTimeout); !is(); {
-		if time.Now().After(end) {
-			return fmt.Errorf("%s has not come within %v", what, settleTimeout)
+func await(ctx context.Context, name string, isDone func() bool) error {
+	for deadline := time.Now().Add(settleTimeout); !isDone(); {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%s has not come within %v", name, settleTimeout)
 		}
 		if !registry.Sleep(ctx, 20*time.Millisecond) {
 			return ctx.Err()
@@ -168,27 +168,27 @@
 }
 
 func (t *trial) shuffledAddresses(seed uint64) []string {
-	var all []string
+	var addresses []string
 	for _, r := range t.replicas {
-		all = append(all, r.AdvertisedAddr(replica.HTTP))
+		addresses = append(addresses, r.AdvertisedAddr(replica.HTTP))
 	}
-	rand.New(rand.NewPCG(t.options.Seed, seed)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	return all
+	rand.New(rand.NewPCG(t.options.Seed, seed)).Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	return addresses
 }
 
-func (t *trial) hasVoters(ctx context.Context, n int) bool {
+func (t *trial) hasVoters(ctx context.Context, count int) bool {
 	for _, r := range t.replicas {
-		st, err := operatorClient(r).Status(ctx)
-		if err != nil || st.Leader == "" {
+		status, err := operatorClient(r).Status(ctx)
+		if err != nil || status.Leader == "" {
 			return false
 		}
 		votes := 0
-		for _, m := range st.Members {
-			if m.Votes {
+		for _, member := range status.Members {
+			if member.Votes {
 				votes++
 			}
 		}
-		if votes != n {
+		if votes != count {
 			return false
 		}
 	}
@@ -206,33 +206,33 @@
 	}
 	t.startedAt = time.Now()
 	t.lastWriteAt = t.startedAt
-	first := t.newClient(99)
+	admin := t.newClient(99)
 	var members []catalog.Endpoint
 	for i := range endpointCount {
 		members = append(members, t.endpointWithValue(fmt.Sprint("e", i), 0))
 	}
-	if _, err := first.Put(ctx, members, true, true, "*"); err != nil {
+	if _, err := admin.Put(ctx, members, true, true, "*"); err != nil {
 		return fmt.Errorf("the first list: %w", err)
 	}
-	watching, unwatch := context.WithCancel(ctx)
-	defer unwatch()
-	var watches, work sync.WaitGroup
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	defer stopWatching()
+	var watches, writers sync.WaitGroup
 	for n := range watcherCount {
-		watches.Go(func() { t.watchList(watching, n) })
+		watches.Go(func() { t.watchList(watchCtx, n) })
 	}
 	defer watches.Wait()
-	defer unwatch()
-	writing, stop := context.WithCancel(ctx)
-	defer stop()
+	defer stopWatching()
+	writeCtx, stopWriting := context.WithCancel(ctx)
+	defer stopWriting()
 	for n := range writerCount {
-		work.Go(func() { t.runWriter(writing, n) })
+		writers.Go(func() { t.runWriter(writeCtx, n) })
 	}
 	for n := range leaseHolderCount {
-		work.Go(func() { t.acquireLeases(writing, n) })
+		writers.Go(func() { t.acquireLeases(writeCtx, n) })
 	}
 	err := t.injectFaults(ctx)
-	stop()
-	work.Wait()
+	stopWriting()
+	writers.Wait()
 	if err != nil {
 		return err
 	}
@@ -245,7 +245,7 @@
 		t.result.Violations = append(t.result.Violations, err.Error())
 		return nil
 	}
-	return t.check(ctx, first, func() { unwatch(); watches.Wait() })
+	return t.check(ctx, admin, func() { stopWatching(); watches.Wait() })
 }
 
 func (t *trial) endpointWithValue(id string, value int64) catalog.Endpoint {
@@ -253,40 +253,40 @@
 }
 
 // client asks by its own connections, at the replicas in an order of its own.
-func (t *trial) newClient(n int) *directory.AdminClient {
-	return &directory.AdminClient{Addresses: t.shuffledAddresses(uint64(100 + n)), By: fmt.Sprint("writer ", n),
+func (t *trial) newClient(number int) *directory.AdminClient {
+	return &directory.AdminClient{Addresses: t.shuffledAddresses(uint64(100 + number)), By: fmt.Sprint("writer ", number),
 		HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // watch follows the list as every client of the service does.
-func (t *trial) watchList(ctx context.Context, n int) {
+func (t *trial) watchList(ctx context.Context, watcher int) {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	w := registry.Watcher{Addresses: t.shuffledAddresses(uint64(n)), FleetSize: 1, Client: &http.Client{Transport: transport}, Log: t.options.Log,
+	listWatcher := registry.Watcher{Addresses: t.shuffledAddresses(uint64(watcher)), FleetSize: 1, Client: &http.Client{Transport: transport}, Log: t.options.Log,
 		Cursor: registry.NewCursor(registry.Position{})}
-	w.Watch(ctx, func(l registry.Update) error {
+	listWatcher.Watch(ctx, func(update registry.Update) error {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.updates[n] = append(t.updates[n], WatcherUpdate{n, l.History, l.List})
+		t.updates[watcher] = append(t.updates[watcher], WatcherUpdate{watcher, update.History, update.List})
 		return nil
 	})
 }
 
 // writes reads and writes the endpoints' values until the context ends. What is under way then is let finish.
-func (t *trial) runWriter(ctx context.Context, n int) {
-	r := rand.New(rand.NewPCG(t.options.Seed, uint64(1000+n)))
-	c := t.newClient(n)
-	for registry.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(meanOperationInterval))) {
-		id := fmt.Sprint("e", r.IntN(endpointCount))
-		c.Addresses = t.shuffledAddresses(r.Uint64())
-		switch r.IntN(3) {
+func (t *trial) runWriter(ctx context.Context, writer int) {
+	random := rand.New(rand.NewPCG(t.options.Seed, uint64(1000+writer)))
+	client := t.newClient(writer)
+	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(meanOperationInterval))) {
+		id := fmt.Sprint("e", random.IntN(endpointCount))
+		client.Addresses = t.shuffledAddresses(random.Uint64())
+		switch random.IntN(3) {
 		case 0:
-			t.readValue(c, n, id)
+			t.readValue(client, writer, id)
 		case 1:
-			t.writeValue(c, Operation{Client: n, Kind: Put, EndpointID: id}, "*")
+			t.writeValue(client, Operation{Client: writer, Kind: Put, EndpointID: id}, "*")
 		default:
-			if old, match, ok := t.readValue(c, n, id); ok {
-				t.writeValue(c, Operation{Client: n, Kind: CompareAndSwap, EndpointID: id, Old: old}, match)
+			if old, match, ok := t.readValue(client, writer, id); ok {
+				t.writeValue(client, Operation{Client: writer, Kind: CompareAndSwap, EndpointID: id, Old: old}, match)
 			}
 		}
 	}
@@ -304,28 +304,28 @@
 	}
 }
 
-func (t *trial) readValue(c *directory.AdminClient, n int, id string) (value int64, match string, ok bool) {
-	op := Operation{Client: n, Kind: Read, EndpointID: id, Outcome: Done, Call: t.elapsed()}
-	l, match, _, err := c.List(context.Background(), !t.options.StaleReads)
+func (t *trial) readValue(client *directory.AdminClient, writer int, id string) (value int64, match string, ok bool) {
+	op := Operation{Client: writer, Kind: Read, EndpointID: id, Outcome: Done, Call: t.elapsed()}
+	list, match, _, err := client.List(context.Background(), !t.options.StaleReads)
 	if err != nil {
 		return 0, "", false
 	}
-	for _, m := range l.Members {
-		if m.ID == id {
-			op.ReadValue, op.Revision = m.UpSince, l.Revision
+	for _, member := range list.Members {
+		if member.ID == id {
+			op.ReadValue, op.Revision = member.UpSince, list.Revision
 			t.recordOperation(op)
-			return m.UpSince, match, true
+			return member.UpSince, match, true
 		}
 	}
 	return 0, "", false
 }
 
-func (t *trial) writeValue(c *directory.AdminClient, op Operation, match string) {
+func (t *trial) writeValue(client *directory.AdminClient, op Operation, match string) {
 	op.New, op.Call = t.lastValue.Add(1), t.elapsed()
-	w, err := c.Put(context.Background(), []catalog.Endpoint{t.endpointWithValue(op.EndpointID, op.New)}, false, false, match)
+	written, err := client.Put(context.Background(), []catalog.Endpoint{t.endpointWithValue(op.EndpointID, op.New)}, false, false, match)
 	switch {
 	case err == nil:
-		op.Outcome, op.Revision = Done, w.Revision
+		op.Outcome, op.Revision = Done, written.Revision
 	case errors.Is(err, catalog.ErrConflict):
 		op.Outcome = Conflict
 	case errors.Is(err, directory.ErrRefused) && !errors.Is(err, directory.ErrAmbiguous):
@@ -342,7 +342,7 @@
 
 // fault is one kind of what may happen.
 type fault struct {
-	name   string
+	description   string
 	inject func(t *trial, ctx context.Context, r *replica.Replica, for_ time.Duration) error
 }
 
@@ -410,10 +410,10 @@
 	}},
 }
 
-func cutLink(link int, w relay.Conditions) func(*trial, context.Context, *replica.Replica, time.Duration) error {
-	return func(_ *trial, ctx context.Context, r *replica.Replica, d time.Duration) error {
-		r.Links[link].SetConditions(w)
-		registry.Sleep(ctx, d)
+func cutLink(link int, weather relay.Conditions) func(*trial, context.Context, *replica.Replica, time.Duration) error {
+	return func(_ *trial, ctx context.Context, r *replica.Replica, duration time.Duration) error {
+		r.Links[link].SetConditions(weather)
+		registry.Sleep(ctx, duration)
 		r.Links[link].SetConditions(calm)
 		r.Links[link].ResetConnections()
 		return nil
@@ -432,7 +432,7 @@
 // timeline plays faults one after the other, at the leader half of the time, with a moment between two of them.
 func (t *trial) injectFaults(ctx context.Context) error {
 	kinds := slices.DeleteFunc(slices.Clone(faults), func(f fault) bool {
-		return len(t.options.FaultKinds) > 0 && !slices.Contains(t.options.FaultKinds, f.name)
+		return len(t.options.FaultKinds) > 0 && !slices.Contains(t.options.FaultKinds, f.description)
 	})
 	if len(kinds) == 0 {
 		return fmt.Errorf("none of the faults is called %q", t.options.FaultKinds)
@@ -441,23 +441,23 @@
 		if !registry.Sleep(ctx, time.Duration(200+t.random.IntN(600))*time.Millisecond) {
 			return ctx.Err()
 		}
-		f, d := kinds[t.random.IntN(len(kinds))], time.Duration(300+t.random.IntN(1500))*time.Millisecond
-		who := "any"
+		f, duration := kinds[t.random.IntN(len(kinds))], time.Duration(300+t.random.IntN(1500))*time.Millisecond
+		target := "any"
 		r := t.replicas[t.random.IntN(replicaCount)]
 		if t.random.IntN(2) == 0 {
-			who, r = "leader", t.leader(ctx)
+			target, r = "leader", t.leader(ctx)
 		}
-		name := fmt.Sprintf("%v %s: %s of %s for %v", t.elapsed().Round(time.Millisecond), who, f.name, r.ID, d)
-		t.options.Log.Info("fault", "what", name)
-		t.result.Faults = append(t.result.Faults, name)
-		if err := f.inject(t, ctx, r, d); err != nil {
-			return fmt.Errorf("%s: %w", name, err)
+		description := fmt.Sprintf("%v %s: %s of %s for %v", t.elapsed().Round(time.Millisecond), target, f.description, r.ID, duration)
+		t.options.Log.Info("fault", "what", description)
+		t.result.Faults = append(t.result.Faults, description)
+		if err := f.inject(t, ctx, r, duration); err != nil {
+			return fmt.Errorf("%s: %w", description, err)
 		}
-		if strings.Contains(f.name, "log") || strings.Contains(f.name, "folder") {
+		if strings.Contains(f.description, "log") || strings.Contains(f.description, "folder") {
 			continue
 		}
 		// Losing a folder is safe only while the others have it all, so each fault is over before the next.
-		if err := await(ctx, "the service after "+f.name, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+		if err := await(ctx, "the service after "+f.description, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			t.result.Violations = append(t.result.Violations, err.Error())
 		}
 	}
@@ -465,34 +465,34 @@
 }
 
 // judge restores a backup as a last thing, waits for the watchers, and checks all that was seen.
-func (t *trial) check(ctx context.Context, c *directory.AdminClient, unwatch func()) error {
-	c.RetryFor = settleTimeout
-	truth := map[int64]CommittedHistory{}
-	before, err := t.readHistory(ctx, c)
+func (t *trial) check(ctx context.Context, admin *directory.AdminClient, stopWatching func()) error {
+	admin.RetryFor = settleTimeout
+	histories := map[int64]CommittedHistory{}
+	committed, err := t.readHistory(ctx, admin)
 	if err != nil {
 		return err
 	}
 	if t.random.IntN(2) == 0 { // the backup is of before the last writes
-		saved, _, err := c.Backup(ctx, true)
+		backup, _, err := admin.Backup(ctx, true)
 		if err != nil {
 			return err
 		}
 		for i := range 5 {
-			if _, err := c.Put(ctx, []catalog.Endpoint{t.endpointWithValue(fmt.Sprint("x", i), 0)}, false, false, "*"); err != nil {
+			if _, err := admin.Put(ctx, []catalog.Endpoint{t.endpointWithValue(fmt.Sprint("x", i), 0)}, false, false, "*"); err != nil {
 				return fmt.Errorf("a write after the faults: %w", err)
 			}
 		}
-		if before, err = t.readHistory(ctx, c); err != nil {
+		if committed, err = t.readHistory(ctx, admin); err != nil {
 			return err
 		}
-		image, err := directory.DecodeBackup(strings.NewReader(string(saved)))
+		image, err := directory.DecodeBackup(strings.NewReader(string(backup)))
 		if err != nil {
 			return err
 		}
-		if _, err := c.Restore(ctx, saved); err != nil {
+		if _, err := admin.Restore(ctx, backup); err != nil {
 			return fmt.Errorf("the restore: %w", err)
 		}
-		st, err := operatorClient(t.leader(ctx)).Status(ctx)
+		status, err := operatorClient(t.leader(ctx)).Status(ctx)
 		if err != nil {
 			return err
 		}
@@ -500,34 +500,34 @@
 		if err != nil {
 			return err
 		}
-		truth[st.History] = CommittedHistory{Initial: state.FullList()}
+		histories[status.History] = CommittedHistory{Initial: state.FullList()}
 	}
-	truth[before.number] = before.CommittedHistory
-	t.result.Histories = len(truth)
-	t.result.Revisions = int64(len(before.Changes))
-	var bad []string
+	histories[committed.number] = committed.CommittedHistory
+	t.result.Histories = len(histories)
+	t.result.Revisions = int64(len(committed.Changes))
+	var violations []string
 	err = await(ctx, "the end of the list at every watcher", func() bool {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		bad = CheckWatches(truth, t.updates)
-		return len(bad) == 0
+		violations = CheckWatches(histories, t.updates)
+		return len(violations) == 0
 	})
-	unwatch()
+	stopWatching()
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	if err != nil {
-		t.result.Violations = append(t.result.Violations, bad...)
+		t.result.Violations = append(t.result.Violations, violations...)
 	}
-	for _, w := range t.updates {
-		t.result.WatchLines += len(w)
+	for _, received := range t.updates {
+		t.result.WatchLines += len(received)
 	}
-	t.result.Violations = append(t.result.Violations, CheckWrites(before.CommittedHistory, t.operations)...)
+	t.result.Violations = append(t.result.Violations, CheckWrites(committed.CommittedHistory, t.operations)...)
 	t.result.LeaseHoldings = len(t.holdings)
 	t.result.Violations = append(t.result.Violations, CheckLeases(t.holdings)...)
 	t.result.Violations = append(t.result.Violations, CheckLinearizable(t.operations, checkTimeout)...)
 	if len(t.result.Violations) > 0 {
-		raw, err := json.Marshal(map[string]any{"ops": t.operations, "told": t.updates, "truth": truth, "held": t.holdings})
+		raw, err := json.Marshal(map[string]any{"ops": t.operations, "told": t.updates, "truth": histories, "held": t.holdings})
 		if err != nil {
 			return err
 		}
@@ -543,32 +543,32 @@
 }
 
 // truth reads all changes from the first on.
-func (t *trial) readHistory(ctx context.Context, c *directory.AdminClient) (serviceHistory, error) {
-	a := serviceHistory{CommittedHistory: CommittedHistory{Initial: catalog.List{Members: []catalog.Endpoint{}}}}
-	now, _, _, err := c.List(ctx, true)
+func (t *trial) readHistory(ctx context.Context, admin *directory.AdminClient) (serviceHistory, error) {
+	history := serviceHistory{CommittedHistory: CommittedHistory{Initial: catalog.List{Members: []catalog.Endpoint{}}}}
+	current, _, _, err := admin.List(ctx, true)
 	if err != nil {
-		return a, err
+		return history, err
 	}
-	lead := operatorClient(t.leader(ctx))
-	lead.RetryFor = settleTimeout
+	leader := operatorClient(t.leader(ctx))
+	leader.RetryFor = settleTimeout
 	for after := int64(0); ; {
-		h, err := lead.History(ctx, after, 1000)
+		page, err := leader.History(ctx, after, 1000)
 		if err != nil {
-			return a, err
+			return history, err
 		}
-		if !h.All {
-			return a, errors.New("the service no longer has all changes of the trial")
+		if !page.All {
+			return history, errors.New("the service no longer has all changes of the trial")
 		}
-		a.number = h.History
-		a.Changes = append(a.Changes, h.Changes...)
-		if len(h.Changes) == 0 && h.Revision < now.Revision { // no longer the leader
-			lead = operatorClient(t.leader(ctx))
+		history.number = page.History
+		history.Changes = append(history.Changes, page.Changes...)
+		if len(page.Changes) == 0 && page.Revision < current.Revision { // no longer the leader
+			leader = operatorClient(t.leader(ctx))
 			registry.Sleep(ctx, retryPause)
 			continue
 		}
-		if len(h.Changes) == 0 {
-			return a, nil
+		if len(page.Changes) == 0 {
+			return history, nil
 		}
-		after = h.Changes[len(h.Changes)-1].Revision
+		after = page.Changes[len(page.Changes)-1].Revision
 	}
 }
