--- a/internal/lab/trial/check.go
+++ b/internal/lab/trial/check.go
@@ -82,7 +82,7 @@
 	for _, id := range slices.Sorted(maps.Keys(byEndpoint)) {
 		switch porcupine.CheckOperationsTimeout(registerModel, byEndpoint[id], timeout) {
 		case porcupine.Illegal:
-			violations = append(violations, fmt.Sprintf("endpoint %s: its %d reads and writes fit into no order", id, len(byEndpoint[id])))
+			violations = append(violations, fmt.Sprintf("endpoint %s: its %d reads and writes are not linearizable", id, len(byEndpoint[id])))
 		case porcupine.Unknown:
 			violations = append(violations, fmt.Sprintf("endpoint %s: %d reads and writes could not be checked within %v", id, len(byEndpoint[id]), timeout))
 		}
@@ -129,11 +129,11 @@
 	for i, update := range received {
 		switch {
 		case update.History < history:
-			return fmt.Sprintf("line %d is of history %d, after %d", i, update.History, history)
+			return fmt.Sprintf("line %d has history %d, after %d", i, update.History, history)
 		case update.History > history:
 			committed, ok := histories[update.History]
 			if !ok {
-				return fmt.Sprintf("line %d is of history %d, which never was", i, update.History)
+				return fmt.Sprintf("line %d has history %d, which does not exist", i, update.History)
 			}
 			if !update.Complete {
 				return fmt.Sprintf("line %d begins history %d without its list", i, update.History)
@@ -142,7 +142,7 @@
 			expected = endpointsByID(committed.Initial)
 		}
 		if update.Revision < revision {
-			return fmt.Sprintf("line %d is of revision %d, after %d", i, update.Revision, revision)
+			return fmt.Sprintf("line %d has revision %d, after %d", i, update.Revision, revision)
 		}
 		revision = update.Revision
 		if update.Complete {
@@ -154,14 +154,14 @@
 			applied, pending = pending[0].Revision, pending[1:]
 		}
 		if applied != revision {
-			return fmt.Sprintf("line %d is of revision %d, which the service does not have", i, revision)
+			return fmt.Sprintf("line %d has revision %d, which the service does not have", i, revision)
 		}
 		if !maps.Equal(actual, expected) {
-			return fmt.Sprintf("line %d, revision %d: it has %v, the list is %v", i, revision, actual, expected)
+			return fmt.Sprintf("line %d, revision %d: the watcher has %v, the list is %v", i, revision, actual, expected)
 		}
 	}
 	if history != lastHistory || len(pending) > 0 {
-		return fmt.Sprintf("it has come to revision %d of history %d, and not to the end: %d more changes of history %d", revision, history, len(pending), lastHistory)
+		return fmt.Sprintf("stopped at revision %d of history %d, before the end: %d more changes of history %d", revision, history, len(pending), lastHistory)
 	}
 	return ""
 }
@@ -199,15 +199,15 @@
 		}
 		requested[op.New] = true
 		if op.Outcome == Done && valuesAt[op.Revision][op.EndpointID] != op.New {
-			violations = append(violations, fmt.Sprintf("%s was acknowledged %d at revision %d, where the service has %v", op.EndpointID, op.New, op.Revision, valuesAt[op.Revision]))
+			violations = append(violations, fmt.Sprintf("endpoint %s: the write of %d was acknowledged at revision %d, where the service has %v", op.EndpointID, op.New, op.Revision, valuesAt[op.Revision]))
 		}
 		if op.Outcome == Conflict && writeCounts[op.New] > 0 {
-			violations = append(violations, fmt.Sprintf("%s: the write of %d was refused, and done", op.EndpointID, op.New))
+			violations = append(violations, fmt.Sprintf("endpoint %s: the write of %d was refused as a conflict, but took effect", op.EndpointID, op.New))
 		}
 	}
 	for value, count := range writeCounts {
 		if !requested[value] {
-			violations = append(violations, fmt.Sprintf("nobody has asked for the value %d", value))
+			violations = append(violations, fmt.Sprintf("no client wrote the value %d", value))
 		}
 		if count > 1 && value != 0 {
 			violations = append(violations, fmt.Sprintf("the value %d was written %d times", value, count))
--- a/internal/lab/trial/formats_test.go
+++ b/internal/lab/trial/formats_test.go
@@ -85,10 +85,10 @@
 func TestNames(t *testing.T) {
 	var faultNames, ownFaultNames []string
 	for _, f := range faults {
-		faultNames = append(faultNames, f.description)
+		faultNames = append(faultNames, f.name)
 	}
 	for _, f := range ownershipFaults {
-		ownFaultNames = append(ownFaultNames, f.description)
+		ownFaultNames = append(ownFaultNames, f.name)
 	}
 	raw, err := json.MarshalIndent(map[string]any{
 		"faults":           faultNames,
--- a/internal/lab/trial/leases.go
+++ b/internal/lab/trial/leases.go
@@ -30,7 +30,7 @@
 
 // Leases tells where two could rely on the same record at once, and where tokens do not grow from holder to holder.
 func CheckLeases(holdings []LeaseHolding) []string {
-	holdings = slices.SortedFunc(slices.Values(holdings), func(a, b LeaseHolding) int { return cmp.Compare(a.Token, b.Token) })
+	holdings = slices.SortedFunc(slices.Values(holdings), func(a, current LeaseHolding) int { return cmp.Compare(a.Token, current.Token) })
 	var violations []string
 	for i := 1; i < len(holdings); i++ {
 		previous, b := holdings[i-1], holdings[i]
--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -228,7 +228,7 @@
 			return err
 		}
 	}
-	if err := await(ctx, "a service of three", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+	if err := await(ctx, "a service with three voters", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 		return err
 	}
 	t.startedAt = time.Now()
@@ -264,7 +264,7 @@
 	if err != nil {
 		return err
 	}
-	t.ownershipOptions.Log.Info("faults over", "at", t.elapsed())
+	t.ownershipOptions.Log.Info("end of the faults", "at", t.elapsed())
 	if err := t.restoreAll(ctx); err != nil {
 		return err
 	}
@@ -281,12 +281,12 @@
 	admin := t.newClient(99)
 	admin.RetryFor = settleTimeout
 	if _, err := admin.Put(ctx, members, true, true, "*"); err != nil {
-		return fmt.Errorf("the first list: %w", err)
+		return fmt.Errorf("write the first list: %w", err)
 	}
 	firstController := t.newController(controllerCount)
 	firstController.admin.RetryFor = settleTimeout
 	if _, err := firstController.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member { return t.members() }); err != nil {
-		return fmt.Errorf("the first map: %w", err)
+		return fmt.Errorf("publish the first map: %w", err)
 	}
 	errs := make([]error, len(t.nodes))
 	var starts sync.WaitGroup
@@ -300,7 +300,7 @@
 	for _, n := range t.nodes {
 		var reason string
 		ready := func() (ok bool) { ok, reason = n.ready(ctx); return ok }
-		if err := await(ctx, n.name+" ready", ready); err != nil {
+		if err := await(ctx, n.name+" to be ready", ready); err != nil {
 			return fmt.Errorf("%w: %s", err, reason)
 		}
 	}
@@ -327,7 +327,7 @@
 		}
 		admin.Addresses = t.shuffledAddresses(random.Uint64())
 		if _, err := admin.Put(context.WithoutCancel(ctx), []catalog.Endpoint{endpoint}, false, true, "*"); err != nil {
-			t.ownershipOptions.Log.Debug("a change of the list", "err", err) // its outcome stands in the history
+			t.ownershipOptions.Log.Debug("list change failed", "err", err) // the history of the list tells its outcome
 		}
 	}
 }
@@ -361,7 +361,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.result.Violations = append(t.result.Violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s has a map that can't be read: %v", observer, err)})
+		t.result.Violations = append(t.result.Violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s has a map that does not decode: %v", observer, err)})
 		return
 	}
 	now, sum := t.elapsed(), checksum(value)
@@ -425,7 +425,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.MapChanges[outcome]++
-	t.ownershipOptions.Log.Debug("map", "by", controller, "number", number, "how", interrupted, "err", err)
+	t.ownershipOptions.Log.Debug("controller changed the map", "by", controller, "number", number, "how", interrupted, "err", err)
 }
 
 // fetched is told that a node fetches the map; pass sends it on.
@@ -564,7 +564,7 @@
 
 // ownFault is one kind of what may happen to the parts of the trial.
 type ownershipFault struct {
-	description   string
+	name   string
 	inject func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error)
 }
 
@@ -590,7 +590,7 @@
 	})},
 	{"node killed and started while cut off", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
 		t.setLinks(n.fronts, relay.Conditions{CutOutbound: true, CutReturn: true})
-		defer t.setLinks(n.fronts, calm)
+		defer t.setLinks(n.fronts, healthyLink)
 		n.kill()
 		kept, _ := n.savedList() // it may not have had the time to keep one
 		registry.Sleep(ctx, d/2)
@@ -605,7 +605,7 @@
 	{"node cut off", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
 		t.setLinks(n.fronts, relay.Conditions{CutOutbound: t.random.IntN(2) == 0, CutReturn: true})
 		registry.Sleep(ctx, d)
-		t.setLinks(n.fronts, calm)
+		t.setLinks(n.fronts, healthyLink)
 		return nil
 	})},
 	{"node killed as it fetches a map", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
@@ -654,9 +654,9 @@
 		t.replicas[region].Links[replica.Raft].SetConditions(cutOff)
 		t.setLinks(away, cutOff)
 		registry.Sleep(ctx, d)
-		t.replicas[region].Links[replica.Raft].SetConditions(calm)
+		t.replicas[region].Links[replica.Raft].SetConditions(healthyLink)
 		t.replicas[region].Links[replica.Raft].ResetConnections()
-		t.setLinks(away, calm)
+		t.setLinks(away, healthyLink)
 		return fmt.Sprint("region ", region), nil
 	}},
 	{"region killed", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
@@ -727,7 +727,7 @@
 		if cutsOffWatchers {
 			defer t.beginDisturbance(-1, "a replica cut off")()
 		}
-		index := slices.IndexFunc(faults, func(f fault) bool { return f.description == name })
+		index := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
 		return target.ID, faults[index].inject(t.trial, ctx, target, duration)
 	}
 }
@@ -758,8 +758,8 @@
 		next++
 		return t.submit(node, t.newMessageID(), classIdempotent, destinations[next%len(destinations)], t.elapsed()+messageLifetime, false).Answer == history.Taken
 	}
-	if err := await(ctx, node.name+" accepting without a directory", accepts); err != nil && ctx.Err() == nil {
-		t.addViolation(RuleRecovery, "%v, of %d destinations that it owned all the time", err, len(destinations))
+	if err := await(ctx, node.name+" to accept without a directory", accepts); err != nil && ctx.Err() == nil {
+		t.addViolation(RuleRecovery, "%v, for any of %d destinations that it owned all the time", err, len(destinations))
 		return
 	}
 	t.mu.Lock()
@@ -771,7 +771,7 @@
 func (t *ownershipTrial) setLinks(fronts []*front, weather relay.Conditions) {
 	for _, f := range fronts {
 		f.link.SetConditions(weather)
-		if weather == calm {
+		if weather == healthyLink {
 			f.link.ResetConnections()
 		}
 	}
@@ -795,10 +795,10 @@
 // faults plays all kinds in an order of the seed, and again, with a moment between two of them.
 func (t *ownershipTrial) injectFaults(ctx context.Context) error {
 	kinds := slices.DeleteFunc(slices.Clone(ownershipFaults), func(f ownershipFault) bool {
-		return len(t.ownershipOptions.FaultKinds) > 0 && !slices.Contains(t.ownershipOptions.FaultKinds, f.description)
+		return len(t.ownershipOptions.FaultKinds) > 0 && !slices.Contains(t.ownershipOptions.FaultKinds, f.name)
 	})
 	if len(kinds) == 0 {
-		return fmt.Errorf("none of the faults is called %q", t.ownershipOptions.FaultKinds)
+		return fmt.Errorf("no fault has any of the names %q", t.ownershipOptions.FaultKinds)
 	}
 	var deck []ownershipFault
 	for end := t.elapsed() + t.options.Duration; t.elapsed() < end; {
@@ -813,13 +813,13 @@
 		deck = deck[1:]
 		start := t.elapsed()
 		target, err := f.inject(t, ctx, duration)
-		description := fmt.Sprintf("%v %s: %s for %v", start.Round(time.Millisecond), f.description, target, duration)
+		description := fmt.Sprintf("%v %s: %s for %v", start.Round(time.Millisecond), f.name, target, duration)
 		t.ownershipOptions.Log.Info("fault", "what", description)
 		t.result.Faults = append(t.result.Faults, description)
 		if err != nil {
 			return fmt.Errorf("%s: %w", description, err)
 		}
-		if err := await(ctx, "the service after "+f.description, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+		if err := await(ctx, "three voters after the fault "+f.name, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			return err
 		}
 	}
@@ -842,7 +842,7 @@
 			return err
 		}
 	}
-	return await(ctx, "the service after the faults", func() bool { return t.hasVoters(ctx, replicaCount) })
+	return await(ctx, "three voters after the faults", func() bool { return t.hasVoters(ctx, replicaCount) })
 }
 
 // lastMap makes the map that stays: one node is not in it.
@@ -851,7 +851,7 @@
 		return slices.DeleteFunc(t.members(), func(m ownership.Member) bool { return m.Name == nodeName(excluded) })
 	})
 	if err != nil {
-		return PublishedMap{}, fmt.Errorf("the last map: %w", err)
+		return PublishedMap{}, fmt.Errorf("publish the last map: %w", err)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -860,7 +860,7 @@
 			return *published, nil
 		}
 	}
-	return PublishedMap{}, fmt.Errorf("the last map, %d, is not among those that were made", m.Number)
+	return PublishedMap{}, fmt.Errorf("the last map, number %d, is not among the recorded maps", m.Number)
 }
 
 // settle makes the last map, waits until all act by it, and checks all that was seen.
@@ -893,7 +893,7 @@
 		}
 		return t.check(ctx)
 	}
-	t.ownershipOptions.Log.Info("the last map", "number", lastMap.Number, "at", t.elapsed())
+	t.ownershipOptions.Log.Info("published the last map", "number", lastMap.Number, "at", t.elapsed())
 	t.awaitConvergence(ctx, lastMap, excluded)
 	t.ownershipOptions.Log.Info("judging", "at", t.elapsed())
 	if ctx.Err() != nil {
@@ -915,7 +915,7 @@
 	defer cancel()
 	current, _, _, err := t.newClient(99).List(ctx, true)
 	if err != nil {
-		t.addViolation(RuleRecovery, "the list after the faults: %v", err)
+		t.addViolation(RuleRecovery, "read the list after the faults: %v", err)
 		return
 	}
 	serving := map[int]bool{}
@@ -947,7 +947,7 @@
 			return
 		}
 	}
-	t.ownershipOptions.Log.Info("all accept as they should", "at", t.elapsed())
+	t.ownershipOptions.Log.Info("all nodes answer as the last map demands", "at", t.elapsed())
 	t.awaitLists(ctx, lastMap, excluded, current)
 }
 
@@ -961,7 +961,7 @@
 			correct := submission.isCorrect(lastMap, isListed(destination))
 			busy := submission.Answer == history.Refused && submission.RetryAfter > 0
 			if !correct {
-				t.ownershipOptions.Log.Debug("not yet", "node", node.name, "dest", destination, "state", submission.Answer, "wait", submission.RetryAfter, "why", submission.Reason, "took", submission.Return-submission.Call)
+				t.ownershipOptions.Log.Debug("answer does not match the last map yet", "node", node.name, "dest", destination, "state", submission.Answer, "wait", submission.RetryAfter, "why", submission.Reason, "took", submission.Return-submission.Call)
 			}
 			if correct || !untilCorrect && !busy || t.hasFoundInjected() || !registry.Sleep(ctx, pollInterval) {
 				submissions = append(submissions, submission)
@@ -1000,25 +1000,25 @@
 			}
 			actual, err := node.savedList()
 			if err != nil || !maps.Equal(actual, expected) {
-				problem = fmt.Sprintf("it keeps %s, %v", describeDifference(actual, expected), err)
+				problem = fmt.Sprintf("it stores %s, %v", describeDifference(actual, expected), err)
 				return false
 			}
 			observed := t.copyObservations()
 			for _, request := range slices.Backward(observed.watchRequests) {
 				if request.Node == i {
-					problem = "it asks for " + summarize(request.Partitions)
+					problem = "it requests " + summarize(request.Partitions)
 					return request.Partitions == lastMap.Owned[i] || i == excluded && request.Partitions.Len() == 1
 				}
 			}
 			return false
 		}
-		if await(ctx, node.name, isDone) != nil {
-			t.addViolation(RuleFilteredLists, "node %d, %d of whose partitions have endpoints, is not as map %d has it: %s", i, len(expected), lastMap.Number, problem)
+		if await(ctx, node.name+" to follow the last map", isDone) != nil {
+			t.addViolation(RuleFilteredLists, "node %d, whose partitions have %d endpoints, does not follow map %d: %s", i, len(expected), lastMap.Number, problem)
 		}
 	}
-	await(ctx, "the ends of all messages", func() bool { // what has none is told by judge
-		s := t.copyObservations()
-		return CountPending(s.submissions, s.messageEnds) == 0
+	await(ctx, "the end of all messages", func() bool { // what has none is told by judge
+		observed := t.copyObservations()
+		return CountPending(observed.submissions, observed.messageEnds) == 0
 	})
 }
 
--- a/internal/lab/trial/ownership_check.go
+++ b/internal/lab/trial/ownership_check.go
@@ -74,13 +74,13 @@
 			first[observation.Number] = observation
 		case firstSeen.Checksum != observation.Checksum && !reported[observation.Number]:
 			reported[observation.Number] = true
-			violations = append(violations, Violation{RuleUniqueMaps, fmt.Sprintf("number %d is map %x at %v by %s, and map %x at %v by %s", observation.Number, firstSeen.Checksum, firstSeen.At, firstSeen.Observer, observation.Checksum, observation.At, observation.Observer)})
+			violations = append(violations, Violation{RuleUniqueMaps, fmt.Sprintf("map number %d has checksum %x at %v (%s), and checksum %x at %v (%s)", observation.Number, firstSeen.Checksum, firstSeen.At, firstSeen.Observer, observation.Checksum, observation.At, observation.Observer)})
 		}
 	}
 	for _, earlier := range writes {
 		for _, later := range writes {
 			if earlier.Outcome == Done && later.Outcome == Done && earlier.Return < later.Call && later.Number <= earlier.Number {
-				violations = append(violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s was given number %d at %v, after %s was given %d at %v", later.Writer, later.Number, later.Return, earlier.Writer, earlier.Number, earlier.Return)})
+				violations = append(violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s wrote map number %d at %v, after %s had written number %d at %v", later.Writer, later.Number, later.Return, earlier.Writer, earlier.Number, earlier.Return)})
 			}
 		}
 	}
@@ -175,9 +175,9 @@
 		}
 		switch {
 		case newest < required:
-			violations = append(violations, Violation{RuleTimelyRelease, fmt.Sprintf("%v, %v after it must have had map %d, by which it does not own it", submission, limit, required)})
+			violations = append(violations, Violation{RuleTimelyRelease, fmt.Sprintf("%v, more than %v after it must have had map %d, which does not assign the partition to it", submission, limit, required)})
 		case explaining == 0:
-			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("%v; none of the maps from number %d on, which it had before, gives it to it", submission, lowest[submission.Node])})
+			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("%v; no map from number %d on, the lowest that explains what it accepted before, assigns the partition to it", submission, lowest[submission.Node])})
 		default:
 			lowest[submission.Node] = explaining
 		}
@@ -227,7 +227,7 @@
 	reached := map[int]position{}
 	for _, request := range requests {
 		if request.AllPartitions {
-			violations = append(violations, Violation{RuleFilteredLists, fmt.Sprintf("node %d asked for the list of all partitions at %v", request.Node, request.At)})
+			violations = append(violations, Violation{RuleFilteredLists, fmt.Sprintf("node %d requested the list of all partitions at %v", request.Node, request.At)})
 			continue
 		}
 		previous := reached[request.Node]
@@ -256,9 +256,9 @@
 			reached[request.Node] = position{number, request.At}
 		case ok:
 		case !fitsAny:
-			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("node %d asked for %s at %v, which fit none of the maps", request.Node, summarize(request.Partitions), request.At)})
+			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("node %d requested %s at %v, which match none of the maps", request.Node, summarize(request.Partitions), request.At)})
 		case request.At > previous.at+slack:
-			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("node %d asked for %s at %v, which are those of map %d, after it had map %d at %v",
+			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("node %d requested %s at %v, which are those of map %d, after it had requested those of map %d at %v",
 				request.Node, summarize(request.Partitions), request.At, olderNumber, previous.number, previous.at)})
 		}
 	}
@@ -318,20 +318,20 @@
 			continue
 		}
 		report := func(format string, args ...any) {
-			violations = append(violations, Violation{RuleFilteredLists, fmt.Sprintf("node %d, watch of %v at replica %d for %s: ", request.Node, request.At, request.Replica, summarize(request.Partitions)) + fmt.Sprintf(format, args...)})
+			violations = append(violations, Violation{RuleFilteredLists, fmt.Sprintf("node %d, watch requested at %v from replica %d for %s: ", request.Node, request.At, request.Replica, summarize(request.Partitions)) + fmt.Sprintf(format, args...)})
 		}
 		snapshots, ok := snapshotsOf[request.History]
 		if !ok {
-			report("history %d, which never was", request.History)
+			report("history %d does not exist", request.History)
 			continue
 		}
 		actual := map[string]catalog.Endpoint{}
 		complete := false
 		revision, mapNumber := int64(-1), int64(0)
-		if at := delivered[request.Node]; request.After > 0 {
+		if last := delivered[request.Node]; request.After > 0 {
 			// In the node's name: it has what it was told before.
-			if request.AskedHistory > at.history || request.AskedHistory == at.history && request.After > at.revision {
-				report("it goes on from revision %d of history %d, and was told no more than %d of %d", request.After, request.AskedHistory, at.revision, at.history)
+			if request.AskedHistory > last.history || request.AskedHistory == last.history && request.After > last.revision {
+				report("it resumes from revision %d of history %d, and was sent no more than revision %d of history %d", request.After, request.AskedHistory, last.revision, last.history)
 				continue
 			}
 			if request.AskedHistory == request.History {
@@ -349,20 +349,20 @@
 				actual, complete = map[string]catalog.Endpoint{}, true
 			}
 			if !complete {
-				report("line %d has changes of a list that it was not told", i)
+				report("line %d has changes of a list that was never sent", i)
 				break
 			}
 			applyChanges(actual, line.Members)
 			expected, ok := snapshots.filtered(revision, request.Partitions)
 			if !ok {
-				report("line %d is of revision %d, which the service does not have", i, revision)
+				report("line %d has revision %d, which the service does not have", i, revision)
 				break
 			}
 			if !maps.Equal(actual, expected) {
-				report("line %d, revision %d: it has been told %s", i, revision, describeDifference(actual, expected))
+				report("line %d, revision %d: the node was sent %s", i, revision, describeDifference(actual, expected))
 				break
 			}
-			if at := delivered[request.Node]; request.History > at.history || request.History == at.history && revision > at.revision {
+			if last := delivered[request.Node]; request.History > last.history || request.History == last.history && revision > last.revision {
 				delivered[request.Node] = position{request.History, revision}
 			}
 		}
@@ -388,7 +388,7 @@
 	slices.Sort(missing)
 	slices.Sort(extra)
 	slices.Sort(different)
-	return fmt.Sprintf("%d of %d endpoints: without %v, with %v that are not there, with %v as they are not", len(actual), len(expected), missing, extra, different)
+	return fmt.Sprintf("%d of %d endpoints: missing %v, unexpected %v, different %v", len(actual), len(expected), missing, extra, different)
 }
 
 // AfterQuiet tells where a pass over all nodes and destinations, after the faults and with all nodes told, did not find that owners
@@ -406,7 +406,7 @@
 			submission.Node, submission.Destination = node, destination
 			if !ok || !submission.isCorrect(lastMap, isListed(destination)) {
 				violations = append(violations, Violation{RuleOwnersOnly, fmt.Sprintf("node %d, destination %d (owner by map %d: %v, listed: %v): %s %v %s",
-					node, destination, lastMap.Number, lastMap.Owned[node].Has(ownership.PartitionOf(destination)), isListed(destination), cmp.Or(submission.Answer, "not heard"), submission.RetryAfter, submission.Reason)})
+					node, destination, lastMap.Number, lastMap.Owned[node].Has(ownership.PartitionOf(destination)), isListed(destination), cmp.Or(submission.Answer, "no answer recorded"), submission.RetryAfter, submission.Reason)})
 			}
 		}
 	}
@@ -498,7 +498,7 @@
 			endedAt = min(endedAt, end.At)
 		}
 		if submission.AtMostOnce && (runs > 1 || runs > 0 && returned) {
-			violations = append(violations, Violation{RuleMessagesEnd, fmt.Sprintf("%s at node %d must not run twice; it ran %d times, handed back: %v", submission.ID, submission.Node, runs, returned)})
+			violations = append(violations, Violation{RuleMessagesEnd, fmt.Sprintf("%s at node %d must run at most once; it ran %d times, returned: %v", submission.ID, submission.Node, runs, returned)})
 		}
 		if !submission.acceptsNew() {
 			continue
@@ -536,7 +536,7 @@
 			violations = append(violations, Violation{RuleAnswers, fmt.Sprintf("node %d, destination %d at %v: failed: %s", submission.Node, submission.Destination, submission.Return, submission.Reason)})
 		}
 		if at, ended := endedAt[submission.ID]; submission.Repeat && negative && (!ended || at > submission.Return) {
-			violations = append(violations, Violation{RuleAnswers, fmt.Sprintf("node %d had taken %s on and not ended it, and said no to it at %v: %s %v %s", submission.Node, submission.ID, submission.Return, submission.Answer, submission.RetryAfter, submission.Reason)})
+			violations = append(violations, Violation{RuleAnswers, fmt.Sprintf("node %d had accepted %s, which has not ended, and rejected its repeat at %v: %s %v %s", submission.Node, submission.ID, submission.Return, submission.Answer, submission.RetryAfter, submission.Reason)})
 		}
 	}
 	return violations
--- a/internal/lab/trial/ownership_control.go
+++ b/internal/lab/trial/ownership_control.go
@@ -41,7 +41,7 @@
 var interruptions = []interruption{uninterrupted, killedAfterAcquire, killedBeforeUpdate, killedAfterUpdate, killedDuringUpdate, killedBeforeRelease, sleepsPastLease, updateAnswerLost}
 
 // errKilled says that a controller was killed where it should be.
-var errControllerKilled = errors.New("killed")
+var errControllerKilled = errors.New("controller killed")
 
 // controller makes new maps by the agreement of package ownership, and carries out what that says.
 type controller struct {
@@ -132,7 +132,7 @@
 		}
 		var ok bool
 		if action, ok = publisher.Step(answer); !ok {
-			return nil, fmt.Errorf("the agreement knows nothing of action %d", answer.Seq)
+			return nil, fmt.Errorf("the publisher did not expect an answer to action %d", answer.Seq)
 		}
 	}
 	return action.Map, action.Err
--- a/internal/lab/trial/ownership_front.go
+++ b/internal/lab/trial/ownership_front.go
@@ -50,7 +50,7 @@
 		f.close()
 		return nil, err
 	}
-	f.link.SetConditions(calm)
+	f.link.SetConditions(healthyLink)
 	return f, nil
 }
 
--- a/internal/lab/trial/ownership_node.go
+++ b/internal/lab/trial/ownership_node.go
@@ -36,7 +36,7 @@
 	frontLinkHost = 20 // likewise: where nodes reach their fronts
 	partnerHost   = 30
 
-	readyWait         = 30 * time.Second
+	readyTimeout      = 30 * time.Second
 	stopTimeout       = 10 * time.Second
 	messageLifetime   = 2 * time.Second // of a message, and the longest deadline of a class
 	clientTimeout     = 3 * time.Second // for an answer
@@ -87,19 +87,19 @@
 	n := &deliveryNode{trial: t, number: number, name: nodeName(number), folder: filepath.Join(t.options.Dir, nodeName(number))}
 	for _, folder := range []string{"state", "tmp"} {
 		if err := os.MkdirAll(filepath.Join(n.folder, folder), 0o700); err != nil {
-			return nil, fmt.Errorf("folder of %s: %w", n.name, err)
+			return nil, fmt.Errorf("create the folder of %s: %w", n.name, err)
 		}
 	}
 	var err error
 	if n.logFile, err = os.Create(filepath.Join(n.folder, "log")); err != nil {
-		return nil, fmt.Errorf("log of %s: %w", n.name, err)
+		return nil, fmt.Errorf("create the log of %s: %w", n.name, err)
 	}
 	var addresses []string
 	for i, replica := range t.replicas {
 		linkAddr := fmt.Sprintf("%s:%d", t.block.IP(frontLinkHost+i, number+1), frontPort)
 		front, err := openFront(t, number, i, fmt.Sprintf("%s:%d", t.block.IP(frontHost+i, number+1), frontPort), linkAddr, replica.AdvertisedAddr(0))
 		if err != nil {
-			return n, fmt.Errorf("front of %s: %w", n.name, err)
+			return n, fmt.Errorf("open a front of %s: %w", n.name, err)
 		}
 		n.fronts = append(n.fronts, front)
 		addresses = append(addresses, strconv.Quote(linkAddr))
@@ -158,9 +158,9 @@
 
 func (n *deliveryNode) awaitServing(ctx context.Context) error {
 	process := n.process()
-	err := await(ctx, n.name+" in service", func() bool { return hasExited(process) || n.ping() })
+	err := await(ctx, n.name+" to answer a ping", func() bool { return hasExited(process) || n.ping() })
 	if err == nil && hasExited(process) {
-		err = fmt.Errorf("%s ended %v before it was in service", n.name, process.Wait())
+		err = fmt.Errorf("%s exited (%v) before it answered a ping", n.name, process.Wait())
 	}
 	return err
 }
--- a/internal/lab/trial/ownership_partner.go
+++ b/internal/lab/trial/ownership_partner.go
@@ -26,12 +26,12 @@
 		ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", t.block.IP(partnerHost, i+1), partnerPort))
 		if err != nil {
 			p.close()
-			return nil, fmt.Errorf("partner: %w", err)
+			return nil, fmt.Errorf("listen as a partner: %w", err)
 		}
 		p.addresses = append(p.addresses, ln.Addr().String())
 		p.serving.Go(func() {
 			if err := p.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-				t.ownershipOptions.Log.Error("partner", "err", err)
+				t.ownershipOptions.Log.Error("partner server failed", "err", err)
 			}
 		})
 	}
--- a/internal/lab/trial/size.go
+++ b/internal/lab/trial/size.go
@@ -211,7 +211,7 @@
 		if _, err := admin.Put(ctx, list, true, true, "*"); err != nil {
 			return err
 		}
-	} else if err := await(ctx, "the plain discovery", func() bool { _, _, _, err := admin.List(ctx, false); return err == nil }); err != nil {
+	} else if err := await(ctx, "the plain directory", func() bool { _, _, _, err := admin.List(ctx, false); return err == nil }); err != nil {
 		return err
 	}
 	usageBefore, err := process.Usage()
@@ -244,7 +244,7 @@
 			})
 		})
 	}
-	if err := await(ctx, "all watchers", func() bool { return connected.Load() == int64(options.Watchers) }); err != nil {
+	if err := await(ctx, "all watchers to connect", func() bool { return connected.Load() == int64(options.Watchers) }); err != nil {
 		return fmt.Errorf("%w: %d of %d", err, connected.Load(), options.Watchers)
 	}
 	if method == "directory" {
@@ -268,7 +268,7 @@
 			writes.Go(func() {
 				op := *admin
 				if _, err := op.Put(ctx, []catalog.Endpoint{stampedEndpoint(sent%options.Endpoints, time.Now().UnixMicro())}, false, false, "*"); err != nil {
-					slog.Warn("a change was not written", "err", err)
+					slog.Warn("write of a change failed", "err", err)
 				}
 			})
 		}
@@ -465,7 +465,7 @@
 				break
 			}
 			if time.Since(killedAt) > settleTimeout || !registry.Sleep(ctx, 5*time.Millisecond) {
-				return errors.New("no write was done any more")
+				return errors.New("no write succeeded after the leader was killed")
 			}
 		}
 		s.FailoverTimes = append(s.FailoverTimes, time.Since(killedAt))
@@ -473,7 +473,7 @@
 		if err := leader.Start(); err != nil {
 			return err
 		}
-		if err := await(ctx, "three votes", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+		if err := await(ctx, "three voters", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -65,7 +65,7 @@
 }
 
 // calm is the weather of a link without a fault.
-var calm = relay.Conditions{Delay: 200 * time.Microsecond, Jitter: 1}
+var healthyLink = relay.Conditions{Delay: 200 * time.Microsecond, Jitter: 1}
 
 type trial struct {
 	options    Options
@@ -85,12 +85,12 @@
 }
 
 // Run runs a trial.
-func Run(ctx context.Context, opts Options) (*Result, error) {
-	if opts.Log == nil {
-		opts.Log = slog.New(slog.DiscardHandler)
+func Run(ctx context.Context, options Options) (*Result, error) {
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
-	t := &trial{options: opts, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(opts.Seed, 1)), updates: make([][]WatcherUpdate, watcherCount)}
-	t.result = Result{Seed: opts.Seed, Operations: map[string]int{}, Violations: []string{}}
+	t := &trial{options: options, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(options.Seed, 1)), updates: make([][]WatcherUpdate, watcherCount)}
+	t.result = Result{Seed: options.Seed, Operations: map[string]int{}, Violations: []string{}}
 	defer t.close()
 	if err := t.buildReplicas(replicaCount, false); err != nil {
 		return nil, err
@@ -98,10 +98,10 @@
 	err := t.run(ctx)
 	if len(t.result.Violations) > 0 { // where each one stands may tell why
 		for _, r := range t.replicas {
-			p := r.Process()
-			p.Signal(syscall.SIGQUIT)
+			process := r.Process()
+			process.Signal(syscall.SIGQUIT)
 			select {
-			case <-p.Done():
+			case <-process.Done():
 			case <-time.After(requestTimeout):
 			}
 		}
@@ -127,7 +127,7 @@
 	}
 	options := replica.Options{Command: t.options.Command, Dir: t.options.Dir, Block: t.block, Supervisor: t.supervisor, Seed: t.options.Seed}
 	if !withoutLinks { // much happens in a short time
-		options.Conditions = &calm
+		options.Conditions = &healthyLink
 		options.Settings = "election = \"300ms\"\n[snapshot]\nevery = 40\ntrailing = 20\ninterval = \"200ms\"\n[watch]\nlag_kb = 64\n"
 	}
 	t.replicas, err = replica.New(count, options)
@@ -158,7 +158,7 @@
 func await(ctx context.Context, name string, isDone func() bool) error {
 	for deadline := time.Now().Add(settleTimeout); !isDone(); {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s has not come within %v", name, settleTimeout)
+			return fmt.Errorf("timed out after %v waiting for %s", settleTimeout, name)
 		}
 		if !registry.Sleep(ctx, 20*time.Millisecond) {
 			return ctx.Err()
@@ -201,7 +201,7 @@
 			return err
 		}
 	}
-	if err := await(ctx, "a service of three", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+	if err := await(ctx, "a service with three voters", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 		return err
 	}
 	t.startedAt = time.Now()
@@ -212,7 +212,7 @@
 		members = append(members, t.endpointWithValue(fmt.Sprint("e", i), 0))
 	}
 	if _, err := admin.Put(ctx, members, true, true, "*"); err != nil {
-		return fmt.Errorf("the first list: %w", err)
+		return fmt.Errorf("write the first list: %w", err)
 	}
 	watchCtx, stopWatching := context.WithCancel(ctx)
 	defer stopWatching()
@@ -241,7 +241,7 @@
 			return err
 		}
 	}
-	if err := await(ctx, "the service after the faults", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+	if err := await(ctx, "three voters after the faults", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 		t.result.Violations = append(t.result.Violations, err.Error())
 		return nil
 	}
@@ -342,8 +342,8 @@
 
 // fault is one kind of what may happen.
 type fault struct {
-	description   string
-	inject func(t *trial, ctx context.Context, r *replica.Replica, for_ time.Duration) error
+	name   string
+	inject func(t *trial, ctx context.Context, r *replica.Replica, duration time.Duration) error
 }
 
 var faults = []fault{
@@ -414,7 +414,7 @@
 	return func(_ *trial, ctx context.Context, r *replica.Replica, duration time.Duration) error {
 		r.Links[link].SetConditions(weather)
 		registry.Sleep(ctx, duration)
-		r.Links[link].SetConditions(calm)
+		r.Links[link].SetConditions(healthyLink)
 		r.Links[link].ResetConnections()
 		return nil
 	}
@@ -426,16 +426,16 @@
 	if err := r.Start(); err != nil {
 		return err
 	}
-	return await(ctx, r.ID+" with a vote", func() bool { return t.hasVoters(ctx, replicaCount) })
+	return await(ctx, r.ID+" to vote again", func() bool { return t.hasVoters(ctx, replicaCount) })
 }
 
 // timeline plays faults one after the other, at the leader half of the time, with a moment between two of them.
 func (t *trial) injectFaults(ctx context.Context) error {
 	kinds := slices.DeleteFunc(slices.Clone(faults), func(f fault) bool {
-		return len(t.options.FaultKinds) > 0 && !slices.Contains(t.options.FaultKinds, f.description)
+		return len(t.options.FaultKinds) > 0 && !slices.Contains(t.options.FaultKinds, f.name)
 	})
 	if len(kinds) == 0 {
-		return fmt.Errorf("none of the faults is called %q", t.options.FaultKinds)
+		return fmt.Errorf("no fault has any of the names %q", t.options.FaultKinds)
 	}
 	for t.elapsed() < t.options.Duration {
 		if !registry.Sleep(ctx, time.Duration(200+t.random.IntN(600))*time.Millisecond) {
@@ -447,17 +447,17 @@
 		if t.random.IntN(2) == 0 {
 			target, r = "leader", t.leader(ctx)
 		}
-		description := fmt.Sprintf("%v %s: %s of %s for %v", t.elapsed().Round(time.Millisecond), target, f.description, r.ID, duration)
+		description := fmt.Sprintf("%v %s: %s of %s for %v", t.elapsed().Round(time.Millisecond), target, f.name, r.ID, duration)
 		t.options.Log.Info("fault", "what", description)
 		t.result.Faults = append(t.result.Faults, description)
 		if err := f.inject(t, ctx, r, duration); err != nil {
 			return fmt.Errorf("%s: %w", description, err)
 		}
-		if strings.Contains(f.description, "log") || strings.Contains(f.description, "folder") {
+		if strings.Contains(f.name, "log") || strings.Contains(f.name, "folder") {
 			continue
 		}
 		// Losing a folder is safe only while the others have it all, so each fault is over before the next.
-		if err := await(ctx, "the service after "+f.description, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+		if err := await(ctx, "three voters after the fault "+f.name, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			t.result.Violations = append(t.result.Violations, err.Error())
 		}
 	}
@@ -479,7 +479,7 @@
 		}
 		for i := range 5 {
 			if _, err := admin.Put(ctx, []catalog.Endpoint{t.endpointWithValue(fmt.Sprint("x", i), 0)}, false, false, "*"); err != nil {
-				return fmt.Errorf("a write after the faults: %w", err)
+				return fmt.Errorf("write after the faults: %w", err)
 			}
 		}
 		if committed, err = t.readHistory(ctx, admin); err != nil {
@@ -490,7 +490,7 @@
 			return err
 		}
 		if _, err := admin.Restore(ctx, backup); err != nil {
-			return fmt.Errorf("the restore: %w", err)
+			return fmt.Errorf("restore the backup: %w", err)
 		}
 		status, err := operatorClient(t.leader(ctx)).Status(ctx)
 		if err != nil {
@@ -506,7 +506,7 @@
 	t.result.Histories = len(histories)
 	t.result.Revisions = int64(len(committed.Changes))
 	var violations []string
-	err = await(ctx, "the end of the list at every watcher", func() bool {
+	err = await(ctx, "every watcher to reach the end of the list", func() bool {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		violations = CheckWatches(histories, t.updates)
@@ -557,7 +557,7 @@
 			return history, err
 		}
 		if !page.All {
-			return history, errors.New("the service no longer has all changes of the trial")
+			return history, errors.New("the service no longer holds all changes of the trial")
 		}
 		history.number = page.History
 		history.Changes = append(history.Changes, page.Changes...)
