--- a/internal/lab/trial/check.go
+++ b/internal/lab/trial/check.go
@@ -1,5 +1,5 @@
-// Package trial proves the list service: real replicas, writers and watchers, faults between them, and a checker that
-// knows what each answer promises.
+// Package trial tests the list service and the ownership of partitions with real processes: it runs replicas,
+// clients and nodes, injects faults, and checks every recorded answer against what the service promises.
 package trial
 
 import (
@@ -14,41 +14,42 @@
 	"starlingusher/fleet/catalog"
 )
 
-// Kind is what an operation on one endpoint's value does. The value stands in up_since_ms; each write's is new.
+// OperationKind is what an operation does with the value of an endpoint. The value is carried in up_since_ms;
+// each write writes a new one.
 type OperationKind string
 
-// The operations.
+// The kinds of operations.
 const (
-	Read           OperationKind = "read" // of the whole list, fresh
-	Put            OperationKind = "put"  // resting on nothing
-	CompareAndSwap OperationKind = "swap" // resting on the revision at which Old was read
+	Read           OperationKind = "read" // a fresh read of the whole list
+	Put            OperationKind = "put"  // unconditional
+	CompareAndSwap OperationKind = "swap" // conditional on the revision at which Old was read
 )
 
-// Outcome is what came of an operation.
+// Outcome is the result of an operation.
 type Outcome string
 
-// The outcomes. An operation that was surely not done is not noted.
+// The outcomes. Operations that certainly had no effect are not recorded.
 const (
 	Done      Outcome = "done"
-	Conflict  Outcome = "conflict" // a swap's only
+	Conflict  Outcome = "conflict" // only of CompareAndSwap
 	Ambiguous Outcome = "unknown"
 )
 
-// Op is one operation, as its client saw it.
+// Operation is one operation as its client saw it.
 type Operation struct {
 	Client     int           `json:"client"`
 	Kind       OperationKind `json:"kind"`
 	EndpointID string        `json:"id"`
-	Old        int64         `json:"old,omitempty"` // of a swap
-	New        int64         `json:"new,omitempty"` // of a put or swap
-	ReadValue  int64         `json:"got,omitempty"` // of a read
+	Old        int64         `json:"old,omitempty"` // only of CompareAndSwap
+	New        int64         `json:"new,omitempty"` // of Put and CompareAndSwap
+	ReadValue  int64         `json:"got,omitempty"` // of Read
 	Revision   int64         `json:"revision,omitempty"`
 	Outcome    Outcome       `json:"outcome"`
 	Call       time.Duration `json:"call"`
 	Return     time.Duration `json:"return"`
 }
 
-// model is one endpoint's value, from its first one on.
+// registerModel is the value of one endpoint as a register, starting at 0.
 var registerModel = porcupine.Model{
 	Init: func() any { return int64(0) },
 	Step: func(before, input, _ any) (bool, any) {
@@ -67,13 +68,13 @@
 	},
 }
 
-// Linearizable tells for which endpoints the operations can't have happened one after the other, each between its call
-// and its return; first is each one's value at the start.
+// CheckLinearizable returns the endpoints whose operations can't be put into one order in which each takes
+// effect between its call and its return. All values start at 0.
 func CheckLinearizable(ops []Operation, timeout time.Duration) []string {
 	byEndpoint := map[string][]porcupine.Operation{}
 	for _, op := range ops {
 		end := int64(op.Return)
-		if op.Outcome == Ambiguous { // it may be done at any time to come
+		if op.Outcome == Ambiguous { // it may take effect at any later time
 			end = math.MaxInt64
 		}
 		byEndpoint[op.EndpointID] = append(byEndpoint[op.EndpointID], porcupine.Operation{ClientId: op.Client, Input: op, Call: int64(op.Call), Return: end})
@@ -90,22 +91,23 @@
 	return violations
 }
 
-// Told is what a watcher was told at once.
+// WatcherUpdate is one update of the list that a watcher received.
 type WatcherUpdate struct {
 	Watcher int   `json:"watcher"`
 	History int64 `json:"history"`
 	catalog.List
 }
 
-// Truth is what the service itself agreed on, by history: the list before the first of the changes, and those.
+// CommittedHistory is what the service itself committed in one history: the list before the first change, and
+// all changes.
 type CommittedHistory struct {
 	Initial catalog.List `json:"From"`
 	Changes []catalog.Change
 }
 
-// Watches tells where what a watcher was told is not the list: a change missed, invented, twice or out of order shows as
-// another list than the one of its revision. Each watcher is told of every history in turn, and must come to the end of
-// the last one.
+// CheckWatches reports updates that do not match the list. A change that is missing, invented, repeated or
+// out of order leads to a list that differs from that of its revision. Each watcher must go through the
+// histories in order and reach the end of the last one.
 func CheckWatches(histories map[int64]CommittedHistory, updates [][]WatcherUpdate) []string {
 	var violations []string
 	lastHistory := int64(0)
@@ -180,7 +182,8 @@
 	}
 }
 
-// Writes tells which acknowledged writes the service does not have at their revision, and which changes nobody asked for.
+// CheckWrites reports acknowledged writes that the service does not have at their revision, and changes that
+// no client wrote.
 func CheckWrites(committed CommittedHistory, ops []Operation) []string {
 	var violations []string
 	valuesAt := map[int64]map[string]int64{}
--- a/internal/lab/trial/check_test.go
+++ b/internal/lab/trial/check_test.go
@@ -10,7 +10,8 @@
 
 func milliseconds(count int) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// A checker that has never found anything proves nothing.
+// The tests of the checkers show that each finds the violations it is there for; one that never reports any
+// proves nothing.
 func TestCheckLinearizable(t *testing.T) {
 	op := func(kind OperationKind, outcome Outcome, old, new, readValue int64, call, back int) Operation {
 		return Operation{Kind: kind, EndpointID: "e", Old: old, New: new, ReadValue: readValue, Outcome: outcome, Call: milliseconds(call), Return: milliseconds(back)}
--- a/internal/lab/trial/leases.go
+++ b/internal/lab/trial/leases.go
@@ -19,8 +19,8 @@
 	leaseRecord      = "trial"
 )
 
-// Held is a time in which a holder could rely on a record being its own: from when it was told so until its lease had
-// run since it last asked and was told yes, or until it let go.
+// LeaseHolding is a time in which a holder could rely on owning the record: from the answer that granted it
+// until the TTL after its last successful request was sent, or until it released the record.
 type LeaseHolding struct {
 	Holder int           `json:"holder"`
 	Token  int64         `json:"token"`
@@ -28,7 +28,8 @@
 	Until  time.Duration `json:"until"`
 }
 
-// Leases tells where two could rely on the same record at once, and where tokens do not grow from holder to holder.
+// CheckLeases reports two holders that could rely on the record at the same time, and fencing tokens that do
+// not increase from holder to holder.
 func CheckLeases(holdings []LeaseHolding) []string {
 	holdings = slices.SortedFunc(slices.Values(holdings), func(a, current LeaseHolding) int { return cmp.Compare(a.Token, current.Token) })
 	var violations []string
@@ -44,7 +45,8 @@
 	return violations
 }
 
-// holds acquires the record, renews it some times, and lets go of it or forgets it, until the context ends.
+// acquireLeases acquires the record, renews it a few times, and releases or abandons it, again and again
+// until the context ends.
 func (t *trial) acquireLeases(ctx context.Context, holder int) {
 	random := rand.New(rand.NewPCG(t.options.Seed, uint64(2000+holder)))
 	client := t.newClient(200 + holder)
--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -33,73 +33,75 @@
 	zoneCount                = 6
 	regionCount              = 3
 	ownersPerPartition       = 3
-	steadyDestinations       = 40  // whose first endpoint is never changed
-	intermittentDestinations = 8   // which have endpoints at times
-	unlistedDestinations     = 8   // which never have any
-	firstUnlisted            = 900 // and the first of those
-	changingEndpoints        = 14  // endpoints that come, go and move
+	steadyDestinations       = 40  // always have the endpoint that they start with
+	intermittentDestinations = 8   // have endpoints at times
+	unlistedDestinations     = 8   // never have an endpoint
+	firstUnlisted            = 900 // the number of the first unlisted destination
+	changingEndpoints        = 14  // endpoints that are added, removed and moved
 	controllerCount          = 2
 
-	// heardWithin is the bound for a node that is not disturbed to have a new map, and to act by it: the target's 8 s. It is a promise
-	// that a busy machine must not break, so what the machine holds up is not judged; see lateBy.
+	// mapAdoptionLimit is the time in which an undisturbed node must have a new map and act by it: the
+	// target's 8 s. A slow machine must not cause a violation of it, so times in which the machine stalled
+	// the trial are not judged; see stallThreshold.
 	mapAdoptionLimit       = 8 * time.Second
-	watchCrossingSlack     = 2 * time.Second // in which an older ask may cross a newer one
+	watchCrossingSlack     = 2 * time.Second // in which an older watch request may overtake a newer one
 	messageEndSlack        = 4 * time.Second
-	stallThreshold         = 500 * time.Millisecond // the machine is no judge's witness while the trial's own clock is so late
+	stallThreshold         = 500 * time.Millisecond // the checks do not judge a time in which the trial's own timer was later than this
 	stallCheckInterval     = 10 * time.Millisecond
 	pollInterval           = 30 * time.Millisecond
-	meanSubmitInterval     = 25 * time.Millisecond // between two messages for a node, on the average
-	meanListChangeInterval = 60 * time.Millisecond // between two changes of the list, on the average
+	meanSubmitInterval     = 25 * time.Millisecond // between two messages for one node
+	meanListChangeInterval = 60 * time.Millisecond // between two changes of the list
 	convergenceTimeout     = 25 * time.Second
 )
 
-// The seeded breaches.
+// The violations that a trial can inject.
 const (
-	InjectLateAccept      = "accept" // a node goes on accepting what it lost
-	InjectDuplicateNumber = "number" // a number is given twice
-	InjectDroppedChange   = "change" // a change is left out of a filtered watch
+	InjectLateAccept      = "accept" // one node seems to accept messages for partitions that it has lost
+	InjectDuplicateNumber = "number" // a map number is used twice
+	InjectDroppedChange   = "change" // a change is dropped from a filtered watch
 )
 
-// Breaches are the seeded breaches, with the rule by which each must be found.
+// InjectedViolations maps each injected violation to the rule that must find it.
 var InjectedViolations = map[string]OwnershipRule{InjectLateAccept: RuleTimelyRelease, InjectDuplicateNumber: RuleUniqueMaps, InjectDroppedChange: RuleFilteredLists}
 
-// OwnershipOptions say how a trial of ownership is run.
+// OwnershipOptions configure a trial of ownership.
 type OwnershipOptions struct {
-	Directory  []string // command of a replica; `--config FILE` is put behind it
-	Node       []string // command of a delivery node; its environment tells it what it is
-	Dir        string   // an empty folder; it stays
+	Directory  []string // of a replica; `--config FILE` is appended
+	Node       []string // of a delivery node, which is configured by its environment
+	Dir        string   // must be empty; it is not removed
 	Seed       uint64
-	Duration   time.Duration // of the faults
-	FaultKinds []string      // kinds of faults; none: all
-	Inject     string        // a seeded breach, or none
+	Duration   time.Duration // how long faults are injected
+	FaultKinds []string      // names of the faults to inject; empty: all
+	Inject     string        // the violation to inject, one of the Inject constants; empty: none
 	Log        *slog.Logger
 }
 
-// OwnershipResult is what a trial has found.
+// OwnershipResult is the outcome of a trial.
 type OwnershipResult struct {
 	Seed            uint64         `json:"seed"`
 	Faults          []string       `json:"faults"`
-	MapChanges      map[string]int `json:"changes"` // of the map, by where their controller ended, and how
-	LastMapNumber   int64          `json:"maps"`    // number of the last one
-	Submissions     map[string]int `json:"handed"`  // messages, by answer
-	WatchRequests   int            `json:"asks"`    // watches that nodes asked for
-	WatchLines      int            `json:"lines"`   // that they were told
-	AcceptedRepeats int            `json:"again"`   // messages handed in once more while they were held, and taken for such
-	// Outlived counts the messages that ended after their node had been told a map by which it does not own them any more.
+	MapChanges      map[string]int `json:"changes"` // changes of the map, by their interruption; "given up" for those that failed
+	LastMapNumber   int64          `json:"maps"`    // number of the last map
+	Submissions     map[string]int `json:"handed"`  // messages by answer
+	WatchRequests   int            `json:"asks"`    // watches that nodes requested
+	WatchLines      int            `json:"lines"`   // updates sent on these watches
+	AcceptedRepeats int            `json:"again"`   // repeats of a message in progress that the node recognized and accepted
+	// EndedAfterLoss counts the messages that ended after a map had taken their partition from the node.
 	EndedAfterLoss           int `json:"outlived"`
-	AcceptedWithoutDirectory int `json:"gone_on"` // times in which a node was seen to accept without a directory
-	// Over is the longest time after a new map, or the end of what kept a node from it, in which the node still accepted what it had lost.
+	AcceptedWithoutDirectory int `json:"gone_on"` // how often a node was seen to accept messages without a directory
+	// LongestLateAccept is the longest time for which a node still accepted messages for a partition that it
+	// had lost, counted from the new map, or from the end of the disturbance that kept the node from it.
 	LongestLateAccept time.Duration `json:"over"`
-	// Quiet is how long after the last map all nodes acted by it.
+	// ConvergenceTime is the time from the last map until all nodes acted by it.
 	ConvergenceTime  time.Duration `json:"quiet"`
-	HostStalls       int           `json:"late"`      // times in which the machine held the trial itself up, which are not judged
-	LongestHostStall time.Duration `json:"late_most"` // the longest
+	HostStalls       int           `json:"late"`      // how often the machine stalled the trial itself; these times are not judged
+	LongestHostStall time.Duration `json:"late_most"` // the longest of these stalls
 	Injected         string        `json:"breach,omitempty"`
-	InjectedFound    bool          `json:"found,omitempty"` // the seeded breach, by its rule
+	InjectedFound    bool          `json:"found,omitempty"` // the rule of the injected violation was reported as broken
 	Violations       []Violation   `json:"breaches"`
 }
 
-// Kept tells that all was kept; with a seeded breach, that the checker found it.
+// Passed tells whether no violation was found, or, with an injected violation, whether that was found.
 func (r *OwnershipResult) Passed() bool {
 	if r.Injected != "" {
 		return r.InjectedFound
@@ -107,7 +109,7 @@
 	return len(r.Violations) == 0
 }
 
-// ownershipTrial is a trial's replicas with nodes, fronts, partners and controllers around them.
+// ownershipTrial is a trial with nodes, fronts, partners and controllers around the replicas.
 type ownershipTrial struct {
 	*trial
 	ownershipOptions OwnershipOptions
@@ -115,11 +117,11 @@
 	nodes            []*deliveryNode
 	partners         *partners
 	pollClient       *http.Client
-	olderBuilds      [replicaCount]atomic.Bool // fronts play an older build of that replica
+	olderBuilds      [replicaCount]atomic.Bool // fronts answer as an older build of that replica would
 	lastMessage      atomic.Int64
 	killedNodes      chan killedNode
 
-	// What was seen, and what is to be done; under the trial's lock.
+	// What was recorded, and what is to be injected; guarded by mu.
 	observations   []MapObservation
 	mapWrites      []MapWrite
 	maps           []*PublishedMap
@@ -127,16 +129,16 @@
 	watchRequests  []*WatchRequest
 	messageEnds    []MessageEnd
 	disturbances   []*Disturbance
-	answerDelays   map[string]time.Duration // by message, that a partner holds its answer
+	answerDelays   map[string]time.Duration // by message: for how long the partner delays its answer
 	result         OwnershipResult
-	dropNextChange bool         // the next change that comes to a node by a filtered watch
-	killOnFetch    map[int]bool // nodes that are killed when they next fetch the map; true: after it has been sent to them
-	lateAcceptor   int          // the node that goes on accepting what it lost; -1: none
+	dropNextChange bool         // drop the next change that a node is sent on a filtered watch
+	killOnFetch    map[int]bool // nodes to kill when they next fetch the map; true: after the map was sent to them
+	lateAcceptor   int          // the node whose refusals are recorded as acceptances of what it lost; -1: none
 }
 
 type killedNode struct {
 	node           int
-	endDisturbance func() // ends its disturbance
+	endDisturbance func()
 }
 
 // RunOwnership runs a trial of ownership.
@@ -170,7 +172,7 @@
 	if len(result.Violations) == 0 || result.InjectedFound {
 		return result, nil
 	}
-	for _, node := range t.nodes { // where each one stands may tell why
+	for _, node := range t.nodes { // the dump of each node's goroutines may tell the cause
 		node.process().Signal(syscall.SIGQUIT)
 	}
 	raw, err := json.Marshal(map[string]any{"sights": t.observations, "writes": t.mapWrites, "eras": t.maps, "handed": t.submissions, "asks": t.watchRequests, "ends": t.messageEnds, "disturbed": t.disturbances})
@@ -211,7 +213,7 @@
 	t.trial.close()
 }
 
-// members are all nodes as members of a map.
+// members returns all nodes as members of a map.
 func (t *ownershipTrial) members() []ownership.Member {
 	var members []ownership.Member
 	for i := range nodeCount {
@@ -272,7 +274,7 @@
 	return t.converge(ctx)
 }
 
-// begin writes the first list and the first map, and starts the nodes.
+// startNodes writes the first list and the first map, and starts the nodes.
 func (t *ownershipTrial) startNodes(ctx context.Context) error {
 	var members []catalog.Endpoint
 	for destination := range steadyDestinations {
@@ -311,7 +313,7 @@
 	return catalog.Endpoint{ID: id, Addr: t.partners.addresses[address], Locality: t.zones[address%zoneCount], Flavor: "hook", Cell: destination, Phase: catalog.Serving, Size: 1}
 }
 
-// changesList changes the list until the context ends.
+// changeList changes the list at random until the context ends.
 func (t *ownershipTrial) changeList(ctx context.Context) {
 	random := rand.New(rand.NewPCG(t.options.Seed, 4000))
 	admin := t.newClient(400)
@@ -327,12 +329,12 @@
 		}
 		admin.Addresses = t.shuffledAddresses(random.Uint64())
 		if _, err := admin.Put(context.WithoutCancel(ctx), []catalog.Endpoint{endpoint}, false, true, "*"); err != nil {
-			t.ownershipOptions.Log.Debug("list change failed", "err", err) // the history of the list tells its outcome
+			t.ownershipOptions.Log.Debug("list change failed", "err", err) // the history of the list tells the outcome
 		}
 	}
 }
 
-// looks reads the map at one replica again and again.
+// pollMap reads the map from one replica again and again, until the context ends.
 func (t *ownershipTrial) pollMap(ctx context.Context, r *replica.Replica) {
 	for registry.Sleep(ctx, pollInterval) {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.OwnAddr(replica.HTTP)+mapPath, nil)
@@ -352,7 +354,7 @@
 	}
 }
 
-// saw notes that somebody has a map.
+// recordObservation records that a process has a map.
 func (t *ownershipTrial) recordObservation(observer string, value []byte) {
 	if len(value) == 0 {
 		return
@@ -381,7 +383,7 @@
 	t.observations = append(t.observations, MapObservation{now, observer, m.Number, sum})
 }
 
-// begun notes that a map is about to be written.
+// recordMapIntent records that a map is about to be written.
 func (t *ownershipTrial) recordMapIntent(m *ownership.Map, write MapWrite) *PublishedMap {
 	published := &PublishedMap{Number: write.Number, Checksum: write.Checksum, WrittenAfter: write.Call, CommittedBy: never, Owned: map[int]ownership.Set{}}
 	for i := range nodeCount {
@@ -395,7 +397,7 @@
 	return published
 }
 
-// dropped notes that it was surely not written.
+// forgetMap removes a map that was certainly not written.
 func (t *ownershipTrial) forgetMap(published *PublishedMap) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -412,7 +414,7 @@
 	}
 }
 
-// changed counts a change of the map.
+// countMapChange counts a change of the map by its interruption.
 func (t *ownershipTrial) countMapChange(controller string, interrupted interruption, m *ownership.Map, err error) {
 	outcome := string(interrupted)
 	if err != nil && !errors.Is(err, errControllerKilled) {
@@ -428,7 +430,8 @@
 	t.ownershipOptions.Log.Debug("controller changed the map", "by", controller, "number", number, "how", interrupted, "err", err)
 }
 
-// fetched is told that a node fetches the map; pass sends it on.
+// handleMapFetch runs when a node fetches the map; forward sends the map on to the node. If the node is to be
+// killed, it is killed before or after that.
 func (t *ownershipTrial) handleMapFetch(node int, raw []byte, forward func()) {
 	t.mu.Lock()
 	afterForward, armed := t.killOnFetch[node]
@@ -438,7 +441,7 @@
 	if json.Unmarshal(raw, &answer) == nil {
 		t.recordObservation(nodeName(node), answer.Value)
 	}
-	if armed && afterForward { // it has a moment to begin with what it does then
+	if armed && afterForward { // the node gets a moment to start acting by the map
 		forward()
 		time.Sleep(time.Duration(rand.Int64N(int64(20 * time.Millisecond))))
 	}
@@ -451,7 +454,7 @@
 	forward()
 }
 
-// leavesOut tells that the change that is about to be told to a node is to be left out.
+// claimChangeDrop tells whether the change that is about to be sent to a node is to be dropped. Only one is.
 func (t *ownershipTrial) claimChangeDrop(int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -460,7 +463,7 @@
 	return drop
 }
 
-// noticed notes the notices of a body that a replica has taken.
+// recordNotices records the notices in the body of a report that a replica has accepted.
 func (t *ownershipTrial) recordNotices(body []byte) {
 	for line := range bytes.Lines(body) {
 		var notice struct{ ID, State string }
@@ -476,14 +479,15 @@
 	t.messageEnds = append(t.messageEnds, MessageEnd{id, t.elapsed(), kind})
 }
 
-// hold is for how long a partner keeps the answer to a message.
+// answerDelay returns for how long a partner delays the answer to a message.
 func (t *ownershipTrial) answerDelay(id string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.answerDelays[id], minAnswerDelay)
 }
 
-// disturb notes that a node (-1: all) can't do as it would, until what it returns is called.
+// beginDisturbance records that a node (-1: all) can't be held to the limits until the returned function is
+// called.
 func (t *ownershipTrial) beginDisturbance(node int, reason string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -496,7 +500,7 @@
 	}
 }
 
-// lateness notes when the machine held this process up: it may have held up all others as well.
+// detectStalls records when the machine stalled this process: it may have stalled all others as well.
 func (t *ownershipTrial) detectStalls(ctx context.Context) {
 	for {
 		before := t.elapsed()
@@ -513,7 +517,8 @@
 	}
 }
 
-// hands hands messages in at a node until the context ends, and some of those that it took on once more.
+// submitMessages submits messages to a node until the context ends, and repeats some of those that the node
+// accepted.
 func (t *ownershipTrial) submitMessages(ctx context.Context, node *deliveryNode) {
 	random := rand.New(rand.NewPCG(t.options.Seed, uint64(5000+node.number)))
 	var accepted []Submission
@@ -547,7 +552,7 @@
 
 func (t *ownershipTrial) newMessageID() string { return fmt.Sprint("m", t.lastMessage.Add(1)) }
 
-// hand hands a message in, and notes the answer.
+// submit submits a message to a node and records the answer.
 func (t *ownershipTrial) submit(node *deliveryNode, id string, class, destination int, deadline time.Duration, repeat bool) Submission {
 	submission := Submission{Node: node.number, Destination: destination, ID: id, AtMostOnce: class == classAtMostOnce, Repeat: repeat, Deadline: deadline, Call: t.elapsed()}
 	submission.Answer, submission.RetryAfter, submission.Reason = node.submit(id, class, destination, deadline-submission.Call)
@@ -562,7 +567,7 @@
 	return submission
 }
 
-// ownFault is one kind of what may happen to the parts of the trial.
+// ownershipFault is one kind of fault that a trial of ownership injects.
 type ownershipFault struct {
 	name   string
 	inject func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error)
@@ -592,7 +597,7 @@
 		t.setLinks(n.fronts, relay.Conditions{CutOutbound: true, CutReturn: true})
 		defer t.setLinks(n.fronts, healthyLink)
 		n.kill()
-		kept, _ := n.savedList() // it may not have had the time to keep one
+		kept, _ := n.savedList() // the node may have been killed before it stored a list
 		registry.Sleep(ctx, d/2)
 		if err := n.start(ctx); err != nil {
 			return err
@@ -610,7 +615,7 @@
 	})},
 	{"node killed as it fetches a map", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		t.mu.Lock()
-		for _, n := range t.nodes { // whoever comes first; the others go on
+		for _, n := range t.nodes { // only the first node that fetches the map has to be killed
 			t.killOnFetch[n.number] = t.random.IntN(2) == 0
 		}
 		t.mu.Unlock()
@@ -716,8 +721,7 @@
 	}
 }
 
-// onReplica plays a fault of the list service's own trial. Who watches there goes to another replica, unless this one goes on
-// answering and hears nothing itself.
+// whichever fetches the map first; the others keep running
 func replicaFault(name string, cutsOffWatchers bool) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
 	return func(t *ownershipTrial, ctx context.Context, duration time.Duration) (string, error) {
 		target := t.replicas[t.random.IntN(replicaCount)]
@@ -732,8 +736,8 @@
 	}
 }
 
-// goesOn holds a node without a directory to its map and list: it accepts what it owns by all maps of late, whichever of them it
-// has, and what is on its list.
+// checkAcceptsWithoutDirectory requires a node without a directory to go on by its map and list: it accepts
+// messages for what it owns by all recent maps, whichever of them it has, as far as it is on its list.
 func (t *ownershipTrial) checkAcceptsWithoutDirectory(ctx context.Context, node *deliveryNode, isListed func(dest int) bool) {
 	observed := t.copyObservations()
 	oldest := int64(0)
@@ -751,7 +755,7 @@
 		}
 	}
 	if len(destinations) == 0 {
-		return // it may be in none of them
+		return // the node may own none of the destinations in all recent maps
 	}
 	next := 0
 	accepts := func() bool {
@@ -767,7 +771,8 @@
 	t.mu.Unlock()
 }
 
-// cut sets the weather of the links to fronts. A path that is whole again comes back with its connections broken.
+// setLinks sets the conditions of the links to fronts. A link that is healthy again has its connections
+// reset.
 func (t *ownershipTrial) setLinks(fronts []*front, weather relay.Conditions) {
 	for _, f := range fronts {
 		f.link.SetConditions(weather)
@@ -777,12 +782,12 @@
 	}
 }
 
-// playOlder lets the fronts of some replicas answer as an older build would.
+// playOlderBuild lets the fronts of some replicas answer for a time as an older build would.
 func (t *ownershipTrial) playOlderBuild(ctx context.Context, duration time.Duration, replicas ...int) {
 	for _, older := range []bool{true, false} {
 		for _, replica := range replicas {
 			t.olderBuilds[replica].Store(older)
-			for _, node := range t.nodes { // the replica was started anew
+			for _, node := range t.nodes { // the change of build is a restart of the replica, which breaks its connections
 				node.fronts[replica].link.ResetConnections()
 			}
 		}
@@ -792,7 +797,8 @@
 	}
 }
 
-// faults plays all kinds in an order of the seed, and again, with a moment between two of them.
+// injectFaults injects all kinds of faults in a random order, again and again, with a pause between two
+// faults.
 func (t *ownershipTrial) injectFaults(ctx context.Context) error {
 	kinds := slices.DeleteFunc(slices.Clone(ownershipFaults), func(f ownershipFault) bool {
 		return len(t.ownershipOptions.FaultKinds) > 0 && !slices.Contains(t.ownershipOptions.FaultKinds, f.name)
@@ -826,9 +832,9 @@
 	return nil
 }
 
-// heal ends what may be left of the faults.
+// restoreAll ends what may be left of the faults.
 func (t *ownershipTrial) restoreAll(ctx context.Context) error {
-	for len(t.killedNodes) > 0 { // by a fetch that was under way when the fault ended
+	for len(t.killedNodes) > 0 { // nodes killed by a fetch that was in flight when the fault ended
 		k := <-t.killedNodes
 		defer k.endDisturbance()
 	}
@@ -845,7 +851,7 @@
 	return await(ctx, "three voters after the faults", func() bool { return t.hasVoters(ctx, replicaCount) })
 }
 
-// lastMap makes the map that stays: one node is not in it.
+// publishLastMap publishes the map that stays; the node excluded is not a member.
 func (t *ownershipTrial) publishLastMap(ctx context.Context, controller *controller, excluded int) (PublishedMap, error) {
 	m, err := controller.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member {
 		return slices.DeleteFunc(t.members(), func(m ownership.Member) bool { return m.Name == nodeName(excluded) })
@@ -863,7 +869,7 @@
 	return PublishedMap{}, fmt.Errorf("the last map, number %d, is not among the recorded maps", m.Number)
 }
 
-// settle makes the last map, waits until all act by it, and checks all that was seen.
+// converge publishes the last map, waits until all nodes act by it, and checks everything that was recorded.
 func (t *ownershipTrial) converge(ctx context.Context) error {
 	excluded := t.random.IntN(nodeCount)
 	controller := t.newController(controllerCount + 1)
@@ -902,14 +908,15 @@
 	return t.check(ctx)
 }
 
-// fail notes a breach that the trial itself has seen.
+// addViolation reports a violation that the trial itself has seen.
 func (t *ownershipTrial) addViolation(rule OwnershipRule, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.Violations = append(t.result.Violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// quiet waits until each node acts by the last map, and then looks once more that all do.
+// awaitConvergence waits until each node acts by the last map, and then verifies once more that all of them
+// do.
 func (t *ownershipTrial) awaitConvergence(ctx context.Context, lastMap PublishedMap, excluded int) {
 	ctx, cancel := context.WithTimeout(ctx, convergenceTimeout)
 	defer cancel()
@@ -951,8 +958,8 @@
 	t.awaitLists(ctx, lastMap, excluded, current)
 }
 
-// askAll hands in a message for each destination at a node. With wait it asks again until the answer is as it should be; without, only
-// an owner that is busy is.
+// submitToAll submits a message for each destination to a node. With untilCorrect it tries again until the
+// answer is correct; without, only while the node refuses with a retry-after.
 func (t *ownershipTrial) submitToAll(ctx context.Context, node *deliveryNode, lastMap PublishedMap, destinations []int, isListed func(int) bool, untilCorrect bool) []Submission {
 	var submissions []Submission
 	for _, destination := range destinations {
@@ -972,7 +979,8 @@
 	return submissions
 }
 
-// found tells that a seeded breach has shown in what was accepted, so that nothing more needs to be waited for.
+// submitToAll submits a message for each destination to a node. With untilCorrect it tries again until the
+// answer is correct; without, only while an owner refuses with a retry-after.
 func (t *ownershipTrial) hasFoundInjected() bool {
 	if t.ownershipOptions.Inject != InjectLateAccept {
 		return false
@@ -982,7 +990,8 @@
 	return slices.ContainsFunc(violations, func(violation Violation) bool { return violation.Rule == InjectedViolations[InjectLateAccept] })
 }
 
-// quietLists waits until each node is told, and keeps, the list of its partitions alone, and until what it accepted has ended.
+// awaitLists waits until each node requests and stores the list of its own partitions only, and until all
+// messages that were accepted have ended.
 func (t *ownershipTrial) awaitLists(ctx context.Context, lastMap PublishedMap, excluded int, current catalog.List) {
 	for i, node := range t.nodes {
 		expected := map[string]catalog.Endpoint{}
@@ -1016,13 +1025,13 @@
 			t.addViolation(RuleFilteredLists, "node %d, whose partitions have %d endpoints, does not follow map %d: %s", i, len(expected), lastMap.Number, problem)
 		}
 	}
-	await(ctx, "the end of all messages", func() bool { // what has none is told by judge
+	await(ctx, "the end of all messages", func() bool { // check reports messages without an end
 		observed := t.copyObservations()
 		return CountPending(observed.submissions, observed.messageEnds) == 0
 	})
 }
 
-// seen is a copy of what was seen so far.
+// observations is a copy of what was recorded so far.
 type observations struct {
 	maps          []MapObservation
 	writes        []MapWrite
@@ -1049,7 +1058,7 @@
 	return observed
 }
 
-// judge checks all that was seen.
+// check checks everything that was recorded.
 func (t *ownershipTrial) check(ctx context.Context) error {
 	observed := t.copyObservations()
 	checkedAt := t.elapsed()
@@ -1057,7 +1066,7 @@
 	acceptViolations, longestLateAccept := CheckAccepts(observed.published, observed.submissions, observed.disturbances, mapAdoptionLimit)
 	violations = slices.Concat(violations, CheckMapNumbers(observed.maps, observed.writes), acceptViolations, CheckWatchRequests(observed.published, observed.watchRequests, watchCrossingSlack), CheckEnds(observed.submissions, observed.messageEnds, observed.disturbances, messageEndSlack, checkedAt),
 		CheckAnswers(observed.submissions, observed.messageEnds, func(destination int) bool { return destination < steadyDestinations }))
-	if t.ownershipOptions.Inject != InjectDuplicateNumber { // which makes another history
+	if t.ownershipOptions.Inject != InjectDuplicateNumber { // that one restores a backup, which starts another history
 		admin := t.newClient(99)
 		admin.RetryFor = settleTimeout
 		committed, err := t.readHistory(ctx, admin)
--- a/internal/lab/trial/ownership_check.go
+++ b/internal/lab/trial/ownership_check.go
@@ -13,49 +13,50 @@
 	"starlingusher/fleet/ownership"
 )
 
-// OwnershipRule names a promise of ownership.
+// OwnershipRule names a promise about the ownership of partitions.
 type OwnershipRule string
 
 // The rules.
 const (
-	RuleUniqueMaps    OwnershipRule = "one-map"     // a number has one map, and a later write a larger number
-	RuleForwardOnly   OwnershipRule = "forward"     // no node goes back in numbers, nor ahead of what there is
-	RuleTimelyRelease OwnershipRule = "in-time"     // a former owner accepts nothing new once it must have the new map
-	RuleOwnersOnly    OwnershipRule = "owners-only" // after quiet, who owns accepts, and all others refuse with a time
-	RuleFilteredLists OwnershipRule = "listed"      // a node is told the list of the partitions it asked for: no less, no more, in order
-	RuleAnswers       OwnershipRule = "answers"     // nothing on the list is called unknown, and what was taken on stays so
-	RuleMessagesEnd   OwnershipRule = "ended"       // what was accepted ends in time, by the rules of its effect
-	RuleRecovery      OwnershipRule = "returns"     // the parts come back after the faults
+	RuleUniqueMaps    OwnershipRule = "one-map"     // a map number belongs to one map, and a later map has a larger number
+	RuleForwardOnly   OwnershipRule = "forward"     // no node goes back to an older map, or acts by one that does not exist yet
+	RuleTimelyRelease OwnershipRule = "in-time"     // a former owner accepts no new messages once it must have the new map
+	RuleOwnersOnly    OwnershipRule = "owners-only" // after convergence owners accept, and all other nodes refuse with a retry-after
+	RuleFilteredLists OwnershipRule = "listed"      // a node is sent exactly the list of the partitions that it requested, in order
+	RuleAnswers       OwnershipRule = "answers"     // no listed destination is called unknown, and an accepted message stays accepted
+	RuleMessagesEnd   OwnershipRule = "ended"       // accepted messages end in time, by the rules of their effect
+	RuleRecovery      OwnershipRule = "returns"     // all processes recover after the faults
 )
 
-// Breach is a promise that was not kept.
+// Violation is a rule that was broken.
 type Violation struct {
 	Rule        OwnershipRule `json:"rule"`
 	Description string        `json:"what"`
 }
 
-// never is the time of what did not happen.
+// never is the time of an event that did not happen.
 const never = time.Duration(math.MaxInt64)
 
-// MapSight is a map as somebody had it.
+// MapObservation is a map that a process was seen to have.
 type MapObservation struct {
 	At       time.Duration `json:"at"`
 	Observer string        `json:"by"`
 	Number   int64         `json:"number"`
-	Checksum uint64        `json:"sum"` // of its bytes
+	Checksum uint64        `json:"sum"` // of the encoded map
 }
 
-// MapWrite is a controller's write of a map. One that was surely not done is not noted.
+// MapWrite is a write of a map by a controller. Writes that certainly had no effect are not recorded.
 type MapWrite struct {
 	Writer   string        `json:"by"`
 	Number   int64         `json:"number"`
 	Checksum uint64        `json:"sum"`
-	Outcome  Outcome       `json:"outcome"` // Done or Unknown
+	Outcome  Outcome       `json:"outcome"` // Done or Ambiguous
 	Call     time.Duration `json:"call"`
 	Return   time.Duration `json:"return"`
 }
 
-// Numbers tells which number was given to two maps, and which was given after a number that is not smaller.
+// CheckMapNumbers reports map numbers that belong to two maps, and maps whose number is not larger than that
+// of a map written before.
 func CheckMapNumbers(observations []MapObservation, writes []MapWrite) []Violation {
 	var violations []Violation
 	first := map[int64]MapObservation{}
@@ -87,16 +88,17 @@
 	return violations
 }
 
-// Era is a map that was agreed on, or may have been.
+// PublishedMap is a map that was written or may have been written.
 type PublishedMap struct {
 	Number       int64
-	Checksum     uint64                `json:"Sum"`   // of its bytes
-	WrittenAfter time.Duration         `json:"Asked"` // nobody can have it before
-	CommittedBy  time.Duration         `json:"Known"` // the directory had it by then; never: that is not known
-	Owned        map[int]ownership.Set // by node; one that is not in the map owns nothing
+	Checksum     uint64                `json:"Sum"`   // of the encoded map
+	WrittenAfter time.Duration         `json:"Asked"` // no process can have the map before this time
+	CommittedBy  time.Duration         `json:"Known"` // the directory had the map at this time; never: it is not known to have had it
+	Owned        map[int]ownership.Set // by node; a node that is missing owns nothing
 }
 
-// Disturbed is a time in which a node could not hear or do as it would: a fault of its own, or of all (-1).
+// Disturbance is a time in which a node, or all nodes (-1), could not receive or act as usual because of a
+// fault.
 type Disturbance struct {
 	Node   int           `json:"node"`
 	From   time.Duration `json:"from"`
@@ -106,7 +108,8 @@
 
 func (d Disturbance) affects(node int) bool { return d.Node == node || d.Node < 0 }
 
-// calmSince is when the last disturbance of a node before a time had ended; false in the midst of one.
+// undisturbedSince returns when the last disturbance of a node before a time had ended; false during a
+// disturbance.
 func undisturbedSince(disturbances []Disturbance, node int, at time.Duration) (time.Duration, bool) {
 	lastEnd := time.Duration(0)
 	for _, disturbance := range disturbances {
@@ -121,43 +124,45 @@
 	return lastEnd, true
 }
 
-// Handed is a message that was handed in, and its answer.
+// Submission is a message that was submitted to a node, and the answer.
 type Submission struct {
 	Node        int           `json:"node"`
 	Destination int           `json:"dest"`
 	ID          string        `json:"id"`
 	AtMostOnce  bool          `json:"unsafe,omitempty"`
-	Repeat      bool          `json:"again,omitempty"` // it had been taken on there before
-	Deadline    time.Duration `json:"by"`              // its deadline
+	Repeat      bool          `json:"again,omitempty"` // the node had accepted the same message before
+	Deadline    time.Duration `json:"by"`              // of the message
 	Call        time.Duration `json:"call"`
 	Return      time.Duration `json:"return"`
-	Answer      string        `json:"state"` // one of package history's for Answered
+	Answer      string        `json:"state"` // one of the answers of package history
 	RetryAfter  time.Duration `json:"wait,omitempty"`
-	Reason      string        `json:"why,omitempty"` // of Failed
+	Reason      string        `json:"why,omitempty"` // only of history.Failed
 }
 
-// accepts tells that a node has accepted something new.
+// acceptsNew tells whether the node accepted a message that it did not have before.
 func (s Submission) acceptsNew() bool { return s.Answer == history.Taken && !s.Repeat }
 
 func (s Submission) String() string {
 	return fmt.Sprintf("node %d accepted %s for destination %d (partition %d) at %v", s.Node, s.ID, s.Destination, ownership.PartitionOf(s.Destination), s.Return)
 }
 
-// Accepts tells where a node accepted what no map explains that it could have: going by the numbers one after the other, none of
-// those from the last one it must have had owns the destination (Forward), or the bound for hearing of that one has passed (InTime).
-// slowest is the longest time after a map in which a node that lost a destination by it still accepted for that.
+// CheckAccepts reports messages that a node accepted although no map allows it. A node moves through the maps
+// in the order of their numbers. It breaks RuleForwardOnly if no map from the lowest one on that explains
+// what it accepted before assigns the destination to it, and RuleTimelyRelease if all maps that do are older
+// than the one that it must have had within the limit. longest is the longest time after a map in which a
+// node still accepted messages for a destination that it lost by it.
 func CheckAccepts(published []PublishedMap, submissions []Submission, disturbances []Disturbance, limit time.Duration) (violations []Violation, longest time.Duration) {
 	published = slices.SortedStableFunc(slices.Values(published), func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
 	submissions = slices.SortedStableFunc(slices.Values(submissions), func(a, b Submission) int { return cmp.Compare(a.Return, b.Return) })
-	lowest := map[int]int64{} // the least number that explains what a node has accepted so far
+	lowest := map[int]int64{} // by node: the lowest number that explains everything accepted so far
 	for _, submission := range submissions {
 		if !submission.acceptsNew() {
 			continue
 		}
 		partition := ownership.PartitionOf(submission.Destination)
-		required := int64(0) // it must have this one
+		required := int64(0) // the map that the node must have
 		since, undisturbed := undisturbedSince(disturbances, submission.Node, submission.Call)
-		newest := int64(0) // that gives it the destination
+		newest := int64(0) // the newest map that assigns the destination to the node
 		for _, e := range published {
 			if undisturbed && e.CommittedBy != never && max(e.CommittedBy, since)+limit < submission.Call {
 				required = max(required, e.Number)
@@ -181,7 +186,7 @@
 		default:
 			lowest[submission.Node] = explaining
 		}
-		for _, e := range published { // by the first map after the last one that gives it to the node
+		for _, e := range published { // measure from the first map after the newest one that assigns the destination to the node
 			if e.Number > newest && e.CommittedBy != never {
 				if undisturbed {
 					longest = max(longest, submission.Return-max(e.CommittedBy, since))
@@ -193,29 +198,31 @@
 	return violations, longest
 }
 
-// Ask is a watch of the list that a node has asked for, as the front between it and a replica saw it.
+// WatchRequest is a watch of the list that a node requested, as recorded by the front between it and a
+// replica.
 type WatchRequest struct {
 	Node          int           `json:"node"`
 	Replica       int           `json:"replica"`
 	At            time.Duration `json:"at"`
-	AllPartitions bool          `json:"whole,omitempty"` // it asked for the list of all partitions
+	AllPartitions bool          `json:"whole,omitempty"` // the request named no partitions
 	Partitions    ownership.Set `json:"-"`
-	OlderBuild    bool          `json:"older,omitempty"` // an older build answered, which knows of no partitions
+	OlderBuild    bool          `json:"older,omitempty"` // an older build answered, which does not know partitions
 	After         int64         `json:"after"`
 	AskedHistory  int64         `json:"asked_history,omitempty"`
 	History       int64         `json:"history"` // of the answer
 	Lines         []WatchLine   `json:"lines"`
 }
 
-// ToldLine is a line of a watch that was not empty.
+// WatchLine is a non-empty line of a watch.
 type WatchLine struct {
 	At time.Duration `json:"at"`
 	catalog.List
 }
 
-// Follows tells where a node's asks do not fit the maps in the order of their numbers. The set that a node asks for has all it owns by its
-// map, and nothing that it never owned; who owns nothing, or has no map yet, may ask for any one, to hear of maps. An ask that crossed a newer one
-// within the slack is no way back.
+// CheckWatchRequests reports watch requests that do not fit the maps in the order of their numbers. The
+// requested set must contain everything that the node owns by its map, and nothing that it never owned. A
+// node that owns nothing, or has no map yet, may request any single partition in order to hear of new maps. A
+// request that a newer one overtook within the slack does not count as a step back.
 func CheckWatchRequests(published []PublishedMap, requests []WatchRequest, slack time.Duration) []Violation {
 	published = slices.SortedStableFunc(slices.Values(published), func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
 	requests = slices.SortedStableFunc(slices.Values(requests), func(a, b WatchRequest) int { return cmp.Compare(a.At, b.At) })
@@ -232,7 +239,7 @@
 		}
 		previous := reached[request.Node]
 		findMap := func(minNumber int64) (int64, bool) {
-			if minNumber == 0 && request.Partitions.Len() == 1 { // it has no map yet
+			if minNumber == 0 && request.Partitions.Len() == 1 { // the node has no map yet
 				return 0, true
 			}
 			var everOwned ownership.Set
@@ -265,7 +272,7 @@
 	return violations
 }
 
-// brief names a set of partitions in a few words.
+// summarize describes a set of partitions in a few words.
 func summarize(s ownership.Set) string {
 	text := s.String()
 	if len(text) > 40 {
@@ -274,7 +281,7 @@
 	return fmt.Sprintf("%d partitions (%s)", s.Len(), text)
 }
 
-// snapshots are the lists of a history at its revisions.
+// historySnapshots are the lists of a history at each of its revisions.
 type historySnapshots struct {
 	firstRevision int64
 	lists         []map[string]catalog.Endpoint
@@ -290,7 +297,7 @@
 	return s
 }
 
-// list is what of a revision's list is in a set of partitions.
+// filtered returns the part of a revision's list that is in a set of partitions.
 func (s historySnapshots) filtered(revision int64, partitions ownership.Set) (map[string]catalog.Endpoint, bool) {
 	if n := revision - s.firstRevision; n < 0 || n >= int64(len(s.lists)) {
 		return nil, false
@@ -304,14 +311,15 @@
 	return endpoints, true
 }
 
-// FilteredWatches tells where what a node was told is not the list of the partitions it asked for. truth has the histories by their number.
+// CheckFilteredWatches reports watch lines that do not lead to the list of the requested partitions.
+// histories is keyed by history number.
 func CheckFilteredWatches(histories map[int64]CommittedHistory, requests []WatchRequest) []Violation {
 	snapshotsOf := map[int64]historySnapshots{}
 	for number, history := range histories {
 		snapshotsOf[number] = history.snapshots()
 	}
 	type position struct{ history, revision int64 }
-	delivered := map[int]position{} // by node, at most
+	delivered := map[int]position{} // by node: the furthest position that it was sent
 	var violations []Violation
 	for _, request := range slices.SortedStableFunc(slices.Values(requests), func(request, b WatchRequest) int { return cmp.Compare(request.At, b.At) }) {
 		if request.AllPartitions || request.OlderBuild || len(request.Lines) == 0 {
@@ -329,7 +337,7 @@
 		complete := false
 		revision, mapNumber := int64(-1), int64(0)
 		if last := delivered[request.Node]; request.After > 0 {
-			// In the node's name: it has what it was told before.
+			// The node resumes, so it has what it was sent before.
 			if request.AskedHistory > last.history || request.AskedHistory == last.history && request.After > last.revision {
 				report("it resumes from revision %d of history %d, and was sent no more than revision %d of history %d", request.After, request.AskedHistory, last.revision, last.history)
 				continue
@@ -370,7 +378,7 @@
 	return violations
 }
 
-// difference says in what one list is not the other.
+// describeDifference describes how the actual list differs from the expected one.
 func describeDifference(actual, expected map[string]catalog.Endpoint) string {
 	var missing, extra, different []string
 	for id, endpoint := range expected {
@@ -391,8 +399,9 @@
 	return fmt.Sprintf("%d of %d endpoints: missing %v, unexpected %v, different %v", len(actual), len(expected), missing, extra, different)
 }
 
-// AfterQuiet tells where a pass over all nodes and destinations, after the faults and with all nodes told, did not find that owners
-// accept and all others refuse with a time. exists tells the destinations that were ever on the list.
+// CheckConverged reports the answers of a pass over all nodes and destinations, after the faults and with the
+// last map at all nodes, in which an owner did not accept or another node did not refuse with a retry-after.
+// isListed tells which destinations were ever on the list.
 func CheckConverged(lastMap PublishedMap, nodes int, destinations []int, isListed func(int) bool, submissions []Submission) []Violation {
 	type place struct{ node, dest int }
 	answers := map[place]Submission{}
@@ -413,7 +422,7 @@
 	return violations
 }
 
-// right tells that an answer is as a map and the list have it.
+// isCorrect tells whether the answer is the one that a map and the list demand.
 func (s Submission) isCorrect(m PublishedMap, listed bool) bool {
 	switch owns := m.Owned[s.Node].Has(ownership.PartitionOf(s.Destination)); {
 	case owns && listed:
@@ -426,22 +435,22 @@
 
 const unknownDestination = "unknown destination"
 
-// End is an end of a message.
+// MessageEnd is an event at the end of a message: its run at a partner, the partner's answer, or a notice.
 type MessageEnd struct {
 	ID   string        `json:"id"`
 	At   time.Duration `json:"at"`
 	Kind string        `json:"kind"`
 }
 
-// The kinds of ends. A message may run and be answered, run without, or have a notice.
+// The kinds of ends. A message may run and be answered, run without an answer, or have a notice.
 const (
-	RanAtPartner      = "ran"      // at a partner
-	AnsweredByPartner = "answered" // the partner said so to the node
-	NoticeFailed      = "failed"   // the node has told that it failed,
-	NoticeReturned    = "returned" // or handed it back
+	RanAtPartner      = "ran"      // a partner received the message
+	AnsweredByPartner = "answered" // the partner answered the node
+	NoticeFailed      = "failed"   // the node reported in a notice that the message failed
+	NoticeReturned    = "returned" // the node returned the message in a notice
 )
 
-// Open counts the messages that were accepted and have not ended.
+// CountPending counts the messages that were accepted and have not ended.
 func CountPending(submissions []Submission, ends []MessageEnd) int {
 	ended := map[string]bool{}
 	for _, end := range ends {
@@ -456,7 +465,7 @@
 	return count
 }
 
-// Outlived counts the messages that ended after a map was known by which their node had lost them.
+// CountEndedAfterLoss counts the messages that ended after a map had taken their partition from the node.
 func CountEndedAfterLoss(published []PublishedMap, submissions []Submission, ends []MessageEnd) int {
 	endedAt := map[string]time.Duration{}
 	for _, end := range ends {
@@ -476,8 +485,9 @@
 	return count
 }
 
-// Ends tells which messages that were accepted have no end in time, and which ended against their effect's rules. A node that was
-// disturbed meanwhile has its time after that. at is when the looking ended: what is due later is not judged.
+// CheckEnds reports accepted messages that did not end in time, and ends that the effect of the message
+// forbids. A node that was disturbed meanwhile has until the slack after the disturbance. Ends that are due
+// after checkedAt are not judged.
 func CheckEnds(submissions []Submission, ends []MessageEnd, disturbances []Disturbance, slack, checkedAt time.Duration) []Violation {
 	endsByID := map[string][]MessageEnd{}
 	for _, end := range ends {
@@ -520,8 +530,8 @@
 	return violations
 }
 
-// Given tells which answers may never be given: that a destination is unknown which was on the list all the time, and a no to what
-// the same node had taken on and not yet ended.
+// CheckAnswers reports answers that must never be given: "unknown" for a destination that was always on the
+// list, and a refusal or failure for a message that the same node had accepted and that has not ended.
 func CheckAnswers(submissions []Submission, ends []MessageEnd, alwaysListed func(dest int) bool) []Violation {
 	endedAt := map[string]time.Duration{}
 	for _, end := range ends {
--- a/internal/lab/trial/ownership_check_test.go
+++ b/internal/lab/trial/ownership_check_test.go
@@ -12,7 +12,7 @@
 
 func seconds(count float64) time.Duration { return time.Duration(count * float64(time.Second)) }
 
-// partitions is the set of those of some destinations.
+// partitions returns the partitions of some destinations.
 func partitions(destinations ...int) ownership.Set {
 	var set ownership.Set
 	for _, destination := range destinations {
@@ -21,7 +21,7 @@
 	return set
 }
 
-// found holds what a checker has found to what it should have: so many breaches, all of one rule, the first of which says something.
+// checkViolation expects exactly one violation, of a rule and with a text, or none if the text is empty.
 func checkViolation(t *testing.T, name string, violations []Violation, rule OwnershipRule, wantText string) {
 	t.Helper()
 	switch {
@@ -62,7 +62,8 @@
 	}
 }
 
-// eras of the tests: node 0 owns destination 1, loses it, and has it again; 2 is its own all the time, and 3 never.
+// testMaps are maps in which node 0 owns destination 1, loses it and has it again, owns 2 all the time, and
+// never owns 3.
 func testMaps() []PublishedMap {
 	published := func(number int64, writtenAfter, committedBy float64, destinations ...int) PublishedMap {
 		return PublishedMap{Number: number, WrittenAfter: seconds(writtenAfter), CommittedBy: seconds(committedBy), Owned: map[int]ownership.Set{0: partitions(destinations...)}}
@@ -176,7 +177,7 @@
 		{"whole in place of changes", []WatchRequest{request(1, 0, correct[:2]...), request(2, 2, line(6, true, endpoint("b", 1, 2), endpoint("c", 1, 1)))}, ""},
 		{"not answered", []WatchRequest{request(1, 0), request(2, 0, correct...)}, ""},
 		{"an older build is not taken at its word", []WatchRequest{request(1, 0, correct[:2]...), olderBuild, request(3, 2, correct[2:]...)}, ""},
-		{"it was", []WatchRequest{request(1, 0, correct[:2]...), olderBuild, request(3, 6)}, ""}, // nothing was told there
+		{"it was", []WatchRequest{request(1, 0, correct[:2]...), olderBuild, request(3, 6)}, ""}, // that watch was sent nothing
 		{"it was, and goes on", []WatchRequest{request(1, 0, correct[:2]...), olderBuild, request(3, 6, line(6, false))}, "was sent no more than revision 2"},
 		{"a change left out", []WatchRequest{request(1, 0, correct[0], line(2, false))}, "different [a]"},
 		{"a change left out, and another told", []WatchRequest{request(1, 0, correct[0], line(3, false), correct[3])}, "line 1, revision 3"},
@@ -228,7 +229,7 @@
 }
 
 func TestCheckEnds(t *testing.T) {
-	submission := accepted(1, 1, 1.1) // due by 3
+	submission := accepted(1, 1, 1.1) // due by 3s
 	atMostOnce, repeat, connectionLost := submission, submission, submission
 	atMostOnce.AtMostOnce = true
 	repeat.Repeat = true
--- a/internal/lab/trial/ownership_control.go
+++ b/internal/lab/trial/ownership_control.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	mapLeaseTTL           = 400 * time.Millisecond // a controller's lease of the record
-	meanMapChangeInterval = 700 * time.Millisecond // between two changes of one controller, on the average
-	mapChangeTimeout      = 3 * time.Second        // for one change
+	mapLeaseTTL           = 400 * time.Millisecond // a controller's lease of the map's record
+	meanMapChangeInterval = 700 * time.Millisecond // between two changes by one controller
+	mapChangeTimeout      = 3 * time.Second        // for one change of the map
 	controllerTimeout     = 800 * time.Millisecond // for one answer: a replica may be stopped
-	minMapMembers         = 5                      // in a map
+	minMapMembers         = 5
 )
 
-// boundary is where a controller is killed, sleeps, or loses an answer in the midst of a change. One that was killed remembers nothing:
-// who comes next is another one.
+// interruption is where a controller is killed, sleeps, or loses an answer during a change of the map. A
+// killed controller remembers nothing; its successor is another holder.
 type interruption string
 
 const (
@@ -40,10 +40,10 @@
 
 var interruptions = []interruption{uninterrupted, killedAfterAcquire, killedBeforeUpdate, killedAfterUpdate, killedDuringUpdate, killedBeforeRelease, sleepsPastLease, updateAnswerLost}
 
-// errKilled says that a controller was killed where it should be.
+// errControllerKilled reports that a controller was killed by its interruption.
 var errControllerKilled = errors.New("controller killed")
 
-// controller makes new maps by the agreement of package ownership, and carries out what that says.
+// controller publishes new maps with the publisher of package ownership, whose actions it carries out.
 type controller struct {
 	trial       *ownershipTrial
 	name        string
@@ -67,7 +67,7 @@
 			c.random.Shuffle(len(deck), func(i, j int) { deck[i], deck[j] = deck[j], deck[i] })
 		}
 		c.admin.Addresses = c.trial.shuffledAddresses(c.random.Uint64())
-		// What is under way is let finish: its outcome counts.
+		// A change in flight is completed, because its outcome counts.
 		m, err := c.publishMap(context.WithoutCancel(ctx), deck[0], c.randomMembers)
 		c.trial.countMapChange(c.name, deck[0], m, err)
 		if err == nil || errors.Is(err, errControllerKilled) {
@@ -98,8 +98,8 @@
 
 const mapPath = "/records/" + ownership.RecordName
 
-// change makes one new map, of members that come from those of the map before, and returns it. The controller dies or loses what the
-// boundary says.
+// publishMap publishes one new map, whose members are derived from those of the map before, and returns it.
+// The controller is killed or loses an answer where the interruption says so.
 func (c *controller) publishMap(ctx context.Context, interrupted interruption, members func([]ownership.Member) []ownership.Member) (*ownership.Map, error) {
 	deadline := time.Now().Add(mapChangeTimeout + c.admin.RetryFor)
 	var planned *ownership.Map
@@ -114,7 +114,7 @@
 	action := publisher.Begin()
 	for action.Operation != ownership.End {
 		if interrupted.killsBefore(action.Operation) {
-			c.incarnation++ // who comes after it has another name, and waits for the lease
+			c.incarnation++ // the successor has another name and must wait for the lease
 			return nil, errControllerKilled
 		}
 		answer := c.execute(ctx, interrupted, action, planned)
@@ -127,7 +127,7 @@
 			interrupted = uninterrupted
 		case answer.Outcome != ownership.Done && time.Now().After(deadline):
 			answer.Outcome = ownership.TimedOut
-		case answer.Outcome == ownership.Refused: // another holds it, or too few replicas are there
+		case answer.Outcome == ownership.Refused: // another holder has the lease, or too few replicas are up
 			registry.Sleep(ctx, retryPause)
 		}
 		var ok bool
@@ -138,7 +138,7 @@
 	return action.Map, action.Err
 }
 
-// dies tells that a controller ends before it does something.
+// killsBefore tells whether the controller is killed before an operation.
 func (i interruption) killsBefore(operation ownership.Operation) bool {
 	switch operation {
 	case ownership.Read:
@@ -151,7 +151,7 @@
 	return false
 }
 
-// carryOut does one action, and notes a map that may be written by it.
+// execute carries out one action, and records a map that it may write.
 func (c *controller) execute(ctx context.Context, interrupted interruption, action ownership.Action, planned *ownership.Map) ownership.Answer {
 	var record recordAnswer
 	var err error
@@ -195,7 +195,7 @@
 	return answer
 }
 
-// anyMembers lets a member leave, one come back, or another weigh more or less.
+// randomMembers removes a member, adds one that is missing, or changes the weight of one.
 func (c *controller) randomMembers(current []ownership.Member) []ownership.Member {
 	all := c.trial.members()
 	changed := slices.Clone(current)
--- a/internal/lab/trial/ownership_front.go
+++ b/internal/lab/trial/ownership_front.go
@@ -22,13 +22,13 @@
 
 const maxFrontBodyBytes = 16 << 20
 
-// front stands between one node and one replica: it passes all on and notes what the node asks and is told. The node comes to it
-// over a link, which can be cut.
+// front is a proxy between one node and one replica. It records what the node requests and is sent. The node
+// reaches it over a link that can be cut.
 type front struct {
 	trial       *ownershipTrial
 	node        int
 	replica     int
-	replicaAddr string // the replica's address
+	replicaAddr string
 	link        *relay.Link
 	client      *http.Client
 	server      *http.Server
@@ -64,7 +64,8 @@
 	f.client.CloseIdleConnections()
 }
 
-// ServeHTTP passes a request on. What breaks there breaks here.
+// ServeHTTP forwards a request. If the connection to the replica breaks, the one from the node is broken as
+// well.
 func (f *front) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxFrontBodyBytes))
 	if err != nil {
@@ -125,13 +126,13 @@
 	io.Copy(w, resp.Body)
 }
 
-// The headers of a list of some partitions.
+// The headers of a list that is filtered by partitions.
 const (
 	headerPartitions = "Registry-Partitions"
 	headerMap        = "Registry-Map"
 )
 
-// asked notes a watch that a node asks for.
+// recordWatch records a watch that the node requests.
 func (f *front) recordWatch(req *http.Request, olderBuild bool) (*WatchRequest, error) {
 	query := req.URL.Query()
 	request := &WatchRequest{Node: f.node, Replica: f.replica, At: f.trial.elapsed(), OlderBuild: olderBuild, AllPartitions: !query.Has("partitions")}
@@ -149,7 +150,7 @@
 	return request, nil
 }
 
-// watch passes the lines of a watch on.
+// relayWatch forwards the lines of a watch and records them.
 func (f *front) relayWatch(w http.ResponseWriter, resp *http.Response, request *WatchRequest) {
 	history, _ := strconv.ParseInt(resp.Header.Get(directory.HeaderHistory), 10, 64)
 	f.trial.mu.Lock()
@@ -170,7 +171,7 @@
 			}
 			if n > 0 && len(list.Members) > 0 && !request.OlderBuild && f.trial.claimChangeDrop(f.node) {
 				list.Members = []catalog.Endpoint{}
-				line, _ = json.Marshal(list) // it was read from the like
+				line, _ = json.Marshal(list) // it was decoded from the same type
 			}
 			n++
 			f.trial.mu.Lock()
@@ -183,5 +184,5 @@
 	}
 }
 
-// sum tells maps apart.
+// checksum distinguishes encoded maps.
 func checksum(value []byte) uint64 { return xxhash.Sum64(value) }
--- a/internal/lab/trial/ownership_node.go
+++ b/internal/lab/trial/ownership_node.go
@@ -30,27 +30,27 @@
 	adminPort   = 9100
 	frontPort   = 8600
 	partnerPort = 9000
-	// Third bytes of addresses in the trial's block.
+	// Third bytes of the addresses in the trial's block.
 	nodeHost      = 1
-	frontHost     = 10 // and so many more as there are replicas
-	frontLinkHost = 20 // likewise: where nodes reach their fronts
+	frontHost     = 10 // the first of replicaCount
+	frontLinkHost = 20 // the first of replicaCount; where nodes reach their fronts
 	partnerHost   = 30
 
 	readyTimeout      = 30 * time.Second
 	stopTimeout       = 10 * time.Second
-	messageLifetime   = 2 * time.Second // of a message, and the longest deadline of a class
-	clientTimeout     = 3 * time.Second // for an answer
+	messageLifetime   = 2 * time.Second // also the longest deadline of a class
+	clientTimeout     = 3 * time.Second // for an answer to a submission
 	maxAnswerDelay    = 900 * time.Millisecond
 	minAnswerDelay    = 3 * time.Millisecond // of a partner
 	classIdempotent   = 0
 	classDeduplicated = 1
 	classAtMostOnce   = 2
-	maxOpenMessages   = 4096 // messages that a node holds at most
+	maxOpenMessages   = 4096 // high enough that a node never refuses a message because it holds too many
 )
 
 var classNames = [...]string{classIdempotent: "notice", classDeduplicated: "order", classAtMostOnce: "payout"}
 
-// settingsOf is what the platform tells a node as its settings.
+// nodeSettings returns the settings that a node gets from the platform.
 func nodeSettings(node int, zones []string, nodes int) (json.RawMessage, error) {
 	class := func(n int, effect judge.Effect) experiment.ClassPlan {
 		return experiment.ClassPlan{Name: classNames[n], SoftDeadline: time.Second, Deadline: messageLifetime, Worth: 1, WorthAtDeadline: 0.5, Effect: effect, Window: time.Minute}
@@ -69,7 +69,7 @@
 	return plan.Settings(node)
 }
 
-// ownedNode is one delivery node: its folder, its fronts, and the process that is it now.
+// deliveryNode is one delivery node: its folder, its fronts, and its present process.
 type deliveryNode struct {
 	trial   *ownershipTrial
 	number  int
@@ -131,19 +131,20 @@
 	return fmt.Sprintf("%s:%d", n.trial.block.IP(nodeHost, n.number+1), clientPort)
 }
 
-// admin is the operators' address of the process that was started last; the one before may still have its own.
+// adminAddr returns the operators' address of the process that was started last; during a handover the one
+// before has another.
 func (n *deliveryNode) adminAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.adminAddrLocked()
 }
 
-// adminAt is that; the lock is held.
+// adminAddrLocked is adminAddr for callers that hold mu.
 func (n *deliveryNode) adminAddrLocked() string {
 	return fmt.Sprintf("%s:%d", n.trial.block.IP(nodeHost, n.number+1), adminPort+n.startCount)
 }
 
-// start starts its process, unless it runs, and returns when it answers.
+// start starts the node's process unless it runs, and returns when it answers a ping.
 func (n *deliveryNode) start(ctx context.Context) error {
 	n.mu.Lock()
 	if n.running == nil || hasExited(n.running) {
@@ -165,7 +166,7 @@
 	return err
 }
 
-// launch starts a process; the lock is held.
+// launchLocked starts a process; the caller holds mu.
 func (n *deliveryNode) launchLocked() error {
 	n.startCount++
 	process, err := n.trial.supervisor.Start(proc.Spec{Name: n.name, Command: n.trial.ownershipOptions.Node, Output: n.logFile, MaxDescriptors: 512, Env: []string{
@@ -179,7 +180,7 @@
 	return err
 }
 
-// handOver starts another process, which takes over, and ends the one that was there.
+// handOver starts a second process, which takes over, and ends the first one after a delay.
 func (n *deliveryNode) handOver(ctx context.Context, delay time.Duration) error {
 	n.mu.Lock()
 	old := n.running
@@ -210,7 +211,7 @@
 	return n.running
 }
 
-// kill ends its process at once.
+// kill kills the node's process and waits until it has exited.
 func (n *deliveryNode) kill() error {
 	p := n.process()
 	err := p.Signal(syscall.SIGKILL)
@@ -232,7 +233,7 @@
 	return err == nil && line == "+PONG\r\n"
 }
 
-// ready asks the operators' address, and tells what it says otherwise.
+// ready tells whether the operators' address reports the node as ready, and what it answers.
 func (n *deliveryNode) ready(ctx context.Context) (bool, string) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -249,7 +250,7 @@
 	return err == nil && resp.StatusCode == http.StatusOK, strings.TrimSpace(string(raw))
 }
 
-// list is the list that the node keeps in its folder.
+// savedList returns the list that the node stores in its folder.
 func (n *deliveryNode) savedList() (map[string]catalog.Endpoint, error) {
 	raw, err := os.ReadFile(filepath.Join(n.folder, "state", "share", "list.json"))
 	if err != nil {
@@ -269,7 +270,7 @@
 	n.logFile.Close()
 }
 
-// handIn hands a message in, on a connection of its own, and waits for the answer.
+// submit submits a message on a connection of its own and waits for the answer.
 func (n *deliveryNode) submit(id string, class, destination int, timeLeft time.Duration) (state string, wait time.Duration, why string) {
 	attributes := fmt.Sprintf("c=%s,t=m,d=%d,dest=%d", classNames[class], timeLeft.Milliseconds(), destination)
 	if class == classDeduplicated {
@@ -301,7 +302,7 @@
 	case strings.HasPrefix(line, "+"):
 		return history.Taken, 0, ""
 	case line == "-BUSY" || strings.HasPrefix(line, "-BUSY "):
-		ms, _ := strconv.ParseInt(strings.TrimPrefix(strings.TrimPrefix(line, "-BUSY"), " "), 10, 64) // none told: 0
+		ms, _ := strconv.ParseInt(strings.TrimPrefix(strings.TrimPrefix(line, "-BUSY"), " "), 10, 64) // 0 if the node tells no time
 		return history.Refused, time.Duration(ms) * time.Millisecond, ""
 	}
 	return history.Failed, 0, strings.TrimPrefix(line, "-ERR ")
--- a/internal/lab/trial/ownership_partner.go
+++ b/internal/lab/trial/ownership_partner.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// partners serve all endpoints, each at an address of its own, and note what runs. The stand-ins of the experiments have models,
-// limits and links for each node: none of it matters to who owns a destination.
+// partners serve all endpoints, each at its own address, and record the messages that run. The simulated
+// partners of the experiments have models, limits and links per node, which do not matter to the ownership of
+// destinations.
 type partners struct {
 	trial     *ownershipTrial
 	server    *http.Server
 	serving   sync.WaitGroup
-	addresses []string // addresses, by number
+	addresses []string // by index of the endpoint
 }
 
 func (t *ownershipTrial) openPartners(count int) (*partners, error) {
@@ -43,10 +44,10 @@
 	p.serving.Wait()
 }
 
-// serve takes a message, holds its answer if its ID asks for that, and says yes.
+// serve receives a message, delays its answer if that was set for its ID, and confirms it.
 func (p *partners) serve(w http.ResponseWriter, req *http.Request) {
 	if req.Method != http.MethodPost {
-		return // a probe of its health
+		return // a health probe
 	}
 	if _, err := io.Copy(io.Discard, req.Body); err != nil {
 		return
--- a/internal/lab/trial/size.go
+++ b/internal/lab/trial/size.go
@@ -32,12 +32,12 @@
 	"starlingusher/internal/registry"
 )
 
-// SizeOptions say what is measured. Self is the operators' program.
+// SizeOptions configure the measurement. Program is the operators' program.
 type SizeOptions struct {
 	Program          string
 	Dir              string
 	Watchers         int
-	ChangesPerSecond int // changes a second
+	ChangesPerSecond int
 	Endpoints        int
 	Duration         time.Duration
 	PollInterval     time.Duration // of a node that polls
@@ -45,33 +45,33 @@
 	Progress         func(string)
 }
 
-// Reach is how changes came to all watchers. All times are from when the change was asked for.
+// Propagation tells how changes reached the watchers. All times count from the request of the change.
 type Propagation struct {
 	Method          string        `json:"way"`
 	Changes         int           `json:"changes"`
-	LastMedian      time.Duration `json:"last_median"` // to the last watcher
+	LastMedian      time.Duration `json:"last_median"` // until the last watcher has the change
 	LastP99         time.Duration `json:"last_p99"`
-	EachMedian      time.Duration `json:"each_median"` // to any
+	EachMedian      time.Duration `json:"each_median"` // until any one watcher has it
 	EachP99         time.Duration `json:"each_p99"`
-	Missed          int           `json:"missed"`    // changes that some watcher was not told within the run
-	BytesPerWatcher int64         `json:"per_watch"` // bytes of memory more than without watchers
-	Cores           float64       `json:"cpu"`       // cores
+	Missed          int           `json:"missed"`    // changes that some watcher did not receive during the run
+	BytesPerWatcher int64         `json:"per_watch"` // memory above that without watchers
+	Cores           float64       `json:"cpu"`       // CPU cores in use
 }
 
-// Size is all that was measured.
+// Measurements are all results.
 type Measurements struct {
 	Watchers         int                `json:"watchers"`
 	ChangesPerSecond int                `json:"rate"`
 	Endpoints        int                `json:"endpoints"`
 	Propagation      []Propagation      `json:"reach"`
-	ReconnectTime    time.Duration      `json:"return"`  // until the last of all watchers that return in one second is told the list
-	RefusedWatches   int                `json:"refused"` // asks meanwhile
-	WritesPerSecond  map[string]float64 `json:"writes"`  // a second, by number of replicas
+	ReconnectTime    time.Duration      `json:"return"`  // until the last of all watchers, which reconnect within one second, has the list
+	RefusedWatches   int                `json:"refused"` // watch requests refused meanwhile
+	WritesPerSecond  map[string]float64 `json:"writes"`  // by number of replicas
 	WriteP99Millis   map[string]float64 `json:"write_p99_ms"`
 	FailoverTimes    []time.Duration    `json:"fail_over"`
 }
 
-// Measure measures the service, and the plain ways beside it.
+// Measure measures the list service, and simpler designs for comparison.
 func Measure(ctx context.Context, options SizeOptions) (*Measurements, error) {
 	measurements := &Measurements{Watchers: options.Watchers, ChangesPerSecond: options.ChangesPerSecond, Endpoints: options.Endpoints, WritesPerSecond: map[string]float64{}, WriteP99Millis: map[string]float64{}}
 	sup := proc.NewSupervisor()
@@ -105,14 +105,15 @@
 	return ln.Addr().String(), nil
 }
 
-// numbered is the endpoint of a number; its time of start carries when the change was asked for, in microseconds.
+// stampedEndpoint returns the endpoint of a number. Its start time carries the time of the change's request
+// in microseconds.
 func stampedEndpoint(n int, stamp int64) catalog.Endpoint {
 	return catalog.Endpoint{ID: fmt.Sprintf("s-%08x", n), Addr: fmt.Sprintf("10.1.%d.%d:6379", n/250, n%250), Locality: "a", Flavor: "m2", Cell: n / 4,
 		Phase: catalog.Serving, Size: 1, UpSince: stamp}
 }
 
-// PlainServe is a discovery that does the plain thing: every watch encodes each change for itself. It changes an
-// endpoint at a rate, until the context ends.
+// ServePlainDirectory serves a simple discovery service in which every watch encodes each change for itself.
+// It changes endpoints at a rate until the context ends.
 func ServePlainDirectory(ctx context.Context, addr string, endpoints, rate int) error {
 	platform := standin.NewPlatform(1, 0, 0, 1, observe.NewLog(), func(int, string, string, time.Duration) {})
 	defer platform.Close()
@@ -138,11 +139,11 @@
 	}
 }
 
-// arrivals notes when changes come to watchers.
+// arrivals records when changes reach watchers.
 type arrivals struct {
 	mu            sync.Mutex
-	delays        *hdrhistogram.Histogram // µs
-	latestByStamp map[int64]int64         // by stamp, the latest arrival
+	delays        *hdrhistogram.Histogram // in µs
+	latestByStamp map[int64]int64         // by stamp: the latest arrival
 	countByStamp  map[int64]int
 }
 
@@ -156,7 +157,7 @@
 
 var stampField = []byte(`"up_since_ms":`)
 
-// stamps finds the times of the changes in a line, each one after a given one.
+// parseStamps passes on the stamps in a line that are later than a given one, and returns the latest.
 func parseStamps(line []byte, after int64, record func(int64)) (latest int64) {
 	latest = after
 	for {
@@ -230,7 +231,7 @@
 	for n := range options.Watchers {
 		watchers.Go(func() {
 			random := rand.New(rand.NewPCG(uint64(n), 7))
-			if !registry.Sleep(running, time.Duration(random.Int64N(int64(time.Second)))) { // all within one second
+			if !registry.Sleep(running, time.Duration(random.Int64N(int64(time.Second)))) { // all watchers start within one second
 				return
 			}
 			if method == "poll" {
@@ -300,7 +301,7 @@
 	return nil
 }
 
-// cpuOf is the processor time that a process has used, all its threads together.
+// cpuTime returns the processor time that a process has used in all its threads.
 func cpuTime(pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -312,10 +313,11 @@
 	}
 	user, _ := strconv.ParseInt(fields[11], 10, 64)
 	system, _ := strconv.ParseInt(fields[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond // of 100 ticks a second
+	return time.Duration(user+system) * 10 * time.Millisecond // the kernel counts 100 ticks per second
 }
 
-// watchOnce reads one watch as cheaply as it can, so that what is measured is the service.
+// watchAndRecord reads one watch with as little processing as it can, so that the service is measured and not
+// the watcher.
 func watchAndRecord(ctx context.Context, addr string, recorded *arrivals, refused *atomic.Int64, random *rand.Rand, connected func()) {
 	for {
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
@@ -326,7 +328,7 @@
 		fmt.Fprintf(conn, "GET /registry/instances?watch=1&after=0 HTTP/1.1\r\nHost: d\r\n\r\n")
 		reader := bufio.NewReaderSize(conn, 4096)
 		status, err := reader.ReadSlice('\n')
-		if err == nil && !bytes.Contains(status, []byte(" 200 ")) { // told when to come back, within the second named
+		if err == nil && !bytes.Contains(status, []byte(" 200 ")) { // refused: watchers return after the second that they are told to wait
 			refused.Add(1)
 			stop()
 			conn.Close()
@@ -360,7 +362,7 @@
 	}
 }
 
-// poll asks for the whole list again and again.
+// pollAndRecord requests the whole list again and again.
 func pollAndRecord(ctx context.Context, addr string, interval time.Duration, random *rand.Rand, recorded *arrivals) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	defer client.CloseIdleConnections()
@@ -383,7 +385,7 @@
 	}
 }
 
-// service starts so many replicas without links, as a trial does with them.
+// startService starts count replicas without links, as part of a trial that runs no clients.
 func (o SizeOptions) startService(ctx context.Context, count int, dir string) (*trial, error) {
 	t := &trial{options: Options{Command: []string{o.Program, "directory", "serve"}, Dir: dir, Seed: 1, Log: slog.New(slog.DiscardHandler)},
 		supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(1, 1))}
@@ -444,7 +446,7 @@
 	return nil
 }
 
-// failOver kills the leader again and again, and tells for how long no write was done.
+// measureFailover kills the leader again and again, and records for how long no write succeeded.
 func (s *Measurements) measureFailover(ctx context.Context, options SizeOptions) error {
 	t, err := options.startService(ctx, replicaCount, filepath.Join(options.Dir, "fail-over"))
 	if err != nil {
@@ -480,7 +482,7 @@
 	return nil
 }
 
-// Write stores the figures in a folder.
+// Save writes the measurements to size.json in a folder.
 func (s *Measurements) Save(dir string) error {
 	raw, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -35,45 +35,45 @@
 	settleTimeout         = 20 * time.Second
 	checkTimeout          = 30 * time.Second
 	retryPause            = 50 * time.Millisecond
-	meanOperationInterval = 25 * time.Millisecond // between a writer's operations, on the average
+	meanOperationInterval = 25 * time.Millisecond // mean pause between two operations of a writer
 )
 
-// Options say how a trial is run.
+// Options configure a trial of the list service.
 type Options struct {
-	Command    []string // of a replica; `--config FILE` is put behind it
-	Dir        string   // an empty folder; it stays
+	Command    []string // of a replica; `--config FILE` is appended
+	Dir        string   // must be empty; it is not removed
 	Seed       uint64
-	Duration   time.Duration // of the faults
-	FaultKinds []string      // kinds of faults; none: all
-	StaleReads bool          // a seeded breach: what counts as fresh is read at any replica
+	Duration   time.Duration // how long faults are injected
+	FaultKinds []string      // names of the faults to inject; empty: all
+	StaleReads bool          // an injected violation: reads that must be fresh are served by any replica
 	Log        *slog.Logger
 }
 
-// Result is what a trial has found.
+// Result is the outcome of a trial.
 type Result struct {
 	Seed          uint64         `json:"seed"`
 	Faults        []string       `json:"faults"`
-	Operations    map[string]int `json:"ops"`  // by kind and outcome
-	WatchLines    int            `json:"told"` // lines of watches
+	Operations    map[string]int `json:"ops"`  // count by kind and outcome
+	WatchLines    int            `json:"told"` // number of updates that all watchers received
 	Revisions     int64          `json:"revisions"`
-	LeaseHoldings int            `json:"leases"` // times in which one held the record
+	LeaseHoldings int            `json:"leases"` // how often a client held the lease of the record
 	Histories     int            `json:"histories"`
-	// The longest time in which no write was done, and the longest that a write took to be refused.
+	// The longest time without a successful write, and the longest time until a write was refused.
 	LongestWriteGap time.Duration `json:"no_writes"`
 	LongestRefusal  time.Duration `json:"refusal"`
 	Violations      []string      `json:"problems"`
 }
 
-// calm is the weather of a link without a fault.
+// healthyLink are the conditions of a link without a fault.
 var healthyLink = relay.Conditions{Delay: 200 * time.Microsecond, Jitter: 1}
 
 type trial struct {
 	options    Options
 	supervisor *proc.Supervisor
-	block      *block.Block // of all addresses
+	block      *block.Block // all addresses of the trial
 	replicas   []*replica.Replica
 	startedAt  time.Time
-	random     *rand.Rand // of the timeline alone
+	random     *rand.Rand // for the sequence of faults only, so not for clients
 
 	lastValue   atomic.Int64
 	mu          sync.Mutex
@@ -81,10 +81,10 @@
 	updates     [][]WatcherUpdate
 	holdings    []LeaseHolding
 	result      Result
-	lastWriteAt time.Time // of the last write
+	lastWriteAt time.Time
 }
 
-// Run runs a trial.
+// Run runs a trial of the list service.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	err := t.run(ctx)
-	if len(t.result.Violations) > 0 { // where each one stands may tell why
+	if len(t.result.Violations) > 0 { // the dump of each process's goroutines may tell the cause
 		for _, r := range t.replicas {
 			process := r.Process()
 			process.Signal(syscall.SIGQUIT)
@@ -119,14 +119,15 @@
 	}
 }
 
-// buildOf makes so many replicas. Everything reaches one by its links, unless they are left out.
+// buildReplicas creates count replicas. All traffic to a replica goes through its links, unless withoutLinks
+// is set.
 func (t *trial) buildReplicas(count int, withoutLinks bool) error {
 	var err error
 	if t.block, err = block.Reserve(); err != nil {
 		return err
 	}
 	options := replica.Options{Command: t.options.Command, Dir: t.options.Dir, Block: t.block, Supervisor: t.supervisor, Seed: t.options.Seed}
-	if !withoutLinks { // much happens in a short time
+	if !withoutLinks { // short intervals, so that much happens in a short time
 		options.Conditions = &healthyLink
 		options.Settings = "election = \"300ms\"\n[snapshot]\nevery = 40\ntrailing = 20\ninterval = \"200ms\"\n[watch]\nlag_kb = 64\n"
 	}
@@ -134,12 +135,12 @@
 	return err
 }
 
-// operator asks one replica past its links.
+// operatorClient returns a client that reaches one replica without its links.
 func operatorClient(target *replica.Replica) *directory.AdminClient {
 	return &directory.AdminClient{Addresses: []string{target.OwnAddr(replica.HTTP)}, HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// leader is the replica that says it leads, or any.
+// leader returns the replica that reports to be the leader, or any replica if none does.
 func (t *trial) leader(ctx context.Context) *replica.Replica {
 	for _, r := range t.replicas {
 		ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
@@ -154,7 +155,7 @@
 
 func (t *trial) elapsed() time.Duration { return time.Since(t.startedAt) }
 
-// await waits for something that must come.
+// await polls isDone until it is true, for settleTimeout at most.
 func await(ctx context.Context, name string, isDone func() bool) error {
 	for deadline := time.Now().Add(settleTimeout); !isDone(); {
 		if time.Now().After(deadline) {
@@ -252,13 +253,13 @@
 	return catalog.Endpoint{ID: id, Addr: "10.0.0.1:6379", Locality: "a", Flavor: "k", Phase: catalog.Serving, Size: 1, UpSince: value}
 }
 
-// client asks by its own connections, at the replicas in an order of its own.
+// newClient returns a client with connections and an order of replicas of its own.
 func (t *trial) newClient(number int) *directory.AdminClient {
 	return &directory.AdminClient{Addresses: t.shuffledAddresses(uint64(100 + number)), By: fmt.Sprint("writer ", number),
 		HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// watch follows the list as every client of the service does.
+// watchList follows the list with the watcher that all clients of the service use.
 func (t *trial) watchList(ctx context.Context, watcher int) {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
@@ -272,7 +273,8 @@
 	})
 }
 
-// writes reads and writes the endpoints' values until the context ends. What is under way then is let finish.
+// runWriter reads and writes the endpoints' values until the context ends. An operation in flight is
+// completed then.
 func (t *trial) runWriter(ctx context.Context, writer int) {
 	random := rand.New(rand.NewPCG(t.options.Seed, uint64(1000+writer)))
 	client := t.newClient(writer)
@@ -340,7 +342,7 @@
 	t.recordOperation(op)
 }
 
-// fault is one kind of what may happen.
+// fault is one kind of fault that a trial injects.
 type fault struct {
 	name   string
 	inject func(t *trial, ctx context.Context, r *replica.Replica, duration time.Duration) error
@@ -420,8 +422,8 @@
 	}
 }
 
-// rejoin starts a replica that has lost what it knew, and waits until it votes again: with another one gone at that
-// time, what was agreed on could be lost.
+// rejoin starts a replica that lost its data and waits until it votes again: if another replica failed before
+// that, committed changes could be lost.
 func (t *trial) rejoin(ctx context.Context, r *replica.Replica) error {
 	if err := r.Start(); err != nil {
 		return err
@@ -429,7 +431,7 @@
 	return await(ctx, r.ID+" to vote again", func() bool { return t.hasVoters(ctx, replicaCount) })
 }
 
-// timeline plays faults one after the other, at the leader half of the time, with a moment between two of them.
+// injectFaults injects one fault after the other with a pause between them, half of them at the leader.
 func (t *trial) injectFaults(ctx context.Context) error {
 	kinds := slices.DeleteFunc(slices.Clone(faults), func(f fault) bool {
 		return len(t.options.FaultKinds) > 0 && !slices.Contains(t.options.FaultKinds, f.name)
@@ -456,7 +458,8 @@
 		if strings.Contains(f.name, "log") || strings.Contains(f.name, "folder") {
 			continue
 		}
-		// Losing a folder is safe only while the others have it all, so each fault is over before the next.
+		// Losing a folder is safe only while the other replicas have all changes, so each fault is over
+		// before the next one.
 		if err := await(ctx, "three voters after the fault "+f.name, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			t.result.Violations = append(t.result.Violations, err.Error())
 		}
@@ -464,7 +467,8 @@
 	return nil
 }
 
-// judge restores a backup as a last thing, waits for the watchers, and checks all that was seen.
+// check restores a backup in half of the trials, waits for the watchers, and checks all recorded operations,
+// updates and leases.
 func (t *trial) check(ctx context.Context, admin *directory.AdminClient, stopWatching func()) error {
 	admin.RetryFor = settleTimeout
 	histories := map[int64]CommittedHistory{}
@@ -472,7 +476,7 @@
 	if err != nil {
 		return err
 	}
-	if t.random.IntN(2) == 0 { // the backup is of before the last writes
+	if t.random.IntN(2) == 0 { // the backup is older than the last writes
 		backup, _, err := admin.Backup(ctx, true)
 		if err != nil {
 			return err
@@ -536,13 +540,13 @@
 	return nil
 }
 
-// agreed is a history as the service has it.
+// serviceHistory is a history as the service has committed it.
 type serviceHistory struct {
 	number int64
 	CommittedHistory
 }
 
-// truth reads all changes from the first on.
+// readHistory reads all changes from the first one on.
 func (t *trial) readHistory(ctx context.Context, admin *directory.AdminClient) (serviceHistory, error) {
 	history := serviceHistory{CommittedHistory: CommittedHistory{Initial: catalog.List{Members: []catalog.Endpoint{}}}}
 	current, _, _, err := admin.List(ctx, true)
@@ -561,7 +565,7 @@
 		}
 		history.number = page.History
 		history.Changes = append(history.Changes, page.Changes...)
-		if len(page.Changes) == 0 && page.Revision < current.Revision { // no longer the leader
+		if len(page.Changes) == 0 && page.Revision < current.Revision { // the replica is no longer the leader
 			leader = operatorClient(t.leader(ctx))
 			registry.Sleep(ctx, retryPause)
 			continue
