--- a/internal/lab/trial/check_test.go
+++ b/internal/lab/trial/check_test.go
@@ -23,12 +23,12 @@
 	}{
 		{"read after write", []Operation{op(Put, Done, 0, 1, 0, 0, 10), op(Read, Done, 0, 0, 1, 11, 12)}, true},
 		{"stale read", []Operation{op(Put, Done, 0, 1, 0, 0, 10), op(Read, Done, 0, 0, 0, 11, 12)}, false},
-		{"either while it is under way", []Operation{op(Put, Done, 0, 1, 0, 0, 10), op(Read, Done, 0, 0, 0, 5, 6)}, true},
+		{"old value while a write is in flight", []Operation{op(Put, Done, 0, 1, 0, 0, 10), op(Read, Done, 0, 0, 0, 5, 6)}, true},
 		{"a lost write", []Operation{op(Put, Done, 0, 1, 0, 0, 1), op(CompareAndSwap, Done, 0, 2, 0, 2, 3)}, false},
-		{"two swaps of one value", []Operation{op(CompareAndSwap, Done, 0, 1, 0, 0, 9), op(CompareAndSwap, Done, 0, 2, 0, 0, 9)}, false},
+		{"two conditional writes on one value", []Operation{op(CompareAndSwap, Done, 0, 1, 0, 0, 9), op(CompareAndSwap, Done, 0, 2, 0, 0, 9)}, false},
 		{"a conflict without a cause", []Operation{op(CompareAndSwap, Conflict, 0, 1, 0, 0, 9)}, false},
-		{"an unknown write that took effect late", []Operation{op(Put, Ambiguous, 0, 1, 0, 0, 1), op(Read, Done, 0, 0, 0, 2, 3), op(Read, Done, 0, 0, 1, 4, 5)}, true},
-		{"an unknown write that came and went", []Operation{op(Put, Ambiguous, 0, 1, 0, 0, 1), op(Read, Done, 0, 0, 1, 2, 3), op(Read, Done, 0, 0, 0, 4, 5)}, false},
+		{"an ambiguous write that took effect late", []Operation{op(Put, Ambiguous, 0, 1, 0, 0, 1), op(Read, Done, 0, 0, 0, 2, 3), op(Read, Done, 0, 0, 1, 4, 5)}, true},
+		{"an ambiguous write that took effect and was undone", []Operation{op(Put, Ambiguous, 0, 1, 0, 0, 1), op(Read, Done, 0, 0, 1, 2, 3), op(Read, Done, 0, 0, 0, 4, 5)}, false},
 	} {
 		if violations := CheckLinearizable(test.ops, time.Minute); (len(violations) == 0) != test.valid {
 			t.Errorf("%s: %v", test.name, violations)
@@ -43,52 +43,52 @@
 	change := func(revision int64, members ...catalog.Endpoint) catalog.Change {
 		return catalog.Change{Revision: revision, Members: members}
 	}
-	truth := map[int64]CommittedHistory{
+	histories := map[int64]CommittedHistory{
 		1: {Changes: []catalog.Change{change(1, endpoint("a", 0), endpoint("b", 0)), change(2, endpoint("a", 1)), change(3, endpoint("b", 1))}},
 		2: {Initial: catalog.List{Revision: 2, Members: []catalog.Endpoint{endpoint("a", 1), endpoint("b", 0)}}, Changes: []catalog.Change{change(3, endpoint("a", 5))}},
 	}
-	update := func(history, rev int64, complete bool, m ...catalog.Endpoint) WatcherUpdate {
-		return WatcherUpdate{History: history, List: catalog.List{Revision: rev, Complete: complete, Members: m}}
+	update := func(history, revision int64, complete bool, members ...catalog.Endpoint) WatcherUpdate {
+		return WatcherUpdate{History: history, List: catalog.List{Revision: revision, Complete: complete, Members: members}}
 	}
 	correct := []WatcherUpdate{
 		update(1, 1, true, endpoint("a", 0), endpoint("b", 0)), update(1, 2, false, endpoint("a", 1)), update(1, 3, false, endpoint("b", 1)),
 		update(2, 2, true, endpoint("a", 1), endpoint("b", 0)), update(2, 3, false, endpoint("a", 5)),
 	}
-	if violations := CheckWatches(truth, [][]WatcherUpdate{correct, append([]WatcherUpdate{update(1, 3, true, endpoint("a", 1), endpoint("b", 1))}, correct[3:]...)}); len(violations) > 0 {
-		t.Errorf("nothing was wrong: %v", violations)
+	if violations := CheckWatches(histories, [][]WatcherUpdate{correct, append([]WatcherUpdate{update(1, 3, true, endpoint("a", 1), endpoint("b", 1))}, correct[3:]...)}); len(violations) > 0 {
+		t.Errorf("unexpected violations: %v", violations)
 	}
 	for _, test := range []struct {
 		name, wantText string
 		updates        []WatcherUpdate
 	}{
 		{"a change missed", "the list is", append([]WatcherUpdate{correct[0], correct[2]}, correct[3:]...)},
-		{"an empty one in its place", "the list is", append([]WatcherUpdate{correct[0], update(1, 2, false), correct[2]}, correct[3:]...)},
+		{"an empty update in its place", "the list is", append([]WatcherUpdate{correct[0], update(1, 2, false), correct[2]}, correct[3:]...)},
 		{"a change invented", "the list is", append([]WatcherUpdate{correct[0], update(1, 2, false, endpoint("a", 9))}, correct[2:]...)},
-		{"out of order", "after 3", append([]WatcherUpdate{correct[0], update(1, 3, false, endpoint("a", 1), endpoint("b", 1)), correct[1]}, correct[3:]...)},
-		{"a revision that never was", "does not have", append(append([]WatcherUpdate{}, correct...), update(2, 4, false))},
-		{"back into the old history", "after 2", append(append([]WatcherUpdate{}, correct...), correct[2])},
+		{"changes out of order", "after 3", append([]WatcherUpdate{correct[0], update(1, 3, false, endpoint("a", 1), endpoint("b", 1)), correct[1]}, correct[3:]...)},
+		{"a revision that does not exist", "does not have", append(append([]WatcherUpdate{}, correct...), update(2, 4, false))},
+		{"back to the old history", "after 2", append(append([]WatcherUpdate{}, correct...), correct[2])},
 		{"a new history without its list", "without its list", []WatcherUpdate{correct[0], correct[1], correct[2], update(2, 3, false, endpoint("a", 5))}},
 		{"not to the end", "before the end", correct[:4]},
 	} {
-		if bad := CheckWatches(truth, [][]WatcherUpdate{test.updates}); len(bad) != 1 || !strings.Contains(bad[0], test.wantText) {
-			t.Errorf("%s: %v", test.name, bad)
+		if violations := CheckWatches(histories, [][]WatcherUpdate{test.updates}); len(violations) != 1 || !strings.Contains(violations[0], test.wantText) {
+			t.Errorf("%s: %v", test.name, violations)
 		}
 	}
 }
 
 func TestCheckWrites(t *testing.T) {
-	truth := CommittedHistory{Changes: []catalog.Change{
+	committed := CommittedHistory{Changes: []catalog.Change{
 		{Revision: 1, Members: []catalog.Endpoint{{ID: "a", UpSince: 1}}}, {Revision: 2, Members: []catalog.Endpoint{{ID: "a", UpSince: 2}}},
 	}}
 	correct := []Operation{{Kind: Put, EndpointID: "a", New: 1, Revision: 1, Outcome: Done}, {Kind: Put, EndpointID: "a", New: 2, Outcome: Ambiguous}, {Kind: Put, EndpointID: "a", New: 3, Outcome: Ambiguous}}
-	if violations := CheckWrites(truth, correct); len(violations) > 0 {
-		t.Errorf("nothing was wrong: %v", violations)
+	if violations := CheckWrites(committed, correct); len(violations) > 0 {
+		t.Errorf("unexpected violations: %v", violations)
 	}
 	lost := append([]Operation{{Kind: Put, EndpointID: "a", New: 4, Revision: 3, Outcome: Done}}, correct...)
 	conflictDone := append([]Operation{{Kind: CompareAndSwap, EndpointID: "a", New: 2, Outcome: Conflict}}, correct[0])
-	for name, ops := range map[string][]Operation{"lost": lost, "refused, and done": conflictDone, "nobody has asked": correct[:1]} {
-		if bad := CheckWrites(truth, ops); len(bad) != 1 {
-			t.Errorf("%s: %v", name, bad)
+	for name, ops := range map[string][]Operation{"lost write": lost, "conflict that took effect": conflictDone, "value that no client wrote": correct[:1]} {
+		if violations := CheckWrites(committed, ops); len(violations) != 1 {
+			t.Errorf("%s: %v", name, violations)
 		}
 	}
 }
@@ -96,12 +96,12 @@
 func TestCheckLeases(t *testing.T) {
 	correct := []LeaseHolding{{0, 1, milliseconds(0), milliseconds(10)}, {0, 2, milliseconds(5), milliseconds(15)}, {1, 3, milliseconds(15), milliseconds(20)}}
 	if violations := CheckLeases(correct); len(violations) > 0 {
-		t.Errorf("nothing was wrong: %v", violations)
+		t.Errorf("unexpected violations: %v", violations)
 	}
-	if bad := CheckLeases(append(correct, LeaseHolding{2, 4, milliseconds(19), milliseconds(30)})); len(bad) != 1 {
-		t.Errorf("two at once: %v", bad)
+	if violations := CheckLeases(append(correct, LeaseHolding{2, 4, milliseconds(19), milliseconds(30)})); len(violations) != 1 {
+		t.Errorf("two holders at once: %v", violations)
 	}
-	if bad := CheckLeases(append(correct, LeaseHolding{2, 3, milliseconds(50), milliseconds(60)})); len(bad) != 1 {
-		t.Errorf("one token twice: %v", bad)
+	if violations := CheckLeases(append(correct, LeaseHolding{2, 3, milliseconds(50), milliseconds(60)})); len(violations) != 1 {
+		t.Errorf("one token given twice: %v", violations)
 	}
 }
--- a/internal/lab/trial/leases.go
+++ b/internal/lab/trial/leases.go
@@ -54,7 +54,7 @@
 		Token   int64    `json:"token"`
 		Unknown []string `json:"unknown"`
 	}
-	ask := func(method, path string, body any) (answer, bool) {
+	send := func(method, path string, body any) (answer, bool) {
 		raw, err := json.Marshal(body)
 		if err != nil {
 			return answer{}, false
@@ -69,27 +69,27 @@
 	}
 	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(80*time.Millisecond))) {
 		requestedAt := t.elapsed()
-		a, ok := ask(http.MethodPut, "/records/"+leaseRecord, map[string]any{"holder": fmt.Sprint("h", holder), "ttl_ms": leaseTTL.Milliseconds()})
+		granted, ok := send(http.MethodPut, "/records/"+leaseRecord, map[string]any{"holder": fmt.Sprint("h", holder), "ttl_ms": leaseTTL.Milliseconds()})
 		if !ok {
 			continue
 		}
-		holding := LeaseHolding{Holder: holder, Token: a.Token, From: t.elapsed(), Until: requestedAt + leaseTTL}
+		holding := LeaseHolding{Holder: holder, Token: granted.Token, From: t.elapsed(), Until: requestedAt + leaseTTL}
 		for range random.IntN(8) {
 			if !registry.Sleep(ctx, time.Duration(random.Int64N(int64(leaseTTL)))) {
 				break
 			}
-			at := t.elapsed()
-			a, ok := ask(http.MethodPost, "/registry/renewals", map[string]any{"records": []any{map[string]any{"name": leaseRecord, "token": holding.Token}}})
-			if ok && len(a.Unknown) > 0 {
+			renewedAt := t.elapsed()
+			renewed, ok := send(http.MethodPost, "/registry/renewals", map[string]any{"records": []any{map[string]any{"name": leaseRecord, "token": holding.Token}}})
+			if ok && len(renewed.Unknown) > 0 {
 				break
 			}
 			if ok {
-				holding.Until = at + leaseTTL
+				holding.Until = renewedAt + leaseTTL
 			}
 		}
 		if random.IntN(2) == 0 && t.elapsed() < holding.Until {
 			holding.Until = t.elapsed()
-			ask(http.MethodDelete, "/records/"+leaseRecord, map[string]any{"token": holding.Token})
+			send(http.MethodDelete, "/records/"+leaseRecord, map[string]any{"token": holding.Token})
 		}
 		t.mu.Lock()
 		t.holdings = append(t.holdings, holding)
--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -237,14 +237,14 @@
 	if err := t.startNodes(ctx); err != nil {
 		return err
 	}
-	var background, load sync.WaitGroup
+	var observers, load sync.WaitGroup
 	watchCtx, stopWatching := context.WithCancel(ctx)
-	defer background.Wait()
+	defer observers.Wait()
 	defer stopWatching()
 	for _, r := range t.replicas {
-		background.Go(func() { t.pollMap(watchCtx, r) })
+		observers.Go(func() { t.pollMap(watchCtx, r) })
 	}
-	background.Go(func() { t.detectStalls(watchCtx) })
+	observers.Go(func() { t.detectStalls(watchCtx) })
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer load.Wait()
 	defer stopLoad()
@@ -366,10 +366,10 @@
 		t.result.Violations = append(t.result.Violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s has a map that does not decode: %v", observer, err)})
 		return
 	}
-	now, sum := t.elapsed(), checksum(value)
+	at, sum := t.elapsed(), checksum(value)
 	for _, published := range t.maps {
 		if published.Number == m.Number && published.Checksum == sum {
-			published.CommittedBy = min(published.CommittedBy, now)
+			published.CommittedBy = min(published.CommittedBy, at)
 		}
 	}
 	for _, previous := range slices.Backward(t.observations) {
@@ -380,7 +380,7 @@
 			break
 		}
 	}
-	t.observations = append(t.observations, MapObservation{now, observer, m.Number, sum})
+	t.observations = append(t.observations, MapObservation{at, observer, m.Number, sum})
 }
 
 // recordMapIntent records that a map is about to be written.
@@ -532,7 +532,7 @@
 			continue
 		}
 		destination := random.IntN(steadyDestinations)
-		switch k := random.IntN(20); k {
+		switch choice := random.IntN(20); choice {
 		case 0:
 			destination = firstUnlisted + random.IntN(unlistedDestinations)
 		case 1, 2:
@@ -544,8 +544,8 @@
 			t.answerDelays[id] = maxAnswerDelay/3 + time.Duration(random.Int64N(int64(maxAnswerDelay*2/3)))
 			t.mu.Unlock()
 		}
-		if h := t.submit(node, id, class, destination, t.elapsed()+messageLifetime, false); class == classDeduplicated && h.Answer == history.Taken {
-			accepted = append(accepted, h)
+		if submission := t.submit(node, id, class, destination, t.elapsed()+messageLifetime, false); class == classDeduplicated && submission.Answer == history.Taken {
+			accepted = append(accepted, submission)
 		}
 	}
 }
@@ -597,13 +597,13 @@
 		t.setLinks(n.fronts, relay.Conditions{CutOutbound: true, CutReturn: true})
 		defer t.setLinks(n.fronts, healthyLink)
 		n.kill()
-		kept, _ := n.savedList() // the node may have been killed before it stored a list
+		saved, _ := n.savedList() // the node may have been killed before it stored a list
 		registry.Sleep(ctx, d/2)
 		if err := n.start(ctx); err != nil {
 			return err
 		}
-		t.checkAcceptsWithoutDirectory(ctx, n, func(dest int) bool {
-			return slices.ContainsFunc(slices.Collect(maps.Values(kept)), func(e catalog.Endpoint) bool { return e.Cell == dest })
+		t.checkAcceptsWithoutDirectory(ctx, n, func(destination int) bool {
+			return slices.ContainsFunc(slices.Collect(maps.Values(saved)), func(endpoint catalog.Endpoint) bool { return endpoint.Cell == destination })
 		})
 		return nil
 	})},
@@ -619,13 +619,13 @@
 			t.killOnFetch[n.number] = t.random.IntN(2) == 0
 		}
 		t.mu.Unlock()
-		wait := time.NewTimer(4 * meanMapChangeInterval)
-		defer wait.Stop()
-		var gone []killedNode
+		timer := time.NewTimer(4 * meanMapChangeInterval)
+		defer timer.Stop()
+		var killed []killedNode
 		select {
 		case k := <-t.killedNodes:
-			gone = append(gone, k)
-		case <-wait.C:
+			killed = append(killed, k)
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 		t.mu.Lock()
@@ -633,11 +633,11 @@
 		t.mu.Unlock()
 		registry.Sleep(ctx, d/4)
 		for len(t.killedNodes) > 0 {
-			gone = append(gone, <-t.killedNodes)
+			killed = append(killed, <-t.killedNodes)
 		}
 		var errs []error
 		var names []string
-		for _, k := range gone {
+		for _, k := range killed {
 			errs = append(errs, t.nodes[k.node].start(ctx))
 			k.endDisturbance()
 			names = append(names, nodeName(k.node))
@@ -646,31 +646,31 @@
 	}},
 	{"region cut off", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		region := t.random.IntN(regionCount)
-		var away []*front
+		var severed []*front
 		for _, n := range t.nodes {
 			for i, f := range n.fronts {
 				if (regionOf(n.number) == region) != (i == region) {
-					away = append(away, f)
+					severed = append(severed, f)
 				}
 			}
 		}
 		defer t.beginDisturbance(-1, "region cut off")()
 		cutOff := relay.Conditions{CutOutbound: true, CutReturn: true}
 		t.replicas[region].Links[replica.Raft].SetConditions(cutOff)
-		t.setLinks(away, cutOff)
+		t.setLinks(severed, cutOff)
 		registry.Sleep(ctx, d)
 		t.replicas[region].Links[replica.Raft].SetConditions(healthyLink)
 		t.replicas[region].Links[replica.Raft].ResetConnections()
-		t.setLinks(away, healthyLink)
+		t.setLinks(severed, healthyLink)
 		return fmt.Sprint("region ", region), nil
 	}},
 	{"region killed", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		of := t.random.IntN(regionCount)
+		region := t.random.IntN(regionCount)
 		defer t.beginDisturbance(-1, "region killed")()
-		t.replicas[of].Kill()
+		t.replicas[region].Kill()
 		var errs []error
 		for _, n := range t.nodes {
-			if regionOf(n.number) == of {
+			if regionOf(n.number) == region {
 				n.kill()
 			}
 		}
@@ -678,7 +678,7 @@
 		for _, n := range t.nodes {
 			errs = append(errs, n.start(ctx))
 		}
-		return fmt.Sprint("region ", of), errors.Join(append(errs, t.replicas[of].Start())...)
+		return fmt.Sprint("region ", region), errors.Join(append(errs, t.replicas[region].Start())...)
 	}},
 	{"directory gone", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		defer t.beginDisturbance(-1, "directory gone")()
@@ -686,11 +686,11 @@
 			r.Kill()
 		}
 		registry.Sleep(ctx, d/2)
-		var going sync.WaitGroup
+		var checks sync.WaitGroup
 		for _, n := range t.nodes {
-			going.Go(func() { t.checkAcceptsWithoutDirectory(ctx, n, func(int) bool { return true }) })
+			checks.Go(func() { t.checkAcceptsWithoutDirectory(ctx, n, func(int) bool { return true }) })
 		}
-		going.Wait()
+		checks.Wait()
 		var errs []error
 		for _, r := range t.replicas {
 			errs = append(errs, r.Start())
@@ -713,11 +713,11 @@
 	}},
 }
 
-func nodeFault(do func(t *ownershipTrial, ctx context.Context, node *deliveryNode, duration time.Duration) error) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
+func nodeFault(inject func(t *ownershipTrial, ctx context.Context, node *deliveryNode, duration time.Duration) error) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
 	return func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		n := t.nodes[t.random.IntN(len(t.nodes))]
 		defer t.beginDisturbance(n.number, "a fault of its own")()
-		return n.name, do(t, ctx, n, d)
+		return n.name, inject(t, ctx, n, d)
 	}
 }
 
@@ -773,10 +773,10 @@
 
 // setLinks sets the conditions of the links to fronts. A link that is healthy again has its connections
 // reset.
-func (t *ownershipTrial) setLinks(fronts []*front, weather relay.Conditions) {
+func (t *ownershipTrial) setLinks(fronts []*front, conditions relay.Conditions) {
 	for _, f := range fronts {
-		f.link.SetConditions(weather)
-		if weather == healthyLink {
+		f.link.SetConditions(conditions)
+		if conditions == healthyLink {
 			f.link.ResetConnections()
 		}
 	}
@@ -806,17 +806,17 @@
 	if len(kinds) == 0 {
 		return fmt.Errorf("no fault has any of the names %q", t.ownershipOptions.FaultKinds)
 	}
-	var deck []ownershipFault
+	var remaining []ownershipFault
 	for end := t.elapsed() + t.options.Duration; t.elapsed() < end; {
 		if !registry.Sleep(ctx, time.Duration(100+t.random.IntN(400))*time.Millisecond) {
 			return ctx.Err()
 		}
-		if len(deck) == 0 {
-			deck = slices.Clone(kinds)
-			t.random.Shuffle(len(deck), func(i, j int) { deck[i], deck[j] = deck[j], deck[i] })
+		if len(remaining) == 0 {
+			remaining = slices.Clone(kinds)
+			t.random.Shuffle(len(remaining), func(i, j int) { remaining[i], remaining[j] = remaining[j], remaining[i] })
 		}
-		f, duration := deck[0], time.Duration(200+t.random.IntN(1000))*time.Millisecond
-		deck = deck[1:]
+		f, duration := remaining[0], time.Duration(200+t.random.IntN(1000))*time.Millisecond
+		remaining = remaining[1:]
 		start := t.elapsed()
 		target, err := f.inject(t, ctx, duration)
 		description := fmt.Sprintf("%v %s: %s for %v", start.Round(time.Millisecond), f.name, target, duration)
@@ -995,9 +995,9 @@
 func (t *ownershipTrial) awaitLists(ctx context.Context, lastMap PublishedMap, excluded int, current catalog.List) {
 	for i, node := range t.nodes {
 		expected := map[string]catalog.Endpoint{}
-		for id, e := range endpointsByID(current) {
-			if lastMap.Owned[i].Has(ownership.PartitionOf(e.Cell)) {
-				expected[id] = e
+		for id, endpoint := range endpointsByID(current) {
+			if lastMap.Owned[i].Has(ownership.PartitionOf(endpoint.Cell)) {
+				expected[id] = endpoint
 			}
 		}
 		problem := ""
--- a/internal/lab/trial/ownership_check.go
+++ b/internal/lab/trial/ownership_check.go
@@ -163,18 +163,18 @@
 		required := int64(0) // the map that the node must have
 		since, undisturbed := undisturbedSince(disturbances, submission.Node, submission.Call)
 		newest := int64(0) // the newest map that assigns the destination to the node
-		for _, e := range published {
-			if undisturbed && e.CommittedBy != never && max(e.CommittedBy, since)+limit < submission.Call {
-				required = max(required, e.Number)
+		for _, m := range published {
+			if undisturbed && m.CommittedBy != never && max(m.CommittedBy, since)+limit < submission.Call {
+				required = max(required, m.Number)
 			}
-			if e.WrittenAfter <= submission.Return && e.Owned[submission.Node].Has(partition) {
-				newest = e.Number
+			if m.WrittenAfter <= submission.Return && m.Owned[submission.Node].Has(partition) {
+				newest = m.Number
 			}
 		}
 		explaining := int64(0)
-		for _, e := range published {
-			if e.Number >= lowest[submission.Node] && e.WrittenAfter <= submission.Return && e.Owned[submission.Node].Has(partition) {
-				explaining = e.Number
+		for _, m := range published {
+			if m.Number >= lowest[submission.Node] && m.WrittenAfter <= submission.Return && m.Owned[submission.Node].Has(partition) {
+				explaining = m.Number
 				break
 			}
 		}
@@ -186,10 +186,10 @@
 		default:
 			lowest[submission.Node] = explaining
 		}
-		for _, e := range published { // measure from the first map after the newest one that assigns the destination to the node
-			if e.Number > newest && e.CommittedBy != never {
+		for _, m := range published { // measure from the first map after the newest one that assigns the destination to the node
+			if m.Number > newest && m.CommittedBy != never {
 				if undisturbed {
-					longest = max(longest, submission.Return-max(e.CommittedBy, since))
+					longest = max(longest, submission.Return-max(m.CommittedBy, since))
 				}
 				break
 			}
@@ -243,15 +243,15 @@
 				return 0, true
 			}
 			var everOwned ownership.Set
-			for _, e := range published {
-				if e.WrittenAfter > request.At {
+			for _, m := range published {
+				if m.WrittenAfter > request.At {
 					continue
 				}
-				everOwned = everOwned.Union(e.Owned[request.Node])
-				owned := e.Owned[request.Node]
+				everOwned = everOwned.Union(m.Owned[request.Node])
+				owned := m.Owned[request.Node]
 				ownsNothing := owned.Len() == 0 && request.Partitions.Len() == 1
-				if e.Number >= minNumber && owned.Without(request.Partitions).Len() == 0 && (ownsNothing || request.Partitions.Without(everOwned).Len() == 0) {
-					return e.Number, true
+				if m.Number >= minNumber && owned.Without(request.Partitions).Len() == 0 && (ownsNothing || request.Partitions.Without(everOwned).Len() == 0) {
+					return m.Number, true
 				}
 			}
 			return 0, false
@@ -315,8 +315,8 @@
 // histories is keyed by history number.
 func CheckFilteredWatches(histories map[int64]CommittedHistory, requests []WatchRequest) []Violation {
 	snapshotsOf := map[int64]historySnapshots{}
-	for number, history := range histories {
-		snapshotsOf[number] = history.snapshots()
+	for number, committed := range histories {
+		snapshotsOf[number] = committed.snapshots()
 	}
 	type position struct{ history, revision int64 }
 	delivered := map[int]position{} // by node: the furthest position that it was sent
@@ -403,7 +403,7 @@
 // last map at all nodes, in which an owner did not accept or another node did not refuse with a retry-after.
 // isListed tells which destinations were ever on the list.
 func CheckConverged(lastMap PublishedMap, nodes int, destinations []int, isListed func(int) bool, submissions []Submission) []Violation {
-	type place struct{ node, dest int }
+	type place struct{ node, destination int }
 	answers := map[place]Submission{}
 	for _, submission := range submissions {
 		answers[place{submission.Node, submission.Destination}] = submission
--- a/internal/lab/trial/ownership_control.go
+++ b/internal/lab/trial/ownership_control.go
@@ -60,18 +60,18 @@
 
 // run changes the map again and again until the context ends.
 func (c *controller) run(ctx context.Context) {
-	var deck []interruption
+	var remaining []interruption
 	for registry.Sleep(ctx, time.Duration((0.5+c.random.Float64())*float64(meanMapChangeInterval))) {
-		if len(deck) == 0 {
-			deck = slices.Clone(interruptions)
-			c.random.Shuffle(len(deck), func(i, j int) { deck[i], deck[j] = deck[j], deck[i] })
+		if len(remaining) == 0 {
+			remaining = slices.Clone(interruptions)
+			c.random.Shuffle(len(remaining), func(i, j int) { remaining[i], remaining[j] = remaining[j], remaining[i] })
 		}
 		c.admin.Addresses = c.trial.shuffledAddresses(c.random.Uint64())
 		// A change in flight is completed, because its outcome counts.
-		m, err := c.publishMap(context.WithoutCancel(ctx), deck[0], c.randomMembers)
-		c.trial.countMapChange(c.name, deck[0], m, err)
+		m, err := c.publishMap(context.WithoutCancel(ctx), remaining[0], c.randomMembers)
+		c.trial.countMapChange(c.name, remaining[0], m, err)
 		if err == nil || errors.Is(err, errControllerKilled) {
-			deck = deck[1:]
+			remaining = remaining[1:]
 		}
 	}
 }
@@ -104,11 +104,11 @@
 	deadline := time.Now().Add(mapChangeTimeout + c.admin.RetryFor)
 	var planned *ownership.Map
 	publisher := ownership.Publisher{Plan: func(number int64, before *ownership.Map) (m *ownership.Map, err error) {
-		var now []ownership.Member
+		var current []ownership.Member
 		if before != nil {
-			now = before.Members
+			current = before.Members
 		}
-		planned, err = ownership.Make(number, ownersPerPartition, members(now), before)
+		planned, err = ownership.Make(number, ownersPerPartition, members(current), before)
 		return planned, err
 	}}
 	action := publisher.Begin()
@@ -200,7 +200,7 @@
 	all := c.trial.members()
 	changed := slices.Clone(current)
 	absent := slices.DeleteFunc(all, func(m ownership.Member) bool {
-		return slices.ContainsFunc(current, func(o ownership.Member) bool { return o.Name == m.Name })
+		return slices.ContainsFunc(current, func(other ownership.Member) bool { return other.Name == m.Name })
 	})
 	switch choice := c.random.IntN(5); {
 	case len(current) == 0:
--- a/internal/lab/trial/ownership_front.go
+++ b/internal/lab/trial/ownership_front.go
@@ -95,9 +95,9 @@
 		panic(http.ErrAbortHandler)
 	}
 	defer resp.Body.Close()
-	for name, v := range resp.Header {
+	for name, values := range resp.Header {
 		if name != "Content-Length" && !(olderBuild && (name == headerPartitions || name == headerMap)) {
-			w.Header()[name] = v
+			w.Header()[name] = values
 		}
 	}
 	switch {
--- a/internal/lab/trial/size.go
+++ b/internal/lab/trial/size.go
@@ -189,11 +189,11 @@
 	command := []string{options.Program, "lab", "plain-directory", addr, "--endpoints", strconv.Itoa(options.Endpoints), "--rate", strconv.Itoa(options.ChangesPerSecond)}
 	if method != "encode for each" {
 		config := filepath.Join(dir, "directory.toml")
-		text := fmt.Sprintf("id = \"d\"\nhttp = %q\ndata = %q\n", addr, filepath.Join(dir, "data"))
+		settings := fmt.Sprintf("id = \"d\"\nhttp = %q\ndata = %q\n", addr, filepath.Join(dir, "data"))
 		if method == "poll" {
-			text += "[asks]\nrate = 1e6\nburst = 1000000\n"
+			settings += "[asks]\nrate = 1e6\nburst = 1000000\n"
 		}
-		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(config, []byte(settings), 0o600); err != nil {
 			return err
 		}
 		command = []string{options.Program, "directory", "serve", "--config", config}
@@ -220,7 +220,7 @@
 		return err
 	}
 	recorded := &arrivals{delays: hdrhistogram.New(1, 60e6, 3), latestByStamp: map[int64]int64{}, countByStamp: map[int64]int{}}
-	running, stop := context.WithCancel(ctx)
+	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var watchers sync.WaitGroup
 	defer watchers.Wait()
@@ -231,15 +231,15 @@
 	for n := range options.Watchers {
 		watchers.Go(func() {
 			random := rand.New(rand.NewPCG(uint64(n), 7))
-			if !registry.Sleep(running, time.Duration(random.Int64N(int64(time.Second)))) { // all watchers start within one second
+			if !registry.Sleep(watchCtx, time.Duration(random.Int64N(int64(time.Second)))) { // all watchers start within one second
 				return
 			}
 			if method == "poll" {
 				connected.Add(1)
-				pollAndRecord(running, addr, options.PollInterval, random, recorded)
+				pollAndRecord(watchCtx, addr, options.PollInterval, random, recorded)
 				return
 			}
-			watchAndRecord(running, addr, recorded, &refused, random, func() {
+			watchAndRecord(watchCtx, addr, recorded, &refused, random, func() {
 				connected.Add(1)
 				lastConnected.Store(int64(time.Since(began)))
 			})
@@ -393,8 +393,8 @@
 		t.close()
 		return nil, err
 	}
-	for _, r := range t.replicas {
-		if err := r.Start(); err != nil {
+	for _, replica := range t.replicas {
+		if err := replica.Start(); err != nil {
 			t.close()
 			return nil, err
 		}
@@ -420,25 +420,25 @@
 	delays := make([]*hdrhistogram.Histogram, callers)
 	var callersDone sync.WaitGroup
 	began := time.Now()
-	for w := range callers {
-		delays[w] = hdrhistogram.New(1, 60e6, 3)
+	for caller := range callers {
+		delays[caller] = hdrhistogram.New(1, 60e6, 3)
 		callersDone.Go(func() {
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			defer client.CloseIdleConnections()
 			admin := &directory.AdminClient{Addresses: []string{leader.OwnAddr(replica.HTTP)}, HTTPClient: client}
 			for i := int64(1); time.Since(began) < options.Duration && ctx.Err() == nil; i++ {
 				sentAt := time.Now()
-				if _, err := admin.Put(ctx, []catalog.Endpoint{stampedEndpoint(w, i)}, false, false, "*"); err == nil {
+				if _, err := admin.Put(ctx, []catalog.Endpoint{stampedEndpoint(caller, i)}, false, false, "*"); err == nil {
 					written.Add(1)
-					delays[w].RecordValue(max(time.Since(sentAt).Microseconds(), 1))
+					delays[caller].RecordValue(max(time.Since(sentAt).Microseconds(), 1))
 				}
 			}
 		})
 	}
 	callersDone.Wait()
 	merged := hdrhistogram.New(1, 60e6, 3)
-	for _, h := range delays {
-		merged.Merge(h)
+	for _, histogram := range delays {
+		merged.Merge(histogram)
 	}
 	key := strconv.Itoa(count)
 	s.WritesPerSecond[key] = float64(written.Load()) / time.Since(began).Seconds()
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -400,21 +400,21 @@
 		return t.rejoin(ctx, r)
 	}},
 	{"two gone", func(t *trial, ctx context.Context, r *replica.Replica, d time.Duration) error {
-		var gone []*replica.Replica
-		for _, o := range t.replicas {
-			if o != r {
-				o.Kill()
-				gone = append(gone, o)
+		var killed []*replica.Replica
+		for _, other := range t.replicas {
+			if other != r {
+				other.Kill()
+				killed = append(killed, other)
 			}
 		}
 		registry.Sleep(ctx, d)
-		return errors.Join(gone[0].Start(), gone[1].Start())
+		return errors.Join(killed[0].Start(), killed[1].Start())
 	}},
 }
 
-func cutLink(link int, weather relay.Conditions) func(*trial, context.Context, *replica.Replica, time.Duration) error {
+func cutLink(link int, conditions relay.Conditions) func(*trial, context.Context, *replica.Replica, time.Duration) error {
 	return func(_ *trial, ctx context.Context, r *replica.Replica, duration time.Duration) error {
-		r.Links[link].SetConditions(weather)
+		r.Links[link].SetConditions(conditions)
 		registry.Sleep(ctx, duration)
 		r.Links[link].SetConditions(healthyLink)
 		r.Links[link].ResetConnections()
