--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -16,31 +16,32 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// Bounds of a file.
+// Bounds of a run file's values.
 const (
 	maxPoints      = 100
 	maxPlays       = 100
 	maxPlayTimeout = time.Hour
 )
 
-// File is a scale run as its author wrote it.
+// RunFile is a parsed run file: the TOML file that says which axis a scale run plays, at which points and
+// with which settings.
 type RunFile struct {
 	Name         string
 	Description  string
 	Axis         play.Axis
-	Points       []float64 // rising
-	Plays        int       // of each point
-	Seed         uint64    // of the first play; each further one has the next
+	Points       []float64 // in rising order
+	Plays        int       // plays of each point
+	Seed         uint64    // of the first play; each further play gets the next number
 	PlayTimeout  time.Duration
-	Settings     map[string]float64 // all settings of the axis
+	Settings     map[string]float64 // the axis' settings, with defaults filled in
 	Expectations []Expectation
-	Hash         string // of the text
+	Hash         string // SHA-256 of the file's text, in hex
 }
 
-// Expect is a bound that an exact figure of each play has to keep.
+// Expectation bounds an exact figure. Each play of the point has to meet it.
 type Expectation struct {
 	ID       string   `toml:"id"`
-	X        *float64 `toml:"at"` // a point; nil: at each
+	X        *float64 `toml:"at"` // the point; nil: all points
 	Min, Max *float64
 }
 
@@ -58,7 +59,7 @@
 	return s
 }
 
-// text is the form of a file.
+// runFileTOML has the keys of a run file.
 type runFileTOML struct {
 	Name         string             `toml:"name"`
 	Description  string             `toml:"about"`
@@ -76,7 +77,7 @@
 	} `toml:"expect"`
 }
 
-// span is a time, as "90s".
+// durationText is a duration in the form "90s".
 type durationText time.Duration
 
 func (s *durationText) UnmarshalText(raw []byte) error {
@@ -85,7 +86,8 @@
 	return err
 }
 
-// Parse reads and checks a file against the axes that there are. Its errors are of type *tomlfile.Error, all that were found, joined.
+// Parse reads a run file and checks it against the known axes. It returns all errors found, joined; each is a
+// *tomlfile.Error.
 func Parse(raw []byte, axes []play.Axis) (RunFile, error) {
 	t := runFileTOML{Plays: 3, Seed: 1, PlayTimeout: durationText(2 * time.Minute)}
 	if err := tomlfile.Decode(raw, &t, unknownKeyMessage); err != nil {
@@ -99,30 +101,30 @@
 	var found []error
 	bad := func(key, form string, args ...any) {
 		line := where[key]
-		for line == 0 && strings.Contains(key, ".") { // the table that it is missing from
+		for line == 0 && strings.Contains(key, ".") { // report a missing key at its table
 			key = key[:strings.LastIndex(key, ".")]
 			line = where[key]
 		}
 		found = append(found, &tomlfile.Error{Line: line, Message: fmt.Sprintf(form, args...)})
 	}
 	if !namePattern.MatchString(t.Name) {
-		bad("name", "name is of small letters, digits and dashes, since the results' files are called so")
+		bad("name", "name must consist of small letters, digits and dashes, as the result files are named after it")
 	}
 	if t.Plays < 1 || t.Plays > maxPlays {
-		bad("plays", "plays is from 1 to %d", maxPlays)
+		bad("plays", "plays must be from 1 to %d", maxPlays)
 	}
 	if t.Seed < 1 {
-		bad("seed", "seed is 1 or more")
+		bad("seed", "seed must be 1 or more")
 	}
 	if f.PlayTimeout < time.Second || f.PlayTimeout > maxPlayTimeout {
-		bad("limit", "limit is from 1s to %v", maxPlayTimeout)
+		bad("limit", "limit must be from 1s to %v", maxPlayTimeout)
 	}
 	if len(t.Points) == 0 || len(t.Points) > maxPoints {
-		bad("points", "points are from 1 to %d values of the axis", maxPoints)
+		bad("points", "points must have from 1 to %d values of the axis", maxPoints)
 	}
 	for i, x := range t.Points {
 		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 || i > 0 && x <= t.Points[i-1] {
-			bad("points", "points are 0 or more, each larger than the one before it; %v is not", formatNumber(x))
+			bad("points", "points must be 0 or more, each larger than the one before it; %v is not", formatNumber(x))
 		}
 	}
 	i := slices.IndexFunc(axes, func(a play.Axis) bool { return a.Name == t.Axis })
@@ -131,13 +133,13 @@
 		for _, a := range axes {
 			names = append(names, a.Name)
 		}
-		bad("axis", "there is no axis %q; there are %s", t.Axis, strings.Join(names, ", "))
+		bad("axis", "unknown axis %q; known axes: %s", t.Axis, strings.Join(names, ", "))
 		return f, errors.Join(found...)
 	}
 	f.Axis = axes[i]
 	var err error
 	if f.Settings, err = f.Axis.FillSettings(t.Settings); err != nil {
-		// All of them, so that no mistake hides behind another.
+		// FillSettings stops at the first error; check each setting alone to report them all.
 		for _, name := range slices.Sorted(maps.Keys(t.Settings)) {
 			if _, err := f.Axis.FillSettings(map[string]float64{name: t.Settings[name]}); err != nil {
 				bad("set."+name, "%v", err)
@@ -149,9 +151,9 @@
 		m, ok := f.Axis.FindMeasure(e.ID)
 		switch {
 		case !ok:
-			bad(key+".id", "the axis %s reads no figure %q", t.Axis, e.ID)
+			bad(key+".id", "axis %s has no figure %q", t.Axis, e.ID)
 		case !m.Exact:
-			bad(key+".id", "%s hangs on the machine's speed; bounds are for bytes and counts that don't", e.ID)
+			bad(key+".id", "%s depends on the machine's speed; only bytes and counts that do not can have bounds", e.ID)
 		}
 		if e.Least == nil && e.Most == nil {
 			bad(key, "a bound is missing: least, most or both")
@@ -160,7 +162,7 @@
 			bad(key+".least", "least is more than most")
 		}
 		if e.At != nil && !slices.Contains(t.Points, *e.At) {
-			bad(key+".at", "%v is no point of this file", formatNumber(*e.At))
+			bad(key+".at", "%v is not a point of this file", formatNumber(*e.At))
 		}
 		f.Expectations = append(f.Expectations, Expectation{ID: e.ID, X: e.At, Min: e.Least, Max: e.Most})
 	}
@@ -171,7 +173,7 @@
 
 func unknownKeyMessage(name string) string {
 	if name == "form" {
-		return "the form of a slope is tested, not given"
+		return "the form of a slope can't be set; the fit finds it"
 	}
-	return fmt.Sprintf("the name %q is not known here; see docs/scale.md", name)
+	return fmt.Sprintf("unknown name %q; see docs/scale.md", name)
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -12,46 +12,46 @@
 	"starlingusher/fleet/capacity"
 )
 
-// Forms of a slope, from the simplest on.
+// Forms of a slope, from the simplest to the richest.
 const (
 	Constant  = capacity.Constant
 	Linear    = capacity.Linear
 	Quadratic = capacity.Quadratic
 )
 
-var forms = []string{Constant, Linear, Quadratic} // each has one coefficient more than its place
+var forms = []string{Constant, Linear, Quadratic} // indexed by degree
 
-// What a fit is held to.
+// Thresholds of a fit.
 const (
-	minPlaysToFit      = 3    // of a point, that it is fitted
-	minPointsToFit     = 3    // of a slope
-	minRelativeScatter = 5e-3 // relative; less than this is told apart by no run
-	minRelativeSize    = 1e-2 // of the largest figure: what lies below is judged as if it were so large, since nothing is relative to zero
-	trendPValue        = 0.01 // a trend in the residuals is one that scatter alone shows less often than this
-	minTrendResidual   = 0.02 // and that the simpler form misses some point by more than this share for it
-	maxPredictionError = 0.10 // by how much of it a form may miss the last point when it is fitted to the others
-	minMissStdErrors   = 3    // a miss is one when it is more than so many standard errors
+	minPlaysToFit      = 3    // plays of a point; one with fewer is left out of the fit
+	minPointsToFit     = 3    // points of a slope
+	minRelativeScatter = 5e-3 // lower bound of the relative scatter; no run can tell a smaller one
+	minRelativeSize    = 1e-2 // share of the largest value: a smaller value counts as this large where errors are relative to it, since nothing is relative to zero
+	trendPValue        = 0.01 // residuals have a trend if scatter alone causes one with a probability below this
+	minTrendResidual   = 0.02 // and if the simpler form misses some point by more than this share
+	maxPredictionError = 0.10 // share by which a form may miss the last point when fitted to the others
+	minMissStdErrors   = 3    // it has missed the point only if the miss is also more than this many standard errors
 )
 
-// sample is what the plays of one point read of one figure.
+// sample holds the values of one figure at one point.
 type sample struct {
 	x      float64
-	values []float64 // one of each play that is fitted
+	values []float64 // one for each play that is fitted
 }
 
-// curve is a fitted form: y = c[0] + c[1]*x + c[2]*x*x.
+// curve is a fitted polynomial: y = coefs[0] + coefs[1]*x + coefs[2]*x*x.
 type curve struct {
 	coefs     [3]float64
-	stdErrors [3]float64 // standard errors, from the plays' scatter
+	stdErrors [3]float64 // of the coefficients, from the scatter of the plays
 	degree    int        // 0 constant, 1 linear, 2 quadratic
-	chiSquare float64    // sum of the squares of the residuals, each in standard errors
+	chiSquare float64    // sum of the squared residuals, each in standard errors
 	cov       *mat.SymDense
-	xScale    float64 // of x, for cov
+	xScale    float64 // cov is that of the coefficients of x/xScale
 }
 
 func (f curve) valueAt(x float64) float64 { return f.coefs[0] + x*(f.coefs[1]+x*f.coefs[2]) }
 
-// errorAt is the standard error of what the curve tells at x.
+// stdErrorAt returns the standard error of valueAt(x).
 func (f curve) stdErrorAt(x float64) float64 {
 	v := powers(x/f.xScale, f.degree)
 	return math.Sqrt(max(0, mat.Inner(v, f.cov, v)))
@@ -67,18 +67,20 @@
 	return v
 }
 
-// point is a sample's mean with its standard error.
+// weightedPoint is a sample's mean with its standard error. size is the mean's magnitude, to which errors are
+// relative.
 type weightedPoint struct{ x, y, stdErr, size float64 }
 
-// weigh works out each point's mean and its standard error. A point's relative scatter is drawn to that of all points, since few plays
-// tell little of it.
+// weightPoints returns each point's mean and standard error, and the degrees of freedom of all points
+// together. Few plays tell little of a point's scatter, so its relative scatter is shrunk towards the pooled
+// one.
 func weightPoints(samples []sample) (points []weightedPoint, freedom int) {
 	biggest := 0.0
 	for _, s := range samples {
 		biggest = max(biggest, math.Abs(mean(s.values)))
 	}
 	type scatter struct {
-		squares float64 // relative
+		squares float64 // sum of squared relative deviations
 		freedom int
 	}
 	each := make([]scatter, len(samples))
@@ -101,7 +103,7 @@
 	if all.freedom > 0 {
 		pooled = all.squares / float64(all.freedom)
 	}
-	const asMuchAs = 2 // plays
+	const asMuchAs = 2 // weight of the pooled scatter, in degrees of freedom
 	for i := range points {
 		square := (each[i].squares + asMuchAs*pooled) / float64(each[i].freedom+asMuchAs)
 		r := max(math.Sqrt(square), minRelativeScatter)
@@ -110,7 +112,7 @@
 	return points, all.freedom
 }
 
-// leastSquares fits a form to the points, each weighted by its standard error.
+// leastSquares fits a polynomial of a degree to the points, each weighted by its standard error.
 func leastSquares(points []weightedPoint, order int) (curve, error) {
 	n := order + 1
 	f := curve{degree: order, xScale: 1}
@@ -129,7 +131,7 @@
 	}
 	var chol mat.Cholesky
 	if !chol.Factorize(normal) {
-		return f, errors.New("the points don't tell the coefficients apart")
+		return f, errors.New("the points do not determine the coefficients")
 	}
 	var c mat.VecDense
 	if err := chol.SolveVecTo(&c, right); err != nil {
@@ -152,24 +154,24 @@
 	return f, nil
 }
 
-// fitted is a slope's form and figures, and how the form was found.
+// slopeFit is the chosen form with its coefficients, and how it was chosen.
 type slopeFit struct {
 	curve
-	maxResidual float64  // largest relative residual, or how far the others' fit missed the last point
-	reasons     []string // what spoke against each simpler form, and what else is to be known
+	maxResidual float64  // largest relative residual, or the relative error of predicting the last point from the others if that is larger
+	reasons     []string // why each simpler form was rejected, and other remarks
 }
 
-// errNotFitted says that there is too little to fit.
+// errNotFitted says that there is too little data for a fit.
 var errNotFitted = errors.New("not fitted")
 
-// fitSamples finds the simplest form that the samples, rising in x, don't speak against.
+// fitSamples returns the simplest form that the samples, in rising x, do not contradict.
 func fitSamples(samples []sample) (slopeFit, error) {
 	samples = slices.DeleteFunc(slices.Clone(samples), func(s sample) bool { return len(s.values) < minPlaysToFit })
 	if len(samples) < minPointsToFit {
 		return slopeFit{}, fmt.Errorf("%w: %d points with %d plays or more, %d are needed", errNotFitted, len(samples), minPlaysToFit, minPointsToFit)
 	}
 	points, freedom := weightPoints(samples)
-	if !slices.ContainsFunc(points, func(p weightedPoint) bool { return p.size > 0 }) { // all zero
+	if !slices.ContainsFunc(points, func(p weightedPoint) bool { return p.size > 0 }) { // all values are zero
 		return slopeFit{curve: curve{degree: 0, xScale: 1, cov: mat.NewSymDense(1, nil)}}, nil
 	}
 	var found slopeFit
@@ -185,7 +187,7 @@
 			found.maxResidual = max(found.maxResidual, math.Abs(miss))
 		}
 		missed := foretold && math.Abs(miss) > maxPredictionError && missErr > minMissStdErrors
-		if order+1 == len(forms) || len(points) < order+3 { // a richer form would have no point left to be tested by
+		if order+1 == len(forms) || len(points) < order+3 { // a richer form would leave no point to test it with
 			return found, nil
 		}
 		richer, err := leastSquares(points, order+1)
@@ -193,21 +195,23 @@
 			return found, nil
 		}
 		var against []string
-		// Where the richer form leaves more than scatter, too, it has to lower the sum by as much more: steps are no trend.
+		// If the richer form too leaves more than scatter, it has to lower the sum of squares by as much
+		// more: a step in the values is not a trend.
 		left := max(1, richer.chiSquare/float64(len(points)-order-2))
 		if p := fTestPValue((f.chiSquare-richer.chiSquare)/left, freedom); maxRelativeResidual(f, points) > minTrendResidual && p < trendPValue {
-			against = append(against, fmt.Sprintf("the residuals of the %s form have a trend (chance %.1g)", forms[order], p))
+			against = append(against, fmt.Sprintf("the residuals of the %s form have a trend (p = %.1g)", forms[order], p))
 		}
 		if better, _, _ := predictLast(points, order+1); missed && math.Abs(better) < math.Abs(miss) {
-			against = append(against, fmt.Sprintf("the %s form of the others misses the last point by %.0f%%", forms[order], 100*math.Abs(miss)))
+			against = append(against, fmt.Sprintf("the %s form fitted to the other points misses the last one by %.0f%%", forms[order], 100*math.Abs(miss)))
 		}
 		switch {
 		case order == 1 && (len(against) > 0 && richer.coefs[2] <= 0 || missed && miss > 0):
-			// Bent down, a parabola falls past its top; the line lies above the measured end.
-			found.reasons = append(found.reasons, "grows slower than a line: past the range the line is an upper estimate")
+			// A parabola that bends down falls beyond its vertex. The line lies above the last measured
+			// point.
+			found.reasons = append(found.reasons, "grows more slowly than a line: beyond the measured range the line is an upper estimate")
 			return found, nil
 		case len(against) == 0 && missed:
-			found.reasons = append(found.reasons, fmt.Sprintf("no form tells the last point from the others; the %s one misses it by %.0f%%", forms[order], 100*math.Abs(miss)))
+			found.reasons = append(found.reasons, fmt.Sprintf("no form predicts the last point from the others; the %s form misses it by %.0f%%", forms[order], 100*math.Abs(miss)))
 			return found, nil
 		case len(against) == 0:
 			return found, nil
@@ -217,7 +221,8 @@
 	return found, nil
 }
 
-// chance is that of scatter alone lowering the sum of squares by so much with one coefficient more.
+// fTestPValue returns the probability that scatter alone lowers the sum of squares by this much when one
+// coefficient is added (an F test).
 func fTestPValue(gain float64, freedom int) float64 {
 	if gain <= 0 {
 		return 1
@@ -235,8 +240,8 @@
 	return worst
 }
 
-// foretell fits a form to all points but the last, and tells by which share of it the last one is missed (above 0: more was foretold), and
-// by how many standard errors.
+// predictLast fits a polynomial to all points but the last and predicts that one. It returns the relative
+// error, above 0 if the prediction is too high, and the error in standard errors.
 func predictLast(points []weightedPoint, order int) (share, errs float64, ok bool) {
 	last := points[len(points)-1]
 	f, err := leastSquares(points[:len(points)-1], order)
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// made draws plays of a curve, each off by some share of noise at most.
+// randomSamples draws plays of a curve, with relative noise of at most the given share.
 func made(rng *rand.Rand, xs []float64, plays int, noise float64, y func(x float64) float64) []sample {
 	var all []sample
 	for _, x := range xs {
@@ -24,7 +24,7 @@
 	return all
 }
 
-// axisPoints draws rising points.
+// axisPoints draws points in rising order.
 func axisPoints(t *rapid.T, least int) []float64 {
 	xs := []float64{rapid.Float64Range(1, 1000).Draw(t, "first")}
 	for range rapid.IntRange(least-1, 6).Draw(t, "more") {
@@ -42,9 +42,9 @@
 				xs := axisPoints(t, order+3)
 				end := xs[len(xs)-1]
 				var c [3]float64
-				c[0] = rapid.Float64Range(1, 1e9).Draw(t, "at0")
-				for i, sum := 1, c[0]; i <= order; i++ { // each part is as large as all before it, at the last point
-					c[i] = sum * rapid.Float64Range(1, 50).Draw(t, "part") / math.Pow(end, float64(i))
+				c[0] = rapid.Float64Range(1, 1e9).Draw(t, "intercept")
+				for i, sum := 1, c[0]; i <= order; i++ { // at the last point each term is as large as all lower ones, or larger
+					c[i] = sum * rapid.Float64Range(1, 50).Draw(t, "term") / math.Pow(end, float64(i))
 					sum += c[i] * math.Pow(end, float64(i))
 				}
 				y := func(x float64) float64 { return c[0] + c[1]*x + c[2]*x*x }
@@ -53,22 +53,22 @@
 					t.Fatal(err)
 				}
 				if f.degree != order {
-					t.Fatalf("found %s, worst %v, because %v", forms[f.degree], f.maxResidual, f.reasons)
+					t.Fatalf("found %s, largest residual %v, reasons %v", forms[f.degree], f.maxResidual, f.reasons)
 				}
 				for _, x := range xs {
 					if off := math.Abs(f.valueAt(x)/y(x) - 1); off > 4*noise {
-						t.Errorf("at %v off by %.3f", x, off)
+						t.Errorf("at %v the relative error is %.3f", x, off)
 					}
 				}
 				if f.stdErrors[order] <= 0 || f.stdErrors[order] > math.Abs(c[order]) {
-					t.Errorf("the spread of %v is %v", c[order], f.stdErrors[order])
+					t.Errorf("the standard error of %v is %v", c[order], f.stdErrors[order])
 				}
 			})
 		})
 	}
 }
 
-// Scatter far over what is fitted is not taken for a form, but for as often as is stated.
+// Scatter alone is taken for a richer form only as often as the thresholds allow.
 func TestScatterIsNoForm(t *testing.T) {
 	xs := []float64{1000, 4000, 13000, 29000, 100000}
 	const tries = 400
@@ -82,12 +82,12 @@
 			wrong++
 		}
 	}
-	if share := float64(wrong) / tries; share > 0.04 { // two tests of 1%, the second cut at three standard errors
-		t.Errorf("%.3f of constant figures with a scatter of 30%% were taken for more", share)
+	if share := float64(wrong) / tries; share > 0.04 { // two tests of 1%, the second limited to three standard errors
+		t.Errorf("%.3f of constant figures with a scatter of 30%% got a richer form", share)
 	}
 }
 
-// The spread is the scatter of the coefficient over many runs.
+// The reported standard error is the scatter of the coefficient over many runs.
 func TestSpreadIsThatOfManyRuns(t *testing.T) {
 	xs := []float64{100, 400, 1000, 3000}
 	var slopes, spreads []float64
@@ -106,14 +106,14 @@
 	}
 	real := math.Sqrt(sum / float64(len(slopes)-1))
 	if math.Abs(m-1) > 0.02 {
-		t.Errorf("slopes of 1 come as %v", m)
+		t.Errorf("slopes of 1 have the mean %v", m)
 	}
 	if got := mean(spreads); got < 0.6*real || got > 1.6*real {
-		t.Errorf("spread %v, the slopes of many runs scatter by %v", got, real)
+		t.Errorf("standard error %v, the slopes of many runs scatter by %v", got, real)
 	}
 }
 
-// A form that is wrong is found out, and by what.
+// A form that is too simple is rejected, with the reason.
 func TestWrongFormIsFoundOut(t *testing.T) {
 	xs := []float64{1000, 4000, 10000, 40000}
 	rng := rand.New(rand.NewPCG(1, 4))
@@ -122,34 +122,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.degree != 2 || !slices.ContainsFunc(f.reasons, func(w string) bool { return strings.Contains(w, "linear form of the others misses the last point") }) {
-		t.Errorf("found %s because %v", forms[f.degree], f.reasons)
+	if f.degree != 2 || !slices.ContainsFunc(f.reasons, func(w string) bool { return strings.Contains(w, "linear form fitted to the other points misses the last one") }) {
+		t.Errorf("found %s, reasons %v", forms[f.degree], f.reasons)
 	}
-	// The wrong form itself, as the test of the forms sees it.
+	// The same with the form that is too simple itself.
 	points, _ := weightPoints(samples)
 	miss, errs, ok := predictLast(points, 1)
 	if !ok || -miss < 5*maxPredictionError || errs < 5*minMissStdErrors {
 		t.Errorf("the line misses the last point by %v, %v standard errors", miss, errs)
 	}
-	// One point that has slipped is no form, and shows in the worst.
+	// One outlying point does not change the form, and shows in the largest residual.
 	slipped := made(rng, xs, 3, 0.01, func(x float64) float64 { return 10 + x })
 	for i := range slipped[1].values {
 		slipped[1].values[i] *= 1.5
 	}
 	if f, err = fitSamples(slipped); err != nil || f.maxResidual < 0.15 {
-		t.Errorf("worst %v, %v", f.maxResidual, err)
+		t.Errorf("largest residual %v, %v", f.maxResidual, err)
 	}
 }
 
-// What grows slower than a line gets no parabola, which would fall.
+// What grows more slowly than a line gets no parabola, which would fall beyond its vertex.
 func TestSlowerThanALine(t *testing.T) {
 	xs := []float64{1000, 4000, 10000, 40000, 160000}
 	f, err := fitSamples(made(rand.New(rand.NewPCG(1, 5)), xs, 3, 0.01, math.Sqrt))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.degree != 1 || f.valueAt(380000) < math.Sqrt(380000) || !slices.ContainsFunc(f.reasons, func(w string) bool { return strings.Contains(w, "slower") }) {
-		t.Errorf("found %s with %v at 380000 because %v", forms[f.degree], f.valueAt(380000), f.reasons)
+	if f.degree != 1 || f.valueAt(380000) < math.Sqrt(380000) || !slices.ContainsFunc(f.reasons, func(w string) bool { return strings.Contains(w, "more slowly") }) {
+		t.Errorf("found %s with %v at 380000, reasons %v", forms[f.degree], f.valueAt(380000), f.reasons)
 	}
 }
 
@@ -166,7 +166,7 @@
 }
 
 func TestFitsWithoutScatterAndAtZero(t *testing.T) {
-	// Exact bytes have no scatter at all; a figure may be zero at zero, or always.
+	// Exact bytes have no scatter at all; a figure may be zero at x = 0, or always.
 	exact := func(y func(x float64) float64, xs ...float64) (all []sample) {
 		for _, x := range xs {
 			all = append(all, sample{x, []float64{y(x), y(x), y(x)}})
@@ -185,7 +185,7 @@
 	if err != nil || f.degree != 0 || f.coefs[0] != 0 || f.maxResidual != 0 {
 		t.Errorf("%+v, %v", f, err)
 	}
-	// A step up and down again is no trend.
+	// A step up and down again is not a trend.
 	f, err = fitSamples(exact(func(x float64) float64 {
 		if x == 4000 {
 			return 1.05 * (100 + x)
@@ -193,6 +193,6 @@
 		return 100 + x
 	}, 1000, 4000, 13000, 29000, 100000))
 	if err != nil || f.degree != 1 {
-		t.Errorf("found %s because %v, %v", forms[f.degree], f.reasons, err)
+		t.Errorf("found %s, reasons %v, %v", forms[f.degree], f.reasons, err)
 	}
 }
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -9,33 +9,34 @@
 	"strconv"
 )
 
-// Machine tells how much of this machine is used, and by whom.
+// Machine reads how much of a machine's resources is used, and by whom.
 type Machine interface {
-	// Look reads the state of the machine and of a process with all that come from it.
+	// Snapshot reads the state of the machine, and of a process with all its descendants.
 	Snapshot(root int) (Snapshot, error)
 }
 
-// Look is the machine at one moment.
+// Snapshot is the state of the machine at one moment.
 type Snapshot struct {
-	CPU             CPUTicks  // of all cores, since the machine began
-	AvailableMemory int64     // bytes that can be had without swapping
-	Processes       []Process // the process, and what it started, and what that started
-	OwnTicks        float64   // ticks that the tree has used, and those of it that have ended and were waited for
+	CPU             CPUTicks  // of all cores, since boot
+	AvailableMemory int64     // in bytes, without swapping
+	Processes       []Process // the root process and its descendants
+	OwnTicks        float64   // CPU time of the processes, and of their children that have ended and were waited for
 }
 
-// Ticks are times in the kernel's unit, since some beginning.
+// CPUTicks are CPU times since boot, in the kernel's clock ticks.
 type CPUTicks struct {
 	Total, Idle, Interrupts, Steal float64
 }
 
-// Proc is one process.
+// Process is one running process.
 type Process struct {
 	PID        int
-	StartTicks uint64 // ticks since the machine began: the same number may come again for another process
-	RSS        int64  // bytes; what several share is counted for each
+	StartTicks uint64 // ticks from boot to its start; tells it from a later process with the same PID
+	RSS        int64  // in bytes
 }
 
-// RSS is the memory of the whole tree. Pages that several share are counted for each: it's an upper bound.
+// RSS returns the resident memory of all processes. It is an upper bound, as it counts a page that several
+// share for each of them.
 func (l Snapshot) RSS() (sum int64) {
 	for _, p := range l.Processes {
 		sum += p.RSS
@@ -43,10 +44,10 @@
 	return sum
 }
 
-// Linux is this machine, by its /proc.
+// Linux reads the /proc of this machine.
 type Linux struct{}
 
-// Look reads /proc.
+// Snapshot implements Machine.
 func (Linux) Snapshot(root int) (Snapshot, error) {
 	var l Snapshot
 	raw, err := os.ReadFile("/proc/stat")
@@ -90,7 +91,7 @@
 		children[s.parent] = append(children[s.parent], pid)
 	}
 	if _, ok := all[root]; !ok {
-		return l, fmt.Errorf("machine: there is no process %d", root)
+		return l, fmt.Errorf("machine: no process %d", root)
 	}
 	for open := []int{root}; len(open) > 0; {
 		pid := open[len(open)-1]
@@ -104,24 +105,24 @@
 	return l, nil
 }
 
-// stat is what /proc/PID/stat tells.
+// procStat is what /proc/PID/stat tells.
 type procStat struct {
 	parent     int
-	cpuTicks   float64 // ticks, with the children's that were waited for
+	cpuTicks   float64 // CPU time, with that of the children waited for
 	startTicks uint64
 	rssPages   int64
-	zombie     bool // and not waited for
+	zombie     bool // has ended and was not waited for
 }
 
 func parseStat(raw []byte) (procStat, error) {
 	var s procStat
-	i := bytes.LastIndexByte(raw, ')') // the name before it may hold anything
+	i := bytes.LastIndexByte(raw, ')') // the name before it may hold any character
 	if i < 0 {
-		return s, errors.New("no name in its stat")
+		return s, errors.New("stat has no process name")
 	}
 	f := bytes.Fields(raw[i+1:]) // from the third field on, the state
 	if len(f) < 22 {
-		return s, fmt.Errorf("%d fields in its stat", len(f))
+		return s, fmt.Errorf("stat has only %d fields", len(f))
 	}
 	s.zombie = f[0][0] == 'Z' || f[0][0] == 'X'
 	var err error
@@ -142,7 +143,7 @@
 	if len(f) < 9 || string(f[0]) != "cpu" {
 		return CPUTicks{}, fmt.Errorf("machine: no cpu line in /proc/stat: %q", line)
 	}
-	var v [8]float64 // user, nice, system, idle, iowait, irq, softirq, steal; guests are within user
+	var v [8]float64 // user, nice, system, idle, iowait, irq, softirq, steal; user includes the time of guests
 	var t CPUTicks
 	for i := range v {
 		var err error
@@ -169,14 +170,14 @@
 	return 0, errors.New("machine: no MemAvailable in /proc/meminfo")
 }
 
-// Shares are parts of all cores over a time, from 0 to 1.
+// CPUShares are shares of the time of all cores between two snapshots, from 0 to 1.
 type CPUShares struct {
 	Idle   float64 `json:"idle"`
 	Own    float64 `json:"own"`    // of the run's processes
-	Others float64 `json:"others"` // of other processes, and what the host took away
+	Others float64 `json:"others"` // of other processes, and time that the host took away (steal)
 }
 
-// shares compares two looks.
+// cpuShares returns the shares of the time between two snapshots.
 func cpuShares(a, b Snapshot) CPUShares {
 	all := b.CPU.Total - a.CPU.Total
 	if all <= 0 {
@@ -184,17 +185,17 @@
 	}
 	part := func(x float64) float64 { return min(1, max(0, x/all)) }
 	s := CPUShares{Idle: part(b.CPU.Idle - a.CPU.Idle), Own: part(b.OwnTicks - a.OwnTicks)}
-	// Time in interrupts is nobody's: the run's own packets make most of it.
+	// Interrupts count for nobody: most of them are due to the run's own packets.
 	s.Others = part(all - (b.CPU.Idle - a.CPU.Idle) - (b.CPU.Interrupts - a.CPU.Interrupts) - (b.OwnTicks - a.OwnTicks))
 	return s
 }
 
-// What a play is held to.
+// Bounds of a play's use of the machine.
 const (
-	MaxMemory          = 12 << 30 // bytes of all the run's processes; past it a play is ended
-	MaxProcesses       = 300      // the same
+	MaxMemory          = 12 << 30 // bytes of all processes of the run; above it a play is stopped
+	MaxProcesses       = 300      // processes of the run; above it a play is stopped
 	minAvailableMemory = 1 << 30  // bytes; with less the machine is short of memory
-	maxOthersShare     = 0.10     // of the cores; with more, others spoil the play
-	othersTickError    = 5        // ticks by which the others' may be off, which counts in short plays
-	minIdleShare       = 0.03     // of the cores; with less they were full
+	maxOthersShare     = 0.10     // share of the cores; with more, other processes disturb the play
+	othersTickError    = 5        // rounding error of the others' ticks; it matters in short plays
+	minIdleShare       = 0.03     // share of the cores; with less the machine was saturated
 )
--- a/internal/lab/scale/machine_test.go
+++ b/internal/lab/scale/machine_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestParseStat(t *testing.T) {
-	// A process may call itself anything.
+	// The name of a process may contain any character.
 	raw := "77 (a) S 1 (b)) S 42 77 77 0 -1 4194560 100 0 0 0 11 22 33 44 20 0 5 0 9001 1000000 250 18446744073709551615\n"
 	s, err := parseStat([]byte(raw))
 	if err != nil {
@@ -24,7 +24,7 @@
 	}
 	for _, bad := range []string{"", "77 (x", "77 (x) S 1 2", strings.Replace(raw, " 9001 ", " x ", 1)} {
 		if _, err := parseStat([]byte(bad)); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was parsed without an error", bad)
 		}
 	}
 }
@@ -32,14 +32,14 @@
 func TestShares(t *testing.T) {
 	a := Snapshot{CPU: CPUTicks{Total: 1000, Idle: 500, Interrupts: 10, Steal: 5}, OwnTicks: 100}
 	b := Snapshot{CPU: CPUTicks{Total: 2000, Idle: 1000, Interrupts: 60, Steal: 55}, OwnTicks: 350}
-	got := cpuShares(a, b) // 1000 ticks: 500 idle, 50 in interrupts, 250 own, and 200 of others, of which 50 the host took
+	got := cpuShares(a, b) // 1000 ticks: 500 idle, 50 in interrupts, 250 own, and 200 of others, 50 of which are steal
 	for name, v := range map[string][2]float64{"idle": {got.Idle, 0.5}, "own": {got.Own, 0.25}, "others": {got.Others, 0.2}} {
 		if math.Abs(v[0]-v[1]) > 1e-9 {
 			t.Errorf("%s %v, want %v", name, v[0], v[1])
 		}
 	}
 	if got := cpuShares(a, a); got.Idle != 1 || got.Others != 0 {
-		t.Errorf("in no time %+v", got)
+		t.Errorf("shares of no time %+v", got)
 	}
 }
 
@@ -49,13 +49,13 @@
 		t.Errorf("got %+v, %v, want %+v", c, err, want)
 	}
 	if _, err := parseCPUTicks([]byte("intr 1\n")); err == nil {
-		t.Error("cores of nothing were read")
+		t.Error("a file without CPU times was parsed without an error")
 	}
 	if free, err := parseAvailableMemory([]byte("MemTotal: 9 kB\nMemAvailable:   2048 kB\n")); err != nil || free != 2<<20 {
-		t.Errorf("%d free, %v", free, err)
+		t.Errorf("%d available, %v", free, err)
 	}
 	if _, err := parseAvailableMemory([]byte("MemTotal: 9 kB\n")); err == nil {
-		t.Error("the memory of nothing was read")
+		t.Error("a file without available memory was parsed without an error")
 	}
 }
 
@@ -77,9 +77,9 @@
 		}
 	}
 	if l.RSS() < 1<<20 || l.AvailableMemory <= 0 || l.CPU.Total <= l.CPU.Idle {
-		t.Errorf("%+v", l)
+		t.Errorf("snapshot %+v", l)
 	}
 	if _, err := (Linux{}).Snapshot(1 << 30); err == nil {
-		t.Error("a process that isn't there was looked at")
+		t.Error("a snapshot of a missing process succeeded")
 	}
 }
--- a/internal/lab/scale/play/play.go
+++ b/internal/lab/scale/play/play.go
@@ -1,6 +1,10 @@
-// Package play is what a scale run and its axes agree on: what an axis is, what it's asked to play, and what it reads. The run
-// (package scale) plays each Spec in a process of its own, ends what the play left behind, and fits the readings; an axis starts what
-// it needs, reads, and ends all of it again.
+// Package play holds what a scale run (package scale) and its axes share: what an axis is, what it is asked
+// to play, and what it reads.
+//
+// An axis is the one quantity that a scale run grows while all else stays the same, as the number of nodes. A
+// play is one measurement of one point of an axis. The run starts a process for each play, kills what the
+// play has left running, and fits the readings. An axis starts what it needs, reads its figures, and stops
+// all of it again.
 package play
 
 import (
@@ -14,45 +18,45 @@
 	"strings"
 )
 
-// Spec is one play of one point of an axis.
+// Spec asks for one play of one point of an axis.
 type Spec struct {
 	Axis        string             `json:"axis"`
-	X           float64            `json:"x"`    // the point, in the axis' unit Per
-	Seed        uint64             `json:"seed"` // of all that is drawn; another one for each play
-	Dir         string             `json:"dir"`  // an empty folder of its own, removed by the run afterwards
-	NodeProgram string             `json:"node"` // path of the coralyard program
-	LabProgram  string             `json:"self"` // path of the cottonrack program
-	Settings    map[string]float64 `json:"set"`  // all settings of the axis, the defaults filled in
+	X           float64            `json:"x"`    // the point, in the axis' XUnit
+	Seed        uint64             `json:"seed"` // of all random choices; differs in each play
+	Dir         string             `json:"dir"`  // an empty folder for the play alone; the run removes it afterwards
+	NodeProgram string             `json:"node"` // path of coralyard
+	LabProgram  string             `json:"self"` // path of cottonrack
+	Settings    map[string]float64 `json:"set"`  // all settings of the axis, with defaults filled in
 }
 
-// Reading is what a play read.
+// Reading is what a play has read.
 type Reading struct {
-	Values    map[string]float64 `json:"values"` // by the id of a Measure, in its Unit; a figure that could not be read is not there
-	Counts    map[string]float64 `json:"counts"` // facts beside, told and not fitted
-	Disturbed []string           `json:"spoilt"` // why nothing of this play is to be fitted: the machine fell short
-	Notes     []string           `json:"notes"`  // told beside the point; one that starts with EndNote says that today's program ended here
+	Values    map[string]float64 `json:"values"` // by the ID of a Measure, in its Unit; a figure that could not be read is missing
+	Counts    map[string]float64 `json:"counts"` // further facts by name, which are reported and not fitted
+	Disturbed []string           `json:"spoilt"` // why the play must not be fitted: the machine fell short
+	Notes     []string           `json:"notes"`  // remarks on the point; LimitNotePrefix marks a reached limit
 }
 
-// EndNote starts the note of a play that met an end of today's program: a cap was reached, and its reason follows. What such a play
-// read is told and isn't fitted.
+// LimitNotePrefix starts the note of a play that reached a limit of today's program, such as a cap; the
+// reason follows. The figures of such a play are reported and not fitted.
 const LimitNotePrefix = "end: "
 
-// End notes that today's program ended at this point.
+// AddLimit notes that the play reached a limit of today's program, and which.
 func (r *Reading) AddLimit(format string, args ...any) {
 	r.Notes = append(r.Notes, LimitNotePrefix+fmt.Sprintf(format, args...))
 }
 
-// Note notes something beside the point.
+// AddNote adds a remark on the point.
 func (r *Reading) AddNote(format string, args ...any) {
 	r.Notes = append(r.Notes, fmt.Sprintf(format, args...))
 }
 
-// Spoil says that the machine fell short, and how.
+// AddDisturbance notes that the machine fell short, and how.
 func (r *Reading) AddDisturbance(format string, args ...any) {
 	r.Disturbed = append(r.Disturbed, fmt.Sprintf(format, args...))
 }
 
-// Value keeps a figure.
+// SetValue sets a figure.
 func (r *Reading) SetValue(id string, v float64) {
 	if r.Values == nil {
 		r.Values = map[string]float64{}
@@ -60,7 +64,7 @@
 	r.Values[id] = v
 }
 
-// Count keeps a fact beside.
+// SetCount sets a fact that is not fitted.
 func (r *Reading) SetCount(name string, v float64) {
 	if r.Counts == nil {
 		r.Counts = map[string]float64{}
@@ -68,7 +72,7 @@
 	r.Counts[name] = v
 }
 
-// Ended are the reasons why today's program ended in this play; none as a rule.
+// Limits returns the reasons of the limits that the play reached; usually there are none.
 func (r Reading) Limits() (reasons []string) {
 	for _, n := range r.Notes {
 		if why, ok := strings.CutPrefix(n, LimitNotePrefix); ok {
@@ -78,15 +82,15 @@
 	return reasons
 }
 
-// Measure says of a figure what it is.
+// Measure describes one figure that the plays of an axis read.
 type Measure struct {
-	ID          string `json:"id"`    // of the slope: "node.destinations.heap"
+	ID          string `json:"id"`    // also that of the slope, as "node.destinations.heap"
 	Description string `json:"what"`  // in words
 	Unit        string `json:"unit"`  // B, B/s, s, s/s, count or count/s
-	Exact       bool   `json:"exact"` // a count or bytes that hang on no machine's speed; an experiment may expect bounds of it
+	Exact       bool   `json:"exact"` // bytes or a count that does not depend on the machine's speed; a run file may set bounds for it
 }
 
-// Setting is a further setting of an axis, which an experiment may give in [set].
+// Setting is a setting of an axis, which a run file may give in its table [set].
 type Setting struct {
 	Default     float64 `json:"default"`
 	Min         float64 `json:"least"`
@@ -94,19 +98,20 @@
 	Description string  `json:"about"`
 }
 
-// Axis is one thing that grows while the rest stands still, and what is read of it.
+// Axis is one quantity that a scale run grows, and the figures that its plays read.
 type Axis struct {
 	Name        string
 	Description string
-	XUnit       string // unit of x: "destination"
+	XUnit       string // unit of x, as "destination"
 	Measures    []Measure
 	Settings    map[string]Setting
-	// Play plays one point, and has ended all that it started when it returns. Its error is a fault of the play, not of the machine
-	// nor an end of the program: these are in the Reading. It ends early when the context does. The log goes to the standard error.
+	// Play plays one point, and has stopped all that it started when it returns. Its error is a failure of
+	// the play itself; that the machine fell short or a limit of the program was reached goes into the
+	// Reading. It returns early when the context ends. The log goes to standard error.
 	Play func(ctx context.Context, s Spec, log *slog.Logger) (Reading, error)
 }
 
-// Measure is one of the axis' figures.
+// FindMeasure returns the measure with an ID.
 func (a Axis) FindMeasure(id string) (Measure, bool) {
 	i := slices.IndexFunc(a.Measures, func(m Measure) bool { return m.ID == id })
 	if i < 0 {
@@ -115,7 +120,8 @@
 	return a.Measures[i], true
 }
 
-// Fill checks settings against the axis' own and adds the defaults of those that aren't given. The given map stays as it is.
+// FillSettings checks the given settings against the axis' own and returns them with the defaults of the
+// others. The given map is not changed.
 func (a Axis) FillSettings(set map[string]float64) (map[string]float64, error) {
 	all := make(map[string]float64, len(a.Settings))
 	for name, s := range a.Settings {
@@ -124,18 +130,18 @@
 	for _, name := range slices.Sorted(maps.Keys(set)) {
 		s, ok := a.Settings[name]
 		if !ok {
-			return nil, &SettingError{name, fmt.Sprintf("the axis %s has no setting of this name; it has %s", a.Name, settingNames(a.Settings))}
+			return nil, &SettingError{name, fmt.Sprintf("axis %s has no such setting; it has %s", a.Name, settingNames(a.Settings))}
 		}
 		v := set[name]
 		if math.IsNaN(v) || cmp.Compare(v, s.Min) < 0 || cmp.Compare(v, s.Max) > 0 {
-			return nil, &SettingError{name, fmt.Sprintf("%v is not from %v to %v", v, s.Min, s.Max)}
+			return nil, &SettingError{name, fmt.Sprintf("%v is out of range, must be from %v to %v", v, s.Min, s.Max)}
 		}
 		all[name] = v
 	}
 	return all, nil
 }
 
-// SettingError is a setting that an axis doesn't take.
+// SettingError says that an axis does not accept a setting.
 type SettingError struct{ Name, Reason string }
 
 func (e *SettingError) Error() string { return e.Name + ": " + e.Reason }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -17,12 +17,12 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// page is the result as a page of Markdown.
+// markdown returns the result as a page of Markdown.
 func (res *Result) markdown() string {
 	var b strings.Builder
 	table, _, plots := res.Files()
 	fmt.Fprintf(&b, "# Scale run: %s\n\n%s\n\nThe axis `%s`: %s.\n\n", res.Name, res.Description, res.Axis, strings.TrimSuffix(res.AxisDescription, "."))
-	fmt.Fprintf(&b, "Written by `cottonrack lab scale`; all plays are in `%s`. Build %s, begun %s, %d cores, %d plays a point, seeds from %d on, %v of plays.\n",
+	fmt.Fprintf(&b, "Written by `cottonrack lab scale`; all plays are in `%s`. Build %s, started %s, %d cores, %d plays per point, seeds from %d, %v of play time.\n",
 		table, res.Build, res.StartedAt.Format(time.RFC3339), res.Cores, res.Plays, res.Seed, roundSeconds(res.PlaySeconds))
 	if len(res.Settings) > 0 {
 		b.WriteString("\nSettings:")
@@ -34,7 +34,7 @@
 		}
 		b.WriteString(".\n")
 	}
-	fmt.Fprintf(&b, "\n![each figure by %s](%s)\n\n## Points\n\nMedian, and the range of the plays behind it. Plays that were spoilt, failed or met an end are not in it.\n\n", res.XUnit, plots)
+	fmt.Fprintf(&b, "\n![each figure by %s](%s)\n\n## Points\n\nMedian, with the range of the plays in parentheses. Plays that failed, were disturbed or reached a limit are left out.\n\n", res.XUnit, plots)
 	b.WriteString("| figure | unit |")
 	for _, p := range res.Points {
 		fmt.Fprintf(&b, " %s |", formatNumber(p.X))
@@ -51,7 +51,7 @@
 		}
 		b.WriteString("\n")
 	}
-	b.WriteString("\n## Slopes\n\ny = at 0 + slope x + square x²; the spread is the standard error of the last of them, from the plays' scatter.\n\n")
+	b.WriteString("\n## Slopes\n\ny = at 0 + slope x + square x²; the spread is the standard error of the last coefficient, from the scatter of the plays.\n\n")
 	b.WriteString("| figure | what | form | at 0 | slope | square | spread | from | to | points | worst |\n|" + strings.Repeat(" --- |", 11) + "\n")
 	for _, f := range res.Fits {
 		if s := f.Slope; s != nil {
@@ -62,7 +62,7 @@
 		}
 	}
 	if slices.ContainsFunc(res.Fits, func(f Fit) bool { return len(f.Reasons) > 0 }) {
-		b.WriteString("\nWhy these forms and no simpler ones, or none:\n\n")
+		b.WriteString("\nWhy these forms and no simpler ones, or why there is none:\n\n")
 		for _, f := range res.Fits {
 			if len(f.Reasons) > 0 {
 				fmt.Fprintf(&b, "- `%s`: %s\n", f.ID, strings.Join(f.Reasons, "; "))
@@ -70,7 +70,7 @@
 		}
 	}
 	if len(res.Limits) > 0 {
-		b.WriteString("\n## Ends of today's program\n\nNot fitted.\n\n")
+		b.WriteString("\n## Limits of today's program\n\nNot fitted.\n\n")
 		for _, e := range res.Limits {
 			fmt.Fprintf(&b, "- at %s: %s\n", formatNumber(e.X), strings.Join(e.Reasons, "; "))
 		}
@@ -78,14 +78,14 @@
 	if len(res.Expectations) > 0 {
 		b.WriteString("\n## Expected\n\n| expected | got | |\n| --- | --- | --- |\n")
 		for _, k := range res.Expectations {
-			fmt.Fprintf(&b, "| %s | %s | %s |\n", k.Expected, k.Got, map[bool]string{true: "kept", false: "**not kept**"}[k.Met])
+			fmt.Fprintf(&b, "| %s | %s | %s |\n", k.Expected, k.Got, map[bool]string{true: "met", false: "**not met**"}[k.Met])
 		}
 	}
 	res.writeLists(&b)
 	return b.String()
 }
 
-// plainLists tells of the plays what is no figure: those that aren't fitted, notes, and facts beside.
+// writeLists writes what is not a figure: the plays that were not fitted, the notes, and the counts.
 func (res *Result) writeLists(b *strings.Builder) {
 	var bad, notes []string
 	counts := map[string]map[float64][]float64{}
@@ -95,7 +95,7 @@
 			bad = append(bad, at+"failed: "+k.Failure)
 		}
 		for _, why := range k.Disturbances() {
-			bad = append(bad, at+"spoilt: "+why)
+			bad = append(bad, at+"disturbed: "+why)
 		}
 		for _, n := range k.Reading.Notes {
 			if n = "at " + formatNumber(k.X) + ": " + n; !slices.Contains(notes, n) {
@@ -123,7 +123,7 @@
 	if len(counts) == 0 {
 		return
 	}
-	b.WriteString("\n## Beside\n\nMedian of all plays.\n\n| |")
+	b.WriteString("\n## Counts\n\nMedian of all plays.\n\n| |")
 	for _, p := range res.Points {
 		fmt.Fprintf(b, " %s |", formatNumber(p.X))
 	}
@@ -141,7 +141,7 @@
 	}
 }
 
-// String is the median and, if there is one, the range; nothing when nothing was read.
+// String returns the median with the range, if there is one; it is empty if there is no value.
 func (f Figure) String() string {
 	switch {
 	case f.Plays == 0:
@@ -154,7 +154,7 @@
 
 func (b Build) String() string {
 	if b.Commit == "" {
-		return "not known"
+		return "unknown"
 	}
 	return b.Commit
 }
@@ -163,12 +163,12 @@
 	return time.Duration(s * float64(time.Second)).Round(time.Second / 10)
 }
 
-// The sheet of plots.
+// Layout of the plots.
 const (
 	plotColumns   = 2
 	plotWidth     = 12 * vg.Centimeter
 	plotHeight    = 8 * vg.Centimeter
-	logScaleRatio = 20 // the scales are logarithmic where x grows by more than this
+	logScaleRatio = 20 // axes are logarithmic where the last x is more than this many times the first
 )
 
 var (
@@ -176,7 +176,7 @@
 	lineColor = color.RGBA{R: 0xc0, G: 0x40, B: 0x20, A: 0xff}
 )
 
-// plots draws each figure: a dot for each play that is fitted, and the slope.
+// plots draws each figure as SVG: a dot for each fitted play, and the slope's curve.
 func (res *Result) plots() ([]byte, error) {
 	var plots []*plot.Plot
 	for _, f := range res.Fits {
@@ -211,7 +211,7 @@
 		}
 	}
 	if len(dots) == 0 {
-		p.Title.Text += " (nothing read)"
+		p.Title.Text += " (no values)"
 		return p, nil
 	}
 	first, last := dots[0].X, dots[len(dots)-1].X
@@ -252,7 +252,7 @@
 		}
 		return p, nil
 	}
-	if p.Y.Max < 2*p.Y.Min { // a flat figure is to look flat
+	if p.Y.Max < 2*p.Y.Min { // keep a constant figure from filling the whole height with its scatter
 		p.Y.Min, p.Y.Max = p.Y.Min/3, 3*p.Y.Max
 	}
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -15,40 +15,41 @@
 	"starlingusher/fleet/capacity"
 )
 
-// Result is what came of a run. It holds no path of the machine that it ran on, but for what a failed play may have said.
+// Result is the outcome of a scale run. It holds no path of the machine, except where the error text of a
+// failed play has one.
 type Result struct {
 	Name            string             `json:"name"`
 	Description     string             `json:"about,omitempty"`
 	Axis            string             `json:"axis"`
-	AxisDescription string             `json:"grows"` // what the axis is, in words
+	AxisDescription string             `json:"grows"` // what the axis grows
 	XUnit           string             `json:"per"`   // unit of x
 	Settings        map[string]float64 `json:"set,omitempty"`
-	Plays           int                `json:"plays"` // of each point
+	Plays           int                `json:"plays"` // plays of each point
 	Seed            uint64             `json:"seed"`
-	FileHash        string             `json:"file"` // SHA-256 of its text
+	FileHash        string             `json:"file"` // SHA-256 of the run file's text
 	Build           Build              `json:"build"`
 	StartedAt       time.Time          `json:"began"`
-	PlaySeconds     float64            `json:"played_s"` // all plays together
+	PlaySeconds     float64            `json:"played_s"` // of all plays together
 	Cores           int                `json:"cores"`    // of the machine
 
 	Points       []Point             `json:"points"`
 	Fits         []Fit               `json:"fits"`
-	Limits       []ReachedLimit      `json:"ends,omitempty"` // points where today's program ended
-	Failed       int                 `json:"failed"`         // plays that went wrong themselves
-	Disturbed    int                 `json:"spoilt"`         // plays that the machine spoilt
+	Limits       []ReachedLimit      `json:"ends,omitempty"` // points past which today's program can't go
+	Failed       int                 `json:"failed"`         // number of plays that failed
+	Disturbed    int                 `json:"spoilt"`         // number of plays disturbed by the machine or other programs
 	Expectations []ExpectationResult `json:"expected,omitempty"`
-	Met          bool                `json:"kept"` // no play failed, and all that was expected was kept
+	Met          bool                `json:"kept"` // no play failed, and each expectation was met
 	Records      []Record            `json:"plays_of_points"`
 }
 
-// Point is what the plays of one point read, without those that aren't fitted.
+// Point summarizes the plays of one point that are fitted.
 type Point struct {
 	X       float64           `json:"x"`
-	Plays   int               `json:"plays"` // that are fitted
+	Plays   int               `json:"plays"` // number of fitted plays
 	Figures map[string]Figure `json:"figures"`
 }
 
-// Figure is one figure at one point.
+// Figure summarizes one figure at one point.
 type Figure struct {
 	Plays  int     `json:"plays"`
 	Median float64 `json:"median"`
@@ -56,30 +57,30 @@
 	Max    float64 `json:"most"`
 }
 
-// Fit is what came of one figure.
+// Fit is what was found of one figure over all points.
 type Fit struct {
 	ID          string          `json:"id"`
 	Description string          `json:"what"`
 	Unit        string          `json:"unit"`
-	Exact       bool            `json:"exact"` // hangs on no machine's speed
+	Exact       bool            `json:"exact"` // does not depend on the machine's speed
 	Slope       *capacity.Slope `json:"slope,omitempty"`
-	Reasons     []string        `json:"why,omitempty"` // what spoke against simpler forms; why there is no slope
+	Reasons     []string        `json:"why,omitempty"` // why simpler forms were rejected, or why there is no slope
 }
 
-// End is a point at which today's program ended, with the reasons that the plays gave.
+// ReachedLimit is a point past which today's program can't go, with the reasons that the plays gave.
 type ReachedLimit struct {
 	X       float64  `json:"x"`
 	Reasons []string `json:"reasons"`
 }
 
-// Kept is one thing that was expected, and what came.
+// ExpectationResult is an expectation at one point, and what was read.
 type ExpectationResult struct {
 	Expected string `json:"what"`
 	Got      string `json:"got"`
 	Met      bool   `json:"kept"`
 }
 
-// result fits a run's records.
+// newResult summarizes and fits a run's records.
 func newResult(f RunFile, h runHeader, records []Record) *Result {
 	res := &Result{
 		Name: f.Name, Description: f.Description, Axis: f.Axis.Name, AxisDescription: f.Axis.Description, XUnit: f.Axis.XUnit, Settings: f.Settings, Plays: f.Plays, Seed: f.Seed, FileHash: f.Hash,
@@ -132,7 +133,7 @@
 	return res
 }
 
-// values are the figures of one point that are fitted.
+// fittedValues returns the values of a figure at one point, of the plays that are fitted.
 func (res *Result) fittedValues(id string, x float64) (ys []float64) {
 	for _, k := range res.Records {
 		if y, ok := k.Reading.Values[id]; ok && k.X == x && k.isFitted() {
@@ -172,7 +173,8 @@
 	}
 }
 
-// expect holds each play of a point to a bound. That the machine was busy excuses nothing: the figure doesn't hang on it.
+// checkExpectation checks an expectation at one point against each of its plays, also the disturbed ones: an
+// exact figure does not depend on the load of the machine.
 func (res *Result) checkExpectation(e Expectation, x float64, plays int) {
 	e.X = &x
 	kept := ExpectationResult{Expected: e.String(), Met: true}
@@ -201,12 +203,12 @@
 	res.Met = res.Met && kept.Met
 }
 
-// Files of a result in its folder.
+// Files returns the names of the result's files in its folder.
 func (res *Result) Files() (table, page, plots string) {
 	return res.Name + ".json", res.Name + ".md", res.Name + ".svg"
 }
 
-// Write writes the result's three files into a folder, which it makes if need be.
+// Write writes the result's three files into a folder, and makes the folder if it does not exist.
 func (res *Result) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("results: %w", err)
@@ -228,7 +230,7 @@
 	return nil
 }
 
-// number writes a figure with four digits or, if it is whole, with all of them.
+// formatNumber returns a whole number with all its digits, and any other with four.
 func formatNumber(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e15 {
 		return strconv.FormatFloat(v, 'f', -1, 64)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -1,5 +1,7 @@
-// Package scale plays one axis of the fleet's size point by point, each play in a process of its own, and fits what the plays read:
-// the slopes of the page of capacities. What is played stands in its folders (hollow, burden); what they and the run agree on in play.
+// Package scale measures how the costs of a fleet grow along one axis: it plays each point of the axis
+// several times, each play in a process of its own, and fits the readings. The fitted slopes are the input of
+// the page of capacities. The axes themselves are in the packages hollow and burden; package play holds the
+// types that they share with a run.
 package scale
 
 import (
@@ -24,45 +26,45 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// Times of a run.
+// Intervals of a run.
 const (
-	snapshotInterval = 250 * time.Millisecond // at the machine, while a play runs
-	stopTimeout      = 5 * time.Second        // of a play that is to end early
+	snapshotInterval = 250 * time.Millisecond // between snapshots of the machine while a play runs
+	stopTimeout      = 5 * time.Second        // that a play gets to stop before it is killed
 )
 
-// Files beside PointsFile while a run goes on.
+// Files beside PointsFile during a run.
 const (
-	playDir = "play"     // of the play that runs now
-	LogFile = "play.log" // what the plays said on their standard error
+	playDir = "play"     // folder of the current play
+	LogFile = "play.log" // standard error of all plays
 )
 
-// Options say how a file is played.
+// Options say how a run file is played.
 type Options struct {
-	Dir         string   // of the results; it's there, and empty unless Resume
-	Resume      bool     // go on with the run in Dir that was cut short
-	Command     []string // a process that is PlayOne
-	Env         []string // of it, all
-	NodeProgram string   // path of the coralyard program
-	LabProgram  string   // path of the cottonrack program
+	Dir         string   // for the results; must exist, and be empty unless Resume is set
+	Resume      bool     // continue the interrupted run in Dir
+	Command     []string // starts a process that calls RunPlay
+	Env         []string // its complete environment
+	NodeProgram string   // path of coralyard
+	LabProgram  string   // path of cottonrack
 	Build       Build
-	Machine     Machine // nil: this one
+	Machine     Machine // nil: Linux
 	Progress    func(Progress)
 	Log         *slog.Logger
 }
 
-// Progress is how far a run has come.
+// Progress is the state of a run.
 type Progress struct {
-	Done, Total    int     // plays
-	X              float64 // point of the play that runs now
-	Play           int     // its number
+	Done, Total    int     // number of plays
+	X              float64 // point of the current play
+	Play           int     // number of the current play
 	Elapsed        time.Duration
-	Remaining      time.Duration // of the whole run, guessed from the plays that are done
-	RemainingKnown bool          // that Left is known
-	RSS            int64         // of all processes
+	Remaining      time.Duration // of the whole run, estimated from the finished plays
+	RemainingKnown bool          // whether there is an estimate
+	RSS            int64         // of all processes together, in bytes
 	Processes      int
 }
 
-// run is a file being played.
+// run is the state of one call of Run.
 type run struct {
 	file       RunFile
 	opts       Options
@@ -70,12 +72,12 @@
 	store      *store
 	log        *os.File
 	header     runHeader
-	records    []Record // those that were kept, the last one of each play
-	pending    []Record // plays that are to come, the one that runs now first
+	records    []Record // the last one of each play
+	pending    []Record // plays still to do, the current one first
 }
 
-// Run plays a file and returns its results. When the context ends, so does the run, with what it has kept in its points file, and with
-// nothing left behind.
+// Run plays a run file and returns the results. When the context ends, the run stops all its processes and
+// fails; the plays that are already in its points file can be used by a run with Options.Resume.
 func Run(ctx context.Context, f RunFile, opts Options) (*Result, error) {
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
@@ -110,7 +112,7 @@
 		r.addRecord(k)
 	}
 	if r.log, err = os.OpenFile(filepath.Join(r.opts.Dir, LogFile), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644); err != nil {
-		return errors.Join(fmt.Errorf("log: %w", err), r.store.close())
+		return errors.Join(fmt.Errorf("log of the plays: %w", err), r.store.close())
 	}
 	r.supervisor = proc.NewSupervisor()
 	return nil
@@ -121,13 +123,14 @@
 	return errors.Join(r.store.close(), r.log.Close(), os.RemoveAll(filepath.Join(r.opts.Dir, playDir)))
 }
 
-// keep takes in a record, in place of an earlier one of the same play.
+// addRecord adds a record or replaces the earlier one of the same play.
 func (r *run) addRecord(k Record) {
 	r.records = slices.DeleteFunc(r.records, func(o Record) bool { return o.X == k.X && o.Play == k.Play })
 	r.records = append(r.records, k)
 }
 
-// plays plays what is not done yet: each point once, then each again, so that a change of the machine's mood meets all points alike.
+// playAll does the plays that are not done yet. It plays each point once before it plays any of them again,
+// so that a change in the machine's speed affects all points alike.
 func (r *run) playAll(ctx context.Context) error {
 	for n := range r.file.Plays {
 		for i, x := range r.file.Points {
@@ -150,10 +153,11 @@
 	return nil
 }
 
-// play plays one point once. Its error ends the run; what went wrong with the play alone stands in the record.
+// playOnce plays one point once. It returns an error if the run can't go on; a failure of the play alone goes
+// into the record.
 func (r *run) playOnce(ctx context.Context, k Record) (Record, error) {
 	dir := filepath.Join(r.opts.Dir, playDir)
-	if err := errors.Join(os.RemoveAll(dir), os.Mkdir(dir, 0o755)); err != nil { // an earlier run may have been killed
+	if err := errors.Join(os.RemoveAll(dir), os.Mkdir(dir, 0o755)); err != nil { // an earlier run may have been killed and left it
 		return k, fmt.Errorf("folder of a play: %w", err)
 	}
 	dir, err := filepath.Abs(dir)
@@ -162,14 +166,14 @@
 	}
 	spec, err := json.Marshal(play.Spec{Axis: r.file.Axis.Name, X: k.X, Seed: k.Seed, Dir: dir, NodeProgram: r.opts.NodeProgram, LabProgram: r.opts.LabProgram, Settings: r.file.Settings})
 	if err != nil {
-		return k, fmt.Errorf("spec of a play: %w", err)
+		return k, fmt.Errorf("encode the spec of a play: %w", err)
 	}
 	before, err := r.opts.Machine.Snapshot(os.Getpid())
 	if err != nil {
 		return k, err
 	}
 	w := playMonitor{record: &k, before: before, seen: map[Process]bool{}}
-	if w.observe(before); len(k.MachineFaults) > 0 { // short before anything has begun
+	if w.observe(before); len(k.MachineFaults) > 0 { // short of memory before the play has started
 		return k, nil
 	}
 	fmt.Fprintf(r.log, "--- %s at %v, play %d, seed %d\n", r.file.Axis.Name, formatNumber(k.X), k.Play, k.Seed)
@@ -184,16 +188,16 @@
 	defer limit.Stop()
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
-	stop := "" // why it is to end early
+	stop := "" // the reason to stop it early
 	for running := true; running && stop == ""; {
 		r.reportProgress(&k, time.Since(began))
 		select {
 		case <-p.Done():
 			running = false
 		case <-ctx.Done():
-			stop = "the run was ended"
+			stop = "the run was canceled"
 		case <-limit.C:
-			stop = fmt.Sprintf("it didn't end within its limit of %v", r.file.PlayTimeout)
+			stop = fmt.Sprintf("the play did not end within its limit of %v", r.file.PlayTimeout)
 			k.Failure = stop
 		case <-ticker.C:
 			now, err := r.opts.Machine.Snapshot(os.Getpid())
@@ -208,17 +212,17 @@
 		}
 	}
 	if stop != "" {
-		r.opts.Log.Info("play ended early", "axis", r.file.Axis.Name, "x", k.X, "play", k.Play, "why", stop)
+		r.opts.Log.Info("play stopped early", "axis", r.file.Axis.Name, "x", k.X, "play", k.Play, "reason", stop)
 		if err := p.End(context.WithoutCancel(ctx), stopTimeout); err != nil {
 			return k, err
 		}
 	}
 	k.TookSeconds = time.Since(began).Seconds()
 	if left := w.killLeftProcesses(); left > 0 && stop == "" {
-		k.Failure = fmt.Sprintf("it left %d processes behind; they were ended", left)
+		k.Failure = fmt.Sprintf("the play left %d processes running; they were killed", left)
 	}
 	if err := ctx.Err(); err != nil {
-		return k, fmt.Errorf("the run was ended in play %d at %v: %w", k.Play, formatNumber(k.X), context.Cause(ctx))
+		return k, fmt.Errorf("the run was canceled in play %d at %v: %w", k.Play, formatNumber(k.X), context.Cause(ctx))
 	}
 	if stop != "" || k.Failure != "" {
 		return k, nil
@@ -229,25 +233,25 @@
 	}
 	w.judgeCPUShares(after)
 	if e := p.Exit(); e.Code != 0 {
-		k.Failure = strings.TrimSpace(fmt.Sprintf("its process ended %v: %s", e, tail))
+		k.Failure = strings.TrimSpace(fmt.Sprintf("the play's process ended %v: %s", e, tail))
 		return k, nil
 	}
 	dec := json.NewDecoder(bytes.NewReader(out.Bytes()))
 	dec.DisallowUnknownFields()
 	err = dec.Decode(&k.Reading)
 	if err == nil && out.truncated {
-		err = errors.New("it is too long")
+		err = errors.New("the output is too long")
 	}
 	if err == nil {
 		err = checkReading(r.file.Axis, k.Reading)
 	}
 	if err != nil {
-		k.Reading, k.Failure = play.Reading{}, fmt.Sprintf("its reading: %v", err)
+		k.Reading, k.Failure = play.Reading{}, fmt.Sprintf("reading: %v", err)
 	}
 	return k, nil
 }
 
-// progress tells how far the run is.
+// reportProgress calls Options.Progress with the state of the run.
 func (r *run) reportProgress(k *Record, since time.Duration) {
 	all := len(r.file.Points) * r.file.Plays
 	p := Progress{Done: all - len(r.pending), Total: all, X: k.X, Play: k.Play, Elapsed: since, RSS: k.PeakRSS, Processes: k.PeakProcesses}
@@ -255,8 +259,9 @@
 	r.opts.Progress(p)
 }
 
-// left guesses the time that the rest takes: a point takes as long as it took before, a new one as long as the next smaller one and more
-// by the root of x: much of a play hangs on no x.
+// remainingTime estimates the time that the rest of the run takes. A point takes as long as its earlier
+// plays; one without any takes as long as the next smaller point, scaled by the square root of x, because
+// much of a play's time does not depend on x.
 func (r *run) remainingTime(since time.Duration) (time.Duration, bool) {
 	took := map[float64][]float64{} // by point
 	for _, k := range r.records {
@@ -285,14 +290,14 @@
 	return time.Duration(left * float64(time.Second)), true
 }
 
-// watch follows one play on the machine.
+// playMonitor watches the resources of one play.
 type playMonitor struct {
 	record *Record
 	before Snapshot
-	seen   map[Process]bool // processes of the play, without their memory
+	seen   map[Process]bool // processes of the play, with RSS left 0
 }
 
-// look takes in one look, and tells a bound that has been passed, if one has.
+// observe takes in a snapshot, and returns which bound it exceeds, if any.
 func (w *playMonitor) observe(l Snapshot) (past string) {
 	k := w.record
 	k.PeakRSS, k.PeakProcesses = max(k.PeakRSS, l.RSS()), max(k.PeakProcesses, len(l.Processes))
@@ -306,11 +311,11 @@
 	}
 	switch {
 	case l.RSS() > MaxMemory:
-		past = fmt.Sprintf("its processes held more than %d GB together", MaxMemory>>30)
+		past = fmt.Sprintf("the processes of the run held more than %d GB", MaxMemory>>30)
 	case len(l.Processes) > MaxProcesses:
-		past = fmt.Sprintf("there were more than %d processes", MaxProcesses)
+		past = fmt.Sprintf("the run had more than %d processes", MaxProcesses)
 	case l.AvailableMemory < minAvailableMemory:
-		past = fmt.Sprintf("memory was short: %d MB left", l.AvailableMemory>>20)
+		past = fmt.Sprintf("the machine had only %d MB of memory left", l.AvailableMemory>>20)
 	}
 	if past != "" {
 		k.MachineFaults = append(k.MachineFaults, past)
@@ -318,25 +323,25 @@
 	return past
 }
 
-// end judges the whole play by the look after it.
+// judgeCPUShares checks the use of the cores during the whole play, given the snapshot after it.
 func (w *playMonitor) judgeCPUShares(after Snapshot) {
 	k := w.record
 	k.CPUShares = cpuShares(w.before, after)
 	all := after.CPU.Total - w.before.CPU.Total
 	if k.CPUShares.Others*all-othersTickError > maxOthersShare*all {
-		k.MachineFaults = append(k.MachineFaults, fmt.Sprintf("others took %.0f%% of the cores (%.0f%% at most)", 100*k.CPUShares.Others, 100*maxOthersShare))
+		k.MachineFaults = append(k.MachineFaults, fmt.Sprintf("other processes took %.0f%% of the cores (at most %.0f%%)", 100*k.CPUShares.Others, 100*maxOthersShare))
 	}
 	if k.CPUShares.Idle < minIdleShare {
-		k.MachineFaults = append(k.MachineFaults, fmt.Sprintf("the cores were full: %.1f%% idle (%.0f%% at least)", 100*k.CPUShares.Idle, 100*minIdleShare))
+		k.MachineFaults = append(k.MachineFaults, fmt.Sprintf("the cores were only %.1f%% idle (at least %.0f%%)", 100*k.CPUShares.Idle, 100*minIdleShare))
 	}
 }
 
-// endLeft ends those processes of the play that have outlived it, and tells how many there were.
+// killLeftProcesses kills the processes that the play has left running, and returns their number.
 func (w *playMonitor) killLeftProcesses() (n int) {
 	for p := range w.seen {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID))
 		if err != nil {
-			continue // gone
+			continue // the process has ended
 		}
 		if s, err := parseStat(raw); err != nil || s.zombie || s.startTicks != p.StartTicks {
 			continue
@@ -348,7 +353,7 @@
 	return n
 }
 
-// limited keeps what a play writes, up to a bound.
+// cappedBuffer keeps the first bytes that a play writes, up to a bound.
 type cappedBuffer struct {
 	bytes.Buffer
 	truncated bool
@@ -363,7 +368,7 @@
 	return l.Buffer.Write(p)
 }
 
-// tail hands on what is written, and remembers the end of it.
+// tailWriter passes on what is written, and keeps the last bytes of it.
 type tailWriter struct {
 	out io.Writer
 
@@ -386,7 +391,7 @@
 	return strings.ToValidUTF8(strings.TrimSpace(string(t.last)), "?")
 }
 
-// sorted are the records by point and play.
+// sortedRecords returns the records by point and play number.
 func sortedRecords(records []Record) []Record {
 	return slices.SortedFunc(slices.Values(records), func(a, b Record) int { return cmp.Or(cmp.Compare(a.X, b.X), cmp.Compare(a.Play, b.Play)) })
 }
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -29,7 +29,7 @@
 
 const patience = 30 * time.Second
 
-// TestMain is the process of a play, or a whole run, when a test starts this binary as one.
+// TestMain is also the process of a play, or of a whole run, when a test starts this binary as one.
 func TestMain(m *testing.M) {
 	switch os.Getenv("SCALE_TEST") {
 	case "":
@@ -47,23 +47,24 @@
 			_, err = Run(context.Background(), f, stubOptions(os.Getenv("SCALE_TEST_DIR"), &testMachine{}))
 		}
 		fmt.Fprintln(os.Stderr, err)
-		os.Exit(3) // it was to be killed
+		os.Exit(3) // the test should have killed it
 	}
 }
 
 // Modes of the stub axis.
 const (
 	plain  = iota
-	spoils // the play says itself that the machine fell short
-	ends   // a cap is met at 20
-	fails  // at 4
-	hangs  // at 4, until it is told to end; at once if it was hung before
-	leaves // a process behind at 4
-	odd    // a figure that isn't the axis' own
-	dies   // by a signal at 4, the first time
+	spoils // the play itself reports that the machine fell short
+	ends   // reaches a limit at 20
+	fails  // fails at 4
+	hangs  // hangs at 4 until it is stopped; not if it has hung before
+	leaves // leaves a process running at 4
+	odd    // reads a figure that the axis does not declare
+	dies   // killed by a signal at 4, the first time
 )
 
-// stubAxes are a made-up axis. Its plays tell of themselves through files in the folder that SCALE_TEST_MARKS names.
+// stubAxes is an axis for tests. Its plays report their state by files in the folder that SCALE_TEST_MARKS
+// names.
 var stubAxes = []play.Axis{{
 	Name: "stub", Description: "nothing real", XUnit: "thing",
 	Measures: []play.Measure{
@@ -79,7 +80,7 @@
 
 func marks(name string) string { return filepath.Join(os.Getenv("SCALE_TEST_MARKS"), name) }
 
-// mark makes a file whole at once, and tells whether it was there before.
+// mark creates a file atomically, and reports whether it existed before.
 func mark(name, text string) (before bool) {
 	if _, err := os.Stat(marks(name)); err == nil {
 		return true
@@ -94,9 +95,9 @@
 func playStub(ctx context.Context, s play.Spec, log *slog.Logger) (play.Reading, error) {
 	var r play.Reading
 	if in, err := os.ReadDir(s.Dir); err != nil || len(in) > 0 {
-		return r, fmt.Errorf("its folder holds %v, %v", in, err)
+		return r, fmt.Errorf("the play's folder is not empty: %v, %v", in, err)
 	}
-	if err := os.WriteFile(filepath.Join(s.Dir, "left"), nil, 0o600); err != nil { // for the run to remove
+	if err := os.WriteFile(filepath.Join(s.Dir, "left"), nil, 0o600); err != nil { // the run has to remove it
 		return r, err
 	}
 	r.SetValue("stub.bytes", 100+s.Settings["step"]*s.X)
@@ -104,13 +105,13 @@
 	r.SetCount("seed", float64(s.Seed))
 	switch mode := s.Settings["mode"]; {
 	case mode == spoils && s.Seed%2 == 0:
-		r.AddDisturbance("a made-up reason")
+		r.AddDisturbance("test disturbance")
 	case mode == ends && s.X == 20:
 		r.AddLimit("a cap of %d", 19)
 	case mode == odd && s.X == 4:
 		r.SetValue("stub.odd", 1)
 	case mode == fails && s.X == 4:
-		return r, errors.New("a made-up fault")
+		return r, errors.New("test failure")
 	case mode == dies && s.X == 4:
 		if !mark("died", "") {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL)
@@ -134,7 +135,7 @@
 			return r, err
 		}
 		mark("left", strconv.Itoa(cmd.Process.Pid))
-		for !exists(marks("seen")) { // by the run's watch
+		for !exists(marks("seen")) { // created once the run's monitor has seen the process
 			select {
 			case <-ctx.Done():
 				return r, ctx.Err()
@@ -150,14 +151,14 @@
 	return err == nil
 }
 
-// testMachine is this one, but for its cores: they are as a test wants them.
+// testMachine is this machine, but with the CPU times that a test asks for.
 type testMachine struct {
 	mu     sync.Mutex
 	looks  int
-	others float64 // share of the cores that others take
+	others float64 // share of the cores that other processes take
 	own    float64
-	more   []Process // beside the real tree; none of them is there
-	free   int64     // if not 0
+	more   []Process // added to the real processes; they do not exist
+	free   int64     // 0: enough
 	seen   func(Snapshot)
 }
 
@@ -181,7 +182,8 @@
 	return l, err
 }
 
-// childEnv is that of this binary as a child. The race detector would hold up its exit by a second.
+// childEnv returns the environment of this binary as a child. Without GORACE the race detector would delay
+// its exit by a second.
 func childEnv(more ...string) []string {
 	return append(append(os.Environ(), "GORACE=atexit_sleep_ms=0"), more...)
 }
@@ -190,7 +192,7 @@
 	return Options{Dir: dir, Command: []string{os.Args[0]}, Env: childEnv("SCALE_TEST=play"), Build: Build{"c0ffee", map[string]string{"a": "1"}}, Machine: m}
 }
 
-// stubFile is a run of the stub axis in some mode.
+// stubFile returns a run file of the stub axis in a mode.
 func stubFile(t *testing.T, mode int, change ...string) RunFile {
 	t.Helper()
 	t.Setenv("SCALE_TEST_MARKS", t.TempDir())
@@ -218,14 +220,14 @@
 	return res
 }
 
-// gone waits for the end of processes.
+// waitGone waits for the end of processes.
 func gone(t *testing.T, pids ...int) {
 	t.Helper()
 	for _, pid := range pids {
 		for by := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 			raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 			if err != nil || strings.Contains(string(raw), ") Z ") {
-				break // or waiting for its new parent to notice
+				break // or a zombie that its new parent has not waited for
 			}
 			if time.Now().After(by) {
 				t.Fatalf("process %d was left behind", pid)
@@ -234,12 +236,12 @@
 	}
 }
 
-// marked waits for a mark and reads its numbers.
+// waitMark waits for a mark and returns the numbers in it.
 func marked(t *testing.T, name string) (numbers []int) {
 	t.Helper()
 	for by := time.Now().Add(patience); !exists(marks(name)); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatal("never: " + name)
+			t.Fatal("no mark: " + name)
 		}
 	}
 	raw, err := os.ReadFile(marks(name))
@@ -260,7 +262,7 @@
 	t.Helper()
 	i := slices.IndexFunc(res.Fits, func(f Fit) bool { return f.ID == id })
 	if i < 0 {
-		t.Fatal("no " + id)
+		t.Fatal("no figure " + id)
 	}
 	return res.Fits[i].Slope
 }
@@ -292,13 +294,13 @@
 		t.Errorf("the plays had %d seeds", len(seeds))
 	}
 	if last := told[len(told)-1]; last.Done != 8 || last.Total != 9 || !last.RemainingKnown || told[0].Done != 0 || told[0].RemainingKnown {
-		t.Errorf("told %+v first and %+v last", told[0], last)
+		t.Errorf("progress %+v first and %+v last", told[0], last)
 	}
-	// A folder in which a run has begun is no place for another one.
+	// A second run can't start in the same folder.
 	if _, err := Run(t.Context(), f, o); !errors.Is(err, os.ErrExist) {
 		t.Errorf("a second run in the same folder: %v", err)
 	}
-	// Its files are there, whole, and name no place of this machine.
+	// The result files are complete, and do not contain the path of the run's folder.
 	if err := res.Write(o.Dir); err != nil {
 		t.Fatal(err)
 	}
@@ -309,18 +311,19 @@
 			t.Errorf("%s, %v: no %q in\n%.2000s", name, err, has, raw)
 		}
 		if bytes.Contains(raw, []byte(o.Dir)) {
-			t.Errorf("%s names the folder of the run", name)
+			t.Errorf("%s contains the path of the run's folder", name)
 		}
 	}
 }
 
-// What the machine or the play itself says to be spoilt is told, not fitted, and played again by a resumed run.
+// Plays that the machine or the play itself reports as disturbed are listed and not fitted, and a resumed run
+// plays them again.
 func TestSpoiltIsNotFitted(t *testing.T) {
 	t.Run("by the play", func(t *testing.T) {
 		f := stubFile(t, spoils)
 		res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
-		if res.Disturbed != 4 || slopeOf(t, res, "stub.bytes") != nil { // seeds 1 to 9, of which the even ones are spoilt
-			t.Errorf("%d spoilt, slope %+v", res.Disturbed, slopeOf(t, res, "stub.bytes"))
+		if res.Disturbed != 4 || slopeOf(t, res, "stub.bytes") != nil { // seeds 1 to 9, the even ones are disturbed
+			t.Errorf("%d disturbed, slope %+v", res.Disturbed, slopeOf(t, res, "stub.bytes"))
 		}
 	})
 	for name, m := range map[string]*testMachine{
@@ -331,14 +334,14 @@
 		"short":     {free: minAvailableMemory / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := stubFile(t, hangs) // what passes a bound is ended; what doesn't, would hang
+			f := stubFile(t, hangs) // stopped when it exceeds a bound; otherwise it would hang
 			if name == "others" || name == "full" {
 				f = stubFile(t, plain)
 			}
 			o := stubOptions(t.TempDir(), m)
 			res := lookAt(t, f, o)
 			if res.Disturbed == 0 || res.Failed != 0 || slopeOf(t, res, "stub.bytes") != nil {
-				t.Errorf("%d spoilt, %d failed, slope %+v", res.Disturbed, res.Failed, slopeOf(t, res, "stub.bytes"))
+				t.Errorf("%d disturbed, %d failed, slope %+v", res.Disturbed, res.Failed, slopeOf(t, res, "stub.bytes"))
 			}
 			if name == "memory" || name == "processes" || name == "short" {
 				if exists(marks("hung")) {
@@ -346,14 +349,14 @@
 				}
 			}
 			page := res.markdown()
-			if !strings.Contains(page, "## Not fitted") || !strings.Contains(page, "spoilt: ") {
-				t.Errorf("the page doesn't say so:\n%s", page)
+			if !strings.Contains(page, "## Not fitted") || !strings.Contains(page, "disturbed: ") {
+				t.Errorf("the page does not list disturbed plays:\n%s", page)
 			}
-			// A machine that has come to rest lets it be played again.
+			// Once the machine is quiet, a resumed run plays it again.
 			o.Resume, o.Machine = true, &testMachine{}
 			mark("hung", "")
 			if res = lookAt(t, f, o); res.Disturbed != 0 || slopeOf(t, res, "stub.bytes") == nil {
-				t.Errorf("resumed: %d spoilt, slope %+v", res.Disturbed, slopeOf(t, res, "stub.bytes"))
+				t.Errorf("resumed: %d disturbed, slope %+v", res.Disturbed, slopeOf(t, res, "stub.bytes"))
 			}
 		})
 	}
@@ -363,23 +366,23 @@
 	f := stubFile(t, ends, "[1, 4, 20]", "[1, 2, 4, 20]")
 	res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
 	if len(res.Limits) != 1 || res.Limits[0].X != 20 || !slices.Equal(res.Limits[0].Reasons, []string{"a cap of 19"}) {
-		t.Errorf("ends %+v", res.Limits)
+		t.Errorf("limits %+v", res.Limits)
 	}
 	if s := slopeOf(t, res, "stub.bytes"); s == nil || s.To != 4 {
 		t.Errorf("slope %+v", s)
 	}
 	if !res.Met {
-		t.Error("an end is no failure")
+		t.Error("a reached limit counts as a failure")
 	}
 }
 
-// A play that goes wrong is told with its reason, and the others go on.
+// A failed play is recorded with its reason, and the run goes on.
 func TestFailedPlays(t *testing.T) {
 	for name, c := range map[string]struct {
 		mode int
 		want string
 	}{
-		"fault":  {fails, "a made-up fault"},
+		"fault":  {fails, "test failure"},
 		"figure": {odd, "stub.odd"},
 		"signal": {dies, "killed"},
 		"limit":  {hangs, "limit of 2s"},
@@ -403,7 +406,7 @@
 			if c.mode == hangs {
 				gone(t, marked(t, "hung")...)
 			}
-			if c.mode == dies || c.mode == hangs { // only the first time
+			if c.mode == dies || c.mode == hangs { // fails only the first time
 				o.Resume = true
 				if res = lookAt(t, f, o); !res.Met || res.Failed != 0 || slopeOf(t, res, "stub.bytes") == nil {
 					t.Errorf("resumed: %d failed", res.Failed)
@@ -425,13 +428,13 @@
 		}
 	}}
 	res := lookAt(t, f, stubOptions(t.TempDir(), m))
-	if res.Failed != 1 || !strings.Contains(res.Records[1].Failure, "left 1 processes behind") {
+	if res.Failed != 1 || !strings.Contains(res.Records[1].Failure, "left 1 processes running") {
 		t.Errorf("%+v", res.Records)
 	}
 	gone(t, marked(t, "left")...)
 }
 
-// A run that is ended early leaves nothing running, and goes on later where it was.
+// A canceled run leaves no process running, and can be resumed.
 func TestEndedEarlyAndResumed(t *testing.T) {
 	f := stubFile(t, hangs)
 	o := stubOptions(t.TempDir(), &testMachine{})
@@ -442,7 +445,7 @@
 		}
 	}
 	if _, err := Run(ctx, f, o); !errors.Is(err, context.Canceled) {
-		t.Fatalf("ended with %v", err)
+		t.Fatalf("Run returned %v", err)
 	}
 	gone(t, marked(t, "hung")...)
 	if exists(filepath.Join(o.Dir, playDir)) {
@@ -451,7 +454,7 @@
 	resumed(t, f, o)
 }
 
-// A run that is killed takes its play and that one's processes with it, and goes on later where it was.
+// When a run is killed, its play and the play's processes end too, and it can be resumed.
 func TestKilledAndResumed(t *testing.T) {
 	f := stubFile(t, hangs)
 	o := stubOptions(t.TempDir(), &testMachine{})
@@ -464,7 +467,7 @@
 	cmd.Process.Kill()
 	cmd.Wait()
 	gone(t, pids...)
-	// It may have been killed within a write, too.
+	// It may also have been killed during a write.
 	file, err := os.OpenFile(filepath.Join(o.Dir, PointsFile), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -476,7 +479,7 @@
 	resumed(t, f, o)
 }
 
-// resumed goes on with a run that has kept one play.
+// checkResumed resumes a run that has recorded one play.
 func resumed(t *testing.T, f RunFile, o Options) {
 	t.Helper()
 	before, err := os.ReadFile(filepath.Join(o.Dir, PointsFile))
@@ -535,8 +538,8 @@
 	if err := os.WriteFile(path, spoilt, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	refused("a line in the middle", "line 3 of "+PointsFile+" is spoilt", f, o)
-	// A run that got no further than half its first line begins anew.
+	refused("a line in the middle", "line 3 of "+PointsFile+" is invalid", f, o)
+	// A run that was killed within its first line starts anew.
 	if err := os.WriteFile(path, whole[:20], 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -548,7 +551,7 @@
 func TestExpected(t *testing.T) {
 	const bound = "\n[[expect]]\nid = \"stub.bytes\"\nleast = 100\nmost = 200\n[[expect]]\nid = \"stub.bytes\"\nat = 20\nmost = 300\n"
 	f := stubFile(t, plain, "plays = 3", "plays = 1", "mode = 0", "mode = 0"+bound)
-	// Bounds of bytes hold on a busy machine, too.
+	// Bounds of bytes are checked on a busy machine too.
 	res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{others: 0.9}))
 	var got []bool
 	for _, k := range res.Expectations {
@@ -557,7 +560,7 @@
 	if res.Met || !slices.Equal(got, []bool{true, true, false, true}) || res.Disturbed != 3 {
 		t.Errorf("%+v", res.Expectations)
 	}
-	// A figure that wasn't read keeps no bound.
+	// A figure that was not read fails its bound.
 	f = stubFile(t, fails, "plays = 3", "plays = 1", "mode = 3", "mode = 3"+bound)
 	res = lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
 	if k := res.Expectations[1]; k.Met || !strings.Contains(k.Got, "0 of 1") {
@@ -576,7 +579,7 @@
 	for name, c := range map[string]struct{ in, want string }{
 		"nothing":  {"", "EOF"},
 		"unknown":  {`{"axes":"stub"}`, "axes"},
-		"axis":     {spec(play.Spec{Axis: "stab"}), `no axis "stab"`},
+		"axis":     {spec(play.Spec{Axis: "stab"}), `unknown axis "stab"`},
 		"settings": {spec(play.Spec{Axis: "stub", Settings: map[string]float64{"mode": 99}}), "mode"},
 	} {
 		var out bytes.Buffer
@@ -592,12 +595,13 @@
 		records: []Record{{X: 0, TookSeconds: 1}, {X: 10, TookSeconds: 2}, {X: 10, Play: 1, TookSeconds: 4}},
 		pending: []Record{{X: 40}, {X: 0, Play: 1}, {X: 10, Play: 2}},
 	}
-	// Twice the 3 s at 10 for four times the 10, less what it has run; then 1 s and 3 s.
+	// The first takes 3 s at 10, doubled for four times the x, less the 2 s that have passed; then 1 s and 3
+	// s.
 	if got, ok := r.remainingTime(2 * time.Second); !ok || got != 8*time.Second {
-		t.Errorf("%v left, %v", got, ok)
+		t.Errorf("%v remaining, known: %v", got, ok)
 	}
 	r.records = nil
 	if _, ok := r.remainingTime(0); ok {
-		t.Error("guessed from nothing")
+		t.Error("an estimate without any record")
 	}
 }
--- a/internal/lab/scale/slopes.go
+++ b/internal/lab/scale/slopes.go
@@ -10,8 +10,9 @@
 	"starlingusher/fleet/capacity"
 )
 
-// MergeSlopes writes the result's slopes into a file, in place of those of the same id, and leaves the others as they are. run is the path
-// of the committed table that they come from. The file is made if it isn't there, and is whole at any moment.
+// MergeSlopes writes the result's slopes into a file, replaces those with the same id and keeps the others.
+// run is the path of the committed table that they come from. The file is created if it does not exist, and
+// replaced atomically.
 func (res *Result) MergeSlopes(path, run string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// writeWhole replaces a file by a new one in one step.
+// writeFileAtomically replaces a file in one step, so that it is complete at any moment.
 func writeFileAtomically(path string, raw []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+"-")
 	if err != nil {
--- a/internal/lab/scale/slopes_test.go
+++ b/internal/lab/scale/slopes_test.go
@@ -33,7 +33,7 @@
 	text := string(raw)
 	a, b, c := strings.Index(text, "id = 'a'"), strings.Index(text, "id = 'b'"), strings.Index(text, "id = 'c'")
 	if a < 0 || b < a || c < b || strings.Count(text, "[[slope]]") != 3 {
-		t.Errorf("not each once and in order:\n%s", text)
+		t.Errorf("not every slope once and in order:\n%s", text)
 	}
 	for _, want := range []string{"at0 = 1234.0\n", "slope = 911.0\n", "run = 'docs/scale/one.json'\n", "run = 'docs/scale/two.json'\n", "worst = 0.06\n"} {
 		if !strings.Contains(text, want) {
@@ -41,12 +41,12 @@
 		}
 	}
 	if strings.Contains(text, "910") || strings.Contains(text, "none") {
-		t.Errorf("too much in\n%s", text)
+		t.Errorf("unexpected text in\n%s", text)
 	}
 	if in, err := os.ReadDir(filepath.Dir(path)); err != nil || len(in) != 1 {
-		t.Errorf("beside it there are %v, %v", in, err)
+		t.Errorf("files in the folder: %v, %v", in, err)
 	}
-	// What isn't understood is left as it is.
+	// A file that can't be parsed is left unchanged.
 	if err := os.WriteFile(path, []byte("[[slope]]\nid = \"a\"\nsteep = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
