--- a/fleet/catalog/catalog_test.go
+++ b/fleet/catalog/catalog_test.go
@@ -18,7 +18,7 @@
 func with(e Endpoint, phase string) Endpoint { e.Phase = phase; return e }
 
 // bootstrapped returns a state with n endpoints of partner 0.
-func founded(t testing.TB, n int) *State {
+func bootstrapped(t testing.TB, n int) *State {
 	s := New()
 	apply(t, s, Command{At: 1000, Bootstrap: &Bootstrap{}})
 	if n > 0 {
@@ -31,9 +31,9 @@
 	return s
 }
 
-type fatal interface{ Fatalf(string, ...any) }
+type failer interface{ Fatalf(string, ...any) }
 
-func apply(t fatal, s *State, c Command) Result {
+func apply(t failer, s *State, c Command) Result {
 	r := s.Apply(c)
 	if r.Err != nil {
 		t.Fatalf("%+v: %v", c, r.Err)
@@ -41,7 +41,7 @@
 	return r
 }
 
-func refused(t *testing.T, s *State, c Command, want error) Result {
+func expectError(t *testing.T, s *State, c Command, want error) Result {
 	t.Helper()
 	before := s.Revision()
 	r := s.Apply(c)
@@ -54,32 +54,32 @@
 	return r
 }
 
-func TestTwoWritersCannotUndoEachOther(t *testing.T) {
-	s := founded(t, 3)
-	read := Base{History: s.History(), Revision: s.Revision()}
+func TestConcurrentWritesConflict(t *testing.T) {
+	s := bootstrapped(t, 3)
+	base := Base{History: s.History(), Revision: s.Revision()}
 	drain := func(id string, b Base) Command {
 		return Command{Write: &Write{Base: b, Members: []Endpoint{with(endpoint(id, 0), Draining)}}}
 	}
-	apply(t, s, drain("e0", read))
-	apply(t, s, drain("e1", read)) // no conflict: another endpoint
-	refused(t, s, Command{Write: &Write{Base: read, Members: []Endpoint{endpoint("e0", 0)}}}, ErrConflict)
-	refused(t, s, Command{Write: &Write{Base: read, Replace: true, Members: []Endpoint{endpoint("e9", 0)}}}, ErrConflict)
-	refused(t, s, drain("e2", Base{Revision: 99}), ErrConflict)
-	refused(t, s, drain("e2", Base{History: 5, Revision: s.Revision()}), ErrConflict)
+	apply(t, s, drain("e0", base))
+	apply(t, s, drain("e1", base)) // no conflict: another endpoint
+	expectError(t, s, Command{Write: &Write{Base: base, Members: []Endpoint{endpoint("e0", 0)}}}, ErrConflict)
+	expectError(t, s, Command{Write: &Write{Base: base, Replace: true, Members: []Endpoint{endpoint("e9", 0)}}}, ErrConflict)
+	expectError(t, s, drain("e2", Base{Revision: 99}), ErrConflict)
+	expectError(t, s, drain("e2", Base{History: 5, Revision: s.Revision()}), ErrConflict)
 	if r := apply(t, s, drain("e0", Base{Any: true})); r.Revision != 3 {
 		t.Errorf("a write that changes nothing created revision %d", r.Revision)
 	}
-	refused(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("new", 0), {ID: "e2", Phase: "ODD"}}}}, ErrInvalid)
-	if _, listed := s.i.Entries["new"]; listed {
+	expectError(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("new", 0), {ID: "e2", Phase: "ODD"}}}}, ErrInvalid)
+	if _, listed := s.image.Entries["new"]; listed {
 		t.Error("a rejected write was partly applied")
 	}
 }
 
 func TestGuardHoldsBack(t *testing.T) {
-	s := founded(t, 4)
+	s := bootstrapped(t, 4)
 	shrink := Command{Write: &Write{Base: Base{Any: true}, Replace: true, GuardShare: 0.5, Members: []Endpoint{endpoint("e0", 0)}}}
-	held := refused(t, s, shrink, ErrHeld).Held
-	if again := refused(t, s, shrink, ErrHeld); again.Held != held {
+	held := expectError(t, s, shrink, ErrHeld).Held
+	if again := expectError(t, s, shrink, ErrHeld); again.Held != held {
 		t.Errorf("the same list was held back again as number %d", again.Held)
 	}
 	k := NewLeaseManager(0.5, time.Second, time.Minute)
@@ -94,9 +94,9 @@
 	if len(s.Entries()) != 1 || s.Held() != nil {
 		t.Errorf("after the waiting time the list is %v, held %v", s.Entries(), s.Held())
 	}
-	refused(t, s, Command{Confirm: &Confirm{Number: held}}, ErrNotFound)
+	expectError(t, s, Command{Confirm: &Confirm{Number: held}}, ErrNotFound)
 	empty := Command{Write: &Write{Base: Base{Any: true}, Replace: true, GuardShare: 1}}
-	refused(t, s, empty, ErrHeld) // an empty list is held back at any share
+	expectError(t, s, empty, ErrHeld) // an empty list is held back at any share
 	empty.Write.Confirmed = true
 	apply(t, s, empty)
 	if len(s.Entries()) != 0 || s.Held() != nil {
@@ -105,14 +105,14 @@
 }
 
 // Confirming a held write must not undo writes that were made while it was held.
-func TestConfirmationUndoesNothing(t *testing.T) {
+func TestConfirmationKeepsLaterWrites(t *testing.T) {
 	for _, whole := range []bool{true, false} {
-		s := founded(t, 4)
+		s := bootstrapped(t, 4)
 		w := Write{Base: Base{Any: true}, Replace: whole, GuardShare: 0.5, Members: []Endpoint{endpoint("e0", 0)}}
 		if !whole {
 			w.Members = []Endpoint{with(endpoint("e1", 0), Deleted), with(endpoint("e2", 0), Deleted), with(endpoint("e3", 0), Deleted)}
 		}
-		held := refused(t, s, Command{Write: &w}, ErrHeld).Held
+		held := expectError(t, s, Command{Write: &w}, ErrHeld).Held
 		apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{with(endpoint("e0", 0), Draining), with(endpoint("e3", 0), Draining), endpoint("new", 0)}}})
 		apply(t, s, Command{Confirm: &Confirm{Number: held}})
 		got := fmt.Sprint(s.FullList().Members)
@@ -125,10 +125,10 @@
 
 // A snapshot must preserve a held write in full. Otherwise confirming it would change the list on replicas
 // that have not restarted since, and not on the others.
-func TestSnapshotKeepsWhatIsHeldBack(t *testing.T) {
-	s := founded(t, 4)
+func TestSnapshotKeepsHeldWrite(t *testing.T) {
+	s := bootstrapped(t, 4)
 	w := Write{Base: Base{Any: true}, Replace: true, GuardShare: 0.5, Members: []Endpoint{endpoint("e0", 0)}}
-	held := refused(t, s, Command{Write: &w}, ErrHeld).Held
+	held := expectError(t, s, Command{Write: &w}, ErrHeld).Held
 	raw, err := cbor.Marshal(s.Image())
 	if err != nil {
 		t.Fatal(err)
@@ -149,8 +149,8 @@
 	}
 }
 
-func TestLeasesLapseByShare(t *testing.T) {
-	s := founded(t, 0)
+func TestLeaseExpiryIsLimitedByShare(t *testing.T) {
+	s := bootstrapped(t, 0)
 	for i := range 6 {
 		apply(t, s, Command{Write: &Write{Base: Base{Any: true}, TTL: 1000, Members: []Endpoint{endpoint(fmt.Sprint("e", i), i/4)}}})
 	}
@@ -200,15 +200,15 @@
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, TTL: 1000, Members: []Endpoint{endpoint("e4", 1)}}})
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{with(endpoint("e5", 1), Draining)}}})
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, TTL: 1000, Members: []Endpoint{endpoint("e5", 1)}}})
-	if a, b := s.i.Entries["e4"], s.i.Entries["e5"]; a.Phase != Serving || a.Expired || b.Phase != Draining || b.TTL != 1000 {
+	if a, b := s.image.Entries["e4"], s.image.Entries["e5"]; a.Phase != Serving || a.Expired || b.Phase != Draining || b.TTL != 1000 {
 		t.Errorf("after new registrations: %+v, %+v", a, b)
 	}
 }
 
-func TestRecordsAreFenced(t *testing.T) {
-	s := founded(t, 0)
+func TestRecordsAreFencedByTokens(t *testing.T) {
+	s := bootstrapped(t, 0)
 	a := apply(t, s, Command{Acquire: &RecordOp{Name: "r", Holder: "a", TTL: 1000, Value: []byte("1"), SetValue: true}}).Token
-	refused(t, s, Command{Acquire: &RecordOp{Name: "r", Holder: "b", TTL: 1000}}, ErrNotHolder)
+	expectError(t, s, Command{Acquire: &RecordOp{Name: "r", Holder: "b", TTL: 1000}}, ErrNotHolder)
 	k := NewLeaseManager(0.5, 0, 0)
 	k.DueCommands(s, 0)
 	due, _ := k.DueCommands(s, time.Second)
@@ -223,7 +223,7 @@
 	if b <= a {
 		t.Errorf("token %d after %d", b, a)
 	}
-	refused(t, s, Command{Update: &RecordOp{Name: "r", Token: a, Value: []byte("late")}}, ErrNotHolder)
+	expectError(t, s, Command{Update: &RecordOp{Name: "r", Token: a, Value: []byte("late")}}, ErrNotHolder)
 	image := s.Image()
 	apply(t, s, Command{Update: &RecordOp{Name: "r", Token: b, Value: []byte("2")}})
 	apply(t, s, Command{At: 1, Restore: &image})
@@ -234,27 +234,27 @@
 	}
 }
 
-func TestRestoreBeginsANewHistory(t *testing.T) {
-	refused(t, New(), Command{Write: &Write{Base: Base{Any: true}}}, ErrNotBootstrapped)
-	s := founded(t, 2)
-	image, was := s.Image(), s.History()
+func TestRestoreStartsNewHistory(t *testing.T) {
+	expectError(t, New(), Command{Write: &Write{Base: Base{Any: true}}}, ErrNotBootstrapped)
+	s := bootstrapped(t, 2)
+	image, history := s.Image(), s.History()
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{with(endpoint("e0", 0), Deleted)}}})
 	apply(t, s, Command{At: 5, Restore: &image})
-	if s.History() <= was || s.Revision() != 1 || len(s.Entries()) != 2 {
-		t.Errorf("history %d after %d, revision %d", s.History(), was, s.Revision())
+	if s.History() <= history || s.Revision() != 1 || len(s.Entries()) != 2 {
+		t.Errorf("history %d after %d, revision %d", s.History(), history, s.Revision())
 	}
-	refused(t, s, Command{Write: &Write{Base: Base{History: was, Revision: 1}, Members: []Endpoint{endpoint("e1", 0)}}}, ErrConflict)
+	expectError(t, s, Command{Write: &Write{Base: Base{History: history, Revision: 1}, Members: []Endpoint{endpoint("e1", 0)}}}, ErrConflict)
 	image.Revision = 7
-	refused(t, s, Command{Restore: &image}, ErrInvalid)
+	expectError(t, s, Command{Restore: &image}, ErrInvalid)
 }
 
 // Whatever is written, replicas must agree, also across a snapshot, and a follower must end up with the list,
 // whether it applies every change or resumes at any revision.
-func TestEveryWayLeadsToTheSameList(t *testing.T) {
+func TestFollowersConvergeOnList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
 		follower := map[string]Endpoint{}
-		take := func(l List) {
+		follow := func(l List) {
 			if l.Complete {
 				clear(follower)
 			}
@@ -292,11 +292,11 @@
 				b = next
 			}
 			if rapid.Bool().Draw(t, "follows") {
-				take(a.ListSince(at))
+				follow(a.ListSince(at))
 				at = a.Revision()
 			}
 		}
-		take(a.ListSince(at))
+		follow(a.ListSince(at))
 		whole := map[string]Endpoint{}
 		for _, m := range a.FullList().Members {
 			whole[m.ID] = m
@@ -308,7 +308,7 @@
 }
 
 func TestHistoryIsBounded(t *testing.T) {
-	s := founded(t, 1)
+	s := bootstrapped(t, 1)
 	for i := range MaxChanges + 10 {
 		phase := Serving
 		if i%2 == 0 {
@@ -322,7 +322,7 @@
 	if l := s.ListSince(3); !l.Complete {
 		t.Error("a revision before the kept changes got a partial list")
 	}
-	refused(t, s, Command{Write: &Write{Base: Base{Revision: 3}, Members: []Endpoint{endpoint("x", 0)}}}, ErrConflict)
+	expectError(t, s, Command{Write: &Write{Base: Base{Revision: 3}, Members: []Endpoint{endpoint("x", 0)}}}, ErrConflict)
 	if l := s.ListSince(s.Revision() - 3); l.Complete || len(l.Members) != 1 {
 		t.Errorf("resumed: %+v", l)
 	}
--- a/fleet/catalog/keeper.go
+++ b/fleet/catalog/keeper.go
@@ -15,20 +15,20 @@
 	DrainTime       time.Duration // from the expiry of an endpoint's lease until its removal
 	ConfirmAfter    time.Duration // after which a held write is applied without confirmation; 0: never
 
-	renewed map[string]time.Duration // last renewal by endpoint, of those with a lease
-	changed map[string]int64         // entry revision by endpoint, at the last check
-	lapsed  map[string]time.Duration // when each endpoint was first seen as expired
-	held    map[string]heldSince     // last renewal by record
-	ending  map[string]time.Duration // when the expiry of an endpoint's lease was last proposed
-	waiting int64                    // number of the held write
-	since   time.Duration
+	renewed        map[string]time.Duration // last renewal by endpoint, of those with a lease
+	revisions      map[string]int64         // entry revision by endpoint, at the last check
+	expiredSince   map[string]time.Duration // when each endpoint was first seen as expired
+	recordRenewals map[string]recordRenewal // last renewal by record
+	expiryProposed map[string]time.Duration // when the expiry of an endpoint's lease was last proposed
+	heldNumber     int64                    // number of the held write
+	heldSince      time.Duration
 }
 
 // expiryInFlight bounds how long a proposed expiry may take to be applied. A renewal acknowledged during that
 // time would be lost, so it is refused.
-const endsWithin = 5 * time.Second
+const expiryInFlight = 5 * time.Second
 
-type heldSince struct {
+type recordRenewal struct {
 	token int64
 	at    time.Duration
 }
@@ -37,18 +37,18 @@
 func NewLeaseManager(share float64, drain, stand time.Duration) *LeaseManager {
 	return &LeaseManager{
 		MaxExpiredShare: share, DrainTime: drain, ConfirmAfter: stand,
-		renewed: map[string]time.Duration{}, changed: map[string]int64{}, lapsed: map[string]time.Duration{}, held: map[string]heldSince{}, ending: map[string]time.Duration{},
+		renewed: map[string]time.Duration{}, revisions: map[string]int64{}, expiredSince: map[string]time.Duration{}, recordRenewals: map[string]recordRenewal{}, expiryProposed: map[string]time.Duration{},
 	}
 }
 
 // Renew records a renewal. If the endpoint has no lease, or it has expired, Renew returns ErrNotFound and the
 // endpoint must register again.
 func (k *LeaseManager) Renew(s *State, id string, now time.Duration) error {
-	e, ok := s.i.Entries[id]
+	e, ok := s.image.Entries[id]
 	if !ok || e.TTL == 0 || e.Expired {
 		return fmt.Errorf("endpoint %.40q has no lease, register again: %w", id, ErrNotFound)
 	}
-	if at, asked := k.ending[id]; asked && now < at+endsWithin {
+	if at, asked := k.expiryProposed[id]; asked && now < at+expiryInFlight {
 		return fmt.Errorf("the lease of endpoint %.40q has expired, register again: %w", id, ErrNotFound)
 	}
 	k.renewed[id] = now
@@ -58,118 +58,118 @@
 // NoteRegistration starts the lease of an endpoint that has just registered.
 func (k *LeaseManager) NoteRegistration(id string, now time.Duration) {
 	k.renewed[id] = now
-	delete(k.ending, id)
+	delete(k.expiryProposed, id)
 }
 
 // RenewRecord records that the holder of a record is alive. It fails for a token that does not hold the
 // record.
 func (k *LeaseManager) RenewRecord(s *State, name string, token int64, now time.Duration) error {
-	r, err := s.owned(RecordOp{Name: name, Token: token})
+	r, err := s.heldRecord(RecordOp{Name: name, Token: token})
 	if err != nil {
 		return err
 	}
-	if h, ok := k.held[name]; ok && h.token == token && r.TTL > 0 && now >= h.at+time.Duration(r.TTL)*time.Millisecond {
+	if h, ok := k.recordRenewals[name]; ok && h.token == token && r.TTL > 0 && now >= h.at+time.Duration(r.TTL)*time.Millisecond {
 		return fmt.Errorf("the lease of record %q has expired: %w", name, ErrNotHolder) // its expiry may already be in the log
 	}
-	k.held[name] = heldSince{r.Token, now}
+	k.recordRenewals[name] = recordRenewal{r.Token, now}
 	return nil
 }
 
 // DueCommands returns the commands to propose now, and how long to wait before the next call. It returns a
 // command again until it has been applied.
 func (k *LeaseManager) DueCommands(s *State, now time.Duration) ([]Command, time.Duration) {
-	l := Expiry{MaxShare: k.MaxExpiredShare}
-	next := time.Hour
-	until := func(at time.Duration) bool {
+	expiry := Expiry{MaxShare: k.MaxExpiredShare}
+	wait := time.Hour
+	isDue := func(at time.Duration) bool {
 		if at <= now {
 			return true
 		}
-		next = min(next, at-now)
+		wait = min(wait, at-now)
 		return false
 	}
-	alive := map[int]bool{} // partners with an endpoint that still renews its lease
-	for id, e := range s.i.Entries {
+	renewing := map[int]bool{} // partners with an endpoint that still renews its lease
+	for id, e := range s.image.Entries {
 		if e.TTL == 0 {
 			continue
 		}
-		if _, ok := k.renewed[id]; !ok || k.changed[id] != e.Revision { // just registered
-			k.renewed[id], k.changed[id] = now, e.Revision
+		if _, ok := k.renewed[id]; !ok || k.revisions[id] != e.Revision { // just registered
+			k.renewed[id], k.revisions[id] = now, e.Revision
 		}
 		if e.Expired {
-			if _, ok := k.lapsed[id]; !ok {
-				k.lapsed[id] = now
+			if _, ok := k.expiredSince[id]; !ok {
+				k.expiredSince[id] = now
 			}
 			continue
 		}
-		delete(k.lapsed, id)
-		if until(k.renewed[id] + time.Duration(e.TTL)*time.Millisecond) {
-			l.Drain = append(l.Drain, id)
+		delete(k.expiredSince, id)
+		if isDue(k.renewed[id] + time.Duration(e.TTL)*time.Millisecond) {
+			expiry.Drain = append(expiry.Drain, id)
 		} else {
-			alive[e.Cell] = true
+			renewing[e.Cell] = true
 		}
 	}
 	for id := range k.renewed {
-		if _, ok := s.i.Entries[id]; !ok {
+		if _, ok := s.image.Entries[id]; !ok {
 			delete(k.renewed, id)
-			delete(k.changed, id)
-			delete(k.ending, id)
+			delete(k.revisions, id)
+			delete(k.expiryProposed, id)
 		}
 	}
-	for id, at := range k.lapsed {
-		e, ok := s.i.Entries[id]
+	for id, at := range k.expiredSince {
+		e, ok := s.image.Entries[id]
 		if !ok {
-			delete(k.lapsed, id)
+			delete(k.expiredSince, id)
 			continue
 		}
 		// If no endpoint of a partner renews, a common cause such as a broken network is more likely than
 		// that all are gone.
-		if until(at+k.DrainTime) && alive[e.Cell] {
-			l.Remove = append(l.Remove, id)
+		if isDue(at+k.DrainTime) && renewing[e.Cell] {
+			expiry.Remove = append(expiry.Remove, id)
 		}
 	}
-	for name, r := range s.i.Records {
+	for name, r := range s.image.Records {
 		if r.Holder == "" || r.TTL == 0 {
-			delete(k.held, name)
+			delete(k.recordRenewals, name)
 			continue
 		}
-		if h, ok := k.held[name]; !ok || h.token != r.Token {
-			k.held[name] = heldSince{r.Token, now}
+		if h, ok := k.recordRenewals[name]; !ok || h.token != r.Token {
+			k.recordRenewals[name] = recordRenewal{r.Token, now}
 		}
-		if until(k.held[name].at + time.Duration(r.TTL)*time.Millisecond) {
-			l.Records = append(l.Records, RecordOp{Name: name, Token: r.Token})
+		if isDue(k.recordRenewals[name].at + time.Duration(r.TTL)*time.Millisecond) {
+			expiry.Records = append(expiry.Records, RecordOp{Name: name, Token: r.Token})
 		}
 	}
-	var out []Command
-	slices.Sort(l.Drain)
-	slices.Sort(l.Remove)
-	if len(l.Drain)+len(l.Remove) > 0 {
-		next = min(next, time.Second)
+	var commands []Command
+	slices.Sort(expiry.Drain)
+	slices.Sort(expiry.Remove)
+	if len(expiry.Drain)+len(expiry.Remove) > 0 {
+		wait = min(wait, time.Second)
 	}
-	ends := s.lapses(l) // the others must wait because of the share
-	l.Drain, l.Remove = nil, nil
-	for _, e := range ends {
+	expired := s.expiredEndpoints(expiry) // the others must wait because of the share
+	expiry.Drain, expiry.Remove = nil, nil
+	for _, e := range expired {
 		if e.Phase == Deleted {
-			l.Remove = append(l.Remove, e.ID)
+			expiry.Remove = append(expiry.Remove, e.ID)
 		} else {
-			l.Drain = append(l.Drain, e.ID)
-			k.ending[e.ID] = now
+			expiry.Drain = append(expiry.Drain, e.ID)
+			k.expiryProposed[e.ID] = now
 		}
 	}
-	if len(l.Drain)+len(l.Remove)+len(l.Records) > 0 {
-		slices.SortFunc(l.Records, func(a, b RecordOp) int { return int(a.Token - b.Token) })
-		out = append(out, Command{By: "leader", Expire: &l})
-		next = min(next, time.Second)
+	if len(expiry.Drain)+len(expiry.Remove)+len(expiry.Records) > 0 {
+		slices.SortFunc(expiry.Records, func(a, b RecordOp) int { return int(a.Token - b.Token) })
+		commands = append(commands, Command{By: "leader", Expire: &expiry})
+		wait = min(wait, time.Second)
 	}
-	switch h := s.i.Held; {
-	case h == nil:
-		k.waiting = 0
-	case h.Number != k.waiting:
-		k.waiting, k.since = h.Number, now
+	switch held := s.image.Held; {
+	case held == nil:
+		k.heldNumber = 0
+	case held.Number != k.heldNumber:
+		k.heldNumber, k.heldSince = held.Number, now
 		fallthrough
 	default:
-		if k.ConfirmAfter > 0 && until(k.since+k.ConfirmAfter) {
-			out = append(out, Command{By: "leader", Confirm: &Confirm{Number: h.Number}})
+		if k.ConfirmAfter > 0 && isDue(k.heldSince+k.ConfirmAfter) {
+			commands = append(commands, Command{By: "leader", Confirm: &Confirm{Number: held.Number}})
 		}
 	}
-	return out, next
+	return commands, wait
 }
--- a/fleet/catalog/list.go
+++ b/fleet/catalog/list.go
@@ -30,7 +30,7 @@
 	MaxValueBytes       = 64 << 10    // bytes of a record's value
 	MaxTTLMS            = 86_400e3    // ms of a lease
 	MinTTLMS            = 100         // ms of a lease; leaves time for renewals
-	maxText             = 4 * 1 << 10 // bytes of a reason
+	maxReasonBytes      = 4 * 1 << 10 // bytes of a reason
 )
 
 // Endpoint is a listed endpoint in the format of the platform's discovery.
--- a/fleet/catalog/part.go
+++ b/fleet/catalog/part.go
@@ -15,17 +15,17 @@
 
 // partitionIndex finds endpoints by the partition of their partner. It is derived from the entries and not
 // part of an Image.
-type partIndex map[int]map[string]struct{}
+type partitionIndex map[int]map[string]struct{}
 
-func newPartIndex(entries map[string]Entry) partIndex {
-	x := partIndex{}
+func newPartitionIndex(entries map[string]Entry) partitionIndex {
+	index := partitionIndex{}
 	for id, e := range entries {
-		x.add(id, e.Cell)
+		index.add(id, e.Cell)
 	}
-	return x
+	return index
 }
 
-func (x partIndex) add(id string, cell int) {
+func (x partitionIndex) add(id string, cell int) {
 	p := ownership.PartitionOf(cell)
 	ids := x[p]
 	if ids == nil {
@@ -35,7 +35,7 @@
 	ids[id] = struct{}{}
 }
 
-func (x partIndex) remove(id string, cell int) {
+func (x partitionIndex) remove(id string, cell int) {
 	p := ownership.PartitionOf(cell)
 	if delete(x[p], id); len(x[p]) == 0 {
 		delete(x, p)
@@ -45,19 +45,19 @@
 // PartitionList returns the complete list of some partitions. Its cost grows with their size, not with the
 // whole list.
 func (s *State) PartitionList(set ownership.Set) List {
-	l := List{Revision: s.i.Revision, Complete: true, Members: make([]Endpoint, 0, s.partSize(set))}
+	l := List{Revision: s.image.Revision, Complete: true, Members: make([]Endpoint, 0, s.partitionSize(set))}
 	for p := range set.All() {
-		for id := range s.parts[p] {
-			l.Members = append(l.Members, s.i.Entries[id].Endpoint)
+		for id := range s.partitions[p] {
+			l.Members = append(l.Members, s.image.Entries[id].Endpoint)
 		}
 	}
 	slices.SortFunc(l.Members, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return l
 }
 
-func (s *State) partSize(set ownership.Set) (n int) {
+func (s *State) partitionSize(set ownership.Set) (n int) {
 	for p := range set.All() {
-		n += len(s.parts[p])
+		n += len(s.partitions[p])
 	}
 	return n
 }
@@ -68,18 +68,18 @@
 // not with the list.
 func (s *State) PartitionListSince(after int64, set ownership.Set) List {
 	changes, all := s.ChangesAfter(after)
-	if !all || after > s.i.Revision {
+	if !all || after > s.image.Revision {
 		return s.PartitionList(set)
 	}
-	held := s.partSize(set)
-	at := map[string]int{}
-	l := List{Revision: s.i.Revision, Members: []Endpoint{}}
-	tell := func(m Endpoint) {
-		if n, ok := at[m.ID]; ok {
+	size := s.partitionSize(set)
+	indexByID := map[string]int{}
+	l := List{Revision: s.image.Revision, Members: []Endpoint{}}
+	add := func(m Endpoint) {
+		if n, ok := indexByID[m.ID]; ok {
 			l.Members[n] = m
 			return
 		}
-		at[m.ID] = len(l.Members)
+		indexByID[m.ID] = len(l.Members)
 		l.Members = append(l.Members, m)
 	}
 	for _, c := range changes {
@@ -88,15 +88,15 @@
 		}
 		for _, m := range c.Members {
 			if set.Has(ownership.PartitionOf(m.Cell)) {
-				tell(m)
+				add(m)
 			}
 		}
 		for _, m := range c.Moved {
 			if set.Has(ownership.PartitionOf(m.Cell)) && !set.Has(ownership.PartitionOf(m.ToCell)) {
-				tell(m.Endpoint)
+				add(m.Endpoint)
 			}
 		}
-		if len(l.Members) > held+100 { // the complete list is shorter
+		if len(l.Members) > size+100 { // the complete list is shorter
 			return s.PartitionList(set)
 		}
 	}
@@ -116,28 +116,28 @@
 	if c.Moved == nil {
 		return nil, false
 	}
-	var out []PartitionChange
-	at := map[[2]int]int{}
-	tell := func(m Endpoint, unless int) {
-		key := [2]int{ownership.PartitionOf(m.Cell), unless}
-		n, ok := at[key]
+	var parts []PartitionChange
+	indexByKey := map[[2]int]int{}
+	add := func(m Endpoint, unlessFollowing int) {
+		key := [2]int{ownership.PartitionOf(m.Cell), unlessFollowing}
+		n, ok := indexByKey[key]
 		if !ok {
-			n = len(out)
-			at[key] = n
-			out = append(out, PartitionChange{Partition: key[0], UnlessFollowing: unless})
+			n = len(parts)
+			indexByKey[key] = n
+			parts = append(parts, PartitionChange{Partition: key[0], UnlessFollowing: unlessFollowing})
 		}
-		out[n].Members = append(out[n].Members, m)
+		parts[n].Members = append(parts[n].Members, m)
 	}
 	for _, m := range c.Members {
-		tell(m, -1)
+		add(m, -1)
 	}
 	for _, m := range c.Moved {
 		if to := ownership.PartitionOf(m.ToCell); to != ownership.PartitionOf(m.Cell) {
-			tell(m.Endpoint, to)
+			add(m.Endpoint, to)
 		}
 	}
-	slices.SortFunc(out, func(a, b PartitionChange) int {
+	slices.SortFunc(parts, func(a, b PartitionChange) int {
 		return cmp.Or(cmp.Compare(a.Partition, b.Partition), cmp.Compare(a.UnlessFollowing, b.UnlessFollowing))
 	})
-	return out, true
+	return parts, true
 }
--- a/fleet/catalog/part_test.go
+++ b/fleet/catalog/part_test.go
@@ -14,35 +14,35 @@
 	"starlingusher/fleet/ownership"
 )
 
-func setOf(cells ...int) (s ownership.Set) {
+func setOf(cells ...int) (set ownership.Set) {
 	for _, c := range cells {
-		s.Add(ownership.PartitionOf(c))
+		set.Add(ownership.PartitionOf(c))
 	}
-	return s
+	return set
 }
 
 // partitionFollower holds what it has received of some partitions.
-type partFollower struct {
-	set  ownership.Set
-	at   int64
-	have map[string]Endpoint
+type partitionFollower struct {
+	set       ownership.Set
+	revision  int64
+	endpoints map[string]Endpoint
 }
 
-func (f *partFollower) take(l List) {
+func (f *partitionFollower) apply(l List) {
 	if l.Complete {
-		clear(f.have)
+		clear(f.endpoints)
 	}
 	for _, m := range l.Members {
-		if f.have[m.ID] = m; m.Phase == Deleted {
-			delete(f.have, m.ID)
+		if f.endpoints[m.ID] = m; m.Phase == Deleted {
+			delete(f.endpoints, m.ID)
 		}
 	}
-	f.at = l.Revision
+	f.revision = l.Revision
 }
 
 // update returns a change as a watch of the partitions receives it, or nil. The order of its members must not
 // matter.
-func (f *partFollower) line(c Change) *List {
+func (f *partitionFollower) update(c Change) *List {
 	parts, known := c.ByPartition()
 	if !known {
 		return nil
@@ -60,15 +60,15 @@
 }
 
 // check compares the follower with a scan of the whole list.
-func (f *partFollower) check(s *State) error {
+func (f *partitionFollower) check(s *State) error {
 	want := map[string]Endpoint{}
 	for _, m := range s.FullList().Members {
 		if f.set.Has(ownership.PartitionOf(m.Cell)) {
 			want[m.ID] = m
 		}
 	}
-	if !maps.Equal(want, f.have) {
-		return fmt.Errorf("at revision %d the partitions %v contain %v, the follower has %v", s.Revision(), f.set, want, f.have)
+	if !maps.Equal(want, f.endpoints) {
+		return fmt.Errorf("at revision %d the partitions %v contain %v, the follower has %v", s.Revision(), f.set, want, f.endpoints)
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 }
 
 // reload passes a state through an encoded snapshot; without moves as an older build writes it.
-func reload(t fatal, s *State, notes bool) *State {
+func reload(t failer, s *State, moves bool) *State {
 	raw, err := cbor.Marshal(s.Image())
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -96,7 +96,7 @@
 	if err := cbor.Unmarshal(raw, &i); err != nil {
 		t.Fatalf("%v", err)
 	}
-	if !notes {
+	if !moves {
 		for n := range i.Changes {
 			i.Changes[n].Moved = nil
 		}
@@ -110,18 +110,18 @@
 
 // A follower of some partitions must have exactly what a scan of the whole list finds in them, whether it
 // applies each change or resumes at any revision, before and after a snapshot.
-func TestEveryWayLeadsToTheSamePart(t *testing.T) {
+func TestFollowersConvergeOnPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		apply(t, s, Command{At: 1, Bootstrap: &Bootstrap{}})
 		set := setOf(rapid.SliceOfN(rapid.IntRange(0, 5), 1, 4).Draw(t, "set")...)
-		live := &partFollower{set: set, have: map[string]Endpoint{}}
-		slow := &partFollower{set: set, have: map[string]Endpoint{}}
-		type past struct {
+		live := &partitionFollower{set: set, endpoints: map[string]Endpoint{}}
+		slow := &partitionFollower{set: set, endpoints: map[string]Endpoint{}}
+		type resumePoint struct {
 			at   int64
 			have map[string]Endpoint
 		}
-		var pasts []past
+		var resumePoints []resumePoint
 		for range rapid.IntRange(1, 40).Draw(t, "writes") {
 			before := s.Revision()
 			switch rapid.IntRange(0, 9).Draw(t, "command") {
@@ -137,8 +137,8 @@
 			}
 			changes, _ := s.ChangesAfter(before)
 			for _, c := range changes {
-				if l := live.line(c); l != nil {
-					live.take(*l)
+				if l := live.update(c); l != nil {
+					live.apply(*l)
 				}
 			}
 			if rapid.IntRange(0, 4).Draw(t, "snapshot") == 0 {
@@ -148,38 +148,38 @@
 				t.Fatal(err)
 			}
 			if rapid.Bool().Draw(t, "resumes") {
-				slow.take(s.PartitionListSince(slow.at, set))
+				slow.apply(s.PartitionListSince(slow.revision, set))
 				if err := slow.check(s); err != nil {
 					t.Fatalf("resumed: %v", err)
 				}
 			}
-			pasts = append(pasts, past{s.Revision(), maps.Clone(live.have)})
+			resumePoints = append(resumePoints, resumePoint{s.Revision(), maps.Clone(live.endpoints)})
 		}
-		for _, p := range pasts {
-			f := &partFollower{set, p.at, p.have}
-			f.take(s.PartitionListSince(p.at, set))
+		for _, p := range resumePoints {
+			f := &partitionFollower{set, p.at, p.have}
+			f.apply(s.PartitionListSince(p.at, set))
 			if err := f.check(s); err != nil {
 				t.Fatalf("resumed from revision %d: %v", p.at, err)
 			}
 		}
-		whole := &partFollower{set: set, have: map[string]Endpoint{}}
-		whole.take(s.PartitionList(set))
+		whole := &partitionFollower{set: set, endpoints: map[string]Endpoint{}}
+		whole.apply(s.PartitionList(set))
 		if err := whole.check(s); err != nil {
 			t.Fatal(err)
 		}
-		if want := newPartIndex(s.i.Entries); !reflect.DeepEqual(want, s.parts) {
-			t.Fatalf("the index is %v, rebuilt it is %v", s.parts, want)
+		if want := newPartitionIndex(s.image.Entries); !reflect.DeepEqual(want, s.partitions) {
+			t.Fatalf("the index is %v, rebuilt it is %v", s.partitions, want)
 		}
 	})
 }
 
 // The check must notice any single change that the follower does not receive.
-func TestAChangeLeftOutIsFound(t *testing.T) {
+func TestCheckNoticesMissingChange(t *testing.T) {
 	found := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		apply(t, s, Command{At: 1, Bootstrap: &Bootstrap{}})
-		f := &partFollower{set: setOf(0, 1, 2), have: map[string]Endpoint{}}
+		f := &partitionFollower{set: setOf(0, 1, 2), endpoints: map[string]Endpoint{}}
 		skip := rapid.IntRange(0, 5).Draw(t, "left out") // counts updates that change something for the follower
 		for range 40 {
 			before := s.Revision()
@@ -187,16 +187,16 @@
 			s.Apply(Command{Write: &w})
 			changes, _ := s.ChangesAfter(before)
 			for _, c := range changes {
-				l := f.line(c)
+				l := f.update(c)
 				if l == nil {
 					continue
 				}
-				was := maps.Clone(f.have)
-				if f.take(*l); maps.Equal(was, f.have) {
+				was := maps.Clone(f.endpoints)
+				if f.apply(*l); maps.Equal(was, f.endpoints) {
 					continue
 				}
 				if skip--; skip < 0 {
-					if f.have = was; f.check(s) == nil {
+					if f.endpoints = was; f.check(s) == nil {
 						t.Fatalf("the check did not notice that change %+v was left out", c)
 					}
 					found++
@@ -212,8 +212,8 @@
 
 // An endpoint that moves to another partner must be deleted for followers of the former partner only, also if
 // they resume later.
-func TestMovedEndpointIsGoneWhereItWas(t *testing.T) {
-	s := founded(t, 1) // e0 of partner 0
+func TestMovedEndpointIsDeletedFromFormerPartition(t *testing.T) {
+	s := bootstrapped(t, 1) // e0 of partner 0
 	at := s.Revision()
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("e0", 1)}}})
 	gone := with(endpoint("e0", 0), Deleted)
@@ -261,15 +261,15 @@
 // A replica of an older build, which ignores the newer fields of commands and snapshots, must have the same
 // state. (An older build loses a held write when it restarts, see TestSnapshotKeepsHeldWrite; that does not
 // occur here.)
-func TestOlderBuildBesideHasTheSameState(t *testing.T) {
+func TestOlderBuildHasSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
 		both := func(c Command) {
 			older := c
 			if c.Restore != nil { // each replica reads its own from the log
-				x, y := reload(t, a, true).i, reload(t, a, false).i
+				x, y := reload(t, a, true).image, reload(t, a, false).image
 				if rapid.Bool().Draw(t, "older") {
-					x, y = reload(t, b, false).i, reload(t, b, false).i
+					x, y = reload(t, b, false).image, reload(t, b, false).image
 				}
 				c.Restore, older.Restore = &x, &y
 			}
@@ -312,17 +312,17 @@
 	})
 }
 
-func TestWriteCarriesTheListsBound(t *testing.T) {
-	s := founded(t, 3)
-	more := func(most int64, ids ...string) Write {
-		w := Write{Base: Base{Any: true}, MaxEndpoints: most}
+func TestWriteCarriesListBound(t *testing.T) {
+	s := bootstrapped(t, 3)
+	more := func(bound int64, ids ...string) Write {
+		w := Write{Base: Base{Any: true}, MaxEndpoints: bound}
 		for _, id := range ids {
 			w.Members = append(w.Members, endpoint(id, 0))
 		}
 		return w
 	}
 	over := more(4, "e0", "e1", "e2", "x", "y")
-	refused(t, s, Command{Write: &over}, ErrFull)
+	expectError(t, s, Command{Write: &over}, ErrFull)
 	if err := s.CheckCapacity(over); !errors.Is(err, ErrFull) {
 		t.Errorf("a write beyond the bound fits: %v", err)
 	}
@@ -331,8 +331,8 @@
 		t.Error(err)
 	}
 	apply(t, s, Command{Write: &at})
-	less := Write{Base: Base{Any: true}, MaxEndpoints: 1, Members: []Endpoint{with(endpoint("x", 0), Draining), with(endpoint("e0", 0), Deleted)}}
-	apply(t, s, Command{Write: &less}) // a list above a lowered bound can still shrink
+	lowered := Write{Base: Base{Any: true}, MaxEndpoints: 1, Members: []Endpoint{with(endpoint("x", 0), Draining), with(endpoint("e0", 0), Deleted)}}
+	apply(t, s, Command{Write: &lowered}) // a list above a lowered bound can still shrink
 
 	// Without a bound in the write, the one of older builds applies, so that an older log yields the same
 	// state.
@@ -342,7 +342,7 @@
 	}
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: all}})
 	one := Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("last", 0)}}
-	refused(t, s, Command{Write: &one}, ErrFull)
+	expectError(t, s, Command{Write: &one}, ErrFull)
 	one.MaxEndpoints = DefaultMaxEndpoints + 1
 	apply(t, s, Command{Write: &one})
 	if _, err := Load(s.Image()); err != nil {
--- a/fleet/catalog/state.go
+++ b/fleet/catalog/state.go
@@ -170,108 +170,108 @@
 
 // State is the replicated state machine. It is not safe for concurrent use.
 type State struct {
-	i        Image
-	mentions int // endpoints over all kept changes
-	parts    partIndex
+	image            Image
+	changedEndpoints int // endpoints over all kept changes
+	partitions       partitionIndex
 }
 
 // New returns the state before the first command.
 func New() *State {
-	return &State{i: Image{Entries: map[string]Entry{}, Records: map[string]Record{}, Replicas: map[string]Replica{}}, parts: partIndex{}}
+	return &State{image: Image{Entries: map[string]Entry{}, Records: map[string]Record{}, Replicas: map[string]Replica{}}, partitions: partitionIndex{}}
 }
 
 // Load builds a state from an image and takes ownership of it. It rejects an image that no State can have
 // produced.
-func Load(i Image) (*State, error) {
-	if i.Revision < 0 || i.CompactedRevision < 0 || i.CompactedRevision > i.Revision || int64(len(i.Changes)) != i.Revision-i.CompactedRevision || len(i.Entries) > MaxEndpoints ||
-		len(i.Changes) > MaxChanges || len(i.Records) > MaxRecords || i.History < 0 || i.LastToken < 0 {
+func Load(image Image) (*State, error) {
+	if image.Revision < 0 || image.CompactedRevision < 0 || image.CompactedRevision > image.Revision || int64(len(image.Changes)) != image.Revision-image.CompactedRevision || len(image.Entries) > MaxEndpoints ||
+		len(image.Changes) > MaxChanges || len(image.Records) > MaxRecords || image.History < 0 || image.LastToken < 0 {
 		return nil, fmt.Errorf("%w: the counts and revisions of the image are inconsistent", ErrInvalid)
 	}
-	s := &State{i: i}
-	if s.i.Entries == nil {
-		s.i.Entries = map[string]Entry{}
+	s := &State{image: image}
+	if s.image.Entries == nil {
+		s.image.Entries = map[string]Entry{}
 	}
-	if s.i.Records == nil {
-		s.i.Records = map[string]Record{}
+	if s.image.Records == nil {
+		s.image.Records = map[string]Record{}
 	}
-	if s.i.Replicas == nil {
-		s.i.Replicas = map[string]Replica{}
+	if s.image.Replicas == nil {
+		s.image.Replicas = map[string]Replica{}
 	}
-	for n, c := range i.Changes {
-		if c.Revision != i.CompactedRevision+int64(n)+1 {
-			return nil, fmt.Errorf("%w: found change %d in place of change %d", ErrInvalid, c.Revision, i.CompactedRevision+int64(n)+1)
+	for index, c := range image.Changes {
+		if c.Revision != image.CompactedRevision+int64(index)+1 {
+			return nil, fmt.Errorf("%w: found change %d in place of change %d", ErrInvalid, c.Revision, image.CompactedRevision+int64(index)+1)
 		}
-		s.mentions += len(c.Members)
+		s.changedEndpoints += len(c.Members)
 	}
-	for id, e := range i.Entries {
-		if err := e.Validate(); err != nil || e.ID != id || e.Phase == Deleted || e.Revision > i.Revision {
+	for id, e := range image.Entries {
+		if err := e.Validate(); err != nil || e.ID != id || e.Phase == Deleted || e.Revision > image.Revision {
 			return nil, fmt.Errorf("%w: endpoint %.40q", ErrInvalid, id)
 		}
 	}
-	for name, r := range i.Records {
-		if r.Name != name || r.Token > i.LastToken || len(r.Value) > MaxValueBytes {
+	for name, r := range image.Records {
+		if r.Name != name || r.Token > image.LastToken || len(r.Value) > MaxValueBytes {
 			return nil, fmt.Errorf("%w: record %.40q", ErrInvalid, name)
 		}
 	}
-	s.parts = newPartIndex(s.i.Entries)
+	s.partitions = newPartitionIndex(s.image.Entries)
 	return s, nil
 }
 
 // Image copies the state. The members of changes and the values of records are shared; they are never
 // modified.
 func (s *State) Image() Image {
-	i := s.i
-	i.Entries, i.Records, i.Replicas = maps.Clone(i.Entries), maps.Clone(i.Records), maps.Clone(i.Replicas)
-	i.Changes = slices.Clone(i.Changes)
-	if i.Held != nil {
-		h := *i.Held
-		i.Held = &h
+	image := s.image
+	image.Entries, image.Records, image.Replicas = maps.Clone(image.Entries), maps.Clone(image.Records), maps.Clone(image.Replicas)
+	image.Changes = slices.Clone(image.Changes)
+	if image.Held != nil {
+		h := *image.Held
+		image.Held = &h
 	}
-	return i
+	return image
 }
 
 // History returns the number of the current history. Within one history revisions only increase.
-func (s *State) History() int64 { return s.i.History }
+func (s *State) History() int64 { return s.image.History }
 
 // Revision returns the revision of the list, 0 before the first write.
-func (s *State) Revision() int64 { return s.i.Revision }
+func (s *State) Revision() int64 { return s.image.Revision }
 
 // Held returns the write that waits for confirmation, or nil.
-func (s *State) Held() *HeldWrite { return s.i.Held }
+func (s *State) Held() *HeldWrite { return s.image.Held }
 
 // Replicas returns the replicas that may join the service.
-func (s *State) Replicas() map[string]Replica { return s.i.Replicas }
+func (s *State) Replicas() map[string]Replica { return s.image.Replicas }
 
 // SourceSilentSince returns since when the source of the list has been silent, in Unix ms, or 0.
-func (s *State) SourceSilentSince() int64 { return s.i.SourceSilentSince }
+func (s *State) SourceSilentSince() int64 { return s.image.SourceSilentSince }
 
 func (s *State) Record(name string) (Record, bool) {
-	r, ok := s.i.Records[name]
+	r, ok := s.image.Records[name]
 	return r, ok
 }
 
 // Records returns all records, sorted by name.
 func (s *State) Records() []Record {
-	return slices.SortedFunc(maps.Values(s.i.Records), func(a, b Record) int { return cmp.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(s.image.Records), func(a, b Record) int { return cmp.Compare(a.Name, b.Name) })
 }
 
 // Entry returns the endpoint with an ID.
 func (s *State) Entry(id string) (Entry, bool) {
-	e, ok := s.i.Entries[id]
+	e, ok := s.image.Entries[id]
 	return e, ok
 }
 
 // Size returns the number of listed endpoints.
-func (s *State) Size() int { return len(s.i.Entries) }
+func (s *State) Size() int { return len(s.image.Entries) }
 
 // Entries returns the listed endpoints, sorted by ID.
 func (s *State) Entries() []Entry {
-	return slices.SortedFunc(maps.Values(s.i.Entries), func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+	return slices.SortedFunc(maps.Values(s.image.Entries), func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // FullList returns the complete list.
 func (s *State) FullList() List {
-	l := List{Revision: s.i.Revision, Complete: true, Members: make([]Endpoint, 0, len(s.i.Entries))}
+	l := List{Revision: s.image.Revision, Complete: true, Members: make([]Endpoint, 0, len(s.image.Entries))}
 	for _, e := range s.Entries() {
 		l.Members = append(l.Members, e.Endpoint)
 	}
@@ -281,31 +281,31 @@
 // ChangesAfter returns the kept changes after a revision, and whether none of them has been discarded. The
 // caller must not modify them.
 func (s *State) ChangesAfter(after int64) ([]Change, bool) {
-	if after < s.i.CompactedRevision {
-		return s.i.Changes, false
+	if after < s.image.CompactedRevision {
+		return s.image.Changes, false
 	}
-	return s.i.Changes[min(after-s.i.CompactedRevision, int64(len(s.i.Changes))):], true
+	return s.image.Changes[min(after-s.image.CompactedRevision, int64(len(s.image.Changes))):], true
 }
 
 // ListSince returns what changed after a revision, each endpoint once, or the complete list if those changes
 // are unknown or no longer kept.
 func (s *State) ListSince(after int64) List {
 	changes, all := s.ChangesAfter(after)
-	if !all || after > s.i.Revision {
+	if !all || after > s.image.Revision {
 		return s.FullList()
 	}
-	at := map[string]int{}
-	l := List{Revision: s.i.Revision, Members: []Endpoint{}}
+	indexByID := map[string]int{}
+	l := List{Revision: s.image.Revision, Members: []Endpoint{}}
 	for _, c := range changes {
 		for _, m := range c.Members {
-			if n, ok := at[m.ID]; ok {
+			if n, ok := indexByID[m.ID]; ok {
 				l.Members[n] = m
 				continue
 			}
-			at[m.ID] = len(l.Members)
+			indexByID[m.ID] = len(l.Members)
 			l.Members = append(l.Members, m)
 		}
-		if len(l.Members) > len(s.i.Entries)+100 { // the complete list is shorter
+		if len(l.Members) > len(s.image.Entries)+100 { // the complete list is shorter
 			return s.FullList()
 		}
 	}
@@ -316,16 +316,16 @@
 func (s *State) Apply(c Command) Result {
 	var r Result
 	switch {
-	case s.i.History == 0 && c.Bootstrap == nil && c.Restore == nil:
+	case s.image.History == 0 && c.Bootstrap == nil && c.Restore == nil:
 		r.Err = ErrNotBootstrapped
 	case c.Bootstrap != nil:
-		r.Err = s.found(*c.Bootstrap, c.At)
+		r.Err = s.bootstrap(*c.Bootstrap, c.At)
 	case c.Write != nil:
 		r.Held, r.Err = s.write(*c.Write, c)
 	case c.Confirm != nil:
 		r.Err = s.confirm(*c.Confirm, c)
 	case c.Expire != nil:
-		s.lapse(*c.Expire, c)
+		s.expire(*c.Expire, c)
 	case c.Acquire != nil:
 		r.Token, r.Err = s.acquire(*c.Acquire)
 	case c.Update != nil:
@@ -335,49 +335,49 @@
 	case c.Restore != nil:
 		r.Err = s.restore(*c.Restore, c.At)
 	case c.AddReplica != nil:
-		s.i.Replicas[c.AddReplica.ID] = *c.AddReplica
+		s.image.Replicas[c.AddReplica.ID] = *c.AddReplica
 	case c.RemoveReplica != nil:
-		if _, ok := s.i.Replicas[c.RemoveReplica.ID]; !ok {
+		if _, ok := s.image.Replicas[c.RemoveReplica.ID]; !ok {
 			r.Err = fmt.Errorf("replica %q: %w", c.RemoveReplica.ID, ErrNotFound)
 		}
-		delete(s.i.Replicas, c.RemoveReplica.ID)
+		delete(s.image.Replicas, c.RemoveReplica.ID)
 	case c.SourceStatus != nil:
-		if s.i.SourceSilentSince = 0; c.SourceStatus.Silent {
-			s.i.SourceSilentSince = max(c.At, 1)
+		if s.image.SourceSilentSince = 0; c.SourceStatus.Silent {
+			s.image.SourceSilentSince = max(c.At, 1)
 		}
 	default:
 		r.Err = fmt.Errorf("%w: empty command", ErrInvalid)
 	}
-	r.Revision = s.i.Revision
+	r.Revision = s.image.Revision
 	return r
 }
 
-func (s *State) found(f Bootstrap, at int64) error {
-	if s.i.History != 0 {
+func (s *State) bootstrap(bootstrap Bootstrap, atMS int64) error {
+	if s.image.History != 0 {
 		return fmt.Errorf("%w: the service is already bootstrapped", ErrConflict)
 	}
-	s.i.History = max(at, 1)
-	s.i.LastToken = s.i.History // fencing tokens never repeat, even after a restore or a loss of data
-	for _, r := range f.Replicas {
-		s.i.Replicas[r.ID] = r
+	s.image.History = max(atMS, 1)
+	s.image.LastToken = s.image.History // fencing tokens never repeat, even after a restore or a loss of data
+	for _, r := range bootstrap.Replicas {
+		s.image.Replicas[r.ID] = r
 	}
 	return nil
 }
 
 // restore adopts the list and records of a backup. It keeps the replicas, and never reuses a history number
 // or a fencing token.
-func (s *State) restore(i Image, at int64) error {
-	was := s.i
-	next, err := Load(i)
+func (s *State) restore(image Image, atMS int64) error {
+	previous := s.image
+	next, err := Load(image)
 	if err != nil {
 		return err
 	}
 	*s = *next
-	s.i.History = max(at, was.History+1, i.History+1)
-	s.i.LastToken = max(s.i.History, was.LastToken, i.LastToken)
-	s.i.Replicas, s.i.Held = was.Replicas, nil
-	if s.i.Replicas == nil {
-		s.i.Replicas = map[string]Replica{}
+	s.image.History = max(atMS, previous.History+1, image.History+1)
+	s.image.LastToken = max(s.image.History, previous.LastToken, image.LastToken)
+	s.image.Replicas, s.image.Held = previous.Replicas, nil
+	if s.image.Replicas == nil {
+		s.image.Replicas = map[string]Replica{}
 	}
 	return nil
 }
@@ -388,15 +388,15 @@
 	if w.Base.Any {
 		return nil
 	}
-	if w.Base.History != 0 && w.Base.History != s.i.History {
+	if w.Base.History != 0 && w.Base.History != s.image.History {
 		return fmt.Errorf("%w: the list was restored from a backup", ErrConflict)
 	}
-	if w.Base.Revision > s.i.Revision {
-		return fmt.Errorf("%w: base revision %d is ahead of the list's revision %d", ErrConflict, w.Base.Revision, s.i.Revision)
+	if w.Base.Revision > s.image.Revision {
+		return fmt.Errorf("%w: base revision %d is ahead of the list's revision %d", ErrConflict, w.Base.Revision, s.image.Revision)
 	}
 	changes, all := s.ChangesAfter(w.Base.Revision)
 	if w.Replace && len(changes) > 0 {
-		return fmt.Errorf("%w: the current revision is %d", ErrConflict, s.i.Revision)
+		return fmt.Errorf("%w: the current revision is %d", ErrConflict, s.image.Revision)
 	}
 	if !all {
 		return fmt.Errorf("%w: base revision %d is older than the kept changes; read the list again", ErrConflict, w.Base.Revision)
@@ -429,48 +429,48 @@
 	if w.TTL != 0 && (w.TTL < MinTTLMS || w.TTL > MaxTTLMS) {
 		return 0, fmt.Errorf("%w: the TTL of a lease must be %d to %d ms", ErrInvalid, int64(MinTTLMS), int64(MaxTTLMS))
 	}
-	if len(w.Reason) > maxText {
-		return 0, fmt.Errorf("%w: the reason exceeds %d bytes", ErrInvalid, maxText)
+	if len(w.Reason) > maxReasonBytes {
+		return 0, fmt.Errorf("%w: the reason exceeds %d bytes", ErrInvalid, maxReasonBytes)
 	}
 	if err := s.checkBase(w); err != nil {
 		return 0, err
 	}
-	changed := s.changed(w)
+	changed := s.effectiveChanges(w)
 	if !w.Confirmed && w.GuardShare > 0 {
-		if gone, of := s.loss(changed); of > 0 && (gone == of || float64(gone) > w.GuardShare*float64(of)) {
-			if h := s.i.Held; h != nil && sameMembers(h.Write, w) { // the same write, held since the first attempt
-				return h.Number, fmt.Errorf("%d of %d serving endpoints would go: %w", gone, of, ErrHeld)
+		if removed, total := s.servingLoss(changed); total > 0 && (removed == total || float64(removed) > w.GuardShare*float64(total)) {
+			if held := s.image.Held; held != nil && sameMembers(held.Write, w) { // the same write, held since the first attempt
+				return held.Number, fmt.Errorf("%d of %d serving endpoints would go: %w", removed, total, ErrHeld)
 			}
-			s.i.LastHeldNumber++
-			s.i.Held = &HeldWrite{Number: s.i.LastHeldNumber, At: c.At, By: c.By, Removed: gone, ServingTotal: of, Write: w}
-			return s.i.LastHeldNumber, fmt.Errorf("%d of %d serving endpoints would go: %w", gone, of, ErrHeld)
+			s.image.LastHeldNumber++
+			s.image.Held = &HeldWrite{Number: s.image.LastHeldNumber, At: c.At, By: c.By, Removed: removed, ServingTotal: total, Write: w}
+			return s.image.LastHeldNumber, fmt.Errorf("%d of %d serving endpoints would go: %w", removed, total, ErrHeld)
 		}
 	}
 	if w.Replace { // a newer complete list supersedes the held write
-		s.i.Held = nil
+		s.image.Held = nil
 	}
 	return 0, s.commit(changed, w, c)
 }
 
 // CheckCapacity returns ErrFull if the list has no room for a write, by the same rule as Apply.
 func (s *State) CheckCapacity(w Write) error {
-	fresh := 0
+	added := 0
 	for _, m := range w.Members {
-		if _, listed := s.i.Entries[m.ID]; !listed && m.Phase != Deleted {
-			fresh++
+		if _, listed := s.image.Entries[m.ID]; !listed && m.Phase != Deleted {
+			added++
 		}
 	}
-	return s.room(fresh, w.MaxEndpoints)
+	return s.checkCount(added, w.MaxEndpoints)
 }
 
 // checkCount checks whether the list has room for more endpoints. It counts those of a complete list on top
 // of the ones that the list replaces: builds must not differ in what they accept, and older ones count so.
-func (s *State) room(fresh int, most int64) error {
-	if most <= 0 {
-		most = DefaultMaxEndpoints
+func (s *State) checkCount(added int, limit int64) error {
+	if limit <= 0 {
+		limit = DefaultMaxEndpoints
 	}
-	if most = min(most, MaxEndpoints); fresh > 0 && int64(len(s.i.Entries)+fresh) > most {
-		return fmt.Errorf("%w: the list is limited to %d endpoints", ErrFull, most)
+	if limit = min(limit, MaxEndpoints); added > 0 && int64(len(s.image.Entries)+added) > limit {
+		return fmt.Errorf("%w: the list is limited to %d endpoints", ErrFull, limit)
 	}
 	return nil
 }
@@ -483,14 +483,14 @@
 
 // rebase updates a held write for later changes, so that confirming it does not undo them: a complete list
 // adopts them, a partial write drops its own changes to the same endpoints.
-func (h *HeldWrite) outlast(changed []Endpoint) {
-	at := make(map[string]Endpoint, len(changed))
+func (h *HeldWrite) rebase(changed []Endpoint) {
+	byID := make(map[string]Endpoint, len(changed))
 	for _, m := range changed {
-		at[m.ID] = m
+		byID[m.ID] = m
 	}
 	members := slices.DeleteFunc(slices.Clone(h.Write.Members), func(m Endpoint) bool {
-		_, is := at[m.ID]
-		return is
+		_, found := byID[m.ID]
+		return found
 	})
 	if h.Write.Replace {
 		for _, m := range changed {
@@ -503,17 +503,17 @@
 }
 
 // effectiveChanges returns the endpoints that a write changes, sorted by ID.
-func (s *State) changed(w Write) []Endpoint {
+func (s *State) effectiveChanges(w Write) []Endpoint {
 	var out []Endpoint
 	named := make(map[string]bool, len(w.Members))
 	for _, m := range w.Members {
 		named[m.ID] = true
-		old, listed := s.i.Entries[m.ID]
+		old, listed := s.image.Entries[m.ID]
 		if m.Phase == Deleted {
 			if listed {
-				gone := old.Endpoint
-				gone.Phase = Deleted
-				out = append(out, gone)
+				removed := old.Endpoint
+				removed.Phase = Deleted
+				out = append(out, removed)
 			}
 			continue
 		}
@@ -525,11 +525,11 @@
 		}
 	}
 	if w.Replace {
-		for id, e := range s.i.Entries {
+		for id, e := range s.image.Entries {
 			if !named[id] {
-				gone := e.Endpoint
-				gone.Phase = Deleted
-				out = append(out, gone)
+				removed := e.Endpoint
+				removed.Phase = Deleted
+				out = append(out, removed)
 			}
 		}
 	}
@@ -538,18 +538,18 @@
 }
 
 // servingLoss counts the serving endpoints that a change removes, out of all that serve.
-func (s *State) loss(changed []Endpoint) (gone, of int) {
-	for _, e := range s.i.Entries {
+func (s *State) servingLoss(changed []Endpoint) (removed, total int) {
+	for _, e := range s.image.Entries {
 		if e.Phase == Serving {
-			of++
+			total++
 		}
 	}
 	for _, m := range changed {
-		if s.i.Entries[m.ID].Phase == Serving && m.Phase != Serving {
-			gone++
+		if s.image.Entries[m.ID].Phase == Serving && m.Phase != Serving {
+			removed++
 		}
 	}
-	return gone, of
+	return removed, total
 }
 
 // commit records a change as a new revision, unless it is empty.
@@ -557,16 +557,16 @@
 	if len(changed) == 0 {
 		return nil
 	}
-	fresh := 0
+	added := 0
 	for _, m := range changed {
-		if _, listed := s.i.Entries[m.ID]; !listed {
-			fresh++
+		if _, listed := s.image.Entries[m.ID]; !listed {
+			added++
 		}
 	}
-	if err := s.room(fresh, w.MaxEndpoints); err != nil {
+	if err := s.checkCount(added, w.MaxEndpoints); err != nil {
 		return err
 	}
-	s.turn(changed, c, w.Reason, func(e *Entry) {
+	s.advance(changed, c, w.Reason, func(e *Entry) {
 		e.Expired = false
 		if w.TTL == 0 { // a write without a lease does not end an existing one
 			e.ManualDrain = e.Phase == Draining
@@ -579,89 +579,89 @@
 
 // advance creates the next revision. It lets update set the other fields of each entry that stays, and
 // discards the oldest changes beyond the bounds.
-func (s *State) turn(changed []Endpoint, c Command, why string, also func(*Entry)) {
-	s.i.Revision++
+func (s *State) advance(changed []Endpoint, c Command, why string, update func(*Entry)) {
+	s.image.Revision++
 	moved := []Move{}
 	for _, m := range changed {
-		e, listed := s.i.Entries[m.ID]
+		e, listed := s.image.Entries[m.ID]
 		if listed && (m.Phase == Deleted || m.Cell != e.Cell) {
-			s.parts.remove(m.ID, e.Cell)
+			s.partitions.remove(m.ID, e.Cell)
 		}
 		if m.Phase == Deleted {
-			delete(s.i.Entries, m.ID)
+			delete(s.image.Entries, m.ID)
 			continue
 		}
 		if listed && m.Cell != e.Cell {
-			was := e.Endpoint
-			was.Phase = Deleted
-			moved = append(moved, Move{was, m.Cell})
+			former := e.Endpoint
+			former.Phase = Deleted
+			moved = append(moved, Move{former, m.Cell})
 		}
 		if !listed || m.Cell != e.Cell {
-			s.parts.add(m.ID, m.Cell)
+			s.partitions.add(m.ID, m.Cell)
 		}
-		e.Endpoint, e.Revision = m, s.i.Revision
-		also(&e)
-		s.i.Entries[m.ID] = e
+		e.Endpoint, e.Revision = m, s.image.Revision
+		update(&e)
+		s.image.Entries[m.ID] = e
 	}
-	s.i.Changes = append(s.i.Changes, Change{Revision: s.i.Revision, At: c.At, By: c.By, Reason: why, Members: changed, Moved: moved})
-	s.mentions += len(changed)
-	if s.i.Held != nil {
-		s.i.Held.outlast(changed)
+	s.image.Changes = append(s.image.Changes, Change{Revision: s.image.Revision, At: c.At, By: c.By, Reason: why, Members: changed, Moved: moved})
+	s.changedEndpoints += len(changed)
+	if s.image.Held != nil {
+		s.image.Held.rebase(changed)
 	}
-	drop := 0
-	for len(s.i.Changes)-drop > MaxChanges || (s.mentions > MaxChangedEndpoints && len(s.i.Changes)-drop > 1) {
-		s.mentions -= len(s.i.Changes[drop].Members)
-		drop++
+	discarded := 0
+	for len(s.image.Changes)-discarded > MaxChanges || (s.changedEndpoints > MaxChangedEndpoints && len(s.image.Changes)-discarded > 1) {
+		s.changedEndpoints -= len(s.image.Changes[discarded].Members)
+		discarded++
 	}
-	if drop > 0 {
-		s.i.CompactedRevision += int64(drop)
-		clear(s.i.Changes[:drop])
-		s.i.Changes = s.i.Changes[drop:] // append reallocates from time to time, which frees the discarded part
+	if discarded > 0 {
+		s.image.CompactedRevision += int64(discarded)
+		clear(s.image.Changes[:discarded])
+		s.image.Changes = s.image.Changes[discarded:] // append reallocates from time to time, which frees the discarded part
 	}
 }
 
-func (s *State) confirm(a Confirm, c Command) error {
-	h := s.i.Held
-	if h == nil || h.Number != a.Number {
-		return fmt.Errorf("held write %d: %w", a.Number, ErrNotFound)
+func (s *State) confirm(request Confirm, c Command) error {
+	held := s.image.Held
+	if held == nil || held.Number != request.Number {
+		return fmt.Errorf("held write %d: %w", request.Number, ErrNotFound)
 	}
-	s.i.Held = nil
-	if a.Drop {
+	s.image.Held = nil
+	if request.Drop {
 		return nil
 	}
-	return s.commit(s.changed(h.Write), h.Write, c)
+	return s.commit(s.effectiveChanges(held.Write), held.Write, c)
 }
 
 // expiredEndpoints returns what becomes of endpoints with expired leases: they drain, and drained ones are
 // removed. At most the given share of a partner's endpoints is expired at once, and never its last serving
 // endpoint.
-func (s *State) lapses(l Expiry) []Endpoint {
-	all, lapsed, serving := map[int]int{}, map[int]int{}, map[int]int{}
-	for _, e := range s.i.Entries {
-		all[e.Cell]++
+func (s *State) expiredEndpoints(expiry Expiry) []Endpoint {
+	total, expired, serving := map[int]int{}, map[int]int{}, map[int]int{}
+	for _, e := range s.image.Entries {
+		total[e.Cell]++
 		if e.Expired {
-			lapsed[e.Cell]++
+			expired[e.Cell]++
 		}
 		if e.Phase == Serving {
 			serving[e.Cell]++
 		}
 	}
 	var changed []Endpoint
-	for _, id := range l.Drain {
-		e, ok := s.i.Entries[id]
-		if !ok || e.TTL == 0 || e.Expired || lapsed[e.Cell]+1 > int(math.Floor(l.MaxShare*float64(all[e.Cell]))) ||
+	for _, id := range expiry.Drain {
+		e, ok := s.image.Entries[id]
+		if !ok || e.TTL == 0 || e.Expired || expired[e.Cell]+1 > int(math.Floor(expiry.MaxShare*float64(total[e.Cell]))) ||
 			(e.Phase == Serving && serving[e.Cell] <= 1) {
 			continue
 		}
 		if e.Phase == Serving {
 			serving[e.Cell]--
 		}
-		lapsed[e.Cell]++
+		expired[e.Cell]++
 		e.Phase = Draining
 		changed = append(changed, e.Endpoint)
 	}
-	for _, id := range l.Remove {
-		if e, ok := s.i.Entries[id]; ok && e.Expired && serving[e.Cell] > 0 {
+	for _, id := range expiry.Remove {
+		if e, ok := s.image.Entries[id]; ok && e.Expired && serving[e.Cell] > 0 {
 			e.Phase = Deleted
 			changed = append(changed, e.Endpoint)
 		}
@@ -670,76 +670,76 @@
 }
 
 // expire drains or removes expired endpoints, and frees records whose holders did not renew.
-func (s *State) lapse(l Expiry, c Command) {
-	if changed := s.lapses(l); len(changed) > 0 {
-		s.turn(changed, c, "leases ran out", func(e *Entry) { e.Expired = true })
-	}
-	for _, h := range l.Records {
-		if r, ok := s.i.Records[h.Name]; ok && r.Token == h.Token && r.TTL > 0 && r.Holder != "" {
-			r.Holder = ""
-			s.i.Records[h.Name] = r
+func (s *State) expire(expiry Expiry, c Command) {
+	if changed := s.expiredEndpoints(expiry); len(changed) > 0 {
+		s.advance(changed, c, "leases ran out", func(e *Entry) { e.Expired = true })
+	}
+	for _, op := range expiry.Records {
+		if record, ok := s.image.Records[op.Name]; ok && record.Token == op.Token && record.TTL > 0 && record.Holder != "" {
+			record.Holder = ""
+			s.image.Records[op.Name] = record
 		}
 	}
 }
 
-func (s *State) acquire(h RecordOp) (int64, error) {
-	if err := errors.Join(checkName("name", h.Name), checkName("holder", h.Holder)); err != nil {
+func (s *State) acquire(op RecordOp) (int64, error) {
+	if err := errors.Join(checkName("name", op.Name), checkName("holder", op.Holder)); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	if h.TTL != 0 && (h.TTL < MinTTLMS || h.TTL > MaxTTLMS) || len(h.Value) > MaxValueBytes {
+	if op.TTL != 0 && (op.TTL < MinTTLMS || op.TTL > MaxTTLMS) || len(op.Value) > MaxValueBytes {
 		return 0, fmt.Errorf("%w: a record is limited to %d bytes, and its lease must be 0 or %d to %d ms", ErrInvalid, MaxValueBytes, int64(MinTTLMS), int64(MaxTTLMS))
 	}
-	r, ok := s.i.Records[h.Name]
-	if !ok && len(s.i.Records) >= MaxRecords {
+	r, ok := s.image.Records[op.Name]
+	if !ok && len(s.image.Records) >= MaxRecords {
 		return 0, fmt.Errorf("%w: the service is limited to %d records", ErrFull, MaxRecords)
 	}
-	if r.Holder != "" && r.Holder != h.Holder {
-		return r.Token, fmt.Errorf("record %q is held by %q: %w", h.Name, r.Holder, ErrNotHolder)
+	if r.Holder != "" && r.Holder != op.Holder {
+		return r.Token, fmt.Errorf("record %q is held by %q: %w", op.Name, r.Holder, ErrNotHolder)
 	}
 	// Acquiring again yields a new token and a new lease, because the expiry of the old lease may already be
 	// in the log.
-	s.i.LastToken++
-	r.Token = s.i.LastToken
-	r.Name, r.Holder, r.TTL = h.Name, h.Holder, h.TTL
-	if h.SetValue {
-		r.Value = h.Value
+	s.image.LastToken++
+	r.Token = s.image.LastToken
+	r.Name, r.Holder, r.TTL = op.Name, op.Holder, op.TTL
+	if op.SetValue {
+		r.Value = op.Value
 	}
-	s.i.Records[h.Name] = r
+	s.image.Records[op.Name] = r
 	return r.Token, nil
 }
 
 // heldRecord returns a record if the operation's token is the one that holds it.
-func (s *State) owned(h RecordOp) (Record, error) {
-	r, ok := s.i.Records[h.Name]
+func (s *State) heldRecord(op RecordOp) (Record, error) {
+	r, ok := s.image.Records[op.Name]
 	switch {
 	case !ok:
-		return r, fmt.Errorf("record %.40q: %w", h.Name, ErrNotFound)
-	case r.Holder == "" || r.Token != h.Token:
-		return r, fmt.Errorf("record %q, token %d: %w", h.Name, h.Token, ErrNotHolder)
+		return r, fmt.Errorf("record %.40q: %w", op.Name, ErrNotFound)
+	case r.Holder == "" || r.Token != op.Token:
+		return r, fmt.Errorf("record %q, token %d: %w", op.Name, op.Token, ErrNotHolder)
 	}
 	return r, nil
 }
 
-func (s *State) update(h RecordOp) (int64, error) {
-	r, err := s.owned(h)
+func (s *State) update(op RecordOp) (int64, error) {
+	r, err := s.heldRecord(op)
 	if err != nil {
 		return 0, err
 	}
-	if len(h.Value) > MaxValueBytes {
+	if len(op.Value) > MaxValueBytes {
 		return 0, fmt.Errorf("%w: the value of a record is limited to %d bytes", ErrInvalid, MaxValueBytes)
 	}
-	r.Value = h.Value
-	s.i.Records[h.Name] = r
+	r.Value = op.Value
+	s.image.Records[op.Name] = r
 	return r.Token, nil
 }
 
 // release frees a record. Its value stays for the next holder.
-func (s *State) release(h RecordOp) error {
-	r, err := s.owned(h)
+func (s *State) release(op RecordOp) error {
+	r, err := s.heldRecord(op)
 	if err != nil {
 		return err
 	}
 	r.Holder = ""
-	s.i.Records[h.Name] = r
+	s.image.Records[op.Name] = r
 	return nil
 }
--- a/fleet/members/formats_test.go
+++ b/fleet/members/formats_test.go
@@ -9,10 +9,10 @@
 
 func TestNamesOfStatesAndSides(t *testing.T) {
 	text := ""
-	for s := range states {
+	for s := range stateNames {
 		text += fmt.Sprintln("state", s, State(s))
 	}
-	for s := range sides {
+	for s := range sideNames {
 		text += fmt.Sprintln("side", s, Side(s))
 	}
 	golden.Check(t, "names.txt", []byte(text))
--- a/internal/directory/admin.go
+++ b/internal/directory/admin.go
@@ -43,157 +43,157 @@
 	InRaft bool `json:"in"` // part of Raft's configuration; otherwise it is only allowed to join
 }
 
-func (s *Server) status(w http.ResponseWriter, req *http.Request) {
-	answer(w, http.StatusOK, s.statusNow(req.URL.Query().Get("fresh") == "1"))
+func (s *Server) serveStatus(w http.ResponseWriter, req *http.Request) {
+	writeJSON(w, http.StatusOK, s.currentStatus(req.URL.Query().Get("fresh") == "1"))
 }
 
-func (s *Server) statusNow(fresh bool) Status {
-	r := s.r
-	st := Status{ID: r.cfg.ID, State: "beginning", Watches: s.watches.count(), Follows: r.cfg.Source.Discovery, AgeMS: r.age().Milliseconds()}
+func (s *Server) currentStatus(fresh bool) Status {
+	r := s.replica
+	status := Status{ID: r.cfg.ID, State: "beginning", Watches: s.watches.count(), Follows: r.cfg.Source.Discovery, AgeMS: r.leaderContactAge().Milliseconds()}
 	servers := map[string]raft.Server{}
-	if node := r.node(); node != nil {
-		st.State, st.Applied = node.State().String(), node.AppliedIndex()
-		for _, srv := range r.servers() {
+	if node := r.raftNode(); node != nil {
+		status.State, status.Applied = node.State().String(), node.AppliedIndex()
+		for _, srv := range r.raftServers() {
 			servers[string(srv.ID)] = srv
 		}
-		st.Bootstrapped = len(servers) > 0
-		st.Fresh = fresh && r.current() == nil
+		status.Bootstrapped = len(servers) > 0
+		status.Fresh = fresh && r.verifyCurrent() == nil
 	}
-	st.Leader, _ = r.leader()
-	m := r.ledger.theMap()
-	st.MapNumber, st.MapError = m.number, m.wrong
-	r.ledger.read(func(c *catalog.State) {
-		st.History, st.Revision, st.Endpoints, st.SourceSilentSinceMS = c.History(), c.Revision(), c.Size(), c.SourceSilentSince()
+	status.Leader, _ = r.leader()
+	m := r.fsm.currentMap()
+	status.MapNumber, status.MapError = m.number, m.invalid
+	r.fsm.view(func(c *catalog.State) {
+		status.History, status.Revision, status.Endpoints, status.SourceSilentSinceMS = c.History(), c.Revision(), c.Size(), c.SourceSilentSince()
 		if h := c.Held(); h != nil {
 			held := *h
-			st.Held = &held
+			status.Held = &held
 		}
-		for id, rep := range c.Replicas() {
-			srv, in := servers[id]
-			st.Members = append(st.Members, MemberState{rep, in && srv.Suffrage == raft.Voter, in})
+		for id, member := range c.Replicas() {
+			srv, inRaft := servers[id]
+			status.Members = append(status.Members, MemberState{member, inRaft && srv.Suffrage == raft.Voter, inRaft})
 		}
 	})
-	slices.SortFunc(st.Members, func(a, b MemberState) int { return cmp.Compare(a.ID, b.ID) })
-	return st
+	slices.SortFunc(status.Members, func(a, b MemberState) int { return cmp.Compare(a.ID, b.ID) })
+	return status
 }
 
-func (s *Server) history(w http.ResponseWriter, req *http.Request) {
+func (s *Server) serveHistory(w http.ResponseWriter, req *http.Request) {
 	q := req.URL.Query()
-	after, err := number(q.Get("after"), -1)
-	limit, err2 := number(q.Get("limit"), defaultTurns)
-	if err := errors.Join(err, err2); err != nil || limit < 1 || limit > maxHistory {
+	after, err := parseNumber(q.Get("after"), -1)
+	limit, err2 := parseNumber(q.Get("limit"), defaultHistoryLimit)
+	if err := errors.Join(err, err2); err != nil || limit < 1 || limit > maxHistoryLimit {
 		if err == nil {
-			err = fmt.Errorf("limit must be 1 to %d", maxHistory)
+			err = fmt.Errorf("limit must be 1 to %d", maxHistoryLimit)
 		}
-		wrong(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	var out ChangeHistory
-	s.r.ledger.read(func(c *catalog.State) {
-		out.History, out.Revision = c.History(), c.Revision()
+	var changes ChangeHistory
+	s.replica.fsm.view(func(c *catalog.State) {
+		changes.History, changes.Revision = c.History(), c.Revision()
 		if after < 0 { // the latest changes
 			after = max(c.Revision()-limit, 0)
 		}
-		out.Changes, out.All = c.ChangesAfter(after)
-		out.Changes = append([]catalog.Change{}, out.Changes[:min(int64(len(out.Changes)), limit)]...)
+		changes.Changes, changes.All = c.ChangesAfter(after)
+		changes.Changes = append([]catalog.Change{}, changes.Changes[:min(int64(len(changes.Changes)), limit)]...)
 	})
-	answer(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, changes)
 }
 
 // serveBackup sends a backup of the current state if the request asks for a fresh one, else of this replica's
 // state.
-func (s *Server) backup(w http.ResponseWriter, req *http.Request) {
-	if s.elsewhere(w, req) {
+func (s *Server) serveBackup(w http.ResponseWriter, req *http.Request) {
+	if s.answeredForFresh(w, req) {
 		return
 	}
 	var image catalog.Image
-	s.r.ledger.read(func(c *catalog.State) { image = c.Image() })
+	s.replica.fsm.view(func(c *catalog.State) { image = c.Image() })
 	raw, err := EncodeBackup(image)
 	if err != nil {
-		wrong(w, http.StatusInternalServerError, err)
+		writeError(w, http.StatusInternalServerError, err)
 		return
 	}
-	s.mark(w, position{image.History, image.Revision})
+	s.setPositionHeaders(w, position{image.History, image.Revision})
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.Write(raw)
 }
 
-func (s *Server) restore(w http.ResponseWriter, req *http.Request) {
-	raw, ok := body(w, req, maxCommand/2)
+func (s *Server) serveRestore(w http.ResponseWriter, req *http.Request) {
+	raw, ok := readBody(w, req, maxCommandBytes/2)
 	if !ok {
 		return
 	}
 	image, err := DecodeBackup(bytes.NewReader(raw))
 	if err != nil {
-		wrong(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	s.command(w, req, raw, func() (catalog.Command, error) {
-		if n, most := len(image.Entries), s.r.cfg.List.MaxEndpoints; n > most {
-			return catalog.Command{}, fmt.Errorf("%w: the backup has %d endpoints, the list is limited to %d", catalog.ErrFull, n, most)
+	s.runCommand(w, req, raw, func() (catalog.Command, error) {
+		if n, limit := len(image.Entries), s.replica.cfg.List.MaxEndpoints; n > limit {
+			return catalog.Command{}, fmt.Errorf("%w: the backup has %d endpoints, the list is limited to %d", catalog.ErrFull, n, limit)
 		}
 		return catalog.Command{Restore: &image}, nil
 	})
 }
 
-func (s *Server) confirm(w http.ResponseWriter, req *http.Request) {
-	n, err := number(req.PathValue("number"), 0)
+func (s *Server) serveConfirm(w http.ResponseWriter, req *http.Request) {
+	n, err := parseNumber(req.PathValue("number"), 0)
 	if err != nil {
-		wrong(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	s.command(w, req, nil, func() (catalog.Command, error) {
+	s.runCommand(w, req, nil, func() (catalog.Command, error) {
 		return catalog.Command{Confirm: &catalog.Confirm{Number: n, Drop: req.URL.Query().Get("drop") == "1"}}, nil
 	})
 }
 
-func (s *Server) join(w http.ResponseWriter, req *http.Request) {
-	var ask joinAsk
-	if !s.leaderReads(w, req, &ask) {
+func (s *Server) serveJoin(w http.ResponseWriter, req *http.Request) {
+	var request joinRequest
+	if !s.decodeOnLeader(w, req, &request) {
 		return
 	}
-	reply, err := s.r.join(ask)
+	reply, err := s.replica.addMember(request)
 	switch {
 	case errors.Is(err, catalog.ErrNotFound):
-		wrong(w, http.StatusForbidden, err)
+		writeError(w, http.StatusForbidden, err)
 	case err != nil:
-		later(w, time.Second, oneLine(err))
+		writeRetryLater(w, time.Second, singleLine(err))
 	default:
-		answer(w, http.StatusOK, reply)
+		writeJSON(w, http.StatusOK, reply)
 	}
 }
 
 // serveAddReplica allows a replica to join.
-func (s *Server) invite(w http.ResponseWriter, req *http.Request) {
-	raw, ok := body(w, req, maxWrite)
+func (s *Server) serveAddReplica(w http.ResponseWriter, req *http.Request) {
+	raw, ok := readBody(w, req, maxBodyBytes)
 	if !ok {
 		return
 	}
-	s.command(w, req, raw, func() (catalog.Command, error) {
-		var rep catalog.Replica
-		if err := strict(raw, &rep); err != nil {
+	s.runCommand(w, req, raw, func() (catalog.Command, error) {
+		var member catalog.Replica
+		if err := decodeStrict(raw, &member); err != nil {
 			return catalog.Command{}, err
 		}
-		if rep.ID != req.PathValue("id") || rep.HTTP == "" || rep.Raft == "" {
+		if member.ID != req.PathValue("id") || member.HTTP == "" || member.Raft == "" {
 			return catalog.Command{}, errors.New("id (as in the path), http and raft are required")
 		}
-		return catalog.Command{AddReplica: &rep}, nil
+		return catalog.Command{AddReplica: &member}, nil
 	})
 }
 
 // serveRemoveReplica removes a replica from Raft's configuration and forbids it to join again.
-func (s *Server) dismiss(w http.ResponseWriter, req *http.Request) {
-	if s.passOn(w, req, nil) {
+func (s *Server) serveRemoveReplica(w http.ResponseWriter, req *http.Request) {
+	if s.forwardToLeader(w, req, nil) {
 		return
 	}
 	id := req.PathValue("id")
-	if id == s.r.cfg.ID {
-		wrong(w, http.StatusConflict, fmt.Errorf("replica %q leads; stop its process first, so that another one leads", id))
+	if id == s.replica.cfg.ID {
+		writeError(w, http.StatusConflict, fmt.Errorf("replica %q leads; stop its process first, so that another one leads", id))
 		return
 	}
-	s.command(w, req, nil, func() (catalog.Command, error) {
-		if err := s.r.node().RemoveServer(raft.ServerID(id), 0, proposeWait).Error(); err != nil {
+	s.runCommand(w, req, nil, func() (catalog.Command, error) {
+		if err := s.replica.raftNode().RemoveServer(raft.ServerID(id), 0, enqueueTimeout).Error(); err != nil {
 			return catalog.Command{}, fmt.Errorf("%w: %w", ErrRefused, err)
 		}
 		return catalog.Command{RemoveReplica: &catalog.Replica{ID: id}}, nil
--- a/internal/directory/admit.go
+++ b/internal/directory/admit.go
@@ -7,7 +7,7 @@
 )
 
 // maxRetryAfter bounds the delay that a refused client is told to wait.
-const longestReturn = 60 * time.Second
+const maxRetryAfter = 60 * time.Second
 
 // admission is a token bucket. It also assigns each refused request its own time to retry, spaced by the same
 // rate. It is safe for concurrent use.
@@ -15,10 +15,10 @@
 	rate  float64 // per second
 	burst float64
 
-	mu     sync.Mutex
-	tokens float64
-	last   time.Time
-	booked time.Time // end of the retry times assigned so far
+	mu          sync.Mutex
+	tokens      float64
+	lastRefill  time.Time
+	bookedUntil time.Time // end of the retry times assigned so far
 }
 
 func newAdmission(rate float64, burst int) *admission {
@@ -26,21 +26,21 @@
 }
 
 // admit admits a request of a given cost, or returns after which delay to retry.
-func (a *admission) admit(cost float64, now time.Time) (ok bool, back time.Duration) {
+func (a *admission) admit(cost float64, now time.Time) (ok bool, retryIn time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tokens = min(a.burst, a.tokens+a.rate*max(now.Sub(a.last).Seconds(), 0))
-	a.last = now
+	a.tokens = min(a.burst, a.tokens+a.rate*max(now.Sub(a.lastRefill).Seconds(), 0))
+	a.lastRefill = now
 	if a.tokens >= min(cost, a.burst) {
 		a.tokens -= cost
 		return true, 0
 	}
-	if a.booked.Before(now) {
-		a.booked = now
+	if a.bookedUntil.Before(now) {
+		a.bookedUntil = now
 	}
-	a.booked = a.booked.Add(time.Duration(cost / a.rate * float64(time.Second)))
-	return false, min(a.booked.Sub(now), longestReturn)
+	a.bookedUntil = a.bookedUntil.Add(time.Duration(cost / a.rate * float64(time.Second)))
+	return false, min(a.bookedUntil.Sub(now), maxRetryAfter)
 }
 
 // retryAfterSeconds rounds a delay up to the whole seconds of a Retry-After header, at least 1.
-func retryAfter(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
+func retryAfterSeconds(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
--- a/internal/directory/code.go
+++ b/internal/directory/code.go
@@ -14,16 +14,16 @@
 
 // Stored data begins with a mark and a hash of its bytes, so that damage is detected.
 const (
-	commandMark = "cmd1"
-	backupMark  = "bak1"
-	sealLen     = 4 + 8
-	maxBackup   = 1 << 30 // bytes; catalog.MaxEndpoints endpoints of about 170 bytes take a third of it
-	maxCommand  = 64 << 20
+	commandMark     = "cmd1"
+	backupMark      = "bak1"
+	sealBytes       = 4 + 8
+	maxBackupBytes  = 1 << 30 // bytes; catalog.MaxEndpoints endpoints of about 170 bytes take a third of it
+	maxCommandBytes = 64 << 20
 )
 
 var errDamaged = errors.New("damaged")
 
-var decoding = func() cbor.DecMode {
+var decodeMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		MaxNestedLevels: 16, MaxArrayElements: 2 * catalog.MaxEndpoints, MaxMapPairs: 2 * catalog.MaxEndpoints, DupMapKey: cbor.DupMapKeyEnforcedAPF,
 	}.DecMode()
@@ -38,21 +38,21 @@
 	if err != nil {
 		return nil, err
 	}
-	out := make([]byte, 0, sealLen+len(body))
+	out := make([]byte, 0, sealBytes+len(body))
 	out = append(out, mark...)
 	out = binary.BigEndian.AppendUint64(out, xxhash.Sum64(body))
 	return append(out, body...), nil
 }
 
 func unseal(mark string, raw []byte, v any) error {
-	if len(raw) < sealLen || string(raw[:4]) != mark {
+	if len(raw) < sealBytes || string(raw[:4]) != mark {
 		return fmt.Errorf("%w: unknown file type", errDamaged)
 	}
-	body := raw[sealLen:]
+	body := raw[sealBytes:]
 	if binary.BigEndian.Uint64(raw[4:]) != xxhash.Sum64(body) {
 		return fmt.Errorf("%w: checksum mismatch", errDamaged)
 	}
-	if err := decoding.Unmarshal(body, v); err != nil {
+	if err := decodeMode.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	return nil
@@ -64,12 +64,12 @@
 // DecodeBackup decodes a backup. It rejects damaged data and images that no state can have produced.
 func DecodeBackup(r io.Reader) (catalog.Image, error) {
 	var i catalog.Image
-	raw, err := io.ReadAll(io.LimitReader(r, maxBackup+1))
+	raw, err := io.ReadAll(io.LimitReader(r, maxBackupBytes+1))
 	if err != nil {
 		return i, fmt.Errorf("backup: %w", err)
 	}
-	if len(raw) > maxBackup {
-		return i, fmt.Errorf("backup: larger than %d MB", maxBackup>>20)
+	if len(raw) > maxBackupBytes {
+		return i, fmt.Errorf("backup: larger than %d MB", maxBackupBytes>>20)
 	}
 	if err := unseal(backupMark, raw, &i); err != nil {
 		return i, fmt.Errorf("backup: %w", err)
@@ -81,6 +81,6 @@
 }
 
 // isIntactCommand reports whether an encoded command is undamaged.
-func sealed(raw []byte) bool {
-	return len(raw) >= sealLen && string(raw[:4]) == commandMark && binary.BigEndian.Uint64(raw[4:]) == xxhash.Sum64(raw[sealLen:])
+func isIntactCommand(raw []byte) bool {
+	return len(raw) >= sealBytes && string(raw[:4]) == commandMark && binary.BigEndian.Uint64(raw[4:]) == xxhash.Sum64(raw[sealBytes:])
 }
--- a/internal/directory/config.go
+++ b/internal/directory/config.go
@@ -111,41 +111,41 @@
 // Validate returns all errors of a configuration.
 func (c *Config) Validate() error {
 	var errs []error
-	wrong := func(is bool, format string, args ...any) {
-		if is {
+	failIf := func(failed bool, format string, args ...any) {
+		if failed {
 			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
-	address := func(name, v string, needed bool) {
-		if v == "" && !needed {
+	checkAddress := func(name, v string, required bool) {
+		if v == "" && !required {
 			return
 		}
 		_, _, err := net.SplitHostPort(v)
-		wrong(err != nil, "%s %q is not HOST:PORT", name, v)
+		failIf(err != nil, "%s %q is not HOST:PORT", name, v)
 	}
-	wrong(c.ID == "" || len(c.ID) > catalog.MaxNameBytes, "id is missing or too long")
-	wrong(c.Data == "", "data (the folder) is missing")
-	address("http", c.HTTP, true)
-	address("raft", c.Raft, len(c.Peers) > 0)
-	address("bind_http", c.BindHTTP, false)
-	address("bind_raft", c.BindRaft, false)
-	address("follow.discovery", c.Source.Discovery, false)
-	address("reports.to", c.Reports.ForwardTo, false)
+	failIf(c.ID == "" || len(c.ID) > catalog.MaxNameBytes, "id is missing or too long")
+	failIf(c.Data == "", "data (the folder) is missing")
+	checkAddress("http", c.HTTP, true)
+	checkAddress("raft", c.Raft, len(c.Peers) > 0)
+	checkAddress("bind_http", c.BindHTTP, false)
+	checkAddress("bind_raft", c.BindRaft, false)
+	checkAddress("follow.discovery", c.Source.Discovery, false)
+	checkAddress("reports.to", c.Reports.ForwardTo, false)
 	seen := map[string]bool{c.ID: true}
 	for _, p := range c.Peers {
-		wrong(p.ID == "" || seen[p.ID], "peer %q: its id is missing or used twice", p.ID)
+		failIf(p.ID == "" || seen[p.ID], "peer %q: its id is missing or used twice", p.ID)
 		seen[p.ID] = true
-		address("http of peer "+p.ID, p.HTTP, true)
-		address("raft of peer "+p.ID, p.Raft, true)
+		checkAddress("http of peer "+p.ID, p.HTTP, true)
+		checkAddress("raft of peer "+p.ID, p.Raft, true)
 	}
-	wrong(len(c.Peers)%2 == 1, "there are %d replicas; an even number tolerates no more failures than one fewer", len(c.Peers)+1)
-	wrong(c.Watch.MaxLagKB < 1 || c.Watch.MaxOpen < 1, "watch.lag_kb and watch.most must be at least 1")
-	wrong(c.List.MaxEndpoints < 1 || c.List.MaxEndpoints > catalog.MaxEndpoints, "list.most must be 1 to %d", catalog.MaxEndpoints)
-	wrong(!(c.Requests.Rate > 0) || c.Requests.Burst < 1, "asks.rate and asks.burst must be above 0")
-	wrong(!(c.Guard.MaxRemovedShare > 0 && c.Guard.MaxRemovedShare <= 1), "guard.share must be above 0 and at most 1")
-	wrong(!(c.Lease.MaxExpiredShare >= 0 && c.Lease.MaxExpiredShare <= 1), "lease.share must be 0 to 1")
-	wrong(c.Snapshot.Every < 1 || c.Snapshot.Trailing < 0 || c.Snapshot.Interval.Duration <= 0, "snapshot.every and snapshot.interval must be above 0, snapshot.trailing must not be negative")
-	wrong(c.Election.Duration < 50*time.Millisecond, "election must be at least 50ms")
+	failIf(len(c.Peers)%2 == 1, "there are %d replicas; an even number tolerates no more failures than one fewer", len(c.Peers)+1)
+	failIf(c.Watch.MaxLagKB < 1 || c.Watch.MaxOpen < 1, "watch.lag_kb and watch.most must be at least 1")
+	failIf(c.List.MaxEndpoints < 1 || c.List.MaxEndpoints > catalog.MaxEndpoints, "list.most must be 1 to %d", catalog.MaxEndpoints)
+	failIf(!(c.Requests.Rate > 0) || c.Requests.Burst < 1, "asks.rate and asks.burst must be above 0")
+	failIf(!(c.Guard.MaxRemovedShare > 0 && c.Guard.MaxRemovedShare <= 1), "guard.share must be above 0 and at most 1")
+	failIf(!(c.Lease.MaxExpiredShare >= 0 && c.Lease.MaxExpiredShare <= 1), "lease.share must be 0 to 1")
+	failIf(c.Snapshot.Every < 1 || c.Snapshot.Trailing < 0 || c.Snapshot.Interval.Duration <= 0, "snapshot.every and snapshot.interval must be above 0, snapshot.trailing must not be negative")
+	failIf(c.Election.Duration < 50*time.Millisecond, "election must be at least 50ms")
 	return errors.Join(errs...)
 }
 
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -33,16 +33,16 @@
 }
 
 // eventually waits for a condition. The time limit only ends a test that hangs.
-func eventually(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -52,22 +52,22 @@
 }
 
 // testReplica is a replica that can be stopped and started again.
-type one struct {
-	t   *testing.T
-	cfg Config
-	r   *Replica
-	s   *Server
+type testReplica struct {
+	t       *testing.T
+	cfg     Config
+	replica *Replica
+	server  *Server
 
-	full atomic.Bool // its log can't be written
+	diskFull atomic.Bool // its log can't be written
 }
 
-func (o *one) start() {
+func (o *testReplica) start() {
 	o.t.Helper()
 	var err error
-	if o.r, err = open(o.cfg, slog.New(slog.DiscardHandler), func(s raft.LogStore) raft.LogStore { return fullStore{s, &o.full} }); err != nil {
+	if o.replica, err = open(o.cfg, slog.New(slog.DiscardHandler), func(s raft.LogStore) raft.LogStore { return fullStore{s, &o.diskFull} }); err != nil {
 		o.t.Fatal(err)
 	}
-	if o.s, err = Serve(o.r); err != nil {
+	if o.server, err = Serve(o.replica); err != nil {
 		o.t.Fatal(err)
 	}
 }
@@ -87,32 +87,32 @@
 
 func (f fullStore) StoreLog(l *raft.Log) error { return f.StoreLogs([]*raft.Log{l}) }
 
-func (o *one) stop() {
-	if o.s != nil {
-		if err := errors.Join(o.s.Close(), o.r.Close()); err != nil {
+func (o *testReplica) stop() {
+	if o.server != nil {
+		if err := errors.Join(o.server.Close(), o.replica.Close()); err != nil {
 			o.t.Error(err)
 		}
-		o.s = nil
+		o.server = nil
 	}
 }
 
-func (o *one) operator() *AdminClient {
+func (o *testReplica) operator() *AdminClient {
 	return &AdminClient{Addresses: []string{o.cfg.HTTP}, RetryFor: 20 * time.Second}
 }
 
 // startReplicas starts n replicas with empty folders.
-func replicas(t *testing.T, n int, set func(*Config)) []*one {
-	all := make([]*one, n)
+func startReplicas(t *testing.T, n int, configure func(*Config)) []*testReplica {
+	all := make([]*testReplica, n)
 	for i := range all {
 		c := Defaults()
-		c.ID, c.HTTP, c.Data = fmt.Sprint("d", i), free(t), t.TempDir()
+		c.ID, c.HTTP, c.Data = fmt.Sprint("d", i), freeAddress(t), t.TempDir()
 		if n > 1 {
-			c.Raft = free(t)
+			c.Raft = freeAddress(t)
 		}
-		if set != nil {
-			set(&c)
+		if configure != nil {
+			configure(&c)
 		}
-		all[i] = &one{t: t, cfg: c}
+		all[i] = &testReplica{t: t, cfg: c}
 	}
 	for i, o := range all {
 		for j, p := range all {
@@ -132,7 +132,7 @@
 	return catalog.Endpoint{ID: id, Addr: "10.0.0.1:80", Locality: "a", Flavor: "k", Phase: phase, Size: 1}
 }
 
-func put(t *testing.T, o *one, match string, members ...catalog.Endpoint) WriteResult {
+func put(t *testing.T, o *testReplica, match string, members ...catalog.Endpoint) WriteResult {
 	t.Helper()
 	w, err := o.operator().Put(t.Context(), members, false, true, match)
 	if err != nil {
@@ -142,7 +142,7 @@
 }
 
 // watchLists returns the lists that a watch receives.
-func lines(t *testing.T, o *one, query string) (<-chan catalog.List, func()) {
+func watchLists(t *testing.T, o *testReplica, query string) (<-chan catalog.List, func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+o.cfg.HTTP+"/registry/instances?watch=1"+query, nil)
@@ -179,17 +179,17 @@
 	return out, func() { cancel(); <-done }
 }
 
-func TestAloneFromFirstWriteToRestore(t *testing.T) {
-	o := replicas(t, 1, func(c *Config) { c.Snapshot.Every, c.Snapshot.Interval.Duration = 4, 20*time.Millisecond })[0]
+func TestSingleReplicaFromFirstWriteToRestore(t *testing.T) {
+	o := startReplicas(t, 1, func(c *Config) { c.Snapshot.Every, c.Snapshot.Interval.Duration = 4, 20*time.Millisecond })[0]
 	op := o.operator()
 	op.RetryFor = 0
-	eventually(t, "the leader", o.r.settled)
+	eventually(t, "the leader", o.replica.isReadyLeader)
 	if _, _, _, err := op.List(t.Context(), false); !errors.Is(err, ErrRefused) {
 		t.Errorf("an unwritten list was served: %v", err)
 	}
 	put(t, o, "*", endpoint("a", catalog.Serving), endpoint("b", catalog.Serving))
-	news, end := lines(t, o, "&after=0")
-	if l := <-news; !l.Complete || l.Revision != 1 || len(l.Members) != 2 {
+	lists, end := watchLists(t, o, "&after=0")
+	if l := <-lists; !l.Complete || l.Revision != 1 || len(l.Members) != 2 {
 		t.Errorf("first list: %+v", l)
 	}
 	l, match, _, err := op.List(t.Context(), true)
@@ -199,7 +199,7 @@
 	if _, err := op.Drain(t.Context(), "a"); err != nil {
 		t.Fatal(err)
 	}
-	if l := <-news; l.Complete || l.Revision != 2 || len(l.Members) != 1 || l.Members[0].Phase != catalog.Draining {
+	if l := <-lists; l.Complete || l.Revision != 2 || len(l.Members) != 1 || l.Members[0].Phase != catalog.Draining {
 		t.Errorf("second list: %+v", l)
 	}
 	if _, err := op.Put(t.Context(), []catalog.Endpoint{endpoint("a", catalog.Serving)}, false, false, match); !errors.Is(err, catalog.ErrConflict) {
@@ -233,25 +233,25 @@
 	if err != nil || l.Revision != 12 || len(l.Members) != 12 || header.Get(HeaderHistory) != fmt.Sprint(image.History) {
 		t.Fatalf("after a restart: revision %d, %d endpoints, %v", l.Revision, len(l.Members), err)
 	}
-	news, end = lines(t, o, "&after=10")
+	lists, end = watchLists(t, o, "&after=10")
 	defer end()
-	if l := <-news; l.Complete || l.Revision != 12 || len(l.Members) != 2 {
+	if l := <-lists; l.Complete || l.Revision != 12 || len(l.Members) != 2 {
 		t.Errorf("resumed across a restart and a snapshot: %+v", l)
 	}
 	if _, err := op.Restore(t.Context(), saved); err != nil {
 		t.Fatal(err)
 	}
-	if _, more := <-news; more {
+	if _, more := <-lists; more {
 		t.Error("a watch continued into another history")
 	}
-	again, end2 := lines(t, o, fmt.Sprintf("&after=12&history=%d", image.History))
+	resumed, end2 := watchLists(t, o, fmt.Sprintf("&after=12&history=%d", image.History))
 	defer end2()
-	if l := <-again; !l.Complete || l.Revision != 2 || len(l.Members) != 2 {
+	if l := <-resumed; !l.Complete || l.Revision != 2 || len(l.Members) != 2 {
 		t.Errorf("after a restore: %+v", l)
 	}
-	plain, end3 := lines(t, o, "&after=12") // without a history, as in the platform's protocol
+	withoutHistory, end3 := watchLists(t, o, "&after=12") // without a history, as in the platform's protocol
 	defer end3()
-	if l := <-plain; !l.Complete || l.Revision != 2 {
+	if l := <-withoutHistory; !l.Complete || l.Revision != 2 {
 		t.Errorf("after a restore, without a history: %+v", l)
 	}
 	if _, err := op.Restore(t.Context(), saved[:len(saved)-1]); err == nil {
@@ -259,13 +259,13 @@
 	}
 }
 
-func TestThreeOutliveTheirLosses(t *testing.T) {
-	all := replicas(t, 3, func(c *Config) {
+func TestThreeReplicasSurviveFailures(t *testing.T) {
+	all := startReplicas(t, 3, func(c *Config) {
 		c.Snapshot.Every, c.Snapshot.Trailing, c.Snapshot.Interval.Duration = 5, 5, 50*time.Millisecond
 	})
-	voters := func(of *one) int {
+	voters := func(of *testReplica) int {
 		n := 0
-		for _, m := range of.s.statusNow(false).Members {
+		for _, m := range of.server.currentStatus(false).Members {
 			if m.Votes {
 				n++
 			}
@@ -284,11 +284,11 @@
 			t.Errorf("a fresh read at %s: revision %d, If-Match %q, %v", o.cfg.ID, l.Revision, match, err)
 		}
 	}
-	lead := func() *one {
-		var l *one
+	leader := func() *testReplica {
+		var l *testReplica
 		eventually(t, "a leader", func() bool {
 			for _, o := range all {
-				if o.s != nil && o.r.settled() {
+				if o.server != nil && o.replica.isReadyLeader() {
 					l = o
 				}
 			}
@@ -296,15 +296,15 @@
 		})
 		return l
 	}
-	old := lead()
+	old := leader()
 	old.stop()
-	next := lead()
+	next := leader()
 	put(t, next, "*", endpoint("late", catalog.Serving))
 	if err := os.RemoveAll(old.cfg.Data); err != nil { // loses its folder
 		t.Fatal(err)
 	}
 	old.start()
-	eventually(t, "the replica that lost its folder", func() bool { return voters(next) == 3 && old.s.statusNow(false).Revision == 10 })
+	eventually(t, "the replica that lost its folder", func() bool { return voters(next) == 3 && old.server.currentStatus(false).Revision == 10 })
 	other := all[0]
 	for _, o := range all {
 		if o != old && o != next {
@@ -321,47 +321,47 @@
 		t.Fatal(err)
 	}
 	other.start()
-	eventually(t, "the replica with the damaged log", func() bool { return voters(lead()) == 3 && other.s.statusNow(false).Revision == 10 })
+	eventually(t, "the replica with the damaged log", func() bool { return voters(leader()) == 3 && other.server.currentStatus(false).Revision == 10 })
 
 	// A replica is replaced for good by another one; the removed replica ends by itself.
-	left := lead()
-	out := other
-	if out == left {
-		out = old
-	}
-	out.stop()
-	op0 := left.operator()
-	if err := op0.RemoveReplica(t.Context(), out.cfg.ID); err != nil {
+	remaining := leader()
+	removed := other
+	if removed == remaining {
+		removed = old
+	}
+	removed.stop()
+	op0 := remaining.operator()
+	if err := op0.RemoveReplica(t.Context(), removed.cfg.ID); err != nil {
 		t.Fatal(err)
 	}
-	fresh := &one{t: t, cfg: out.cfg}
-	fresh.cfg.ID, fresh.cfg.HTTP, fresh.cfg.Raft, fresh.cfg.Data = "d9", free(t), free(t), t.TempDir()
-	if err := op0.AddReplica(t.Context(), catalog.Replica{ID: "d9", HTTP: fresh.cfg.HTTP, Raft: fresh.cfg.Raft}); err != nil {
+	added := &testReplica{t: t, cfg: removed.cfg}
+	added.cfg.ID, added.cfg.HTTP, added.cfg.Raft, added.cfg.Data = "d9", freeAddress(t), freeAddress(t), t.TempDir()
+	if err := op0.AddReplica(t.Context(), catalog.Replica{ID: "d9", HTTP: added.cfg.HTTP, Raft: added.cfg.Raft}); err != nil {
 		t.Fatal(err)
 	}
-	fresh.start()
-	t.Cleanup(fresh.stop)
-	eventually(t, "the new replica", func() bool { return voters(lead()) == 3 && fresh.s.statusNow(false).Revision == 10 })
-	out.start()
-	if err := <-out.r.Failed(); !errors.Is(err, ErrRemoved) {
+	added.start()
+	t.Cleanup(added.stop)
+	eventually(t, "the new replica", func() bool { return voters(leader()) == 3 && added.server.currentStatus(false).Revision == 10 })
+	removed.start()
+	if err := <-removed.replica.Failed(); !errors.Is(err, ErrRemoved) {
 		t.Errorf("the removed replica ended with %v", err)
 	}
-	out.stop()
-	all = []*one{fresh, left}
-	for _, o := range []*one{old, other} {
-		if o != out {
+	removed.stop()
+	all = []*testReplica{added, remaining}
+	for _, o := range []*testReplica{old, other} {
+		if o != removed {
 			all = append(all, o)
 		}
 	}
 
-	left = lead()
+	remaining = leader()
 	for _, o := range all {
-		if o != left {
+		if o != remaining {
 			o.stop()
 		}
 	}
-	eventually(t, "the end of its leadership", func() bool { return !left.r.leads() })
-	op := left.operator()
+	eventually(t, "the end of its leadership", func() bool { return !remaining.replica.isLeader() })
+	op := remaining.operator()
 	op.RetryFor = 0
 	if _, err := op.Put(t.Context(), []catalog.Endpoint{endpoint("z", catalog.Serving)}, false, false, "*"); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "no leader") {
 		t.Errorf("a write with two of three gone: %v", err)
@@ -370,7 +370,7 @@
 	if err != nil || l.Revision != 10 || header.Get(HeaderAge) == "0" {
 		t.Errorf("a read with two of three gone: revision %d, age %s ms, %v", l.Revision, header.Get(HeaderAge), err)
 	}
-	resp, err := http.Get("http://" + left.cfg.HTTP + "/registry/instances?after=11")
+	resp, err := http.Get("http://" + remaining.cfg.HTTP + "/registry/instances?after=11")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -381,16 +381,16 @@
 }
 
 // A follower whose disk is full must catch up once the disk has space again.
-func TestFollowerCatchesUpAfterAFullDisk(t *testing.T) {
-	all := replicas(t, 3, nil)
-	voters := func() (n int, lead *one) {
+func TestFollowerCatchesUpAfterFullDisk(t *testing.T) {
+	all := startReplicas(t, 3, nil)
+	voters := func() (n int, lead *testReplica) {
 		for _, o := range all {
-			for _, m := range o.s.statusNow(false).Members {
+			for _, m := range o.server.currentStatus(false).Members {
 				if m.Votes {
 					n++
 				}
 			}
-			if o.r.settled() {
+			if o.replica.isReadyLeader() {
 				lead = o
 			}
 		}
@@ -416,19 +416,19 @@
 				}
 				mu.Unlock()
 				if w == 0 { // the disk fills and is cleared repeatedly while calls are in flight
-					follower.full.Store(i%2 == 0)
+					follower.diskFull.Store(i%2 == 0)
 				}
 			}
 		})
 	}
 	writes.Wait()
-	follower.full.Store(false)
-	eventually(t, "the follower", func() bool { at, _ := follower.r.ledger.at(); return at.revision == last })
+	follower.diskFull.Store(false)
+	eventually(t, "the follower", func() bool { at, _ := follower.replica.fsm.position(); return at.revision == last })
 }
 
 // A watch whose client does not read must be cut, without any effect on others.
-func TestWatcherThatDoesNotReadIsCut(t *testing.T) {
-	o := replicas(t, 1, func(c *Config) { c.Watch.MaxLagKB = 64 })[0]
+func TestWatchThatDoesNotReadIsCut(t *testing.T) {
+	o := startReplicas(t, 1, func(c *Config) { c.Watch.MaxLagKB = 64 })[0]
 	big := func(i int) []catalog.Endpoint {
 		var all []catalog.Endpoint
 		for n := range 100 {
@@ -446,32 +446,32 @@
 	defer nc.Close()
 	nc.(*net.TCPConn).SetReadBuffer(4096)
 	fmt.Fprintf(nc, "GET /registry/instances?watch=1&after=1 HTTP/1.1\r\nHost: d\r\n\r\n")
-	news, end := lines(t, o, "&after=1")
+	lists, end := watchLists(t, o, "&after=1")
 	defer end()
-	eventually(t, "both watches", func() bool { return o.s.WatchCount() == 2 })
+	eventually(t, "both watches", func() bool { return o.server.WatchCount() == 2 })
 	last := int64(0)
-	for i := 1; o.s.WatchCount() == 2; i++ {
+	for i := 1; o.server.WatchCount() == 2; i++ {
 		last = put(t, o, "*", big(i)...).Revision
 		if i > 3000 {
 			t.Fatal("the watch that does not read was not cut")
 		}
 	}
 	for rev := int64(1); rev <= last; rev++ {
-		if l, ok := <-news; !ok || l.Revision != rev {
+		if l, ok := <-lists; !ok || l.Revision != rev {
 			t.Fatalf("the other watch received revision %d, want %d", l.Revision, rev)
 		}
 	}
 }
 
 func TestRegistrationsAndRecordsOverHTTP(t *testing.T) {
-	o := replicas(t, 1, func(c *Config) { c.Lease.MaxExpiredShare, c.Lease.DrainTime.Duration = 0.5, 50*time.Millisecond })[0]
+	o := startReplicas(t, 1, func(c *Config) { c.Lease.MaxExpiredShare, c.Lease.DrainTime.Duration = 0.5, 50*time.Millisecond })[0]
 	op := o.operator()
 	put(t, o, "*", endpoint("fixed", catalog.Serving))
 	var w WriteResult
 	register := func(id string) {
 		t.Helper()
 		body := map[string]any{"member": endpoint(id, catalog.Serving), "ttl_ms": 200}
-		if err := op.into(t.Context(), &w, http.MethodPut, "/registry/registrations/"+id, "", body); err != nil {
+		if err := op.call(t.Context(), &w, http.MethodPut, "/registry/registrations/"+id, "", body); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -486,12 +486,12 @@
 			case <-stop:
 				return
 			case <-time.After(20 * time.Millisecond):
-				op.into(context.Background(), nil, http.MethodPost, "/registry/renewals", "", map[string]any{"ids": []string{"stays"}})
+				op.call(context.Background(), nil, http.MethodPost, "/registry/renewals", "", map[string]any{"ids": []string{"stays"}})
 			}
 		}
 	}()
 	phase := func(id string) (p string) {
-		o.r.ledger.read(func(s *catalog.State) {
+		o.replica.fsm.view(func(s *catalog.State) {
 			e, _ := s.Entry(id)
 			p = e.Phase
 		})
@@ -507,24 +507,24 @@
 		!strings.Contains(string(raw), `directory_write_seconds_count{result="done"}`) {
 		t.Errorf("metrics: %.300s, %v", raw, err)
 	}
-	if err := op.into(t.Context(), &w, http.MethodPut, "/records/lead", "", holdAsk{Holder: "a", TTL: 100, Value: []byte("1")}); err != nil {
+	if err := op.call(t.Context(), &w, http.MethodPut, "/records/lead", "", recordRequest{Holder: "a", TTL: 100, Value: []byte("1")}); err != nil {
 		t.Fatal(err)
 	}
 	token := w.Token
 	eventually(t, "the expiry of a holder that does not renew", func() bool {
-		return op.into(t.Context(), &w, http.MethodPut, "/records/lead", "", holdAsk{Holder: "b"}) == nil
+		return op.call(t.Context(), &w, http.MethodPut, "/records/lead", "", recordRequest{Holder: "b"}) == nil
 	})
 	if w.Token <= token {
 		t.Errorf("token %d after %d", w.Token, token)
 	}
-	if err := op.into(t.Context(), nil, http.MethodPost, "/records/lead", "", holdAsk{Token: token, Value: []byte("late")}); !errors.Is(err, catalog.ErrNotHolder) {
+	if err := op.call(t.Context(), nil, http.MethodPost, "/records/lead", "", recordRequest{Token: token, Value: []byte("late")}); !errors.Is(err, catalog.ErrNotHolder) {
 		t.Errorf("a write with an old token succeeded: %v", err)
 	}
 }
 
 // A replica that copies the platform's list must mark it while the platform is silent.
-func TestFollowMarksWhatItCannotVouchFor(t *testing.T) {
-	talk := make(chan string, 10)
+func TestSilentSourceIsMarked(t *testing.T) {
+	platformLines := make(chan string, 10)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -532,7 +532,7 @@
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		for {
 			select {
-			case s := <-talk:
+			case s := <-platformLines:
 				fmt.Fprintln(w, s)
 				w.(http.Flusher).Flush()
 			case <-req.Context().Done():
@@ -543,8 +543,8 @@
 	go srv.Serve(ln)
 	defer srv.Close()
 	list := `{"revision":7,"complete":true,"members":[{"id":"e1","host_port":"h:1","locality":"a","flavor":"k","cell":3,"phase":"SERVING","size":1}]}`
-	talk <- list
-	o := replicas(t, 1, func(c *Config) { c.Source.Discovery = ln.Addr().String() })[0]
+	platformLines <- list
+	o := startReplicas(t, 1, func(c *Config) { c.Source.Discovery = ln.Addr().String() })[0]
 	op := o.operator()
 	l, _, header, err := op.List(t.Context(), false)
 	if err != nil || len(l.Members) != 1 || header.Get(HeaderVouched) != "" {
@@ -553,25 +553,25 @@
 	if _, err := op.Drain(t.Context(), "e1"); !errors.Is(err, catalog.ErrNotHolder) {
 		t.Errorf("a list copied from the platform was changed: %v", err)
 	}
-	silent := func() bool { return o.s.statusNow(false).SourceSilentSinceMS > 0 }
+	silent := func() bool { return o.server.currentStatus(false).SourceSilentSinceMS > 0 }
 	eventually(t, "the mark", silent)
 	if _, _, header, _ := op.List(t.Context(), false); header.Get(HeaderVouched) != "no" {
 		t.Error("the list is not marked while its source is silent")
 	}
-	talk <- list
+	platformLines <- list
 	eventually(t, "the end of the mark", func() bool { return !silent() })
 }
 
 // A write before the service is bootstrapped must be refused with a Retry-After.
-func TestUnfoundedIsRefused(t *testing.T) {
+func TestWriteBeforeBootstrapIsRefused(t *testing.T) {
 	w := &recorder{header: http.Header{}}
-	result(w, catalog.New().Apply(catalog.Command{Write: &catalog.Write{Base: catalog.Base{Any: true}}}), nil)
+	writeResult(w, catalog.New().Apply(catalog.Command{Write: &catalog.Write{Base: catalog.Base{Any: true}}}), nil)
 	if w.code != http.StatusServiceUnavailable || w.header.Get("Retry-After") == "" {
 		t.Errorf("status %d", w.code)
 	}
 }
 
-func TestAdmissionSpreadsReturns(t *testing.T) {
+func TestAdmissionSpreadsRetries(t *testing.T) {
 	a := newAdmission(100, 50)
 	now := time.Unix(1000, 0)
 	in, seen := 0, map[time.Duration]bool{}
@@ -607,7 +607,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		i, err := DecodeBackup(bytes.NewReader(raw))
 		if err != nil {
-			if strings.Contains(oneLine(err), "\n") {
+			if strings.Contains(singleLine(err), "\n") {
 				t.Error("the error has several lines")
 			}
 			return
@@ -625,7 +625,7 @@
 	f.Add([]byte{0xbf, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		raw := append([]byte(backupMark), make([]byte, 8)...)
-		raw = resealed(append(raw, body...))
+		raw = rehash(append(raw, body...))
 		if i, err := DecodeBackup(bytes.NewReader(raw)); err == nil {
 			s, err := catalog.Load(i)
 			if err != nil {
@@ -657,7 +657,7 @@
 		f.Fatal(err)
 	}
 	f.Cleanup(func() { s.Close(); r.Close() })
-	for !r.settled() {
+	for !r.isReadyLeader() {
 		time.Sleep(time.Millisecond)
 	}
 	paths := []string{
@@ -701,8 +701,8 @@
 	return r.body.Write(b)
 }
 
-func resealed(raw []byte) []byte {
-	binary.BigEndian.PutUint64(raw[4:], xxhash.Sum64(raw[sealLen:]))
+func rehash(raw []byte) []byte {
+	binary.BigEndian.PutUint64(raw[4:], xxhash.Sum64(raw[sealBytes:]))
 	return raw
 }
 
--- a/internal/directory/formats_test.go
+++ b/internal/directory/formats_test.go
@@ -47,9 +47,9 @@
 		}
 	})
 	checkJSON[WriteResult](t, "written.json", nil)
-	checkJSON[problem](t, "problem.json", nil)
-	checkJSON[holdAsk](t, "record_request.json", nil)
-	checkJSON[joinAsk](t, "join_request.json", nil)
+	checkJSON[errorBody](t, "problem.json", nil)
+	checkJSON[recordRequest](t, "record_request.json", nil)
+	checkJSON[joinRequest](t, "join_request.json", nil)
 	checkJSON[joinReply](t, "join_reply.json", nil)
 }
 
@@ -86,8 +86,8 @@
 // The golden file holds each request of the HTTP interface with its status, headers and body. Numbers stand as #, for they depend
 // on the clock and on ports, and error texts are left out.
 func TestHTTPFormat(t *testing.T) {
-	o := replicas(t, 1, func(c *Config) { c.List.MaxEndpoints = 5 })[0]
-	eventually(t, "the leader", o.r.settled)
+	o := startReplicas(t, 1, func(c *Config) { c.List.MaxEndpoints = 5 })[0]
+	eventually(t, "the leader", o.replica.isReadyLeader)
 	digits, text := regexp.MustCompile(`[0-9]+`), regexp.MustCompile(`"error":"([^"\\]|\\.)*"`)
 	const a, b = `{"id":"a","host_port":"h:1","locality":"z","flavor":"k","cell":1,"phase":"SERVING","size":1,"up_since_ms":5}`,
 		`{"id":"b","host_port":"h:1","locality":"z","flavor":"k","cell":1,"phase":"SERVING","size":1,"up_since_ms":5}`
--- a/internal/directory/lead.go
+++ b/internal/directory/lead.go
@@ -14,7 +14,7 @@
 )
 
 // runLeadership runs the leader's work while this replica leads.
-func (r *Replica) watchLead(leads <-chan bool) {
+func (r *Replica) runLeadership(leadership <-chan bool) {
 	var work sync.WaitGroup
 	defer work.Wait()
 	stop := context.CancelFunc(func() {})
@@ -23,75 +23,75 @@
 		select {
 		case <-r.ctx.Done():
 			return
-		case on := <-leads:
+		case leading := <-leadership:
 			stop()
 			work.Wait()
-			if !on {
+			if !leading {
 				r.log.Info("no longer the leader")
 				continue
 			}
-			ctx, end := context.WithCancel(r.ctx)
-			stop = end
+			ctx, cancel := context.WithCancel(r.ctx)
+			stop = cancel
 			work.Go(func() {
-				defer end()
-				r.lead(ctx)
+				defer cancel()
+				r.runLeader(ctx)
 			})
 		}
 	}
 }
 
 // runLeader bootstraps the service if it is new, and then proposes what becomes due over time.
-func (r *Replica) lead(ctx context.Context) {
-	node := r.node()
-	for node.Barrier(proposeWait).Error() != nil {
-		if !registry.Sleep(ctx, tick) {
+func (r *Replica) runLeader(ctx context.Context) {
+	node := r.raftNode()
+	for node.Barrier(enqueueTimeout).Error() != nil {
+		if !registry.Sleep(ctx, pollInterval) {
 			return
 		}
 	}
-	at, _ := r.ledger.at()
-	for at.history == 0 {
-		if _, err := r.propose(catalog.Command{By: r.cfg.ID, Bootstrap: &catalog.Bootstrap{Replicas: r.cfg.replicas()}}); err != nil && !registry.Sleep(ctx, tick) {
+	position, _ := r.fsm.position()
+	for position.history == 0 {
+		if _, err := r.propose(catalog.Command{By: r.cfg.ID, Bootstrap: &catalog.Bootstrap{Replicas: r.cfg.replicas()}}); err != nil && !registry.Sleep(ctx, pollInterval) {
 			return
 		}
-		at, _ = r.ledger.at()
+		position, _ = r.fsm.position()
 	}
-	r.log.Info("leading", "history", at.history, "revision", at.revision)
-	began := time.Now()
+	r.log.Info("leading", "history", position.history, "revision", position.revision)
+	since := time.Now()
 	r.mu.Lock()
-	r.keeper = catalog.NewLeaseManager(r.cfg.Lease.MaxExpiredShare, r.cfg.Lease.DrainTime.Duration, r.cfg.Guard.ConfirmAfter.Duration)
-	r.began = began
+	r.leases = catalog.NewLeaseManager(r.cfg.Lease.MaxExpiredShare, r.cfg.Lease.DrainTime.Duration, r.cfg.Guard.ConfirmAfter.Duration)
+	r.leasesSince = since
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
-		r.keeper = nil
+		r.leases = nil
 		r.mu.Unlock()
 	}()
 	var source sync.WaitGroup
 	defer source.Wait()
 	if r.cfg.Source.Discovery != "" {
-		source.Go(func() { r.takeOver(ctx) })
+		source.Go(func() { r.followSource(ctx) })
 	}
 	for {
 		var due []catalog.Command
 		wait := time.Hour
-		_, news := r.ledger.at()
+		_, changed := r.fsm.position()
 		r.mu.Lock()
-		r.ledger.read(func(s *catalog.State) { due, wait = r.keeper.DueCommands(s, time.Since(began)) })
+		r.fsm.view(func(s *catalog.State) { due, wait = r.leases.DueCommands(s, time.Since(since)) })
 		r.mu.Unlock()
 		for _, c := range due {
 			if res, err := r.propose(c); err != nil || res.Err != nil {
 				r.log.Warn("due command failed", "err", errors.Join(err, res.Err))
 			}
 		}
-		t := time.NewTimer(max(wait, tick))
+		timer := time.NewTimer(max(wait, pollInterval))
 		select {
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return
-		case <-t.C:
-		case <-news:
-			t.Stop()
-			if !registry.Sleep(ctx, tick) { // batches changes
+		case <-timer.C:
+		case <-changed:
+			timer.Stop()
+			if !registry.Sleep(ctx, pollInterval) { // batches changes
 				return
 			}
 		}
@@ -101,7 +101,7 @@
 // propose replicates a command and applies it. Only the leader can; an error is ErrRefused or ErrAmbiguous.
 // The error of a command that was replicated but not applied is in the result.
 func (r *Replica) propose(c catalog.Command) (catalog.Result, error) {
-	node := r.node()
+	node := r.raftNode()
 	if node == nil {
 		return catalog.Result{}, fmt.Errorf("%w: this replica has not started Raft yet", ErrRefused)
 	}
@@ -110,27 +110,27 @@
 	if err != nil {
 		return catalog.Result{}, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	if len(raw) > maxCommand {
-		return catalog.Result{}, fmt.Errorf("%w: the command has %d bytes, the limit is %d", ErrRefused, len(raw), maxCommand)
+	if len(raw) > maxCommandBytes {
+		return catalog.Result{}, fmt.Errorf("%w: the command has %d bytes, the limit is %d", ErrRefused, len(raw), maxCommandBytes)
 	}
-	if r.stuck.Load() {
+	if r.unwritable.Load() {
 		return catalog.Result{}, fmt.Errorf("%w: the leader can't write to its folder", ErrRefused)
 	}
-	f := node.Apply(raw, proposeWait)
-	agreed := make(chan error, 1)
-	go func() { agreed <- f.Error() }() // Raft may block on its disk
-	limit := time.NewTimer(agreeWait)
-	defer limit.Stop()
+	future := node.Apply(raw, enqueueTimeout)
+	committed := make(chan error, 1)
+	go func() { committed <- future.Error() }() // Raft may block on its disk
+	timeout := time.NewTimer(commitTimeout)
+	defer timeout.Stop()
 	select {
-	case err = <-agreed:
-	case <-limit.C:
-		return catalog.Result{}, fmt.Errorf("%w: no majority within %v", ErrAmbiguous, agreeWait)
+	case err = <-committed:
+	case <-timeout.C:
+		return catalog.Result{}, fmt.Errorf("%w: no majority within %v", ErrAmbiguous, commitTimeout)
 	}
 	switch {
 	case err == nil:
-		res, ok := f.Response().(catalog.Result)
+		res, ok := future.Response().(catalog.Result)
 		if !ok {
-			return res, fmt.Errorf("%w: unexpected result type %T", ErrAmbiguous, f.Response())
+			return res, fmt.Errorf("%w: unexpected result type %T", ErrAmbiguous, future.Response())
 		}
 		return res, nil
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrEnqueueTimeout), errors.Is(err, raft.ErrLeadershipTransferInProgress):
@@ -142,7 +142,7 @@
 
 // leader returns the leader's ID and HTTP address; the address is empty if no leader is known.
 func (r *Replica) leader() (id, address string) {
-	node := r.node()
+	node := r.raftNode()
 	if node == nil {
 		return "", ""
 	}
@@ -151,7 +151,7 @@
 	if id == r.cfg.ID {
 		return id, r.cfg.HTTP
 	}
-	r.ledger.read(func(s *catalog.State) { address = s.Replicas()[id].HTTP })
+	r.fsm.view(func(s *catalog.State) { address = s.Replicas()[id].HTTP })
 	for _, p := range r.cfg.Peers {
 		if p.ID == id && address == "" {
 			address = p.HTTP
@@ -160,39 +160,39 @@
 	return id, address
 }
 
-func (r *Replica) leads() bool {
-	node := r.node()
+func (r *Replica) isLeader() bool {
+	node := r.raftNode()
 	return node != nil && node.State() == raft.Leader
 }
 
 // isReadyLeader reports whether this replica leads and has applied everything committed before its term.
-func (r *Replica) settled() bool {
+func (r *Replica) isReadyLeader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.keeper != nil
+	return r.leases != nil
 }
 
 // leaderContactAge returns the time since the last contact with the leader. It is 0 at the leader, which has
 // contact with a majority within its lease.
-func (r *Replica) age() time.Duration {
-	node := r.node()
+func (r *Replica) leaderContactAge() time.Duration {
+	node := r.raftNode()
 	if node == nil || node.State() == raft.Leader {
 		return 0
 	}
 	last := node.LastContact()
 	if last.IsZero() {
-		last = r.opened
+		last = r.openedAt
 	}
 	return time.Since(last)
 }
 
 // verifyCurrent makes sure that this replica leads and has applied everything committed before the call.
-func (r *Replica) current() error {
-	node := r.node()
+func (r *Replica) verifyCurrent() error {
+	node := r.raftNode()
 	if node == nil || node.State() != raft.Leader {
 		return fmt.Errorf("%w: this replica does not lead", ErrRefused)
 	}
-	if err := node.Barrier(proposeWait).Error(); err != nil {
+	if err := node.Barrier(enqueueTimeout).Error(); err != nil {
 		return fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	return nil
@@ -200,8 +200,8 @@
 
 // renewLeases records renewals of endpoints and records. It fails unless this replica still leads, because
 // another leader would not know of them.
-func (r *Replica) renew(ids []string, records []catalog.RecordOp) (unknown []string, err error) {
-	node := r.node()
+func (r *Replica) renewLeases(ids []string, records []catalog.RecordOp) (unknown []string, err error) {
+	node := r.raftNode()
 	if node == nil {
 		return nil, ErrRefused
 	}
@@ -210,18 +210,18 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.keeper == nil {
+	if r.leases == nil {
 		return nil, fmt.Errorf("%w: this replica does not lead yet", ErrRefused)
 	}
-	now := time.Since(r.began)
-	r.ledger.read(func(s *catalog.State) {
+	now := time.Since(r.leasesSince)
+	r.fsm.view(func(s *catalog.State) {
 		for _, id := range ids {
-			if r.keeper.Renew(s, id, now) != nil {
+			if r.leases.Renew(s, id, now) != nil {
 				unknown = append(unknown, id)
 			}
 		}
 		for _, h := range records {
-			if r.keeper.RenewRecord(s, h.Name, h.Token, now) != nil {
+			if r.leases.RenewRecord(s, h.Name, h.Token, now) != nil {
 				unknown = append(unknown, h.Name)
 			}
 		}
@@ -230,10 +230,10 @@
 }
 
 // noteRegistration starts the lease of an endpoint.
-func (r *Replica) registered(id string) {
+func (r *Replica) noteRegistration(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.keeper != nil {
-		r.keeper.NoteRegistration(id, time.Since(r.began))
+	if r.leases != nil {
+		r.leases.NoteRegistration(id, time.Since(r.leasesSince))
 	}
 }
--- a/internal/directory/members.go
+++ b/internal/directory/members.go
@@ -19,40 +19,40 @@
 // decideBootstrap asks the other replicas about the service until it is clear whether this one must bootstrap
 // it. A replica that may have been a member before, and has lost its data, is removed first: it may have
 // voted, and could vote again for a candidate that has less.
-func (r *Replica) findPlace() (found bool, err error) {
+func (r *Replica) decideBootstrap() (bootstrap bool, err error) {
 	if len(r.cfg.Peers) == 0 {
 		return true, nil
 	}
-	for told := false; ; told = true {
-		unfounded := 0
+	for warned := false; ; warned = true {
+		unbootstrapped := 0
 		for _, p := range r.cfg.Peers {
-			st, err := r.statusOf(p.HTTP)
+			status, err := r.peerStatus(p.HTTP)
 			switch {
 			case err != nil:
 				continue
-			case !st.Bootstrapped:
-				unfounded++
+			case !status.Bootstrapped:
+				unbootstrapped++
 				continue
 			}
-			var joined joinReply
-			err = r.ask(http.MethodPost, p.HTTP, "/directory/join", joinAsk{Replica: r.self(), Fresh: true}, &joined)
+			var reply joinReply
+			err = r.callPeer(http.MethodPost, p.HTTP, "/directory/join", joinRequest{Replica: r.ownAddresses(), Fresh: true}, &reply)
 			if err == nil {
 				r.log.Info("joining", "through", p.ID)
 				return false, nil
 			}
-			if !told {
+			if !warned {
 				r.log.Warn("joining the service failed", "through", p.ID, "err", err)
 			}
 		}
-		first := !slices.ContainsFunc(r.cfg.Peers, func(p Peer) bool { return p.ID < r.cfg.ID })
-		if first && unfounded == len(r.cfg.Peers) {
+		isFirst := !slices.ContainsFunc(r.cfg.Peers, func(p Peer) bool { return p.ID < r.cfg.ID })
+		if isFirst && unbootstrapped == len(r.cfg.Peers) {
 			r.log.Info("bootstrapping the service")
 			return true, nil
 		}
-		if !told {
-			r.log.Warn("waiting for the other replicas", "new", unfounded, "of", len(r.cfg.Peers))
+		if !warned {
+			r.log.Warn("waiting for the other replicas", "new", unbootstrapped, "of", len(r.cfg.Peers))
 		}
-		if !registry.Sleep(r.ctx, askPeers) {
+		if !registry.Sleep(r.ctx, joinRetryInterval) {
 			return false, r.ctx.Err()
 		}
 	}
@@ -60,16 +60,16 @@
 
 // joinUntilVoter asks to join until the leader confirms that this replica is a voter. The replica's own
 // configuration may date from before it was removed.
-func (r *Replica) stay() {
-	for registry.Sleep(r.ctx, askPeers) {
+func (r *Replica) joinUntilVoter() {
+	for registry.Sleep(r.ctx, joinRetryInterval) {
 		for _, p := range r.cfg.Peers {
-			var joined joinReply
-			err := r.ask(http.MethodPost, p.HTTP, "/directory/join", joinAsk{Replica: r.self(), Applied: r.node().AppliedIndex()}, &joined)
-			if errors.Is(err, errForbidden) {
-				r.fail(fmt.Errorf("%w; `cottonrack directory member add` allows it to join again", ErrRemoved))
+			var reply joinReply
+			err := r.callPeer(http.MethodPost, p.HTTP, "/directory/join", joinRequest{Replica: r.ownAddresses(), Applied: r.raftNode().AppliedIndex()}, &reply)
+			if errors.Is(err, errNotMember) {
+				r.reportFailure(fmt.Errorf("%w; `cottonrack directory member add` allows it to join again", ErrRemoved))
 				return
 			}
-			if joined.Votes {
+			if reply.Votes {
 				return
 			}
 			if err == nil {
@@ -80,12 +80,12 @@
 	}
 }
 
-func (r *Replica) self() catalog.Replica {
+func (r *Replica) ownAddresses() catalog.Replica {
 	return catalog.Replica{ID: r.cfg.ID, HTTP: r.cfg.HTTP, Raft: r.cfg.Raft}
 }
 
-func (r *Replica) servers() []raft.Server {
-	node := r.node()
+func (r *Replica) raftServers() []raft.Server {
+	node := r.raftNode()
 	if node == nil {
 		return nil
 	}
@@ -96,7 +96,7 @@
 	return f.Configuration().Servers
 }
 
-type joinAsk struct {
+type joinRequest struct {
 	catalog.Replica
 	Fresh   bool   `json:"fresh"`   // has no data, and must be removed before it joins
 	Applied uint64 `json:"applied"` // index of the last entry that it has applied
@@ -108,46 +108,46 @@
 
 // addMember takes a replica in, one step per call: it removes a fresh one that was a member before, adds it
 // as a nonvoter, and makes it a voter once it has nearly caught up. Only the leader can.
-func (r *Replica) join(a joinAsk) (joinReply, error) {
-	if !r.settled() {
+func (r *Replica) addMember(request joinRequest) (joinReply, error) {
+	if !r.isReadyLeader() {
 		return joinReply{}, fmt.Errorf("%w: this replica does not lead yet", ErrRefused)
 	}
 	invited := false
-	r.ledger.read(func(s *catalog.State) { _, invited = s.Replicas()[a.ID] })
+	r.fsm.view(func(s *catalog.State) { _, invited = s.Replicas()[request.ID] })
 	if !invited {
-		return joinReply{}, fmt.Errorf("replica %.40q is not allowed to join (see cottonrack directory member add): %w", a.ID, catalog.ErrNotFound)
+		return joinReply{}, fmt.Errorf("replica %.40q is not allowed to join (see cottonrack directory member add): %w", request.ID, catalog.ErrNotFound)
 	}
-	node := r.node()
-	servers := r.servers()
-	i := slices.IndexFunc(servers, func(s raft.Server) bool { return string(s.ID) == a.ID })
-	id, address := raft.ServerID(a.ID), raft.ServerAddress(a.Raft)
-	var f raft.Future
+	node := r.raftNode()
+	servers := r.raftServers()
+	index := slices.IndexFunc(servers, func(s raft.Server) bool { return string(s.ID) == request.ID })
+	id, address := raft.ServerID(request.ID), raft.ServerAddress(request.Raft)
+	var future raft.Future
 	switch {
-	case a.Fresh && i < 0:
+	case request.Fresh && index < 0:
 		return joinReply{}, nil
-	case a.Fresh:
-		r.log.Warn("a replica has lost its data; removing it so that it joins anew", "replica", a.ID)
-		f = node.RemoveServer(id, 0, proposeWait)
-	case i < 0:
-		r.log.Info("adding a replica without a vote", "replica", a.ID)
-		f = node.AddNonvoter(id, address, 0, proposeWait)
-	case servers[i].Suffrage == raft.Voter:
+	case request.Fresh:
+		r.log.Warn("a replica has lost its data; removing it so that it joins anew", "replica", request.ID)
+		future = node.RemoveServer(id, 0, enqueueTimeout)
+	case index < 0:
+		r.log.Info("adding a replica without a vote", "replica", request.ID)
+		future = node.AddNonvoter(id, address, 0, enqueueTimeout)
+	case servers[index].Suffrage == raft.Voter:
 		return joinReply{Votes: true}, nil
-	case a.Applied+nearEnough < node.CommitIndex():
+	case request.Applied+maxVoterLag < node.CommitIndex():
 		return joinReply{}, nil
 	default:
-		r.log.Info("a replica has caught up; making it a voter", "replica", a.ID)
-		f = node.AddVoter(id, address, 0, proposeWait)
+		r.log.Info("a replica has caught up; making it a voter", "replica", request.ID)
+		future = node.AddVoter(id, address, 0, enqueueTimeout)
 	}
-	if err := f.Error(); err != nil {
+	if err := future.Error(); err != nil {
 		return joinReply{}, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	return joinReply{Votes: i >= 0 && !a.Fresh}, nil
+	return joinReply{Votes: index >= 0 && !request.Fresh}, nil
 }
 
 // callPeer sends a small request to another replica and decodes the response.
-func (r *Replica) ask(method, address, path string, body, into any) error {
-	ctx, cancel := context.WithTimeout(r.ctx, peerTimeout+proposeWait)
+func (r *Replica) callPeer(method, address, path string, body, into any) error {
+	ctx, cancel := context.WithTimeout(r.ctx, peerTimeout+enqueueTimeout)
 	defer cancel()
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := r.client.Do(req)
+	resp, err := r.peerClient.Do(req)
 	if err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 		return err
 	}
 	if resp.StatusCode == http.StatusForbidden {
-		return fmt.Errorf("%w: %s", errForbidden, bytes.TrimSpace(raw))
+		return fmt.Errorf("%w: %s", errNotMember, bytes.TrimSpace(raw))
 	}
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s: %s", resp.Status, bytes.TrimSpace(raw))
@@ -175,7 +175,7 @@
 	return json.Unmarshal(raw, into)
 }
 
-func (r *Replica) statusOf(address string) (Status, error) {
-	var st Status
-	return st, r.ask(http.MethodGet, address, "/directory/status", nil, &st)
+func (r *Replica) peerStatus(address string) (Status, error) {
+	var status Status
+	return status, r.callPeer(http.MethodGet, address, "/directory/status", nil, &status)
 }
--- a/internal/directory/metrics.go
+++ b/internal/directory/metrics.go
@@ -15,7 +15,7 @@
 // metrics are the Prometheus metrics of a replica.
 type metrics struct {
 	registry *prometheus.Registry
-	asks     *prometheus.CounterVec
+	requests *prometheus.CounterVec
 	cuts     *prometheus.CounterVec
 	writes   *prometheus.HistogramVec
 }
@@ -23,7 +23,7 @@
 func newMetrics(s *Server) *metrics {
 	m := &metrics{
 		registry: prometheus.NewRegistry(),
-		asks: prometheus.NewCounterVec(prometheus.CounterOpts{
+		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "directory_asks_total", Help: "Requests for the list and for watches, by result.",
 		}, []string{"result"}),
 		cuts: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -39,11 +39,11 @@
 	}
 	state := func(of func(*catalog.State) float64) func() float64 {
 		return func() (v float64) {
-			s.r.ledger.read(func(st *catalog.State) { v = of(st) })
+			s.replica.fsm.view(func(st *catalog.State) { v = of(st) })
 			return v
 		}
 	}
-	m.registry.MustRegister(m.asks, m.cuts, m.writes,
+	m.registry.MustRegister(m.requests, m.cuts, m.writes,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 		gauge("directory_watches", "Open watches.", func() float64 { return float64(s.watches.count()) }),
 		gauge("directory_revision", "Revision of the list at this replica.", state(func(st *catalog.State) float64 { return float64(st.Revision()) })),
@@ -60,20 +60,20 @@
 			}
 			return 1
 		})),
-		gauge("directory_map_number", "Number of the partition map in force at this replica; 0: none.", func() float64 { return float64(s.r.ledger.theMap().number) }),
+		gauge("directory_map_number", "Number of the partition map in force at this replica; 0: none.", func() float64 { return float64(s.replica.fsm.currentMap().number) }),
 		gauge("directory_map_wrong", "1 if the record of the partition map holds an invalid value.", func() float64 {
-			if s.r.ledger.theMap().wrong != "" {
+			if s.replica.fsm.currentMap().invalid != "" {
 				return 1
 			}
 			return 0
 		}),
 		gauge("directory_leads", "1 at the leader.", func() float64 {
-			if s.r.settled() {
+			if s.replica.isReadyLeader() {
 				return 1
 			}
 			return 0
 		}),
-		gauge("directory_age_seconds", "Time since the last contact with the leader; 0 at the leader.", func() float64 { return s.r.age().Seconds() }),
+		gauge("directory_age_seconds", "Time since the last contact with the leader; 0 at the leader.", func() float64 { return s.replica.leaderContactAge().Seconds() }),
 	)
 	return m
 }
@@ -82,10 +82,10 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-func (m *metrics) asked(result string) { m.asks.WithLabelValues(result).Inc() }
-func (m *metrics) cut(reason string)   { m.cuts.WithLabelValues(reason).Inc() }
+func (m *metrics) countRequest(result string) { m.requests.WithLabelValues(result).Inc() }
+func (m *metrics) countCut(reason string)     { m.cuts.WithLabelValues(reason).Inc() }
 
-func (m *metrics) wrote(took time.Duration, err error) {
+func (m *metrics) observeWrite(took time.Duration, err error) {
 	result := "done"
 	switch {
 	case errors.Is(err, catalog.ErrHeld):
--- a/internal/directory/operator.go
+++ b/internal/directory/operator.go
@@ -27,7 +27,7 @@
 	RetryFor   time.Duration // how long to try for a replica that can serve the request; 0: one try at each
 	HTTPClient *http.Client  // nil: http.DefaultClient
 
-	preferred int // index of the address that responded last
+	current int // index of the address that responded last
 }
 
 // ResponseError is an error response of the service.
@@ -62,7 +62,7 @@
 	return ErrRefused
 }
 
-const operatorPause = 100 * time.Millisecond
+const retryPause = 100 * time.Millisecond
 
 // Do sends a request to one replica after another until one serves it, and returns the response body. It does
 // not repeat a write with an ambiguous outcome.
@@ -70,25 +70,25 @@
 	if len(o.Addresses) == 0 {
 		return nil, nil, fmt.Errorf("%w: no replica address", ErrRefused)
 	}
-	until := time.Now().Add(o.RetryFor)
+	deadline := time.Now().Add(o.RetryFor)
 	for {
 		var errs []error
 		for range o.Addresses {
-			address := o.Addresses[o.preferred%len(o.Addresses)]
-			raw, header, err := o.once(ctx, address, method, path, match, body)
+			address := o.Addresses[o.current%len(o.Addresses)]
+			raw, header, err := o.send(ctx, address, method, path, match, body)
 			if err == nil || !errors.Is(err, ErrRefused) || ctx.Err() != nil {
 				return raw, header, err
 			}
 			errs = append(errs, fmt.Errorf("%s: %w", address, err))
-			o.preferred++
+			o.current++
 		}
-		if time.Now().After(until) || !registry.Sleep(ctx, operatorPause) {
+		if time.Now().After(deadline) || !registry.Sleep(ctx, retryPause) {
 			return nil, nil, errors.Join(errs...)
 		}
 	}
 }
 
-func (o *AdminClient) once(ctx context.Context, address, method, path, match string, body []byte) ([]byte, http.Header, error) {
+func (o *AdminClient) send(ctx context.Context, address, method, path, match string, body []byte) ([]byte, http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, err
@@ -111,22 +111,22 @@
 		return nil, nil, fmt.Errorf("%w: %w", ErrAmbiguous, err)
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBackup))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBackupBytes))
 	if err != nil {
 		return nil, nil, fmt.Errorf("%w: %w", ErrAmbiguous, err)
 	}
 	if resp.StatusCode/100 == 2 && resp.StatusCode != http.StatusAccepted {
 		return raw, resp.Header, nil
 	}
-	var p problem
-	if json.Unmarshal(raw, &p) != nil || p.Error == "" {
-		p.Error = resp.Status
+	var problem errorBody
+	if json.Unmarshal(raw, &problem) != nil || problem.Error == "" {
+		problem.Error = resp.Status
 	}
-	return nil, resp.Header, &ResponseError{resp.StatusCode, p.Error, p.Outcome, p.Revision, p.Held}
+	return nil, resp.Header, &ResponseError{resp.StatusCode, problem.Error, problem.Outcome, problem.Revision, problem.Held}
 }
 
 // call sends a request with a JSON body and decodes the response.
-func (o *AdminClient) into(ctx context.Context, v any, method, path, match string, body any) error {
+func (o *AdminClient) call(ctx context.Context, v any, method, path, match string, body any) error {
 	var raw []byte
 	if body != nil {
 		var err error
@@ -143,8 +143,8 @@
 
 // Status returns the status of one replica.
 func (o *AdminClient) Status(ctx context.Context) (Status, error) {
-	var st Status
-	return st, o.into(ctx, &st, http.MethodGet, "/directory/status", "", nil)
+	var status Status
+	return status, o.call(ctx, &status, http.MethodGet, "/directory/status", "", nil)
 }
 
 // List reads the complete list, and the If-Match value for a write that is based on it. A fresh list includes
@@ -182,13 +182,13 @@
 		path += "?confirm=1"
 	}
 	var w WriteResult
-	return w, o.into(ctx, &w, method, path, match, map[string]any{"members": append([]catalog.Endpoint{}, members...)})
+	return w, o.call(ctx, &w, method, path, match, map[string]any{"members": append([]catalog.Endpoint{}, members...)})
 }
 
 // Drain drains an endpoint, whatever else has changed.
 func (o *AdminClient) Drain(ctx context.Context, id string) (WriteResult, error) {
 	var w WriteResult
-	return w, o.into(ctx, &w, http.MethodPost, "/registry/instances/"+url.PathEscape(id)+"/drain", "*", nil)
+	return w, o.call(ctx, &w, http.MethodPost, "/registry/instances/"+url.PathEscape(id)+"/drain", "*", nil)
 }
 
 // Confirm applies the held write with a number, or drops it.
@@ -197,7 +197,7 @@
 	if drop {
 		path += "?drop=1"
 	}
-	return o.into(ctx, nil, http.MethodPost, path, "", nil)
+	return o.call(ctx, nil, http.MethodPost, path, "", nil)
 }
 
 // ChangeHistory holds consecutive changes of the list.
@@ -211,7 +211,7 @@
 // History reads changes after a revision, or the latest ones if it is negative.
 func (o *AdminClient) History(ctx context.Context, after int64, limit int) (ChangeHistory, error) {
 	var c ChangeHistory
-	return c, o.into(ctx, &c, http.MethodGet, fmt.Sprintf("/directory/history?after=%d&limit=%d", after, limit), "", nil)
+	return c, o.call(ctx, &c, http.MethodGet, fmt.Sprintf("/directory/history?after=%d&limit=%d", after, limit), "", nil)
 }
 
 // Backup reads and verifies a backup of the state: of the current state if fresh, else of what some replica
@@ -244,12 +244,12 @@
 
 // AddReplica allows a replica to join the service.
 func (o *AdminClient) AddReplica(ctx context.Context, r catalog.Replica) error {
-	return o.into(ctx, nil, http.MethodPut, "/directory/members/"+url.PathEscape(r.ID), "", r)
+	return o.call(ctx, nil, http.MethodPut, "/directory/members/"+url.PathEscape(r.ID), "", r)
 }
 
 // RemoveReplica removes a replica from the service.
 func (o *AdminClient) RemoveReplica(ctx context.Context, id string) error {
-	return o.into(ctx, nil, http.MethodDelete, "/directory/members/"+url.PathEscape(id), "", nil)
+	return o.call(ctx, nil, http.MethodDelete, "/directory/members/"+url.PathEscape(id), "", nil)
 }
 
 // Diff returns the endpoints that a write would change, as they would become, sorted by ID.
--- a/internal/directory/parts_test.go
+++ b/internal/directory/parts_test.go
@@ -28,13 +28,13 @@
 	"starlingusher/internal/registry"
 )
 
-func of(id string, cell int) catalog.Endpoint {
+func endpointOf(id string, cell int) catalog.Endpoint {
 	e := endpoint(id, catalog.Serving)
 	e.Cell = cell
 	return e
 }
 
-func gone(e catalog.Endpoint) catalog.Endpoint { e.Phase = catalog.Deleted; return e }
+func deleted(e catalog.Endpoint) catalog.Endpoint { e.Phase = catalog.Deleted; return e }
 
 func setOf(cells ...int) *ownership.Set {
 	var s ownership.Set
@@ -45,7 +45,7 @@
 }
 
 // getList returns a complete response.
-func get(t *testing.T, o *one, query string) (int, http.Header, string) {
+func getList(t *testing.T, o *testReplica, query string) (int, http.Header, string) {
 	t.Helper()
 	resp, err := http.Get("http://" + o.cfg.HTTP + "/registry/instances" + query)
 	if err != nil {
@@ -60,7 +60,7 @@
 }
 
 // watchLines returns the lines of a watch unchanged, including empty ones.
-func rawLines(t *testing.T, o *one, query string) (http.Header, <-chan string, func()) {
+func watchLines(t *testing.T, o *testReplica, query string) (http.Header, <-chan string, func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+o.cfg.HTTP+"/registry/instances?watch=1"+query, nil)
@@ -95,7 +95,7 @@
 	return ownership.Make(1, 2, []ownership.Member{{Name: "n1", Zone: "a", Weight: 1}, {Name: "n2", Zone: "b", Weight: 1}}, nil)
 })
 
-func aMap(t testing.TB, number int64) []byte {
+func encodedMap(t testing.TB, number int64) []byte {
 	t.Helper()
 	first, err := firstMap()
 	if err != nil {
@@ -111,28 +111,28 @@
 }
 
 // putMap writes the record of the map in the steps of its regular writer.
-func putMap(t *testing.T, o *one, number int64) error {
+func putMap(t *testing.T, o *testReplica, number int64) error {
 	t.Helper()
 	op := o.operator()
 	var w WriteResult
-	if err := op.into(t.Context(), &w, http.MethodPut, "/records/"+ownership.RecordName, "", holdAsk{Holder: "w"}); err != nil {
+	if err := op.call(t.Context(), &w, http.MethodPut, "/records/"+ownership.RecordName, "", recordRequest{Holder: "w"}); err != nil {
 		t.Fatal(err)
 	}
-	err := op.into(t.Context(), nil, http.MethodPost, "/records/"+ownership.RecordName, "", holdAsk{Token: w.Token, Value: aMap(t, number)})
-	if err2 := op.into(t.Context(), nil, http.MethodDelete, "/records/"+ownership.RecordName, "", holdAsk{Token: w.Token}); err2 != nil {
+	err := op.call(t.Context(), nil, http.MethodPost, "/records/"+ownership.RecordName, "", recordRequest{Token: w.Token, Value: encodedMap(t, number)})
+	if err2 := op.call(t.Context(), nil, http.MethodDelete, "/records/"+ownership.RecordName, "", recordRequest{Token: w.Token}); err2 != nil {
 		t.Fatal(err2)
 	}
 	return err
 }
 
 // Requests without partitions must get the same bytes as in builds without partitions, whatever the map.
-func TestWholeListIsAsBefore(t *testing.T) {
-	o := replicas(t, 1, nil)[0]
-	a, b := of("a", 1), of("b", 2)
+func TestWholeListIsUnchanged(t *testing.T) {
+	o := startReplicas(t, 1, nil)[0]
+	a, b := endpointOf("a", 1), endpointOf("b", 2)
 	put(t, o, "*", a, b)
 	const one = `{"id":%q,"host_port":"10.0.0.1:80","locality":"a","flavor":"k","cell":%d,"phase":%q,"size":1,"up_since_ms":0}`
 	whole := `{"revision":1,"complete":true,"members":[` + fmt.Sprintf(one, "a", 1, "SERVING") + `,` + fmt.Sprintf(one, "b", 2, "SERVING") + "]}\n"
-	head, news, end := rawLines(t, o, "&after=0")
+	head, news, end := watchLines(t, o, "&after=0")
 	defer end()
 	if l := <-news; l != whole {
 		t.Errorf("first line: %s", l)
@@ -140,7 +140,7 @@
 	if err := putMap(t, o, 3); err != nil {
 		t.Fatal(err)
 	}
-	put(t, o, "*", gone(b))
+	put(t, o, "*", deleted(b))
 	change := `{"revision":2,"complete":false,"members":[` + fmt.Sprintf(one, "b", 2, "DELETED") + "]}\n"
 	if l := <-news; l != change {
 		t.Errorf("second line: %s", l)
@@ -148,7 +148,7 @@
 	if l := <-news; l != "\n" {
 		t.Errorf("without a change: %q", l)
 	}
-	_, header, body := get(t, o, "?after=1")
+	_, header, body := getList(t, o, "?after=1")
 	if body != change {
 		t.Errorf("changes after 1: %s", body)
 	}
@@ -161,9 +161,9 @@
 }
 
 func TestWatchOfPartitions(t *testing.T) {
-	o := replicas(t, 1, nil)[0]
-	put(t, o, "*", of("a", 1), of("b", 2), of("c", 3))
-	head, news, end := rawLines(t, o, "&after=0&partitions="+setOf(1, 2).String())
+	o := startReplicas(t, 1, nil)[0]
+	put(t, o, "*", endpointOf("a", 1), endpointOf("b", 2), endpointOf("c", 3))
+	head, news, end := watchLines(t, o, "&after=0&partitions="+setOf(1, 2).String())
 	defer end()
 	next := func() (l catalog.List) {
 		t.Helper()
@@ -195,11 +195,11 @@
 	if head.Get(HeaderPartitions) != "4096" || head.Get(HeaderMap) != "0" || head.Get("ETag") != "" {
 		t.Errorf("headers %v", head)
 	}
-	want("first", 1, 0, of("a", 1), of("b", 2))
-	put(t, o, "*", of("d", 2))
-	want("a change", 2, 0, of("d", 2))
-	put(t, o, "*", of("e", 3)) // outside of the watched partitions
-	put(t, o, "*", of("f", 4))
+	want("first", 1, 0, endpointOf("a", 1), endpointOf("b", 2))
+	put(t, o, "*", endpointOf("d", 2))
+	want("a change", 2, 0, endpointOf("d", 2))
+	put(t, o, "*", endpointOf("e", 3)) // outside of the watched partitions
+	put(t, o, "*", endpointOf("f", 4))
 	want("a new revision only", 4, 0)
 	if l := next(); l.Revision != 0 {
 		t.Errorf("after the new revision: %+v", l)
@@ -208,42 +208,42 @@
 		t.Fatal(err)
 	}
 	want("a new map number", 4, 7)
-	put(t, o, "*", of("a", 2), of("b", 3), of("c", 4), of("e", 1)) // moves within the partitions, out, elsewhere, and in
+	put(t, o, "*", endpointOf("a", 2), endpointOf("b", 3), endpointOf("c", 4), endpointOf("e", 1)) // moves within the partitions, out, elsewhere, and in
 	l := next()
 	slices.SortFunc(l.Members, func(a, b catalog.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	if l.Revision != 5 || l.Map != 7 || !slices.Equal(l.Members, []catalog.Endpoint{of("a", 2), gone(of("b", 2)), of("e", 1)}) {
+	if l.Revision != 5 || l.Map != 7 || !slices.Equal(l.Members, []catalog.Endpoint{endpointOf("a", 2), deleted(endpointOf("b", 2)), endpointOf("e", 1)}) {
 		t.Errorf("moves: %+v", l)
 	}
-	put(t, o, "*", gone(of("a", 2)))
-	want("a deletion", 6, 7, gone(of("a", 2)))
+	put(t, o, "*", deleted(endpointOf("a", 2)))
+	want("a deletion", 6, 7, deleted(endpointOf("a", 2)))
 
-	resumed, header, body := get(t, o, "?after=4&partitions="+setOf(1, 2).String())
+	resumed, header, body := getList(t, o, "?after=4&partitions="+setOf(1, 2).String())
 	if err := json.Unmarshal([]byte(body), &l); err != nil || resumed != 200 || header.Get(HeaderMap) != "7" || header.Get("ETag") != "" ||
 		l.Complete || l.Revision != 6 || l.Map != 7 || len(l.Members) != 3 {
 		t.Errorf("changes after 4: %d, %v, %s", resumed, header, body)
 	}
 	o.stop()
 	o.start()
-	eventually(t, "the leader", o.r.settled)
-	head, again, end2 := rawLines(t, o, "&after=5&partitions="+setOf(1, 2).String())
+	eventually(t, "the leader", o.replica.isReadyLeader)
+	head, again, end2 := watchLines(t, o, "&after=5&partitions="+setOf(1, 2).String())
 	defer end2()
 	if l := <-again; head.Get(HeaderMap) != "7" || !strings.HasPrefix(l, `{"revision":6,"complete":false,`) || !strings.HasSuffix(l, `"DELETED","size":1,"up_since_ms":0}],"map":7}`+"\n") {
 		t.Errorf("after a restart: %v, %s", head, l)
 	}
 }
 
-func TestPartitionsThatAreNone(t *testing.T) {
-	o := replicas(t, 1, nil)[0]
-	put(t, o, "*", of("a", 1))
+func TestInvalidPartitionsAreRefused(t *testing.T) {
+	o := startReplicas(t, 1, nil)[0]
+	put(t, o, "*", endpointOf("a", 1))
 	for _, q := range []string{"", "x", "4096", "-1", "1,1", "2,1", "1-", "5-4", "1,,2", "1&partitions=2", "%20"} {
 		for _, watch := range []string{"", "&watch=1"} {
-			code, _, body := get(t, o, "?partitions="+q+watch)
+			code, _, body := getList(t, o, "?partitions="+q+watch)
 			if code != http.StatusBadRequest || strings.Count(body, "\n") != 1 {
 				t.Errorf("partitions=%s%s: %d %s", q, watch, code, body)
 			}
 		}
 	}
-	code, _, body := get(t, o, "?partitions=0-4095")
+	code, _, body := getList(t, o, "?partitions=0-4095")
 	if l := (catalog.List{}); code != 200 || json.Unmarshal([]byte(body), &l) != nil || len(l.Members) != 1 {
 		t.Errorf("all partitions: %d %s", code, body)
 	}
@@ -251,7 +251,7 @@
 
 // olderReplica is a proxy that behaves like a replica of an older build: it knows neither the parameter nor
 // the headers of partitions.
-func olderFront(t *testing.T, o *one) *httptest.Server {
+func olderReplica(t *testing.T, o *testReplica) *httptest.Server {
 	p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: o.cfg.HTTP})
 	p.FlushInterval, p.ErrorLog = -1, slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
 	direct := p.Director
@@ -273,22 +273,22 @@
 
 // A watcher of some partitions must have exactly their list while replicas stop, restart, take and send
 // snapshots, and one of them is of an older build.
-func TestClientOfPartitionsOutlivesReplicas(t *testing.T) {
-	all := replicas(t, 3, func(c *Config) {
+func TestWatcherOfPartitionsSurvivesRestarts(t *testing.T) {
+	all := startReplicas(t, 3, func(c *Config) {
 		c.Snapshot.Every, c.Snapshot.Trailing, c.Snapshot.Interval.Duration = 5, 5, 50*time.Millisecond
 	})
-	put(t, all[0], "*", of("e0", 0), of("e1", 1))
+	put(t, all[0], "*", endpointOf("e0", 0), endpointOf("e1", 1))
 	set := setOf(0, 1, 2)
 	var lines sync.Mutex
-	var logged bytes.Buffer
+	var logs bytes.Buffer
 	w := registry.Watcher{
 		FleetSize: 1, Client: http.DefaultClient, Cursor: registry.NewCursor(registry.Position{}), Partitions: set,
-		Log: slog.New(slog.NewTextHandler(&locked{w: &logged, mu: &lines}, nil)),
+		Log: slog.New(slog.NewTextHandler(&lockedWriter{w: &logs, mu: &lines}, nil)),
 	}
 	for _, o := range all[1:] {
 		w.Addresses = append(w.Addresses, o.cfg.HTTP)
 	}
-	w.Addresses = append(w.Addresses, olderFront(t, all[0]).Listener.Addr().String())
+	w.Addresses = append(w.Addresses, olderReplica(t, all[0]).Listener.Addr().String())
 	var mu sync.Mutex
 	have, last, number := map[string]catalog.Endpoint{}, int64(0), int64(0)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -316,11 +316,11 @@
 		})
 	})
 	defer func() { cancel(); watch.Wait() }()
-	same := func(o *one, what string) {
+	expectSameList := func(o *testReplica, what string) {
 		t.Helper()
 		eventually(t, what, func() bool {
 			var want catalog.List
-			o.r.ledger.read(func(s *catalog.State) { want = s.PartitionList(*set) })
+			o.replica.fsm.view(func(s *catalog.State) { want = s.PartitionList(*set) })
 			mu.Lock()
 			defer mu.Unlock()
 			if last != want.Revision || len(have) != len(want.Members) {
@@ -335,26 +335,28 @@
 		})
 	}
 	for i := range 30 {
-		put(t, all[i%3], "*", of(fmt.Sprint("e", i%7), i%5))
+		put(t, all[i%3], "*", endpointOf(fmt.Sprint("e", i%7), i%5))
 	}
-	same(all[0], "the list after writes")
+	expectSameList(all[0], "the list after writes")
 	if err := putMap(t, all[0], 5); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the map's number", func() bool { mu.Lock(); defer mu.Unlock(); return number == 5 })
-	for _, down := range []*one{all[1], all[2]} {
+	for _, down := range []*testReplica{all[1], all[2]} {
 		down.stop()
 		for i := range 20 {
-			put(t, all[0], "*", of(fmt.Sprint("e", i%7), (i*3+1)%5))
+			put(t, all[0], "*", endpointOf(fmt.Sprint("e", i%7), (i*3+1)%5))
 		}
 		if _, err := all[0].operator().Drain(t.Context(), "e3"); err != nil {
 			t.Fatal(err)
 		}
 		down.start()
-		eventually(t, "the replica", func() bool { return down.s.statusNow(false).Revision == all[0].s.statusNow(false).Revision })
-		same(all[0], "the list with "+down.cfg.ID+" down")
+		eventually(t, "the replica", func() bool {
+			return down.server.currentStatus(false).Revision == all[0].server.currentStatus(false).Revision
+		})
+		expectSameList(all[0], "the list with "+down.cfg.ID+" down")
 	}
-	if st := all[1].s.statusNow(false); st.MapNumber != 5 || st.MapError != "" {
+	if st := all[1].server.currentStatus(false); st.MapNumber != 5 || st.MapError != "" {
 		t.Errorf("the map after a restart: %+v", st)
 	}
 	for _, o := range all { // each replica on its own
@@ -365,29 +367,29 @@
 	}
 	lines.Lock()
 	defer lines.Unlock()
-	if n := strings.Count(logged.String(), "would send the whole list"); n > 1 {
-		t.Errorf("the older replica was logged %d times: %s", n, logged.String())
+	if n := strings.Count(logs.String(), "would send the whole list"); n > 1 {
+		t.Errorf("the older replica was logged %d times: %s", n, logs.String())
 	}
 }
 
-type locked struct {
+type lockedWriter struct {
 	w  io.Writer
 	mu *sync.Mutex
 }
 
-func (l *locked) Write(p []byte) (int, error) {
+func (l *lockedWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.w.Write(p)
 }
 
 // If all replicas are of an older build, the watcher must accept nothing, and log each of them once.
-func TestClientOfPartitionsTakesNothingFromOlderReplicas(t *testing.T) {
-	o := replicas(t, 1, nil)[0]
-	put(t, o, "*", of("a", 1))
+func TestWatcherOfPartitionsRejectsOlderReplicas(t *testing.T) {
+	o := startReplicas(t, 1, nil)[0]
+	put(t, o, "*", endpointOf("a", 1))
 	var mu sync.Mutex
-	var logged bytes.Buffer
-	front := olderFront(t, o)
+	var logs bytes.Buffer
+	front := olderReplica(t, o)
 	asks := make(chan string, 1000)
 	counted := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		asks <- req.URL.RawQuery
@@ -396,7 +398,7 @@
 	t.Cleanup(counted.Close)
 	w := registry.Watcher{
 		Addresses: []string{counted.Listener.Addr().String(), front.Listener.Addr().String()}, FleetSize: 1, Client: http.DefaultClient,
-		Cursor: registry.NewCursor(registry.Position{}), Partitions: setOf(1), Log: slog.New(slog.NewTextHandler(&locked{w: &logged, mu: &mu}, nil)),
+		Cursor: registry.NewCursor(registry.Position{}), Partitions: setOf(1), Log: slog.New(slog.NewTextHandler(&lockedWriter{w: &logs, mu: &mu}, nil)),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var watch sync.WaitGroup
@@ -413,45 +415,45 @@
 	}
 	cancel()
 	watch.Wait()
-	if n := strings.Count(logged.String(), "would send the whole list"); n != 2 {
-		t.Errorf("logged %d times for two servers: %s", n, logged.String())
+	if n := strings.Count(logs.String(), "would send the whole list"); n != 2 {
+		t.Errorf("logged %d times for two servers: %s", n, logs.String())
 	}
 }
 
-func TestMapOfPartitionsAtTheDoor(t *testing.T) {
-	o := replicas(t, 1, func(c *Config) { c.Snapshot.Every, c.Snapshot.Interval.Duration = 1, 20*time.Millisecond })[0]
+func TestMapRecordIsValidated(t *testing.T) {
+	o := startReplicas(t, 1, func(c *Config) { c.Snapshot.Every, c.Snapshot.Interval.Duration = 1, 20*time.Millisecond })[0]
 	op := o.operator()
-	put(t, o, "*", of("a", 1))
+	put(t, o, "*", endpointOf("a", 1))
 	record := "/records/" + ownership.RecordName
-	bad := func(method string, ask holdAsk, what string) {
+	expectBadRequest := func(method string, ask recordRequest, what string) {
 		t.Helper()
-		var no *ResponseError
-		if err := op.into(t.Context(), nil, method, record, "", ask); !errors.As(err, &no) || no.StatusCode != http.StatusBadRequest || no.Outcome != "refused" {
+		var refusal *ResponseError
+		if err := op.call(t.Context(), nil, method, record, "", ask); !errors.As(err, &refusal) || refusal.StatusCode != http.StatusBadRequest || refusal.Outcome != "refused" {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	bad(http.MethodPut, holdAsk{Holder: "w", Value: []byte("no map")}, "an invalid map when acquiring")
+	expectBadRequest(http.MethodPut, recordRequest{Holder: "w", Value: []byte("no map")}, "an invalid map when acquiring")
 	if err := putMap(t, o, 5); err != nil {
 		t.Fatal(err)
 	}
 	var w WriteResult
-	if err := op.into(t.Context(), &w, http.MethodPut, record, "", holdAsk{Holder: "w"}); err != nil {
+	if err := op.call(t.Context(), &w, http.MethodPut, record, "", recordRequest{Holder: "w"}); err != nil {
 		t.Fatal(err)
 	}
-	bad(http.MethodPut, holdAsk{Holder: "w", Value: aMap(t, 5)}, "the same number when acquiring")
-	bad(http.MethodPost, holdAsk{Token: w.Token}, "an empty value")
-	bad(http.MethodPost, holdAsk{Token: w.Token, Value: []byte("no map")}, "no map")
-	bad(http.MethodPost, holdAsk{Token: w.Token, Value: aMap(t, 5)}, "the same number")
-	bad(http.MethodPost, holdAsk{Token: w.Token, Value: aMap(t, 4)}, "a smaller number")
-	half := aMap(t, 6)
-	bad(http.MethodPost, holdAsk{Token: w.Token, Value: half[:len(half)/2]}, "half a map")
-	if err := op.into(t.Context(), nil, http.MethodPost, record, "", holdAsk{Token: w.Token - 1, Value: aMap(t, 6)}); !errors.Is(err, catalog.ErrNotHolder) {
+	expectBadRequest(http.MethodPut, recordRequest{Holder: "w", Value: encodedMap(t, 5)}, "the same number when acquiring")
+	expectBadRequest(http.MethodPost, recordRequest{Token: w.Token}, "an empty value")
+	expectBadRequest(http.MethodPost, recordRequest{Token: w.Token, Value: []byte("no map")}, "no map")
+	expectBadRequest(http.MethodPost, recordRequest{Token: w.Token, Value: encodedMap(t, 5)}, "the same number")
+	expectBadRequest(http.MethodPost, recordRequest{Token: w.Token, Value: encodedMap(t, 4)}, "a smaller number")
+	truncated := encodedMap(t, 6)
+	expectBadRequest(http.MethodPost, recordRequest{Token: w.Token, Value: truncated[:len(truncated)/2]}, "half a map")
+	if err := op.call(t.Context(), nil, http.MethodPost, record, "", recordRequest{Token: w.Token - 1, Value: encodedMap(t, 6)}); !errors.Is(err, catalog.ErrNotHolder) {
 		t.Errorf("an old token: %v", err)
 	}
-	if err := op.into(t.Context(), nil, http.MethodPost, "/records/other", "", holdAsk{Token: 1, Value: []byte("no map")}); !errors.Is(err, catalog.ErrNotFound) {
+	if err := op.call(t.Context(), nil, http.MethodPost, "/records/other", "", recordRequest{Token: 1, Value: []byte("no map")}); !errors.Is(err, catalog.ErrNotFound) {
 		t.Errorf("another record: %v", err)
 	}
-	if st := o.s.statusNow(false); st.MapNumber != 5 || st.MapError != "" {
+	if st := o.server.currentStatus(false); st.MapNumber != 5 || st.MapError != "" {
 		t.Errorf("status %+v", st)
 	}
 	// Of concurrent writes with the same number only one may succeed.
@@ -461,7 +463,7 @@
 	for range 8 {
 		writes.Go(func() {
 			op := o.operator()
-			err := op.into(context.Background(), nil, http.MethodPost, record, "", holdAsk{Token: w.Token, Value: aMap(t, 6)})
+			err := op.call(context.Background(), nil, http.MethodPost, record, "", recordRequest{Token: w.Token, Value: encodedMap(t, 6)})
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
@@ -475,19 +477,19 @@
 
 	// A leader of an older build accepts any value. The previous map must stay in force, and the status must
 	// say why.
-	past := func(value []byte, why string) {
+	putUnchecked := func(value []byte, reason string) {
 		t.Helper()
-		res, err := o.r.propose(catalog.Command{Update: &catalog.RecordOp{Name: ownership.RecordName, Token: w.Token, Value: value}})
+		res, err := o.replica.propose(catalog.Command{Update: &catalog.RecordOp{Name: ownership.RecordName, Token: w.Token, Value: value}})
 		if err := errors.Join(err, res.Err); err != nil {
 			t.Fatal(err)
 		}
-		if st := o.s.statusNow(false); st.MapNumber != 6 || !strings.Contains(st.MapError, why) || why == "" {
-			t.Errorf("%s: status %d, %q", why, st.MapNumber, st.MapError)
+		if st := o.server.currentStatus(false); st.MapNumber != 6 || !strings.Contains(st.MapError, reason) || reason == "" {
+			t.Errorf("%s: status %d, %q", reason, st.MapNumber, st.MapError)
 		}
 	}
-	past(aMap(t, 3), "3 after 6")
-	past(nil, " ")
-	past([]byte("no map"), " ")
+	putUnchecked(encodedMap(t, 3), "3 after 6")
+	putUnchecked(nil, " ")
+	putUnchecked([]byte("no map"), " ")
 	raw, _, err := op.Do(t.Context(), http.MethodGet, "/metrics", "", nil)
 	if err != nil || !strings.Contains(string(raw), "\ndirectory_map_number 6\n") || !strings.Contains(string(raw), "\ndirectory_map_wrong 1\n") {
 		t.Errorf("metrics: %v", err)
@@ -495,66 +497,66 @@
 	if _, err := registry.FetchMap(t.Context(), http.DefaultClient, []string{o.cfg.HTTP}, 0); err == nil {
 		t.Error("an invalid map was fetched")
 	}
-	if err := op.into(t.Context(), nil, http.MethodPost, record, "", holdAsk{Token: w.Token, Value: aMap(t, 7)}); err != nil {
+	if err := op.call(t.Context(), nil, http.MethodPost, record, "", recordRequest{Token: w.Token, Value: encodedMap(t, 7)}); err != nil {
 		t.Error(err)
 	}
 	o.stop()
 	o.start()
-	eventually(t, "the leader", o.r.settled)
-	if st := o.s.statusNow(false); st.MapNumber != 7 || st.MapError != "" {
+	eventually(t, "the leader", o.replica.isReadyLeader)
+	if st := o.server.currentStatus(false); st.MapNumber != 7 || st.MapError != "" {
 		t.Errorf("after a restart: %+v", st)
 	}
-	bad(http.MethodPost, holdAsk{Token: w.Token, Value: aMap(t, 7)}, "the same number after a restart")
+	expectBadRequest(http.MethodPost, recordRequest{Token: w.Token, Value: encodedMap(t, 7)}, "the same number after a restart")
 
 	saved, _, err := op.Backup(t.Context(), true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := op.into(t.Context(), nil, http.MethodPost, record, "", holdAsk{Token: w.Token, Value: aMap(t, 9)}); err != nil {
+	if err := op.call(t.Context(), nil, http.MethodPost, record, "", recordRequest{Token: w.Token, Value: encodedMap(t, 9)}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := op.Restore(t.Context(), saved); err != nil {
 		t.Fatal(err)
 	}
-	if st := o.s.statusNow(false); st.MapNumber != 7 || st.MapError != "" {
+	if st := o.server.currentStatus(false); st.MapNumber != 7 || st.MapError != "" {
 		t.Errorf("after a restore: %+v", st)
 	}
 }
 
-func TestListsBoundAtTheDoor(t *testing.T) {
-	o := replicas(t, 1, func(c *Config) { c.List.MaxEndpoints = 3 })[0]
+func TestListBoundIsEnforced(t *testing.T) {
+	o := startReplicas(t, 1, func(c *Config) { c.List.MaxEndpoints = 3 })[0]
 	op := o.operator()
-	full := func(err error, what string) {
+	expectFull := func(err error, what string) {
 		t.Helper()
-		var no *ResponseError
-		if !errors.As(err, &no) || no.StatusCode != http.StatusInsufficientStorage || no.Outcome != "refused" || !errors.Is(err, catalog.ErrFull) {
+		var refusal *ResponseError
+		if !errors.As(err, &refusal) || refusal.StatusCode != http.StatusInsufficientStorage || refusal.Outcome != "refused" || !errors.Is(err, catalog.ErrFull) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	put(t, o, "*", of("a", 1), of("b", 2), of("c", 3))
+	put(t, o, "*", endpointOf("a", 1), endpointOf("b", 2), endpointOf("c", 3))
 	saved, _, err := op.Backup(t.Context(), true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := o.s.statusNow(false).Applied
-	_, err = op.Put(t.Context(), []catalog.Endpoint{of("d", 1)}, false, true, "*")
-	full(err, "one more")
-	_, err = op.Put(t.Context(), []catalog.Endpoint{of("a", 1), of("d", 1), of("e", 1), of("f", 1)}, true, true, "*")
-	full(err, "a whole list")
-	err = op.into(t.Context(), nil, http.MethodPut, "/registry/registrations/d", "", map[string]any{"member": of("d", 1), "ttl_ms": 1000})
-	full(err, "a registration")
-	if after := o.s.statusNow(false).Applied; after != before {
+	before := o.server.currentStatus(false).Applied
+	_, err = op.Put(t.Context(), []catalog.Endpoint{endpointOf("d", 1)}, false, true, "*")
+	expectFull(err, "one more")
+	_, err = op.Put(t.Context(), []catalog.Endpoint{endpointOf("a", 1), endpointOf("d", 1), endpointOf("e", 1), endpointOf("f", 1)}, true, true, "*")
+	expectFull(err, "a whole list")
+	err = op.call(t.Context(), nil, http.MethodPut, "/registry/registrations/d", "", map[string]any{"member": endpointOf("d", 1), "ttl_ms": 1000})
+	expectFull(err, "a registration")
+	if after := o.server.currentStatus(false).Applied; after != before {
 		t.Errorf("a refused write was proposed: entry %d after %d", after, before)
 	}
-	put(t, o, "*", of("a", 9), gone(of("b", 2)))
-	put(t, o, "*", of("d", 1))
+	put(t, o, "*", endpointOf("a", 9), deleted(endpointOf("b", 2)))
+	put(t, o, "*", endpointOf("d", 1))
 	o.stop()
 	o.cfg.List.MaxEndpoints = 2
 	o.start()
-	eventually(t, "the leader", o.r.settled)
+	eventually(t, "the leader", o.replica.isReadyLeader)
 	_, err = op.Restore(t.Context(), saved)
-	full(err, "a backup")
-	put(t, o, "*", gone(of("d", 1)))
+	expectFull(err, "a backup")
+	put(t, o, "*", deleted(endpointOf("d", 1)))
 	for _, most := range []int{0, catalog.MaxEndpoints + 1} {
 		if c := o.cfg; true {
 			c.List.MaxEndpoints = most
@@ -566,7 +568,7 @@
 }
 
 // applyCommand applies a command to a state machine as Raft does.
-func told(t testing.TB, l *ledger, c catalog.Command) catalog.Result {
+func applyCommand(t testing.TB, l *fsm, c catalog.Command) catalog.Result {
 	t.Helper()
 	raw, err := seal(commandMark, c)
 	if err != nil {
@@ -579,37 +581,37 @@
 	return res
 }
 
-func newTold(t testing.TB) *ledger {
-	l := newLedger(1<<20, func(err error) { t.Error(err) })
-	told(t, l, catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
+func newBootstrappedFSM(t testing.TB) *fsm {
+	l := newFSM(1<<20, func(err error) { t.Error(err) })
+	applyCommand(t, l, catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
 	return l
 }
 
-func write(members ...catalog.Endpoint) catalog.Command {
+func writeCommand(members ...catalog.Endpoint) catalog.Command {
 	return catalog.Command{Write: &catalog.Write{Base: catalog.Base{Any: true}, Members: members}}
 }
 
 // A change in one partition must be encoded once for all its watches, and cost watches of other partitions
 // nothing.
-func TestLinesOfPartitionsAreShared(t *testing.T) {
-	l := newTold(t)
-	told(t, l, write(of("a", 1), of("b", 1)))
-	line := l.lines[0].part
-	a, err := line.of(setOf(1, 2))
-	b, err2 := line.of(setOf(1, 3))
+func TestPartitionLinesAreShared(t *testing.T) {
+	l := newBootstrappedFSM(t)
+	applyCommand(t, l, writeCommand(endpointOf("a", 1), endpointOf("b", 1)))
+	line := l.lines[0].byPartition
+	a, err := line.encodeFor(setOf(1, 2))
+	b, err2 := line.encodeFor(setOf(1, 3))
 	if err := errors.Join(err, err2); err != nil || len(a) == 0 || &a[0] != &b[0] {
 		t.Errorf("%s and %s do not share their bytes: %v", a, b, err)
 	}
 	mine, others := setOf(1), setOf(2, 3, 4)
-	if n := testing.AllocsPerRun(100, func() { line.of(mine) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { line.encodeFor(mine) }); n > 0 {
 		t.Errorf("an existing line costs %v allocations", n)
 	}
-	told(t, l, write(of("a", 5), of("b", 6)))
-	line = l.lines[1].part
-	if out, err := line.of(others); out != nil || err != nil {
+	applyCommand(t, l, writeCommand(endpointOf("a", 5), endpointOf("b", 6)))
+	line = l.lines[1].byPartition
+	if out, err := line.encodeFor(others); out != nil || err != nil {
 		t.Errorf("%s, %v", out, err)
 	}
-	if n := testing.AllocsPerRun(100, func() { line.of(others) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { line.encodeFor(others) }); n > 0 {
 		t.Errorf("a line of other partitions costs %v allocations", n)
 	}
 	for _, p := range line.pieces {
@@ -622,23 +624,23 @@
 // Watches of partitions must receive exactly what package catalog computes, in the encoding of a list,
 // whatever is written, with any map, and across snapshots that are installed meanwhile. If one line is left
 // out, the check must notice.
-func TestLinesOfPartitionsAreTheList(t *testing.T) {
+func TestPartitionLinesMatchList(t *testing.T) {
 	for _, fault := range []bool{false, true} {
 		found := 0
 		rapid.Check(t, func(rt *rapid.T) {
-			l := newTold(t)
+			l := newBootstrappedFSM(t)
 			set := setOf(rapid.SliceOfN(rapid.IntRange(0, 5), 1, 4).Draw(rt, "set")...)
-			leave := rapid.IntRange(0, 3).Draw(rt, "left out")
+			skip := rapid.IntRange(0, 3).Draw(rt, "left out")
 			have := map[string]catalog.Endpoint{}
-			at, _ := l.at()
+			at, _ := l.position()
 			number := int64(0)
 			for range 30 {
 				switch rapid.IntRange(0, 7).Draw(rt, "command") {
 				case 0:
 					number++
-					told(t, l, catalog.Command{Acquire: &catalog.RecordOp{Name: ownership.RecordName, Holder: "w", Value: aMap(t, number), SetValue: true}})
+					applyCommand(t, l, catalog.Command{Acquire: &catalog.RecordOp{Name: ownership.RecordName, Holder: "w", Value: encodedMap(t, number), SetValue: true}})
 				case 1: // a snapshot from another replica
-					other := newTold(t)
+					other := newBootstrappedFSM(t)
 					raw, err := EncodeBackup(l.state.Image())
 					if err == nil {
 						err = other.Restore(io.NopCloser(bytes.NewReader(raw)))
@@ -646,7 +648,7 @@
 					if err != nil {
 						rt.Fatal(err)
 					}
-					told(t, other, write(of("s", rapid.IntRange(0, 5).Draw(rt, "cell"))))
+					applyCommand(t, other, writeCommand(endpointOf("s", rapid.IntRange(0, 5).Draw(rt, "cell"))))
 					if raw, err = EncodeBackup(other.state.Image()); err == nil {
 						err = l.Restore(io.NopCloser(bytes.NewReader(raw)))
 					}
@@ -656,19 +658,19 @@
 				default:
 					var all []catalog.Endpoint
 					for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 6), 0, 4, rapid.ID[int]).Draw(rt, "ids") {
-						e := of(fmt.Sprint("e<", i), rapid.IntRange(0, 5).Draw(rt, "cell"))
+						e := endpointOf(fmt.Sprint("e<", i), rapid.IntRange(0, 5).Draw(rt, "cell"))
 						e.Phase = rapid.SampledFrom([]string{catalog.Serving, catalog.Draining, catalog.Deleted}).Draw(rt, "phase")
 						all = append(all, e)
 					}
-					told(t, l, write(all...))
+					applyCommand(t, l, writeCommand(all...))
 				}
-				lines, has, _, ok := l.since(at)
+				lines, has, _, ok := l.linesAfter(at)
 				if !ok && at.revision > 0 {
 					rt.Fatalf("the lines after %+v are unknown", at)
 				}
 				if !ok { // a snapshot before the first write
 					lines = nil
-					raw, now, _, err := l.part(0, set)
+					raw, now, _, err := l.encodePartitions(0, set)
 					var list catalog.List
 					if err := errors.Join(err, json.Unmarshal(raw, &list)); err != nil {
 						rt.Fatal(err)
@@ -681,7 +683,7 @@
 					rt.Fatalf("the map number is %d, reported is %d", number, has)
 				}
 				for _, one := range lines {
-					raw, err := one.part.of(set)
+					raw, err := one.byPartition.encodeFor(set)
 					if err != nil {
 						rt.Fatal(err)
 					}
@@ -693,7 +695,7 @@
 					if err := json.Unmarshal(raw, &list); err != nil || len(list.Members) == 0 {
 						rt.Fatalf("%s: %v", raw, err)
 					}
-					if again, err := json.Marshal(list); err != nil || string(again)+"\n" != string(raw) || list.Map != one.part.number {
+					if again, err := json.Marshal(list); err != nil || string(again)+"\n" != string(raw) || list.Map != one.byPartition.mapNumber {
 						rt.Fatalf("%s differs from an encoded list: %s, %v", raw, again, err)
 					}
 					was := maps.Clone(have)
@@ -703,7 +705,7 @@
 						}
 					}
 					if fault && !maps.Equal(was, have) {
-						if leave--; leave == -1 {
+						if skip--; skip == -1 {
 							have = was
 						}
 					}
@@ -715,13 +717,13 @@
 					}
 				}
 				if !maps.Equal(have, want) {
-					if fault && leave < 0 {
+					if fault && skip < 0 {
 						found++
 						return
 					}
 					rt.Fatalf("the watch has %v, the list has %v", have, want)
 				}
-				if fault && leave < 0 {
+				if fault && skip < 0 {
 					rt.Fatal("the check did not notice that a line was left out")
 				}
 			}
@@ -734,11 +736,11 @@
 
 // A change from an older build's snapshot does not record which endpoints left a partition. The watch must be
 // cut, and the next request must get the complete list.
-func TestOlderSnapshotCutsWatchesOfPartitions(t *testing.T) {
-	l := newTold(t)
-	told(t, l, write(of("a", 1)))
-	at, _ := l.at()
-	other := newTold(t)
+func TestOlderSnapshotCutsPartitionWatches(t *testing.T) {
+	l := newBootstrappedFSM(t)
+	applyCommand(t, l, writeCommand(endpointOf("a", 1)))
+	at, _ := l.position()
+	other := newBootstrappedFSM(t)
 	other.state = func() *catalog.State {
 		i := l.state.Image()
 		s, err := catalog.Load(i)
@@ -747,7 +749,7 @@
 		}
 		return s
 	}()
-	told(t, other, write(of("a", 2)))
+	applyCommand(t, other, writeCommand(endpointOf("a", 2)))
 	image := other.state.Image()
 	for n := range image.Changes {
 		image.Changes[n].Moved = nil
@@ -759,14 +761,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines, _, _, ok := l.since(at)
+	lines, _, _, ok := l.linesAfter(at)
 	if !ok || len(lines) != 1 {
 		t.Fatalf("lines since: %v, %v", lines, ok)
 	}
-	if _, err := lines[0].part.of(setOf(1)); !errors.Is(err, errPast) {
+	if _, err := lines[0].byPartition.encodeFor(setOf(1)); !errors.Is(err, errMovesUnknown) {
 		t.Errorf("error %v, want errMovesUnknown", err)
 	}
-	body, _, _, err := l.part(at.revision, setOf(1))
+	body, _, _, err := l.encodePartitions(at.revision, setOf(1))
 	if want := `{"revision":2,"complete":true,"members":[]}` + "\n"; err != nil || string(body) != want {
 		t.Errorf("the next request gets %s, %v", body, err)
 	}
@@ -777,15 +779,15 @@
 func BenchmarkChangeForWatches(b *testing.B) {
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := newTold(b)
+			l := newBootstrappedFSM(b)
 			for first := 0; first < n; first += 10_000 {
 				var all []catalog.Endpoint
 				for i := first; i < first+10_000; i++ {
-					all = append(all, of(fmt.Sprint("e", i), i*10/17))
+					all = append(all, endpointOf(fmt.Sprint("e", i), i*10/17))
 				}
-				c := write(all...)
+				c := writeCommand(all...)
 				c.Write.MaxEndpoints = catalog.MaxEndpoints
-				told(b, l, c)
+				applyCommand(b, l, c)
 			}
 			sets := make([]*ownership.Set, 820)
 			for i := range sets {
@@ -794,17 +796,17 @@
 					sets[i].Add((i*15 + k) % ownership.PartitionCount)
 				}
 			}
-			c := write(of("e0", 1))
+			c := writeCommand(endpointOf("e0", 1))
 			c.Write.MaxEndpoints = catalog.MaxEndpoints
 			b.ResetTimer()
 			for i := range b.N {
 				b.StopTimer()
 				c.Write.Members[0].UpSince = int64(i + 1)
-				told(b, l, c)
+				applyCommand(b, l, c)
 				line := l.lines[len(l.lines)-1]
 				b.StartTimer()
 				for _, s := range sets {
-					if _, err := line.part.of(s); err != nil {
+					if _, err := line.byPartition.encodeFor(s); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/directory/records.go
+++ b/internal/directory/records.go
@@ -9,105 +9,105 @@
 	"starlingusher/fleet/ownership"
 )
 
-func (s *Server) records(w http.ResponseWriter, req *http.Request) {
-	if s.elsewhere(w, req) {
+func (s *Server) serveRecords(w http.ResponseWriter, req *http.Request) {
+	if s.answeredForFresh(w, req) {
 		return
 	}
 	name := req.PathValue("name")
 	var all []catalog.Record
 	var one catalog.Record
 	found := true
-	s.r.ledger.read(func(st *catalog.State) {
+	s.replica.fsm.view(func(st *catalog.State) {
 		if name != "" {
 			one, found = st.Record(name)
 			return
 		}
 		all = append([]catalog.Record{}, st.Records()...)
 	})
-	at, _ := s.r.ledger.at()
-	s.mark(w, at)
+	at, _ := s.replica.fsm.position()
+	s.setPositionHeaders(w, at)
 	switch {
 	case !found:
-		wrong(w, http.StatusNotFound, fmt.Errorf("record %.40q: %w", name, catalog.ErrNotFound))
+		writeError(w, http.StatusNotFound, fmt.Errorf("record %.40q: %w", name, catalog.ErrNotFound))
 	case name != "":
-		answer(w, http.StatusOK, one)
+		writeJSON(w, http.StatusOK, one)
 	default:
-		answer(w, http.StatusOK, map[string]any{"records": all})
+		writeJSON(w, http.StatusOK, map[string]any{"records": all})
 	}
 }
 
 // recordRequest is the body of a request that changes a record.
-type holdAsk struct {
+type recordRequest struct {
 	Holder string `json:"holder"`
 	Token  int64  `json:"token"`
 	TTL    int64  `json:"ttl_ms"`
 	Value  []byte `json:"value"` // base64
 }
 
-func (s *Server) onRecord(w http.ResponseWriter, req *http.Request, make func(catalog.RecordOp) catalog.Command) {
-	raw, ok := body(w, req, maxWrite)
+func (s *Server) serveRecordOp(w http.ResponseWriter, req *http.Request, build func(catalog.RecordOp) catalog.Command) {
+	raw, ok := readBody(w, req, maxBodyBytes)
 	if !ok {
 		return
 	}
 	isMap := req.PathValue("name") == ownership.RecordName
 	if isMap {
-		if s.passOn(w, req, raw) {
+		if s.forwardToLeader(w, req, raw) {
 			return
 		}
-		s.mapping.Lock()
-		defer s.mapping.Unlock()
+		s.mapWrites.Lock()
+		defer s.mapWrites.Unlock()
 	}
-	s.command(w, req, raw, func() (catalog.Command, error) {
-		var ask holdAsk
-		if err := strict(raw, &ask); err != nil {
+	s.runCommand(w, req, raw, func() (catalog.Command, error) {
+		var request recordRequest
+		if err := decodeStrict(raw, &request); err != nil {
 			return catalog.Command{}, err
 		}
-		c := make(catalog.RecordOp{
-			Name: req.PathValue("name"), Holder: ask.Holder, Token: ask.Token, TTL: ask.TTL, Value: ask.Value, SetValue: ask.Value != nil,
+		command := build(catalog.RecordOp{
+			Name: req.PathValue("name"), Holder: request.Holder, Token: request.Token, TTL: request.TTL, Value: request.Value, SetValue: request.Value != nil,
 		})
-		if isMap && (c.Update != nil || c.Acquire != nil && c.Acquire.SetValue) {
-			if err := s.r.current(); err != nil {
+		if isMap && (command.Update != nil || command.Acquire != nil && command.Acquire.SetValue) {
+			if err := s.replica.verifyCurrent(); err != nil {
 				return catalog.Command{}, err
 			}
-			if err := s.r.ledger.checkMap(ask.Value); err != nil {
+			if err := s.replica.fsm.validateMap(request.Value); err != nil {
 				return catalog.Command{}, err
 			}
 		}
-		return c, nil
+		return command, nil
 	})
 }
 
-func (s *Server) acquire(w http.ResponseWriter, req *http.Request) {
-	s.onRecord(w, req, func(h catalog.RecordOp) catalog.Command { return catalog.Command{Acquire: &h} })
+func (s *Server) serveAcquire(w http.ResponseWriter, req *http.Request) {
+	s.serveRecordOp(w, req, func(h catalog.RecordOp) catalog.Command { return catalog.Command{Acquire: &h} })
 }
 
-func (s *Server) update(w http.ResponseWriter, req *http.Request) {
-	s.onRecord(w, req, func(h catalog.RecordOp) catalog.Command { return catalog.Command{Update: &h} })
+func (s *Server) serveUpdate(w http.ResponseWriter, req *http.Request) {
+	s.serveRecordOp(w, req, func(h catalog.RecordOp) catalog.Command { return catalog.Command{Update: &h} })
 }
 
-func (s *Server) release(w http.ResponseWriter, req *http.Request) {
-	s.onRecord(w, req, func(h catalog.RecordOp) catalog.Command { return catalog.Command{Release: &h} })
+func (s *Server) serveRelease(w http.ResponseWriter, req *http.Request) {
+	s.serveRecordOp(w, req, func(h catalog.RecordOp) catalog.Command { return catalog.Command{Release: &h} })
 }
 
-func (s *Server) renew(w http.ResponseWriter, req *http.Request) {
-	var ask struct {
+func (s *Server) serveRenewals(w http.ResponseWriter, req *http.Request) {
+	var request struct {
 		IDs     []string `json:"ids"`
 		Records []struct {
 			Name  string `json:"name"`
 			Token int64  `json:"token"`
 		} `json:"records"`
 	}
-	if !s.leaderReads(w, req, &ask) {
+	if !s.decodeOnLeader(w, req, &request) {
 		return
 	}
 	var records []catalog.RecordOp
-	for _, r := range ask.Records {
+	for _, r := range request.Records {
 		records = append(records, catalog.RecordOp{Name: r.Name, Token: r.Token})
 	}
-	unknown, err := s.r.renew(ask.IDs, records)
+	unknown, err := s.replica.renewLeases(request.IDs, records)
 	if err != nil {
-		later(w, time.Second, oneLine(err))
+		writeRetryLater(w, time.Second, singleLine(err))
 		return
 	}
-	answer(w, http.StatusOK, map[string]any{"unknown": append([]string{}, unknown...)})
+	writeJSON(w, http.StatusOK, map[string]any{"unknown": append([]string{}, unknown...)})
 }
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	proposeWait = 2 * time.Second // for a place in Raft's queue
-	agreeWait   = 4 * time.Second // for a majority; whoever waits for the answer gives up later than this
-	tick        = 100 * time.Millisecond
-	askPeers    = 300 * time.Millisecond
-	peerTimeout = 500 * time.Millisecond
-	raftTimeout = 2 * time.Second // for one call between replicas
-	nearEnough  = 64              // log entries that a replica may be behind the leader when it becomes a voter
-	keepLogs    = 2
+	enqueueTimeout    = 2 * time.Second // for a place in Raft's queue
+	commitTimeout     = 4 * time.Second // for a majority; whoever waits for the answer gives up later than this
+	pollInterval      = 100 * time.Millisecond
+	joinRetryInterval = 300 * time.Millisecond
+	peerTimeout       = 500 * time.Millisecond
+	raftRPCTimeout    = 2 * time.Second // for one call between replicas
+	maxVoterLag       = 64              // log entries that a replica may be behind the leader when it becomes a voter
+	retainedSnapshots = 2
 )
 
 // Errors of a write that has no result.
@@ -45,27 +45,27 @@
 )
 
 // errNotMember means that the leader does not know this replica as a member of the service.
-var errForbidden = errors.New("not a member of the service")
+var errNotMember = errors.New("not a member of the service")
 
 // Replica is one process of the service. Open starts it, and Close ends everything that it started.
 type Replica struct {
-	cfg    Config
-	log    *slog.Logger
-	ledger *ledger
-	client *http.Client // for the other replicas
-	ctx    context.Context
-	cancel context.CancelFunc
-	parts  sync.WaitGroup
-	opened time.Time
-	stuck  atomic.Bool // the folder can't be written
-	failed chan error  // holds the first error that the replica can't recover from
+	cfg        Config
+	log        *slog.Logger
+	fsm        *fsm
+	peerClient *http.Client // for the other replicas
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	openedAt   time.Time
+	unwritable atomic.Bool // the folder can't be written
+	failed     chan error  // holds the first error that the replica can't recover from
 
-	mu        sync.Mutex // guards the fields below
-	raft      *raft.Raft // nil until the replica has joined or bootstrapped the service
-	store     *raftboltdb.BoltStore
-	transport raft.Transport
-	keeper    *catalog.LeaseManager // nil unless this replica leads and has caught up
-	began     time.Time             // origin of the lease manager's clock
+	mu          sync.Mutex // guards the fields below
+	raft        *raft.Raft // nil until the replica has joined or bootstrapped the service
+	store       *raftboltdb.BoltStore
+	transport   raft.Transport
+	leases      *catalog.LeaseManager // nil unless this replica leads and has caught up
+	leasesSince time.Time             // origin of the lease manager's clock
 }
 
 // Open starts a replica on its folder. A replica with an empty folder bootstraps the service if it is alone,
@@ -75,25 +75,25 @@
 }
 
 // open is Open with a wrapper around Raft's log, for tests.
-func open(cfg Config, log *slog.Logger, between func(raft.LogStore) raft.LogStore) (*Replica, error) {
+func open(cfg Config, log *slog.Logger, wrapLog func(raft.LogStore) raft.LogStore) (*Replica, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(cfg.Data, 0o700); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
-	r := &Replica{cfg: cfg, log: log, opened: time.Now(), failed: make(chan error, 1), client: &http.Client{Transport: &http.Transport{
+	r := &Replica{cfg: cfg, log: log, openedAt: time.Now(), failed: make(chan error, 1), peerClient: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: peerTimeout}).DialContext,
 		MaxIdleConnsPerHost: 64, DisableCompression: true,
 	}}}
-	r.ledger = newLedger(int64(cfg.Watch.MaxLagKB)<<10, r.fail)
+	r.fsm = newFSM(int64(cfg.Watch.MaxLagKB)<<10, r.reportFailure)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	path := filepath.Join(cfg.Data, "log.db")
 	store, err := openLog(path)
 	if errors.Is(err, errDamaged) && len(cfg.Peers) > 0 { // the other replicas have the data
 		aside := fmt.Sprintf("%s/damaged-%d", cfg.Data, time.Now().UnixMilli())
 		log.Error("the log is damaged; starting over with the data of the other replicas", "err", err, "kept", aside)
-		if store, err = beginAnew(cfg.Data, aside); err != nil {
+		if store, err = resetFolder(cfg.Data, aside); err != nil {
 			return nil, err
 		}
 	}
@@ -104,16 +104,16 @@
 		return nil, err
 	}
 	r.store = store
-	r.parts.Go(func() {
-		if err := r.begin(between(store)); err != nil && r.ctx.Err() == nil {
-			r.fail(err)
+	r.goroutines.Go(func() {
+		if err := r.startRaft(wrapLog(store)); err != nil && r.ctx.Err() == nil {
+			r.reportFailure(err)
 		}
 	})
 	return r, nil
 }
 
 // resetFolder moves the contents of the folder aside and creates an empty log.
-func beginAnew(data, aside string) (*raftboltdb.BoltStore, error) {
+func resetFolder(data, aside string) (*raftboltdb.BoltStore, error) {
 	if err := os.MkdirAll(aside, 0o700); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
@@ -125,7 +125,7 @@
 	return openLog(filepath.Join(data, "log.db"))
 }
 
-func (r *Replica) fail(err error) {
+func (r *Replica) reportFailure(err error) {
 	select {
 	case r.failed <- err:
 	default:
@@ -155,55 +155,55 @@
 		err = errors.Join(err, t.Close())
 		t.CloseStreams()
 	}
-	r.parts.Wait()
-	r.client.CloseIdleConnections()
+	r.goroutines.Wait()
+	r.peerClient.CloseIdleConnections()
 	return errors.Join(err, store.Close())
 }
 
 // startRaft bootstraps or joins the service, if necessary, and starts Raft.
-func (r *Replica) begin(logs raft.LogStore) error {
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(r.cfg.Data, keepLogs, r.raftLog())
+func (r *Replica) startRaft(log raft.LogStore) error {
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(r.cfg.Data, retainedSnapshots, r.raftLogger())
 	if err != nil {
 		return fmt.Errorf("snapshots: %w", err)
 	}
-	existing, err := raft.HasExistingState(r.store, r.store, snaps)
+	existing, err := raft.HasExistingState(r.store, r.store, snapshots)
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	found := false
+	bootstrap := false
 	if !existing {
-		if found, err = r.findPlace(); err != nil {
+		if bootstrap, err = r.decideBootstrap(); err != nil {
 			return err
 		}
 	}
-	conf := raft.DefaultConfig()
-	conf.LocalID = raft.ServerID(r.cfg.ID)
-	conf.HeartbeatTimeout, conf.ElectionTimeout = r.cfg.Election.Duration, r.cfg.Election.Duration
-	conf.LeaderLeaseTimeout = r.cfg.Election.Duration * 3 / 5
-	conf.CommitTimeout = 20 * time.Millisecond
-	conf.MaxAppendEntries, conf.BatchApplyCh = 256, true
-	conf.SnapshotThreshold, conf.TrailingLogs = uint64(r.cfg.Snapshot.Every), uint64(r.cfg.Snapshot.Trailing)
-	conf.SnapshotInterval = r.cfg.Snapshot.Interval.Duration
-	conf.Logger = r.raftLog()
-	conf.NoLegacyTelemetry = true
-	leads := make(chan bool, 16)
-	conf.NotifyCh = leads
+	config := raft.DefaultConfig()
+	config.LocalID = raft.ServerID(r.cfg.ID)
+	config.HeartbeatTimeout, config.ElectionTimeout = r.cfg.Election.Duration, r.cfg.Election.Duration
+	config.LeaderLeaseTimeout = r.cfg.Election.Duration * 3 / 5
+	config.CommitTimeout = 20 * time.Millisecond
+	config.MaxAppendEntries, config.BatchApplyCh = 256, true
+	config.SnapshotThreshold, config.TrailingLogs = uint64(r.cfg.Snapshot.Every), uint64(r.cfg.Snapshot.Trailing)
+	config.SnapshotInterval = r.cfg.Snapshot.Interval.Duration
+	config.Logger = r.raftLogger()
+	config.NoLegacyTelemetry = true
+	leadership := make(chan bool, 16)
+	config.NotifyCh = leadership
 	var transport raft.Transport
 	address := raft.ServerAddress(r.cfg.Raft)
 	if r.cfg.Raft == "" {
 		address = "alone"
 		_, transport = raft.NewInmemTransport(address)
-	} else if transport, err = r.listen(); err != nil {
+	} else if transport, err = r.newTransport(); err != nil {
 		return err
 	}
-	stable := patientStore{r.store, r.log, r.ctx.Done(), &r.stuck}
-	cached, err := raft.NewLogCache(512, logs)
+	stable := retryingStore{r.store, r.log, r.ctx.Done(), &r.unwritable}
+	cachedLog, err := raft.NewLogCache(512, log)
 	if err != nil {
 		return err
 	}
-	if found {
-		only := raft.Configuration{Servers: []raft.Server{{ID: conf.LocalID, Address: address}}}
-		if err := raft.BootstrapCluster(conf, cached, stable, snaps, transport, only); err != nil {
+	if bootstrap {
+		single := raft.Configuration{Servers: []raft.Server{{ID: config.LocalID, Address: address}}}
+		if err := raft.BootstrapCluster(config, cachedLog, stable, snapshots, transport, single); err != nil {
 			return fmt.Errorf("bootstrap: %w", err)
 		}
 	}
@@ -213,19 +213,19 @@
 		return r.ctx.Err()
 	}
 	r.transport = transport
-	r.raft, err = raft.NewRaft(conf, r.ledger, cached, stable, snaps, transport)
+	r.raft, err = raft.NewRaft(config, r.fsm, cachedLog, stable, snapshots, transport)
 	r.mu.Unlock()
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
 	}
-	r.parts.Go(func() { r.watchLead(leads) })
-	if !found && len(r.cfg.Peers) > 0 {
-		r.parts.Go(r.stay)
+	r.goroutines.Go(func() { r.runLeadership(leadership) })
+	if !bootstrap && len(r.cfg.Peers) > 0 {
+		r.goroutines.Go(r.joinUntilVoter)
 	}
 	return nil
 }
 
-func (r *Replica) listen() (raft.Transport, error) {
+func (r *Replica) newTransport() (raft.Transport, error) {
 	advertise, err := net.ResolveTCPAddr("tcp", r.cfg.Raft)
 	if err != nil {
 		return nil, fmt.Errorf("raft: %w", err)
@@ -233,7 +233,7 @@
 	// Only one call at a time to each replica. With more, a follower that can't store entries blocks the
 	// leader for good: the sender waits for the decoder, which waits for a reader that has ended.
 	t, err := raft.NewTCPTransportWithConfig(cmp.Or(r.cfg.BindRaft, r.cfg.Raft), advertise, &raft.NetworkTransportConfig{
-		MaxPool: 3, Timeout: raftTimeout, Logger: r.raftLog(), MaxRPCsInFlight: 1,
+		MaxPool: 3, Timeout: raftRPCTimeout, Logger: r.raftLogger(), MaxRPCsInFlight: 1,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("raft: %w", err)
@@ -242,14 +242,14 @@
 }
 
 // raftLogger forwards Raft's log lines to the replica's log.
-func (r *Replica) raftLog() hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, JSONFormat: true, Output: lineLog{r.log}})
+func (r *Replica) raftLogger() hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, JSONFormat: true, Output: jsonLogWriter{r.log}})
 }
 
-type lineLog struct{ log *slog.Logger }
+type jsonLogWriter struct{ log *slog.Logger }
 
 // Write logs one line of JSON.
-func (l lineLog) Write(p []byte) (int, error) {
+func (l jsonLogWriter) Write(p []byte) (int, error) {
 	var m map[string]any
 	if json.Unmarshal(p, &m) != nil {
 		l.log.Warn(string(bytes.TrimSpace(p)))
@@ -271,7 +271,7 @@
 }
 
 // raftNode returns Raft, or nil if it has not started yet.
-func (r *Replica) node() *raft.Raft {
+func (r *Replica) raftNode() *raft.Raft {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.raft
--- a/internal/directory/reports.go
+++ b/internal/directory/reports.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	maxReports   = 256 << 20 // bytes after which a new file of notices is started
-	reportsWait  = 2 * time.Second
-	reportsName  = "reports.jsonl"
-	reportsMoved = "reports-%d.jsonl" // Unix ms when its successor was started
+	maxNoticeFileBytes = 256 << 20 // bytes after which a new file of notices is started
+	noticeTimeout      = 2 * time.Second
+	noticeFileName     = "reports.jsonl"
+	rotatedNoticeFile  = "reports-%d.jsonl" // Unix ms when its successor was started
 )
 
 // noticeSink receives the notices of nodes about the ends of messages. It forwards them, or stores them in
 // the folder. The sender keeps its notices until they are acknowledged.
-type reports struct {
-	to     string
-	client *http.Client
-	dir    string
+type noticeSink struct {
+	forwardTo string
+	client    *http.Client
+	dir       string
 
 	mu   sync.Mutex
 	file *os.File // nil if notices are forwarded
 	size int64
 }
 
-func openReports(r *Replica) (*reports, error) {
-	s := &reports{to: r.cfg.Reports.ForwardTo, client: r.client, dir: r.cfg.Data}
-	if s.to == "" {
-		s.to = r.cfg.Source.Discovery
+func openNoticeSink(r *Replica) (*noticeSink, error) {
+	s := &noticeSink{forwardTo: r.cfg.Reports.ForwardTo, client: r.peerClient, dir: r.cfg.Data}
+	if s.forwardTo == "" {
+		s.forwardTo = r.cfg.Source.Discovery
 	}
-	if s.to != "" {
+	if s.forwardTo != "" {
 		return s, nil
 	}
 	return s, s.open()
 }
 
-func (s *reports) open() error {
-	f, err := os.OpenFile(filepath.Join(s.dir, reportsName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (s *noticeSink) open() error {
+	f, err := os.OpenFile(filepath.Join(s.dir, noticeFileName), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("notices: %w", err)
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func (s *reports) close() error {
+func (s *noticeSink) close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.file == nil {
@@ -68,18 +68,18 @@
 }
 
 // validateNotices checks that a body consists of notices, one JSON object per line.
-func checkReports(raw []byte) error {
+func validateNotices(raw []byte) error {
 	n := 0
 	for line := range bytes.Lines(raw) {
 		n++
 		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
-		var one struct {
+		var notice struct {
 			ID    string `json:"id"`
 			State string `json:"state"`
 		}
-		if err := json.Unmarshal(line, &one); err != nil || one.ID == "" || one.State == "" {
+		if err := json.Unmarshal(line, &notice); err != nil || notice.ID == "" || notice.State == "" {
 			return fmt.Errorf(`line %d is not a notice with "id" and "state"`, n)
 		}
 	}
@@ -87,15 +87,15 @@
 }
 
 // store returns once the notices have been accepted elsewhere or are on disk.
-func (s *reports) take(ctx context.Context, raw []byte) error {
-	if s.to != "" {
-		return s.passOn(ctx, raw)
+func (s *noticeSink) store(ctx context.Context, raw []byte) error {
+	if s.forwardTo != "" {
+		return s.forward(ctx, raw)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.size > maxReports {
-		moved := filepath.Join(s.dir, fmt.Sprintf(reportsMoved, time.Now().UnixMilli()))
-		if err := errors.Join(s.file.Close(), os.Rename(filepath.Join(s.dir, reportsName), moved), s.open()); err != nil {
+	if s.size > maxNoticeFileBytes {
+		moved := filepath.Join(s.dir, fmt.Sprintf(rotatedNoticeFile, time.Now().UnixMilli()))
+		if err := errors.Join(s.file.Close(), os.Rename(filepath.Join(s.dir, noticeFileName), moved), s.open()); err != nil {
 			return fmt.Errorf("notices: %w", err)
 		}
 	}
@@ -113,10 +113,10 @@
 	return nil
 }
 
-func (s *reports) passOn(ctx context.Context, raw []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, reportsWait)
+func (s *noticeSink) forward(ctx context.Context, raw []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, noticeTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.to+"/reports", bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.forwardTo+"/reports", bytes.NewReader(raw))
 	if err != nil {
 		return fmt.Errorf("notices: %w", err)
 	}
@@ -132,17 +132,17 @@
 	return nil
 }
 
-func (s *Server) report(w http.ResponseWriter, req *http.Request) {
-	raw, ok := body(w, req, maxWrite)
+func (s *Server) serveNotices(w http.ResponseWriter, req *http.Request) {
+	raw, ok := readBody(w, req, maxBodyBytes)
 	if !ok {
 		return
 	}
-	if err := checkReports(raw); err != nil {
-		wrong(w, http.StatusBadRequest, err)
+	if err := validateNotices(raw); err != nil {
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	if err := s.reports.take(req.Context(), raw); err != nil {
-		later(w, time.Second, oneLine(err))
+	if err := s.notices.store(req.Context(), raw); err != nil {
+		writeRetryLater(w, time.Second, singleLine(err))
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
