--- a/internal/directory/server.go
+++ b/internal/directory/server.go
@@ -26,32 +26,32 @@
 	HeaderVouched    = "Registry-Vouched"    // "no": the source of the list has gone silent
 	HeaderPartitions = "Registry-Partitions" // in answers about some partitions: the number of partitions that the filter is based on
 	HeaderMap        = "Registry-Map"        // likewise: the number of the partition map, 0 for none
-	headerPassedOn   = "Registry-Passed-On"
+	headerForwarded  = "Registry-Passed-On"
 )
 
 const (
-	maxWrite     = 16 << 20 // of a request body
-	catchUp      = 300 * time.Millisecond
-	passOnWait   = 5 * time.Second
-	resumeCost   = 0.1 // admission cost of a request for changes; a complete list costs 1
-	headerWait   = 10 * time.Second
-	idleWait     = 2 * time.Minute
-	sendBuffer   = 64 << 10 // kernel buffer for a client that does not read
-	maxHistory   = 1000     // changes in one response
-	defaultTurns = 100
+	maxBodyBytes        = 16 << 20 // of a request body
+	catchUpTimeout      = 300 * time.Millisecond
+	forwardTimeout      = 5 * time.Second
+	deltaCost           = 0.1 // admission cost of a request for changes; a complete list costs 1
+	headerTimeout       = 10 * time.Second
+	idleTimeout         = 2 * time.Minute
+	sendBufferBytes     = 64 << 10 // kernel buffer for a client that does not read
+	maxHistoryLimit     = 1000     // changes in one response
+	defaultHistoryLimit = 100
 )
 
 // Server serves a replica over HTTP.
 type Server struct {
-	r       *Replica
-	admits  *admission
-	reports *reports
-	metrics *metrics
-	http    http.Server
-	watches watches
-	mapping sync.Mutex // held from the validation of a new partition map until its outcome
-	parts   sync.WaitGroup
-	end     context.CancelFunc
+	replica    *Replica
+	admission  *admission
+	notices    *noticeSink
+	metrics    *metrics
+	http       http.Server
+	watches    watchSet
+	mapWrites  sync.Mutex // held from the validation of a new partition map until its outcome
+	goroutines sync.WaitGroup
+	cancel     context.CancelFunc
 }
 
 // Serve opens the replica's address and serves it until Close.
@@ -60,145 +60,145 @@
 	if err != nil {
 		return nil, fmt.Errorf("http: %w", err)
 	}
-	s := &Server{r: r, admits: newAdmission(r.cfg.Requests.Rate, r.cfg.Requests.Burst)}
-	if s.reports, err = openReports(r); err != nil {
+	s := &Server{replica: r, admission: newAdmission(r.cfg.Requests.Rate, r.cfg.Requests.Burst)}
+	if s.notices, err = openNoticeSink(r); err != nil {
 		ln.Close()
 		return nil, err
 	}
 	s.metrics = newMetrics(s)
-	s.watches.all = map[*watcher]bool{}
+	s.watches.all = map[*watchConn]bool{}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", s.list)
-	mux.HandleFunc("POST /registry/instances", s.write(readChanges))
-	mux.HandleFunc("PUT /registry/instances", s.write(readWhole))
-	mux.HandleFunc("PUT /registry/instances/{id}", s.write(readOne))
-	mux.HandleFunc("DELETE /registry/instances/{id}", s.write(readDelete))
-	mux.HandleFunc("POST /registry/instances/{id}/drain", s.write(s.readDrain))
-	mux.HandleFunc("PUT /registry/registrations/{id}", s.write(readRegistration))
-	mux.HandleFunc("POST /registry/renewals", s.renew)
-	mux.HandleFunc("POST /reports", s.report)
-	mux.HandleFunc("GET /records", s.records)
-	mux.HandleFunc("GET /records/{name}", s.records)
-	mux.HandleFunc("PUT /records/{name}", s.acquire)
-	mux.HandleFunc("POST /records/{name}", s.update)
-	mux.HandleFunc("DELETE /records/{name}", s.release)
-	mux.HandleFunc("GET /directory/status", s.status)
-	mux.HandleFunc("GET /directory/history", s.history)
-	mux.HandleFunc("GET /directory/backup", s.backup)
-	mux.HandleFunc("POST /directory/restore", s.restore)
-	mux.HandleFunc("POST /directory/held/{number}", s.confirm)
-	mux.HandleFunc("POST /directory/join", s.join)
-	mux.HandleFunc("PUT /directory/members/{id}", s.invite)
-	mux.HandleFunc("DELETE /directory/members/{id}", s.dismiss)
+	mux.HandleFunc("GET /registry/instances", s.serveList)
+	mux.HandleFunc("POST /registry/instances", s.serveWrite(parsePartial))
+	mux.HandleFunc("PUT /registry/instances", s.serveWrite(parseFull))
+	mux.HandleFunc("PUT /registry/instances/{id}", s.serveWrite(parseEndpoint))
+	mux.HandleFunc("DELETE /registry/instances/{id}", s.serveWrite(parseDelete))
+	mux.HandleFunc("POST /registry/instances/{id}/drain", s.serveWrite(s.parseDrain))
+	mux.HandleFunc("PUT /registry/registrations/{id}", s.serveWrite(parseRegistration))
+	mux.HandleFunc("POST /registry/renewals", s.serveRenewals)
+	mux.HandleFunc("POST /reports", s.serveNotices)
+	mux.HandleFunc("GET /records", s.serveRecords)
+	mux.HandleFunc("GET /records/{name}", s.serveRecords)
+	mux.HandleFunc("PUT /records/{name}", s.serveAcquire)
+	mux.HandleFunc("POST /records/{name}", s.serveUpdate)
+	mux.HandleFunc("DELETE /records/{name}", s.serveRelease)
+	mux.HandleFunc("GET /directory/status", s.serveStatus)
+	mux.HandleFunc("GET /directory/history", s.serveHistory)
+	mux.HandleFunc("GET /directory/backup", s.serveBackup)
+	mux.HandleFunc("POST /directory/restore", s.serveRestore)
+	mux.HandleFunc("POST /directory/held/{number}", s.serveConfirm)
+	mux.HandleFunc("POST /directory/join", s.serveJoin)
+	mux.HandleFunc("PUT /directory/members/{id}", s.serveAddReplica)
+	mux.HandleFunc("DELETE /directory/members/{id}", s.serveRemoveReplica)
 	mux.Handle("GET /metrics", s.metrics.handler())
-	life, end := context.WithCancel(context.Background())
-	s.end = end
+	ctx, cancel := context.WithCancel(context.Background())
+	s.cancel = cancel
 	s.http = http.Server{
-		Handler: mux, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait, MaxHeaderBytes: 16 << 10,
-		BaseContext: func(net.Listener) context.Context { return life },
+		Handler: mux, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
+		BaseContext: func(net.Listener) context.Context { return ctx },
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			if t, ok := c.(*net.TCPConn); ok {
-				t.SetWriteBuffer(sendBuffer) // a client that does not read must not use up the machine's memory
+				t.SetWriteBuffer(sendBufferBytes) // a client that does not read must not use up the machine's memory
 			}
 			return ctx
 		},
 	}
-	s.parts.Go(func() {
+	s.goroutines.Go(func() {
 		if err := s.http.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			r.fail(fmt.Errorf("http: %w", err))
+			r.reportFailure(fmt.Errorf("http: %w", err))
 		}
 	})
-	s.parts.Go(func() { s.watches.sweep(life, s) })
+	s.goroutines.Go(func() { s.watches.cutLagging(ctx, s) })
 	return s, nil
 }
 
 // Close ends all watches and connections.
 func (s *Server) Close() error {
-	s.end()
+	s.cancel()
 	err := s.http.Close()
-	s.parts.Wait()
-	s.watches.wait.Wait()
-	return errors.Join(err, s.reports.close())
+	s.goroutines.Wait()
+	s.watches.running.Wait()
+	return errors.Join(err, s.notices.close())
 }
 
 // errorBody is the body of an error response.
-type problem struct {
+type errorBody struct {
 	Error    string `json:"error"`
 	Outcome  string `json:"outcome"` // refused: certainly not done; unknown: may have been done; held: awaits confirmation
 	Revision int64  `json:"revision,omitempty"`
 	Held     int64  `json:"held,omitempty"`
 }
 
-func answer(w http.ResponseWriter, code int, v any) {
+func writeJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	json.NewEncoder(w).Encode(v)
 }
 
-func wrong(w http.ResponseWriter, code int, err error) {
-	answer(w, code, problem{Error: oneLine(err), Outcome: "refused"})
+func writeError(w http.ResponseWriter, code int, err error) {
+	writeJSON(w, code, errorBody{Error: singleLine(err), Outcome: "refused"})
 }
 
-func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
+func singleLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
 
 // writeRetryLater refuses a request and asks the client to retry after a delay.
-func later(w http.ResponseWriter, d time.Duration, why string) {
-	w.Header().Set("Retry-After", strconv.Itoa(retryAfter(d)))
-	answer(w, http.StatusServiceUnavailable, problem{Error: why, Outcome: "refused"})
+func writeRetryLater(w http.ResponseWriter, d time.Duration, why string) {
+	w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds(d)))
+	writeJSON(w, http.StatusServiceUnavailable, errorBody{Error: why, Outcome: "refused"})
 }
 
 // writeResult writes the response to a command.
-func result(w http.ResponseWriter, res catalog.Result, err error) {
+func writeResult(w http.ResponseWriter, res catalog.Result, err error) {
 	switch {
 	case errors.Is(err, ErrAmbiguous):
-		answer(w, http.StatusGatewayTimeout, problem{Error: oneLine(err), Outcome: "unknown"})
+		writeJSON(w, http.StatusGatewayTimeout, errorBody{Error: singleLine(err), Outcome: "unknown"})
 		return
 	case err != nil:
-		later(w, time.Second, oneLine(err))
+		writeRetryLater(w, time.Second, singleLine(err))
 		return
 	case errors.Is(res.Err, catalog.ErrNotBootstrapped): // the leader is about to bootstrap the service
-		later(w, time.Second, oneLine(res.Err))
+		writeRetryLater(w, time.Second, singleLine(res.Err))
 		return
 	case res.Err == nil:
-		answer(w, http.StatusOK, map[string]int64{"revision": res.Revision, "token": res.Token})
+		writeJSON(w, http.StatusOK, map[string]int64{"revision": res.Revision, "token": res.Token})
 		return
 	}
 	code := http.StatusInternalServerError
-	for is, c := range map[error]int{
+	for target, c := range map[error]int{
 		catalog.ErrConflict: http.StatusPreconditionFailed, catalog.ErrHeld: http.StatusAccepted, catalog.ErrNotFound: http.StatusNotFound,
 		catalog.ErrNotHolder: http.StatusConflict, catalog.ErrInvalid: http.StatusBadRequest, catalog.ErrFull: http.StatusInsufficientStorage,
 	} {
-		if errors.Is(res.Err, is) {
+		if errors.Is(res.Err, target) {
 			code = c
 		}
 	}
-	p := problem{Error: oneLine(res.Err), Outcome: "refused", Revision: res.Revision, Held: res.Held}
+	body := errorBody{Error: singleLine(res.Err), Outcome: "refused", Revision: res.Revision, Held: res.Held}
 	if code == http.StatusAccepted {
-		p.Outcome = "held"
+		body.Outcome = "held"
 	}
-	answer(w, code, p)
+	writeJSON(w, code, body)
 }
 
 // forwardToLeader forwards a request to the leader, unless this replica leads, and reports whether it has
 // responded.
-func (s *Server) passOn(w http.ResponseWriter, req *http.Request, body []byte) bool {
-	if s.r.leads() {
+func (s *Server) forwardToLeader(w http.ResponseWriter, req *http.Request, body []byte) bool {
+	if s.replica.isLeader() {
 		return false
 	}
-	if req.Header.Get(headerPassedOn) != "" {
-		later(w, time.Second, "the replica that this request was forwarded to does not lead")
+	if req.Header.Get(headerForwarded) != "" {
+		writeRetryLater(w, time.Second, "the replica that this request was forwarded to does not lead")
 		return true
 	}
-	id, address := s.r.leader()
-	if address == "" || id == s.r.cfg.ID {
-		later(w, time.Second, "there is no leader: no majority of replicas can reach each other")
+	id, address := s.replica.leader()
+	if address == "" || id == s.replica.cfg.ID {
+		writeRetryLater(w, time.Second, "there is no leader: no majority of replicas can reach each other")
 		return true
 	}
-	ctx, cancel := context.WithTimeout(req.Context(), passOnWait)
+	ctx, cancel := context.WithTimeout(req.Context(), forwardTimeout)
 	defer cancel()
 	next, err := http.NewRequestWithContext(ctx, req.Method, "http://"+address+req.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
-		wrong(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return true
 	}
 	for _, h := range []string{"If-Match", "Registry-By", "Registry-Why"} {
@@ -206,21 +206,21 @@
 			next.Header.Set(h, v)
 		}
 	}
-	next.Header.Set(headerPassedOn, s.r.cfg.ID)
-	resp, err := s.r.client.Do(next)
+	next.Header.Set(headerForwarded, s.replica.cfg.ID)
+	resp, err := s.replica.peerClient.Do(next)
 	if err != nil {
 		var dial *net.OpError
 		if errors.As(err, &dial) && dial.Op == "dial" {
-			later(w, time.Second, "the leader, "+id+", is unreachable")
+			writeRetryLater(w, time.Second, "the leader, "+id+", is unreachable")
 			return true
 		}
-		answer(w, http.StatusGatewayTimeout, problem{Error: "the leader, " + id + ", did not respond: " + oneLine(err), Outcome: "unknown"})
+		writeJSON(w, http.StatusGatewayTimeout, errorBody{Error: "the leader, " + id + ", did not respond: " + singleLine(err), Outcome: "unknown"})
 		return true
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBackup))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxBackupBytes))
 	if err != nil {
-		answer(w, http.StatusGatewayTimeout, problem{Error: "the leader, " + id + ", closed the connection during its response", Outcome: "unknown"})
+		writeJSON(w, http.StatusGatewayTimeout, errorBody{Error: "the leader, " + id + ", closed the connection during its response", Outcome: "unknown"})
 		return true
 	}
 	for _, h := range []string{"Content-Type", "Retry-After", "ETag", HeaderHistory, HeaderRevision, HeaderAge, HeaderVouched, HeaderPartitions, HeaderMap} {
@@ -234,55 +234,55 @@
 }
 
 // readBody reads a request body up to a size limit.
-func body(w http.ResponseWriter, req *http.Request, most int64) ([]byte, bool) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, req.Body, most))
-	var big *http.MaxBytesError
+func readBody(w http.ResponseWriter, req *http.Request, limit int64) ([]byte, bool) {
+	raw, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limit))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &big):
-		wrong(w, http.StatusRequestEntityTooLarge, fmt.Errorf("the body exceeds %d bytes", most))
+	case errors.As(err, &tooLarge):
+		writeError(w, http.StatusRequestEntityTooLarge, fmt.Errorf("the body exceeds %d bytes", limit))
 	case err != nil:
-		wrong(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 	}
 	return raw, err == nil
 }
 
 // decodeOnLeader decodes a request body if this replica leads. Otherwise it forwards the request, and
 // responds to one that is malformed; it then returns false.
-func (s *Server) leaderReads(w http.ResponseWriter, req *http.Request, into any) bool {
-	raw, ok := body(w, req, maxWrite)
-	if !ok || s.passOn(w, req, raw) {
+func (s *Server) decodeOnLeader(w http.ResponseWriter, req *http.Request, into any) bool {
+	raw, ok := readBody(w, req, maxBodyBytes)
+	if !ok || s.forwardToLeader(w, req, raw) {
 		return false
 	}
-	if err := strict(raw, into); err != nil {
-		wrong(w, http.StatusBadRequest, err)
+	if err := decodeStrict(raw, into); err != nil {
+		writeError(w, http.StatusBadRequest, err)
 		return false
 	}
 	return true
 }
 
 // runCommand forwards the request to the leader, or replicates its command and responds.
-func (s *Server) command(w http.ResponseWriter, req *http.Request, raw []byte, make func() (catalog.Command, error)) {
-	begun := time.Now()
-	if s.passOn(w, req, raw) {
+func (s *Server) runCommand(w http.ResponseWriter, req *http.Request, raw []byte, build func() (catalog.Command, error)) {
+	start := time.Now()
+	if s.forwardToLeader(w, req, raw) {
 		return
 	}
-	c, err := make()
+	c, err := build()
 	if errors.Is(err, ErrRefused) {
-		later(w, time.Second, oneLine(err))
+		writeRetryLater(w, time.Second, singleLine(err))
 		return
 	}
 	if errors.Is(err, catalog.ErrFull) {
-		wrong(w, http.StatusInsufficientStorage, err)
+		writeError(w, http.StatusInsufficientStorage, err)
 		return
 	}
 	if err != nil {
-		wrong(w, http.StatusBadRequest, err)
+		writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	c.By = strings.ToValidUTF8(first(req.Header.Get("Registry-By"), catalog.MaxNameBytes), "?")
-	res, err := s.r.propose(c)
-	s.metrics.wrote(time.Since(begun), errors.Join(err, res.Err))
-	result(w, res, err)
+	c.By = strings.ToValidUTF8(truncate(req.Header.Get("Registry-By"), catalog.MaxNameBytes), "?")
+	res, err := s.replica.propose(c)
+	s.metrics.observeWrite(time.Since(start), errors.Join(err, res.Err))
+	writeResult(w, res, err)
 }
 
-func first(s string, n int) string { return s[:min(len(s), n)] }
+func truncate(s string, n int) string { return s[:min(len(s), n)] }
--- a/internal/directory/start_test.go
+++ b/internal/directory/start_test.go
@@ -67,7 +67,7 @@
 			b.Fatal(err)
 		}
 		for {
-			if at, _ := r.ledger.at(); at.revision == writes && r.settled() {
+			if at, _ := r.fsm.position(); at.revision == writes && r.isReadyLeader() {
 				return r, time.Since(began)
 			}
 			time.Sleep(time.Millisecond)
--- a/internal/directory/store.go
+++ b/internal/directory/store.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	lockWait  = 2 * time.Second // for another process to release the folder
-	retryDisk = 100 * time.Millisecond
+	lockTimeout       = 2 * time.Second // for another process to release the folder
+	diskRetryInterval = 100 * time.Millisecond
 )
 
 // openLog verifies the log and opens it. Raft would notice damage only when it is too late. The error for a
 // damaged log wraps errDamaged.
 func openLog(path string) (*raftboltdb.BoltStore, error) {
 	if _, err := os.Stat(path); err == nil {
-		if err := checkFile(path); err != nil {
+		if err := verifyFile(path); err != nil {
 			return nil, err
 		}
 	} else if !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	s, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: lockWait}})
+	s, err := raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: lockTimeout}})
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	if err := checkLog(s); err != nil {
+	if err := verifyLog(s); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 }
 
 // recoverDamage converts a panic, or a memory fault on a mapped file that was cut, into an error.
-func guarded(do func() error) (err error) {
+func recoverDamage(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -53,9 +53,9 @@
 }
 
 // verifyFile checks that the database file is complete.
-func checkFile(path string) error {
-	return guarded(func() error {
-		db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: lockWait})
+func verifyFile(path string) error {
+	return recoverDamage(func() error {
+		db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
 		if errors.Is(err, bbolt.ErrTimeout) {
 			return fmt.Errorf("log: the folder is in use by another process")
 		}
@@ -77,8 +77,8 @@
 }
 
 // verifyLog reads every entry and checks its index and its checksum.
-func checkLog(s *raftboltdb.BoltStore) error {
-	return guarded(func() error {
+func verifyLog(s *raftboltdb.BoltStore) error {
+	return recoverDamage(func() error {
 		first, err := s.FirstIndex()
 		if err != nil {
 			return fmt.Errorf("log: %w: %w", errDamaged, err)
@@ -95,7 +95,7 @@
 			if e.Index != i {
 				return fmt.Errorf("log: %w: found entry %d at index %d", errDamaged, e.Index, i)
 			}
-			if e.Type == raft.LogCommand && !sealed(e.Data) {
+			if e.Type == raft.LogCommand && !isIntactCommand(e.Data) {
 				return fmt.Errorf("log: %w: checksum mismatch in entry %d", errDamaged, i)
 			}
 		}
@@ -105,42 +105,42 @@
 
 // retryingStore stores Raft's term and vote, and retries each write until it succeeds. A full disk must not
 // end the replica, which continues to serve reads; meanwhile it neither votes nor leads.
-type patientStore struct {
+type retryingStore struct {
 	raft.StableStore
 	log  *slog.Logger
 	stop <-chan struct{}
 
-	stuck *atomic.Bool // set while a write is being retried
+	unwritable *atomic.Bool // set while a write is being retried
 }
 
-func (p patientStore) insist(write func() error) error {
-	defer p.stuck.Store(false)
-	for told := false; ; told = true {
+func (p retryingStore) retry(write func() error) error {
+	defer p.unwritable.Store(false)
+	for reported := false; ; reported = true {
 		err := write()
 		if err == nil {
-			if told {
+			if reported {
 				p.log.Warn("the folder is writable again")
 			}
 			return nil
 		}
-		p.stuck.Store(true)
-		if !told {
+		p.unwritable.Store(true)
+		if !reported {
 			p.log.Error("writing to the folder failed; this replica does not vote until it succeeds", "err", err)
 		}
 		select {
 		case <-p.stop:
 			select {} // Raft would panic on an error; the process is about to end
-		case <-time.After(retryDisk):
+		case <-time.After(diskRetryInterval):
 		}
 	}
 }
 
 // Set writes a value and retries until it succeeds.
-func (p patientStore) Set(k, v []byte) error {
-	return p.insist(func() error { return p.StableStore.Set(k, v) })
+func (p retryingStore) Set(k, v []byte) error {
+	return p.retry(func() error { return p.StableStore.Set(k, v) })
 }
 
 // SetUint64 writes a value and retries until it succeeds.
-func (p patientStore) SetUint64(k []byte, v uint64) error {
-	return p.insist(func() error { return p.StableStore.SetUint64(k, v) })
+func (p retryingStore) SetUint64(k []byte, v uint64) error {
+	return p.retry(func() error { return p.StableStore.SetUint64(k, v) })
 }
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	heartbeat  = 2 * time.Second // an empty line is sent if nothing changes for so long
-	sweepEvery = 500 * time.Millisecond
-	writeLimit = 10 * time.Second // for a single write
+	heartbeatInterval = 2 * time.Second // an empty line is sent if nothing changes for so long
+	sweepInterval     = 500 * time.Millisecond
+	writeTimeout      = 10 * time.Second // for a single write
 )
 
 // watchConn is one open watch. The goroutine of its request writes to it; cutLagging may end it.
-type watcher struct {
-	at   atomic.Int64 // last revision written to it
-	cut  atomic.Bool
-	conn *http.ResponseController
+type watchConn struct {
+	revision   atomic.Int64 // last revision written to it
+	cut        atomic.Bool
+	controller *http.ResponseController
 }
 
 // watchSet is the set of open watches.
-type watches struct {
-	wait sync.WaitGroup
-	mu   sync.Mutex
-	all  map[*watcher]bool
+type watchSet struct {
+	running sync.WaitGroup
+	mu      sync.Mutex
+	all     map[*watchConn]bool
 }
 
 // add adds a watch if the limit allows it.
-func (w *watches) add(one *watcher, most int) bool {
+func (w *watchSet) add(conn *watchConn, limit int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.all) >= most {
+	if len(w.all) >= limit {
 		return false
 	}
-	w.all[one] = true
-	w.wait.Add(1)
+	w.all[conn] = true
+	w.running.Add(1)
 	return true
 }
 
-func (w *watches) remove(one *watcher) {
+func (w *watchSet) remove(conn *watchConn) {
 	w.mu.Lock()
-	delete(w.all, one)
+	delete(w.all, conn)
 	w.mu.Unlock()
-	w.wait.Done()
+	w.running.Done()
 }
 
-func (w *watches) count() int {
+func (w *watchSet) count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.all)
@@ -58,14 +58,14 @@
 
 // cutLagging ends watches whose next lines are no longer kept. Their writes block because the client does not
 // read.
-func (w *watches) sweep(ctx context.Context, s *Server) {
-	for registry.Sleep(ctx, sweepEvery) {
-		oldest := s.r.ledger.oldest()
+func (w *watchSet) cutLagging(ctx context.Context, s *Server) {
+	for registry.Sleep(ctx, sweepInterval) {
+		oldest := s.replica.fsm.oldestResumable()
 		w.mu.Lock()
-		for one := range w.all {
-			if one.at.Load() < oldest && !one.cut.Swap(true) {
-				one.conn.SetWriteDeadline(time.Now())
-				s.metrics.cut("lag")
+		for conn := range w.all {
+			if conn.revision.Load() < oldest && !conn.cut.Swap(true) {
+				conn.controller.SetWriteDeadline(time.Now())
+				s.metrics.countCut("lag")
 			}
 		}
 		w.mu.Unlock()
@@ -73,42 +73,42 @@
 }
 
 // oldestResumable returns the revision that a watch must have reached, because only later lines are kept.
-func (l *ledger) oldest() int64 {
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	return l.state.Revision() - int64(len(l.lines))
+func (f *fsm) oldestResumable() int64 {
+	f.mu.RLock()
+	defer f.mu.RUnlock()
+	return f.state.Revision() - int64(len(f.lines))
 }
 
 // serveWatch sends the changes in some partitions, or of the whole list if parts is nil, until either side
 // ends the watch.
-func (s *Server) watch(w http.ResponseWriter, req *http.Request, after int64, parts *ownership.Set) {
-	one := &watcher{conn: http.NewResponseController(w)}
+func (s *Server) serveWatch(w http.ResponseWriter, req *http.Request, after int64, set *ownership.Set) {
+	conn := &watchConn{controller: http.NewResponseController(w)}
 	var body []byte
-	var at position
-	var number int64 // of the partition map that was sent last
+	var pos position
+	var mapNumber int64 // of the partition map that was sent last
 	var err error
-	if parts != nil {
-		body, at, number, err = s.r.ledger.part(after, parts)
+	if set != nil {
+		body, pos, mapNumber, err = s.replica.fsm.encodePartitions(after, set)
 	} else {
-		body, at, _, err = s.r.ledger.list(after)
+		body, pos, _, err = s.replica.fsm.encodeList(after)
 	}
 	if err != nil {
-		wrong(w, http.StatusInternalServerError, err)
+		writeError(w, http.StatusInternalServerError, err)
 		return
 	}
-	one.at.Store(at.revision)
-	if !s.watches.add(one, s.r.cfg.Watch.MaxOpen) {
-		s.metrics.asked("refused")
-		later(w, 5*time.Second, "the limit of open watches is reached")
+	conn.revision.Store(pos.revision)
+	if !s.watches.add(conn, s.replica.cfg.Watch.MaxOpen) {
+		s.metrics.countRequest("refused")
+		writeRetryLater(w, 5*time.Second, "the limit of open watches is reached")
 		return
 	}
-	defer s.watches.remove(one)
-	s.mark(w, at)
-	if parts != nil {
-		markPart(w, number)
+	defer s.watches.remove(conn)
+	s.setPositionHeaders(w, pos)
+	if set != nil {
+		setPartitionHeaders(w, mapNumber)
 	}
 	write := func(lines ...[]byte) bool {
-		if one.cut.Load() || one.conn.SetWriteDeadline(time.Now().Add(writeLimit)) != nil || one.cut.Load() {
+		if conn.cut.Load() || conn.controller.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil || conn.cut.Load() {
 			return false
 		}
 		for _, l := range lines {
@@ -116,26 +116,26 @@
 				return false
 			}
 		}
-		return one.conn.Flush() == nil
+		return conn.controller.Flush() == nil
 	}
 	if !write(body) {
 		return
 	}
-	beat := time.NewTimer(heartbeat)
-	defer beat.Stop()
-	told := at.revision
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
+	announced := pos.revision
 	for {
-		lines, has, news, ok := s.r.ledger.since(at)
+		lines, currentMapNumber, changed, ok := s.replica.fsm.linesAfter(pos)
 		if !ok { // another history, or too far behind
-			s.metrics.cut("position")
+			s.metrics.countCut("position")
 			return
 		}
 		if len(lines) > 0 {
 			for _, l := range lines {
 				body := l.body
-				if parts != nil {
-					if body, err = l.part.of(parts); err != nil {
-						s.metrics.cut("position") // the client's next request gets the complete list of its partitions
+				if set != nil {
+					if body, err = l.byPartition.encodeFor(set); err != nil {
+						s.metrics.countCut("position") // the client's next request gets the complete list of its partitions
 						return
 					}
 				}
@@ -143,32 +143,32 @@
 					if !write(body) {
 						return
 					}
-					told, number = l.revision, max(number, l.part.number)
-					beat.Reset(heartbeat)
+					announced, mapNumber = l.revision, max(mapNumber, l.byPartition.mapNumber)
+					heartbeat.Reset(heartbeatInterval)
 				}
-				one.at.Store(l.revision)
+				conn.revision.Store(l.revision)
 			}
-			at.revision = lines[len(lines)-1].revision
+			pos.revision = lines[len(lines)-1].revision
 			continue
 		}
-		if parts != nil && has > number {
-			if !write(carryOn(at.revision, has)) {
+		if set != nil && currentMapNumber > mapNumber {
+			if !write(emptyUpdate(pos.revision, currentMapNumber)) {
 				return
 			}
-			told, number = at.revision, has
-			beat.Reset(heartbeat)
+			announced, mapNumber = pos.revision, currentMapNumber
+			heartbeat.Reset(heartbeatInterval)
 		}
 		select {
-		case <-news:
-		case <-beat.C:
-			sign := []byte("\n")
-			if told < at.revision { // by changes outside of its partitions
-				sign, told = carryOn(at.revision, number), at.revision
+		case <-changed:
+		case <-heartbeat.C:
+			line := []byte("\n")
+			if announced < pos.revision { // by changes outside of its partitions
+				line, announced = emptyUpdate(pos.revision, mapNumber), pos.revision
 			}
-			if !write(sign) {
+			if !write(line) {
 				return
 			}
-			beat.Reset(heartbeat)
+			heartbeat.Reset(heartbeatInterval)
 		case <-req.Context().Done():
 			return
 		}
--- a/internal/directory/writes.go
+++ b/internal/directory/writes.go
@@ -14,17 +14,17 @@
 )
 
 // writeParser converts a request into a write.
-type reader func(req *http.Request, raw []byte) (catalog.Write, error)
+type writeParser func(req *http.Request, raw []byte) (catalog.Write, error)
 
 // serveWrite serves the requests that change the list.
-func (s *Server) write(read reader) http.HandlerFunc {
+func (s *Server) serveWrite(parse writeParser) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
-		raw, ok := body(w, req, maxWrite)
+		raw, ok := readBody(w, req, maxBodyBytes)
 		if !ok {
 			return
 		}
-		if s.r.cfg.Source.Discovery != "" {
-			wrong(w, http.StatusConflict, errors.New("this directory copies the list of the platform's discovery; change it there"))
+		if s.replica.cfg.Source.Discovery != "" {
+			writeError(w, http.StatusConflict, errors.New("this directory copies the list of the platform's discovery; change it there"))
 			return
 		}
 		match := req.Header.Get("If-Match")
@@ -32,44 +32,44 @@
 			match = "*" // a registration concerns only the endpoint itself
 		}
 		if match == "" {
-			wrong(w, http.StatusPreconditionRequired, errors.New(`the If-Match header is missing: base revision of the write, or "*"`))
+			writeError(w, http.StatusPreconditionRequired, errors.New(`the If-Match header is missing: base revision of the write, or "*"`))
 			return
 		}
-		base, err := readBase(match)
+		base, err := parseIfMatch(match)
 		if err != nil {
-			wrong(w, http.StatusBadRequest, err)
+			writeError(w, http.StatusBadRequest, err)
 			return
 		}
-		wr, err := read(req, raw)
+		wr, err := parse(req, raw)
 		if errors.Is(err, catalog.ErrNotFound) {
-			wrong(w, http.StatusNotFound, err)
+			writeError(w, http.StatusNotFound, err)
 			return
 		}
 		if err != nil {
-			wrong(w, http.StatusBadRequest, err)
+			writeError(w, http.StatusBadRequest, err)
 			return
 		}
-		wr.Base, wr.GuardShare, wr.MaxEndpoints = base, s.r.cfg.Guard.MaxRemovedShare, int64(s.r.cfg.List.MaxEndpoints)
+		wr.Base, wr.GuardShare, wr.MaxEndpoints = base, s.replica.cfg.Guard.MaxRemovedShare, int64(s.replica.cfg.List.MaxEndpoints)
 		wr.Confirmed = req.URL.Query().Get("confirm") == "1"
-		wr.Reason = strings.ToValidUTF8(first(req.Header.Get("Registry-Why"), 1000), "?")
-		s.command(w, req, raw, func() (c catalog.Command, err error) {
-			s.r.ledger.read(func(st *catalog.State) { err = st.CheckCapacity(wr) })
+		wr.Reason = strings.ToValidUTF8(truncate(req.Header.Get("Registry-Why"), 1000), "?")
+		s.runCommand(w, req, raw, func() (c catalog.Command, err error) {
+			s.replica.fsm.view(func(st *catalog.State) { err = st.CheckCapacity(wr) })
 			return catalog.Command{Write: &wr}, err
 		})
 		if wr.TTL > 0 && len(wr.Members) > 0 {
-			s.r.registered(wr.Members[0].ID)
+			s.replica.noteRegistration(wr.Members[0].ID)
 		}
 	}
 }
 
 // parseIfMatch parses If-Match: "*", REVISION or HISTORY.REVISION, with or without quotes.
-func readBase(match string) (catalog.Base, error) {
+func parseIfMatch(match string) (catalog.Base, error) {
 	match = strings.Trim(strings.TrimSpace(match), `"`)
 	if match == "*" {
 		return catalog.Base{Any: true}, nil
 	}
-	h, rev, both := strings.Cut(match, ".")
-	if !both {
+	h, rev, hasHistory := strings.Cut(match, ".")
+	if !hasHistory {
 		h, rev = "0", h
 	}
 	history, err := strconv.ParseInt(h, 10, 64)
@@ -81,7 +81,7 @@
 }
 
 // decodeStrict decodes exactly one JSON value without unknown fields.
-func strict(raw []byte, v any) error {
+func decodeStrict(raw []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
@@ -93,23 +93,23 @@
 	return nil
 }
 
-func readMembers(raw []byte) ([]catalog.Endpoint, error) {
+func parseMembers(raw []byte) ([]catalog.Endpoint, error) {
 	var l struct {
 		Members  *[]catalog.Endpoint `json:"members"`
 		Revision int64               `json:"revision"` // allowed so that a list can be sent back as it was read
 		Complete bool                `json:"complete"`
 	}
-	if err := strict(raw, &l); err != nil {
+	if err := decodeStrict(raw, &l); err != nil {
 		return nil, err
 	}
 	if l.Members == nil {
 		return nil, errors.New(`body: "members" is missing`)
 	}
-	return *l.Members, check(*l.Members)
+	return *l.Members, validateAll(*l.Members)
 }
 
-func check(all []catalog.Endpoint) error {
-	for _, m := range all {
+func validateAll(endpoints []catalog.Endpoint) error {
+	for _, m := range endpoints {
 		if err := m.Validate(); err != nil {
 			return err
 		}
@@ -117,19 +117,19 @@
 	return nil
 }
 
-func readChanges(_ *http.Request, raw []byte) (catalog.Write, error) {
-	all, err := readMembers(raw)
-	return catalog.Write{Members: all}, err
+func parsePartial(_ *http.Request, raw []byte) (catalog.Write, error) {
+	members, err := parseMembers(raw)
+	return catalog.Write{Members: members}, err
 }
 
-func readWhole(_ *http.Request, raw []byte) (catalog.Write, error) {
-	all, err := readMembers(raw)
-	return catalog.Write{Members: all, Replace: true}, err
+func parseFull(_ *http.Request, raw []byte) (catalog.Write, error) {
+	members, err := parseMembers(raw)
+	return catalog.Write{Members: members, Replace: true}, err
 }
 
-func readOne(req *http.Request, raw []byte) (catalog.Write, error) {
+func parseEndpoint(req *http.Request, raw []byte) (catalog.Write, error) {
 	var m catalog.Endpoint
-	if err := strict(raw, &m); err != nil {
+	if err := decodeStrict(raw, &m); err != nil {
 		return catalog.Write{}, err
 	}
 	if m.ID != req.PathValue("id") {
@@ -138,15 +138,15 @@
 	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Validate()
 }
 
-func readDelete(req *http.Request, _ []byte) (catalog.Write, error) {
+func parseDelete(req *http.Request, _ []byte) (catalog.Write, error) {
 	m := catalog.Endpoint{ID: req.PathValue("id"), Phase: catalog.Deleted}
 	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Validate()
 }
 
 // parseDrain drains an endpoint as it is listed at this replica.
-func (s *Server) readDrain(req *http.Request, _ []byte) (catalog.Write, error) {
+func (s *Server) parseDrain(req *http.Request, _ []byte) (catalog.Write, error) {
 	var m catalog.Endpoint
-	s.r.ledger.read(func(st *catalog.State) {
+	s.replica.fsm.view(func(st *catalog.State) {
 		e, _ := st.Entry(req.PathValue("id"))
 		m = e.Endpoint
 	})
@@ -157,12 +157,12 @@
 	return catalog.Write{Members: []catalog.Endpoint{m}}, nil
 }
 
-func readRegistration(req *http.Request, raw []byte) (catalog.Write, error) {
+func parseRegistration(req *http.Request, raw []byte) (catalog.Write, error) {
 	var reg struct {
 		Member catalog.Endpoint `json:"member"`
 		TTL    int64            `json:"ttl_ms"`
 	}
-	if err := strict(raw, &reg); err != nil {
+	if err := decodeStrict(raw, &reg); err != nil {
 		return catalog.Write{}, err
 	}
 	if reg.Member.ID != req.PathValue("id") || reg.Member.Phase != catalog.Serving {
--- a/internal/registry/formats_test.go
+++ b/internal/registry/formats_test.go
@@ -13,8 +13,8 @@
 )
 
 // The file list.json is read by other builds of a node.
-func TestKeptFileFormat(t *testing.T) {
-	var want, got keptFile
+func TestListCacheFormat(t *testing.T) {
+	var want, got cacheFile
 	golden.Fill(&want)
 	for i := range want.Members { // a list that is accepted has valid endpoints
 		want.Members[i].Addr, want.Members[i].Phase = "h:"+want.Members[i].Addr, catalog.Serving
--- a/internal/registry/kept.go
+++ b/internal/registry/kept.go
@@ -14,22 +14,22 @@
 	"starlingusher/fleet/catalog"
 )
 
-const keptName = "list.json"
+const cacheFileName = "list.json"
 
 // ListCache keeps the latest list in a persistent folder, for a process that starts while no service is
 // reachable. It is not safe for concurrent use.
 type ListCache struct {
-	path string
-	most int64 // size limit of the file; while it is being replaced there are two
+	path     string
+	maxBytes int64 // size limit of the file; while it is being replaced there are two
 
-	members map[string]catalog.Endpoint
-	at      Position
-	heard   time.Time
-	due     bool
+	members     map[string]catalog.Endpoint
+	position    Position
+	confirmedAt time.Time
+	dirty       bool
 }
 
 // cacheFile is the format of the file.
-type keptFile struct {
+type cacheFile struct {
 	HeardAt  time.Time          `json:"heard_at"`
 	History  int64              `json:"history"`
 	Revision int64              `json:"revision"`
@@ -39,85 +39,85 @@
 
 // OpenListCache reads the cache in a folder. A missing file is no error. If the file is unreadable, the cache
 // is usable and empty, and the error says why. maxBytes limits the size of the file.
-func OpenListCache(dir string, most int64) (*ListCache, error) {
-	k := &ListCache{path: filepath.Join(dir, keptName), most: most, members: map[string]catalog.Endpoint{}}
-	os.Remove(k.path + ".new") // left by a process that ended while writing
-	raw, err := os.ReadFile(k.path)
+func OpenListCache(dir string, maxBytes int64) (*ListCache, error) {
+	c := &ListCache{path: filepath.Join(dir, cacheFileName), maxBytes: maxBytes, members: map[string]catalog.Endpoint{}}
+	os.Remove(c.path + ".new") // left by a process that ended while writing
+	raw, err := os.ReadFile(c.path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return k, nil
+		return c, nil
 	}
 	if err != nil {
-		return k, fmt.Errorf("list cache: %w", err)
+		return c, fmt.Errorf("list cache: %w", err)
 	}
-	var f keptFile
-	if err := json.Unmarshal(raw, &f); err != nil {
-		return k, fmt.Errorf("list cache: %w", err)
+	var file cacheFile
+	if err := json.Unmarshal(raw, &file); err != nil {
+		return c, fmt.Errorf("list cache: %w", err)
 	}
-	for _, m := range f.Members {
+	for _, m := range file.Members {
 		if m.Validate() != nil || m.Phase == catalog.Deleted {
-			return k, fmt.Errorf("list cache: invalid endpoint %.40q", m.ID)
+			return c, fmt.Errorf("list cache: invalid endpoint %.40q", m.ID)
 		}
 	}
-	for _, m := range f.Members {
-		k.members[m.ID] = m
+	for _, m := range file.Members {
+		c.members[m.ID] = m
 	}
-	k.at, k.heard = Position{f.History, f.Revision, f.From}, f.HeardAt
-	return k, nil
+	c.position, c.confirmedAt = Position{file.History, file.Revision, file.From}, file.HeardAt
+	return c, nil
 }
 
 // List returns the cached list, its position, and when the service last confirmed it; false if there is none.
-func (k *ListCache) List() (catalog.List, Position, time.Time, bool) {
-	l := catalog.List{Revision: k.at.Revision, Complete: true, Members: []catalog.Endpoint{}}
-	for _, m := range k.members {
-		l.Members = append(l.Members, m)
+func (c *ListCache) List() (catalog.List, Position, time.Time, bool) {
+	list := catalog.List{Revision: c.position.Revision, Complete: true, Members: []catalog.Endpoint{}}
+	for _, m := range c.members {
+		list.Members = append(list.Members, m)
 	}
-	slices.SortFunc(l.Members, func(a, b catalog.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
-	return l, k.at, k.heard, !k.heard.IsZero()
+	slices.SortFunc(list.Members, func(a, b catalog.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	return list, c.position, c.confirmedAt, !c.confirmedAt.IsZero()
 }
 
 // Apply applies an update in memory. Flush writes it to the file.
-func (k *ListCache) Apply(n Update, now time.Time) {
-	if n.Complete {
-		clear(k.members)
+func (c *ListCache) Apply(update Update, now time.Time) {
+	if update.Complete {
+		clear(c.members)
 	}
-	for _, m := range n.Members {
-		if k.members[m.ID] = m; m.Phase == catalog.Deleted {
-			delete(k.members, m.ID)
+	for _, m := range update.Members {
+		if c.members[m.ID] = m; m.Phase == catalog.Deleted {
+			delete(c.members, m.ID)
 		}
 	}
-	k.at, k.heard, k.due = n.Position(), now, true
+	c.position, c.confirmedAt, c.dirty = update.Position(), now, true
 }
 
 // MarkConfirmed notes that the service still confirms the list.
-func (k *ListCache) MarkConfirmed(now time.Time) {
-	if !k.heard.IsZero() {
-		k.heard = now
+func (c *ListCache) MarkConfirmed(now time.Time) {
+	if !c.confirmedAt.IsZero() {
+		c.confirmedAt = now
 	}
 }
 
 // Flush writes the file if the list has changed. It replaces the file atomically. After a write error it
 // tries again at the next call, but not if the list is too large.
-func (k *ListCache) Flush() error {
-	if !k.due {
+func (c *ListCache) Flush() error {
+	if !c.dirty {
 		return nil
 	}
-	l, at, heard, _ := k.List()
-	raw, err := json.Marshal(keptFile{heard, at.History, at.Revision, at.Server, l.Members})
+	list, position, confirmedAt, _ := c.List()
+	raw, err := json.Marshal(cacheFile{confirmedAt, position.History, position.Revision, position.Server, list.Members})
 	if err != nil {
 		return fmt.Errorf("list cache: %w", err)
 	}
-	if int64(len(raw)) > k.most {
-		k.due = false
-		return fmt.Errorf("list cache: the list has %d bytes, the limit is %d; keeping the older file", len(raw), k.most)
+	if int64(len(raw)) > c.maxBytes {
+		c.dirty = false
+		return fmt.Errorf("list cache: the list has %d bytes, the limit is %d; keeping the older file", len(raw), c.maxBytes)
 	}
-	next := k.path + ".new"
-	if err = os.WriteFile(next, raw, 0o600); err == nil {
-		err = os.Rename(next, k.path)
+	newPath := c.path + ".new"
+	if err = os.WriteFile(newPath, raw, 0o600); err == nil {
+		err = os.Rename(newPath, c.path)
 	}
 	if err != nil {
-		os.Remove(next)
+		os.Remove(newPath)
 		return fmt.Errorf("list cache: %w", err)
 	}
-	k.due = false
+	c.dirty = false
 	return nil
 }
--- a/internal/registry/ownership.go
+++ b/internal/registry/ownership.go
@@ -15,7 +15,7 @@
 
 // maxMapResponse exceeds any response with a record: a value of catalog.MaxValue bytes in base64, and the
 // fields around it.
-const maxMapAnswer = catalog.MaxValueBytes*4/3 + 8<<10
+const maxMapResponse = catalog.MaxValueBytes*4/3 + 8<<10
 
 // ErrNoMap reports that a server has no partition map.
 var ErrNoMap = errors.New("the server has no partition map")
@@ -23,17 +23,17 @@
 // FetchMap reads the newest partition map from one address after another, starting at a random one, until one
 // returns a map with at least the given number. Each address has 2.2 s and is asked once. The error lists the
 // failure of each address: ErrNoMap, ErrStale for a smaller number, or an error of ownership.Decode.
-func FetchMap(ctx context.Context, client *http.Client, addresses []string, least int64) (*ownership.Map, error) {
+func FetchMap(ctx context.Context, client *http.Client, addresses []string, minNumber int64) (*ownership.Map, error) {
 	if len(addresses) == 0 {
 		return nil, errors.New("partition map: no server address")
 	}
 	var errs []error
-	begin := rand.IntN(len(addresses))
+	start := rand.IntN(len(addresses))
 	for i := range addresses {
-		addr := addresses[(begin+i)%len(addresses)]
+		addr := addresses[(start+i)%len(addresses)]
 		m, err := fetchMap(ctx, client, addr)
-		if err == nil && m.Number < least {
-			err = fmt.Errorf("%w: map number %d is below the known %d", ErrStale, m.Number, least)
+		if err == nil && m.Number < minNumber {
+			err = fmt.Errorf("%w: map number %d is below the known %d", ErrStale, m.Number, minNumber)
 		}
 		if err == nil {
 			return m, nil
@@ -47,7 +47,7 @@
 }
 
 func fetchMap(ctx context.Context, client *http.Client, addr string) (*ownership.Map, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/records/"+ownership.RecordName, nil)
 	if err != nil {
@@ -64,19 +64,19 @@
 	case resp.StatusCode != http.StatusOK:
 		return nil, errors.New(resp.Status)
 	}
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxMapAnswer+1))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxMapResponse+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(raw) > maxMapAnswer {
-		return nil, fmt.Errorf("the response exceeds %d bytes", maxMapAnswer)
+	if len(raw) > maxMapResponse {
+		return nil, fmt.Errorf("the response exceeds %d bytes", maxMapResponse)
 	}
-	var r catalog.Record
-	if err := json.Unmarshal(raw, &r); err != nil {
+	var record catalog.Record
+	if err := json.Unmarshal(raw, &record); err != nil {
 		return nil, err
 	}
-	if len(r.Value) == 0 { // the record was acquired by its first writer, who has not written a map yet
+	if len(record.Value) == 0 { // the record was acquired by its first writer, who has not written a map yet
 		return nil, ErrNoMap
 	}
-	return ownership.Decode(r.Value)
+	return ownership.Decode(record.Value)
 }
--- a/internal/registry/ownership_test.go
+++ b/internal/registry/ownership_test.go
@@ -26,16 +26,16 @@
 }
 
 // httpResponse returns a response that ends after its body.
-func said(code int, head map[string]string, body string) *http.Response {
+func httpResponse(code int, headers map[string]string, body string) *http.Response {
 	h := http.Header{}
-	for k, v := range head {
+	for k, v := range headers {
 		h.Set(k, v)
 	}
 	return &http.Response{StatusCode: code, Status: fmt.Sprint(code), Header: h, Body: io.NopCloser(strings.NewReader(body))}
 }
 
 // Requests for the whole list must be the same, byte for byte, as in builds without partitions.
-func TestAskForTheWholeListIsAsBefore(t *testing.T) {
+func TestRequestForWholeListIsUnchanged(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		at   Position
@@ -48,19 +48,19 @@
 	} {
 		ctx, cancel := context.WithCancel(t.Context())
 		w := Watcher{Addresses: []string{"a:1"}, FleetSize: 1, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(c.at)}
-		w.Client = &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
+		w.Client = &http.Client{Transport: roundTripFunc(func(req *http.Request) (*http.Response, error) {
 			if req.Method != http.MethodGet || req.URL.String() != c.want || len(req.Header) > 0 || req.Body != nil {
 				t.Errorf("unexpected request %s %s %v", req.Method, req.URL, req.Header)
 			}
-			return said(200, nil, `{"revision":9,"complete":false,"members":[]}`), nil
+			return httpResponse(200, nil, `{"revision":9,"complete":false,"members":[]}`), nil
 		})}
-		told := false
+		received := false
 		w.Watch(ctx, func(n Update) error {
-			told = n.Revision == 9 && n.Map == 0
+			received = n.Revision == 9 && n.Map == 0
 			cancel()
 			return nil
 		})
-		if !told {
+		if !received {
 			t.Errorf("after %v no update was received", c.at)
 		}
 	}
@@ -69,14 +69,14 @@
 // The first request of each call of Watch asks for the complete list of the partitions, later ones for
 // changes. A rejected update, or changes where a complete list was requested, lead to a request for the
 // complete list.
-func TestWatchOfPartitionsBeginsWhole(t *testing.T) {
+func TestWatchOfPartitionsStartsWithCompleteList(t *testing.T) {
 	t.Parallel()
-	head := map[string]string{"Registry-History": "3", "Registry-Partitions": "4096", "Registry-Map": "6"}
+	headers := map[string]string{"Registry-History": "3", "Registry-Partitions": "4096", "Registry-Map": "6"}
 	changes := `{"revision":9,"complete":false,"members":[],"map":6}`
 	whole := func(rev int) string { return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[],"map":6}`, rev) }
 	ctx, cancel := context.WithCancel(t.Context())
 	const set = "&history=3&partitions=3,17,40-42"
-	script := []struct{ ask, answer string }{
+	script := []struct{ query, body string }{
 		{"after=0" + set, changes}, // not the complete list
 		{"after=0" + set, whole(9)},
 		{"after=9" + set, strings.Replace(changes, ":9", ":10", 1)},
@@ -84,17 +84,17 @@
 		{"after=0" + set, whole(11)},
 		{"after=11" + set, whole(12)},
 	}
-	asks := 0
+	requests := 0
 	w := Watcher{Addresses: []string{"a:1"}, FleetSize: 1, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(Position{3, 8, "b:1"}), Partitions: someSet()}
-	w.Client = &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
-		if asks >= len(script) {
+	w.Client = &http.Client{Transport: roundTripFunc(func(req *http.Request) (*http.Response, error) {
+		if requests >= len(script) {
 			return nil, errors.New("unexpected request")
 		}
-		if got := strings.TrimPrefix(req.URL.String(), "http://a:1/registry/instances?watch=1&"); got != script[asks].ask {
-			t.Errorf("request %d is %s, want %s", asks, got, script[asks].ask)
+		if got := strings.TrimPrefix(req.URL.String(), "http://a:1/registry/instances?watch=1&"); got != script[requests].query {
+			t.Errorf("request %d is %s, want %s", requests, got, script[requests].query)
 		}
-		asks++
-		return said(200, head, script[asks-1].answer), nil
+		requests++
+		return httpResponse(200, headers, script[requests-1].body), nil
 	})}
 	w.Watch(ctx, func(n Update) error {
 		if n.Map != 6 {
@@ -108,14 +108,14 @@
 		}
 		return nil
 	})
-	if asks != len(script) {
-		t.Errorf("%d requests", asks)
+	if requests != len(script) {
+		t.Errorf("%d requests", requests)
 	}
 }
 
 // A list must not be accepted unless the server proves that it has filtered it by the same partitions. The
 // next address is tried at once; if no server filters, requests are far apart.
-func TestWholeListIsNotTakenForAPart(t *testing.T) {
+func TestWholeListIsRejectedForPartitions(t *testing.T) {
 	t.Parallel()
 	list := `{"revision":9,"complete":true,"members":[{"id":"e1","host_port":"h:1","locality":"a","flavor":"k","cell":3,"phase":"SERVING","size":1}]}`
 	for _, by := range []string{"", "2048", "04096", "4096, 4096", "x"} {
@@ -124,17 +124,17 @@
 			var logged strings.Builder
 			w := Watcher{Addresses: []string{"a:1", "b:1", "c:1"}, FleetSize: 820, Log: slog.New(slog.NewTextHandler(&logged, nil)), Cursor: NewCursor(Position{}), Partitions: someSet()}
 			upgraded, began := time.Hour, time.Now()
-			asks := 0
-			w.Client = &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
-				asks++
-				head := map[string]string{"Registry-History": "3", "Registry-Partitions": by}
+			requests := 0
+			w.Client = &http.Client{Transport: roundTripFunc(func(req *http.Request) (*http.Response, error) {
+				requests++
+				headers := map[string]string{"Registry-History": "3", "Registry-Partitions": by}
 				if req.URL.Host == "c:1" && time.Since(began) > upgraded {
-					head["Registry-Partitions"] = "4096"
+					headers["Registry-Partitions"] = "4096"
 				}
 				if time.Since(began) > time.Minute {
 					upgraded = 0
 				}
-				return said(200, head, list), nil
+				return httpResponse(200, headers, list), nil
 			})}
 			w.Watch(ctx, func(n Update) error {
 				if n.Server != "c:1" {
@@ -143,13 +143,13 @@
 				cancel()
 				return nil
 			})
-			if most := 3 * (int(time.Minute/(nextRefusal/2)) + 3); asks < 36 || asks > most {
-				t.Errorf("%d requests in a minute, want at most %d", asks, most)
+			if most := 3 * (int(time.Minute/(maxRefusalPause/2)) + 3); requests < 36 || requests > most {
+				t.Errorf("%d requests in a minute, want at most %d", requests, most)
 			}
 			if n := strings.Count(logged.String(), "would send the whole list"); n != 3 {
 				t.Errorf("logged %d times: %s", n, logged.String())
 			}
-			if err := w.once(t.Context(), "a:1", 0, 0, nil); !errors.Is(err, ErrNoPartitionFilter) {
+			if err := w.watchOnce(t.Context(), "a:1", 0, 0, nil); !errors.Is(err, ErrNoPartitionFilter) {
 				t.Errorf("%q: %v", by, err)
 			}
 		})
@@ -157,32 +157,32 @@
 }
 
 // A replica that cannot filter by partitions must not delay the list if another one can.
-func TestOneUnableReplicaIsNoDelay(t *testing.T) {
+func TestReplicaWithoutFilterDoesNotDelayList(t *testing.T) {
 	t.Parallel()
 	for range 20 { // the first address is random
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			w := Watcher{Addresses: []string{"a:1", "b:1", "c:1"}, FleetSize: 820, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(Position{}), Partitions: someSet()}
 			began := time.Now()
-			w.Client = &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
+			w.Client = &http.Client{Transport: roundTripFunc(func(req *http.Request) (*http.Response, error) {
 				switch req.URL.Host {
 				case "a:1":
-					return said(200, map[string]string{"Registry-History": "3"}, `{"revision":9,"complete":true,"members":[]}`), nil
+					return httpResponse(200, map[string]string{"Registry-History": "3"}, `{"revision":9,"complete":true,"members":[]}`), nil
 				case "b:1":
 					<-req.Context().Done()
 					return nil, req.Context().Err()
 				}
-				return said(200, map[string]string{"Registry-History": "3", "Registry-Partitions": "4096"}, `{"revision":9,"complete":true,"members":[]}`), nil
+				return httpResponse(200, map[string]string{"Registry-History": "3", "Registry-Partitions": "4096"}, `{"revision":9,"complete":true,"members":[]}`), nil
 			})}
 			w.Watch(ctx, func(n Update) error { cancel(); return nil })
-			if took := time.Since(began); took > answerTime+3*firstBackoff {
+			if took := time.Since(began); took > responseTimeout+3*minBackoff {
 				t.Errorf("received after %v", took)
 			}
 		})
 	}
 }
 
-func record(t *testing.T, number int64) string {
+func mapRecord(t *testing.T, number int64) string {
 	t.Helper()
 	m, err := ownership.Make(number, 1, []ownership.Member{{Name: "n1", Zone: "a", Weight: 1}}, nil)
 	if err != nil {
@@ -213,31 +213,35 @@
 // failure of each address.
 func TestFetchMap(t *testing.T) {
 	t.Parallel()
-	old, good := record(t, 4), record(t, 6)
+	old, good := mapRecord(t, 4), mapRecord(t, 6)
 	servers := map[string]func(req *http.Request) (*http.Response, error){
 		"dead:1": func(*http.Request) (*http.Response, error) { return nil, errors.New("connection refused") },
 		"hangs:1": func(req *http.Request) (*http.Response, error) {
 			<-req.Context().Done()
 			return nil, req.Context().Err()
 		},
-		"none:1": func(*http.Request) (*http.Response, error) { return said(404, nil, `{"error":"there is none"}`), nil },
+		"none:1": func(*http.Request) (*http.Response, error) {
+			return httpResponse(404, nil, `{"error":"there is none"}`), nil
+		},
 		"taken:1": func(*http.Request) (*http.Response, error) {
-			return said(200, nil, `{"name":"ownership.map","value":null}`), nil
+			return httpResponse(200, nil, `{"name":"ownership.map","value":null}`), nil
+		},
+		"busy:1": func(*http.Request) (*http.Response, error) { return httpResponse(503, nil, ""), nil },
+		"odd:1": func(*http.Request) (*http.Response, error) {
+			return httpResponse(200, nil, `{"value":"bm8gbWFw"}`), nil
 		},
-		"busy:1": func(*http.Request) (*http.Response, error) { return said(503, nil, ""), nil },
-		"odd:1":  func(*http.Request) (*http.Response, error) { return said(200, nil, `{"value":"bm8gbWFw"}`), nil },
-		"half:1": func(*http.Request) (*http.Response, error) { return said(200, nil, good[:len(good)/2]), nil },
+		"half:1": func(*http.Request) (*http.Response, error) { return httpResponse(200, nil, good[:len(good)/2]), nil },
 		"endless:1": func(*http.Request) (*http.Response, error) {
 			return &http.Response{StatusCode: 200, Body: io.NopCloser(endless{})}, nil
 		},
-		"old:1": func(*http.Request) (*http.Response, error) { return said(200, nil, old), nil },
+		"old:1": func(*http.Request) (*http.Response, error) { return httpResponse(200, nil, old), nil },
 	}
-	client := &http.Client{Transport: roundTrip(func(req *http.Request) (*http.Response, error) {
+	client := &http.Client{Transport: roundTripFunc(func(req *http.Request) (*http.Response, error) {
 		if req.URL.Path != "/records/ownership.map" || req.Method != http.MethodGet {
 			t.Errorf("unexpected request %s %s", req.Method, req.URL)
 		}
 		if req.URL.Host == "good:1" {
-			return said(200, nil, good), nil
+			return httpResponse(200, nil, good), nil
 		}
 		return servers[req.URL.Host](req)
 	})}
@@ -259,7 +263,7 @@
 				t.Errorf("%s is missing in %v", addr, err)
 			}
 		}
-		if took := time.Since(began); took > answerTime {
+		if took := time.Since(began); took > responseTimeout {
 			t.Errorf("fetching took %v", took)
 		}
 		if m, err := FetchMap(t.Context(), client, []string{"old:1"}, 0); err != nil || m.Number != 4 {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -23,35 +23,35 @@
 // A node must know a change within 6 s of when the service had it and was reachable, whichever request
 // failed. These times add up to less than that at any fleet size; see retryPolicy.
 const (
-	maxList = 16 << 20
+	maxListBytes = 16 << 20
 	// Servers send an empty line every 2 s. A watch without one is dead, even if its connection does not show
 	// it.
-	watchSilence = 2500 * time.Millisecond
+	watchTimeout = 2500 * time.Millisecond
 	// Servers respond to a new watch at once. A request without response headers within this time is retried;
 	// some services take 2 s to answer 503.
-	answerTime = 2200 * time.Millisecond
+	responseTimeout = 2200 * time.Millisecond
 	// Another server that reports no history has this long to catch up with the revision known here. After
 	// that its revisions are taken to count something else. Changes are expected within 4 s of a change of
 	// servers.
 	catchUpTime = 2 * time.Second
 	// A service that cuts watches or refuses requests has more of them than it can serve, and most nodes of
 	// the fleet then retry. All nodes together should send a few requests a second, as far as the 6 s allow.
-	askEvery     = 200 * time.Millisecond // across all nodes
-	afterCut     = 1500 * time.Millisecond
-	afterSilence = 500 * time.Millisecond // short, because the timeout has already cost time
-	firstRefusal = 2 * time.Second        // at most after one refusal, which may be transient
-	nextRefusal  = 5 * time.Second        // after several refusals the service is overloaded
-	longestBack  = 3 * time.Second        // upper limit of a service's Retry-After; up to a second is added at random
-	firstBackoff = 50 * time.Millisecond
-	lastBackoff  = time.Second
+	fleetRequestInterval = 200 * time.Millisecond // across all nodes
+	maxPauseAfterCut     = 1500 * time.Millisecond
+	maxPauseAfterTimeout = 500 * time.Millisecond // short, because the timeout has already cost time
+	maxFirstRefusalPause = 2 * time.Second        // at most after one refusal, which may be transient
+	maxRefusalPause      = 5 * time.Second        // after several refusals the service is overloaded
+	maxRetryAfter        = 3 * time.Second        // upper limit of a service's Retry-After; up to a second is added at random
+	minBackoff           = 50 * time.Millisecond
+	maxBackoff           = time.Second
 )
 
 // Headers in which the directory reports more than the platform does. The history header also tells the two
 // apart.
 const (
-	historyOf    = "Registry-History"
-	vouchedOf    = "Registry-Vouched"
-	partitionsOf = "Registry-Partitions" // number of partitions that a filtered answer is based on
+	headerHistory    = "Registry-History"
+	headerVouched    = "Registry-Vouched"
+	headerPartitions = "Registry-Partitions" // number of partitions that a filtered answer is based on
 )
 
 var (
@@ -84,59 +84,59 @@
 }
 
 // Position returns the position after the update.
-func (n Update) Position() Position { return Position{n.History, n.Revision, n.Server} }
+func (u Update) Position() Position { return Position{u.History, u.Revision, u.Server} }
 
 // Cursor prevents a caller from going back: it holds the position, and decides which updates are accepted. It
 // is not safe for concurrent use.
 type Cursor struct {
-	at    Position
-	until time.Time // until then, an older revision of another server only means that the server lags
-	left  bool      // the watch is trying servers and has received no update since it left the last one
+	position   Position
+	graceUntil time.Time // until then, an older revision of another server only means that the server lags
+	searching  bool      // the watch is trying servers and has received no update since it left the last one
 }
 
 // NewCursor returns a cursor at a position.
-func NewCursor(at Position) *Cursor { return &Cursor{at: at} }
+func NewCursor(at Position) *Cursor { return &Cursor{position: at} }
 
 // Position returns the position of the last accepted update.
-func (t *Cursor) Position() Position { return t.at }
+func (c *Cursor) Position() Position { return c.position }
 
 // ResumeFrom returns the position from which to request changes of a server. Without a history, revisions of
 // another server may count something else, and the position is 0.
-func (t *Cursor) ResumeFrom(addr string) (history, revision int64) {
-	if t.at.History > 0 || t.at.Server == "" || t.at.Server == addr {
-		return t.at.History, t.at.Revision
+func (c *Cursor) ResumeFrom(addr string) (history, revision int64) {
+	if c.position.History > 0 || c.position.Server == "" || c.position.Server == addr {
+		return c.position.History, c.position.Revision
 	}
 	return 0, 0
 }
 
 // ServerChanged notes that another server is asked from now on. A server that reports no history gets time to
 // catch up.
-func (t *Cursor) ServerChanged(now time.Time) { t.until = now.Add(catchUpTime) }
+func (c *Cursor) ServerChanged(now time.Time) { c.graceUntil = now.Add(catchUpTime) }
 
 // tryNextServer is ServerChanged for a watch that tries server after server until one sends an update; the
 // time to catch up starts only once.
-func (t *Cursor) tryNext(now time.Time) {
-	if !t.left {
-		t.left = true
-		t.ServerChanged(now)
+func (c *Cursor) tryNextServer(now time.Time) {
+	if !c.searching {
+		c.searching = true
+		c.ServerChanged(now)
 	}
 }
 
 // Advance accepts an update, or returns ErrStale.
-func (t *Cursor) Advance(n Update, now time.Time) error {
+func (c *Cursor) Advance(update Update, now time.Time) error {
 	switch {
-	case n.History > t.at.History && t.at.History > 0: // restored from a backup; revisions start anew
-		if !n.Complete {
+	case update.History > c.position.History && c.position.History > 0: // restored from a backup; revisions start anew
+		if !update.Complete {
 			return fmt.Errorf("%w: changes of another history without its complete list", ErrStale)
 		}
-	case n.History > 0 && n.History < t.at.History, n.History == t.at.History && n.History > 0 && n.Revision < t.at.Revision:
-		return fmt.Errorf("%w: position %d.%d after %d.%d", ErrStale, n.History, n.Revision, t.at.History, t.at.Revision)
-	case n.History != t.at.History || n.History == 0: // only time can tell whether the revisions are comparable
-		if n.Revision < t.at.Revision && now.Before(t.until) {
-			return fmt.Errorf("%w: revision %d after %d", ErrStale, n.Revision, t.at.Revision)
+	case update.History > 0 && update.History < c.position.History, update.History == c.position.History && update.History > 0 && update.Revision < c.position.Revision:
+		return fmt.Errorf("%w: position %d.%d after %d.%d", ErrStale, update.History, update.Revision, c.position.History, c.position.Revision)
+	case update.History != c.position.History || update.History == 0: // only time can tell whether the revisions are comparable
+		if update.Revision < c.position.Revision && now.Before(c.graceUntil) {
+			return fmt.Errorf("%w: revision %d after %d", ErrStale, update.Revision, c.position.Revision)
 		}
 	}
-	t.at, t.left = n.Position(), false
+	c.position, c.searching = update.Position(), false
 	return nil
 }
 
@@ -145,7 +145,7 @@
 
 // Next returns the next pause, between 25 ms and 1 s.
 func (b *Backoff) Next() time.Duration {
-	*b = min(max(2**b, Backoff(firstBackoff)), Backoff(lastBackoff))
+	*b = min(max(2**b, Backoff(minBackoff)), Backoff(maxBackoff))
 	return time.Duration(*b)/2 + rand.N(time.Duration(*b)/2)
 }
 
@@ -154,37 +154,37 @@
 // 5.25 s; timeout, pause, refusal and its pause 5 s; cut, pause, refusal and its pause 3.5 s. After a series
 // of refusals the update arrives within 5 s of when the service has capacity again; after hanging or failed
 // connections, within 3.2 s of when it is reachable.
-type pauses struct {
-	nodes    int
-	failed   Backoff
-	refusals int // consecutive
+type retryPolicy struct {
+	fleetSize int
+	backoff   Backoff
+	refusals  int // consecutive
 }
 
 // pauseAfter returns the pause after a watch that ended with err. gotUpdate tells whether it had delivered an
 // update.
-func (p *pauses) after(err error, told bool) time.Duration {
-	apart := time.Duration(p.nodes) * askEvery
-	var back *backError
+func (p *retryPolicy) pauseAfter(err error, gotUpdate bool) time.Duration {
+	interval := time.Duration(p.fleetSize) * fleetRequestInterval
+	var retry *retryAfterError
 	switch {
-	case errors.As(err, &back):
-		return back.after + rand.N(time.Second) // the header has whole seconds only
+	case errors.As(err, &retry):
+		return retry.after + rand.N(time.Second) // the header has whole seconds only
 	case errors.Is(err, ErrRefused):
 		p.refusals++
-		most := min(2*apart, firstRefusal)
+		limit := min(2*interval, maxFirstRefusalPause)
 		if p.refusals > 1 {
-			most = min(apart<<min(p.refusals, 8), nextRefusal)
+			limit = min(interval<<min(p.refusals, 8), maxRefusalPause)
 		}
-		return most/2 + rand.N(most/2)
-	case told && errors.Is(err, errSilent):
-		return rand.N(min(apart, afterSilence))
-	case told: // the watch was cut, probably together with those of other nodes
-		return rand.N(min(apart, afterCut))
+		return limit/2 + rand.N(limit/2)
+	case gotUpdate && errors.Is(err, errSilent):
+		return rand.N(min(interval, maxPauseAfterTimeout))
+	case gotUpdate: // the watch was cut, probably together with those of other nodes
+		return rand.N(min(interval, maxPauseAfterCut))
 	}
-	return p.failed.Next()
+	return p.backoff.Next()
 }
 
 // reset clears the failure counts.
-func (p *pauses) news() { p.failed, p.refusals = 0, 0 }
+func (p *retryPolicy) reset() { p.backoff, p.refusals = 0, 0 }
 
 // Sleep waits, and reports whether the context is still alive afterwards.
 func Sleep(ctx context.Context, d time.Duration) bool {
@@ -217,99 +217,99 @@
 // Watch follows the list until the context ends, and passes each update to handle. If handle returns an
 // error, Watch ends that watch and requests the update again. It starts at a random address, and moves to the
 // next one on failure.
-func (w *Watcher) Watch(ctx context.Context, tell func(Update) error) {
-	pause := pauses{nodes: w.FleetSize}
-	n := 0
+func (w *Watcher) Watch(ctx context.Context, handle func(Update) error) {
+	pause := retryPolicy{fleetSize: w.FleetSize}
+	next := 0
 	if len(w.Addresses) > 1 {
-		n = rand.IntN(len(w.Addresses))
+		next = rand.IntN(len(w.Addresses))
 	}
-	failed := 0                  // consecutive addresses
-	unable := 0                  // of those, the ones with ErrNoPartitionFilter
-	whole := w.Partitions != nil // what the caller has may be of other partitions
-	cannot := map[string]bool{}  // addresses that failed with ErrNoPartitionFilter
+	failures := 0                       // consecutive addresses
+	unfiltered := 0                     // of those, the ones with ErrNoPartitionFilter
+	needComplete := w.Partitions != nil // what the caller has may be of other partitions
+	noFilter := map[string]bool{}       // addresses that failed with ErrNoPartitionFilter
 	for ctx.Err() == nil {
-		first := true
-		addr := w.Addresses[n%len(w.Addresses)]
+		firstUpdate := true
+		addr := w.Addresses[next%len(w.Addresses)]
 		history, after := w.Cursor.ResumeFrom(addr)
-		if whole {
+		if needComplete {
 			after = 0
 		}
-		err := w.once(ctx, addr, history, after, func(l Update) error {
-			if whole && !l.Complete {
+		err := w.watchOnce(ctx, addr, history, after, func(update Update) error {
+			if needComplete && !update.Complete {
 				return errors.New("watch: received changes instead of the complete list")
 			}
-			if err := w.Cursor.Advance(l, time.Now()); err != nil {
+			if err := w.Cursor.Advance(update, time.Now()); err != nil {
 				return err
 			}
-			if first {
-				w.Log.Info("watching", "discovery", addr, "after", after, "revision", l.Revision, "complete", l.Complete, "members", len(l.Members))
+			if firstUpdate {
+				w.Log.Info("watching", "discovery", addr, "after", after, "revision", update.Revision, "complete", update.Complete, "members", len(update.Members))
 			}
-			if err := tell(l); err != nil {
-				whole = w.Partitions != nil // the caller lacks these changes
+			if err := handle(update); err != nil {
+				needComplete = w.Partitions != nil // the caller lacks these changes
 				return err
 			}
-			pause.news()
-			first, failed, unable, whole = false, 0, 0, false
+			pause.reset()
+			firstUpdate, failures, unfiltered, needComplete = false, 0, 0, false
 			return nil
 		})
 		if ctx.Err() != nil {
 			return
 		}
 		w.Log.Debug("watch ended", "discovery", addr, "err", err)
-		is := errors.Is(err, ErrNoPartitionFilter)
-		if is {
-			unable++
+		lacksFilter := errors.Is(err, ErrNoPartitionFilter)
+		if lacksFilter {
+			unfiltered++
 		}
-		if is != cannot[addr] && (is || !first) {
-			if cannot[addr] = is; is {
+		if lacksFilter != noFilter[addr] && (lacksFilter || !firstUpdate) {
+			if noFilter[addr] = lacksFilter; lacksFilter {
 				w.Log.Warn("skipping the server: it would send the whole list instead of some partitions", "discovery", addr, "err", err)
 			} else {
 				w.Log.Info("the server now filters the list by partitions", "discovery", addr)
 			}
 		}
-		wait := pause.after(err, !first)
-		if failed++; failed < len(w.Addresses) { // the next address may work, so try it soon
-			wait = rand.N(firstBackoff)
+		wait := pause.pauseAfter(err, !firstUpdate)
+		if failures++; failures < len(w.Addresses) { // the next address may work, so try it soon
+			wait = rand.N(minBackoff)
 		} else {
-			if unable == len(w.Addresses) { // only a newer build helps, and each request costs part of the whole list
-				wait = nextRefusal/2 + rand.N(nextRefusal/2)
+			if unfiltered == len(w.Addresses) { // only a newer build helps, and each request costs part of the whole list
+				wait = maxRefusalPause/2 + rand.N(maxRefusalPause/2)
 			}
-			failed, unable = 0, 0
+			failures, unfiltered = 0, 0
 		}
 		if len(w.Addresses) > 1 {
-			n++
-			w.Cursor.tryNext(time.Now())
+			next++
+			w.Cursor.tryNextServer(time.Now())
 		}
 		Sleep(ctx, wait)
 	}
 }
 
 // retryAfterError is a refusal with a Retry-After.
-type backError struct {
+type retryAfterError struct {
 	after time.Duration
 	error
 }
 
-func (b *backError) Unwrap() error { return b.error }
+func (e *retryAfterError) Unwrap() error { return e.error }
 
 // refusalError converts a refusal into an error. Only a directory's Retry-After is respected, not the
 // platform's.
-func refusal(resp *http.Response) error {
+func refusalError(resp *http.Response) error {
 	err := fmt.Errorf("watch: %w: %s", ErrRefused, resp.Status)
-	s, bad := strconv.Atoi(resp.Header.Get("Retry-After"))
-	if bad != nil || s < 0 || resp.Header.Get(historyOf) == "" {
+	seconds, parseErr := strconv.Atoi(resp.Header.Get("Retry-After"))
+	if parseErr != nil || seconds < 0 || resp.Header.Get(headerHistory) == "" {
 		return err
 	}
-	return &backError{min(time.Duration(s)*time.Second, longestBack), err}
+	return &retryAfterError{min(time.Duration(seconds)*time.Second, maxRetryAfter), err}
 }
 
 // watchOnce runs one watch to its end. It gives up on a silent watch, whose server's machine may be gone.
-func (w *Watcher) once(ctx context.Context, addr string, history, after int64, tell func(Update) error) error {
+func (w *Watcher) watchOnce(ctx context.Context, addr string, history, after int64, handle func(Update) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(answerTime, func() { cancel(errSilent) })
-	defer silence.Stop()
-	err := w.follow(ctx, addr, history, after, func() { silence.Reset(watchSilence) }, tell)
+	timer := time.AfterFunc(responseTimeout, func() { cancel(errSilent) })
+	defer timer.Stop()
+	err := w.readUpdates(ctx, addr, history, after, func() { timer.Reset(watchTimeout) }, handle)
 	if errors.Is(context.Cause(ctx), errSilent) {
 		err = fmt.Errorf("watch: %w: %w", errSilent, err)
 	}
@@ -317,7 +317,7 @@
 }
 
 // readUpdates reads the lists of one watch. It calls alive for each sign that the server is alive.
-func (w *Watcher) follow(ctx context.Context, addr string, history, after int64, alive func(), tell func(Update) error) error {
+func (w *Watcher) readUpdates(ctx context.Context, addr string, history, after int64, alive func(), handle func(Update) error) error {
 	url := fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", addr, after)
 	if history > 0 {
 		url += fmt.Sprintf("&history=%d", history)
@@ -335,37 +335,37 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
-		return refusal(resp)
+		return refusalError(resp)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("watch: %s", resp.Status)
 	}
-	if by := resp.Header.Get(partitionsOf); w.Partitions != nil && by != strconv.Itoa(ownership.PartitionCount) {
-		return fmt.Errorf("watch: %w: header %s is %.40q", ErrNoPartitionFilter, partitionsOf, by)
+	if partitions := resp.Header.Get(headerPartitions); w.Partitions != nil && partitions != strconv.Itoa(ownership.PartitionCount) {
+		return fmt.Errorf("watch: %w: header %s is %.40q", ErrNoPartitionFilter, headerPartitions, partitions)
 	}
-	news := Update{Server: addr, SourceAlive: resp.Header.Get(vouchedOf) != "no"}
-	if h := resp.Header.Get(historyOf); h != "" {
-		if news.History, err = strconv.ParseInt(h, 10, 64); err != nil || news.History <= 0 {
+	update := Update{Server: addr, SourceAlive: resp.Header.Get(headerVouched) != "no"}
+	if h := resp.Header.Get(headerHistory); h != "" {
+		if update.History, err = strconv.ParseInt(h, 10, 64); err != nil || update.History <= 0 {
 			return fmt.Errorf("watch: invalid history number %.40q", h)
 		}
 	}
 	alive()
-	heard := func() {
+	onLine := func() {
 		alive()
 		if w.OnLine != nil {
 			w.OnLine()
 		}
 	}
-	body := &lists{r: resp.Body, empty: heard}
-	in := json.NewDecoder(body)
+	body := &listReader{r: resp.Body, onEmptyLine: onLine}
+	decoder := json.NewDecoder(body)
 	for {
-		body.left, body.between = maxList, blank(in.Buffered())
-		news.List = catalog.List{}
-		if err := in.Decode(&news.List); err != nil {
+		body.remaining, body.betweenLists = maxListBytes, isBlank(decoder.Buffered())
+		update.List = catalog.List{}
+		if err := decoder.Decode(&update.List); err != nil {
 			return fmt.Errorf("watch: %w", err)
 		}
-		heard()
-		if err := tell(news); err != nil {
+		onLine()
+		if err := handle(update); err != nil {
 			return err
 		}
 	}
@@ -373,25 +373,25 @@
 
 // listReader reads the body of a watch. A list may span several lines, so only lines between two lists count
 // as a heartbeat. A list that arrives slowly is no sign of life until it is complete.
-type lists struct {
-	r       io.Reader
-	empty   func() // called for empty lines
-	between bool   // the previous list has ended and the next one has not begun
-	left    int    // bytes that the next list may still use
+type listReader struct {
+	r            io.Reader
+	onEmptyLine  func() // called for empty lines
+	betweenLists bool   // the previous list has ended and the next one has not begun
+	remaining    int    // bytes that the next list may still use
 }
 
-func (l *lists) Read(p []byte) (int, error) {
-	if l.left <= 0 {
-		return 0, fmt.Errorf("the list exceeds %d bytes", maxList)
+func (l *listReader) Read(p []byte) (int, error) {
+	if l.remaining <= 0 {
+		return 0, fmt.Errorf("the list exceeds %d bytes", maxListBytes)
 	}
 	for {
-		n, err := l.r.Read(p[:min(len(p), l.left)])
-		if l.between = l.between && len(bytes.TrimSpace(p[:n])) == 0; !l.between {
-			l.left -= n
+		n, err := l.r.Read(p[:min(len(p), l.remaining)])
+		if l.betweenLists = l.betweenLists && len(bytes.TrimSpace(p[:n])) == 0; !l.betweenLists {
+			l.remaining -= n
 			return n, err
 		}
 		if bytes.IndexByte(p[:n], '\n') >= 0 {
-			l.empty()
+			l.onEmptyLine()
 		}
 		if err != nil {
 			return 0, err
@@ -400,7 +400,7 @@
 }
 
 // isBlank reports whether a decoder has only empty lines left in its buffer.
-func blank(r io.Reader) bool {
-	left, err := io.ReadAll(r) // reads from memory
-	return err == nil && len(bytes.TrimSpace(left)) == 0
+func isBlank(r io.Reader) bool {
+	rest, err := io.ReadAll(r) // reads from memory
+	return err == nil && len(bytes.TrimSpace(rest)) == 0
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -18,7 +18,7 @@
 	"starlingusher/fleet/catalog"
 )
 
-func watcher(servers ...*httptest.Server) *Watcher {
+func newWatcher(servers ...*httptest.Server) *Watcher {
 	w := &Watcher{FleetSize: 1, Client: http.DefaultClient, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(Position{})}
 	for _, s := range servers {
 		w.Addresses = append(w.Addresses, s.Listener.Addr().String())
@@ -28,16 +28,16 @@
 
 // Many nodes that are refused together must spread their retries: a few requests a second in total, as far as
 // the 6 s within which a change must be known allow. Nodes of a small fleet retry soon.
-func TestRefusedNodesAskApart(t *testing.T) {
+func TestRefusedNodesSpreadRetries(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{2, 36, 300} {
 		const span = 30 * time.Second
-		asks, shortest, longest := 0, span, time.Duration(0)
+		requests, shortest, longest := 0, span, time.Duration(0)
 		for range nodes {
-			p := pauses{nodes: nodes}
-			for at := time.Duration(0); at < span; asks++ {
-				wait := p.after(ErrRefused, true)
-				if p.refusals == 1 && wait > firstRefusal {
+			p := retryPolicy{fleetSize: nodes}
+			for at := time.Duration(0); at < span; requests++ {
+				wait := p.pauseAfter(ErrRefused, true)
+				if p.refusals == 1 && wait > maxFirstRefusalPause {
 					t.Errorf("with %d nodes, a node waits %v after one refusal", nodes, wait)
 				}
 				shortest, longest = min(shortest, wait), max(longest, wait)
@@ -46,23 +46,23 @@
 		}
 		// Each node may ask once per half of the longest pause, whatever the fleet size, and once more when
 		// it starts.
-		if most := max(int(span/askEvery)*4/3, nodes*(2+int(span/(nextRefusal/2)))); asks > most {
-			t.Errorf("%d nodes send %d requests in %v", nodes, asks, span)
+		if most := max(int(span/fleetRequestInterval)*4/3, nodes*(2+int(span/(maxRefusalPause/2)))); requests > most {
+			t.Errorf("%d nodes send %d requests in %v", nodes, requests, span)
 		}
-		if first := min(time.Duration(nodes)*askEvery, firstRefusal); shortest < first/2 || longest > nextRefusal {
+		if first := min(time.Duration(nodes)*fleetRequestInterval, maxFirstRefusalPause); shortest < first/2 || longest > maxRefusalPause {
 			t.Errorf("with %d nodes, pauses are %v to %v", nodes, shortest, longest)
 		}
 	}
 }
 
 // Nodes whose watches are cut or time out together must not retry in step.
-func TestCutNodesAskApart(t *testing.T) {
+func TestCutWatchesSpreadRetries(t *testing.T) {
 	t.Parallel()
-	for err, span := range map[error]time.Duration{io.EOF: afterCut, errSilent: afterSilence} {
+	for err, span := range map[error]time.Duration{io.EOF: maxPauseAfterCut, errSilent: maxPauseAfterTimeout} {
 		early, late := 0, 0
 		for range 300 {
-			p := pauses{nodes: 300}
-			switch wait := p.after(err, true); {
+			p := retryPolicy{fleetSize: 300}
+			switch wait := p.pauseAfter(err, true); {
 			case wait >= span:
 				t.Errorf("%v: the pause is %v", err, wait)
 			case wait < span/2:
@@ -77,12 +77,12 @@
 	}
 }
 
-func TestRefusedAskIsTold(t *testing.T) {
+func TestRefusalIsReported(t *testing.T) {
 	t.Parallel()
 	for code, refused := range map[int]bool{503: true, 429: true, 500: false, 404: false} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }))
 		w := Watcher{Client: srv.Client()}
-		err := w.once(t.Context(), srv.Listener.Addr().String(), 0, 0, nil)
+		err := w.watchOnce(t.Context(), srv.Listener.Addr().String(), 0, 0, nil)
 		if err == nil || errors.Is(err, ErrRefused) != refused {
 			t.Errorf("%d: %v", code, err)
 		}
@@ -92,7 +92,7 @@
 
 // A watch may die without any sign on its connection. Changes must reach the node all the same, so the
 // silence itself ends the watch; 8 s is twice the time allowed.
-func TestSilentWatchIsTakenUpAgain(t *testing.T) {
+func TestSilentWatchIsRetried(t *testing.T) {
 	t.Parallel()
 	began, watches := time.Now(), make(chan time.Duration, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -105,7 +105,7 @@
 	defer cancel()
 	var ended sync.WaitGroup
 	ended.Go(func() {
-		watcher(srv).Watch(ctx, func(Update) error { return nil })
+		newWatcher(srv).Watch(ctx, func(Update) error { return nil })
 	})
 	<-watches
 	if again := <-watches; again > 8*time.Second {
@@ -117,36 +117,36 @@
 
 // A server must not take a caller back to an older revision than another server has sent, in any order. A
 // newer history is accepted, as such.
-func TestTrackNeverGoesBack(t *testing.T) {
+func TestCursorNeverGoesBack(t *testing.T) {
 	now := time.Now()
-	told := func(from string, history, revision int64, whole bool) Update {
+	update := func(from string, history, revision int64, whole bool) Update {
 		return Update{List: catalog.List{Revision: revision, Complete: whole}, History: history, Server: from}
 	}
 	for _, c := range []struct {
-		name string
-		at   Position
-		news Update
-		late time.Duration // since the change of servers
-		ok   bool
+		name     string
+		at       Position
+		news     Update
+		delay    time.Duration // since the change of servers
+		accepted bool
 	}{
-		{"newer", Position{7, 5, "a"}, told("b", 7, 6, false), 0, true},
-		{"the same", Position{7, 5, "a"}, told("b", 7, 5, false), 0, true},
-		{"older", Position{7, 5, "a"}, told("b", 7, 4, true), time.Hour, false},
-		{"restored", Position{7, 5, "a"}, told("b", 8, 2, true), 0, true},
-		{"restored, without the complete list", Position{7, 5, "a"}, told("b", 8, 6, false), 0, false},
-		{"from before the restore", Position{8, 2, "a"}, told("b", 7, 9, true), time.Hour, false},
-		{"older from the platform, too soon", Position{0, 5, "a"}, told("b", 0, 4, true), time.Second, false},
-		{"older from the platform, after a while", Position{0, 5, "a"}, told("b", 0, 4, true), 3 * time.Second, true},
-		{"directory after the platform, too soon", Position{0, 5, "a"}, told("b", 9, 4, true), time.Second, false},
-		{"directory after the platform", Position{0, 5, "a"}, told("b", 9, 4, true), 3 * time.Second, true},
+		{"newer", Position{7, 5, "a"}, update("b", 7, 6, false), 0, true},
+		{"the same", Position{7, 5, "a"}, update("b", 7, 5, false), 0, true},
+		{"older", Position{7, 5, "a"}, update("b", 7, 4, true), time.Hour, false},
+		{"restored", Position{7, 5, "a"}, update("b", 8, 2, true), 0, true},
+		{"restored, without the complete list", Position{7, 5, "a"}, update("b", 8, 6, false), 0, false},
+		{"from before the restore", Position{8, 2, "a"}, update("b", 7, 9, true), time.Hour, false},
+		{"older from the platform, too soon", Position{0, 5, "a"}, update("b", 0, 4, true), time.Second, false},
+		{"older from the platform, after a while", Position{0, 5, "a"}, update("b", 0, 4, true), 3 * time.Second, true},
+		{"directory after the platform, too soon", Position{0, 5, "a"}, update("b", 9, 4, true), time.Second, false},
+		{"directory after the platform", Position{0, 5, "a"}, update("b", 9, 4, true), 3 * time.Second, true},
 	} {
 		tr := NewCursor(c.at)
 		tr.ServerChanged(now)
-		err := tr.Advance(c.news, now.Add(c.late))
-		if (err == nil) != c.ok || err != nil && !errors.Is(err, ErrStale) {
+		err := tr.Advance(c.news, now.Add(c.delay))
+		if (err == nil) != c.accepted || err != nil && !errors.Is(err, ErrStale) {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		if want := c.at; !c.ok && tr.Position() != want {
+		if want := c.at; !c.accepted && tr.Position() != want {
 			t.Errorf("%s: the cursor moved to %v", c.name, tr.Position())
 		}
 	}
@@ -154,9 +154,9 @@
 
 // With a dead server, one that refuses and one that lags, the list must still arrive from the fourth, and
 // updates must continue when that one dies too.
-func TestWatchOutlivesItsServers(t *testing.T) {
+func TestWatchSurvivesServerFailures(t *testing.T) {
 	t.Parallel()
-	answer := func(code int, history string, lines ...string) *httptest.Server {
+	newServer := func(code int, history string, lines ...string) *httptest.Server {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			w.Header().Set("Registry-History", history)
 			w.Header().Set("Retry-After", "1")
@@ -172,12 +172,12 @@
 		t.Cleanup(srv.Close)
 		return srv
 	}
-	dead := answer(500, "")
+	dead := newServer(500, "")
 	dead.Close()
-	good := answer(200, "3", `{"revision":8,"complete":true,"members":[]}`)
-	var asked atomic.Value
+	good := newServer(200, "3", `{"revision":8,"complete":true,"members":[]}`)
+	var lastQuery atomic.Value
 	next := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		asked.Store(req.URL.RawQuery)
+		lastQuery.Store(req.URL.RawQuery)
 		w.Header().Set("Registry-History", "3")
 		if !strings.Contains(req.URL.RawQuery, "after=8") {
 			w.WriteHeader(503)
@@ -188,7 +188,7 @@
 		<-req.Context().Done()
 	}))
 	t.Cleanup(next.Close)
-	w := watcher(dead, answer(503, "3"), answer(200, "3", `{"revision":7,"complete":true,"members":[]}`), good, next)
+	w := newWatcher(dead, newServer(503, "3"), newServer(200, "3", `{"revision":7,"complete":true,"members":[]}`), good, next)
 	w.Cursor = NewCursor(Position{3, 8, "elsewhere"})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -206,12 +206,12 @@
 		return nil
 	})
 	if last != 9 {
-		t.Errorf("reached revision %d, last request to the last server: %v", last, asked.Load())
+		t.Errorf("reached revision %d, last request to the last server: %v", last, lastQuery.Load())
 	}
 }
 
 // A watch must reach the only live server, wherever it starts.
-func TestWatchComesToTheOneThatIsLeft(t *testing.T) {
+func TestWatchFindsOnlyLiveServer(t *testing.T) {
 	t.Parallel()
 	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		fmt.Fprintln(w, `{"revision":1,"complete":true,"members":[]}`)
@@ -227,13 +227,13 @@
 				servers := []*httptest.Server{dead, dead, dead}[:n]
 				servers[left] = good
 				ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
-				told := false
-				watcher(servers...).Watch(ctx, func(Update) error {
-					told = true
+				received := false
+				newWatcher(servers...).Watch(ctx, func(Update) error {
+					received = true
 					cancel()
 					return nil
 				})
-				if !told {
+				if !received {
 					t.Fatalf("the list of server %d of %d was never received", left, n)
 				}
 			}
@@ -242,12 +242,12 @@
 }
 
 // A position from another service delays a list only briefly, however many servers are tried meanwhile.
-func TestTryingServersIsNoDelay(t *testing.T) {
+func TestTryingServersDoesNotDelayList(t *testing.T) {
 	t.Parallel()
 	tr, now := NewCursor(Position{Revision: 8, Server: "platform"}), time.Now()
 	news := Update{List: catalog.List{Revision: 1, Complete: true}, History: 5, Server: "a"}
 	for range 25 {
-		tr.tryNext(now)
+		tr.tryNextServer(now)
 		if tr.Advance(news, now) == nil {
 			return
 		}
@@ -256,7 +256,7 @@
 	t.Errorf("after 2.5 s the list is still rejected as stale")
 }
 
-func TestKeptListComesBack(t *testing.T) {
+func TestListCacheReload(t *testing.T) {
 	dir := t.TempDir()
 	k, err := OpenListCache(dir, 4096)
 	if err != nil {
@@ -266,11 +266,11 @@
 		t.Error("an empty folder has a cached list")
 	}
 	at := time.Now().Truncate(time.Second)
-	one := func(id, phase string) catalog.Endpoint {
+	endpoint := func(id, phase string) catalog.Endpoint {
 		return catalog.Endpoint{ID: id, Addr: "h:1", Phase: phase, Size: 1}
 	}
-	k.Apply(Update{List: catalog.List{Revision: 4, Complete: true, Members: []catalog.Endpoint{one("a", catalog.Serving), one("b", catalog.Serving)}}, History: 2, Server: "x"}, at)
-	k.Apply(Update{List: catalog.List{Revision: 5, Members: []catalog.Endpoint{one("a", catalog.Deleted), one("b", catalog.Draining)}}, History: 2, Server: "x"}, at)
+	k.Apply(Update{List: catalog.List{Revision: 4, Complete: true, Members: []catalog.Endpoint{endpoint("a", catalog.Serving), endpoint("b", catalog.Serving)}}, History: 2, Server: "x"}, at)
+	k.Apply(Update{List: catalog.List{Revision: 5, Members: []catalog.Endpoint{endpoint("a", catalog.Deleted), endpoint("b", catalog.Draining)}}, History: 2, Server: "x"}, at)
 	if err := k.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -279,23 +279,23 @@
 		t.Fatal(err)
 	}
 	l, pos, heard, ok := back.List()
-	if !ok || pos != (Position{2, 5, "x"}) || !heard.Equal(at) || len(l.Members) != 1 || l.Members[0] != one("b", catalog.Draining) {
+	if !ok || pos != (Position{2, 5, "x"}) || !heard.Equal(at) || len(l.Members) != 1 || l.Members[0] != endpoint("b", catalog.Draining) {
 		t.Errorf("reopened: %+v, %+v, %v, %v", l, pos, heard, ok)
 	}
 	// A list that is too large, or cannot be written, leaves the older file in place.
 	for i := range 100 {
-		back.Apply(Update{List: catalog.List{Revision: 6, Members: []catalog.Endpoint{one(fmt.Sprint("c", i), catalog.Serving)}}, History: 2}, at)
+		back.Apply(Update{List: catalog.List{Revision: 6, Members: []catalog.Endpoint{endpoint(fmt.Sprint("c", i), catalog.Serving)}}, History: 2}, at)
 	}
 	if err := back.Flush(); err == nil {
 		t.Error("a list beyond the size limit was written")
 	}
-	if again, _ := OpenListCache(dir, 4096); again.at.Revision != 5 {
-		t.Errorf("the file has revision %d", again.at.Revision)
+	if again, _ := OpenListCache(dir, 4096); again.position.Revision != 5 {
+		t.Errorf("the file has revision %d", again.position.Revision)
 	}
 	if err := os.WriteFile(back.path, []byte(`{"heard_at":"2026`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if lost, err := OpenListCache(dir, 4096); err == nil || len(lost.members) > 0 {
+	if damaged, err := OpenListCache(dir, 4096); err == nil || len(damaged.members) > 0 {
 		t.Error("a damaged file was accepted as a list, or not reported")
 	}
 }
@@ -306,12 +306,12 @@
 		f.Add("1", []byte(s))
 	}
 	f.Fuzz(func(t *testing.T, history string, body []byte) {
-		rt := roundTrip(func(*http.Request) (*http.Response, error) {
+		rt := roundTripFunc(func(*http.Request) (*http.Response, error) {
 			return &http.Response{StatusCode: 200, Header: http.Header{"Registry-History": {history}}, Body: io.NopCloser(strings.NewReader(string(body)))}, nil
 		})
 		w := Watcher{Client: &http.Client{Transport: rt}, Log: slog.New(slog.DiscardHandler), Cursor: NewCursor(Position{1, 5, "a"})}
 		before := w.Cursor.Position()
-		err := w.once(t.Context(), "a:1", 1, 5, func(n Update) error {
+		err := w.watchOnce(t.Context(), "a:1", 1, 5, func(n Update) error {
 			if err := w.Cursor.Advance(n, time.Now()); err != nil {
 				return err
 			}
@@ -327,6 +327,6 @@
 	})
 }
 
-type roundTrip func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (r roundTrip) RoundTrip(req *http.Request) (*http.Response, error) { return r(req) }
+func (r roundTripFunc) RoundTrip(req *http.Request) (*http.Response, error) { return r(req) }
