--- a/fleet/members/members_test.go
+++ b/fleet/members/members_test.go
@@ -83,7 +83,7 @@
 		case SendBack:
 			var j int
 			if fmt.Sscanf(a.Name, "n%d", &j); !f.cut[i][j] {
-				f.inFlight = append(f.inFlight, delivery{j, f.tick + 1, StatementReceived{a.Statement}})
+				f.inFlight = append(f.inFlight, delivery{j, f.tick + 1, StatementReceived(a)})
 			}
 		}
 	}
--- a/internal/directory/parts_test.go
+++ b/internal/directory/parts_test.go
@@ -252,15 +252,14 @@
 // olderReplica is a proxy that behaves like a replica of an older build: it knows neither the parameter nor
 // the headers of partitions.
 func olderReplica(t *testing.T, o *testReplica) *httptest.Server {
-	p := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: o.cfg.HTTP})
-	p.FlushInterval, p.ErrorLog = -1, slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
-	direct := p.Director
-	p.Director = func(req *http.Request) {
-		direct(req)
-		q := req.URL.Query()
+	target := &url.URL{Scheme: "http", Host: o.cfg.HTTP}
+	p := &httputil.ReverseProxy{Rewrite: func(r *httputil.ProxyRequest) {
+		r.SetURL(target)
+		q := r.Out.URL.Query()
 		q.Del("partitions")
-		req.URL.RawQuery = q.Encode()
-	}
+		r.Out.URL.RawQuery = q.Encode()
+	}}
+	p.FlushInterval, p.ErrorLog = -1, slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
 	p.ModifyResponse = func(resp *http.Response) error {
 		resp.Header.Del(HeaderPartitions)
 		resp.Header.Del(HeaderMap)
--- a/internal/directory/store.go
+++ b/internal/directory/store.go
@@ -13,6 +13,7 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
 const (
@@ -56,7 +57,7 @@
 func verifyFile(path string) error {
 	return recoverDamage(func() error {
 		db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
-		if errors.Is(err, bbolt.ErrTimeout) {
+		if errors.Is(err, bbolterrors.ErrTimeout) {
 			return fmt.Errorf("log: the folder is in use by another process")
 		}
 		if err != nil {
--- a/internal/registry/told_test.go
+++ b/internal/registry/told_test.go
@@ -29,7 +29,6 @@
 	revision int64
 	requests int
 	conns    chan net.Conn
-	dial     func(ask int, c net.Conn) (net.Conn, error)
 }
 
 // response handles one request; it may write to w, wait, and return.
