--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -26,10 +26,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { a.Close() })
-	return a, a.ln.Addr().String()
+	return a, a.listener.Addr().String()
 }
 
-// adminCall makes one call and returns the answer's status and body.
+// adminCall makes one call and returns the status and body of the answer.
 func adminCall(t *testing.T, addr, method, target string) (int, string) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -45,13 +45,13 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || !resp.Close {
-		t.Errorf("%v; the connection is kept: %v", err, !resp.Close)
+		t.Errorf("%v; connection kept open: %v", err, !resp.Close)
 	}
 	return resp.StatusCode, string(body)
 }
 
-// figuresAt fetches the figures.
-func figuresAt(t *testing.T, addr string) map[string]int {
+// fetchMetrics fetches the metrics.
+func fetchMetrics(t *testing.T, addr string) map[string]int {
 	t.Helper()
 	code, body := adminCall(t, addr, "GET", "/-/metrics")
 	if code != http.StatusOK {
@@ -63,14 +63,14 @@
 		number, kind, _ := strings.Cut(value, "|")
 		n, err := strconv.Atoi(number)
 		if err != nil || (kind != "c" && kind != "g") {
-			t.Errorf("no figure: %q", line)
+			t.Errorf("invalid metric: %q", line)
 		}
 		all[name+"|"+kind] = n
 	}
 	return all
 }
 
-func TestFigures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	t.Parallel()
 	p := newFakeEndpoint(t, func(nc net.Conn, req *http.Request) bool {
 		if req.Header.Get("X-Trace-Id") == "fails" {
@@ -81,25 +81,25 @@
 	r := newFakeRegistry(t)
 	a, admin := openAdmin(t, 256)
 	if code, body := adminCall(t, admin, "GET", "/-/ready"); code != http.StatusServiceUnavailable || body != "starting\n" {
-		t.Errorf("before there is a node: %d %q", code, body)
+		t.Errorf("without a node: got %d %q", code, body)
 	}
 	var n *Node
-	addr, stop := startInspectedNode(t, r, t.TempDir(), func(made *Node) { n = made; a.Serve(made) },
+	addr, stop := startInspectedNode(t, r, t.TempDir(), func(made *Node) { n = made; a.SetNode(made) },
 		memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("off", "127.0.0.1:9", 8, "DRAINING"))
 	eventually(t, "ready", func() bool { code, _ := adminCall(t, admin, "GET", "/-/ready"); return code == http.StatusOK })
-	first := figuresAt(t, admin)
+	first := fetchMetrics(t, admin)
 	for _, class := range []string{"status", "order", "payout"} {
 		for _, name := range []string{"ok", "shed", "errors", "tries"} {
 			if v, ok := first["app."+name+"."+class+"|c"]; !ok || v != 0 {
-				t.Errorf("at first %s of %s is %d, %v", name, class, v, ok)
+				t.Errorf("at the start %s of %s is %d, %v", name, class, v, ok)
 			}
 		}
 	}
-	mustAnswer(t, addr, enqueue("a", statusFields, "x"), "+OK")
-	mustAnswer(t, addr, enqueue("fails", payoutFields, "x"), "+OK")
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, "x"), "+OK")
+	mustAnswer(t, addr, enqueueCommand("fails", payoutFields, "x"), "+OK")
 	taken := 0
-	for i := range 6 { // held, for nothing may be sent there
-		if ask(t, addr, enqueue("h"+itoa(i), "c=order,d=50000,dest=8,k=k"+itoa(i), "x")) == "+OK" {
+	for i := range 6 { // held, because nothing may be sent to a draining endpoint
+		if roundTrip(t, addr, enqueueCommand("h"+itoa(i), "c=order,d=50000,dest=8,k=k"+itoa(i), "x")) == "+OK" {
 			taken++
 		}
 	}
@@ -108,8 +108,8 @@
 		"app.ok.payout|c": 0, "app.shed.order|c": 6 - taken, "app.tries.order|c": 0, "app.active|g": taken,
 		"app.pool_size|g": 2, "app.pool_ejected|g": 0,
 	}
-	eventually(t, "the figures", func() bool {
-		got := figuresAt(t, admin)
+	eventually(t, "the metrics", func() bool {
+		got := fetchMetrics(t, admin)
 		for name, v := range want {
 			if got[name] != v {
 				return false
@@ -119,27 +119,27 @@
 	})
 	stop()
 	if got := n.NotReadyReason(); got != "leaving" {
-		t.Errorf("after the end the node says %q", got)
+		t.Errorf("after shutdown: got %q, want leaving", got)
 	}
 }
 
 // A call counts with all its messages, and only once its last byte is written.
-func TestTriesCountWhatIsWrittenWhole(t *testing.T) {
+func TestTriesCountWhollyWrittenCalls(t *testing.T) {
 	t.Parallel()
 	p := newFakeEndpoint(t, respondWith(okResponse))
-	n := &Node{figures: newFigures([]string{"a"})}
-	o := &outgoingCall{call: newTestCall(newTestEndpoint(p.addr())), messages: []*past{{}, {}, {class: 7}}}
+	n := &Node{figures: newMetrics([]string{"a"})}
+	o := &outgoingCall{call: newTestCall(newTestEndpoint(p.addr())), messages: []*pendingMessage{{}, {}, {class: 7}}}
 	o.onWritten = func() { n.countWritten(o) }
 	for i, addr := range []string{p.addr(), "127.0.0.1:1"} {
 		o.endpoint = newTestEndpoint(addr)
 		want := []choice.Outcome{choice.Success, choice.Unreachable}[i]
 		if got := newTestPool().do(t.Context(), o.call); got.outcome != want || n.figures.tries[0].Load() != 2 {
-			t.Errorf("got %v, %d tries", got.outcome, n.figures.tries[0].Load())
+			t.Errorf("got outcome %v, %d tries", got.outcome, n.figures.tries[0].Load())
 		}
 	}
 }
 
-func TestAdminRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestAdminRejectsUnknownRequests(t *testing.T) {
 	t.Parallel()
 	_, addr := openAdmin(t, 256)
 	for _, c := range [][2]string{
@@ -148,34 +148,34 @@
 	} {
 		code, body := adminCall(t, addr, c[0], c[1])
 		if code/100 != 4 || strings.Count(body, "\n") != 1 {
-			t.Errorf("%v: %d %q", c, code, body)
+			t.Errorf("%v: got %d %q, want a 4xx status and one line", c, code, body)
 		}
 	}
 }
 
-func TestBadAdminAddressEndsTheStart(t *testing.T) {
+func TestInvalidAdminAddressFailsStart(t *testing.T) {
 	t.Parallel()
 	_, taken := openAdmin(t, 256)
 	for _, addr := range []string{taken, "nowhere", "127.0.0.1:99999"} {
 		_, err := ListenAdmin(Config{AdminAddr: addr}, slog.New(slog.DiscardHandler))
 		if err == nil || !strings.HasPrefix(err.Error(), "operators' address: ") {
-			t.Errorf("%s: %v", addr, err)
+			t.Errorf("%s: got %v", addr, err)
 		}
 	}
 	if a, err := ListenAdmin(Config{}, nil); err != nil || a.Close() != nil {
-		t.Errorf("without an address: %v", err)
+		t.Errorf("without an address: got %v", err)
 	}
 }
 
-// Callers that hold their connections with no whole call, be they many, shut nobody out, and give way oldest first. Those
-// that are being answered do not.
-func TestSilentCallersShutNobodyOut(t *testing.T) {
+// Any number of clients that hold connections without a whole request can't shut others out: their
+// connections are closed, oldest first. Connections that are being answered stay open.
+func TestIncompleteRequestsDoNotBlockOperators(t *testing.T) {
 	t.Parallel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &callers{Listener: ln, most: 4, open: map[*caller]bool{}}
+	l := &cappedListener{Listener: ln, maxConns: 4, conns: map[*operatorConn]bool{}}
 	defer l.Close()
 	in := make(chan net.Conn, 100)
 	go func() {
@@ -207,7 +207,7 @@
 		case c := <-in:
 			last = append(last, c)
 		case <-time.After(testTimeout):
-			t.Fatalf("caller %d is shut out", i)
+			t.Fatalf("connection %d is not accepted", i)
 		}
 		left[i] = true
 	}
@@ -216,31 +216,32 @@
 		case i := <-gone:
 			delete(left, i)
 		case <-time.After(testTimeout):
-			t.Fatalf("these hold on to their connections: %v", left)
+			t.Fatalf("connections %v are still open", left)
 		}
 	}
 	for i := 16; i < 20; i++ {
 		if !left[i] {
-			t.Errorf("%d went before its turn", i)
+			t.Errorf("connection %d was closed before older ones", i)
 		}
-		last[i].(*caller).called()
+		last[i].(*operatorConn).markRequestReceived()
 	}
 	dial(20)
 	if i := <-gone; i != 20 {
-		t.Errorf("%d went while it was being answered", i)
+		t.Errorf("connection %d was closed while it was being answered", i)
 	}
 	last[16].Close()
 	dial(21)
 	select {
 	case <-in:
 	case <-time.After(testTimeout):
-		t.Error("the place that one left is not given to the next")
+		t.Error("the slot of a closed connection is not reused")
 	}
 }
 
-// An endpoint that is left out gets nothing, whatever discovery says, over a restart and over the next process, until one
-// call back. Each call may come again. An ID that was never listed is a no, one that was and has gone is a yes.
-func TestMaintenance(t *testing.T) {
+// A disabled endpoint gets no calls, whatever discovery says, over a restart and over a handover, until it is
+// enabled again. Commands may be repeated. An ID that was never listed is refused; one that was listed and is
+// gone is accepted.
+func TestDisableAndEnableEndpoint(t *testing.T) {
 	t.Parallel()
 	first, second := newFakeEndpoint(t, respondWith(okResponse)), newFakeEndpoint(t, respondWith(okResponse))
 	both := []string{memberJSON("e1", first.addr(), 7, "SERVING"), memberJSON("e2", second.addr(), 7, "SERVING")}
@@ -249,27 +250,28 @@
 	say := func(id, what string, want int) {
 		t.Helper()
 		if code, body := adminCall(t, admin, "POST", "/-/endpoints/"+id+"/"+what); code != want || strings.Count(body, "\n") != 1 {
-			t.Errorf("%s %s: %d %q", what, id, code, body)
+			t.Errorf("%s %s: got %d %q", what, id, code, body)
 		}
 	}
-	say("e1", "disable", http.StatusServiceUnavailable) // nobody there yet
+	say("e1", "disable", http.StatusServiceUnavailable) // there is no node yet
 	number := 0
-	// deliver hands in messages one by one until the first endpoint has had what it should, and 25 at least.
+	// deliver hands in messages one by one, at least 25, until the first endpoint has got a call if want is
+	// set.
 	deliver := func(addr string, want bool) {
 		t.Helper()
 		before, _ := first.counts()
 		for i := 0; ; i++ {
 			number++
-			mustAnswer(t, addr, enqueue("m"+itoa(number), statusFields, "x"), "+OK")
+			mustAnswer(t, addr, enqueueCommand("m"+itoa(number), statusFields, "x"), "+OK")
 			select {
 			case <-first.requests:
 			case <-second.requests:
 			case <-time.After(testTimeout):
-				t.Fatal("no call came")
+				t.Fatal("no endpoint got a call")
 			}
 			if now, _ := first.counts(); i >= 25 && (now > before || !want) {
 				if now > before && !want {
-					t.Errorf("%d calls to the endpoint that is left out", now-before)
+					t.Errorf("%d calls to the disabled endpoint", now-before)
 				}
 				return
 			}
@@ -280,20 +282,20 @@
 	deliver(one.addr, true)
 	say("nobody", "disable", http.StatusNotFound)
 	say("nobody", "enable", http.StatusNotFound)
-	say("e2", "enable", http.StatusOK) // it was not left out
+	say("e2", "enable", http.StatusOK) // it was not disabled
 	say("e1", "disable", http.StatusOK)
 	say("e1", "disable", http.StatusOK)
-	r.publish(listJSON(2, true, both...)) // whole, and without the old one
-	eventually(t, "the list", func() bool { return one.node.figures.listed.Load() == 2 })
+	r.publish(listJSON(2, true, both...)) // a complete list without the old one
+	eventually(t, "the list", func() bool { return one.node.figures.listedEndpoints.Load() == 2 })
 	say("old", "disable", http.StatusOK)
-	if got := one.node.figures.avoided.Load(); got != 1 {
-		t.Errorf("%d avoided of those listed", got)
+	if got := one.node.figures.avoidedEndpoints.Load(); got != 1 {
+		t.Errorf("%d listed endpoints are avoided, want 1", got)
 	}
 	deliver(one.addr, false)
 
 	two := startProcess(t, r, state, one.addr, both...)
 	deliver(two.addr, false)
-	say("old", "enable", http.StatusOK) // said to the old process, done by the new one
+	say("old", "enable", http.StatusOK) // sent to the predecessor, carried out by the successor
 	say("nobody", "enable", http.StatusNotFound)
 	one.cancel()
 	if err := one.wait(t); err != nil {
@@ -305,11 +307,11 @@
 	}
 	three := startProcess(t, r, state, "", both...)
 	a.node.Store(three.node)
-	if got := three.node.figures.avoided.Load(); got != 1 {
-		t.Errorf("after a restart the module avoids %d", got)
+	if got := three.node.figures.avoidedEndpoints.Load(); got != 1 {
+		t.Errorf("after a restart %d endpoints are avoided, want 1", got)
 	}
 	deliver(three.addr, false)
 	say("e1", "enable", http.StatusOK)
 	deliver(three.addr, true)
-	say("old", "enable", http.StatusOK) // known, though listed two lives ago
+	say("old", "enable", http.StatusOK) // known, though it was last listed two processes ago
 }
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// A backlog of notices goes out in bodies of 64 KiB at most, each notice once and in order; those that were not
-// answered are returned for the next address.
-func TestBacklogOfNotices(t *testing.T) {
+// A backlog of notices is posted in bodies of at most 64 KiB, each notice once and in order. Unanswered ones
+// are returned for the next address.
+func TestNoticeBacklog(t *testing.T) {
 	const all, answered = 2000, 3 // posts
-	var bodies []string           // written by the server, read after its end
+	var bodies []string           // written by the server, read after it has stopped
 	full := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, err := io.ReadAll(req.Body)
@@ -39,14 +39,14 @@
 	defer srv.Close()
 	var owed []notice
 	for i := range all {
-		owed = append(owed, newNotice(&past{id: strings.Repeat("i", 200) + itoa(i), ended: &ending{after: time.Second}}))
+		owed = append(owed, newNotice(&pendingMessage{id: strings.Repeat("i", 200) + itoa(i), final: &finalAnswer{retryAfter: time.Second}}))
 	}
 	more := make(chan []notice)
 	ctx, cancel := context.WithCancel(t.Context())
 	var reported sync.WaitGroup
 	var done, left []notice
 	reported.Go(func() {
-		left = report(ctx, slog.New(slog.DiscardHandler), srv.Client(), []string{srv.Listener.Addr().String()}, nil, more,
+		left = reportNotices(ctx, slog.New(slog.DiscardHandler), srv.Client(), []string{srv.Listener.Addr().String()}, nil, more,
 			func(n []notice) { done = append(done, n...) })
 	})
 	more <- owed
@@ -56,8 +56,8 @@
 	srv.Close()
 	told := 0
 	for _, body := range bodies {
-		if len(body) > maxReport {
-			t.Errorf("a body of %d bytes", len(body))
+		if len(body) > maxReportSize {
+			t.Errorf("a body has %d bytes", len(body))
 		}
 		for lines := bufio.NewScanner(strings.NewReader(body)); lines.Scan(); told++ {
 			want := `{"id":"` + owed[told].ID + `","state":"returned","after_ms":1000}`
@@ -67,12 +67,13 @@
 		}
 	}
 	if len(done) != told || told == 0 || len(left) != all-told || left[0].ID != owed[told].ID {
-		t.Errorf("%d told, %d done, %d left", told, len(done), len(left))
+		t.Errorf("%d posted, %d done, %d returned", told, len(done), len(left))
 	}
 }
 
-// A notice is due soon after its message's end, so a replica that says nothing is not waited for while there is another.
-func TestNoticeGoesToTheNextReplica(t *testing.T) {
+// A notice is due soon after its message's end, so a replica that does not answer is not waited for while
+// there is another.
+func TestNoticeGoesToNextReplica(t *testing.T) {
 	t.Parallel()
 	hung := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
@@ -84,9 +85,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	began, told := time.Now(), 0
-	left := report(ctx, slog.New(slog.DiscardHandler), http.DefaultClient, []string{hung.Listener.Addr().String(), good.Listener.Addr().String()},
-		[]notice{newNotice(&past{id: "a", ended: &ending{}})}, nil, func(n []notice) { told = len(n); cancel() })
+	left := reportNotices(ctx, slog.New(slog.DiscardHandler), http.DefaultClient, []string{hung.Listener.Addr().String(), good.Listener.Addr().String()},
+		[]notice{newNotice(&pendingMessage{id: "a", final: &finalAnswer{}})}, nil, func(n []notice) { told = len(n); cancel() })
 	if took := time.Since(began); told != 1 || len(left) != 0 || took >= reportTimeout {
-		t.Errorf("%d told, %d left, after %v", told, len(left), took)
+		t.Errorf("%d done, %d returned, after %v", told, len(left), took)
 	}
 }
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -93,12 +93,12 @@
 	mapNumber int64 // of the map; 0: there is none
 	member    bool  // it names this node
 	owned     ownership.Set
-	lost      []lost
+	lingering []lingeringPartitions
 	unkept    bool // the folder could not take the map
 }
 
 // lost are partitions that are followed on, for what was taken on for them.
-type lost struct {
+type lingeringPartitions struct {
 	set   ownership.Set
 	until time.Time
 }
@@ -106,7 +106,7 @@
 // at is what is followed at a time, and when that becomes less; zero: never.
 func (f *followedPartitions) setAt(now time.Time) (set ownership.Set, less time.Time) {
 	set = f.owned
-	for _, l := range f.lost {
+	for _, l := range f.lingering {
 		if now.Before(l.until) {
 			set = set.Union(l.set)
 			if less.IsZero() || l.until.Before(less) {
@@ -148,7 +148,7 @@
 	if cfg.Fleet.Ownership == nil {
 		return nil
 	}
-	s := &share{name: cfg.owner(), path: filepath.Join(cfg.State, mapName), log: log}
+	s := &share{name: cfg.owner(), path: filepath.Join(cfg.StateDir, mapName), log: log}
 	for _, c := range cfg.Settings.Classes {
 		s.longest = max(s.longest, c.Deadline)
 	}
@@ -160,9 +160,9 @@
 		s.owned, s.member = m.PartitionsOf(s.name)
 		log.Info("beginning with the kept map of owners", "map", s.mapNumber, "member", s.member, "partitions", s.owned.Len())
 	}
-	var owed lost
+	var owed lingeringPartitions
 	for _, p := range j.live {
-		if p.ended != nil {
+		if p.final != nil {
 			continue
 		}
 		if s.took(p); !s.owned.Has(ownership.PartitionOf(p.dest)) {
@@ -172,7 +172,7 @@
 			}
 		}
 	}
-	s.lost = []lost{owed}
+	s.lingering = []lingeringPartitions{owed}
 	s.follow = follower{name: s.name, log: log, nodes: max(cfg.Settings.FleetSize, 1), news: make(chan struct{}, 1), seen: -1, older: -1, unheard: unheardFor}
 	s.follow.told.Store(-1)
 	return s
@@ -208,7 +208,7 @@
 }
 
 // took notes until when a message that was taken on has to be followed.
-func (s *share) took(p *past) {
+func (s *share) took(p *pendingMessage) {
 	last := &s.latest[ownership.PartitionOf(p.dest)]
 	*last = max(*last, p.deadline.UnixNano())
 }
@@ -245,7 +245,7 @@
 	owned, member := m.PartitionsOf(s.name)
 	followed, _ := s.setAt(now)
 	gone := s.owned.Without(owned)
-	soon, later := lost{until: now.Add(s.longest)}, lost{}
+	soon, later := lingeringPartitions{until: now.Add(s.longest)}, lingeringPartitions{}
 	for p := range gone.All() {
 		if last := time.Unix(0, s.latest[p]); last.After(soon.until) { // a client may give more time than its class has
 			later.set.Add(p)
@@ -255,26 +255,26 @@
 		}
 	}
 	soon.set = gone.Without(later.set)
-	var left []lost
-	for _, l := range append(slices.Clone(s.lost), soon, later) {
+	var left []lingeringPartitions
+	for _, l := range append(slices.Clone(s.lingering), soon, later) {
 		if l.set = l.set.Without(owned); l.set.Len() > 0 && now.Before(l.until) {
 			left = append(left, l)
 		}
 	}
 	s.log.Info("a new map of owners", "map", m.Number, "before", s.mapNumber, "member", member, "partitions", owned.Len(),
 		"gained", owned.Without(s.owned).Len(), "lost", gone.Len())
-	s.mapNumber, s.member, s.owned, s.lost, s.shown = m.Number, member, owned, left, false
+	s.mapNumber, s.member, s.owned, s.lingering, s.shown = m.Number, member, owned, left, false
 	unlisted := owned.Without(followed)
 	s.listed, s.covered = s.listed.Without(unlisted), s.covered.Without(unlisted)
 	s.due = raw
 }
 
 // show brings the figures up to date after a step, by which the module has had the lists before it.
-func (s *share) show(f *figures) {
+func (s *share) show(f *metrics) {
 	s.covered = s.listed
 	if !s.shown {
 		now := s.followedPartitions
-		f.share.Store(&now)
+		f.ownership.Store(&now)
 		s.shown = true
 	}
 }
@@ -289,7 +289,7 @@
 	case n.own.covered.Has(part), n.sender.KnowsDestination(a.dest):
 		return false
 	}
-	a.reply <- answer{refused: true, after: n.cfg.Settings.MaxRetryAfter}
+	a.reply <- answer{refused: true, retryAfter: n.cfg.Settings.MaxRetryAfter}
 	return true
 }
 
@@ -533,9 +533,9 @@
 // it for the whole one, and go on from its revision.
 func (c *Config) listDir() (string, error) {
 	if c.Fleet.Ownership == nil {
-		return c.State, nil
+		return c.StateDir, nil
 	}
-	dir := filepath.Join(c.State, shareName)
+	dir := filepath.Join(c.StateDir, shareName)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", fmt.Errorf("kept list: %w", err)
 	}
