--- a/fleet/catalog/catalog_test.go
+++ b/fleet/catalog/catalog_test.go
@@ -77,9 +77,9 @@
 
 func TestGuardHoldsBack(t *testing.T) {
 	s := bootstrapped(t, 4)
-	shrink := Command{Write: &Write{Base: Base{Any: true}, Replace: true, GuardShare: 0.5, Members: []Endpoint{endpoint("e0", 0)}}}
-	held := expectError(t, s, shrink, ErrHeld).Held
-	if again := expectError(t, s, shrink, ErrHeld); again.Held != held {
+	shrinkList := Command{Write: &Write{Base: Base{Any: true}, Replace: true, GuardShare: 0.5, Members: []Endpoint{endpoint("e0", 0)}}}
+	held := expectError(t, s, shrinkList, ErrHeld).Held
+	if again := expectError(t, s, shrinkList, ErrHeld); again.Held != held {
 		t.Errorf("the same list was held back again as number %d", again.Held)
 	}
 	k := NewLeaseManager(0.5, time.Second, time.Minute)
@@ -189,12 +189,12 @@
 		}
 		step(now)
 	}
-	left := map[int]int{}
+	remaining := map[int]int{}
 	for _, e := range s.Entries() {
-		left[e.Cell]++
+		remaining[e.Cell]++
 	}
-	if left[0] != 1 || left[1] != 2 { // none of partner 1 renews, so a common cause is more likely
-		t.Errorf("remaining endpoints by partner: %v", left)
+	if remaining[0] != 1 || remaining[1] != 2 { // none of partner 1 renews, so a common cause is more likely
+		t.Errorf("remaining endpoints by partner: %v", remaining)
 	}
 	// A new registration ends an expiry, but not an operator's drain.
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, TTL: 1000, Members: []Endpoint{endpoint("e4", 1)}}})
@@ -266,7 +266,7 @@
 		}
 		apply(t, a, Command{At: 1, Bootstrap: &Bootstrap{}})
 		apply(t, b, Command{At: 1, Bootstrap: &Bootstrap{}})
-		at := int64(0)
+		revision := int64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "writes") {
 			w := Write{Base: Base{Revision: max(a.Revision()-rapid.Int64Range(0, 3).Draw(t, "behind"), 0)}, Replace: rapid.IntRange(0, 5).Draw(t, "whole") == 0}
 			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 4, rapid.ID[int]).Draw(t, "ids") {
@@ -292,11 +292,11 @@
 				b = next
 			}
 			if rapid.Bool().Draw(t, "follows") {
-				follow(a.ListSince(at))
-				at = a.Revision()
+				follow(a.ListSince(revision))
+				revision = a.Revision()
 			}
 		}
-		follow(a.ListSince(at))
+		follow(a.ListSince(revision))
 		whole := map[string]Endpoint{}
 		for _, m := range a.FullList().Members {
 			whole[m.ID] = m
--- a/fleet/catalog/keeper.go
+++ b/fleet/catalog/keeper.go
@@ -34,51 +34,51 @@
 }
 
 // NewLeaseManager treats all leases of the state as just renewed.
-func NewLeaseManager(share float64, drain, stand time.Duration) *LeaseManager {
+func NewLeaseManager(maxExpiredShare float64, drainTime, confirmAfter time.Duration) *LeaseManager {
 	return &LeaseManager{
-		MaxExpiredShare: share, DrainTime: drain, ConfirmAfter: stand,
+		MaxExpiredShare: maxExpiredShare, DrainTime: drainTime, ConfirmAfter: confirmAfter,
 		renewed: map[string]time.Duration{}, revisions: map[string]int64{}, expiredSince: map[string]time.Duration{}, recordRenewals: map[string]recordRenewal{}, expiryProposed: map[string]time.Duration{},
 	}
 }
 
 // Renew records a renewal. If the endpoint has no lease, or it has expired, Renew returns ErrNotFound and the
 // endpoint must register again.
-func (k *LeaseManager) Renew(s *State, id string, now time.Duration) error {
+func (m *LeaseManager) Renew(s *State, id string, now time.Duration) error {
 	e, ok := s.image.Entries[id]
 	if !ok || e.TTL == 0 || e.Expired {
 		return fmt.Errorf("endpoint %.40q has no lease, register again: %w", id, ErrNotFound)
 	}
-	if at, asked := k.expiryProposed[id]; asked && now < at+expiryInFlight {
+	if at, proposed := m.expiryProposed[id]; proposed && now < at+expiryInFlight {
 		return fmt.Errorf("the lease of endpoint %.40q has expired, register again: %w", id, ErrNotFound)
 	}
-	k.renewed[id] = now
+	m.renewed[id] = now
 	return nil
 }
 
 // NoteRegistration starts the lease of an endpoint that has just registered.
-func (k *LeaseManager) NoteRegistration(id string, now time.Duration) {
-	k.renewed[id] = now
-	delete(k.expiryProposed, id)
+func (m *LeaseManager) NoteRegistration(id string, now time.Duration) {
+	m.renewed[id] = now
+	delete(m.expiryProposed, id)
 }
 
 // RenewRecord records that the holder of a record is alive. It fails for a token that does not hold the
 // record.
-func (k *LeaseManager) RenewRecord(s *State, name string, token int64, now time.Duration) error {
+func (m *LeaseManager) RenewRecord(s *State, name string, token int64, now time.Duration) error {
 	r, err := s.heldRecord(RecordOp{Name: name, Token: token})
 	if err != nil {
 		return err
 	}
-	if h, ok := k.recordRenewals[name]; ok && h.token == token && r.TTL > 0 && now >= h.at+time.Duration(r.TTL)*time.Millisecond {
+	if h, ok := m.recordRenewals[name]; ok && h.token == token && r.TTL > 0 && now >= h.at+time.Duration(r.TTL)*time.Millisecond {
 		return fmt.Errorf("the lease of record %q has expired: %w", name, ErrNotHolder) // its expiry may already be in the log
 	}
-	k.recordRenewals[name] = recordRenewal{r.Token, now}
+	m.recordRenewals[name] = recordRenewal{r.Token, now}
 	return nil
 }
 
 // DueCommands returns the commands to propose now, and how long to wait before the next call. It returns a
 // command again until it has been applied.
-func (k *LeaseManager) DueCommands(s *State, now time.Duration) ([]Command, time.Duration) {
-	expiry := Expiry{MaxShare: k.MaxExpiredShare}
+func (m *LeaseManager) DueCommands(s *State, now time.Duration) ([]Command, time.Duration) {
+	expiry := Expiry{MaxShare: m.MaxExpiredShare}
 	wait := time.Hour
 	isDue := func(at time.Duration) bool {
 		if at <= now {
@@ -92,50 +92,50 @@
 		if e.TTL == 0 {
 			continue
 		}
-		if _, ok := k.renewed[id]; !ok || k.revisions[id] != e.Revision { // just registered
-			k.renewed[id], k.revisions[id] = now, e.Revision
+		if _, ok := m.renewed[id]; !ok || m.revisions[id] != e.Revision { // just registered
+			m.renewed[id], m.revisions[id] = now, e.Revision
 		}
 		if e.Expired {
-			if _, ok := k.expiredSince[id]; !ok {
-				k.expiredSince[id] = now
+			if _, ok := m.expiredSince[id]; !ok {
+				m.expiredSince[id] = now
 			}
 			continue
 		}
-		delete(k.expiredSince, id)
-		if isDue(k.renewed[id] + time.Duration(e.TTL)*time.Millisecond) {
+		delete(m.expiredSince, id)
+		if isDue(m.renewed[id] + time.Duration(e.TTL)*time.Millisecond) {
 			expiry.Drain = append(expiry.Drain, id)
 		} else {
 			renewing[e.Cell] = true
 		}
 	}
-	for id := range k.renewed {
+	for id := range m.renewed {
 		if _, ok := s.image.Entries[id]; !ok {
-			delete(k.renewed, id)
-			delete(k.revisions, id)
-			delete(k.expiryProposed, id)
+			delete(m.renewed, id)
+			delete(m.revisions, id)
+			delete(m.expiryProposed, id)
 		}
 	}
-	for id, at := range k.expiredSince {
+	for id, at := range m.expiredSince {
 		e, ok := s.image.Entries[id]
 		if !ok {
-			delete(k.expiredSince, id)
+			delete(m.expiredSince, id)
 			continue
 		}
 		// If no endpoint of a partner renews, a common cause such as a broken network is more likely than
 		// that all are gone.
-		if isDue(at+k.DrainTime) && renewing[e.Cell] {
+		if isDue(at+m.DrainTime) && renewing[e.Cell] {
 			expiry.Remove = append(expiry.Remove, id)
 		}
 	}
 	for name, r := range s.image.Records {
 		if r.Holder == "" || r.TTL == 0 {
-			delete(k.recordRenewals, name)
+			delete(m.recordRenewals, name)
 			continue
 		}
-		if h, ok := k.recordRenewals[name]; !ok || h.token != r.Token {
-			k.recordRenewals[name] = recordRenewal{r.Token, now}
+		if h, ok := m.recordRenewals[name]; !ok || h.token != r.Token {
+			m.recordRenewals[name] = recordRenewal{r.Token, now}
 		}
-		if isDue(k.recordRenewals[name].at + time.Duration(r.TTL)*time.Millisecond) {
+		if isDue(m.recordRenewals[name].at + time.Duration(r.TTL)*time.Millisecond) {
 			expiry.Records = append(expiry.Records, RecordOp{Name: name, Token: r.Token})
 		}
 	}
@@ -152,7 +152,7 @@
 			expiry.Remove = append(expiry.Remove, e.ID)
 		} else {
 			expiry.Drain = append(expiry.Drain, e.ID)
-			k.expiryProposed[e.ID] = now
+			m.expiryProposed[e.ID] = now
 		}
 	}
 	if len(expiry.Drain)+len(expiry.Remove)+len(expiry.Records) > 0 {
@@ -162,12 +162,12 @@
 	}
 	switch held := s.image.Held; {
 	case held == nil:
-		k.heldNumber = 0
-	case held.Number != k.heldNumber:
-		k.heldNumber, k.heldSince = held.Number, now
+		m.heldNumber = 0
+	case held.Number != m.heldNumber:
+		m.heldNumber, m.heldSince = held.Number, now
 		fallthrough
 	default:
-		if k.ConfirmAfter > 0 && isDue(k.heldSince+k.ConfirmAfter) {
+		if m.ConfirmAfter > 0 && isDue(m.heldSince+m.ConfirmAfter) {
 			commands = append(commands, Command{By: "leader", Confirm: &Confirm{Number: held.Number}})
 		}
 	}
--- a/fleet/catalog/part_test.go
+++ b/fleet/catalog/part_test.go
@@ -118,8 +118,8 @@
 		live := &partitionFollower{set: set, endpoints: map[string]Endpoint{}}
 		slow := &partitionFollower{set: set, endpoints: map[string]Endpoint{}}
 		type resumePoint struct {
-			at   int64
-			have map[string]Endpoint
+			revision  int64
+			endpoints map[string]Endpoint
 		}
 		var resumePoints []resumePoint
 		for range rapid.IntRange(1, 40).Draw(t, "writes") {
@@ -156,10 +156,10 @@
 			resumePoints = append(resumePoints, resumePoint{s.Revision(), maps.Clone(live.endpoints)})
 		}
 		for _, p := range resumePoints {
-			f := &partitionFollower{set, p.at, p.have}
-			f.apply(s.PartitionListSince(p.at, set))
+			f := &partitionFollower{set, p.revision, p.endpoints}
+			f.apply(s.PartitionListSince(p.revision, set))
 			if err := f.check(s); err != nil {
-				t.Fatalf("resumed from revision %d: %v", p.at, err)
+				t.Fatalf("resumed from revision %d: %v", p.revision, err)
 			}
 		}
 		whole := &partitionFollower{set: set, endpoints: map[string]Endpoint{}}
@@ -314,19 +314,19 @@
 
 func TestWriteCarriesListBound(t *testing.T) {
 	s := bootstrapped(t, 3)
-	more := func(bound int64, ids ...string) Write {
+	newWrite := func(bound int64, ids ...string) Write {
 		w := Write{Base: Base{Any: true}, MaxEndpoints: bound}
 		for _, id := range ids {
 			w.Members = append(w.Members, endpoint(id, 0))
 		}
 		return w
 	}
-	over := more(4, "e0", "e1", "e2", "x", "y")
-	expectError(t, s, Command{Write: &over}, ErrFull)
-	if err := s.CheckCapacity(over); !errors.Is(err, ErrFull) {
+	tooLarge := newWrite(4, "e0", "e1", "e2", "x", "y")
+	expectError(t, s, Command{Write: &tooLarge}, ErrFull)
+	if err := s.CheckCapacity(tooLarge); !errors.Is(err, ErrFull) {
 		t.Errorf("a write beyond the bound fits: %v", err)
 	}
-	at := more(4, "e0", "e1", "e2", "x")
+	at := newWrite(4, "e0", "e1", "e2", "x")
 	if err := s.CheckCapacity(at); err != nil {
 		t.Error(err)
 	}
@@ -341,10 +341,10 @@
 		all = append(all, endpoint(fmt.Sprint("n", i), i))
 	}
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: all}})
-	one := Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("last", 0)}}
-	expectError(t, s, Command{Write: &one}, ErrFull)
-	one.MaxEndpoints = DefaultMaxEndpoints + 1
-	apply(t, s, Command{Write: &one})
+	last := Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("last", 0)}}
+	expectError(t, s, Command{Write: &last}, ErrFull)
+	last.MaxEndpoints = DefaultMaxEndpoints + 1
+	apply(t, s, Command{Write: &last})
 	if _, err := Load(s.Image()); err != nil {
 		t.Error(err)
 	}
--- a/fleet/catalog/state.go
+++ b/fleet/catalog/state.go
@@ -579,7 +579,7 @@
 
 // advance creates the next revision. It lets update set the other fields of each entry that stays, and
 // discards the oldest changes beyond the bounds.
-func (s *State) advance(changed []Endpoint, c Command, why string, update func(*Entry)) {
+func (s *State) advance(changed []Endpoint, c Command, reason string, update func(*Entry)) {
 	s.image.Revision++
 	moved := []Move{}
 	for _, m := range changed {
@@ -603,7 +603,7 @@
 		update(&e)
 		s.image.Entries[m.ID] = e
 	}
-	s.image.Changes = append(s.image.Changes, Change{Revision: s.image.Revision, At: c.At, By: c.By, Reason: why, Members: changed, Moved: moved})
+	s.image.Changes = append(s.image.Changes, Change{Revision: s.image.Revision, At: c.At, By: c.By, Reason: reason, Members: changed, Moved: moved})
 	s.changedEndpoints += len(changed)
 	if s.image.Held != nil {
 		s.image.Held.rebase(changed)
--- a/fleet/members/members_test.go
+++ b/fleet/members/members_test.go
@@ -21,23 +21,23 @@
 	return Timeouts{RestartGrace: 6 * time.Second, ForgetAfter: time.Hour, RecordLease: 4 * time.Second}
 }
 
-// process is one process of a simulated fleet.
+// simProcess is one process of a simulated fleet.
 type simProcess struct {
 	view             *View
 	saved            uint64
-	wall             int64 // error of its clock, in ms
-	up               bool
+	clockError       int64 // error of its clock, in ms
+	running          bool
 	ticksUnreachable map[int]int // ticks since the other process was last reachable
 }
 
 // delivery is an event on its way to a process.
 type delivery struct {
-	to int
-	at int // tick
-	ev Event
+	to    int
+	tick  int // tick
+	event Event
 }
 
-// fleet is a set of processes, the links between them and the directory's record, on virtual time.
+// simFleet is a set of processes, the links between them and the directory's record, on virtual time.
 type simFleet struct {
 	t                  interface{ Fatalf(string, ...any) }
 	falseRecord        bool // each read of the record claims that it has long named the reader's own view
@@ -66,14 +66,14 @@
 		p.saved = 0
 	}
 	self := Statement{Name: fmt.Sprint("n", i), ProcessID: f.rng.Uint64() | 1, Addr: fmt.Sprint("a", i)}
-	p.view = New(testTerms(), self, p.saved, 1_700_000_000_000+int64(f.tick)*500+p.wall, f.now())
-	p.saved, p.up, p.ticksUnreachable = p.view.Self().Incarnation, true, map[int]int{}
+	p.view = New(testTerms(), self, p.saved, 1_700_000_000_000+int64(f.tick)*500+p.clockError, f.now())
+	p.saved, p.running, p.ticksUnreachable = p.view.Self().Incarnation, true, map[int]int{}
 	p.view.Advance(f.now(), StageServing, 0)
 }
 
 func (f *simFleet) deliver(i int, ev Event) {
 	p := f.processes[i]
-	if !p.up {
+	if !p.running {
 		return
 	}
 	for _, a := range p.view.Step(f.now(), ev) {
@@ -92,24 +92,24 @@
 
 // step simulates one tick: failure detectors run, each process sends its statements to one other, and some
 // read the record.
-func (f *simFleet) step(loss float64, late int) {
+func (f *simFleet) step(loss float64, maxDelay int) {
 	f.tick++
 	due := slices.Clone(f.inFlight)
-	f.inFlight = slices.DeleteFunc(f.inFlight, func(l delivery) bool { return l.at <= f.tick })
+	f.inFlight = slices.DeleteFunc(f.inFlight, func(l delivery) bool { return l.tick <= f.tick })
 	for _, l := range due {
-		if l.at <= f.tick {
-			f.deliver(l.to, l.ev)
+		if l.tick <= f.tick {
+			f.deliver(l.to, l.event)
 		}
 	}
 	for i, p := range f.processes {
-		if !p.up {
+		if !p.running {
 			continue
 		}
 		for j, q := range f.processes {
 			if i == j {
 				continue
 			}
-			if q.up && !f.cut[i][j] && !f.cut[j][i] {
+			if q.running && !f.cut[i][j] && !f.cut[j][i] {
 				if p.ticksUnreachable[j] >= suspectTicks {
 					f.deliver(i, Responded{fmt.Sprint("n", j)})
 				}
@@ -126,14 +126,14 @@
 		f.deliver(i, Tick{})
 		j := f.rng.IntN(len(f.processes))
 		if j != i && !f.cut[i][j] {
-			f.tell(i, j, loss, late)
+			f.gossip(i, j, loss, maxDelay)
 		}
 		if !f.cutFromDirectory[i] && f.rng.IntN(3) == 0 {
 			w := RecordRead{Names: f.names, Revision: f.revision, UnchangedFor: time.Duration(f.tick-f.changedAt) * tick, RequestedAt: f.now()}
 			if f.falseRecord {
 				w.Names, w.Revision, w.UnchangedFor = p.view.Counted(), 1, time.Hour
 			}
-			f.inFlight = append(f.inFlight, delivery{i, f.tick + f.rng.IntN(late+1), w})
+			f.inFlight = append(f.inFlight, delivery{i, f.tick + f.rng.IntN(maxDelay+1), w})
 			if names, on, ok := p.view.Proposal(); ok && on == f.revision {
 				f.names, f.revision, f.changedAt = names, f.revision+1, f.tick
 			}
@@ -152,7 +152,7 @@
 	clear(f.cutFromDirectory)
 }
 
-func (f *simFleet) tell(i, j int, loss float64, late int) {
+func (f *simFleet) gossip(i, j int, loss float64, maxDelay int) {
 	statements := []Statement{f.processes[i].view.Self()}
 	for _, m := range f.processes[i].view.Members() {
 		if m.State.Counted() {
@@ -162,7 +162,7 @@
 	for _, s := range statements {
 		for copies := 1 + f.rng.IntN(2); copies > 0; copies-- {
 			if f.rng.Float64() >= loss {
-				f.inFlight = append(f.inFlight, delivery{j, f.tick + 1 + f.rng.IntN(late+1), StatementReceived{s}})
+				f.inFlight = append(f.inFlight, delivery{j, f.tick + 1 + f.rng.IntN(maxDelay+1), StatementReceived{s}})
 			}
 		}
 	}
@@ -172,7 +172,7 @@
 func (f *simFleet) check() {
 	var larger []string
 	for i, p := range f.processes {
-		if !p.up {
+		if !p.running {
 			continue
 		}
 		for _, m := range p.view.Members() {
@@ -230,21 +230,21 @@
 			case "heal":
 				f.setCuts(func(int, int) bool { return false })
 			case "kill":
-				p.up = false
+				p.running = false
 			case "start":
-				if !p.up {
+				if !p.running {
 					f.start(i, rapid.Bool().Draw(t, "its folder is lost"))
 				}
 			case "leave":
-				if p.up {
+				if p.running {
 					p.view.Advance(f.now(), StageExited, 0)
-					f.tell(i, (i+1)%n, 0, 1)
-					p.up = false
+					f.gossip(i, (i+1)%n, 0, 1)
+					p.running = false
 				}
 			case "away":
 				f.cutFromDirectory[i] = !f.cutFromDirectory[i]
 			case "clock":
-				p.wall = int64(rapid.IntRange(-3_600_000, 3_600_000).Draw(t, "ms"))
+				p.clockError = int64(rapid.IntRange(-3_600_000, 3_600_000).Draw(t, "ms"))
 			}
 			for range rapid.IntRange(1, 20).Draw(t, "ticks") {
 				f.step(0.2, 6)
@@ -255,7 +255,7 @@
 			f.step(0, 1)
 		}
 		for i, p := range f.processes {
-			if share, _ := p.view.Agreement(); p.up && share < 1 {
+			if share, _ := p.view.Agreement(); p.running && share < 1 {
 				t.Fatalf("40 s after the last fault n%d agrees with only %.2f of the others: %v", i, share, p.view.Counted())
 			}
 		}
@@ -297,8 +297,8 @@
 	two := New(testTerms(), Statement{Name: "n", ProcessID: 9, Addr: "there"}, 10, 0, at)
 	other := New(testTerms(), Statement{Name: "o", ProcessID: 1}, 0, 0, at)
 	conflicts := map[string]int{}
-	count := func(who string, acts []Action) {
-		for _, a := range acts {
+	count := func(who string, actions []Action) {
+		for _, a := range actions {
 			if r, ok := a.(NameConflict); ok {
 				if r.End.Addr != "there" {
 					t.Errorf("%s would end the process that serves", who)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -215,7 +215,7 @@
 	if err := op.Confirm(t.Context(), st.Held.Number, true); err != nil {
 		t.Error(err)
 	}
-	saved, image, err := op.Backup(t.Context(), true)
+	backup, image, err := op.Backup(t.Context(), true)
 	if err != nil || image.Revision != 2 {
 		t.Fatal(image.Revision, err)
 	}
@@ -238,7 +238,7 @@
 	if l := <-lists; l.Complete || l.Revision != 12 || len(l.Members) != 2 {
 		t.Errorf("resumed across a restart and a snapshot: %+v", l)
 	}
-	if _, err := op.Restore(t.Context(), saved); err != nil {
+	if _, err := op.Restore(t.Context(), backup); err != nil {
 		t.Fatal(err)
 	}
 	if _, more := <-lists; more {
@@ -254,7 +254,7 @@
 	if l := <-withoutHistory; !l.Complete || l.Revision != 2 {
 		t.Errorf("after a restore, without a history: %+v", l)
 	}
-	if _, err := op.Restore(t.Context(), saved[:len(saved)-1]); err == nil {
+	if _, err := op.Restore(t.Context(), backup[:len(backup)-1]); err == nil {
 		t.Error("a damaged backup was accepted")
 	}
 }
@@ -296,18 +296,18 @@
 		})
 		return l
 	}
-	old := leader()
-	old.stop()
-	next := leader()
-	put(t, next, "*", endpoint("late", catalog.Serving))
-	if err := os.RemoveAll(old.cfg.Data); err != nil { // loses its folder
+	formerLeader := leader()
+	formerLeader.stop()
+	newLeader := leader()
+	put(t, newLeader, "*", endpoint("late", catalog.Serving))
+	if err := os.RemoveAll(formerLeader.cfg.Data); err != nil { // loses its folder
 		t.Fatal(err)
 	}
-	old.start()
-	eventually(t, "the replica that lost its folder", func() bool { return voters(next) == 3 && old.server.currentStatus(false).Revision == 10 })
+	formerLeader.start()
+	eventually(t, "the replica that lost its folder", func() bool { return voters(newLeader) == 3 && formerLeader.server.currentStatus(false).Revision == 10 })
 	other := all[0]
 	for _, o := range all {
-		if o != old && o != next {
+		if o != formerLeader && o != newLeader {
 			other = o
 		}
 	}
@@ -327,7 +327,7 @@
 	remaining := leader()
 	removed := other
 	if removed == remaining {
-		removed = old
+		removed = formerLeader
 	}
 	removed.stop()
 	op0 := remaining.operator()
@@ -348,7 +348,7 @@
 	}
 	removed.stop()
 	all = []*testReplica{added, remaining}
-	for _, o := range []*testReplica{old, other} {
+	for _, o := range []*testReplica{formerLeader, other} {
 		if o != removed {
 			all = append(all, o)
 		}
@@ -439,13 +439,13 @@
 		return all
 	}
 	put(t, o, "*", big(0)...)
-	nc, err := net.Dial("tcp", o.cfg.HTTP)
+	conn, err := net.Dial("tcp", o.cfg.HTTP)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	nc.(*net.TCPConn).SetReadBuffer(4096)
-	fmt.Fprintf(nc, "GET /registry/instances?watch=1&after=1 HTTP/1.1\r\nHost: d\r\n\r\n")
+	defer conn.Close()
+	conn.(*net.TCPConn).SetReadBuffer(4096)
+	fmt.Fprintf(conn, "GET /registry/instances?watch=1&after=1 HTTP/1.1\r\nHost: d\r\n\r\n")
 	lists, end := watchLists(t, o, "&after=1")
 	defer end()
 	eventually(t, "both watches", func() bool { return o.server.WatchCount() == 2 })
@@ -574,20 +574,20 @@
 func TestAdmissionSpreadsRetries(t *testing.T) {
 	a := newAdmission(100, 50)
 	now := time.Unix(1000, 0)
-	in, seen := 0, map[time.Duration]bool{}
+	admitted, delays := 0, map[time.Duration]bool{}
 	for range 250 {
-		ok, back := a.admit(1, now)
+		ok, delay := a.admit(1, now)
 		if ok {
-			in++
+			admitted++
 			continue
 		}
-		if seen[back] || back > 2*time.Second {
-			t.Fatalf("two requests got the same delay, or a long one, of %v", back)
+		if delays[delay] || delay > 2*time.Second {
+			t.Fatalf("two requests got the same delay, or a long one, of %v", delay)
 		}
-		seen[back] = true
+		delays[delay] = true
 	}
-	if in != 50 || len(seen) != 200 {
-		t.Errorf("%d admitted, %d refused", in, len(seen))
+	if admitted != 50 || len(delays) != 200 {
+		t.Errorf("%d admitted, %d refused", admitted, len(delays))
 	}
 	if ok, _ := a.admit(1, now.Add(20*time.Millisecond)); !ok {
 		t.Error("the token bucket does not refill")
@@ -727,7 +727,7 @@
 	if err := s.Close(); err != nil {
 		f.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -735,7 +735,7 @@
 	f.Add(uint32(4096), uint32(1<<20), []byte{0xff, 0xff, 0xff, 0xff})
 	f.Add(uint32(9000), uint32(12000), []byte{})
 	f.Fuzz(func(t *testing.T, at, length uint32, patch []byte) {
-		raw := bytes.Clone(whole)
+		raw := bytes.Clone(intact)
 		copy(raw[min(int(at), len(raw)):], patch)
 		raw = raw[:min(int(length), len(raw))]
 		path := filepath.Join(t.TempDir(), "log.db")
--- a/internal/directory/metrics.go
+++ b/internal/directory/metrics.go
@@ -34,12 +34,12 @@
 			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14),
 		}, []string{"result"}),
 	}
-	gauge := func(name, help string, of func() float64) prometheus.Collector {
-		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, of)
+	gauge := func(name, help string, read func() float64) prometheus.Collector {
+		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read)
 	}
-	state := func(of func(*catalog.State) float64) func() float64 {
+	state := func(read func(*catalog.State) float64) func() float64 {
 		return func() (v float64) {
-			s.replica.fsm.view(func(st *catalog.State) { v = of(st) })
+			s.replica.fsm.view(func(st *catalog.State) { v = read(st) })
 			return v
 		}
 	}
--- a/internal/directory/operator.go
+++ b/internal/directory/operator.go
@@ -173,9 +173,9 @@
 
 // Put writes endpoints, and removes those of phase Deleted; with whole it removes all others as well. match
 // is the If-Match value.
-func (o *AdminClient) Put(ctx context.Context, members []catalog.Endpoint, whole, confirm bool, match string) (WriteResult, error) {
+func (o *AdminClient) Put(ctx context.Context, members []catalog.Endpoint, replace, confirm bool, match string) (WriteResult, error) {
 	method, path := http.MethodPost, "/registry/instances"
-	if whole {
+	if replace {
 		method = http.MethodPut
 	}
 	if confirm {
@@ -234,12 +234,12 @@
 	if _, err := DecodeBackup(bytes.NewReader(raw)); err != nil {
 		return WriteResult{}, err
 	}
-	answer, _, err := o.Do(ctx, http.MethodPost, "/directory/restore", "", raw)
+	response, _, err := o.Do(ctx, http.MethodPost, "/directory/restore", "", raw)
 	if err != nil {
 		return WriteResult{}, err
 	}
 	var w WriteResult
-	return w, json.Unmarshal(answer, &w)
+	return w, json.Unmarshal(response, &w)
 }
 
 // AddReplica allows a replica to join the service.
@@ -253,21 +253,21 @@
 }
 
 // Diff returns the endpoints that a write would change, as they would become, sorted by ID.
-func Diff(now, then []catalog.Endpoint, whole bool) []catalog.Endpoint {
-	was := map[string]catalog.Endpoint{}
-	for _, m := range now {
-		was[m.ID] = m
+func Diff(current, target []catalog.Endpoint, replace bool) []catalog.Endpoint {
+	former := map[string]catalog.Endpoint{}
+	for _, m := range current {
+		former[m.ID] = m
 	}
 	var out []catalog.Endpoint
-	for _, m := range then {
-		old, listed := was[m.ID]
+	for _, m := range target {
+		old, listed := former[m.ID]
 		if old != m && (m.Phase != catalog.Deleted || listed) {
 			out = append(out, m)
 		}
-		delete(was, m.ID)
+		delete(former, m.ID)
 	}
-	if whole {
-		for _, m := range was {
+	if replace {
+		for _, m := range former {
 			m.Phase = catalog.Deleted
 			out = append(out, m)
 		}
--- a/internal/directory/parts.go
+++ b/internal/directory/parts.go
@@ -21,9 +21,9 @@
 	change    catalog.Change // shares its members with the state, which never modifies them
 	mapNumber int64          // of the partition map when the change was made
 
-	split  sync.Once
-	known  bool
-	pieces []*linePiece
+	split      sync.Once
+	movesKnown bool
+	pieces     []*linePiece
 }
 
 // linePiece is the effect of a change on one partition.
@@ -45,12 +45,12 @@
 func (l *partitionLine) encodeFor(set *ownership.Set) ([]byte, error) {
 	l.split.Do(func() {
 		var parts []catalog.PartitionChange
-		parts, l.known = l.change.ByPartition()
+		parts, l.movesKnown = l.change.ByPartition()
 		for _, p := range parts {
 			l.pieces = append(l.pieces, &linePiece{PartitionChange: p})
 		}
 	})
-	if !l.known {
+	if !l.movesKnown {
 		return nil, errMovesUnknown
 	}
 	var line []byte
--- a/internal/directory/parts_test.go
+++ b/internal/directory/parts_test.go
@@ -132,9 +132,9 @@
 	put(t, o, "*", a, b)
 	const one = `{"id":%q,"host_port":"10.0.0.1:80","locality":"a","flavor":"k","cell":%d,"phase":%q,"size":1,"up_since_ms":0}`
 	whole := `{"revision":1,"complete":true,"members":[` + fmt.Sprintf(one, "a", 1, "SERVING") + `,` + fmt.Sprintf(one, "b", 2, "SERVING") + "]}\n"
-	head, news, end := watchLines(t, o, "&after=0")
+	head, lines, end := watchLines(t, o, "&after=0")
 	defer end()
-	if l := <-news; l != whole {
+	if l := <-lines; l != whole {
 		t.Errorf("first line: %s", l)
 	}
 	if err := putMap(t, o, 3); err != nil {
@@ -142,10 +142,10 @@
 	}
 	put(t, o, "*", deleted(b))
 	change := `{"revision":2,"complete":false,"members":[` + fmt.Sprintf(one, "b", 2, "DELETED") + "]}\n"
-	if l := <-news; l != change {
+	if l := <-lines; l != change {
 		t.Errorf("second line: %s", l)
 	}
-	if l := <-news; l != "\n" {
+	if l := <-lines; l != "\n" {
 		t.Errorf("without a change: %q", l)
 	}
 	_, header, body := getList(t, o, "?after=1")
@@ -163,11 +163,11 @@
 func TestWatchOfPartitions(t *testing.T) {
 	o := startReplicas(t, 1, nil)[0]
 	put(t, o, "*", endpointOf("a", 1), endpointOf("b", 2), endpointOf("c", 3))
-	head, news, end := watchLines(t, o, "&after=0&partitions="+setOf(1, 2).String())
+	head, lines, end := watchLines(t, o, "&after=0&partitions="+setOf(1, 2).String())
 	defer end()
 	next := func() (l catalog.List) {
 		t.Helper()
-		raw, ok := <-news
+		raw, ok := <-lines
 		if !ok {
 			t.Fatal("the watch has ended")
 		}
@@ -217,10 +217,10 @@
 	put(t, o, "*", deleted(endpointOf("a", 2)))
 	want("a deletion", 6, 7, deleted(endpointOf("a", 2)))
 
-	resumed, header, body := getList(t, o, "?after=4&partitions="+setOf(1, 2).String())
-	if err := json.Unmarshal([]byte(body), &l); err != nil || resumed != 200 || header.Get(HeaderMap) != "7" || header.Get("ETag") != "" ||
+	code, header, body := getList(t, o, "?after=4&partitions="+setOf(1, 2).String())
+	if err := json.Unmarshal([]byte(body), &l); err != nil || code != 200 || header.Get(HeaderMap) != "7" || header.Get("ETag") != "" ||
 		l.Complete || l.Revision != 6 || l.Map != 7 || len(l.Members) != 3 {
-		t.Errorf("changes after 4: %d, %v, %s", resumed, header, body)
+		t.Errorf("changes after 4: %d, %v, %s", code, header, body)
 	}
 	o.stop()
 	o.start()
@@ -388,15 +388,15 @@
 	put(t, o, "*", endpointOf("a", 1))
 	var mu sync.Mutex
 	var logs bytes.Buffer
-	front := olderReplica(t, o)
-	asks := make(chan string, 1000)
-	counted := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		asks <- req.URL.RawQuery
-		front.Config.Handler.ServeHTTP(w, req)
+	proxy := olderReplica(t, o)
+	queries := make(chan string, 1000)
+	countingProxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		queries <- req.URL.RawQuery
+		proxy.Config.Handler.ServeHTTP(w, req)
 	}))
-	t.Cleanup(counted.Close)
+	t.Cleanup(countingProxy.Close)
 	w := registry.Watcher{
-		Addresses: []string{counted.Listener.Addr().String(), front.Listener.Addr().String()}, FleetSize: 1, Client: http.DefaultClient,
+		Addresses: []string{countingProxy.Listener.Addr().String(), proxy.Listener.Addr().String()}, FleetSize: 1, Client: http.DefaultClient,
 		Cursor: registry.NewCursor(registry.Position{}), Partitions: setOf(1), Log: slog.New(slog.NewTextHandler(&lockedWriter{w: &logs, mu: &mu}, nil)),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -408,7 +408,7 @@
 		})
 	})
 	for range 2 {
-		if q := <-asks; !strings.Contains(q, "after=0") || !strings.Contains(q, "partitions=") {
+		if q := <-queries; !strings.Contains(q, "after=0") || !strings.Contains(q, "partitions=") {
 			t.Errorf("unexpected request %s", q)
 		}
 	}
@@ -507,14 +507,14 @@
 	}
 	expectBadRequest(http.MethodPost, recordRequest{Token: w.Token, Value: encodedMap(t, 7)}, "the same number after a restart")
 
-	saved, _, err := op.Backup(t.Context(), true)
+	backup, _, err := op.Backup(t.Context(), true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := op.call(t.Context(), nil, http.MethodPost, record, "", recordRequest{Token: w.Token, Value: encodedMap(t, 9)}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := op.Restore(t.Context(), saved); err != nil {
+	if _, err := op.Restore(t.Context(), backup); err != nil {
 		t.Fatal(err)
 	}
 	if st := o.server.currentStatus(false); st.MapNumber != 7 || st.MapError != "" {
@@ -533,7 +533,7 @@
 		}
 	}
 	put(t, o, "*", endpointOf("a", 1), endpointOf("b", 2), endpointOf("c", 3))
-	saved, _, err := op.Backup(t.Context(), true)
+	backup, _, err := op.Backup(t.Context(), true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -553,14 +553,14 @@
 	o.cfg.List.MaxEndpoints = 2
 	o.start()
 	eventually(t, "the leader", o.replica.isReadyLeader)
-	_, err = op.Restore(t.Context(), saved)
+	_, err = op.Restore(t.Context(), backup)
 	expectFull(err, "a backup")
 	put(t, o, "*", deleted(endpointOf("d", 1)))
-	for _, most := range []int{0, catalog.MaxEndpoints + 1} {
+	for _, limit := range []int{0, catalog.MaxEndpoints + 1} {
 		if c := o.cfg; true {
-			c.List.MaxEndpoints = most
+			c.List.MaxEndpoints = limit
 			if err := c.Validate(); err == nil || !strings.Contains(err.Error(), "list.most") {
-				t.Errorf("list.most %d: %v", most, err)
+				t.Errorf("list.most %d: %v", limit, err)
 			}
 		}
 	}
@@ -624,7 +624,7 @@
 // whatever is written, with any map, and across snapshots that are installed meanwhile. If one line is left
 // out, the check must notice.
 func TestPartitionLinesMatchList(t *testing.T) {
-	for _, fault := range []bool{false, true} {
+	for _, omitLine := range []bool{false, true} {
 		found := 0
 		rapid.Check(t, func(rt *rapid.T) {
 			l := newBootstrappedFSM(t)
@@ -663,7 +663,7 @@
 					}
 					applyCommand(t, l, writeCommand(all...))
 				}
-				lines, has, _, ok := l.linesAfter(at)
+				lines, currentNumber, _, ok := l.linesAfter(at)
 				if !ok && at.revision > 0 {
 					rt.Fatalf("the lines after %+v are unknown", at)
 				}
@@ -678,8 +678,8 @@
 						have[list.Members[0].ID] = list.Members[0]
 					}
 				}
-				if has != number && ok {
-					rt.Fatalf("the map number is %d, reported is %d", number, has)
+				if currentNumber != number && ok {
+					rt.Fatalf("the map number is %d, reported is %d", number, currentNumber)
 				}
 				for _, one := range lines {
 					raw, err := one.byPartition.encodeFor(set)
@@ -703,7 +703,7 @@
 							delete(have, m.ID)
 						}
 					}
-					if fault && !maps.Equal(was, have) {
+					if omitLine && !maps.Equal(was, have) {
 						if skip--; skip == -1 {
 							have = was
 						}
@@ -716,18 +716,18 @@
 					}
 				}
 				if !maps.Equal(have, want) {
-					if fault && skip < 0 {
+					if omitLine && skip < 0 {
 						found++
 						return
 					}
 					rt.Fatalf("the watch has %v, the list has %v", have, want)
 				}
-				if fault && skip < 0 {
+				if omitLine && skip < 0 {
 					rt.Fatal("the check did not notice that a line was left out")
 				}
 			}
 		})
-		if fault && found < 50 {
+		if omitLine && found < 50 {
 			t.Errorf("only %d omitted lines were tried", found)
 		}
 	}
--- a/internal/directory/records.go
+++ b/internal/directory/records.go
@@ -14,15 +14,15 @@
 		return
 	}
 	name := req.PathValue("name")
-	var all []catalog.Record
-	var one catalog.Record
+	var records []catalog.Record
+	var record catalog.Record
 	found := true
 	s.replica.fsm.view(func(st *catalog.State) {
 		if name != "" {
-			one, found = st.Record(name)
+			record, found = st.Record(name)
 			return
 		}
-		all = append([]catalog.Record{}, st.Records()...)
+		records = append([]catalog.Record{}, st.Records()...)
 	})
 	at, _ := s.replica.fsm.position()
 	s.setPositionHeaders(w, at)
@@ -30,9 +30,9 @@
 	case !found:
 		writeError(w, http.StatusNotFound, fmt.Errorf("record %.40q: %w", name, catalog.ErrNotFound))
 	case name != "":
-		writeJSON(w, http.StatusOK, one)
+		writeJSON(w, http.StatusOK, record)
 	default:
-		writeJSON(w, http.StatusOK, map[string]any{"records": all})
+		writeJSON(w, http.StatusOK, map[string]any{"records": records})
 	}
 }
 
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -113,16 +113,16 @@
 }
 
 // resetFolder moves the contents of the folder aside and creates an empty log.
-func resetFolder(data, aside string) (*raftboltdb.BoltStore, error) {
+func resetFolder(folder, aside string) (*raftboltdb.BoltStore, error) {
 	if err := os.MkdirAll(aside, 0o700); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
 	for _, name := range []string{"log.db", "snapshots"} {
-		if err := os.Rename(filepath.Join(data, name), filepath.Join(aside, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
+		if err := os.Rename(filepath.Join(folder, name), filepath.Join(aside, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return nil, fmt.Errorf("folder: %w", err)
 		}
 	}
-	return openLog(filepath.Join(data, "log.db"))
+	return openLog(filepath.Join(folder, "log.db"))
 }
 
 func (r *Replica) reportFailure(err error) {
--- a/internal/directory/store.go
+++ b/internal/directory/store.go
@@ -43,14 +43,14 @@
 }
 
 // recoverDamage converts a panic, or a memory fault on a mapped file that was cut, into an error.
-func recoverDamage(do func() error) (err error) {
+func recoverDamage(fn func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w: %v", errDamaged, p)
 		}
 	}()
-	return do()
+	return fn()
 }
 
 // verifyFile checks that the database file is complete.
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -79,7 +79,7 @@
 	return f.state.Revision() - int64(len(f.lines))
 }
 
-// serveWatch sends the changes in some partitions, or of the whole list if parts is nil, until either side
+// serveWatch sends the changes in some partitions, or of the whole list if set is nil, until either side
 // ends the watch.
 func (s *Server) serveWatch(w http.ResponseWriter, req *http.Request, after int64, set *ownership.Set) {
 	conn := &watchConn{controller: http.NewResponseController(w)}
--- a/internal/directory/writes.go
+++ b/internal/directory/writes.go
@@ -40,7 +40,7 @@
 			writeError(w, http.StatusBadRequest, err)
 			return
 		}
-		wr, err := parse(req, raw)
+		write, err := parse(req, raw)
 		if errors.Is(err, catalog.ErrNotFound) {
 			writeError(w, http.StatusNotFound, err)
 			return
@@ -49,15 +49,15 @@
 			writeError(w, http.StatusBadRequest, err)
 			return
 		}
-		wr.Base, wr.GuardShare, wr.MaxEndpoints = base, s.replica.cfg.Guard.MaxRemovedShare, int64(s.replica.cfg.List.MaxEndpoints)
-		wr.Confirmed = req.URL.Query().Get("confirm") == "1"
-		wr.Reason = strings.ToValidUTF8(truncate(req.Header.Get("Registry-Why"), 1000), "?")
+		write.Base, write.GuardShare, write.MaxEndpoints = base, s.replica.cfg.Guard.MaxRemovedShare, int64(s.replica.cfg.List.MaxEndpoints)
+		write.Confirmed = req.URL.Query().Get("confirm") == "1"
+		write.Reason = strings.ToValidUTF8(truncate(req.Header.Get("Registry-Why"), 1000), "?")
 		s.runCommand(w, req, raw, func() (c catalog.Command, err error) {
-			s.replica.fsm.view(func(st *catalog.State) { err = st.CheckCapacity(wr) })
-			return catalog.Command{Write: &wr}, err
+			s.replica.fsm.view(func(st *catalog.State) { err = st.CheckCapacity(write) })
+			return catalog.Command{Write: &write}, err
 		})
-		if wr.TTL > 0 && len(wr.Members) > 0 {
-			s.replica.noteRegistration(wr.Members[0].ID)
+		if write.TTL > 0 && len(write.Members) > 0 {
+			s.replica.noteRegistration(write.Members[0].ID)
 		}
 	}
 }
--- a/internal/registry/ownership_test.go
+++ b/internal/registry/ownership_test.go
@@ -118,21 +118,21 @@
 func TestWholeListIsRejectedForPartitions(t *testing.T) {
 	t.Parallel()
 	list := `{"revision":9,"complete":true,"members":[{"id":"e1","host_port":"h:1","locality":"a","flavor":"k","cell":3,"phase":"SERVING","size":1}]}`
-	for _, by := range []string{"", "2048", "04096", "4096, 4096", "x"} {
+	for _, header := range []string{"", "2048", "04096", "4096, 4096", "x"} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			var logged strings.Builder
 			w := Watcher{Addresses: []string{"a:1", "b:1", "c:1"}, FleetSize: 820, Log: slog.New(slog.NewTextHandler(&logged, nil)), Cursor: NewCursor(Position{}), Partitions: someSet()}
-			upgraded, began := time.Hour, time.Now()
+			upgradeAfter, began := time.Hour, time.Now()
 			requests := 0
 			w.Client = &http.Client{Transport: roundTripFunc(func(req *http.Request) (*http.Response, error) {
 				requests++
-				headers := map[string]string{"Registry-History": "3", "Registry-Partitions": by}
-				if req.URL.Host == "c:1" && time.Since(began) > upgraded {
+				headers := map[string]string{"Registry-History": "3", "Registry-Partitions": header}
+				if req.URL.Host == "c:1" && time.Since(began) > upgradeAfter {
 					headers["Registry-Partitions"] = "4096"
 				}
 				if time.Since(began) > time.Minute {
-					upgraded = 0
+					upgradeAfter = 0
 				}
 				return httpResponse(200, headers, list), nil
 			})}
@@ -150,7 +150,7 @@
 				t.Errorf("logged %d times: %s", n, logged.String())
 			}
 			if err := w.watchOnce(t.Context(), "a:1", 0, 0, nil); !errors.Is(err, ErrNoPartitionFilter) {
-				t.Errorf("%q: %v", by, err)
+				t.Errorf("%q: %v", header, err)
 			}
 		})
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -108,8 +108,8 @@
 		newWatcher(srv).Watch(ctx, func(Update) error { return nil })
 	})
 	<-watches
-	if again := <-watches; again > 8*time.Second {
-		t.Errorf("the silent watch was retried after %v", again)
+	if retried := <-watches; retried > 8*time.Second {
+		t.Errorf("the silent watch was retried after %v", retried)
 	}
 	cancel()
 	ended.Wait()
@@ -245,10 +245,10 @@
 func TestTryingServersDoesNotDelayList(t *testing.T) {
 	t.Parallel()
 	tr, now := NewCursor(Position{Revision: 8, Server: "platform"}), time.Now()
-	news := Update{List: catalog.List{Revision: 1, Complete: true}, History: 5, Server: "a"}
+	update := Update{List: catalog.List{Revision: 1, Complete: true}, History: 5, Server: "a"}
 	for range 25 {
 		tr.tryNextServer(now)
-		if tr.Advance(news, now) == nil {
+		if tr.Advance(update, now) == nil {
 			return
 		}
 		now = now.Add(100 * time.Millisecond)
@@ -274,25 +274,25 @@
 	if err := k.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	back, err := OpenListCache(dir, 4096)
+	reopened, err := OpenListCache(dir, 4096)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, pos, heard, ok := back.List()
-	if !ok || pos != (Position{2, 5, "x"}) || !heard.Equal(at) || len(l.Members) != 1 || l.Members[0] != endpoint("b", catalog.Draining) {
-		t.Errorf("reopened: %+v, %+v, %v, %v", l, pos, heard, ok)
+	l, pos, confirmedAt, ok := reopened.List()
+	if !ok || pos != (Position{2, 5, "x"}) || !confirmedAt.Equal(at) || len(l.Members) != 1 || l.Members[0] != endpoint("b", catalog.Draining) {
+		t.Errorf("reopened: %+v, %+v, %v, %v", l, pos, confirmedAt, ok)
 	}
 	// A list that is too large, or cannot be written, leaves the older file in place.
 	for i := range 100 {
-		back.Apply(Update{List: catalog.List{Revision: 6, Members: []catalog.Endpoint{endpoint(fmt.Sprint("c", i), catalog.Serving)}}, History: 2}, at)
+		reopened.Apply(Update{List: catalog.List{Revision: 6, Members: []catalog.Endpoint{endpoint(fmt.Sprint("c", i), catalog.Serving)}}, History: 2}, at)
 	}
-	if err := back.Flush(); err == nil {
+	if err := reopened.Flush(); err == nil {
 		t.Error("a list beyond the size limit was written")
 	}
 	if again, _ := OpenListCache(dir, 4096); again.position.Revision != 5 {
 		t.Errorf("the file has revision %d", again.position.Revision)
 	}
-	if err := os.WriteFile(back.path, []byte(`{"heard_at":"2026`), 0o600); err != nil {
+	if err := os.WriteFile(reopened.path, []byte(`{"heard_at":"2026`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if damaged, err := OpenListCache(dir, 4096); err == nil || len(damaged.members) > 0 {
--- a/internal/registry/told_test.go
+++ b/internal/registry/told_test.go
@@ -21,7 +21,7 @@
 // reachable.
 const knownWithin = 6 * time.Second
 
-// service is a list service in memory whose first responses can be made to fail.
+// fakeService is a list service in memory whose first responses can be made to fail.
 type fakeService struct {
 	clockStart time.Time
 
@@ -67,9 +67,9 @@
 func serveWatch(s *fakeService, w http.ResponseWriter, req *http.Request) {
 	sent := ""
 	for tick := 0; ; tick++ {
-		if now := s.line(); now != sent {
-			sent = now
-			writeFlush(w, now+"\n")
+		if current := s.line(); current != sent {
+			sent = current
+			writeFlush(w, current+"\n")
 		} else if tick%20 == 0 {
 			writeFlush(w, "\n")
 		}
@@ -193,8 +193,8 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if late := time.Since(s.clockStart); late > knownWithin-250*time.Millisecond {
-			t.Errorf("known after %v, at request %d", late, s.requests)
+		if delay := time.Since(s.clockStart); delay > knownWithin-250*time.Millisecond {
+			t.Errorf("known after %v, at request %d", delay, s.requests)
 		}
 		cancel()
 		return nil
