--- a/fleet/members/members.go
+++ b/fleet/members/members.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Stage is the stage of life that a member announces. It never goes back during the life of a process.
+// Stage is the stage that a member announces. It never goes back during the life of a process.
 type Stage uint8
 
 // Stages.
@@ -48,7 +48,7 @@
 // supersedes.
 type Statement struct {
 	Name             string
-	Incarnation      uint64 // increases over the lives of a name
+	Incarnation      uint64 // increases with each process of a name
 	Sequence         uint64 // number of the statement within the incarnation
 	ProcessID        uint64 // random for each process; distinguishes two that claim the same name
 	FirstIncarnation uint64 // incarnation at the start of this process
@@ -92,7 +92,7 @@
 	Responded struct{ Name string }
 )
 
-// Unreachable says that the failure detector has given up on a member, in its known life.
+// Unreachable says that the failure detector has given up on the known process of a member.
 type Unreachable struct{ Name string }
 
 // RecordRead brings the fleet's names from a linearizable read of the directory's record. The read was
@@ -301,11 +301,11 @@
 		v.setState(m, StateLeaving, "announced its end")
 	case s.Stage < StageExited:
 		m.goneSince = 0
-		why := "announced"
+		reason := "announced"
 		if known && s.Incarnation > previous.Incarnation {
-			why = "new process"
+			reason = "new process"
 		}
-		v.setState(m, stateOf(s.Stage), why)
+		v.setState(m, stateOf(s.Stage), reason)
 	}
 }
 
@@ -339,11 +339,11 @@
 	return NameConflict{Name: a.Name, Keep: a, End: b}
 }
 
-func (v *View) setState(m *Member, to State, why string) {
+func (v *View) setState(m *Member, to State, reason string) {
 	if m.State == to {
 		return
 	}
-	v.actions = append(v.actions, StateChanged{m.Name, m.State, to, why})
+	v.actions = append(v.actions, StateChanged{m.Name, m.State, to, reason})
 	m.State, m.Since, v.digestStale = to, v.now, true
 }
 
--- a/fleet/members/members_test.go
+++ b/fleet/members/members_test.go
@@ -129,11 +129,11 @@
 			f.gossip(i, j, loss, maxDelay)
 		}
 		if !f.cutFromDirectory[i] && f.rng.IntN(3) == 0 {
-			w := RecordRead{Names: f.names, Revision: f.revision, UnchangedFor: time.Duration(f.tick-f.changedAt) * tick, RequestedAt: f.now()}
+			read := RecordRead{Names: f.names, Revision: f.revision, UnchangedFor: time.Duration(f.tick-f.changedAt) * tick, RequestedAt: f.now()}
 			if f.falseRecord {
-				w.Names, w.Revision, w.UnchangedFor = p.view.Counted(), 1, time.Hour
+				read.Names, read.Revision, read.UnchangedFor = p.view.Counted(), 1, time.Hour
 			}
-			f.inFlight = append(f.inFlight, delivery{i, f.tick + f.rng.IntN(maxDelay+1), w})
+			f.inFlight = append(f.inFlight, delivery{i, f.tick + f.rng.IntN(maxDelay+1), read})
 			if names, on, ok := p.view.Proposal(); ok && on == f.revision {
 				f.names, f.revision, f.changedAt = names, f.revision+1, f.tick
 			}
--- a/internal/directory/parts_test.go
+++ b/internal/directory/parts_test.go
@@ -424,10 +424,10 @@
 	op := o.operator()
 	put(t, o, "*", endpointOf("a", 1))
 	record := "/records/" + ownership.RecordName
-	expectBadRequest := func(method string, ask recordRequest, what string) {
+	expectBadRequest := func(method string, request recordRequest, what string) {
 		t.Helper()
 		var refusal *ResponseError
-		if err := op.call(t.Context(), nil, method, record, "", ask); !errors.As(err, &refusal) || refusal.StatusCode != http.StatusBadRequest || refusal.Outcome != "refused" {
+		if err := op.call(t.Context(), nil, method, record, "", request); !errors.As(err, &refusal) || refusal.StatusCode != http.StatusBadRequest || refusal.Outcome != "refused" {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -567,13 +567,13 @@
 }
 
 // applyCommand applies a command to a state machine as Raft does.
-func applyCommand(t testing.TB, l *fsm, c catalog.Command) catalog.Result {
+func applyCommand(t testing.TB, f *fsm, c catalog.Command) catalog.Result {
 	t.Helper()
 	raw, err := seal(commandMark, c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, ok := l.Apply(&raft.Log{Data: raw}).(catalog.Result)
+	res, ok := f.Apply(&raft.Log{Data: raw}).(catalog.Result)
 	if !ok || res.Err != nil {
 		t.Fatalf("%+v: %v", c, res.Err)
 	}
@@ -581,9 +581,9 @@
 }
 
 func newBootstrappedFSM(t testing.TB) *fsm {
-	l := newFSM(1<<20, func(err error) { t.Error(err) })
-	applyCommand(t, l, catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
-	return l
+	f := newFSM(1<<20, func(err error) { t.Error(err) })
+	applyCommand(t, f, catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
+	return f
 }
 
 func writeCommand(members ...catalog.Endpoint) catalog.Command {
@@ -593,9 +593,9 @@
 // A change in one partition must be encoded once for all its watches, and cost watches of other partitions
 // nothing.
 func TestPartitionLinesAreShared(t *testing.T) {
-	l := newBootstrappedFSM(t)
-	applyCommand(t, l, writeCommand(endpointOf("a", 1), endpointOf("b", 1)))
-	line := l.lines[0].byPartition
+	f := newBootstrappedFSM(t)
+	applyCommand(t, f, writeCommand(endpointOf("a", 1), endpointOf("b", 1)))
+	line := f.lines[0].byPartition
 	a, err := line.encodeFor(setOf(1, 2))
 	b, err2 := line.encodeFor(setOf(1, 3))
 	if err := errors.Join(err, err2); err != nil || len(a) == 0 || &a[0] != &b[0] {
@@ -605,8 +605,8 @@
 	if n := testing.AllocsPerRun(100, func() { line.encodeFor(mine) }); n > 0 {
 		t.Errorf("an existing line costs %v allocations", n)
 	}
-	applyCommand(t, l, writeCommand(endpointOf("a", 5), endpointOf("b", 6)))
-	line = l.lines[1].byPartition
+	applyCommand(t, f, writeCommand(endpointOf("a", 5), endpointOf("b", 6)))
+	line = f.lines[1].byPartition
 	if out, err := line.encodeFor(others); out != nil || err != nil {
 		t.Errorf("%s, %v", out, err)
 	}
@@ -627,20 +627,20 @@
 	for _, omitLine := range []bool{false, true} {
 		found := 0
 		rapid.Check(t, func(rt *rapid.T) {
-			l := newBootstrappedFSM(t)
+			f := newBootstrappedFSM(t)
 			set := setOf(rapid.SliceOfN(rapid.IntRange(0, 5), 1, 4).Draw(rt, "set")...)
 			skip := rapid.IntRange(0, 3).Draw(rt, "left out")
 			have := map[string]catalog.Endpoint{}
-			at, _ := l.position()
+			at, _ := f.position()
 			number := int64(0)
 			for range 30 {
 				switch rapid.IntRange(0, 7).Draw(rt, "command") {
 				case 0:
 					number++
-					applyCommand(t, l, catalog.Command{Acquire: &catalog.RecordOp{Name: ownership.RecordName, Holder: "w", Value: encodedMap(t, number), SetValue: true}})
+					applyCommand(t, f, catalog.Command{Acquire: &catalog.RecordOp{Name: ownership.RecordName, Holder: "w", Value: encodedMap(t, number), SetValue: true}})
 				case 1: // a snapshot from another replica
 					other := newBootstrappedFSM(t)
-					raw, err := EncodeBackup(l.state.Image())
+					raw, err := EncodeBackup(f.state.Image())
 					if err == nil {
 						err = other.Restore(io.NopCloser(bytes.NewReader(raw)))
 					}
@@ -649,7 +649,7 @@
 					}
 					applyCommand(t, other, writeCommand(endpointOf("s", rapid.IntRange(0, 5).Draw(rt, "cell"))))
 					if raw, err = EncodeBackup(other.state.Image()); err == nil {
-						err = l.Restore(io.NopCloser(bytes.NewReader(raw)))
+						err = f.Restore(io.NopCloser(bytes.NewReader(raw)))
 					}
 					if err != nil {
 						rt.Fatal(err)
@@ -661,32 +661,32 @@
 						e.Phase = rapid.SampledFrom([]string{catalog.Serving, catalog.Draining, catalog.Deleted}).Draw(rt, "phase")
 						all = append(all, e)
 					}
-					applyCommand(t, l, writeCommand(all...))
+					applyCommand(t, f, writeCommand(all...))
 				}
-				lines, currentNumber, _, ok := l.linesAfter(at)
+				lines, currentNumber, _, ok := f.linesAfter(at)
 				if !ok && at.revision > 0 {
 					rt.Fatalf("the lines after %+v are unknown", at)
 				}
 				if !ok { // a snapshot before the first write
 					lines = nil
-					raw, now, _, err := l.encodePartitions(0, set)
+					raw, current, _, err := f.encodePartitions(0, set)
 					var list catalog.List
 					if err := errors.Join(err, json.Unmarshal(raw, &list)); err != nil {
 						rt.Fatal(err)
 					}
-					for at = now; len(list.Members) > 0; list.Members = list.Members[1:] {
+					for at = current; len(list.Members) > 0; list.Members = list.Members[1:] {
 						have[list.Members[0].ID] = list.Members[0]
 					}
 				}
 				if currentNumber != number && ok {
 					rt.Fatalf("the map number is %d, reported is %d", number, currentNumber)
 				}
-				for _, one := range lines {
-					raw, err := one.byPartition.encodeFor(set)
+				for _, line := range lines {
+					raw, err := line.byPartition.encodeFor(set)
 					if err != nil {
 						rt.Fatal(err)
 					}
-					at.revision = one.revision
+					at.revision = line.revision
 					if raw == nil {
 						continue
 					}
@@ -694,23 +694,23 @@
 					if err := json.Unmarshal(raw, &list); err != nil || len(list.Members) == 0 {
 						rt.Fatalf("%s: %v", raw, err)
 					}
-					if again, err := json.Marshal(list); err != nil || string(again)+"\n" != string(raw) || list.Map != one.byPartition.mapNumber {
+					if again, err := json.Marshal(list); err != nil || string(again)+"\n" != string(raw) || list.Map != line.byPartition.mapNumber {
 						rt.Fatalf("%s differs from an encoded list: %s, %v", raw, again, err)
 					}
-					was := maps.Clone(have)
+					before := maps.Clone(have)
 					for _, m := range list.Members {
 						if have[m.ID] = m; m.Phase == catalog.Deleted {
 							delete(have, m.ID)
 						}
 					}
-					if omitLine && !maps.Equal(was, have) {
+					if omitLine && !maps.Equal(before, have) {
 						if skip--; skip == -1 {
-							have = was
+							have = before
 						}
 					}
 				}
 				want := map[string]catalog.Endpoint{}
-				for _, m := range l.state.FullList().Members {
+				for _, m := range f.state.FullList().Members {
 					if set.Has(ownership.PartitionOf(m.Cell)) {
 						want[m.ID] = m
 					}
@@ -736,12 +736,12 @@
 // A change from an older build's snapshot does not record which endpoints left a partition. The watch must be
 // cut, and the next request must get the complete list.
 func TestOlderSnapshotCutsPartitionWatches(t *testing.T) {
-	l := newBootstrappedFSM(t)
-	applyCommand(t, l, writeCommand(endpointOf("a", 1)))
-	at, _ := l.position()
+	f := newBootstrappedFSM(t)
+	applyCommand(t, f, writeCommand(endpointOf("a", 1)))
+	at, _ := f.position()
 	other := newBootstrappedFSM(t)
 	other.state = func() *catalog.State {
-		i := l.state.Image()
+		i := f.state.Image()
 		s, err := catalog.Load(i)
 		if err != nil {
 			t.Fatal(err)
@@ -755,19 +755,19 @@
 	}
 	raw, err := EncodeBackup(image)
 	if err == nil {
-		err = l.Restore(io.NopCloser(bytes.NewReader(raw)))
+		err = f.Restore(io.NopCloser(bytes.NewReader(raw)))
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines, _, _, ok := l.linesAfter(at)
+	lines, _, _, ok := f.linesAfter(at)
 	if !ok || len(lines) != 1 {
 		t.Fatalf("lines since: %v, %v", lines, ok)
 	}
 	if _, err := lines[0].byPartition.encodeFor(setOf(1)); !errors.Is(err, errMovesUnknown) {
 		t.Errorf("error %v, want errMovesUnknown", err)
 	}
-	body, _, _, err := l.encodePartitions(at.revision, setOf(1))
+	body, _, _, err := f.encodePartitions(at.revision, setOf(1))
 	if want := `{"revision":2,"complete":true,"members":[]}` + "\n"; err != nil || string(body) != want {
 		t.Errorf("the next request gets %s, %v", body, err)
 	}
@@ -778,7 +778,7 @@
 func BenchmarkChangeForWatches(b *testing.B) {
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := newBootstrappedFSM(b)
+			f := newBootstrappedFSM(b)
 			for first := 0; first < n; first += 10_000 {
 				var all []catalog.Endpoint
 				for i := first; i < first+10_000; i++ {
@@ -786,7 +786,7 @@
 				}
 				c := writeCommand(all...)
 				c.Write.MaxEndpoints = catalog.MaxEndpoints
-				applyCommand(b, l, c)
+				applyCommand(b, f, c)
 			}
 			sets := make([]*ownership.Set, 820)
 			for i := range sets {
@@ -801,8 +801,8 @@
 			for i := range b.N {
 				b.StopTimer()
 				c.Write.Members[0].UpSince = int64(i + 1)
-				applyCommand(b, l, c)
-				line := l.lines[len(l.lines)-1]
+				applyCommand(b, f, c)
+				line := f.lines[len(f.lines)-1]
 				b.StartTimer()
 				for _, s := range sets {
 					if _, err := line.byPartition.encodeFor(s); err != nil {
