--- a/fleet/catalog/list.go
+++ b/fleet/catalog/list.go
@@ -50,7 +50,7 @@
 	Revision int64      `json:"revision"`
 	Complete bool       `json:"complete"`
 	Members  []Endpoint `json:"members"`
-	Map      int64      `json:"map,omitempty"` // number of the partition map; only in lists of some partitions
+	Map      int64      `json:"map,omitempty"` // number of the ownership map; only in lists of some partitions
 }
 
 // Validate checks an endpoint that is to be listed.
--- a/internal/directory/admin.go
+++ b/internal/directory/admin.go
@@ -30,7 +30,7 @@
 	Held                *catalog.HeldWrite `json:"held,omitempty"`
 	SourceSilentSinceMS int64              `json:"silent_since_ms,omitempty"` // Unix ms since when the source of the list has been silent
 	Follows             string             `json:"follows,omitempty"`
-	MapNumber           int64              `json:"map,omitempty"`       // number of the partition map in force; 0: none
+	MapNumber           int64              `json:"map,omitempty"`       // number of the ownership map in force; 0: none
 	MapError            string             `json:"map_wrong,omitempty"` // why the current value of the map's record is not in force
 	Applied             uint64             `json:"applied"`
 	Members             []MemberState      `json:"members"`
--- a/internal/directory/ledger.go
+++ b/internal/directory/ledger.go
@@ -68,7 +68,7 @@
 	return r
 }
 
-// isMapRecord reports whether an operation may have changed the record of the partition map.
+// isMapRecord reports whether an operation may have changed the record of the ownership map.
 func isMapRecord(h *catalog.RecordOp) bool { return h != nil && h.Name == ownership.RecordName }
 
 // encodeChanges encodes the changes after a revision for the watches. The caller holds the lock.
@@ -211,7 +211,7 @@
 	return nil, false
 }
 
-// linesAfter returns the lines after a position, the number of the partition map, and a channel that is
+// linesAfter returns the lines after a position, the number of the ownership map, and a channel that is
 // closed when there are more. It returns false if the position belongs to another history, or its lines are
 // no longer kept; such a watch is cut.
 func (f *fsm) linesAfter(p position) ([]changeLine, int64, <-chan struct{}, bool) {
--- a/internal/directory/metrics.go
+++ b/internal/directory/metrics.go
@@ -60,8 +60,8 @@
 			}
 			return 1
 		})),
-		gauge("directory_map_number", "Number of the partition map in force at this replica; 0: none.", func() float64 { return float64(s.replica.fsm.currentMap().number) }),
-		gauge("directory_map_wrong", "1 if the record of the partition map holds an invalid value.", func() float64 {
+		gauge("directory_map_number", "Number of the ownership map in force at this replica; 0: none.", func() float64 { return float64(s.replica.fsm.currentMap().number) }),
+		gauge("directory_map_wrong", "1 if the record of the ownership map holds an invalid value.", func() float64 {
 			if s.replica.fsm.currentMap().invalid != "" {
 				return 1
 			}
--- a/internal/directory/operator.go
+++ b/internal/directory/operator.go
@@ -39,24 +39,24 @@
 	Held       int64
 }
 
-func (r *ResponseError) Error() string { return r.Message }
+func (e *ResponseError) Error() string { return e.Message }
 
 // Unwrap maps the response to ErrAmbiguous, ErrRefused or an error of package catalog.
-func (r *ResponseError) Unwrap() error {
+func (e *ResponseError) Unwrap() error {
 	switch {
-	case r.Outcome == "unknown":
+	case e.Outcome == "unknown":
 		return ErrAmbiguous
-	case r.StatusCode == http.StatusPreconditionFailed:
+	case e.StatusCode == http.StatusPreconditionFailed:
 		return catalog.ErrConflict
-	case r.StatusCode == http.StatusAccepted:
+	case e.StatusCode == http.StatusAccepted:
 		return catalog.ErrHeld
-	case r.StatusCode == http.StatusNotFound:
+	case e.StatusCode == http.StatusNotFound:
 		return catalog.ErrNotFound
-	case r.StatusCode == http.StatusConflict:
+	case e.StatusCode == http.StatusConflict:
 		return catalog.ErrNotHolder
-	case r.StatusCode == http.StatusBadRequest:
+	case e.StatusCode == http.StatusBadRequest:
 		return catalog.ErrInvalid
-	case r.StatusCode == http.StatusInsufficientStorage: // a retry would not help
+	case e.StatusCode == http.StatusInsufficientStorage: // a retry would not help
 		return catalog.ErrFull
 	}
 	return ErrRefused
@@ -66,21 +66,21 @@
 
 // Do sends a request to one replica after another until one serves it, and returns the response body. It does
 // not repeat a write with an ambiguous outcome.
-func (o *AdminClient) Do(ctx context.Context, method, path, match string, body []byte) ([]byte, http.Header, error) {
-	if len(o.Addresses) == 0 {
+func (c *AdminClient) Do(ctx context.Context, method, path, match string, body []byte) ([]byte, http.Header, error) {
+	if len(c.Addresses) == 0 {
 		return nil, nil, fmt.Errorf("%w: no replica address", ErrRefused)
 	}
-	deadline := time.Now().Add(o.RetryFor)
+	deadline := time.Now().Add(c.RetryFor)
 	for {
 		var errs []error
-		for range o.Addresses {
-			address := o.Addresses[o.current%len(o.Addresses)]
-			raw, header, err := o.send(ctx, address, method, path, match, body)
+		for range c.Addresses {
+			address := c.Addresses[c.current%len(c.Addresses)]
+			raw, header, err := c.send(ctx, address, method, path, match, body)
 			if err == nil || !errors.Is(err, ErrRefused) || ctx.Err() != nil {
 				return raw, header, err
 			}
 			errs = append(errs, fmt.Errorf("%s: %w", address, err))
-			o.current++
+			c.current++
 		}
 		if time.Now().After(deadline) || !registry.Sleep(ctx, retryPause) {
 			return nil, nil, errors.Join(errs...)
@@ -88,17 +88,17 @@
 	}
 }
 
-func (o *AdminClient) send(ctx context.Context, address, method, path, match string, body []byte) ([]byte, http.Header, error) {
+func (c *AdminClient) send(ctx context.Context, address, method, path, match string, body []byte) ([]byte, http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, err
 	}
-	for name, v := range map[string]string{"If-Match": match, "Registry-By": o.By, "Registry-Why": o.Reason} {
+	for name, v := range map[string]string{"If-Match": match, "Registry-By": c.By, "Registry-Why": c.Reason} {
 		if v != "" {
 			req.Header.Set(name, v)
 		}
 	}
-	client := o.HTTPClient
+	client := c.HTTPClient
 	if client == nil {
 		client = http.DefaultClient
 	}
@@ -126,7 +126,7 @@
 }
 
 // call sends a request with a JSON body and decodes the response.
-func (o *AdminClient) call(ctx context.Context, v any, method, path, match string, body any) error {
+func (c *AdminClient) call(ctx context.Context, v any, method, path, match string, body any) error {
 	var raw []byte
 	if body != nil {
 		var err error
@@ -134,7 +134,7 @@
 			return err
 		}
 	}
-	raw, _, err := o.Do(ctx, method, path, match, raw)
+	raw, _, err := c.Do(ctx, method, path, match, raw)
 	if err != nil || v == nil {
 		return err
 	}
@@ -142,19 +142,19 @@
 }
 
 // Status returns the status of one replica.
-func (o *AdminClient) Status(ctx context.Context) (Status, error) {
+func (c *AdminClient) Status(ctx context.Context) (Status, error) {
 	var status Status
-	return status, o.call(ctx, &status, http.MethodGet, "/directory/status", "", nil)
+	return status, c.call(ctx, &status, http.MethodGet, "/directory/status", "", nil)
 }
 
 // List reads the complete list, and the If-Match value for a write that is based on it. A fresh list includes
 // every write acknowledged before; otherwise it is what some replica has.
-func (o *AdminClient) List(ctx context.Context, fresh bool) (catalog.List, string, http.Header, error) {
+func (c *AdminClient) List(ctx context.Context, fresh bool) (catalog.List, string, http.Header, error) {
 	path := "/registry/instances"
 	if fresh {
 		path += "?fresh=1"
 	}
-	raw, header, err := o.Do(ctx, http.MethodGet, path, "", nil)
+	raw, header, err := c.Do(ctx, http.MethodGet, path, "", nil)
 	if err != nil {
 		return catalog.List{}, "", header, err
 	}
@@ -173,7 +173,7 @@
 
 // Put writes endpoints, and removes those of phase Deleted; with whole it removes all others as well. match
 // is the If-Match value.
-func (o *AdminClient) Put(ctx context.Context, members []catalog.Endpoint, replace, confirm bool, match string) (WriteResult, error) {
+func (c *AdminClient) Put(ctx context.Context, members []catalog.Endpoint, replace, confirm bool, match string) (WriteResult, error) {
 	method, path := http.MethodPost, "/registry/instances"
 	if replace {
 		method = http.MethodPut
@@ -182,22 +182,22 @@
 		path += "?confirm=1"
 	}
 	var w WriteResult
-	return w, o.call(ctx, &w, method, path, match, map[string]any{"members": append([]catalog.Endpoint{}, members...)})
+	return w, c.call(ctx, &w, method, path, match, map[string]any{"members": append([]catalog.Endpoint{}, members...)})
 }
 
 // Drain drains an endpoint, whatever else has changed.
-func (o *AdminClient) Drain(ctx context.Context, id string) (WriteResult, error) {
+func (c *AdminClient) Drain(ctx context.Context, id string) (WriteResult, error) {
 	var w WriteResult
-	return w, o.call(ctx, &w, http.MethodPost, "/registry/instances/"+url.PathEscape(id)+"/drain", "*", nil)
+	return w, c.call(ctx, &w, http.MethodPost, "/registry/instances/"+url.PathEscape(id)+"/drain", "*", nil)
 }
 
 // Confirm applies the held write with a number, or drops it.
-func (o *AdminClient) Confirm(ctx context.Context, number int64, drop bool) error {
+func (c *AdminClient) Confirm(ctx context.Context, number int64, drop bool) error {
 	path := "/directory/held/" + strconv.FormatInt(number, 10)
 	if drop {
 		path += "?drop=1"
 	}
-	return o.call(ctx, nil, http.MethodPost, path, "", nil)
+	return c.call(ctx, nil, http.MethodPost, path, "", nil)
 }
 
 // ChangeHistory holds consecutive changes of the list.
@@ -209,19 +209,19 @@
 }
 
 // History reads changes after a revision, or the latest ones if it is negative.
-func (o *AdminClient) History(ctx context.Context, after int64, limit int) (ChangeHistory, error) {
-	var c ChangeHistory
-	return c, o.call(ctx, &c, http.MethodGet, fmt.Sprintf("/directory/history?after=%d&limit=%d", after, limit), "", nil)
+func (c *AdminClient) History(ctx context.Context, after int64, limit int) (ChangeHistory, error) {
+	var history ChangeHistory
+	return history, c.call(ctx, &history, http.MethodGet, fmt.Sprintf("/directory/history?after=%d&limit=%d", after, limit), "", nil)
 }
 
 // Backup reads and verifies a backup of the state: of the current state if fresh, else of what some replica
 // has.
-func (o *AdminClient) Backup(ctx context.Context, fresh bool) ([]byte, catalog.Image, error) {
+func (c *AdminClient) Backup(ctx context.Context, fresh bool) ([]byte, catalog.Image, error) {
 	path := "/directory/backup"
 	if fresh {
 		path += "?fresh=1"
 	}
-	raw, _, err := o.Do(ctx, http.MethodGet, path, "", nil)
+	raw, _, err := c.Do(ctx, http.MethodGet, path, "", nil)
 	if err != nil {
 		return nil, catalog.Image{}, err
 	}
@@ -230,11 +230,11 @@
 }
 
 // Restore replaces the list and the records by those of a backup, in a new history.
-func (o *AdminClient) Restore(ctx context.Context, raw []byte) (WriteResult, error) {
+func (c *AdminClient) Restore(ctx context.Context, raw []byte) (WriteResult, error) {
 	if _, err := DecodeBackup(bytes.NewReader(raw)); err != nil {
 		return WriteResult{}, err
 	}
-	response, _, err := o.Do(ctx, http.MethodPost, "/directory/restore", "", raw)
+	response, _, err := c.Do(ctx, http.MethodPost, "/directory/restore", "", raw)
 	if err != nil {
 		return WriteResult{}, err
 	}
@@ -243,13 +243,13 @@
 }
 
 // AddReplica allows a replica to join the service.
-func (o *AdminClient) AddReplica(ctx context.Context, r catalog.Replica) error {
-	return o.call(ctx, nil, http.MethodPut, "/directory/members/"+url.PathEscape(r.ID), "", r)
+func (c *AdminClient) AddReplica(ctx context.Context, r catalog.Replica) error {
+	return c.call(ctx, nil, http.MethodPut, "/directory/members/"+url.PathEscape(r.ID), "", r)
 }
 
 // RemoveReplica removes a replica from the service.
-func (o *AdminClient) RemoveReplica(ctx context.Context, id string) error {
-	return o.call(ctx, nil, http.MethodDelete, "/directory/members/"+url.PathEscape(id), "", nil)
+func (c *AdminClient) RemoveReplica(ctx context.Context, id string) error {
+	return c.call(ctx, nil, http.MethodDelete, "/directory/members/"+url.PathEscape(id), "", nil)
 }
 
 // Diff returns the endpoints that a write would change, as they would become, sorted by ID.
--- a/internal/directory/parts.go
+++ b/internal/directory/parts.go
@@ -19,7 +19,7 @@
 // encoded once, when a watch first needs it. It is safe for concurrent use.
 type partitionLine struct {
 	change    catalog.Change // shares its members with the state, which never modifies them
-	mapNumber int64          // of the partition map when the change was made
+	mapNumber int64          // of the ownership map when the change was made
 
 	split      sync.Once
 	movesKnown bool
@@ -126,14 +126,14 @@
 	return append(body, '\n'), pos, list.Map, nil
 }
 
-// mapStatus is this replica's knowledge of the partition map. It depends on the record's values so far.
+// mapStatus is this replica's knowledge of the ownership map. It depends on the record's values so far.
 type mapStatus struct {
 	history int64  // that the map belongs to
 	number  int64  // of the newest valid map; 0: none
 	invalid string // why the record's current value is not in force; empty if it is, or if there is none
 }
 
-// updateMap reads the record of the partition map. It ignores a value that is invalid or has a smaller
+// updateMap reads the record of the ownership map. It ignores a value that is invalid or has a smaller
 // number, so the older map stays in force. The caller holds the lock.
 func (f *fsm) updateMap() {
 	if h := f.state.History(); h != f.mapStatus.history {
@@ -155,7 +155,7 @@
 	}
 }
 
-// currentMap returns this replica's knowledge of the partition map.
+// currentMap returns this replica's knowledge of the ownership map.
 func (f *fsm) currentMap() mapStatus {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
--- a/internal/directory/server.go
+++ b/internal/directory/server.go
@@ -25,7 +25,7 @@
 	HeaderAge        = "Registry-Age-Ms"     // time since the replica's last contact with the leader
 	HeaderVouched    = "Registry-Vouched"    // "no": the source of the list has gone silent
 	HeaderPartitions = "Registry-Partitions" // in answers about some partitions: the number of partitions that the filter is based on
-	HeaderMap        = "Registry-Map"        // likewise: the number of the partition map, 0 for none
+	HeaderMap        = "Registry-Map"        // likewise: the number of the ownership map, 0 for none
 	headerForwarded  = "Registry-Passed-On"
 )
 
@@ -49,7 +49,7 @@
 	metrics    *metrics
 	http       http.Server
 	watches    watchSet
-	mapWrites  sync.Mutex // held from the validation of a new partition map until its outcome
+	mapWrites  sync.Mutex // held from the validation of a new ownership map until its outcome
 	goroutines sync.WaitGroup
 	cancel     context.CancelFunc
 }
--- a/internal/directory/watch.go
+++ b/internal/directory/watch.go
@@ -85,7 +85,7 @@
 	conn := &watchConn{controller: http.NewResponseController(w)}
 	var body []byte
 	var pos position
-	var mapNumber int64 // of the partition map that was sent last
+	var mapNumber int64 // of the ownership map that was sent last
 	var err error
 	if set != nil {
 		body, pos, mapNumber, err = s.replica.fsm.encodePartitions(after, set)
--- a/internal/registry/ownership.go
+++ b/internal/registry/ownership.go
@@ -17,15 +17,15 @@
 // fields around it.
 const maxMapResponse = catalog.MaxValueBytes*4/3 + 8<<10
 
-// ErrNoMap reports that a server has no partition map.
-var ErrNoMap = errors.New("the server has no partition map")
+// ErrNoMap reports that a server has no ownership map.
+var ErrNoMap = errors.New("the server has no ownership map")
 
-// FetchMap reads the newest partition map from one address after another, starting at a random one, until one
+// FetchMap reads the newest ownership map from one address after another, starting at a random one, until one
 // returns a map with at least the given number. Each address has 2.2 s and is asked once. The error lists the
 // failure of each address: ErrNoMap, ErrStale for a smaller number, or an error of ownership.Decode.
 func FetchMap(ctx context.Context, client *http.Client, addresses []string, minNumber int64) (*ownership.Map, error) {
 	if len(addresses) == 0 {
-		return nil, errors.New("partition map: no server address")
+		return nil, errors.New("ownership map: no server address")
 	}
 	var errs []error
 	start := rand.IntN(len(addresses))
@@ -38,7 +38,7 @@
 		if err == nil {
 			return m, nil
 		}
-		errs = append(errs, fmt.Errorf("partition map: %s: %w", addr, err))
+		errs = append(errs, fmt.Errorf("ownership map: %s: %w", addr, err))
 		if ctx.Err() != nil {
 			break
 		}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -73,7 +73,7 @@
 	Server   string // its address
 }
 
-// Update is a list, or the changes to one. Map is the number of the newest partition map that the server has,
+// Update is a list, or the changes to one. Map is the number of the newest ownership map that the server has,
 // 0 if there is none or the whole list was requested. An update without members only reports a new revision
 // or map number.
 type Update struct {
