--- a/fleet/experiment/formats_test.go
+++ b/fleet/experiment/formats_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"fmt"
 	"maps"
 	"reflect"
@@ -65,13 +66,13 @@
 	var b bytes.Buffer
 	writeTOML(&b, "", reflect.ValueOf(file))
 	text := golden.Check(t, "experiment.toml", b.Bytes())
-	if err := tomlfile.Decode(text, &got, unknown); err != nil || !reflect.DeepEqual(got, file) {
+	if err := tomlfile.Decode(text, &got, unknownName); err != nil || !reflect.DeepEqual(got, file) {
 		t.Errorf("decoded experiment %+v differs from %+v: %v", got, file, err)
 	}
 }
 
 func TestSettingsFormat(t *testing.T) {
-	p := parse(t, small).DrawPlan(1, 0)
+	p := parse(t, smallExperiment).DrawPlan(1, 0)
 	raw, err := p.Settings(1)
 	if err != nil {
 		t.Fatal(err)
@@ -83,3 +84,14 @@
 	names := slices.Sorted(maps.Keys(FaultKinds))
 	golden.Check(t, "faults.txt", []byte(strings.Join(names, "\n")+"\n"))
 }
+
+// `cottonrack lab check --json` prints a plan; nothing reads it back.
+func TestPlanFormat(t *testing.T) {
+	var plan Plan
+	golden.Fill(&plan)
+	raw, err := json.MarshalIndent(plan, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "plan.json", raw)
+}
--- a/fleet/ownership/agree.go
+++ b/fleet/ownership/agree.go
@@ -26,16 +26,15 @@
 	// undecodable record replaced, by a first map. 0: none.
 	AboveNumber int64
 
-	state   stage
-	seq     int
-	token   int64
-	writing *Map
-	raw     []byte // encoded map that was written and whose write is ambiguous; nil: none
-	sought  *Map   // the same map, decoded
-	unsure  int64  // number of an earlier map whose write is ambiguous; 0: none
-	done    *Map
-	err     error // why there is no result
-	why     error // why the last action was refused
+	stage           stage
+	seq             int
+	token           int64
+	encoded         []byte // encoded map that was written and whose write is ambiguous; nil: none
+	candidate       *Map   // the same map, decoded
+	ambiguousNumber int64  // number of an earlier map whose write is ambiguous; 0: none
+	result          *Map
+	err             error // why there is no result
+	lastRefusal     error // why the last action was refused
 }
 
 type stage int
@@ -98,121 +97,121 @@
 var ErrAmbiguous = errors.New("a map may have been written, or may yet be written")
 
 // Begin returns the first action.
-func (a *Publisher) Begin() Action { return a.next(acquiring) }
+func (p *Publisher) Begin() Action { return p.enter(acquiring) }
 
 // enter returns the action that begins a stage.
-func (a *Publisher) next(s stage) Action {
-	a.state = s
-	a.seq++
+func (p *Publisher) enter(s stage) Action {
+	p.stage = s
+	p.seq++
 	switch s {
 	case acquiring:
-		a.token = 0
-		return Action{Seq: a.seq, Operation: Acquire}
+		p.token = 0
+		return Action{Seq: p.seq, Operation: Acquire}
 	case reading:
-		return Action{Seq: a.seq, Operation: Read}
+		return Action{Seq: p.seq, Operation: Read}
 	case updating:
-		return Action{Seq: a.seq, Operation: Update, Token: a.token, Value: a.raw}
+		return Action{Seq: p.seq, Operation: Update, Token: p.token, Value: p.encoded}
 	case releasing:
-		if a.token != 0 {
-			return Action{Seq: a.seq, Operation: Release, Token: a.token}
+		if p.token != 0 {
+			return Action{Seq: p.seq, Operation: Release, Token: p.token}
 		}
 	}
-	a.state = ended
-	return Action{Seq: a.seq, Operation: End, Map: a.done, Err: a.err}
+	p.stage = ended
+	return Action{Seq: p.seq, Operation: End, Map: p.result, Err: p.err}
 }
 
 // Step takes an answer and returns the next action; false if the answer is not for the action in progress.
-func (a *Publisher) Step(ans Answer) (Action, bool) {
-	if ans.Seq != a.seq || a.state == idle || a.state == ended {
+func (p *Publisher) Step(ans Answer) (Action, bool) {
+	if ans.Seq != p.seq || p.stage == idle || p.stage == ended {
 		return Action{}, false
 	}
-	if ans.Outcome == TimedOut && a.state != releasing {
-		return a.giveUp(), true
+	if ans.Outcome == TimedOut && p.stage != releasing {
+		return p.timeOut(), true
 	}
-	switch a.state {
+	switch p.stage {
 	case acquiring:
 		if ans.Outcome != Done {
-			a.why = ans.Err
-			return a.next(acquiring), true
+			p.lastRefusal = ans.Err
+			return p.enter(acquiring), true
 		}
-		a.token = ans.Token
-		return a.next(reading), true
+		p.token = ans.Token
+		return p.enter(reading), true
 	case reading:
 		switch ans.Outcome {
 		case Done:
-			return a.plan(ans.Value), true
+			return p.planNext(ans.Value), true
 		case LeaseLost:
-			return a.next(acquiring), true
+			return p.enter(acquiring), true
 		}
-		return a.next(reading), true
+		return p.enter(reading), true
 	case updating:
 		switch ans.Outcome {
 		case Done:
-			a.done, a.err = a.sought, nil
-			return a.next(releasing), true
+			p.result, p.err = p.candidate, nil
+			return p.enter(releasing), true
 		case Refused:
-			a.raw, a.sought, a.why = nil, nil, ans.Err
+			p.encoded, p.candidate, p.lastRefusal = nil, nil, ans.Err
 			if errors.Is(ans.Err, ErrInvalid) {
-				return a.fail(ans.Err), true
+				return p.abort(ans.Err), true
 			}
 		}
-		return a.next(acquiring), true
+		return p.enter(acquiring), true
 	}
-	return a.next(ended), true // was releasing
+	return p.enter(ended), true // was releasing
 }
 
-func (a *Publisher) giveUp() Action {
-	if a.sought != nil {
-		a.unsure = a.sought.Number
+func (p *Publisher) timeOut() Action {
+	if p.candidate != nil {
+		p.ambiguousNumber = p.candidate.Number
 	}
 	err := errors.New("out of time")
-	if a.why != nil {
-		err = fmt.Errorf("%w: %w", err, a.why)
+	if p.lastRefusal != nil {
+		err = fmt.Errorf("%w: %w", err, p.lastRefusal)
 	}
-	return a.fail(err)
+	return p.abort(err)
 }
 
-func (a *Publisher) fail(err error) Action {
-	a.err = err
-	if a.unsure > 0 {
-		a.err = fmt.Errorf("%w; map %d: %w", err, a.unsure, ErrAmbiguous)
+func (p *Publisher) abort(err error) Action {
+	p.err = err
+	if p.ambiguousNumber > 0 {
+		p.err = fmt.Errorf("%w; map %d: %w", err, p.ambiguousNumber, ErrAmbiguous)
 	}
-	return a.next(releasing)
+	return p.enter(releasing)
 }
 
 // planNext continues from the value that was read under the current token.
-func (a *Publisher) plan(value []byte) Action {
-	if a.sought != nil && bytes.Equal(value, a.raw) {
-		a.done = a.sought
-		return a.next(releasing)
+func (p *Publisher) planNext(value []byte) Action {
+	if p.candidate != nil && bytes.Equal(value, p.encoded) {
+		p.result = p.candidate
+		return p.enter(releasing)
 	}
-	var before *Map
-	var unread error
-	number := a.AboveNumber
+	var previous *Map
+	var decodeErr error
+	number := p.AboveNumber
 	if value != nil {
-		if before, unread = Decode(value); unread == nil {
-			number = max(number, before.Number)
+		if previous, decodeErr = Decode(value); decodeErr == nil {
+			number = max(number, previous.Number)
 		}
 	}
-	if a.sought != nil && value != nil && (before == nil || before.Number >= a.sought.Number) {
-		a.unsure = a.sought.Number // another map was written after it; otherwise it did not take effect and, its token being invalid, never will
+	if p.candidate != nil && value != nil && (previous == nil || previous.Number >= p.candidate.Number) {
+		p.ambiguousNumber = p.candidate.Number // another map was written after it; otherwise it did not take effect and, its token being invalid, never will
 	}
-	if unread != nil && a.AboveNumber == 0 {
-		return a.fail(fmt.Errorf("decode record %s: %w", RecordName, unread))
+	if decodeErr != nil && p.AboveNumber == 0 {
+		return p.abort(fmt.Errorf("decode record %s: %w", RecordName, decodeErr))
 	}
-	a.raw, a.sought = nil, nil
-	m, err := a.Plan(number+1, before)
+	p.encoded, p.candidate = nil, nil
+	m, err := p.Plan(number+1, previous)
 	if err != nil {
-		return a.fail(err)
+		return p.abort(err)
 	}
-	if m == before {
-		a.done = before
-		return a.next(releasing)
+	if m == previous {
+		p.result = previous
+		return p.enter(releasing)
 	}
 	raw, err := m.Encode()
 	if err != nil {
-		return a.fail(err)
+		return p.abort(err)
 	}
-	a.raw, a.sought = raw, m
-	return a.next(updating)
+	p.encoded, p.candidate = raw, m
+	return p.enter(updating)
 }
