--- a/cmd/cottonrack/scale.go
+++ b/cmd/cottonrack/scale.go
@@ -99,11 +99,11 @@
 	if err != nil {
 		return err
 	}
-	if passing && len(res.Expectations) > 0 && res.Met {
+	if passing && len(res.Expectations) > 0 && res.Passed {
 		return os.RemoveAll(opts.Dir)
 	}
 	fmt.Fprintf(a.err, "results: %s\n", opts.Dir)
-	if !res.Met {
+	if !res.Passed {
 		return errNotKept
 	}
 	return nil
@@ -192,13 +192,13 @@
 
 func printScale(w io.Writer, res *scale.Result) error {
 	verdict := "kept"
-	if !res.Met {
+	if !res.Passed {
 		verdict = "NOT KEPT"
 	}
-	if len(res.Expectations) == 0 && res.Met {
+	if len(res.Expectations) == 0 && res.Passed {
 		verdict = "played"
 	}
-	fmt.Fprintf(w, "%s: %s. %d points of %s, %d plays each; %d spoilt by the machine, %d failed\n", res.Name, verdict, len(res.Points), res.Axis, res.Plays, res.Disturbed, res.Failed)
+	fmt.Fprintf(w, "%s: %s. %d points of %s, %d plays each; %d spoilt by the machine, %d failed\n", res.Name, verdict, len(res.Points), res.Axis, res.Plays, res.Invalid, res.Failed)
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\tunit\tform\tat 0\tslope\tsquare\tspread\tfrom\tto\tworst")
 	for _, f := range res.Fits {
@@ -219,7 +219,7 @@
 		if k.Failure != "" {
 			fmt.Fprintf(w, "  failed at %g, play %d: %s\n", k.X, k.Play, k.Failure)
 		}
-		for _, why := range k.Disturbances() {
+		for _, why := range k.InvalidReasons() {
 			fmt.Fprintf(w, "  spoilt at %g, play %d: %s\n", k.X, k.Play, why)
 		}
 	}
--- a/internal/lab/scale/burden/burden_test.go
+++ b/internal/lab/scale/burden/burden_test.go
@@ -42,8 +42,8 @@
 			t.Errorf("%s is read and not declared", id)
 		}
 	}
-	if len(r.Disturbed) > 0 {
-		t.Errorf("spoilt: %v", r.Disturbed)
+	if len(r.Invalid) > 0 {
+		t.Errorf("spoilt: %v", r.Invalid)
 	}
 	return r
 }
--- a/internal/lab/scale/hollow/changes.go
+++ b/internal/lab/scale/hollow/changes.go
@@ -164,7 +164,7 @@
 	r.SetCount("written", float64(written))
 	r.SetCount("behind", behind.Seconds())
 	if due := float64(int(rate * lasts.Seconds())); float64(written) < due*lateWrites {
-		r.AddDisturbance("%d of %v changes were written in time", written, due)
+		r.MarkInvalid("%d of %v changes were written in time", written, due)
 	}
 	if bytes[0].conns == nodes && bytes[1].conns == nodes {
 		d := bytes[1].sub(bytes[0])
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -363,7 +363,7 @@
 			t.Errorf("%s is %v (read: %v)", m.ID, v, ok)
 		}
 	}
-	t.Log(a.Name, x, r.Values, r.Counts, r.Disturbed, r.Notes)
+	t.Log(a.Name, x, r.Values, r.Counts, r.Invalid, r.Notes)
 	return r
 }
 
--- a/internal/lab/scale/play/play.go
+++ b/internal/lab/scale/play/play.go
@@ -31,10 +31,10 @@
 
 // Reading is what a play has read.
 type Reading struct {
-	Values    map[string]float64 `json:"values"` // by the ID of a Measure, in its Unit; a figure that could not be read is missing
-	Counts    map[string]float64 `json:"counts"` // further facts by name, which are reported and not fitted
-	Disturbed []string           `json:"spoilt"` // why the play must not be fitted: the machine fell short
-	Notes     []string           `json:"notes"`  // remarks on the point; LimitNotePrefix marks a reached limit
+	Values  map[string]float64 `json:"values"` // by the ID of a Measure, in its Unit; a figure that could not be read is missing
+	Counts  map[string]float64 `json:"counts"` // further facts by name, which are reported and not fitted
+	Invalid []string           `json:"spoilt"` // why the play must not be fitted: the machine fell short
+	Notes   []string           `json:"notes"`  // remarks on the point; LimitNotePrefix marks a reached limit
 }
 
 // LimitNotePrefix starts the note of a play that reached a limit of today's program, such as a cap; the
@@ -52,8 +52,8 @@
 }
 
 // AddDisturbance notes that the machine fell short, and how.
-func (r *Reading) AddDisturbance(format string, args ...any) {
-	r.Disturbed = append(r.Disturbed, fmt.Sprintf(format, args...))
+func (r *Reading) MarkInvalid(format string, args ...any) {
+	r.Invalid = append(r.Invalid, fmt.Sprintf(format, args...))
 }
 
 // SetValue sets a figure.
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -94,7 +94,7 @@
 		if k.Failure != "" {
 			bad = append(bad, at+"failed: "+k.Failure)
 		}
-		for _, why := range k.Disturbances() {
+		for _, why := range k.InvalidReasons() {
 			bad = append(bad, at+"disturbed: "+why)
 		}
 		for _, n := range k.Reading.Notes {
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -36,9 +36,9 @@
 	Fits         []Fit               `json:"fits"`
 	Limits       []ReachedLimit      `json:"ends,omitempty"` // points past which today's program can't go
 	Failed       int                 `json:"failed"`         // number of plays that failed
-	Disturbed    int                 `json:"spoilt"`         // number of plays disturbed by the machine or other programs
+	Invalid      int                 `json:"spoilt"`         // number of plays disturbed by the machine or other programs
 	Expectations []ExpectationResult `json:"expected,omitempty"`
-	Met          bool                `json:"kept"` // no play failed, and each expectation was met
+	Passed       bool                `json:"kept"` // no play failed, and each expectation was met
 	Records      []Record            `json:"plays_of_points"`
 }
 
@@ -90,8 +90,8 @@
 		res.PlaySeconds += k.TookSeconds
 		if k.Failure != "" {
 			res.Failed++
-		} else if len(k.Disturbances()) > 0 {
-			res.Disturbed++
+		} else if len(k.InvalidReasons()) > 0 {
+			res.Invalid++
 		}
 	}
 	res.PlaySeconds = math.Round(10*res.PlaySeconds) / 10
@@ -122,7 +122,7 @@
 		}
 		res.Fits = append(res.Fits, fit)
 	}
-	res.Met = res.Failed == 0
+	res.Passed = res.Failed == 0
 	for _, e := range f.Expectations {
 		for _, x := range f.Points {
 			if e.X == nil || *e.X == x {
@@ -200,7 +200,7 @@
 		kept.Got = formatNumber(slices.Min(got)) + " to " + formatNumber(slices.Max(got))
 	}
 	res.Expectations = append(res.Expectations, kept)
-	res.Met = res.Met && kept.Met
+	res.Passed = res.Passed && kept.Met
 }
 
 // Files returns the names of the result's files in its folder.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -173,7 +173,7 @@
 		return k, err
 	}
 	w := playMonitor{record: &k, before: before, seen: map[Process]bool{}}
-	if w.observe(before); len(k.MachineFaults) > 0 { // short of memory before the play has started
+	if w.observe(before); len(k.MachineReasons) > 0 { // short of memory before the play has started
 		return k, nil
 	}
 	fmt.Fprintf(r.log, "--- %s at %v, play %d, seed %d\n", r.file.Axis.Name, formatNumber(k.X), k.Play, k.Seed)
@@ -318,7 +318,7 @@
 		past = fmt.Sprintf("the machine had only %d MB of memory left", l.AvailableMemory>>20)
 	}
 	if past != "" {
-		k.MachineFaults = append(k.MachineFaults, past)
+		k.MachineReasons = append(k.MachineReasons, past)
 	}
 	return past
 }
@@ -329,10 +329,10 @@
 	k.CPUShares = cpuShares(w.before, after)
 	all := after.CPU.Total - w.before.CPU.Total
 	if k.CPUShares.Others*all-othersTickError > maxOthersShare*all {
-		k.MachineFaults = append(k.MachineFaults, fmt.Sprintf("other processes took %.0f%% of the cores (at most %.0f%%)", 100*k.CPUShares.Others, 100*maxOthersShare))
+		k.MachineReasons = append(k.MachineReasons, fmt.Sprintf("other processes took %.0f%% of the cores (at most %.0f%%)", 100*k.CPUShares.Others, 100*maxOthersShare))
 	}
 	if k.CPUShares.Idle < minIdleShare {
-		k.MachineFaults = append(k.MachineFaults, fmt.Sprintf("the cores were only %.1f%% idle (at least %.0f%%)", 100*k.CPUShares.Idle, 100*minIdleShare))
+		k.MachineReasons = append(k.MachineReasons, fmt.Sprintf("the cores were only %.1f%% idle (at least %.0f%%)", 100*k.CPUShares.Idle, 100*minIdleShare))
 	}
 }
 
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -105,7 +105,7 @@
 	r.SetCount("seed", float64(s.Seed))
 	switch mode := s.Settings["mode"]; {
 	case mode == spoils && s.Seed%2 == 0:
-		r.AddDisturbance("test disturbance")
+		r.MarkInvalid("test disturbance")
 	case mode == ends && s.X == 20:
 		r.AddLimit("a cap of %d", 19)
 	case mode == odd && s.X == 4:
@@ -273,7 +273,7 @@
 	var told []Progress
 	o.Progress = func(p Progress) { told = append(told, p) }
 	res := lookAt(t, f, o)
-	if !res.Met || res.Failed+res.Disturbed != 0 || len(res.Records) != 9 {
+	if !res.Passed || res.Failed+res.Invalid != 0 || len(res.Records) != 9 {
 		t.Fatalf("%+v", res)
 	}
 	s := slopeOf(t, res, "stub.bytes")
@@ -322,8 +322,8 @@
 	t.Run("by the play", func(t *testing.T) {
 		f := stubFile(t, spoils)
 		res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
-		if res.Disturbed != 4 || slopeOf(t, res, "stub.bytes") != nil { // seeds 1 to 9, the even ones are disturbed
-			t.Errorf("%d disturbed, slope %+v", res.Disturbed, slopeOf(t, res, "stub.bytes"))
+		if res.Invalid != 4 || slopeOf(t, res, "stub.bytes") != nil { // seeds 1 to 9, the even ones are disturbed
+			t.Errorf("%d disturbed, slope %+v", res.Invalid, slopeOf(t, res, "stub.bytes"))
 		}
 	})
 	for name, m := range map[string]*testMachine{
@@ -340,8 +340,8 @@
 			}
 			o := stubOptions(t.TempDir(), m)
 			res := lookAt(t, f, o)
-			if res.Disturbed == 0 || res.Failed != 0 || slopeOf(t, res, "stub.bytes") != nil {
-				t.Errorf("%d disturbed, %d failed, slope %+v", res.Disturbed, res.Failed, slopeOf(t, res, "stub.bytes"))
+			if res.Invalid == 0 || res.Failed != 0 || slopeOf(t, res, "stub.bytes") != nil {
+				t.Errorf("%d disturbed, %d failed, slope %+v", res.Invalid, res.Failed, slopeOf(t, res, "stub.bytes"))
 			}
 			if name == "memory" || name == "processes" || name == "short" {
 				if exists(marks("hung")) {
@@ -355,8 +355,8 @@
 			// Once the machine is quiet, a resumed run plays it again.
 			o.Resume, o.Machine = true, &testMachine{}
 			mark("hung", "")
-			if res = lookAt(t, f, o); res.Disturbed != 0 || slopeOf(t, res, "stub.bytes") == nil {
-				t.Errorf("resumed: %d disturbed, slope %+v", res.Disturbed, slopeOf(t, res, "stub.bytes"))
+			if res = lookAt(t, f, o); res.Invalid != 0 || slopeOf(t, res, "stub.bytes") == nil {
+				t.Errorf("resumed: %d disturbed, slope %+v", res.Invalid, slopeOf(t, res, "stub.bytes"))
 			}
 		})
 	}
@@ -371,7 +371,7 @@
 	if s := slopeOf(t, res, "stub.bytes"); s == nil || s.To != 4 {
 		t.Errorf("slope %+v", s)
 	}
-	if !res.Met {
+	if !res.Passed {
 		t.Error("a reached limit counts as a failure")
 	}
 }
@@ -395,7 +395,7 @@
 			f := stubFile(t, c.mode, "1m", limit)
 			o := stubOptions(t.TempDir(), &testMachine{})
 			res := lookAt(t, f, o)
-			if res.Met || res.Failed == 0 || res.Failed > 3 || len(res.Records) != 9 {
+			if res.Passed || res.Failed == 0 || res.Failed > 3 || len(res.Records) != 9 {
 				t.Fatalf("%d failed of %d", res.Failed, len(res.Records))
 			}
 			for _, k := range res.Records {
@@ -408,7 +408,7 @@
 			}
 			if c.mode == dies || c.mode == hangs { // fails only the first time
 				o.Resume = true
-				if res = lookAt(t, f, o); !res.Met || res.Failed != 0 || slopeOf(t, res, "stub.bytes") == nil {
+				if res = lookAt(t, f, o); !res.Passed || res.Failed != 0 || slopeOf(t, res, "stub.bytes") == nil {
 					t.Errorf("resumed: %d failed", res.Failed)
 				}
 			}
@@ -501,7 +501,7 @@
 	if first == nil || first.Done != 1 || first.X != 4 {
 		t.Errorf("went on at %+v", first)
 	}
-	if !res.Met || len(res.Records) != 9 || slopeOf(t, res, "stub.bytes") == nil {
+	if !res.Passed || len(res.Records) != 9 || slopeOf(t, res, "stub.bytes") == nil {
 		t.Errorf("%+v", res)
 	}
 	after, err := os.ReadFile(filepath.Join(o.Dir, PointsFile))
@@ -557,7 +557,7 @@
 	for _, k := range res.Expectations {
 		got = append(got, k.Met)
 	}
-	if res.Met || !slices.Equal(got, []bool{true, true, false, true}) || res.Disturbed != 3 {
+	if res.Passed || !slices.Equal(got, []bool{true, true, false, true}) || res.Invalid != 3 {
 		t.Errorf("%+v", res.Expectations)
 	}
 	// A figure that was not read fails its bound.
--- a/internal/lab/scale/store.go
+++ b/internal/lab/scale/store.go
@@ -51,7 +51,7 @@
 	TookSeconds        float64      `json:"took_s"`
 	Reading            play.Reading `json:"reading"`
 	Failure            string       `json:"failed,omitempty"`  // why the play failed; it has no reading then
-	MachineFaults      []string     `json:"machine,omitempty"` // how the machine or other programs disturbed it
+	MachineReasons     []string     `json:"machine,omitempty"` // how the machine or other programs disturbed it
 	CPUShares          CPUShares    `json:"cores"`
 	PeakRSS            int64        `json:"rss"` // peak of all processes together, in bytes
 	PeakProcesses      int          `json:"processes"`
@@ -60,17 +60,17 @@
 
 // Disturbances returns the reasons, from the run and from the play itself, why a disturbed play is not
 // fitted.
-func (r Record) Disturbances() []string {
-	return append(append([]string(nil), r.MachineFaults...), r.Reading.Disturbed...)
+func (r Record) InvalidReasons() []string {
+	return append(append([]string(nil), r.MachineReasons...), r.Reading.Invalid...)
 }
 
 // isFitted reports whether the play's figures are fitted.
 func (r Record) isFitted() bool {
-	return r.Failure == "" && len(r.MachineFaults) == 0 && len(r.Reading.Disturbed) == 0 && len(r.Reading.Limits()) == 0
+	return r.Failure == "" && len(r.MachineReasons) == 0 && len(r.Reading.Invalid) == 0 && len(r.Reading.Limits()) == 0
 }
 
 // isDone reports whether a resumed run need not repeat the play.
-func (r Record) isDone() bool { return r.Failure == "" && len(r.Disturbances()) == 0 }
+func (r Record) isDone() bool { return r.Failure == "" && len(r.InvalidReasons()) == 0 }
 
 // store appends records to a run's points file.
 type store struct{ file *os.File }
