--- a/cmd/coralyard/main.go
+++ b/cmd/coralyard/main.go
@@ -1,4 +1,4 @@
-// Command coralyard is one delivery node on real sockets. Its environment tells it what it is.
+// Command coralyard runs one delivery node. Environment variables name its files and addresses.
 package main
 
 import (
@@ -19,7 +19,7 @@
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 	if err := run(log); err != nil {
-		log.Error("coralyard ends", "err", err)
+		log.Error("coralyard failed", "err", err)
 		os.Exit(1)
 	}
 }
@@ -27,7 +27,7 @@
 func run(log *slog.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	hup := make(chan os.Signal, 1) // one that comes while a reload is under way asks for another
+	hup := make(chan os.Signal, 1) // a signal during a reload asks for another
 	signal.Notify(hup, syscall.SIGHUP)
 	cfg, err := load()
 	if err != nil {
@@ -36,7 +36,8 @@
 	log = log.With("node", cfg.Name)
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
 	if mb := float64(cfg.Limits.MemoryMB); mb > 0 {
-		// About half of the limit: sockets' buffers, stacks and the journal's two files count against it as well.
+		// About half of the limit: socket buffers, stacks and the journal's two files count against it as
+		// well.
 		debug.SetMemoryLimit(int64(max((mb-cfg.Limits.DiskMB)/2, mb/4) * (1 << 20)))
 	}
 	admin, err := node.ListenAdmin(cfg, log)
@@ -48,15 +49,15 @@
 		err := serve(ctx, cfg, log, hup, admin)
 		switch {
 		case ctx.Err() != nil && (errors.Is(err, ctx.Err()) || errors.Is(err, node.ErrSuccessorGone)):
-			return nil // told to end while it had nothing to leave
+			return nil // told to end while it did not have the node
 		case !errors.Is(err, node.ErrSuccessorGone):
 			return err
 		}
-		log.Error("taking the node back", "err", err)
+		log.Error("the successor is gone; taking the node back", "err", err)
 	}
 }
 
-// load reads the configuration. The environment goes before the file.
+// load reads the configuration. Environment variables take precedence over the file.
 func load() (node.Config, error) {
 	cfg, err := node.LoadConfig(os.Getenv("ROUTER_CONFIG"), os.Getenv("ROUTER_STATE"))
 	if err != nil {
@@ -69,7 +70,7 @@
 	return cfg, err
 }
 
-// serve is one life of the node in this process: from when it is this process's own until it is not any more.
+// serve runs the node from when this process has it until it ends or is handed over.
 func serve(ctx context.Context, cfg node.Config, log *slog.Logger, hup <-chan os.Signal, admin *node.Admin) error {
 	n, ln, err := node.Start(ctx, cfg, log)
 	if err != nil {
@@ -84,8 +85,8 @@
 	return n.Run(ctx, ln)
 }
 
-// reload reads the configuration again at each SIGHUP, and moves the node to what it names as discovery. What
-// can't be read changes nothing.
+// reload reads the configuration again at each SIGHUP, and moves the node to the discovery addresses in it.
+// An invalid configuration changes nothing.
 func reload(log *slog.Logger, hup <-chan os.Signal, done <-chan struct{}, n *node.Node) {
 	for {
 		select {
@@ -95,7 +96,7 @@
 		}
 		cfg, err := load()
 		if err != nil {
-			log.Error("the old configuration stays", "err", err)
+			log.Error("the configuration can't be reloaded; the old one stays", "err", err)
 			continue
 		}
 		n.Reload(cfg)
--- a/cmd/coralyard/main_test.go
+++ b/cmd/coralyard/main_test.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-const patience = 30 * time.Second // for what must happen; nothing is asserted of how fast
+const testTimeout = 30 * time.Second // for what must happen; no test asserts speed
 
-// TestMain is the program itself when a test starts this binary as a child.
+// TestMain runs the program instead of the tests when a test starts this binary as a child.
 func TestMain(m *testing.M) {
 	if os.Getenv("CORALYARD_TEST_CHILD") != "" {
 		main()
@@ -28,18 +28,18 @@
 	os.Exit(m.Run())
 }
 
-// registry is a discovery that lists nothing and tells of what comes to it.
-type registry struct {
+// fakeDiscovery is a discovery server that lists one draining endpoint and reports what it receives.
+type fakeDiscovery struct {
 	*httptest.Server
 	watches chan string // the query of each watch that begins
 	ended   chan struct{}
 	posts   chan string // the first notice of each post
-	answer  int         // to posts; 0 for none
+	answer  int         // the status for posts; 0 for no answer
 }
 
-func newRegistry(t *testing.T, answer int) *registry {
+func newFakeDiscovery(t *testing.T, answer int) *fakeDiscovery {
 	t.Helper()
-	r := &registry{
+	r := &fakeDiscovery{
 		watches: make(chan string, 100), ended: make(chan struct{}, 100), posts: make(chan string, 100), answer: answer,
 	}
 	stop, cancel := context.WithCancel(context.Background())
@@ -74,14 +74,14 @@
 	return r
 }
 
-func (r *registry) addr() string { return r.Listener.Addr().String() }
+func (r *fakeDiscovery) addr() string { return r.Listener.Addr().String() }
 
 func await[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("never: " + what)
 		panic("unreachable")
 	}
@@ -100,10 +100,10 @@
 	}
 }
 
-// SIGHUP moves the watch and the reports at once, what is owed goes to the new address, a configuration that can't
-// be used changes nothing, and the program goes on through all of it to the end of SIGTERM's leave.
+// SIGHUP moves the watch and the reports at once, owed notices go to the new address, and an invalid
+// configuration changes nothing. The program runs through all of it until SIGTERM ends it.
 func TestSIGHUP(t *testing.T) {
-	first, second := newRegistry(t, 0), newRegistry(t, http.StatusNoContent) // the first never answers a notice
+	first, second := newFakeDiscovery(t, 0), newFakeDiscovery(t, http.StatusNoContent) // the first never answers a notice
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -165,13 +165,13 @@
 			}
 			return
 		case <-time.After(50 * time.Millisecond):
-			cmd.Process.Signal(syscall.SIGHUP) // also on the way out, where it may find the process gone
+			cmd.Process.Signal(syscall.SIGHUP) // also while it stops, when the process may be gone already
 		}
 	}
 }
 
-// child starts the program as a process of a node.
-func child(t *testing.T, config, state, admin string) *exec.Cmd {
+// startChild starts the program as a process of a node.
+func startChild(t *testing.T, config, state, admin string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "CORALYARD_TEST_CHILD=1", "ROUTER_STATE="+state, "ROUTER_CONFIG="+config, "ROUTER_ADMIN_ADDR="+admin)
@@ -186,8 +186,8 @@
 	return cmd
 }
 
-// free is an address that was free a moment ago.
-func free(t *testing.T) string {
+// freeAddr returns an address that was free a moment ago.
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -199,7 +199,7 @@
 
 func awaitReady(t *testing.T, admin string) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + admin + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -213,15 +213,15 @@
 	}
 }
 
-// A new version takes over from a process that works, and from one that hangs, which it has to kill for that. Where the
-// new one is killed, the old one takes the node back. What was taken on is known all the way.
+// A new version takes over from a process that works, and from one that hangs, which it has to kill. When the
+// new process is killed, the old one takes the node back. No accepted message is lost on the way.
 func TestUpgrade(t *testing.T) {
-	r := newRegistry(t, http.StatusNoContent)
-	listen, config, state := free(t), filepath.Join(t.TempDir(), "config.json"), t.TempDir()
+	r := newFakeDiscovery(t, http.StatusNoContent)
+	listen, config, state := freeAddr(t), filepath.Join(t.TempDir(), "config.json"), t.TempDir()
 	writeConfig(t, config, listen, r.addr())
 	start := func() (*exec.Cmd, string) {
-		admin := free(t)
-		cmd := child(t, config, state, admin)
+		admin := freeAddr(t)
+		cmd := startChild(t, config, state, admin)
 		awaitReady(t, admin)
 		return cmd, admin
 	}
@@ -257,7 +257,7 @@
 		t.Fatal(err)
 	}
 	_, admin := start()
-	third.Wait() // killed
+	third.Wait() // the new process has killed it
 	enqueue()
 	resp, err := http.Get("http://" + admin + "/-/metrics")
 	if err != nil {
--- a/cmd/coralyard/ownership_test.go
+++ b/cmd/coralyard/ownership_test.go
@@ -25,8 +25,8 @@
 	"starlingusher/internal/directory"
 )
 
-// addresses are so many that nobody has, all unlike, and of ports that no connection on its way out is given meanwhile.
-func addresses(t *testing.T, n int) (addrs []string) {
+// freeAddrs returns n different free addresses, with ports that no outgoing connection is given meanwhile.
+func freeAddrs(t *testing.T, n int) (addrs []string) {
 	t.Helper()
 	for tries := 0; len(addrs) < n; tries++ {
 		ln, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", 20000+rand.IntN(12000)))
@@ -40,7 +40,7 @@
 	return addrs
 }
 
-// startReplicas starts three replicas of the list service.
+// startReplicas starts three replicas of the directory.
 func startReplicas(t *testing.T, at []string) (addrs []string, stop []func()) {
 	t.Helper()
 	var all []directory.Config
@@ -75,7 +75,8 @@
 	return addrs, stop
 }
 
-// writeMap puts a map into the directory as its writer does: acquired, written by its token, let go of.
+// writeMap writes a map to the directory as its writer does: it acquires the record, writes with the token,
+// and releases it.
 func writeMap(t *testing.T, op *directory.AdminClient, m *ownership.Map) {
 	t.Helper()
 	value, err := m.Encode()
@@ -103,7 +104,7 @@
 	do(http.MethodDelete, map[string]any{"token": token})
 }
 
-// ownerProcess is a process of a node that owns.
+// ownerProcess is a process of a node with [ownership].
 type ownerProcess struct {
 	*exec.Cmd
 	name, listen, admin, config, fleet, state string
@@ -126,7 +127,7 @@
 	})
 }
 
-// get is the answer of the operators' address, "" while there is none.
+// get returns the answer of the operators' address, "" while there is none.
 func (o *ownerProcess) get(path string) string {
 	resp, err := http.Get("http://" + o.admin + path)
 	if err != nil {
@@ -142,8 +143,8 @@
 	eventually(t, o.name+" says "+want, func() bool { return strings.Contains(o.get(path), want) })
 }
 
-// hand hands in a message and returns the answer's first word.
-func (o *ownerProcess) hand(t *testing.T, id string, dest int) string {
+// submit submits a message and returns the first word of the answer.
+func (o *ownerProcess) submit(t *testing.T, id string, dest int) string {
 	t.Helper()
 	nc, err := net.Dial("tcp", o.listen)
 	if err != nil {
@@ -161,22 +162,22 @@
 
 func eventually(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never: " + what)
 		}
 	}
 }
 
-// Two processes and three replicas: each destination is taken on by its owner and refused by the other, through new maps, a
-// replica's end, a kill, a handover and a signal.
+// Two nodes and three replicas: each destination is accepted by its owner and refused by the other node,
+// across new maps, a stopped replica, a kill, a handover and a signal.
 func TestOwners(t *testing.T) {
-	at := addresses(t, 14)
+	at := freeAddrs(t, 14)
 	addrs, stop := startReplicas(t, at)
-	op := &directory.AdminClient{Addresses: addrs, RetryFor: patience}
-	came := make(chan string, 100)
+	op := &directory.AdminClient{Addresses: addrs, RetryFor: testTimeout}
+	delivered := make(chan string, 100)
 	partner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		came <- req.Header.Get("X-Trace-Id")
+		delivered <- req.Header.Get("X-Trace-Id")
 	}))
 	t.Cleanup(partner.Close)
 	const dests = 24
@@ -234,7 +235,7 @@
 			}
 			o.await(t, "/-/ready", "ready")
 			o.await(t, "/-/metrics", fmt.Sprintf("app.partitions_owned:%d|g", own.Len()))
-			// What it gained has its list; what it lost may linger.
+			// Lists of gained partitions have come; lost partitions may linger.
 			eventually(t, "its list", func() bool {
 				var listed int
 				for line := range strings.Lines(o.get("/-/metrics")) {
@@ -251,11 +252,11 @@
 				if m.Owners(ownership.PartitionOf(d))[0] == o.name {
 					want = "+OK"
 				}
-				if got := o.hand(t, id, d); got != want {
+				if got := o.submit(t, id, d); got != want {
 					t.Fatalf("map %d, destination %d at %s: %s, want %s", m.Number, d, o.name, got, want)
 				}
 				if want == "+OK" {
-					if got := await(t, "its delivery", came); got != id {
+					if got := await(t, "its delivery", delivered); got != id {
 						t.Fatalf("%s came, not %s", got, id)
 					}
 				}
@@ -266,7 +267,7 @@
 	check(first)
 	second := makeMap(2, first, "n1")
 	check(second)
-	eventually(t, "three votes", func() bool { // they are taken in one after the other
+	eventually(t, "three votes", func() bool { // replicas get their votes one after the other
 		st, err := op.Status(t.Context())
 		votes := 0
 		for _, m := range st.Members {
@@ -288,7 +289,7 @@
 	one.Wait()
 	one.start(t)
 	check(third)
-	// A new process beside the old one, which leaves.
+	// A new process starts beside the old one, which stops.
 	old := *one
 	one.start(t)
 	one.await(t, "/-/ready", "ready")
@@ -299,7 +300,7 @@
 		t.Error(err)
 	}
 	check(third)
-	// The file again, with another name: that is left as it was.
+	// A reload with another owner name, which is ignored.
 	raw, err := os.ReadFile(one.fleet)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -23,33 +23,34 @@
 	"starlingusher/choice"
 )
 
-// net/http's Transport is not used for calls: it takes a request with an Idempotency-Key for replayable and
-// sends it again by itself when a reused connection breaks, dials beside a call that may find an idle
-// connection first, and does not tell how much of a request was written. Here a request is written once, on
-// one connection, by one Write.
+// Calls do not use net/http's Transport. It treats a request with an Idempotency-Key as replayable and sends
+// it again when a reused connection breaks. It dials beside a call that may find an idle connection first,
+// and does not tell how much of a request was written. Here a request is written once, on one connection, by
+// one Write.
 
 const (
-	maxAnswerHead = 32 << 10
-	maxAnswerBody = maxBody
-	answerTimeout = 500 * time.Millisecond // from an answer's first byte to its last
-	idleMargin    = 400 * time.Millisecond // an endpoint's idle clock may be ahead of ours by an answer's way
-	loadHeader    = "Endpoint-Load-Metrics"
-	maxContinues  = 8 // 1xx answers ahead of the real one
-	longestWait   = 10 * time.Minute
-	lastLooks     = 3   // at what has come, when a call's time is up
-	mostLeft      = 2   // in a load report: of a share, which may be noisy,
-	mostLimit     = 1e6 // and of a limit
+	maxAnswerHead     = 32 << 10
+	maxAnswerBody     = maxBody
+	answerTimeout     = 500 * time.Millisecond // from an answer's first byte to its last
+	idleMargin        = 400 * time.Millisecond // an endpoint's idle timer may be ahead of ours by the time that an answer travels
+	loadHeader        = "Endpoint-Load-Metrics"
+	maxInterimAnswers = 8 // 1xx answers before the final one
+	maxRetryAfter     = 10 * time.Minute
+	finalReads        = 3   // reads of what has come, once the call's time is up
+	maxReportedLeft   = 2   // in a load report: bound of the share left, which may be noisy,
+	maxReportedLimit  = 1e6 // and of a limit
 )
 
-// item is a message in a call; its form is that of one in a batch.
+// item is a message in a call, encoded as in a batch.
 type item struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
 }
 
-// room is what an item takes in the body of a batch at most, where each byte of a word may need an escape.
-func (i item) room() int {
+// maxEncodedSize is the most that an item takes in the body of a batch, where each byte of a string may need
+// an escape.
+func (i item) maxEncodedSize() int {
 	return 6*(len(i.ID)+len(i.Key)) + base64.StdEncoding.EncodedLen(len(i.Body)) + 64
 }
 
@@ -57,53 +58,53 @@
 type call struct {
 	items     []item
 	endpoint  *endpoint
-	notPast   time.Time
-	startBy   time.Time // its first byte goes out before this or not at all, unless zero
-	endBy     time.Time // the time of the first of its messages is up then, and an answer says no longer what is over
-	fresh     bool      // not on a kept connection
-	onWritten func()    // is called once its last byte is written, unless nil
-}
-
-// fate is how a call ended for one of its messages.
-type fate struct {
-	outcome choice.Outcome
-	closed  bool
-	unsure  bool // whether it is closed can't be told
-}
-
-// result is how it ended.
-type result struct {
-	outcome choice.Outcome
-	each    []fate // of the items in their order, where a batch's answer tells them apart
-	wait    time.Duration
-	noSlot  bool
-	closed  bool
-	unsure  bool // as in a fate
-	report  choice.Report
-	kept    bool      // it went out on a kept connection
-	hungUp  bool      // the endpoint closes the connection after its answer
-	heard   time.Time // when its first line was read, if one was
-}
-
-// pool makes calls, on connections that it keeps between them.
+	deadline  time.Time
+	startBy   time.Time // unless zero, the first byte goes out before this or not at all
+	resultBy  time.Time // the first of its messages is over then, and a later answer can't tell what is final
+	newConn   bool      // don't use a keep-alive connection
+	onWritten func()    // unless nil, is called once the last byte is written
+}
+
+// itemResult is how a call ended for one of its messages.
+type itemResult struct {
+	outcome   choice.Outcome
+	final     bool
+	ambiguous bool // whether it is final can't be told
+}
+
+// callResult is how a call ended.
+type callResult struct {
+	outcome     choice.Outcome
+	perItem     []itemResult // in the order of the items, if a batch's answer tells them apart
+	wait        time.Duration
+	noSlot      bool
+	final       bool
+	ambiguous   bool // as in an itemResult
+	report      choice.Report
+	reusedConn  bool      // it went out on a keep-alive connection
+	connClosed  bool      // the endpoint closes the connection after its answer
+	firstLineAt time.Time // when the first line was read, if one was
+}
+
+// pool makes calls, and keeps connections between them.
 type pool struct {
-	dialer  func(ctx context.Context, network, addr string) (net.Conn, error)
-	idleFor time.Duration
-	maxIdle int
+	dialer      func(ctx context.Context, network, addr string) (net.Conn, error)
+	idleTimeout time.Duration
+	maxIdle     int
 
 	mu   sync.Mutex
-	idle map[string][]*conn // by endpoint; the last one was used last
+	idle map[string][]*conn // by endpoint, the one used last at the end
 	size int
 }
 
 // conn is a connection to an endpoint.
 type conn struct {
 	net.Conn
-	addr    string
-	limit   *io.LimitedReader
-	br      *bufio.Reader
-	watched chan error  // the idle watch's end
-	givenUp atomic.Bool // its call is
+	addr         string
+	limit        *io.LimitedReader
+	br           *bufio.Reader
+	idleWatchErr chan error  // receives the error that ended the idle watch
+	abandoned    atomic.Bool // its call is abandoned
 }
 
 func newPool(dialTimeout, connIdle time.Duration, maxIdle int) *pool {
@@ -111,78 +112,78 @@
 		dialTimeout = time.Second
 	}
 	return &pool{
-		dialer: (&net.Dialer{Timeout: dialTimeout}).DialContext, idleFor: max(connIdle-idleMargin, connIdle/2), maxIdle: maxIdle,
+		dialer: (&net.Dialer{Timeout: dialTimeout}).DialContext, idleTimeout: max(connIdle-idleMargin, connIdle/2), maxIdle: maxIdle,
 		idle: map[string][]*conn{},
 	}
 }
 
-// of is how the call ended for its i-th item.
-func (r result) of(i int) fate {
-	if r.each == nil {
-		return fate{r.outcome, r.closed, r.unsure}
+// forItem returns how the call ended for its i-th item.
+func (r callResult) forItem(i int) itemResult {
+	if r.perItem == nil {
+		return itemResult{r.outcome, r.final, r.ambiguous}
 	}
-	return r.each[i]
+	return r.perItem[i]
 }
 
-// doubt is for an answer that was read whole only when a message of its call was over. The platform may hold that it
-// counts for none of them; or it had come in time, and this process is late.
-func (r *result) doubt() {
-	r.closed, r.unsure = false, r.closed
-	for i, f := range r.each {
-		if f.closed {
-			r.each[i] = fate{outcome: f.outcome, unsure: true}
+// markAmbiguous is for an answer that was read whole only after a message of its call was over. The platform
+// may count it as too late for all of them; or it came in time, and this process is late.
+func (r *callResult) markAmbiguous() {
+	r.final, r.ambiguous = false, r.final
+	for i, f := range r.perItem {
+		if f.final {
+			r.perItem[i] = itemResult{outcome: f.outcome, ambiguous: true}
 		}
 	}
 }
 
 // do makes one call. It returns when its slot is free again: at the answer, or with the connection closed.
-func (p *pool) do(ctx context.Context, c call) result {
-	ctx, cancel := context.WithDeadline(ctx, c.notPast)
+func (p *pool) do(ctx context.Context, c call) callResult {
+	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
 	request, err := encodeRequest(c)
 	if err != nil {
-		return result{outcome: choice.Stale}
+		return callResult{outcome: choice.Stale}
 	}
 	if !c.mayBegin() || ctx.Err() != nil {
-		return result{outcome: choice.Stale}
+		return callResult{outcome: choice.Stale}
 	}
-	k := p.take(c.endpoint)
-	if k != nil && c.fresh { // the new one takes its place: an endpoint holds only so many
+	k := p.takeIdle(c.endpoint)
+	if k != nil && c.newConn { // the new one replaces it: an endpoint accepts only so many
 		k.Close()
 		k = nil
 	}
 	kept := k != nil
 	if !kept {
 		if k, err = p.dial(ctx, c.endpoint.addr, c.startBy); err != nil {
-			return result{outcome: choice.Unreachable}
+			return callResult{outcome: choice.Unreachable}
 		}
 	}
-	// A dial takes up to a second, and more where the path is cut for a while: a wait told, a drain heard of or a
-	// message whose time is up meanwhile forbids the first byte. So does a call that was given up as the connection came up.
+	// A dial takes up to a second, and more while the path is cut. A wait, a drain or a deadline that comes
+	// up meanwhile forbids the first byte. So does a call that was canceled as the connection came up.
 	if ctx.Err() != nil || !c.mayBegin() {
-		p.give(c.endpoint, k)
-		return result{outcome: choice.Stale}
+		p.putIdle(c.endpoint, k)
+		return callResult{outcome: choice.Stale}
 	}
-	stop := context.AfterFunc(ctx, k.giveUp)
+	stop := context.AfterFunc(ctx, k.abandon)
 	res, reuse := k.exchange(ctx, request, c)
-	res.kept = kept
+	res.reusedConn = kept
 	if stop() && reuse {
-		p.give(c.endpoint, k)
+		p.putIdle(c.endpoint, k)
 	} else {
 		k.Close()
 	}
 	return res
 }
 
-// mayBegin tells that the first byte may go out now.
+// mayBegin reports whether the first byte may go out now.
 func (c call) mayBegin() bool {
 	now := time.Now()
-	return !c.endpoint.closedTo(now) && (c.startBy.IsZero() || now.Before(c.startBy))
+	return !c.endpoint.closedAt(now) && (c.startBy.IsZero() || now.Before(c.startBy))
 }
 
 func encodeRequest(c call) ([]byte, error) {
 	path, header := "/v1/messages", http.Header{
-		"X-Expires-In": {strconv.FormatInt(max(time.Until(c.notPast).Milliseconds(), 1), 10) + "m"},
+		"X-Expires-In": {strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 1), 10) + "m"},
 		"User-Agent":   {"coralyard"},
 	}
 	one := c.items[0]
@@ -232,12 +233,13 @@
 	return k
 }
 
-// Read looks a last time when the call is given up. A deadline that passed while the process did not run says nothing of
-// an answer that has come meanwhile, and neither does a decision of the module, which knows of what was read alone.
+// Read tries again when its call is abandoned. A deadline that passed while the process did not run says
+// nothing of an answer that has come meanwhile. Neither does a cancellation by the module, which knows only
+// of what was read.
 func (k *conn) Read(p []byte) (int, error) {
 	n, err := k.Conn.Read(p)
-	for look := 0; look < lastLooks && n == 0 && k.givenUp.Load() && errors.Is(err, os.ErrDeadlineExceeded); look++ {
-		if lerr := k.SetReadDeadline(time.Now().Add(finalReadTimeout)); lerr != nil {
+	for try := 0; try < finalReads && n == 0 && k.abandoned.Load() && errors.Is(err, os.ErrDeadlineExceeded); try++ {
+		if deadlineErr := k.SetReadDeadline(time.Now().Add(finalReadTimeout)); deadlineErr != nil {
 			break
 		}
 		n, err = k.Conn.Read(p)
@@ -245,79 +247,81 @@
 	return n, err
 }
 
-// giveUp ends a call whose time is up, or that is called off: nothing more is waited for.
-func (k *conn) giveUp() {
-	k.givenUp.Store(true)
+// abandon ends a call whose time is up or that is canceled, without waiting for anything more.
+func (k *conn) abandon() {
+	k.abandoned.Store(true)
 	k.SetDeadline(time.Unix(1, 0))
 }
 
-// exchange writes the request and reads the answer; reuse tells that the connection is good for another call.
-func (k *conn) exchange(ctx context.Context, request []byte, c call) (res result, reuse bool) {
+// exchange writes the request and reads the answer. It reports whether the connection can be used for another
+// call.
+func (k *conn) exchange(ctx context.Context, request []byte, c call) (res callResult, reuse bool) {
 	if n, err := k.Write(request); err != nil && n < len(request) {
-		return result{outcome: choice.Unreachable}, false // without its last byte the endpoint has not begun it
+		return callResult{outcome: choice.Unreachable}, false // without the last byte the endpoint has not begun the call
 	}
 	if c.onWritten != nil {
 		c.onWritten()
 	}
-	res, reuse, err := k.answer(c.items)
+	res, reuse, err := k.readAnswer(c.items)
 	if err == nil {
-		if !time.Now().Before(c.endBy) {
-			res.doubt()
+		if !time.Now().Before(c.resultBy) {
+			res.markAmbiguous()
 		}
 		return res, reuse
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return result{outcome: choice.TimedOut}, false
+		return callResult{outcome: choice.TimedOut}, false
 	case ctx.Err() != nil:
-		return result{outcome: choice.Canceled}, false
+		return callResult{outcome: choice.Canceled}, false
 	}
-	return result{outcome: choice.ConnectionBroken}, false
+	return callResult{outcome: choice.ConnectionBroken}, false
 }
 
-// answer reads one answer and tells whether the connection may carry another call. A 200 holds from its first
-// line on, if the call had one message: that is delivered, whatever becomes of the rest. Any other answer, also that
-// to a batch, has to come whole, within bounds of size and time, to prove anything. What stands behind an answer ends the connection, not the answer.
-func (k *conn) answer(items []item) (result, bool, error) {
-	for range maxContinues {
+// readAnswer reads one answer and reports whether the connection can be used for another call. A status of
+// 200 to a call with one message counts from its first line on: the message is delivered, whatever the rest.
+// Any other answer, also to a batch, proves something only if it is complete, within bounds of size and time.
+// Bytes after an answer end the connection, but do not invalidate the answer.
+func (k *conn) readAnswer(items []item) (callResult, bool, error) {
+	for range maxInterimAnswers {
 		k.limit.N = maxAnswerHead + maxAnswerBody
 		if _, err := k.br.Peek(1); err != nil {
-			return result{}, false, fmt.Errorf("answer: %w", err)
+			return callResult{}, false, fmt.Errorf("answer: %w", err)
 		}
 		if err := k.SetReadDeadline(time.Now().Add(answerTimeout)); err != nil {
-			return result{}, false, fmt.Errorf("answer: %w", err)
+			return callResult{}, false, fmt.Errorf("answer: %w", err)
 		}
-		if k.givenUp.Load() { // what has come is read, and nothing is waited for
+		if k.abandoned.Load() { // read what has come, without waiting
 			k.SetReadDeadline(time.Unix(1, 0))
 		}
-		code, err := k.status()
-		heard := time.Now()
+		code, err := k.readStatus()
+		firstLineAt := time.Now()
 		if err != nil {
-			return result{}, false, fmt.Errorf("answer: %w", err)
+			return callResult{}, false, fmt.Errorf("answer: %w", err)
 		}
-		res, reuse, err := k.rest(items)
+		res, reuse, err := k.readRest(items)
 		if err != nil && code == http.StatusOK && len(items) <= 1 {
-			res, err = result{outcome: choice.Success, closed: true}, nil
+			res, err = callResult{outcome: choice.Success, final: true}, nil
 		}
 		if err != nil {
-			return result{}, false, fmt.Errorf("answer: %w", err)
+			return callResult{}, false, fmt.Errorf("answer: %w", err)
 		}
 		if err := k.SetReadDeadline(time.Time{}); err != nil {
 			reuse = false
 		}
 		if code >= 200 {
-			res.heard = heard
+			res.firstLineAt = firstLineAt
 			return res, reuse, nil
 		}
 	}
-	return result{}, false, errors.New("answer: only 1xx")
+	return callResult{}, false, errors.New("answer: only interim responses (1xx)")
 }
 
-// status looks at the first line, as soon as it is there.
-func (k *conn) status() (int, error) {
+// readStatus peeks at the first line as soon as it is there.
+func (k *conn) readStatus() (int, error) {
 	for n := k.br.Buffered(); ; n = max(n+1, k.br.Buffered()) {
-		seen, err := k.br.Peek(n)
-		if line, _, ok := bytes.Cut(seen, []byte("\n")); ok {
+		peeked, err := k.br.Peek(n)
+		if line, _, ok := bytes.Cut(peeked, []byte("\n")); ok {
 			return statusCode(strings.TrimSuffix(string(line), "\r"))
 		}
 		if err != nil {
@@ -326,82 +330,82 @@
 	}
 }
 
-// statusCode reads a line like "HTTP/1.1 200 OK".
+// statusCode parses a line like "HTTP/1.1 200 OK".
 func statusCode(line string) (int, error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	n, err := parseDigits(code)
 	if err != nil || len(code) != 3 || n < 100 || (version != "HTTP/1.1" && version != "HTTP/1.0") {
-		return 0, errors.New("no HTTP")
+		return 0, errors.New("not an HTTP status line")
 	}
 	return n, nil
 }
 
-// rest reads an answer of which the first line is known to be there.
-func (k *conn) rest(items []item) (result, bool, error) {
+// readRest reads an answer whose first line is known to be there.
+func (k *conn) readRest(items []item) (callResult, bool, error) {
 	resp, err := http.ReadResponse(k.br, nil)
 	if err != nil {
-		return result{}, false, err
+		return callResult{}, false, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode < 200 {
-		return result{}, true, nil
+		return callResult{}, true, nil
 	}
-	res := outcome(resp)
-	res.hungUp = resp.Close
+	res := parseOutcome(resp)
+	res.connClosed = resp.Close
 	body := io.LimitReader(resp.Body, maxAnswerBody+1)
 	if len(items) > 1 && res.outcome == choice.Success {
-		res.each, err = fates(body, items)
-		res.wait = retryAfter(resp) // of the items it defers; it binds all the same
+		res.perItem, err = parseBatchAnswer(body, items)
+		res.wait = retryAfter(resp) // meant for the deferred items, but it applies to all calls
 	}
-	if err == nil { // what is left of it
+	if err == nil { // the rest of the body
 		_, err = io.Copy(io.Discard, body)
 	}
 	if err == nil && body.(*io.LimitedReader).N == 0 {
-		err = errors.New("the body is too large")
+		err = errors.New("body too large")
 	}
 	return res, err == nil && !resp.Close && k.br.Buffered() == 0, err
 }
 
-var states = map[string]fate{
-	"accepted": {outcome: choice.Success, closed: true}, "fault": {outcome: choice.ServerError}, "deferred": {outcome: choice.Rejected},
-	"expired": {outcome: choice.Stale, closed: true}, "no_more": {outcome: choice.Stale},
+var batchStates = map[string]itemResult{
+	"accepted": {outcome: choice.Success, final: true}, "fault": {outcome: choice.ServerError}, "deferred": {outcome: choice.Rejected},
+	"expired": {outcome: choice.Stale, final: true}, "no_more": {outcome: choice.Stale},
 }
 
-// fates reads the answer to a batch. An item that it does not name, or in words that the protocol does not know, may
-// have run; an answer that speaks of one twice can't be read.
-func fates(body io.Reader, items []item) ([]fate, error) {
+// parseBatchAnswer reads the answer to a batch. An item that it does not name, or names with an unknown
+// state, may have run. An answer that names an item twice is invalid.
+func parseBatchAnswer(body io.Reader, items []item) ([]itemResult, error) {
 	raw, err := io.ReadAll(body)
 	if err != nil {
 		return nil, err
 	}
-	var told []struct{ ID, State string }
-	if err := json.Unmarshal(raw, &told); err != nil {
+	var answers []struct{ ID, State string }
+	if err := json.Unmarshal(raw, &answers); err != nil {
 		return nil, fmt.Errorf("answer to a batch: %w", err)
 	}
-	state := make(map[string]string, len(told))
-	for _, t := range told {
-		if _, twice := state[t.ID]; twice {
-			return nil, errors.New("answer to a batch: a message is named twice")
+	state := make(map[string]string, len(answers))
+	for _, a := range answers {
+		if _, repeated := state[a.ID]; repeated {
+			return nil, errors.New("answer to a batch: it names a message twice")
 		}
-		state[t.ID] = t.State
+		state[a.ID] = a.State
 	}
-	each := make([]fate, len(items))
+	each := make([]itemResult, len(items))
 	for i, item := range items {
 		var ok bool
-		if each[i], ok = states[state[item.ID]]; !ok {
-			each[i] = fate{outcome: choice.ServerError}
+		if each[i], ok = batchStates[state[item.ID]]; !ok {
+			each[i] = itemResult{outcome: choice.ServerError}
 		}
 	}
 	return each, nil
 }
 
-// outcome reads the protocol's table of answers.
-func outcome(resp *http.Response) result {
-	res := result{report: loadReport(resp.Header.Values(loadHeader))}
+// parseOutcome maps an answer to a result by the protocol's table.
+func parseOutcome(resp *http.Response) callResult {
+	res := callResult{report: loadReport(resp.Header.Values(loadHeader))}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		res.outcome, res.closed = choice.Success, true
+		res.outcome, res.final = choice.Success, true
 	case http.StatusTooManyRequests:
 		res.outcome, res.wait = choice.Rejected, retryAfter(resp)
 	case http.StatusServiceUnavailable:
@@ -412,23 +416,24 @@
 	case http.StatusGatewayTimeout:
 		res.outcome = choice.Stale
 	case http.StatusGone:
-		res.outcome, res.closed = choice.Stale, true
-	default: // 500, and what the protocol does not know: it may have run
+		res.outcome, res.final = choice.Stale, true
+	default: // 500, and statuses that the protocol does not define: it may have run
 		res.outcome = choice.ServerError
 	}
 	return res
 }
 
-// retryAfter is the wait that an answer tells, 0 for none.
+// retryAfter returns the wait that an answer asks for, 0 for none.
 func retryAfter(resp *http.Response) time.Duration {
 	sec, err := parseDecimal(resp.Header.Get("Retry-After"), math.MaxFloat64)
 	if err != nil {
 		return 0
 	}
-	return time.Duration(min(sec, longestWait.Seconds()) * float64(time.Second))
+	return time.Duration(min(sec, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// loadReport reads "x0=0.4,x1=25". One that can't be read, be it in part, is none: the module believes a limit.
+// loadReport parses a report like "x0=0.4,x1=25". One that is invalid in any part counts as none, since the
+// module trusts the limit.
 func loadReport(values []string) choice.Report {
 	var r choice.Report
 	if len(values) != 1 {
@@ -440,12 +445,12 @@
 		switch {
 		case name == "x0" && !r.HasLeft:
 			r.HasLeft = true
-			r.Left, err = parseDecimal(value, mostLeft)
+			r.Left, err = parseDecimal(value, maxReportedLeft)
 		case name == "x1" && !r.HasLimit:
 			r.HasLimit = true
-			r.Limit, err = parseDecimal(value, mostLimit)
+			r.Limit, err = parseDecimal(value, maxReportedLimit)
 		default:
-			err = errors.New("no field of a report")
+			err = errors.New("unknown or repeated field in a load report")
 		}
 		if err != nil {
 			return choice.Report{}
@@ -454,22 +459,22 @@
 	return r
 }
 
-// take returns a kept connection that is still good, the one used last, or nil.
-func (p *pool) take(e *endpoint) *conn {
+// takeIdle returns the usable keep-alive connection that was used last, or nil.
+func (p *pool) takeIdle(e *endpoint) *conn {
 	for {
 		p.mu.Lock()
-		kept := p.idle[e.id]
-		if len(kept) == 0 {
+		idle := p.idle[e.id]
+		if len(idle) == 0 {
 			p.mu.Unlock()
 			return nil
 		}
-		k := kept[len(kept)-1]
-		p.drop(e.id, len(kept)-1)
+		k := idle[len(idle)-1]
+		p.removeIdle(e.id, len(idle)-1)
 		p.mu.Unlock()
-		// The watch is called back from its read. Had the endpoint closed or said anything, it would not
-		// end by this time-out, and a request would be a sure reset.
+		// The idle watch is interrupted in its read. If the endpoint had closed the connection or sent
+		// anything, the read would not end with this timeout, and a request would be answered by a reset.
 		k.SetReadDeadline(time.Unix(1, 0))
-		err := <-k.watched
+		err := <-k.idleWatchErr
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() && k.addr == e.addr && k.SetReadDeadline(time.Time{}) == nil {
 			return k
@@ -478,22 +483,23 @@
 	}
 }
 
-// drop takes the i-th kept connection of an endpoint out; the lock is held.
-func (p *pool) drop(id string, i int) {
+// removeIdle removes the i-th idle connection of an endpoint; the caller holds the lock.
+func (p *pool) removeIdle(id string, i int) {
 	p.size--
 	if p.idle[id] = slices.Delete(p.idle[id], i, i+1); len(p.idle[id]) == 0 {
 		delete(p.idle, id)
 	}
 }
 
-// give keeps a connection for the next call, and watches it: it is closed when the endpoint closes it, sends
-// something unasked for, or when it has stood idle for nearly as long as the endpoint allows.
-func (p *pool) give(e *endpoint, k *conn) {
-	k.watched = make(chan error, 1)
+// putIdle keeps a connection for the next call, and watches it. The connection is closed when the endpoint
+// closes it or sends something unrequested, or when it has been idle for nearly as long as the endpoint
+// allows.
+func (p *pool) putIdle(e *endpoint, k *conn) {
+	k.idleWatchErr = make(chan error, 1)
 	k.limit.N = 1
 	p.mu.Lock()
-	// An endpoint is shut before its kept connections are hung up on, so that none is kept after that.
-	if p.size >= p.maxIdle || e.shut.Load() || k.SetReadDeadline(time.Now().Add(p.idleFor)) != nil {
+	// An endpoint is marked closed before its idle connections are closed, so that none is kept after that.
+	if p.size >= p.maxIdle || e.closed.Load() || k.SetReadDeadline(time.Now().Add(p.idleTimeout)) != nil {
 		p.mu.Unlock()
 		k.Close()
 		return
@@ -501,29 +507,29 @@
 	p.idle[e.id] = append(p.idle[e.id], k)
 	p.size++
 	p.mu.Unlock()
-	go func() { // ends with the connection, or when take calls it back
+	go func() { // ends with the connection, or when takeIdle interrupts it
 		_, err := k.br.Peek(1)
 		p.mu.Lock()
 		if i := slices.Index(p.idle[e.id], k); i >= 0 {
-			p.drop(e.id, i)
+			p.removeIdle(e.id, i)
 			k.Close()
 		}
 		p.mu.Unlock()
-		k.watched <- err
+		k.idleWatchErr <- err
 	}()
 }
 
-// hangUp closes the kept connections of an endpoint, all but those keep that were used last.
-func (p *pool) hangUp(id string, keep int) {
+// closeIdle closes all idle connections of an endpoint but the keep used last.
+func (p *pool) closeIdle(id string, keep int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle[id]) > keep {
 		p.idle[id][0].Close()
-		p.drop(id, 0)
+		p.removeIdle(id, 0)
 	}
 }
 
-// retire closes all kept connections and keeps none from now on.
+// retire closes all idle connections and keeps none from now on.
 func (p *pool) retire() {
 	p.mu.Lock()
 	p.maxIdle = 0
@@ -531,7 +537,7 @@
 	p.close()
 }
 
-// close closes all kept connections.
+// close closes all idle connections.
 func (p *pool) close() {
 	p.mu.Lock()
 	ids := make([]string, 0, len(p.idle))
@@ -540,6 +546,6 @@
 	}
 	p.mu.Unlock()
 	for _, id := range ids {
-		p.hangUp(id, 0)
+		p.closeIdle(id, 0)
 	}
 }
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -19,13 +19,14 @@
 	"starlingusher/choice"
 )
 
-const testTimeout = 30 * time.Second // for what must happen; nothing is asserted of how fast
+const testTimeout = 30 * time.Second // for what must happen; no test asserts speed
 
-// partner is an endpoint on a loopback socket. serve answers each request it reads; false closes the connection.
+// fakeEndpoint is an endpoint on a loopback socket. serve answers each request; if it returns false the
+// connection is closed.
 type fakeEndpoint struct {
 	ln    net.Listener
 	serve func(nc net.Conn, req *http.Request) bool
-	read  func(body []byte) // is told of each request's body, unless nil
+	read  func(body []byte) // gets each request's body, unless nil
 
 	mu       sync.Mutex
 	calls    []*http.Request
@@ -51,13 +52,13 @@
 			p.conns++
 			p.mu.Unlock()
 			t.Cleanup(func() { nc.Close() })
-			go p.converse(nc)
+			go p.serveConn(nc)
 		}
 	}()
 	return p
 }
 
-func (p *fakeEndpoint) converse(nc net.Conn) {
+func (p *fakeEndpoint) serveConn(nc net.Conn) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	for {
@@ -90,7 +91,7 @@
 	return len(p.calls), p.conns
 }
 
-// next waits for the next call.
+// nextRequest waits for the next call.
 func (p *fakeEndpoint) nextRequest(t *testing.T) *http.Request {
 	t.Helper()
 	select {
@@ -111,7 +112,7 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// silent takes a request and never answers.
+// neverAnswer reads a request and never answers.
 func neverAnswer(nc net.Conn, _ *http.Request) bool {
 	io.Copy(io.Discard, nc)
 	return false
@@ -123,15 +124,15 @@
 
 func newTestPool() *pool { return newPool(2*time.Second, time.Minute, 16) }
 
-// keptBy counts the connections that a pool keeps.
-func keptBy(p *pool) int {
+// idleConns counts the idle connections of a pool.
+func idleConns(p *pool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.size
 }
 
 func newTestCall(e *endpoint) call {
-	return call{items: []item{{"9b1f03aa5c7e2d41", "5c0f", []byte("body\x00")}}, endpoint: e, notPast: time.Now().Add(testTimeout), endBy: time.Now().Add(testTimeout)}
+	return call{items: []item{{"9b1f03aa5c7e2d41", "5c0f", []byte("body\x00")}}, endpoint: e, deadline: time.Now().Add(testTimeout), resultBy: time.Now().Add(testTimeout)}
 }
 
 func eventually(t *testing.T, what string, ok func() bool) {
@@ -146,30 +147,30 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, says string
-		want       result
+		want       callResult
 	}{
-		{"delivered", okResponse, result{outcome: choice.Success, closed: true}},
+		{"delivered", okResponse, callResult{outcome: choice.Success, final: true}},
 		{"delivered with a report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n",
-			result{outcome: choice.Success, closed: true, report: choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
-		{"a report that can't be read", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=often,,x1=NaN\r\nContent-Length: 0\r\n\r\n",
-			result{outcome: choice.Success, closed: true}},
-		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, result{outcome: choice.Success, closed: true}},
-		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.ServerError}},
+			callResult{outcome: choice.Success, final: true, report: choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}}},
+		{"invalid report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=often,,x1=NaN\r\nContent-Length: 0\r\n\r\n",
+			callResult{outcome: choice.Success, final: true}},
+		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, callResult{outcome: choice.Success, final: true}},
+		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", callResult{outcome: choice.ServerError}},
 		{"told to wait", "HTTP/1.1 429 No\r\nRetry-After: 0.35\r\nContent-Length: 0\r\n\r\n",
-			result{outcome: choice.Rejected, wait: 350 * time.Millisecond}},
-		{"turned away", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.Rejected}},
-		{"turned away with its connection", "HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
-			result{outcome: choice.Rejected, hungUp: true}},
-		{"no slot", "HTTP/1.1 503 No\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.Stale, noSlot: true}},
-		{"all attempts used", "HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.Stale}},
-		{"over", "HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.Stale, closed: true}},
-		{"unknown status", "HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n", result{outcome: choice.ServerError}},
-		{"no HTTP", "what?\r\n\r\n", result{outcome: choice.ConnectionBroken}},
+			callResult{outcome: choice.Rejected, wait: 350 * time.Millisecond}},
+		{"rejected", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", callResult{outcome: choice.Rejected}},
+		{"rejected and connection closed", "HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+			callResult{outcome: choice.Rejected, connClosed: true}},
+		{"no slot", "HTTP/1.1 503 No\r\nX-Line-Busy: 1\r\nContent-Length: 0\r\n\r\n", callResult{outcome: choice.Stale, noSlot: true}},
+		{"all attempts used", "HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n", callResult{outcome: choice.Stale}},
+		{"message over", "HTTP/1.1 410 No\r\nContent-Length: 0\r\n\r\n", callResult{outcome: choice.Stale, final: true}},
+		{"unknown status", "HTTP/1.1 418 No\r\nContent-Length: 0\r\n\r\n", callResult{outcome: choice.ServerError}},
+		{"not HTTP", "what?\r\n\r\n", callResult{outcome: choice.ConnectionBroken}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newFakeEndpoint(t, respondWith(c.says))
 			got := newTestPool().do(t.Context(), newTestCall(newTestEndpoint(p.addr())))
-			if got.heard = (time.Time{}); !reflect.DeepEqual(got, c.want) {
+			if got.firstLineAt = (time.Time{}); !reflect.DeepEqual(got, c.want) {
 				t.Errorf("got %+v, want %+v", got, c.want)
 			}
 		})
@@ -188,7 +189,7 @@
 		}
 	})
 	t.Run("broken before the last byte", func(t *testing.T) {
-		near, far := net.Pipe() // takes no byte that is not read
+		near, far := net.Pipe() // takes only bytes that are read
 		go func() {
 			io.ReadFull(far, make([]byte, 10))
 			far.Close()
@@ -208,16 +209,16 @@
 		closed := make(chan bool, 1)
 		p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 			_, err := nc.Read(make([]byte, 1))
-			closed <- err != nil // the call is given up by closing its connection
+			closed <- err != nil // an abandoned call closes its connection
 			return false
 		})
 		c := newTestCall(newTestEndpoint(p.addr()))
-		c.notPast = time.Now().Add(100 * time.Millisecond)
+		c.deadline = time.Now().Add(100 * time.Millisecond)
 		if got := newTestPool().do(t.Context(), c); got.outcome != choice.TimedOut || !<-closed {
 			t.Errorf("got %+v", got)
 		}
 	})
-	t.Run("called off", func(t *testing.T) {
+	t.Run("canceled", func(t *testing.T) {
 		p := newFakeEndpoint(t, neverAnswer)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
@@ -228,17 +229,17 @@
 			t.Errorf("got %+v", got)
 		}
 	})
-	t.Run("over before it began", func(t *testing.T) {
+	t.Run("past its deadline", func(t *testing.T) {
 		p := newFakeEndpoint(t, respondWith(okResponse))
 		c := newTestCall(newTestEndpoint(p.addr()))
-		c.notPast = time.Now().Add(-time.Second)
+		c.deadline = time.Now().Add(-time.Second)
 		if got := newTestPool().do(t.Context(), c); got.outcome != choice.Stale {
 			t.Errorf("got %+v", got)
 		}
 	})
 }
 
-func TestWhatGoesOut(t *testing.T) {
+func TestRequestHeaders(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	newTestPool().do(t.Context(), newTestCall(newTestEndpoint(p.addr())))
 	req := p.nextRequest(t)
@@ -249,7 +250,8 @@
 	}
 }
 
-// A library that sends a request again by itself makes a second effect of it.
+// A call is never repeated by itself when its reused connection breaks: the repeat could have a second
+// effect.
 func TestBrokenReusedConnectionIsNotSentAgain(t *testing.T) {
 	first := true
 	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
@@ -272,8 +274,8 @@
 	}
 }
 
-// A request written to a connection that the endpoint has closed is a sure reset.
-func TestServersCloseIsNoticed(t *testing.T) {
+// A request on a connection that the endpoint has closed would be reset.
+func TestClosedIdleConnectionIsDropped(t *testing.T) {
 	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 		io.WriteString(nc, okResponse)
 		return false
@@ -284,7 +286,7 @@
 			t.Fatalf("got %+v", got)
 		}
 		eventually(t, "the closed connection is dropped", func() bool {
-			return keptBy(pool) == 0
+			return idleConns(pool) == 0
 		})
 	}
 }
@@ -294,37 +296,38 @@
 	pool, e := newPool(time.Second, 20*time.Millisecond, 16), newTestEndpoint(p.addr())
 	pool.do(t.Context(), newTestCall(e))
 	eventually(t, "the idle connection is dropped", func() bool {
-		return keptBy(pool) == 0
+		return idleConns(pool) == 0
 	})
 }
 
-func TestHangUp(t *testing.T) {
+func TestCloseIdleConnections(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	pool, e := newTestPool(), newTestEndpoint(p.addr())
 	pool.do(t.Context(), newTestCall(e))
-	pool.hangUp(e.id, 0)
+	pool.closeIdle(e.id, 0)
 	pool.do(t.Context(), newTestCall(e))
 	if calls, conns := p.counts(); calls != 2 || conns != 2 {
 		t.Errorf("%d calls on %d connections", calls, conns)
 	}
-	pool.hangUp(e.id, 1)
-	if keptBy(pool) != 1 {
-		t.Errorf("%d of one are kept", keptBy(pool))
+	pool.closeIdle(e.id, 1)
+	if idleConns(pool) != 1 {
+		t.Errorf("%d of one are kept", idleConns(pool))
 	}
 	pool.close()
-	if keptBy(pool) != 0 {
+	if idleConns(pool) != 0 {
 		t.Error("connections are kept after close")
 	}
 }
 
-// Where kept connections break, a call asks for a new one; it takes the old one's place in the endpoint's table.
-func TestFreshConnection(t *testing.T) {
+// Where keep-alive connections break, a call asks for a new one. It replaces the old one in the endpoint's
+// connection table.
+func TestNewConnectionReplacesIdleOne(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	pool, c := newTestPool(), newTestCall(newTestEndpoint(p.addr()))
 	for i, step := range []struct{ fresh, kept bool }{{false, false}, {false, true}, {true, false}} {
-		c.fresh = step.fresh
-		if got := pool.do(t.Context(), c); got.outcome != choice.Success || got.kept != step.kept || keptBy(pool) != 1 {
-			t.Errorf("call %d: got %+v, %d kept", i, got, keptBy(pool))
+		c.newConn = step.fresh
+		if got := pool.do(t.Context(), c); got.outcome != choice.Success || got.reusedConn != step.kept || idleConns(pool) != 1 {
+			t.Errorf("call %d: got %+v, %d kept", i, got, idleConns(pool))
 		}
 	}
 	if calls, conns := p.counts(); calls != 3 || conns != 2 {
@@ -332,8 +335,8 @@
 	}
 }
 
-// Bytes that belong to no call would be taken for the next call's answer.
-func TestMoreThanTheAnswerIsNotReused(t *testing.T) {
+// Bytes that belong to no call would be taken for the answer to the next one.
+func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse+"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 	pool, e := newTestPool(), newTestEndpoint(p.addr())
 	for range 3 {
@@ -343,11 +346,12 @@
 	}
 }
 
-// Between the decision and the first byte lies a dial; a drain or a wait told meanwhile must hold the call.
-func TestNothingIsSentToAClosedEndpoint(t *testing.T) {
+// A dial lies between the decision and the first byte; a drain or a wait that comes meanwhile must stop the
+// call.
+func TestNoCallToClosedEndpoint(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	drained, waiting := newTestEndpoint(p.addr()), newTestEndpoint(p.addr())
-	drained.shut.Store(true)
+	drained.closed.Store(true)
 	waiting.wait.Store(time.Now().Add(time.Hour).UnixNano())
 	for _, e := range []*endpoint{drained, waiting} {
 		if got := newTestPool().do(t.Context(), newTestCall(e)); got.outcome != choice.Stale {
@@ -359,14 +363,15 @@
 	}
 }
 
-// A connection may come up after a cut of its path; a repeat whose window has ended meanwhile must not go out on it.
-func TestNothingBeginsAfterItsTime(t *testing.T) {
+// A connection may come up after a cut of its path. A repeat whose window has ended meanwhile must not be
+// sent on it.
+func TestNoCallAfterStartBy(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	pool, c := newTestPool(), newTestCall(newTestEndpoint(p.addr()))
 	c.startBy = time.Now().Add(50 * time.Millisecond)
 	dial := pool.dialer
 	pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		<-ctx.Done() // not given up at startBy, it would be at notPast
+		<-ctx.Done() // not canceled at startBy, it would be at deadline
 		return dial(context.WithoutCancel(ctx), network, addr)
 	}
 	if got := pool.do(t.Context(), c); got.outcome != choice.Stale {
@@ -377,15 +382,15 @@
 	}
 }
 
-// A spoilt answer proves nothing but that the call was heard, and must not hold its slot until the deadline. Only a
-// first line with 200 is true whatever follows it.
-func TestSpoiltAnswers(t *testing.T) {
+// A broken answer proves only that the endpoint got the call, and must not hold the slot until the deadline.
+// Only a first line with 200 counts whatever follows it.
+func TestBrokenAnswers(t *testing.T) {
 	for _, code := range []string{"200", "429", "503", "504", "410", "500"} {
 		for _, c := range []struct{ name, rest string }{
 			{"a head that does not end", "X-A: b\r\n"},
 			{"an endless head", "X-A: " + strings.Repeat("b", 2*(maxAnswerHead+maxAnswerBody))},
 			{"a head of noise", "\x00\xff\x13 no head\r\n\r\n"},
-			{"a body shorter than told", "Content-Length: 100\r\n\r\nshort"},
+			{"a body shorter than its length", "Content-Length: 100\r\n\r\nshort"},
 			{"3 GB", "Content-Length: 3221225472\r\n\r\n" + strings.Repeat("x", 2*(maxAnswerHead+maxAnswerBody))},
 			{"no length that can be read", "Content-Length: -4\r\n\r\n"},
 			{"two lengths", "Content-Length: 1\r\nContent-Length: 2\r\n\r\nxx"},
@@ -400,20 +405,20 @@
 				})
 				pool := newTestPool()
 				got := pool.do(t.Context(), newTestCall(newTestEndpoint(p.addr())))
-				got.heard = time.Time{}
-				want := result{outcome: choice.ConnectionBroken}
+				got.firstLineAt = time.Time{}
+				want := callResult{outcome: choice.ConnectionBroken}
 				if code == "200" {
-					want = result{outcome: choice.Success, closed: true}
+					want = callResult{outcome: choice.Success, final: true}
 				}
-				if !reflect.DeepEqual(got, want) || keptBy(pool) != 0 {
-					t.Errorf("got %+v, want %+v; %d kept", got, want, keptBy(pool))
+				if !reflect.DeepEqual(got, want) || idleConns(pool) != 0 {
+					t.Errorf("got %+v, want %+v; %d kept", got, want, idleConns(pool))
 				}
 			})
 		}
 	}
 }
 
-func TestFirstLines(t *testing.T) {
+func TestStatusCode(t *testing.T) {
 	for line, want := range map[string]int{
 		"HTTP/1.1 200 OK": 200, "HTTP/1.0 503": 503, "HTTP/1.1 200 \xff\x00": 200, "HTTP/1.1 099 X": 0, "HTTP/1.1 +20 X": 0,
 		"HTTP/1.1 2000 OK": 0, "HTTP/2.0 200 OK": 0, "HTTP/1.1  200 OK": 0, " HTTP/1.1 200 OK": 0, "200": 0, "": 0,
@@ -424,7 +429,7 @@
 	}
 }
 
-// The module believes a limit, and takes 0 for none.
+// The module trusts a reported limit, and 0 means none.
 func TestLoadReports(t *testing.T) {
 	good := choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}
 	for text, want := range map[string]choice.Report{
@@ -441,22 +446,22 @@
 	}
 }
 
-// A call may end after its endpoint was shut; nobody would ever take or hang up a connection kept then.
-func TestNothingIsKeptForAShutEndpoint(t *testing.T) {
+// A call may end after its endpoint was closed; nothing would ever use or close a connection kept then.
+func TestNoIdleConnectionToClosedEndpoint(t *testing.T) {
 	e := newTestEndpoint("")
 	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
-		e.shut.Store(true)
+		e.closed.Store(true)
 		io.WriteString(nc, okResponse)
 		return true
 	})
 	e.addr = p.addr()
 	pool := newTestPool()
-	if got := pool.do(t.Context(), newTestCall(e)); got.outcome != choice.Success || keptBy(pool) != 0 {
-		t.Errorf("got %+v, %d kept", got, keptBy(pool))
+	if got := pool.do(t.Context(), newTestCall(e)); got.outcome != choice.Success || idleConns(pool) != 0 {
+		t.Errorf("got %+v, %d kept", got, idleConns(pool))
 	}
 }
 
-// Whatever an endpoint writes, the call ends, and only what reads as a whole answer is believed.
+// Whatever an endpoint writes, the call ends, and only a complete answer counts.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{okResponse, "HTTP/1.1 100 Go on\r\n\r\n" + okResponse, "HTTP/1.1 429 No\r\nRetry-After: 0.7\r\n\r\n", "\x00"} {
 		f.Add([]byte(text))
@@ -469,8 +474,8 @@
 			far.Close()
 		}()
 		k := newConn(near, "")
-		res, reuse, err := k.answer(nil)
-		if err != nil && (!reflect.DeepEqual(res, result{}) || reuse) {
+		res, reuse, err := k.readAnswer(nil)
+		if err != nil && (!reflect.DeepEqual(res, callResult{}) || reuse) {
 			t.Errorf("%v with %+v, %v", err, res, reuse)
 		}
 		if err == nil && res.outcome == choice.Success && !strings.Contains(string(text), " 200") {
@@ -479,27 +484,27 @@
 	})
 }
 
-// Several messages travel in the form of the protocol's batch, and each fares as the answer says of it. One that can't
-// be read whole proves nothing of any.
+// Several messages travel as a batch of the protocol, and each gets its own result from the answer. An answer
+// that is invalid in any part proves nothing about any of them.
 func TestBatch(t *testing.T) {
-	pass, cut := fate{outcome: choice.Success, closed: true}, fate{outcome: choice.ConnectionBroken}
+	pass, cut := itemResult{outcome: choice.Success, final: true}, itemResult{outcome: choice.ConnectionBroken}
 	for _, c := range []struct {
 		name, head, body string
-		want             [3]fate
+		want             [3]itemResult
 		wait             time.Duration
 	}{
 		{"each its own", "200 OK", `[{"id":"c","state":"deferred"},{"id":"a","state":"accepted"},{"id":"b","state":"fault"}]`,
-			[3]fate{pass, {outcome: choice.ServerError}, {outcome: choice.Rejected}}, 0},
+			[3]itemResult{pass, {outcome: choice.ServerError}, {outcome: choice.Rejected}}, 0},
 		{"not sent", "200 OK", `[{"id":"a","state":"expired"},{"id":"b","state":"no_more"},{"id":"c","state":"accepted"}]`,
-			[3]fate{{outcome: choice.Stale, closed: true}, {outcome: choice.Stale}, pass}, 0},
+			[3]itemResult{{outcome: choice.Stale, final: true}, {outcome: choice.Stale}, pass}, 0},
 		{"with a wait", "200 OK\r\nRetry-After: 0.5", `[{"id":"a","state":"accepted"},{"id":"b","state":"accepted"},{"id":"c","state":"deferred"}]`,
-			[3]fate{pass, pass, {outcome: choice.Rejected}}, 500 * time.Millisecond},
+			[3]itemResult{pass, pass, {outcome: choice.Rejected}}, 500 * time.Millisecond},
 		{"left out and unknown", "200 OK", `[{"id":"a","state":"accepted"},{"id":"b","state":"odd"},{"id":"x","state":"accepted"}]`,
-			[3]fate{pass, {outcome: choice.ServerError}, {outcome: choice.ServerError}}, 0},
-		{"named twice", "200 OK", `[{"id":"a","state":"accepted"},{"id":"a","state":"deferred"}]`, [3]fate{cut, cut, cut}, 0},
-		{"no JSON", "200 OK", `ok`, [3]fate{cut, cut, cut}, 0},
+			[3]itemResult{pass, {outcome: choice.ServerError}, {outcome: choice.ServerError}}, 0},
+		{"named twice", "200 OK", `[{"id":"a","state":"accepted"},{"id":"a","state":"deferred"}]`, [3]itemResult{cut, cut, cut}, 0},
+		{"no JSON", "200 OK", `ok`, [3]itemResult{cut, cut, cut}, 0},
 		{"all alike", "429 No\r\nRetry-After: 2", ``,
-			[3]fate{{outcome: choice.Rejected}, {outcome: choice.Rejected}, {outcome: choice.Rejected}}, 2 * time.Second},
+			[3]itemResult{{outcome: choice.Rejected}, {outcome: choice.Rejected}, {outcome: choice.Rejected}}, 2 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bodies := make(chan string, 1)
@@ -509,12 +514,12 @@
 				return err == nil
 			}
 			p.read = func(body []byte) { bodies <- string(body) }
-			testee := newTestCall(newTestEndpoint(p.addr()))
-			testee.items = []item{{"a", "k", []byte("hello")}, {"b", "", []byte{}}, {"c", "", []byte{0, 0xff}}}
-			got := newTestPool().do(t.Context(), testee)
+			tested := newTestCall(newTestEndpoint(p.addr()))
+			tested.items = []item{{"a", "k", []byte("hello")}, {"b", "", []byte{}}, {"c", "", []byte{0, 0xff}}}
+			got := newTestPool().do(t.Context(), tested)
 			for i, want := range c.want {
-				if got.of(i) != want {
-					t.Errorf("%d: got %+v, want %+v", i, got.of(i), want)
+				if got.forItem(i) != want {
+					t.Errorf("%d: got %+v, want %+v", i, got.forItem(i), want)
 				}
 			}
 			if got.wait != c.wait {
@@ -531,7 +536,8 @@
 	}
 }
 
-// What an answer says is done can't be relied on when a message of its call is over; what it says is not done never ran.
+// Once a message of a call is over, the answer's final states can't be relied on; what it says was not done
+// has never run.
 func TestAnswerAfterAMessageIsOver(t *testing.T) {
 	const body = `[{"id":"a","state":"accepted"},{"id":"b","state":"expired"},{"id":"c","state":"deferred"}]`
 	answered := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
@@ -541,68 +547,68 @@
 	for _, c := range []struct {
 		name  string
 		endBy time.Duration
-		want  [3]fate
+		want  [3]itemResult
 	}{
-		{"in time", time.Hour, [3]fate{{outcome: choice.Success, closed: true}, {outcome: choice.Stale, closed: true}, {outcome: choice.Rejected}}},
-		{"late", 0, [3]fate{{outcome: choice.Success, unsure: true}, {outcome: choice.Stale, unsure: true}, {outcome: choice.Rejected}}},
+		{"in time", time.Hour, [3]itemResult{{outcome: choice.Success, final: true}, {outcome: choice.Stale, final: true}, {outcome: choice.Rejected}}},
+		{"late", 0, [3]itemResult{{outcome: choice.Success, ambiguous: true}, {outcome: choice.Stale, ambiguous: true}, {outcome: choice.Rejected}}},
 	} {
-		testee := newTestCall(newTestEndpoint(answered.addr()))
-		testee.items, testee.endBy = []item{{ID: "a"}, {ID: "b"}, {ID: "c"}}, time.Now().Add(c.endBy)
-		got := newTestPool().do(t.Context(), testee)
+		tested := newTestCall(newTestEndpoint(answered.addr()))
+		tested.items, tested.resultBy = []item{{ID: "a"}, {ID: "b"}, {ID: "c"}}, time.Now().Add(c.endBy)
+		got := newTestPool().do(t.Context(), tested)
 		for i, want := range c.want {
-			if got.of(i) != want {
-				t.Errorf("%s, %d: got %+v, want %+v", c.name, i, got.of(i), want)
+			if got.forItem(i) != want {
+				t.Errorf("%s, %d: got %+v, want %+v", c.name, i, got.forItem(i), want)
 			}
 		}
-		told := (&Node{}).outcome(called{endpoint: testee.endpoint, result: got}).Each[0] // to an heir, perhaps of an older build
-		if told.Closed == told.Unsure || told.Unsure != (told.Outcome == choice.TimedOut) {
-			t.Errorf("%s: an heir is told %+v", c.name, told)
+		sent := (&Node{}).takeOutcome(callEnd{endpoint: tested.endpoint, callResult: got}).PerItem[0] // for a successor that may be an older build
+		if sent.Final == sent.Ambiguous || sent.Ambiguous != (sent.Outcome == choice.TimedOut) {
+			t.Errorf("%s: the successor is told %+v", c.name, sent)
 		}
-		testee.items = testee.items[:1]
-		if got := newTestPool().do(t.Context(), testee).of(0); got != c.want[0] {
+		tested.items = tested.items[:1]
+		if got := newTestPool().do(t.Context(), tested).forItem(0); got != c.want[0] {
 			t.Errorf("%s, alone: got %+v, want %+v", c.name, got, c.want[0])
 		}
 	}
 }
 
-// stopped is a connection whose first read goes on until its deadline is set to a time in the past, as if the process
-// had been stopped while the answer came.
-type stopped struct {
+// pausedConn is a connection whose first read lasts until its deadline is set to a time in the past, as if
+// the process had been stopped while the answer came.
+type pausedConn struct {
 	net.Conn
-	came  <-chan struct{} // the answer has
-	again atomic.Bool
-	wake  chan struct{}
-	once  sync.Once
+	arrived   <-chan struct{} // closed when the answer has arrived
+	readAgain atomic.Bool
+	wake      chan struct{}
+	once      sync.Once
 }
 
-func (s *stopped) Read(p []byte) (int, error) {
-	if s.again.Swap(true) {
+func (s *pausedConn) Read(p []byte) (int, error) {
+	if s.readAgain.Swap(true) {
 		return s.Conn.Read(p)
 	}
 	<-s.wake
-	<-s.came
+	<-s.arrived
 	return 0, os.ErrDeadlineExceeded
 }
 
-func (s *stopped) SetDeadline(t time.Time) error {
+func (s *pausedConn) SetDeadline(t time.Time) error {
 	defer s.once.Do(func() { close(s.wake) })
 	return s.Conn.SetDeadline(t)
 }
 
-func (s *stopped) Close() error {
+func (s *pausedConn) Close() error {
 	defer s.once.Do(func() { close(s.wake) })
 	return s.Conn.Close()
 }
 
-// An answer that has come and was not read yet is read before a call is given up, be it that its time ran out while the
-// process did not run, or that the module calls it off.
-func TestAnswerThatLiesUnread(t *testing.T) {
-	t.Run("time up", func(t *testing.T) { testUnread(t, false) })
-	t.Run("called off", func(t *testing.T) { testUnread(t, true) })
+// An answer that has arrived but was not read is read before a call is abandoned, whether its time ran out
+// while the process did not run or the module cancels it.
+func TestUnreadAnswerIsReadBeforeAbandoning(t *testing.T) {
+	t.Run("time up", func(t *testing.T) { testUnreadAnswer(t, false) })
+	t.Run("canceled", func(t *testing.T) { testUnreadAnswer(t, true) })
 }
 
-func testUnread(t *testing.T, calledOff bool) {
-	came := make(chan struct{})
+func testUnreadAnswer(t *testing.T, calledOff bool) {
+	arrived := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	partner := newFakeEndpoint(t, respondWith(okResponse))
@@ -613,8 +619,8 @@
 		if err != nil {
 			return nil, err
 		}
-		go func() { // until the first byte of the answer lies there, or the test is over
-			defer close(came)
+		go func() { // until the first byte of the answer has arrived, or the test is over
+			defer close(arrived)
 			raw, err := nc.(*net.TCPConn).SyscallConn()
 			if err != nil {
 				return
@@ -624,24 +630,24 @@
 				return n > 0 || err != syscall.EAGAIN
 			})
 		}()
-		return &stopped{Conn: nc, came: came, wake: make(chan struct{})}, nil
+		return &pausedConn{Conn: nc, arrived: arrived, wake: make(chan struct{})}, nil
 	}
 	c := newTestCall(newTestEndpoint(partner.addr()))
 	if calledOff {
-		go func() { // once it is out
-			<-came
+		go func() { // once the answer has arrived
+			<-arrived
 			cancel()
 		}()
 	} else {
-		c.notPast = time.Now().Add(200 * time.Millisecond)
+		c.deadline = time.Now().Add(200 * time.Millisecond)
 	}
 	if got := p.do(ctx, c); got.outcome != choice.Success {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// A connection that comes up when its call has been given up carries no byte of it.
-func TestConnectionComesUpTooLate(t *testing.T) {
+// A connection that comes up after its call was abandoned carries no byte of it.
+func TestConnectionAfterDeadlineIsNotUsed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -662,7 +668,7 @@
 		<-ctx.Done()
 		return net.Dial(network, addr)
 	}
-	res := p.do(t.Context(), call{items: []item{{ID: "a"}}, endpoint: e, notPast: time.Now().Add(20 * time.Millisecond)})
+	res := p.do(t.Context(), call{items: []item{{ID: "a"}}, endpoint: e, deadline: time.Now().Add(20 * time.Millisecond)})
 	p.close()
 	if n := <-got; n > 0 || res.outcome != choice.Stale {
 		t.Errorf("%d bytes were written, outcome %v", n, res.outcome)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -15,7 +15,7 @@
 	catalog.Serving: choice.Ready, catalog.Draining: choice.Draining, catalog.Deleted: choice.Gone,
 }
 
-// entries converts a list for the module. A member of a phase that is not known is taken as draining.
+// entries converts a list for the module. A member with an unknown phase counts as draining.
 func entries(members []catalog.Endpoint, names wire.Names) []choice.Entry {
 	out := make([]choice.Entry, 0, len(members))
 	for _, m := range members {
@@ -24,7 +24,7 @@
 			phase = choice.Draining
 		}
 		zone := slices.Index(names.Zones, m.Locality)
-		if zone < 0 { // not in the settings; two such may be two zones, and a repeat must not go from one to the other
+		if zone < 0 { // not in the settings; two such zones may differ, and a repeat must not go from one to the other
 			zone = -1 - int(crc32.ChecksumIEEE([]byte(m.Locality)))
 		}
 		out = append(out, choice.Entry{
@@ -35,16 +35,16 @@
 	return out
 }
 
-// endpoint is what calls need to know of one; the loop writes it, calls in flight read it.
+// endpoint is what calls need to know of an endpoint. The loop writes it, and calls in flight read it.
 type endpoint struct {
 	id, addr string
 	zone     int
-	batch    int           // messages in one call at most
-	shut     atomic.Bool   // it drains or is gone
-	wait     *atomic.Int64 // Unix time in nanoseconds; its destination, or route, asked to be left alone until then
+	batch    int           // most messages in one call
+	closed   atomic.Bool   // it drains or is gone
+	wait     *atomic.Int64 // Unix time in nanoseconds; no calls until then, at the wish of its destination or route
 }
 
-// closedTo tells that nothing new may go to the endpoint now.
-func (e *endpoint) closedTo(now time.Time) bool {
-	return e.shut.Load() || now.UnixNano() < e.wait.Load()
+// closedAt reports whether no new call may go to the endpoint.
+func (e *endpoint) closedAt(now time.Time) bool {
+	return e.closed.Load() || now.UnixNano() < e.wait.Load()
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -8,8 +8,9 @@
 	"starlingusher/internal/wire"
 )
 
-// Zones that the settings don't name are told apart: where one zone's endpoints drop repeats, another's don't.
-func TestUnknownZonesDiffer(t *testing.T) {
+// Zones that are not in the settings are told apart: where one zone's endpoints drop repeats, another's do
+// not.
+func TestUnknownZonesAreDistinct(t *testing.T) {
 	names := wire.Names{Zones: []string{"a", "b"}}
 	got := entries([]catalog.Endpoint{{ID: "1", Locality: "b"}, {ID: "2", Locality: "x"}, {ID: "3", Locality: "y"}, {ID: "4", Locality: "x"}}, names)
 	if got[0].Zone != 1 || got[1].Zone >= 0 || got[2].Zone >= 0 || got[1].Zone == got[2].Zone || got[1].Zone != got[3].Zone {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -12,18 +12,20 @@
 	"starlingusher/internal/settings"
 )
 
-const keepEvery = time.Second // the kept list is written no more often
+const saveInterval = time.Second // shortest time between two writes of the cached list
 
-// Fleet says which parts of the fleet product are on, as the file that ROUTER_FLEET names has it. None are without.
+// Fleet configures the optional fleet features, as in the file that ROUTER_FLEET names. Without the file all
+// are off.
 type Fleet struct {
 	Registry struct {
-		Addresses []string `toml:"addresses"` // of a directory's replicas, in place of discovery; none: off
-		KeepKB    int64    `toml:"keep_kb"`   // of the lasting folder for the last list; 0: it is not kept
+		Addresses []string `toml:"addresses"` // of the directory's replicas, used in place of discovery; off if empty
+		KeepKB    int64    `toml:"keep_kb"`   // of the state folder, for the last list; 0 saves no list
 	} `toml:"registry"`
-	Ownership *Ownership `toml:"ownership"` // nil: off
+	Ownership *Ownership `toml:"ownership"` // nil if off
 }
 
-// LoadFleet reads the file; an empty path turns nothing on. An unknown name, or a value that can't be, is an error.
+// LoadFleet reads the file. An empty path turns all features off. Unknown names and invalid values are
+// errors.
 func LoadFleet(path string) (Fleet, error) {
 	var f Fleet
 	if path == "" {
@@ -48,7 +50,8 @@
 	return f, nil
 }
 
-// Sources are the addresses that tell the list and take notices: discovery's, unless the fleet has a directory.
+// DiscoveryAddresses returns the addresses that serve the list and take notices: the directory's, or else
+// those of the platform's discovery.
 func (c *Config) DiscoveryAddresses() []string {
 	if len(c.Fleet.Registry.Addresses) > 0 {
 		return c.Fleet.Registry.Addresses
@@ -56,74 +59,76 @@
 	return []string{c.Discovery}
 }
 
-// keepsList tells whether the last list is kept in the lasting folder.
-func (c *Config) keepsList() bool {
+// cachesList reports whether the last list is cached in the state folder.
+func (c *Config) cachesList() bool {
 	return len(c.Fleet.Registry.Addresses) > 0 && c.Fleet.Registry.KeepKB > 0
 }
 
-// journalMB is what of the lasting folder is the journal's: while the kept list is replaced there are two of it.
+// journalMB is the journal's part of the state folder. The cached list counts twice, as there are two while
+// it is replaced.
 func (c *Config) journalMB() float64 {
-	kept := c.shareKB()
-	if c.keepsList() {
-		kept += 2 * c.Fleet.Registry.KeepKB
+	reservedKB := c.ownershipKB()
+	if c.cachesList() {
+		reservedKB += 2 * c.Fleet.Registry.KeepKB
 	}
-	if kept == 0 {
+	if reservedKB == 0 {
 		return c.Limits.DiskMB
 	}
 	mb := c.Limits.DiskMB
 	if mb <= 0 {
 		mb = defaultDiskMB
 	}
-	return mb - float64(kept)/1024
+	return mb - float64(reservedKB)/1024
 }
 
-// keptList is the last list in the lasting folder, for a start while nobody tells one.
-type keptList struct {
+// listCache holds the last list in the state folder, for a start while no server answers.
+type listCache struct {
 	log *slog.Logger
 
-	mu   sync.Mutex
-	kept *registry.ListCache
+	mu    sync.Mutex
+	cache *registry.ListCache
 }
 
-// openKept reads what the folder keeps; nil if nothing is kept there.
-func openKept(cfg Config, log *slog.Logger) *keptList {
-	if !cfg.keepsList() {
+// openListCache reads the cached list. It returns nil if no list is to be cached.
+func openListCache(cfg Config, log *slog.Logger) *listCache {
+	if !cfg.cachesList() {
 		return nil
 	}
-	dir, err := cfg.listDir()
+	dir, err := cfg.listFolder()
 	if err != nil {
-		log.Warn("the list can't be kept", "err", err)
+		log.Warn("the list can't be cached", "err", err)
 		return nil
 	}
-	kept, err := registry.OpenListCache(dir, cfg.Fleet.Registry.KeepKB<<10)
+	cache, err := registry.OpenListCache(dir, cfg.Fleet.Registry.KeepKB<<10)
 	if err != nil {
-		log.Warn("the kept list is lost", "err", err)
+		log.Warn("the cached list is unreadable", "err", err)
 	}
-	return &keptList{log: log, kept: kept}
+	return &listCache{log: log, cache: cache}
 }
 
-func (k *keptList) take(n registry.Update) {
+func (k *listCache) apply(n registry.Update) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.kept.Apply(n, time.Now())
+	k.cache.Apply(n, time.Now())
 }
 
-func (k *keptList) heard() {
+func (k *listCache) markConfirmed() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.kept.MarkConfirmed(time.Now())
+	k.cache.MarkConfirmed(time.Now())
 }
 
-// run writes the file until the context ends. A folder that can't be written costs the list's age, and no more.
-func (k *keptList) run(ctx context.Context) {
+// run writes the file until the context ends. If the folder can't be written the cached list gets older, and
+// nothing else fails.
+func (k *listCache) run(ctx context.Context) {
 	failing := false
-	for more := true; more; {
-		more = registry.Sleep(ctx, keepEvery)
+	for running := true; running; {
+		running = registry.Sleep(ctx, saveInterval)
 		k.mu.Lock()
-		err := k.kept.Flush()
+		err := k.cache.Flush()
 		k.mu.Unlock()
 		if err != nil && !failing {
-			k.log.Warn("the list can't be kept", "err", err)
+			k.log.Warn("the list can't be cached", "err", err)
 		}
 		failing = err != nil
 	}
--- a/internal/node/formats_b_test.go
+++ b/internal/node/formats_b_test.go
@@ -16,15 +16,15 @@
 // The two processes of a handover may be of different builds, so every field of their messages keeps its name, and
 // fields without omitempty are written as null, false or zero.
 func TestHandoverMessageFormat(t *testing.T) {
-	var filled message
+	var filled handoverMessage
 	golden.Fill(&filled)
-	empty := message{Legacy: &legacy{}, Outcome: &outcomeOf{Attempts: []outState{{}}, Each: []fateOf{{}}}, Ask: &question{}, Order: &orderOf{}, Answer: &reply{}}
-	for name, m := range map[string]message{"handover_filled.json": filled, "handover_empty.json": empty, "handover_null.json": {}} {
+	empty := handoverMessage{State: &handoverState{}, Outcome: &callOutcome{Attempts: []outstandingAttempt{{}}, PerItem: []itemOutcome{{}}}, Request: &forwardedRequest{}, Command: &forwardedCommand{}, Answer: &forwardedAnswer{}}
+	for name, m := range map[string]handoverMessage{"handover_filled.json": filled, "handover_empty.json": empty, "handover_null.json": {}} {
 		encoded, err := json.MarshalIndent(m, "", " ")
 		if err != nil {
 			t.Fatal(err)
 		}
-		var decoded message
+		var decoded handoverMessage
 		if err := json.Unmarshal(golden.Check(t, name, encoded), &decoded); err != nil {
 			t.Fatal(err)
 		}
@@ -39,7 +39,7 @@
 	var items []item
 	golden.Fill(&items)
 	for name, messages := range map[string][]item{"call_single.http": items[:1], "call_batch.http": items} {
-		encoded, err := encodeRequest(call{items: messages, endpoint: newTestEndpoint("192.0.2.1:8080"), notPast: time.Unix(1, 0)})
+		encoded, err := encodeRequest(call{items: messages, endpoint: newTestEndpoint("192.0.2.1:8080"), deadline: time.Unix(1, 0)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,12 +60,12 @@
 
 // Each state that the answer to a batch may give a message.
 func TestBatchAnswerFormat(t *testing.T) {
-	want := map[string]fate{
+	want := map[string]itemResult{
 		"accepted": {choice.Success, true, false}, "fault": {choice.ServerError, false, false}, "deferred": {choice.Rejected, false, false},
 		"expired": {choice.Stale, true, false}, "no_more": {choice.Stale, false, false},
 	}
-	if !reflect.DeepEqual(states, want) {
-		t.Errorf("got %+v, want %+v", states, want)
+	if !reflect.DeepEqual(batchStates, want) {
+		t.Errorf("got %+v, want %+v", batchStates, want)
 	}
 }
 
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -22,135 +22,138 @@
 	"starlingusher/internal/registry"
 )
 
-// Of the processes of a node the one that holds the lock in the lasting folder decides and writes the journal.
-// docs/design.md tells how it passes from one to the next.
+// Of a node's processes the one that holds the lock in the state folder decides and writes the journal.
+// docs/design.md describes how the lock passes from one to the next.
 
 const (
-	lockName        = "lock"
-	handoverVersion = 1
-	handoverTime    = time.Second             // for a handover: nobody decides in that time
-	fenceAfter      = 2500 * time.Millisecond // who holds the lock and has said nothing for so long hangs
-	lockPoll        = 20 * time.Millisecond
-	addressPoll     = 50 * time.Millisecond
-	maxSocketPath   = 100 // of 108 bytes that the system has
+	lockName          = "lock"
+	handoverVersion   = 1
+	handoverTimeout   = time.Second             // limit of one handover, in which nobody decides
+	lockHolderTimeout = 2500 * time.Millisecond // a lock holder silent for so long hangs
+	lockPoll          = 20 * time.Millisecond
+	addressPoll       = 50 * time.Millisecond
+	maxSocketPath     = 100 // of the 108 bytes that the system has
 )
 
-// ErrHeirGone ends Run when the process that had taken over is gone. All that it held is in the journal.
-var ErrSuccessorGone = errors.New("the process that took over is gone")
-
-// errSilent says that the holder of the lock lives and does not answer.
-var errSilent = errors.New("the process that holds the lock does not answer")
-
-// message is what the two processes say to each other, one JSON value each. One of its fields is set.
-type message struct {
-	Hello  int     `json:"Hello,omitempty"` // the new one's version; the listening socket comes before the Legacy
-	Owner  string  `json:",omitempty"`      // beside Hello: its name in the map of owners
-	Legacy *legacy `json:"Legacy"`
-	Ready  bool    // the new one has it all
-	Yours  bool    `json:"Yours"` // the old one lets go of the lock
-
-	Outcome *outcomeOf // of a call in the old process
-	Ask     *question  `json:"Ask"`   // a request that the old process read
-	Order   *orderOf   `json:"Order"` // of the operators, to the old process
-	Answer  *reply     // to an Ask or an Order
-	Cancel  *outState  // the new process calls an attempt off
-	Shut    string     `json:"Shut"` // an endpoint that calls that have not begun must not go to
-	Wait    *waitOf    // that the new process was told
-}
-
-// legacy is all that a node knows and the journal does not tell.
-type legacy struct {
-	Clock    time.Duration // the module's, at the wall clock's At
-	At       time.Time
-	Sender   choice.Saved
-	Revision int64
-	ToldBy   string `json:"ToldBy"`     // the discovery that counts so
-	History  int64  `json:",omitempty"` // that it counts by, if it tells one
-	Members  []catalog.Endpoint
-	Waits    map[string]int64 // by endpoint; those of one destination share it
-	Out      []outState       `json:"Out"`
-}
-
-// outState names an attempt that is out, and of its message what is needed once the journal has forgotten it.
-type outState struct {
+// ErrSuccessorGone ends Run when the process that had taken over is gone. All that it held is in the journal.
+var ErrSuccessorGone = errors.New("the successor process is gone")
+
+// errLockHolderSilent reports that the lock holder runs but does not answer.
+var errLockHolderSilent = errors.New("the lock holder does not answer")
+
+// handoverMessage is what the two processes exchange, one JSON value each. Except for Version and Owner, one
+// field is set.
+type handoverMessage struct {
+	Version      int            `json:"Hello,omitempty"` // the successor's version; the listening socket comes before the State
+	Owner        string         `json:",omitempty"`      // with Version: the successor's name in the map of owners
+	State        *handoverState `json:"Legacy"`
+	Ready        bool           // the successor has received everything
+	LockReleased bool           `json:"Yours"` // the predecessor releases the lock
+
+	Outcome        *callOutcome        // of a call of the predecessor
+	Request        *forwardedRequest   `json:"Ask"`   // a request that the predecessor read
+	Command        *forwardedCommand   `json:"Order"` // an operator's command to the predecessor
+	Answer         *forwardedAnswer    // to a Request or a Command
+	Cancel         *outstandingAttempt // the successor cancels an attempt
+	ClosedEndpoint string              `json:"Shut"` // an endpoint that no new call may go to
+	Wait           *endpointWait       // a wait that the successor was told
+}
+
+// handoverState is all that the node knows and the journal does not hold.
+type handoverState struct {
+	Clock       time.Duration // the module's time at At on the wall clock
+	At          time.Time
+	Sender      choice.Saved
+	Revision    int64
+	ListSource  string `json:"ToldBy"`     // the server that counts the Revision
+	History     int64  `json:",omitempty"` // the history of the Revision, if the server names one
+	Members     []catalog.Endpoint
+	Waits       map[string]int64     // by endpoint; those of one destination share it
+	Outstanding []outstandingAttempt `json:"Out"`
+}
+
+// outstandingAttempt identifies an attempt in flight, with what is needed of its message once the journal has
+// forgotten that.
+type outstandingAttempt struct {
 	Seq         uint64
 	Attempt     int
 	Dest, Class int
 }
 
-type outcomeOf struct {
-	Attempts []outState
-	Endpoint string
-	Took     time.Duration `json:"Took"`
-	Outcome  choice.Outcome
-	Each     []fateOf `json:"Each"`
-	Wait     time.Duration
-	NoSlot   bool
-	Closed   bool `json:"Closed"`
-	Unsure   bool `json:"Unsure"` // builds of old do not tell
-	Report   choice.Report
-	Kept     bool `json:"Kept"`
-	HungUp   bool `json:"HungUp"`
+type callOutcome struct {
+	Attempts   []outstandingAttempt
+	Endpoint   string
+	Duration   time.Duration `json:"Took"`
+	Outcome    choice.Outcome
+	PerItem    []itemOutcome `json:"Each"`
+	Wait       time.Duration
+	NoSlot     bool
+	Final      bool `json:"Closed"`
+	Ambiguous  bool `json:"Unsure"` // not set by older builds
+	Report     choice.Report
+	ReusedConn bool `json:"Kept"`
+	ConnClosed bool `json:"HungUp"`
 }
 
-type waitOf struct {
+type endpointWait struct {
 	Endpoint string
 	Wait     time.Duration
 }
 
-type fateOf struct {
-	Outcome choice.Outcome
-	Closed  bool `json:"Closed"`
-	Unsure  bool `json:"Unsure"`
+type itemOutcome struct {
+	Outcome   choice.Outcome
+	Final     bool `json:"Closed"`
+	Ambiguous bool `json:"Unsure"`
 }
 
-type question struct {
+type forwardedRequest struct {
 	Number              uint64
 	ID, Key             string
 	Class, Dest, Tenant int
-	Life                time.Duration `json:"Life"`
+	TimeToLive          time.Duration `json:"Life"`
 	Body                []byte
-	Came                time.Time `json:"Came"`
+	ReceivedAt          time.Time `json:"Came"`
 }
 
-type orderOf struct {
+type forwardedCommand struct {
 	Number uint64
 	ID     string
-	Lift   bool `json:"Lift"`
+	Enable bool `json:"Lift"`
 }
 
-type reply struct {
-	Number  uint64
-	Refused bool
-	After   time.Duration `json:"After"`
-	Failed  string
-	Gone    bool `json:"Gone"`
-	Unknown bool `json:"Unknown"` // an Order's ID
+type forwardedAnswer struct {
+	Number          uint64
+	Refused         bool
+	RetryAfter      time.Duration `json:"After"`
+	Failed          string
+	OutcomeUnknown  bool `json:"Gone"`
+	UnknownEndpoint bool `json:"Unknown"` // there is no endpoint of the Command's ID
 }
 
-// forebearGone is the loop's event of the old process's end.
-type forebearGone struct{}
+// predecessorGone is the loop's event when the predecessor ends.
+type predecessorGone struct{}
 
-// link is the connection between the two.
-type link struct {
-	conn *net.UnixConn
-	from *json.Decoder
+// handoverConn is the connection between the two processes.
+type handoverConn struct {
+	conn    *net.UnixConn
+	decoder *json.Decoder
 
-	mu sync.Mutex
-	to *json.Encoder
+	mu      sync.Mutex
+	encoder *json.Encoder
 }
 
-func newLink(conn *net.UnixConn) *link {
-	return &link{conn: conn, from: json.NewDecoder(conn), to: json.NewEncoder(conn)}
+func newHandoverConn(conn *net.UnixConn) *handoverConn {
+	return &handoverConn{conn: conn, decoder: json.NewDecoder(conn), encoder: json.NewEncoder(conn)}
 }
 
-// send may be called at any time. What can't be sent ends the link, and with it the other side's reading.
-func (l *link) send(m message) error {
+// send is safe for concurrent use. If it fails it closes the connection, which ends the other side's reading
+// as well.
+func (l *handoverConn) send(m handoverMessage) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	err := l.conn.SetWriteDeadline(time.Now().Add(handoverTime))
+	err := l.conn.SetWriteDeadline(time.Now().Add(handoverTimeout))
 	if err == nil {
-		err = l.to.Encode(m)
+		err = l.encoder.Encode(m)
 	}
 	if err != nil {
 		l.conn.Close()
@@ -159,38 +162,38 @@
 	return nil
 }
 
-func (l *link) receive() (message, error) {
-	var m message
-	if err := l.from.Decode(&m); err != nil {
+func (l *handoverConn) receive() (handoverMessage, error) {
+	var m handoverMessage
+	if err := l.decoder.Decode(&m); err != nil {
 		return m, fmt.Errorf("handover: %w", err)
 	}
 	return m, nil
 }
 
-// sendListener passes the listening socket on. It goes on listening while either process has it open.
-func (l *link) sendListener(ln net.Listener) error {
+// sendListener passes the listening socket on, which stays open while either process has it.
+func (l *handoverConn) sendListener(ln net.Listener) error {
 	t, ok := ln.(*net.TCPListener)
 	if !ok {
-		return errors.New("handover: no TCP listener")
+		return errors.New("handover: the listener is not a TCP listener")
 	}
 	raw, err := t.SyscallConn() // File would make the socket block
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	var sent error
+	var sendErr error
 	if err := raw.Control(func(fd uintptr) {
-		_, _, sent = l.conn.WriteMsgUnix([]byte("\n"), syscall.UnixRights(int(fd)), nil)
+		_, _, sendErr = l.conn.WriteMsgUnix([]byte("\n"), syscall.UnixRights(int(fd)), nil)
 	}); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if sent != nil {
-		return fmt.Errorf("handover: %w", sent)
+	if sendErr != nil {
+		return fmt.Errorf("handover: %w", sendErr)
 	}
 	return nil
 }
 
-// receiveListener comes before any receive, which might read past the descriptor.
-func (l *link) receiveListener() (net.Listener, error) {
+// receiveListener must come before any receive, which might read past the descriptor.
+func (l *handoverConn) receiveListener() (net.Listener, error) {
 	b, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
 	_, n, _, _, err := l.conn.ReadMsgUnix(b, oob)
 	if err != nil {
@@ -198,11 +201,11 @@
 	}
 	parts, err := syscall.ParseSocketControlMessage(oob[:n])
 	if err != nil || len(parts) != 1 {
-		return nil, errors.Join(errors.New("handover: no descriptor came"), err)
+		return nil, errors.Join(errors.New("handover: received no file descriptor"), err)
 	}
 	fds, err := syscall.ParseUnixRights(&parts[0])
 	if err != nil || len(fds) != 1 {
-		return nil, errors.Join(errors.New("handover: no descriptor came"), err)
+		return nil, errors.Join(errors.New("handover: received no file descriptor"), err)
 	}
 	f := os.NewFile(uintptr(fds[0]), "clients")
 	defer f.Close()
@@ -213,8 +216,9 @@
 	return ln, nil
 }
 
-// door is where a node's next process asks for it. Nodes that share a folder for temporary files do not share it.
-func door(state string) string {
+// handoverSocketPath is where the next process of a node connects. Nodes that share a temporary folder have
+// different paths.
+func handoverSocketPath(state string) string {
 	h := fnv.New64a()
 	if abs, err := filepath.Abs(state); err == nil {
 		state = abs
@@ -223,8 +227,8 @@
 	return filepath.Join(os.TempDir(), fmt.Sprintf("coralyard-%016x", h.Sum64()))
 }
 
-// atDoor calls f with an address that is short enough for a socket.
-func atDoor[T any](path string, f func(*net.UnixAddr) (T, error)) (T, error) {
+// withSocketAddr calls f with an address short enough for a socket.
+func withSocketAddr[T any](path string, f func(*net.UnixAddr) (T, error)) (T, error) {
 	if len(path) > maxSocketPath {
 		dir, err := os.Open(filepath.Dir(path))
 		if err != nil {
@@ -237,24 +241,25 @@
 	return f(&net.UnixAddr{Name: path, Net: "unix"})
 }
 
-func dialDoor(path string) (*net.UnixConn, error) {
-	return atDoor(path, func(a *net.UnixAddr) (*net.UnixConn, error) { return net.DialUnix("unix", nil, a) })
+func dialHandover(path string) (*net.UnixConn, error) {
+	return withSocketAddr(path, func(a *net.UnixAddr) (*net.UnixConn, error) { return net.DialUnix("unix", nil, a) })
 }
 
-// openDoor takes the place of whatever an earlier process has left there. Only the holder of the lock may.
-func openDoor(path string) (*net.UnixListener, error) {
+// listenHandover replaces whatever an earlier process has left at path. Only the lock holder may call it.
+func listenHandover(path string) (*net.UnixListener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	ln, err := atDoor(path, func(a *net.UnixAddr) (*net.UnixListener, error) { return net.ListenUnix("unix", a) })
+	ln, err := withSocketAddr(path, func(a *net.UnixAddr) (*net.UnixListener, error) { return net.ListenUnix("unix", a) })
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	ln.SetUnlinkOnClose(false) // by then another process's may stand there
+	ln.SetUnlinkOnClose(false) // by then the path may be another process's
 	return ln, nil
 }
 
-// tryLock takes the lock if nobody holds it. The kernel frees it with the file, and that with the process.
+// tryLock takes the lock if it is free. The kernel frees it when the file is closed, at the latest with the
+// process.
 func tryLock(f *os.File) (bool, error) {
 	err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) || errors.Is(err, syscall.EINTR) {
@@ -266,8 +271,8 @@
 	return true, nil
 }
 
-// Start makes a node once the lasting folder is this process's own: from a process that hands it over, or from the
-// journal alone. It waits for both as long as ctx lives.
+// Start creates a node once this process holds the lock of the state folder. The state comes from a process
+// that hands the node over, or else from the journal. It waits until either succeeds or ctx ends.
 func Start(ctx context.Context, cfg Config, log *slog.Logger) (n *Node, ln net.Listener, err error) {
 	lock, err := os.OpenFile(filepath.Join(cfg.StateDir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -278,28 +283,28 @@
 			lock.Close()
 		}
 	}()
-	said := ""
+	lastWarning := ""
 	for {
-		owned, err := tryLock(lock)
+		locked, err := tryLock(lock)
 		if err != nil {
 			return nil, nil, err
 		}
-		if owned {
+		if locked {
 			break
 		}
 		n, ln, err := takeOver(ctx, cfg, log, lock)
 		if err == nil {
 			return n, ln, nil
 		}
-		if text := err.Error(); text != said {
-			said = text
+		if text := err.Error(); text != lastWarning {
+			lastWarning = text
 			log.Warn("another process holds the node", "err", err)
 		}
 		if !registry.Sleep(ctx, lockPoll) {
 			return nil, nil, ctx.Err()
 		}
 	}
-	// A build that knows no lock may still be at work. It has the address then, and the journal is its own.
+	// A build that knows no lock may still run. Then it has the address, and the journal belongs to it.
 	if ln, err = listen(ctx, cfg.Listen, log); err != nil {
 		return nil, nil, err
 	}
@@ -318,7 +323,7 @@
 			return ln, nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
-			return nil, fmt.Errorf("clients: %w", err)
+			return nil, fmt.Errorf("listen for clients: %w", err)
 		}
 		if !warned {
 			log.Warn("waiting until the clients' address is free", "err", err)
@@ -329,31 +334,31 @@
 	}
 }
 
-// takeOver asks the process that holds the lock for the node. One that hangs is killed: its lock is free then.
+// takeOver asks the lock holder for the node. It kills one that hangs, which frees the lock.
 func takeOver(ctx context.Context, cfg Config, log *slog.Logger, lock *os.File) (*Node, net.Listener, error) {
-	conn, err := dialDoor(door(cfg.StateDir))
+	conn, err := dialHandover(handoverSocketPath(cfg.StateDir))
 	if err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
-	l := newLink(conn)
-	n, ln, err := l.accept(ctx, cfg, log, lock)
+	l := newHandoverConn(conn)
+	n, ln, err := l.receiveNode(ctx, cfg, log, lock)
 	if err == nil {
 		return n, ln, nil
 	}
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		err = errors.Join(errSilent, l.fence(door(cfg.StateDir), log))
+		err = errors.Join(errLockHolderSilent, l.killPeer(handoverSocketPath(cfg.StateDir), log))
 	}
 	conn.Close()
 	return nil, nil, err
 }
 
-// accept takes the node from the other side.
-func (l *link) accept(ctx context.Context, cfg Config, log *slog.Logger, lock *os.File) (n *Node, ln net.Listener, err error) {
-	if err := l.send(message{Hello: handoverVersion, Owner: cfg.owner()}); err != nil {
+// receiveNode takes the node over from the other side.
+func (l *handoverConn) receiveNode(ctx context.Context, cfg Config, log *slog.Logger, lock *os.File) (n *Node, ln net.Listener, err error) {
+	if err := l.send(handoverMessage{Version: handoverVersion, Owner: cfg.owner()}); err != nil {
 		return nil, nil, err
 	}
-	if err := l.conn.SetReadDeadline(time.Now().Add(fenceAfter)); err != nil {
+	if err := l.conn.SetReadDeadline(time.Now().Add(lockHolderTimeout)); err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
 	if ln, err = l.receiveListener(); err != nil {
@@ -368,29 +373,29 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if m.Legacy == nil {
-		return nil, nil, errors.New("handover: no legacy came")
+	if m.State == nil {
+		return nil, nil, errors.New("handover: received no state")
 	}
-	sender, err := choice.Restore(cfg.moduleSettings(), m.Legacy.Sender)
+	sender, err := choice.Restore(cfg.moduleSettings(), m.State.Sender)
 	if err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
-	if err := l.send(message{Ready: true}); err != nil {
+	if err := l.send(handoverMessage{Ready: true}); err != nil {
 		return nil, nil, err
 	}
-	// Until the old process has said so, it may go on by itself, and what it sent is old.
-	yours, err := l.receive()
+	// Until the predecessor says this, it may carry on itself, and the state that it sent is outdated.
+	release, err := l.receive()
 	if err != nil {
 		return nil, nil, err
 	}
-	if !yours.Yours {
-		return nil, nil, errors.New("handover: it was not let go of")
+	if !release.LockReleased {
+		return nil, nil, errors.New("handover: the predecessor did not release the lock")
 	}
-	for owned := false; !owned; {
-		if owned, err = tryLock(lock); err != nil {
+	for locked := false; !locked; {
+		if locked, err = tryLock(lock); err != nil {
 			return nil, nil, err
 		}
-		if !owned && !registry.Sleep(ctx, time.Millisecond) {
+		if !locked && !registry.Sleep(ctx, time.Millisecond) {
 			return nil, nil, ctx.Err()
 		}
 	}
@@ -401,68 +406,69 @@
 		return nil, nil, err
 	}
 	n.lock = lock
-	n.inherit(l, m.Legacy, sender)
+	n.restore(l, m.State, sender)
 	return n, ln, nil
 }
 
-// fence kills the process behind the door, which holds the lock and hangs.
-func (l *link) fence(path string, log *slog.Logger) error {
+// killPeer kills the process at the other end, which holds the lock and hangs.
+func (l *handoverConn) killPeer(path string, log *slog.Logger) error {
 	raw, err := l.conn.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var cred *syscall.Ucred
-	var got error
+	var optErr error
 	if err := raw.Control(func(fd uintptr) {
-		cred, got = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
-	}); err != nil || got != nil {
-		return errors.Join(err, got)
+		cred, optErr = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
+	}); err != nil || optErr != nil {
+		return errors.Join(err, optErr)
 	}
 	pid := int(cred.Pid)
 	if pid <= 1 || pid == os.Getpid() {
-		return fmt.Errorf("handover: process %d can't be ended from here", pid)
+		return fmt.Errorf("handover: refusing to kill process %d", pid)
 	}
 	p, err := os.FindProcess(pid)
 	if err != nil {
 		return err
 	}
 	defer p.Release()
-	// While somebody is behind the door, the process found is the one that opened it: numbers are used again.
-	again, err := dialDoor(path)
+	// While somebody accepts connections, the process found is the one that opened the socket: process IDs
+	// are reused.
+	probe, err := dialHandover(path)
 	if err != nil {
-		return nil // it has gone by itself
+		return nil // it has ended by itself
 	}
-	again.Close()
-	log.Warn("killing the process that holds the lock and does not answer", "pid", pid)
+	probe.Close()
+	log.Warn("killing the lock holder, which does not answer", "pid", pid)
 	return p.Kill()
 }
 
-// inherit makes the node go on where its old process stopped.
-func (n *Node) inherit(l *link, from *legacy, sender *choice.Sender) {
-	n.sender, n.forebear = sender, l
-	n.start = time.Now().Add(epoch - from.Clock - time.Since(from.At))
-	n.cfg.InitialList = catalog.List{Revision: from.Revision, Complete: true, Members: from.Members}
-	n.told = registry.Position{History: from.History, Revision: from.Revision, Server: from.ToldBy}
-	if from.History == 0 && !slices.Contains(n.cfg.DiscoveryAddresses(), from.ToldBy) { // another server's revisions count something else
-		n.cfg.InitialList.Revision, n.told = 0, registry.Position{Server: n.cfg.Discovery}
+// restore makes the node continue where its predecessor stopped.
+func (n *Node) restore(l *handoverConn, state *handoverState, sender *choice.Sender) {
+	n.sender, n.predecessor = sender, l
+	n.clockStart = time.Now().Add(epoch - state.Clock - time.Since(state.At))
+	n.cfg.InitialList = catalog.List{Revision: state.Revision, Complete: true, Members: state.Members}
+	n.listPosition = registry.Position{History: state.History, Revision: state.Revision, Server: state.ListSource}
+	if state.History == 0 && !slices.Contains(n.cfg.DiscoveryAddresses(), state.ListSource) { // revisions of another server can't be compared
+		n.cfg.InitialList.Revision, n.listPosition = 0, registry.Position{Server: n.cfg.Discovery}
 	}
-	n.listed(n.cfg.InitialList) // the module has it already
-	for id, until := range from.Waits {
-		if e := n.eps[id]; e != nil {
+	n.applyList(n.cfg.InitialList) // the module has the list already
+	for id, until := range state.Waits {
+		if e := n.endpoints[id]; e != nil {
 			e.wait.Store(max(until, e.wait.Load()))
 		}
 	}
-	for _, o := range from.Out {
+	for _, o := range state.Outstanding {
 		m := n.journal.live[o.Seq]
-		if m == nil { // over, and forgotten; its outcome is awaited all the same
+		if m == nil { // over and forgotten; its outcome still has to come
 			m = &pendingMessage{seq: o.Seq, dest: o.Dest, class: o.Class, final: &finalAnswer{}}
 		}
-		n.out[attempt{o.Seq, o.Attempt}] = outCall{m: m, remote: true, cancel: func() { l.send(message{Cancel: &o}) }}
+		n.outstanding[attemptKey{o.Seq, o.Attempt}] = outstandingCall{message: m, fromPredecessor: true, cancel: func() { l.send(handoverMessage{Cancel: &o}) }}
 	}
 }
 
-// hear takes what the old process says, until it ends.
-func (n *Node) hear(ctx context.Context, l *link, parts *sync.WaitGroup) {
+// receiveFromPredecessor handles the predecessor's messages until it ends.
+func (n *Node) receiveFromPredecessor(ctx context.Context, l *handoverConn, tasks *sync.WaitGroup) {
 	stop := context.AfterFunc(ctx, func() { l.conn.Close() })
 	defer stop()
 	for {
@@ -470,125 +476,125 @@
 		switch {
 		case err != nil:
 			l.conn.Close()
-			n.tell(ctx, forebearGone{})
+			n.sendEvent(ctx, predecessorGone{})
 			return
 		case m.Outcome != nil:
-			n.tell(ctx, *m.Outcome)
-		case m.Ask != nil: // as many at once as the old process has clients
-			parts.Go(func() {
-				a := n.hand(ctx, m.Ask.request())
-				l.send(message{Answer: &reply{Number: m.Ask.Number, Refused: a.refused, After: a.retryAfter, Failed: a.failure, Gone: a.outcomeUnknown}})
+			n.sendEvent(ctx, *m.Outcome)
+		case m.Request != nil: // as many at once as the predecessor has clients
+			tasks.Go(func() {
+				a := n.submit(ctx, m.Request.request())
+				l.send(handoverMessage{Answer: &forwardedAnswer{Number: m.Request.Number, Refused: a.refused, RetryAfter: a.retryAfter, Failed: a.failure, OutcomeUnknown: a.outcomeUnknown}})
 			})
-		case m.Order != nil: // as many at once as it has callers
-			parts.Go(func() {
-				within, cancel := context.WithTimeout(ctx, adminCommandTimeout)
+		case m.Command != nil: // as many at once as the predecessor has operators' calls
+			tasks.Go(func() {
+				orderCtx, cancel := context.WithTimeout(ctx, adminCommandTimeout)
 				defer cancel()
-				err := n.SetEndpointEnabled(within, m.Order.ID, m.Order.Lift)
-				l.send(message{Answer: &reply{Number: m.Order.Number, Gone: err != nil, Unknown: errors.Is(err, ErrUnknownEndpoint)}})
+				err := n.SetEndpointEnabled(orderCtx, m.Command.ID, m.Command.Enable)
+				l.send(handoverMessage{Answer: &forwardedAnswer{Number: m.Command.Number, OutcomeUnknown: err != nil, UnknownEndpoint: errors.Is(err, ErrUnknownEndpoint)}})
 			})
 		}
 	}
 }
 
-func (a *question) request() request {
+func (a *forwardedRequest) request() request {
 	return request{
-		id: a.ID, key: a.Key, class: a.Class, dest: a.Dest, tenant: a.Tenant, ttl: a.Life, body: a.Body, receivedAt: a.Came,
+		id: a.ID, key: a.Key, class: a.Class, dest: a.Dest, tenant: a.Tenant, ttl: a.TimeToLive, body: a.Body, receivedAt: a.ReceivedAt,
 	}
 }
 
-// elsewhere is the outcome of a call that the old process made.
-func (n *Node) elsewhere(o outcomeOf) []choice.Event {
-	e := n.eps[o.Endpoint]
+// predecessorCallEnded handles the outcome of a call that the predecessor made.
+func (n *Node) predecessorCallEnded(o callOutcome) []choice.Event {
+	e := n.endpoints[o.Endpoint]
 	if e == nil {
 		e = &endpoint{id: o.Endpoint, wait: new(atomic.Int64)}
 	}
-	c := called{endpoint: e, took: o.Took, result: result{
-		outcome: o.Outcome, wait: o.Wait, noSlot: o.NoSlot, closed: o.Closed, unsure: o.Unsure, report: o.Report, kept: o.Kept, hungUp: o.HungUp,
+	c := callEnd{endpoint: e, took: o.Duration, callResult: callResult{
+		outcome: o.Outcome, wait: o.Wait, noSlot: o.NoSlot, final: o.Final, ambiguous: o.Ambiguous, report: o.Report, reusedConn: o.ReusedConn, connClosed: o.ConnClosed,
 	}}
 	for i, a := range o.Attempts {
-		name := attempt{a.Seq, a.Attempt}
-		if _, out := n.out[name]; !out {
+		key := attemptKey{a.Seq, a.Attempt}
+		if _, out := n.outstanding[key]; !out {
 			continue
 		}
-		c.attempts = append(c.attempts, name)
-		if o.Each != nil {
-			c.each = append(c.each, fate{o.Each[i].Outcome, o.Each[i].Closed, o.Each[i].Unsure})
+		c.attempts = append(c.attempts, key)
+		if o.PerItem != nil {
+			c.perItem = append(c.perItem, itemResult{o.PerItem[i].Outcome, o.PerItem[i].Final, o.PerItem[i].Ambiguous})
 		}
-		if n.waits[a.Dest] != nil && o.Wait > 0 && n.eps[o.Endpoint] == nil {
-			e.wait = n.waits[a.Dest]
+		if n.destinationWaits[a.Dest] != nil && o.Wait > 0 && n.endpoints[o.Endpoint] == nil {
+			e.wait = n.destinationWaits[a.Dest]
 		}
 	}
-	return n.called(c)
+	return n.callEnded(c)
 }
 
-// orphaned ends the calls of an old process that is gone. They may have run. That their connections broke tells
-// nothing of their endpoints, no more than a kept connection that breaks.
-func (n *Node) orphaned() []choice.Event {
-	n.forebear = nil
+// endPredecessorCalls ends the calls of a predecessor that is gone. They may have run. Their broken
+// connections tell nothing of their endpoints, no more than a broken keep-alive connection does.
+func (n *Node) endPredecessorCalls() []choice.Event {
+	n.predecessor = nil
 	var events []choice.Event
-	for name, c := range n.out {
-		if c.remote {
-			broken := called{attempts: []attempt{name}, endpoint: &endpoint{}, result: result{outcome: choice.ConnectionBroken, kept: true}}
-			events = append(events, n.called(broken)...)
+	for key, c := range n.outstanding {
+		if c.fromPredecessor {
+			broken := callEnd{attempts: []attemptKey{key}, endpoint: &endpoint{}, callResult: callResult{outcome: choice.ConnectionBroken, reusedConn: true}}
+			events = append(events, n.callEnded(broken)...)
 		}
 	}
 	return events
 }
 
-// awaitHeir lets in those who ask for the node, one after the other.
-func (n *Node) awaitHeir(ctx context.Context) {
-	stop := context.AfterFunc(ctx, func() { n.door.Close() })
+// acceptSuccessors accepts processes that ask for the node, one after the other.
+func (n *Node) acceptSuccessors(ctx context.Context) {
+	stop := context.AfterFunc(ctx, func() { n.handoverListener.Close() })
 	defer stop()
 	for {
-		conn, err := n.door.AcceptUnix()
+		conn, err := n.handoverListener.AcceptUnix()
 		if err != nil {
-			return // handed over, or at the end
+			return // handed over, or the node stops
 		}
-		l := newLink(conn)
-		conn.SetReadDeadline(time.Now().Add(handoverTime))
+		l := newHandoverConn(conn)
+		conn.SetReadDeadline(time.Now().Add(handoverTimeout))
 		m, err := l.receive()
 		if err == nil {
-			err = n.own.suits(m.Owner)
+			err = n.ownership.checkSuccessor(m.Owner)
 		}
-		if err != nil || m.Hello != handoverVersion {
-			n.log.Warn("not handed over", "version", m.Hello, "err", err)
+		if err != nil || m.Version != handoverVersion {
+			n.log.Warn("not handed over", "version", m.Version, "err", err)
 			conn.Close()
 			continue
 		}
 		select {
-		case n.heirs <- l:
+		case n.successors <- l:
 		case <-ctx.Done():
 			conn.Close()
 		}
 	}
 }
 
-// offer hands the node over, between two steps. On an error it is still ours.
-func (n *Node) offer(l *link) error {
-	if len(n.acts) > 0 || n.journal.incomplete {
+// offerHandover hands the node over, between two steps. On an error this process keeps the node.
+func (n *Node) offerHandover(l *handoverConn) error {
+	if len(n.actions) > 0 || n.journal.incomplete {
 		return errJournalUnavailable // the other process could not write it either
 	}
-	if err := errors.Join(n.journal.flush(), n.own.keep()); err != nil {
+	if err := errors.Join(n.journal.flush(), n.ownership.saveMap()); err != nil {
 		return err
 	}
 	saved, err := n.sender.Save()
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	from := legacy{
-		Clock: n.now(), At: time.Now(), Sender: saved, ToldBy: n.told.Server, Revision: n.told.Revision, History: n.told.History,
+	state := handoverState{
+		Clock: n.now(), At: time.Now(), Sender: saved, ListSource: n.listPosition.Server, Revision: n.listPosition.Revision, History: n.listPosition.History,
 		Members: slices.Collect(maps.Values(n.members)), Waits: map[string]int64{},
 	}
-	for id, e := range n.eps {
-		from.Waits[id] = e.wait.Load()
+	for id, e := range n.endpoints {
+		state.Waits[id] = e.wait.Load()
 	}
-	for name, c := range n.out {
-		from.Out = append(from.Out, outState{name.seq, name.n, c.m.dest, c.m.class})
+	for key, c := range n.outstanding {
+		state.Outstanding = append(state.Outstanding, outstandingAttempt{key.seq, key.number, c.message.dest, c.message.class})
 	}
-	if err := l.conn.SetReadDeadline(time.Now().Add(handoverTime)); err != nil {
+	if err := l.conn.SetReadDeadline(time.Now().Add(handoverTimeout)); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if err := errors.Join(l.sendListener(n.ln), l.send(message{Legacy: &from})); err != nil {
+	if err := errors.Join(l.sendListener(n.listener), l.send(handoverMessage{State: &state})); err != nil {
 		return err
 	}
 	m, err := l.receive()
@@ -596,55 +602,56 @@
 		return err
 	}
 	if !m.Ready {
-		return errors.New("handover: not wanted after all")
+		return errors.New("handover: the successor declined the node")
 	}
 	if err := l.conn.SetDeadline(time.Time{}); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	return l.send(message{Yours: true})
+	return l.send(handoverMessage{LockReleased: true})
 }
 
-// handOver tells whether the node is another process's now. Then this one decides nothing any more.
-func (n *Node) handOver(l *link) bool {
-	if err := n.offer(l); err != nil {
+// handOver reports whether another process has the node now. Then this one makes no more decisions.
+func (n *Node) handOver(l *handoverConn) bool {
+	if err := n.offerHandover(l); err != nil {
 		n.log.Warn("not handed over", "err", err)
 		l.conn.Close()
 		return false
 	}
-	n.heir = l
+	n.successor = l
 	n.stage.Store(stageHandedOver)
 	n.figures.activeMessages.Store(0)
-	n.door.Close()
+	n.handoverListener.Close()
 	n.journal.file.Close()
-	n.lock.Close() // from here on the other process acts
+	n.lock.Close() // from here on the other process decides
 	n.lock = nil
-	n.log.Info("handed over", "calls out", len(n.out))
+	n.log.Info("handed over", "calls", len(n.outstanding))
 	return true
 }
 
-// relay serves the new process until this one may end: once it is to leave, no client is left and no call is out.
-func (n *Node) relay(ctx context.Context, gone, left <-chan struct{}) error {
-	down := make(chan struct{})
-	go func() { // until the link's end, which is here or the heir's
-		defer close(down)
+// serveSuccessor serves the successor until this process may end: when it is told to stop, or when no client
+// is left and no call is in flight.
+func (n *Node) serveSuccessor(ctx context.Context, stopped, disconnected <-chan struct{}) error {
+	linkClosed := make(chan struct{})
+	go func() { // until either side closes the connection
+		defer close(linkClosed)
 		for {
-			m, err := n.heir.receive()
+			m, err := n.successor.receive()
 			if err != nil {
 				return
 			}
-			n.tell(ctx, m)
+			n.sendEvent(ctx, m)
 		}
 	}()
-	defer n.heir.conn.Close()
-	asked := map[uint64]func(reply){}
-	forsake := func() {
-		for number, tell := range asked { // what became of them is not known
-			delete(asked, number)
-			tell(reply{Gone: true})
+	defer n.successor.conn.Close()
+	pending := map[uint64]func(forwardedAnswer){}
+	abandonPending := func() {
+		for number, deliver := range pending { // nobody can tell what became of them
+			delete(pending, number)
+			deliver(forwardedAnswer{OutcomeUnknown: true})
 		}
 	}
-	leaves, err := false, error(nil)
-	for !leaves || left != nil || len(n.out)+len(asked) > 0 {
+	stopping, err := false, error(nil)
+	for !stopping || disconnected != nil || len(n.outstanding)+len(pending) > 0 {
 		var e any
 		select {
 		case e = <-n.events:
@@ -653,71 +660,71 @@
 				o.reply <- err
 				continue
 			}
-			n.numbered++
-			asked[n.numbered] = func(r reply) {
+			n.lastForwarded++
+			pending[n.lastForwarded] = func(r forwardedAnswer) {
 				switch {
-				case r.Unknown:
+				case r.UnknownEndpoint:
 					o.reply <- ErrUnknownEndpoint
-				case r.Gone:
+				case r.OutcomeUnknown:
 					o.reply <- ErrSuccessorGone
 				default:
 					o.reply <- nil
 				}
 			}
-			n.heir.send(message{Order: &orderOf{n.numbered, o.id, o.enable}})
+			n.successor.send(handoverMessage{Command: &forwardedCommand{n.lastForwarded, o.id, o.enable}})
 			continue
-		case late := <-n.heirs:
-			late.conn.Close() // it finds the new process
+		case other := <-n.successors:
+			other.conn.Close() // it will find the successor
 			continue
-		case <-left:
-			left = nil
+		case <-disconnected:
+			disconnected = nil
 			continue
-		case <-gone:
-			gone, leaves, left = nil, true, nil
-			for _, c := range n.out {
+		case <-stopped:
+			stopped, stopping, disconnected = nil, true, nil
+			for _, c := range n.outstanding {
 				c.cancel()
 			}
-			forsake()
+			abandonPending()
 			continue
-		case <-down:
-			down, leaves, left, err = nil, true, nil, ErrSuccessorGone
-			n.heir.conn.Close()
-			for _, c := range n.out { // what may be repeated must not have two attempts out
+		case <-linkClosed:
+			linkClosed, stopping, disconnected, err = nil, true, nil, ErrSuccessorGone
+			n.successor.conn.Close()
+			for _, c := range n.outstanding { // a repeatable message must not have two attempts in flight
 				c.cancel()
 			}
-			forsake()
+			abandonPending()
 			continue
 		}
 		switch e := e.(type) {
 		case choice.Stopping:
-			leaves = true
-		case called:
-			e.heed()
-			n.heir.send(message{Outcome: n.outcome(e)})
+			stopping = true
+		case callEnd:
+			e.applyWait()
+			n.successor.send(handoverMessage{Outcome: n.takeOutcome(e)})
 		case arrival:
 			if err != nil {
 				e.reply <- answer{outcomeUnknown: true, countedElsewhere: true}
 				continue
 			}
-			n.numbered++
-			asked[n.numbered] = func(r reply) { e.reply <- answer{r.Refused, r.After, r.Failed, r.Gone, true} }
-			n.heir.send(message{Ask: &question{n.numbered, e.id, e.key, e.class, e.dest, e.tenant, e.ttl, e.body, e.receivedAt}})
-		case message:
+			n.lastForwarded++
+			pending[n.lastForwarded] = func(r forwardedAnswer) { e.reply <- answer{r.Refused, r.RetryAfter, r.Failed, r.OutcomeUnknown, true} }
+			n.successor.send(handoverMessage{Request: &forwardedRequest{n.lastForwarded, e.id, e.key, e.class, e.dest, e.tenant, e.ttl, e.body, e.receivedAt}})
+		case handoverMessage:
 			switch {
 			case e.Answer != nil:
-				if tell := asked[e.Answer.Number]; tell != nil {
-					delete(asked, e.Answer.Number)
-					tell(*e.Answer)
+				if deliver := pending[e.Answer.Number]; deliver != nil {
+					delete(pending, e.Answer.Number)
+					deliver(*e.Answer)
 				}
 			case e.Cancel != nil:
-				if c, out := n.out[attempt{e.Cancel.Seq, e.Cancel.Attempt}]; out {
+				if c, out := n.outstanding[attemptKey{e.Cancel.Seq, e.Cancel.Attempt}]; out {
 					c.cancel()
 				}
-			case e.Shut != "":
-				n.shut(n.eps[e.Shut])
+			case e.ClosedEndpoint != "":
+				n.closeEndpoint(n.endpoints[e.ClosedEndpoint])
 			case e.Wait != nil:
-				if ep := n.eps[e.Wait.Endpoint]; ep != nil {
-					called{endpoint: ep, result: result{wait: e.Wait.Wait}}.heed()
+				if ep := n.endpoints[e.Wait.Endpoint]; ep != nil {
+					callEnd{endpoint: ep, callResult: callResult{wait: e.Wait.Wait}}.applyWait()
 				}
 			}
 		}
@@ -725,26 +732,27 @@
 	return err
 }
 
-// outcome takes a call off those that are out, and tells how it ended.
-func (n *Node) outcome(c called) *outcomeOf {
-	o := &outcomeOf{
-		Endpoint: c.endpoint.id, Took: c.took, Outcome: fate{c.outcome, c.closed, c.unsure}.forHeir(),
-		Wait: c.wait, NoSlot: c.noSlot, Closed: c.closed, Unsure: c.unsure, Report: c.report, Kept: c.kept, HungUp: c.hungUp,
+// takeOutcome removes a call from those in flight, and returns how it ended.
+func (n *Node) takeOutcome(c callEnd) *callOutcome {
+	o := &callOutcome{
+		Endpoint: c.endpoint.id, Duration: c.took, Outcome: itemResult{c.outcome, c.final, c.ambiguous}.forSuccessor(),
+		Wait: c.wait, NoSlot: c.noSlot, Final: c.final, Ambiguous: c.ambiguous, Report: c.report, ReusedConn: c.reusedConn, ConnClosed: c.connClosed,
 	}
-	for _, name := range c.attempts {
-		m := n.out[name].m
-		o.Attempts = append(o.Attempts, outState{name.seq, name.n, m.dest, m.class})
-		delete(n.out, name)
+	for _, key := range c.attempts {
+		m := n.outstanding[key].message
+		o.Attempts = append(o.Attempts, outstandingAttempt{key.seq, key.number, m.dest, m.class})
+		delete(n.outstanding, key)
 	}
-	for _, f := range c.each {
-		o.Each = append(o.Each, fateOf{f.forHeir(), f.closed, f.unsure})
+	for _, f := range c.perItem {
+		o.PerItem = append(o.PerItem, itemOutcome{f.forSuccessor(), f.final, f.ambiguous})
 	}
 	return o
 }
 
-// forHeir is the outcome in words that builds of old, which know of no doubt, take for one that may have run.
-func (f fate) forHeir() choice.Outcome {
-	if f.unsure {
+// forSuccessor returns the outcome for a successor of an older build, which knows no ambiguous results: it
+// takes TimedOut for a call that may have run.
+func (f itemResult) forSuccessor() choice.Outcome {
+	if f.ambiguous {
 		return choice.TimedOut
 	}
 	return f.outcome
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// life is one process's part of a node, as main would run it.
+// nodeProcess is one process of a node, as main would run it.
 type nodeProcess struct {
 	node   *Node
 	addr   string
@@ -23,7 +23,7 @@
 	done   chan error
 }
 
-// begin starts a process of the node whose lasting folder is state, at addr if that is not empty.
+// startProcess starts a process of the node with the state folder state, at addr if that is not empty.
 func startProcess(t *testing.T, r *fakeRegistry, state, addr string, known ...string) *nodeProcess {
 	t.Helper()
 	if addr == "" {
@@ -56,8 +56,8 @@
 	}
 }
 
-// slowPartner answers a call when its test says so.
-func slowPartner(t *testing.T) (*fakeEndpoint, chan string) {
+// newSteeredEndpoint answers a call when the test sends the answer.
+func newSteeredEndpoint(t *testing.T) (*fakeEndpoint, chan string) {
 	answers := make(chan string)
 	return newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 		hungUp := make(chan struct{})
@@ -74,33 +74,33 @@
 	}), answers
 }
 
-// The new process goes on with what the old one has: the listening socket, what is held, what is out and its outcome, a
-// request that is half read, and where discovery's news stands.
+// The successor takes over the listening socket, held messages, calls in flight with their outcomes, a
+// request that is half read, and the position in discovery's lists.
 func TestHandover(t *testing.T) {
 	t.Parallel()
-	p, answers := slowPartner(t)
+	p, answers := newSteeredEndpoint(t)
 	late := newFakeEndpoint(t, respondWith(okResponse))
 	r, state := newFakeRegistry(t), t.TempDir()
-	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("off", "127.0.0.1:9", 8, "DRAINING"))
-	mustAnswer(t, old.addr, enqueueCommand("out", payoutFields, "x"), "+OK")
+	predecessor := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("off", "127.0.0.1:9", 8, "DRAINING"))
+	mustAnswer(t, predecessor.addr, enqueueCommand("out", payoutFields, "x"), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, old.addr, enqueueCommand("held", "c=status,d=50000,dest=8", "x"), "+OK")
-	half, br := dialClient(t, old.addr)
+	mustAnswer(t, predecessor.addr, enqueueCommand("held", "c=status,d=50000,dest=8", "x"), "+OK")
+	half, br := dialClient(t, predecessor.addr)
 	text := enqueueCommand("half", "c=order,d=50000,dest=8,k=k", "x")
 	io.WriteString(half, text[:9])
-	eventually(t, "it reads", func() bool { return old.node.stage.Load() == stageServing })
+	eventually(t, "the node serves", func() bool { return predecessor.node.stage.Load() == stageServing })
 
-	young := startProcess(t, r, state, old.addr)
-	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[stageHandedOver] })
+	successor := startProcess(t, r, state, predecessor.addr)
+	eventually(t, "handed over", func() bool { return predecessor.node.NotReadyReason() == stageReasons[stageHandedOver] })
 	io.WriteString(half, text[9:])
 	if line, err := br.ReadString('\n'); line != "+OK\r\n" {
 		t.Errorf("the request that was half read: %q, %v", line, err)
 	}
-	mustAnswer(t, young.addr, enqueueCommand("held", "c=status,d=50000,dest=8", "x"), "+OK") // known, so not taken on again
+	mustAnswer(t, successor.addr, enqueueCommand("held", "c=status,d=50000,dest=8", "x"), "+OK") // known, so not accepted again
 	answers <- okResponse
-	eventually(t, "the outcome", func() bool { return young.node.figures.ok[2].Load() == 1 })
-	old.cancel()
-	if err := old.wait(t); err != nil {
+	eventually(t, "the outcome", func() bool { return successor.node.figures.ok[2].Load() == 1 })
+	predecessor.cancel()
+	if err := predecessor.wait(t); err != nil {
 		t.Error(err)
 	}
 	r.publish(listJSON(2, false, memberJSON("late", late.addr(), 8, "SERVING")))
@@ -112,28 +112,28 @@
 	if calls, _ := p.counts(); calls != 1 {
 		t.Errorf("the payout went out %d times", calls)
 	}
-	if n := old.node.figures.ok[2].Load() + old.node.figures.tries[0].Load() + young.node.figures.tries[2].Load(); n != 0 {
-		t.Errorf("counted in the process that did not know it: %d", n)
+	if n := predecessor.node.figures.ok[2].Load() + predecessor.node.figures.tries[0].Load() + successor.node.figures.tries[2].Load(); n != 0 {
+		t.Errorf("counted by the wrong process: %d", n)
 	}
-	young.cancel()
-	if err := young.wait(t); err != nil {
+	successor.cancel()
+	if err := successor.wait(t); err != nil {
 		t.Error(err)
 	}
 	if j := openTestJournal(t, state, 3); len(j.live) != 0 {
-		t.Errorf("%d live in the end", len(j.live))
+		t.Errorf("%d live messages at the end", len(j.live))
 	}
 }
 
-// knock asks a node for itself, by hand, as far as the old process's offer.
-func knock(t *testing.T, state string) (*link, *legacy) {
+// requestHandover asks a node for its handover, up to the predecessor's offer.
+func requestHandover(t *testing.T, state string) (*handoverConn, *handoverState) {
 	t.Helper()
-	conn, err := dialDoor(door(state))
+	conn, err := dialHandover(handoverSocketPath(state))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newLink(conn)
+	l := newHandoverConn(conn)
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	if err := l.send(message{Hello: handoverVersion}); err != nil {
+	if err := l.send(handoverMessage{Version: handoverVersion}); err != nil {
 		t.Fatal(err)
 	}
 	ln, err := l.receiveListener()
@@ -142,64 +142,64 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	m, err := l.receive()
-	if err != nil || m.Legacy == nil {
-		t.Fatalf("no legacy: %v", err)
+	if err != nil || m.State == nil {
+		t.Fatalf("no state: %v", err)
 	}
-	return l, m.Legacy
+	return l, m.State
 }
 
-// One that asks and dies before it has the node changes nothing.
-func TestHandoverHalfDone(t *testing.T) {
+// A process that asks for the node and dies before it has it changes nothing.
+func TestHandoverAborted(t *testing.T) {
 	t.Parallel()
 	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
-	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
+	predecessor := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
 	r.publish(listJSON(2, false, memberJSON("new", p.addr(), 8, "SERVING")))
-	eventually(t, "the list", func() bool { return old.node.figures.listedEndpoints.Load() == 2 })
-	l, had := knock(t, state)
+	eventually(t, "the list", func() bool { return predecessor.node.figures.listedEndpoints.Load() == 2 })
+	l, offered := requestHandover(t, state)
 	l.conn.Close()
-	if had.Revision != 2 || had.ToldBy != r.addr() || len(had.Members) != 2 {
-		t.Errorf("discovery's news stands at %d of %s, %d listed", had.Revision, had.ToldBy, len(had.Members))
+	if offered.Revision != 2 || offered.ListSource != r.addr() || len(offered.Members) != 2 {
+		t.Errorf("list position: revision %d of %s, %d members", offered.Revision, offered.ListSource, len(offered.Members))
 	}
-	mustAnswer(t, old.addr, enqueueCommand("a", statusFields, "x"), "+OK")
+	mustAnswer(t, predecessor.addr, enqueueCommand("a", statusFields, "x"), "+OK")
 	p.nextRequest(t)
-	stranger, err := dialDoor(door(state)) // of another version
+	stranger, err := dialHandover(handoverSocketPath(state)) // of another version
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stranger.Close()
-	newLink(stranger).send(message{Hello: handoverVersion + 1})
-	if _, err := newLink(stranger).receive(); !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "reset") {
+	newHandoverConn(stranger).send(handoverMessage{Version: handoverVersion + 1})
+	if _, err := newHandoverConn(stranger).receive(); !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("got %v", err)
 	}
-	young := startProcess(t, r, state, old.addr)
-	mustAnswer(t, young.addr, enqueueCommand("b", statusFields, "x"), "+OK")
+	successor := startProcess(t, r, state, predecessor.addr)
+	mustAnswer(t, successor.addr, enqueueCommand("b", statusFields, "x"), "+OK")
 	p.nextRequest(t)
 }
 
-// When the process that took over is gone, the old one calls off what it has out and can start again from the journal.
-// A payout that was out may have run, so it fails; a notice goes out once more, after the first call has ended.
-func TestHeirGone(t *testing.T) {
+// When the successor dies, the predecessor cancels its calls and can start again from the journal. A payout
+// in flight may have run, so it fails; a status message is sent once more, after its first call has ended.
+func TestSuccessorGone(t *testing.T) {
 	t.Parallel()
-	p, _ := slowPartner(t)
+	p, _ := newSteeredEndpoint(t)
 	r, state := newFakeRegistry(t), t.TempDir()
-	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, old.addr, enqueueCommand("payout", payoutFields, "x"), "+OK")
+	predecessor := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, predecessor.addr, enqueueCommand("payout", payoutFields, "x"), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, old.addr, enqueueCommand("notice", statusFields, "x"), "+OK")
+	mustAnswer(t, predecessor.addr, enqueueCommand("notice", statusFields, "x"), "+OK")
 	p.nextRequest(t)
-	heir, _ := knock(t, state)
-	if err := heir.send(message{Ready: true}); err != nil {
+	successor, _ := requestHandover(t, state)
+	if err := successor.send(handoverMessage{Ready: true}); err != nil {
 		t.Fatal(err)
 	}
-	if m, err := heir.receive(); err != nil || !m.Yours {
+	if m, err := successor.receive(); err != nil || !m.LockReleased {
 		t.Fatalf("got %v, %v", m, err)
 	}
-	heir.conn.Close()
-	if err := old.wait(t); !errors.Is(err, ErrSuccessorGone) {
+	successor.conn.Close()
+	if err := predecessor.wait(t); !errors.Is(err, ErrSuccessorGone) {
 		t.Fatalf("got %v", err)
 	}
-	if len(old.node.out) != 0 {
-		t.Error("calls are left out")
+	if len(predecessor.node.outstanding) != 0 {
+		t.Error("calls are still in flight")
 	}
 	startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
 	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "notice" {
@@ -208,34 +208,34 @@
 	eventually(t, "the payout's notice", func() bool { return r.noticeState("payout") == "failed" })
 }
 
-// When the old process dies with calls out, they may have run.
-func TestForebearGone(t *testing.T) {
+// When the predecessor dies, its calls in flight may have run.
+func TestPredecessorGone(t *testing.T) {
 	t.Parallel()
-	p, _ := slowPartner(t)
+	p, _ := newSteeredEndpoint(t)
 	r, state := newFakeRegistry(t), t.TempDir()
-	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, old.addr, enqueueCommand("payout", payoutFields, "x"), "+OK")
+	predecessor := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, predecessor.addr, enqueueCommand("payout", payoutFields, "x"), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, old.addr, enqueueCommand("notice", statusFields, "x"), "+OK")
+	mustAnswer(t, predecessor.addr, enqueueCommand("notice", statusFields, "x"), "+OK")
 	p.nextRequest(t)
-	young := startProcess(t, r, state, old.addr)
-	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[stageHandedOver] })
-	old.node.heir.conn.Close() // as its death does
+	successor := startProcess(t, r, state, predecessor.addr)
+	eventually(t, "handed over", func() bool { return predecessor.node.NotReadyReason() == stageReasons[stageHandedOver] })
+	predecessor.node.successor.conn.Close() // as if the process died
 	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "notice" {
 		t.Errorf("got %q", id)
 	}
 	eventually(t, "the payout's notice", func() bool { return r.noticeState("payout") == "failed" })
-	if err := old.wait(t); !errors.Is(err, ErrSuccessorGone) {
+	if err := predecessor.wait(t); !errors.Is(err, ErrSuccessorGone) {
 		t.Errorf("got %v", err)
 	}
-	young.cancel()
-	if err := young.wait(t); err != nil {
+	successor.cancel()
+	if err := successor.wait(t); err != nil {
 		t.Error(err)
 	}
 }
 
-// A wait that the new process is told holds back what the old one has not begun to write.
-func TestWaitReachesTheOldProcess(t *testing.T) {
+// A wait that the successor was told holds back calls that the predecessor has not begun to write.
+func TestWaitReachesPredecessor(t *testing.T) {
 	t.Parallel()
 	p := newFakeEndpoint(t, func(nc net.Conn, req *http.Request) bool {
 		if req.Header.Get("X-Trace-Id") == "told" {
@@ -244,35 +244,35 @@
 		return neverAnswer(nc, req)
 	})
 	r, state := newFakeRegistry(t), t.TempDir()
-	old := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, old.addr, enqueueCommand("out", payoutFields, "x"), "+OK")
+	predecessor := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, predecessor.addr, enqueueCommand("out", payoutFields, "x"), "+OK")
 	p.nextRequest(t)
-	young := startProcess(t, r, state, old.addr)
-	eventually(t, "handed over", func() bool { return old.node.NotReadyReason() == stages[stageHandedOver] })
-	e := old.node.eps["e"]
-	if e.closedTo(time.Now()) {
-		t.Fatal("closed before anything was told")
-	}
-	mustAnswer(t, young.addr, enqueueCommand("told", statusFields, "x"), "+OK")
-	eventually(t, "the wait", func() bool { return e.closedTo(time.Now()) })
+	successor := startProcess(t, r, state, predecessor.addr)
+	eventually(t, "handed over", func() bool { return predecessor.node.NotReadyReason() == stageReasons[stageHandedOver] })
+	e := predecessor.node.endpoints["e"]
+	if e.closedAt(time.Now()) {
+		t.Fatal("closed before any wait was told")
+	}
+	mustAnswer(t, successor.addr, enqueueCommand("told", statusFields, "x"), "+OK")
+	eventually(t, "the wait", func() bool { return e.closedAt(time.Now()) })
 }
 
-// A build that knows no lock has the clients' address: the journal is left alone until that is free.
-func TestStartWaitsForAnOlderBuild(t *testing.T) {
+// A build without the lock has the clients' address: the journal is not touched until the address is free.
+func TestStartWaitsForOlderBuild(t *testing.T) {
 	t.Parallel()
 	r, state := newFakeRegistry(t), t.TempDir()
 	older, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := LoadConfig(writeConfig(t, older.Addr().String(), r.addr(), held()), state)
+	cfg, err := LoadConfig(writeConfig(t, older.Addr().String(), r.addr(), drainingMember()), state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waits := make(chan struct{})
+	waiting := make(chan struct{})
 	log := slog.New(slog.NewTextHandler(writerFunc(func(b []byte) (int, error) {
 		if strings.Contains(string(b), "address is free") {
-			close(waits)
+			close(waiting)
 		}
 		return len(b), nil
 	}), nil))
@@ -288,7 +288,7 @@
 		}
 		made <- err
 	}()
-	<-waits
+	<-waiting
 	if _, err := os.Stat(filepath.Join(state, journalName)); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the journal was touched: %v", err)
 	}
@@ -302,21 +302,21 @@
 
 func (f writerFunc) Write(b []byte) (int, error) { return f(b) }
 
-// A folder for temporary files may have a path that is longer than a socket's can be.
-func TestDoorBehindALongPath(t *testing.T) {
+// The path of the temporary folder may be longer than a socket address can be.
+func TestHandoverSocketWithLongPath(t *testing.T) {
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), strings.Repeat("long", 30))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(dir, "door")
-	for range 2 { // the second takes the first one's place
-		ln, err := openDoor(path)
+	path := filepath.Join(dir, "socket")
+	for range 2 { // the second listener replaces the first
+		ln, err := listenHandover(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer ln.Close()
-		conn, err := dialDoor(path)
+		conn, err := dialHandover(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -326,15 +326,15 @@
 			t.Fatal(err)
 		}
 		defer in.Close()
-		newLink(in).send(message{Yours: true})
+		newHandoverConn(in).send(handoverMessage{LockReleased: true})
 		if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || !strings.Contains(line, "true") {
 			t.Errorf("got %q, %v", line, err)
 		}
 	}
 }
 
-// Where the socket for the next process can't be opened the node says so once, and serves without handover.
-func TestNodeServesWithoutADoor(t *testing.T) {
+// If the handover socket can't be opened, the node logs that once and serves without handover.
+func TestNodeServesWithoutHandoverSocket(t *testing.T) {
 	t.Setenv("TMPDIR", filepath.Join(t.TempDir(), "missing"))
 	r := newFakeRegistry(t)
 	said := make(chan string, 100)
@@ -365,6 +365,6 @@
 		t.Error(err)
 	}
 	if len(said) != 1 {
-		t.Errorf("said %d times", len(said))
+		t.Errorf("logged %d times", len(said))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,89 +22,92 @@
 )
 
 const (
-	// epoch is the module's clock at the start: times before a restart stay above zero.
+	// epoch is the module's time when the process starts. It leaves room for times before a restart, which
+	// must stay above zero.
 	epoch      = 48 * time.Hour
 	maxBatch   = 256 // events in one Step
 	eventQueue = 1024
-	// After SIGTERM clients go on coming for 0.4 s, and SIGKILL comes after 3.7 s. The module is told at once when
-	// the node will leave, and sends what can end before that. All the while messages are taken on: the journal has
-	// them for the next start.
-	leaveAfter = 3200 * time.Millisecond
-	closeAfter = 3 * time.Second // clients are hung up on from then on, which takes 0.1 s, and half a second with such as are slow
+	// After SIGTERM clients keep connecting for 0.4 s, and SIGKILL follows after 3.7 s. The module learns at
+	// once when the node will stop, and sends what can end before that. Messages are accepted all the while:
+	// the journal keeps them for the next start.
+	stopAfter       = 3200 * time.Millisecond
+	disconnectAfter = 3 * time.Second // clients are disconnected from then on, which takes 0.1 s, or half a second if some are slow
 )
 
-// Of the descriptors that the process may hold.
+// Shares of the file descriptors that the process may hold.
 const (
 	defaultSockets         = 256 // the least that a platform gives
-	clientSocketsDivisor   = 2   // the parts of all are halves,
-	operatorSocketsDivisor = 16  // and sixteenths
-	ownDescriptors         = 24  // journal and its next file, lock, logs, listeners, discovery, notices, the runtime's
-	leastIdle              = 8
+	clientSocketsDivisor   = 2   // clients may hold a half,
+	operatorSocketsDivisor = 16  // operators a sixteenth
+	nodeDescriptors        = 24  // journal and its next file, lock, logs, listeners, discovery, notices, the runtime's
+	minIdle                = 8
 )
 
-// attempt names a call that is out, by the journal's number of its message: an id may come again while a call
-// under it is still out.
-type attempt struct {
-	seq uint64
-	n   int
+// attemptKey identifies an attempt in flight by its message's journal number: an ID may be used again while a
+// call under it is still in flight.
+type attemptKey struct {
+	seq    uint64
+	number int
 }
 
-// act is something that is done once the records before it are written.
-type act struct {
-	do func()
-	// From then on it needs no guard: a message whose time is up is not sent any more, so a life that knows nothing of
-	// its end could but end it once more. Zero: never.
-	free time.Time
+// guardedAction runs once the journal records before it are written.
+type guardedAction struct {
+	run func()
+	// From then on the action needs no record: a message past its deadline is not sent any more, so a later
+	// process that does not know of its end could only end it again. Zero means never.
+	unguardedFrom time.Time
 }
 
-// outCall is the call that an attempt is out in; one with several messages stands there for each of them.
-type outCall struct {
-	m      *pendingMessage
-	cancel context.CancelFunc
-	remote bool // the process that this one took over from has it out
+// outstandingCall is the call that carries an attempt; a call with several messages has an entry for each of
+// them.
+type outstandingCall struct {
+	message         *pendingMessage
+	cancel          context.CancelFunc
+	fromPredecessor bool // the predecessor made the call
 }
 
-// Node is a delivery node. One goroutine, in loop, owns all that is not said to be shared.
+// Node is a delivery node. Package choice, called the module here, makes its decisions. The goroutine that
+// runs loop owns every field that is not marked as shared.
 type Node struct {
-	cfg      Config
-	log      *slog.Logger
-	sender   *choice.Sender
-	journal  *journal
-	pool     *pool
-	start    time.Time
-	events   chan any
-	commands chan endpointCommand
-	notices  chan []notice
-	moves    chan []string // the new addresses of what tells the list
-	over     chan struct{}
-	messages map[string]*pendingMessage // all in the journal, by id
-	out      map[attempt]outCall
-	eps      map[string]*endpoint
-	waits    map[int]*atomic.Int64 // of destinations whose endpoints share them
-	owed     []notice              // not yet handed to the reporter
-	held     int                   // messages without their final answer
-	acts     []act                 // what the records that are not yet written guard, in order
-	figures  *metrics
-	stage    atomic.Int32  // shared
-	revision atomic.Int64  // shared; of the list that the module last took
-	wakeAt   time.Duration // of the module; 0 none
-	// The journal could not be written since then; zero: it can be.
-	stuckSince time.Time
-	calls      sync.WaitGroup
-
-	members map[string]catalog.Endpoint // the list, as discovery last told it
-	told    registry.Position           // how far it was told
-	kept    *keptList                   // nil: it is not kept
-	own     *share                      // nil: without [ownership]
-
-	// For the way from one process to the next; see handover.go.
-	ln       net.Listener
-	lock     *os.File // nil: the node is this process's alone, as in tests
-	door     *net.UnixListener
-	heirs    chan *link
-	heir     *link  // the process that has taken over, if one has
-	forebear *link  // the process that this one took over from, while it lives
-	numbered uint64 // requests that went on to the heir
+	cfg              Config
+	log              *slog.Logger
+	sender           *choice.Sender
+	journal          *journal
+	pool             *pool
+	clockStart       time.Time
+	events           chan any
+	commands         chan endpointCommand
+	notices          chan []notice
+	newAddresses     chan []string // new addresses of discovery
+	done             chan struct{}
+	messages         map[string]*pendingMessage // all messages in the journal, by ID
+	outstanding      map[attemptKey]outstandingCall
+	endpoints        map[string]*endpoint
+	destinationWaits map[int]*atomic.Int64 // of destinations whose endpoints share a wait
+	owedNotices      []notice              // not yet handed to the reporter
+	openMessages     int                   // messages without a final answer
+	actions          []guardedAction       // wait for the records that guard them, in order
+	figures          *metrics
+	stage            atomic.Int32  // shared
+	revision         atomic.Int64  // shared; of the list that the module applied last
+	wakeAt           time.Duration // of the module; 0 for none
+	// The time since which the journal can't be written; zero while it can.
+	journalDownSince time.Time
+	calls            sync.WaitGroup
+
+	members      map[string]catalog.Endpoint // the list that discovery told last
+	listPosition registry.Position           // where in discovery's lists the node is
+	listCache    *listCache                  // nil if the list is not cached
+	ownership    *ownershipState             // nil without [ownership]
+
+	// For the handover between processes; see handover.go.
+	listener         net.Listener
+	lock             *os.File // nil if the node can't be handed over, as in tests
+	handoverListener *net.UnixListener
+	successors       chan *handoverConn
+	successor        *handoverConn // the process that has taken over, if any
+	predecessor      *handoverConn // the process that this one took over from, while it runs
+	lastForwarded    uint64        // of the requests forwarded to the successor
 }
 
 // Events of the loop.
@@ -113,21 +116,21 @@
 		request
 		reply chan answer
 	}
-	called struct {
-		attempts []attempt // of the call's items, in their order
+	callEnd struct {
+		attempts []attemptKey // in the order of the call's items
 		endpoint *endpoint
-		result
+		callResult
 		took time.Duration
 	}
-	settled         []notice
-	endpointCommand struct { // of the operators, for an endpoint
+	noticesTaken    []notice
+	endpointCommand struct { // an operator's command for an endpoint
 		id     string
 		enable bool
 		reply  chan error
 	}
 )
 
-// ErrUnknown says that no endpoint of that ID was ever listed.
+// ErrUnknownEndpoint reports that no endpoint of that ID was ever listed.
 var ErrUnknownEndpoint = errors.New("no endpoint of this ID was ever listed")
 
 // The stages of a node's life.
@@ -138,59 +141,61 @@
 	stageHandedOver
 )
 
-var stages = [...]string{stageStarting: "starting", stageStopping: "leaving", stageHandedOver: "handed over to another process"}
+var stageReasons = [...]string{stageStarting: "starting", stageStopping: "leaving", stageHandedOver: "handed over to another process"}
 
-// New loads the journal. Its folder must be the node's alone.
+// New loads the journal. No other process may use its folder.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
 	j, err := openJournal(cfg.StateDir, cfg.journalMB())
 	if err != nil {
 		return nil, err
 	}
 	if j.corruption != "" {
-		log.Warn("a part of the journal can't be read; what it may have been about ends as failed", "part", j.corruption)
+		log.Warn("part of the journal is unreadable; the messages that it may concern end as failed", "part", j.corruption)
 	}
-	told := registry.Position{Revision: cfg.InitialList.Revision, Server: cfg.Discovery}
-	if !slices.Contains(cfg.DiscoveryAddresses(), cfg.Discovery) { // the revisions of what tells the list count something else
-		told = registry.Position{}
+	position := registry.Position{Revision: cfg.InitialList.Revision, Server: cfg.Discovery}
+	if !slices.Contains(cfg.DiscoveryAddresses(), cfg.Discovery) { // revisions of another source can't be compared
+		position = registry.Position{}
 	}
-	kept := openKept(cfg, log)
-	if kept != nil {
-		if l, at, heard, ok := kept.kept.List(); ok {
-			log.Info("beginning with the kept list", "revision", l.Revision, "endpoints", len(l.Members), "age", time.Since(heard).Round(time.Second))
-			cfg.InitialList, told = l, at
+	cache := openListCache(cfg, log)
+	if cache != nil {
+		if l, at, heardAt, ok := cache.cache.List(); ok {
+			log.Info("starting with the cached list", "revision", l.Revision, "endpoints", len(l.Members), "age", time.Since(heardAt).Round(time.Second))
+			cfg.InitialList, position = l, at
 		}
 	}
-	own := openShare(cfg, j, log)
-	cfg.InitialList = own.only(cfg.InitialList)
-	_, idle := splitDescriptors(max(cfg.Limits.Sockets, 4*leastIdle), cfg.Settings.Slots)
+	owned := openOwnership(cfg, j, log)
+	cfg.InitialList = owned.filterList(cfg.InitialList)
+	_, idle := splitDescriptors(max(cfg.Limits.Sockets, 4*minIdle), cfg.Settings.Slots)
 	return &Node{
-		told: told, kept: kept, own: own,
-		cfg: cfg, log: log, journal: j, sender: choice.New(cfg.moduleSettings(), seed(cfg.Seed)), start: time.Now(),
+		listPosition: position, listCache: cache, ownership: owned,
+		cfg: cfg, log: log, journal: j, sender: choice.New(cfg.moduleSettings(), seed(cfg.Seed)), clockStart: time.Now(),
 		pool:   newPool(cfg.Settings.DialTimeout, cfg.Settings.IdleConnTimeout, idle),
-		events: make(chan any, eventQueue), commands: make(chan endpointCommand), notices: make(chan []notice), moves: make(chan []string),
-		over: make(chan struct{}), messages: map[string]*pendingMessage{},
-		out: map[attempt]outCall{}, eps: map[string]*endpoint{}, waits: map[int]*atomic.Int64{},
-		figures: newMetrics(cfg.Names.Classes), members: map[string]catalog.Endpoint{}, heirs: make(chan *link),
+		events: make(chan any, eventQueue), commands: make(chan endpointCommand), notices: make(chan []notice), newAddresses: make(chan []string),
+		done: make(chan struct{}), messages: map[string]*pendingMessage{},
+		outstanding: map[attemptKey]outstandingCall{}, endpoints: map[string]*endpoint{}, destinationWaits: map[int]*atomic.Int64{},
+		figures: newMetrics(cfg.Names.Classes), members: map[string]catalog.Endpoint{}, successors: make(chan *handoverConn),
 	}, nil
 }
 
-// descriptors shares out what clients, who may fill their half at any time, and operators leave of the process's limit: the
-// node's own get theirs, and what is left holds as many calls at once as there are slots, and connections idle between calls.
+// splitDescriptors divides what clients, who may fill their half at any time, and operators leave of the
+// process's limit. The node's own descriptors come first; the rest holds one call for each slot, and
+// connections idle between calls.
 func splitDescriptors(sockets, slots int) (calls, idle int) {
-	left := max(sockets-sockets/clientSocketsDivisor-sockets/operatorSocketsDivisor-ownDescriptors, 2*leastIdle)
-	if slots <= 0 || slots > left-leastIdle {
-		slots = left - leastIdle
+	remaining := max(sockets-sockets/clientSocketsDivisor-sockets/operatorSocketsDivisor-nodeDescriptors, 2*minIdle)
+	if slots <= 0 || slots > remaining-minIdle {
+		slots = remaining - minIdle
 	}
-	return slots, min(sockets/4, left-slots)
+	return slots, min(sockets/4, remaining-slots)
 }
 
-// Unready tells why the node is not ready to serve, "" if it is. It may be called at any time.
+// NotReadyReason tells why the node is not ready to serve; it is empty if the node is ready. It is safe for
+// concurrent use.
 func (n *Node) NotReadyReason() string {
 	if s := n.stage.Load(); s != stageServing {
-		return stages[s]
+		return stageReasons[s]
 	}
-	if s := n.figures.ownership.Load(); s != nil && s.unready() != "" {
-		return s.unready()
+	if s := n.figures.ownership.Load(); s != nil && s.notReadyReason() != "" {
+		return s.notReadyReason()
 	}
 	if n.figures.listedEndpoints.Load() == 0 {
 		return "no endpoints are known"
@@ -198,14 +203,14 @@
 	return ""
 }
 
-// Told is the revision of the list that is in force in the loop, by the count of who told it, and how many endpoints that has. It may
-// be called at any time.
+// CurrentList returns the revision of the list in force in the loop, as its source counts, and the number of
+// endpoints. It is safe for concurrent use.
 func (n *Node) CurrentList() (revision int64, endpoints int) {
 	revision = n.revision.Load()
 	return revision, int(n.figures.listedEndpoints.Load()) // of that revision or a later one
 }
 
-// seed reads the configuration's hexadecimal seed; any other text serves as well.
+// seed parses the configuration's hexadecimal seed; any other text is hashed.
 func seed(text string) uint64 {
 	if v, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return v
@@ -215,78 +220,78 @@
 	return h.Sum64()
 }
 
-// now is the module's clock, and at what it shows at another time.
-func (n *Node) now() time.Duration { return n.at(time.Now()) }
+// now returns the module's time, and moduleTime the module's time at t.
+func (n *Node) now() time.Duration { return n.moduleTime(time.Now()) }
 
-func (n *Node) at(t time.Time) time.Duration { return epoch + t.Sub(n.start) }
+func (n *Node) moduleTime(t time.Time) time.Duration { return epoch + t.Sub(n.clockStart) }
 
-func (n *Node) wall(d time.Duration) time.Time { return n.start.Add(d - epoch) }
+func (n *Node) wallTime(d time.Duration) time.Time { return n.clockStart.Add(d - epoch) }
 
-// Run serves clients on ln until ctx ends; then it finishes or leaves to the journal what it holds.
+// Run serves clients on ln until ctx ends. Then it finishes what it can; the journal keeps the rest.
 func (n *Node) Run(ctx context.Context, ln net.Listener) error {
-	// The parts outlive ctx by the time that it takes to leave.
-	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	// The background tasks outlive ctx by the time that stopping takes.
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	defer close(n.over)
-	n.ln = ln
-	n.step(life, n.replayed(), nil)
-
-	var parts sync.WaitGroup
-	news, unsubscribe := context.WithCancel(life)
-	defer unsubscribe()
-	parts.Go(func() { n.consult(news) })
+	defer close(n.done)
+	n.listener = ln
+	n.step(runCtx, n.replayJournal(), nil)
+
+	var tasks sync.WaitGroup
+	discoveryCtx, stopDiscovery := context.WithCancel(runCtx)
+	defer stopDiscovery()
+	tasks.Go(func() { n.followDiscovery(discoveryCtx) })
 	n.log.Info("serving", "sockets", n.cfg.Limits.Sockets, "memory_mb", n.cfg.Limits.MemoryMB, "disk_mb", n.cfg.Limits.DiskMB,
 		"cores", n.cfg.Limits.Cores, "slots", n.cfg.Settings.Slots, "max_open", n.cfg.Settings.MaxOpen)
-	clients := newClientServer(ln, n.cfg.Limits.Sockets/clientSocketsDivisor, n.cfg.Names, func(q request) answer { return n.hand(life, q) })
-	parts.Go(func() { clients.serve(life) })
-	if n.forebear != nil {
-		forebear := n.forebear
-		parts.Go(func() { n.hear(life, forebear, &parts) })
+	clients := newClientServer(ln, n.cfg.Limits.Sockets/clientSocketsDivisor, n.cfg.Names, func(q request) answer { return n.submit(runCtx, q) })
+	tasks.Go(func() { clients.serve(runCtx) })
+	if n.predecessor != nil {
+		predecessor := n.predecessor
+		tasks.Go(func() { n.receiveFromPredecessor(runCtx, predecessor, &tasks) })
 	}
 	if n.lock != nil {
 		var err error
-		if n.door, err = openDoor(door(n.cfg.StateDir)); err != nil {
+		if n.handoverListener, err = listenHandover(handoverSocketPath(n.cfg.StateDir)); err != nil {
 			n.log.Error("no other process can take over from this one", "err", err)
 		} else {
-			parts.Go(func() { n.awaitHeir(life) })
+			tasks.Go(func() { n.acceptSuccessors(runCtx) })
 		}
 	}
 	n.stage.CompareAndSwap(stageStarting, stageServing)
-	gone := make(chan struct{})
-	parts.Go(func() {
-		defer close(gone)
+	stopped := make(chan struct{})
+	tasks.Go(func() {
+		defer close(stopped)
 		select {
 		case <-ctx.Done():
-		case <-life.Done(): // the process that took over is gone
+		case <-runCtx.Done(): // the successor is gone
 			return
 		}
 		n.stage.Store(stageStopping)
-		leaveBy := time.Now().Add(leaveAfter)
-		n.tell(life, choice.Stopping{By: n.at(leaveBy)})
-		registry.Sleep(life, closeAfter)
-		clients.close(shutdownGrace) // those inside a request get their answers from the loop, which still runs
-		registry.Sleep(life, time.Until(leaveBy))
+		stopBy := time.Now().Add(stopAfter)
+		n.sendEvent(runCtx, choice.Stopping{By: n.moduleTime(stopBy)})
+		registry.Sleep(runCtx, disconnectAfter)
+		clients.close(shutdownGrace) // the loop, which still runs, answers clients in the middle of a request
+		registry.Sleep(runCtx, time.Until(stopBy))
 	})
-	n.loop(life, gone)
+	n.loop(runCtx, stopped)
 
 	var err error
-	if n.heir != nil {
-		unsubscribe()
+	if n.successor != nil {
+		stopDiscovery()
 		n.pool.retire()
-		left := make(chan struct{})
-		parts.Go(func() {
-			defer close(left)
-			clients.close(requestTimeout + shutdownGrace) // nobody waits for this process, so they may take their time
+		disconnected := make(chan struct{})
+		tasks.Go(func() {
+			defer close(disconnected)
+			clients.close(requestTimeout + shutdownGrace) // nothing waits for this process to end, so they may take their time
 		})
-		err = n.relay(life, gone, left)
+		err = n.serveSuccessor(runCtx, stopped, disconnected)
 	} else {
-		n.finish(life)
+		n.cancelCalls(runCtx)
 	}
 	cancel()
 	n.calls.Wait()
 	n.pool.close()
-	parts.Wait()
-	if n.heir != nil {
+	tasks.Wait()
+	if n.successor != nil {
 		return err
 	}
 	err = n.journal.close()
@@ -296,104 +301,105 @@
 	return err
 }
 
-// finish calls off what is out, and takes the end of each call. What is out elsewhere may have run.
-func (n *Node) finish(ctx context.Context) {
-	maps.DeleteFunc(n.out, func(_ attempt, c outCall) bool { return c.remote })
-	for _, c := range n.out {
+// cancelCalls cancels the calls in flight and waits for the end of each. It drops those of the predecessor,
+// which may have run.
+func (n *Node) cancelCalls(ctx context.Context) {
+	maps.DeleteFunc(n.outstanding, func(_ attemptKey, c outstandingCall) bool { return c.fromPredecessor })
+	for _, c := range n.outstanding {
 		c.cancel()
 	}
-	for len(n.out) > 0 { // each call that is called off ends by an event
-		n.take(ctx, []any{<-n.events})
+	for len(n.outstanding) > 0 { // each canceled call ends with an event
+		n.handleBatch(ctx, []any{<-n.events})
 	}
 }
 
-// Move tells a running node that what tells the list is at other addresses now. It may be called at any time.
+// MoveDiscovery tells a running node the new addresses of discovery. It is safe for concurrent use.
 func (n *Node) MoveDiscovery(addrs ...string) {
 	select {
-	case n.moves <- addrs:
-	case <-n.over:
+	case n.newAddresses <- addrs:
+	case <-n.done:
 	}
 }
 
-// consult keeps the watch and the reports at discovery's address, and takes both along when that changes. Another
-// server is asked for all it has, so that nothing is lost; while its list is older than what was told, it is not
-// taken, or a drain could be undone. Notices that were not answered go to the new address.
-func (n *Node) consult(ctx context.Context) {
+// followDiscovery runs the watch and the reports at discovery's addresses, and moves both when these change.
+// A new server is asked for the whole list, so that nothing is missed. A list older than the last one is not
+// applied, as it could undo a drain. Unanswered notices go to the new address.
+func (n *Node) followDiscovery(ctx context.Context) {
 	addrs := n.cfg.DiscoveryAddresses()
-	track := registry.NewCursor(n.told) // the watch's, of which there is one at a time
+	track := registry.NewCursor(n.listPosition) // one watch at a time uses it
 	var unanswered []notice
 	for ctx.Err() == nil {
-		here, leave := context.WithCancel(ctx)
+		sourceCtx, stopSource := context.WithCancel(ctx)
 		transport := &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}
 		client := &http.Client{Transport: transport}
-		at := addrs // which change while the parts begin
-		var parts sync.WaitGroup
-		w := registry.Watcher{Addresses: at, FleetSize: max(n.cfg.Settings.FleetSize, 1), Client: client, Log: n.log, Cursor: track}
-		if n.kept != nil {
-			w.OnLine = n.kept.heard
-			parts.Go(func() { n.kept.run(here) })
+		current := addrs // sources may change while the tasks start
+		var tasks sync.WaitGroup
+		w := registry.Watcher{Addresses: current, FleetSize: max(n.cfg.Settings.FleetSize, 1), Client: client, Log: n.log, Cursor: track}
+		if n.listCache != nil {
+			w.OnLine = n.listCache.markConfirmed
+			tasks.Go(func() { n.listCache.run(sourceCtx) })
 		}
-		parts.Go(func() {
-			n.watch(here, &w, func(l registry.Update) error {
-				n.tell(ctx, l)
-				if n.kept != nil {
-					n.kept.take(l)
+		tasks.Go(func() {
+			n.watchList(sourceCtx, &w, func(l registry.Update) error {
+				n.sendEvent(ctx, l)
+				if n.listCache != nil {
+					n.listCache.apply(l)
 				}
 				return nil
 			})
 		})
-		parts.Go(func() {
-			unanswered = reportNotices(here, n.log, client, at, unanswered, n.notices, func(b []notice) { n.tell(ctx, settled(b)) })
+		tasks.Go(func() {
+			unanswered = reportNotices(sourceCtx, n.log, client, current, unanswered, n.notices, func(b []notice) { n.sendEvent(ctx, noticesTaken(b)) })
 		})
-		for stay := true; stay; { // being told the same again changes nothing
+		for unchanged := true; unchanged; { // the same addresses again change nothing
 			select {
-			case to := <-n.moves:
+			case to := <-n.newAddresses:
 				if !slices.Equal(to, addrs) {
-					n.log.Info("discovery moves", "to", strings.Join(to, " "))
-					addrs, stay = to, false
+					n.log.Info("discovery has new addresses", "to", strings.Join(to, " "))
+					addrs, unchanged = to, false
 				}
 			case <-ctx.Done():
-				stay = false
+				unchanged = false
 			}
 		}
-		leave()
-		parts.Wait()
+		stopSource()
+		tasks.Wait()
 		transport.CloseIdleConnections()
 		track.ServerChanged(time.Now())
 	}
 }
 
-// replayed makes the first events: the list as it was last known, and what the journal says is still owed.
-func (n *Node) replayed() []choice.Event {
+// replayJournal returns the first events: the last known list, and the open messages of the journal.
+func (n *Node) replayJournal() []choice.Event {
 	known := n.cfg.InitialList
 	known.Complete = true
 	var events []choice.Event
-	if n.forebear == nil { // whom one took over from has told the module
-		events = append(events, n.listed(known))
-		events = append(events, n.barredBefore()...)
+	if n.predecessor == nil { // otherwise the predecessor has told the module
+		events = append(events, n.applyList(known))
+		events = append(events, n.restoreDisabled()...)
 	}
-	// In the order in which they were taken on.
+	// In the order in which they were accepted.
 	for _, seq := range slices.Sorted(maps.Keys(n.journal.live)) {
 		p := n.journal.live[seq]
 		n.messages[p.id] = p
 		if p.final != nil {
-			n.owed = append(n.owed, newNotice(p))
+			n.owedNotices = append(n.owedNotices, newNotice(p))
 			continue
 		}
-		n.held++
-		if !n.sender.HasMessage(p.choiceID()) { // one that was taken over it has
-			events = append(events, n.resumed(p))
+		n.openMessages++
+		if !n.sender.HasMessage(p.choiceID()) { // false for those taken over from the predecessor
+			events = append(events, n.resumedEvent(p))
 		}
 	}
 	if len(n.messages) > 0 {
-		n.log.Info("journal replayed", "resumed", n.held, "notices", len(n.owed))
+		n.log.Info("journal replayed", "resumed", n.openMessages, "notices", len(n.owedNotices))
 	}
 	return events
 }
 
-// barredBefore tells the module whom the operators left out in an earlier life, and who was let serve again a moment
-// ago: that may still be cold.
-func (n *Node) barredBefore() []choice.Event {
+// restoreDisabled tells the module which endpoints operators disabled before the restart, and which were
+// enabled again so recently that they may still be in slow start.
+func (n *Node) restoreDisabled() []choice.Event {
 	var events []choice.Event
 	for _, id := range n.journal.knownEndpoints {
 		recent := time.Since(n.journal.enabledAt[id]) < n.cfg.Settings.SlowStartDuration
@@ -407,36 +413,37 @@
 	return events
 }
 
-// resumed tells the module of a message's past. An attempt that is not proven not to have run may have.
-func (n *Node) resumed(p *pendingMessage) choice.MessageResumed {
-	r := choice.MessageResumed{MessageArrived: n.arrived(p, p.deadline), Attempts: len(p.attempts)}
+// resumedEvent tells the module of a message from the journal. An attempt not proven not to have run may have
+// run.
+func (n *Node) resumedEvent(p *pendingMessage) choice.MessageResumed {
+	r := choice.MessageResumed{MessageArrived: n.arrivedEvent(p, p.deadline), Attempts: len(p.attempts)}
 	for _, s := range p.attempts {
 		r.Failed = r.Failed || s.failed
 		if !s.notRun && !r.MayHaveRun {
-			r.MayHaveRun, r.MayHaveRunSince, r.Zone = true, n.at(s.sentAt), s.zone
+			r.MayHaveRun, r.MayHaveRunSince, r.Zone = true, n.moduleTime(s.sentAt), s.zone
 		}
 	}
 	return r
 }
 
-// arrived is the module's event of a message. A deadline that has not been through the journal is on the
+// arrivedEvent tells the module of a message. A deadline that has not been through the journal is on the
 // monotonic clock, so that a step of the wall clock does not move it.
-func (n *Node) arrived(p *pendingMessage, deadline time.Time) choice.MessageArrived {
-	return choice.MessageArrived{ID: p.choiceID(), Class: p.class, Tenant: p.tenant, Dest: p.dest, Key: p.key, Deadline: n.at(deadline)}
+func (n *Node) arrivedEvent(p *pendingMessage, deadline time.Time) choice.MessageArrived {
+	return choice.MessageArrived{ID: p.choiceID(), Class: p.class, Tenant: p.tenant, Dest: p.dest, Key: p.key, Deadline: n.moduleTime(deadline)}
 }
 
-// tell hands the loop an event.
-func (n *Node) tell(ctx context.Context, e any) {
+// sendEvent passes an event to the loop.
+func (n *Node) sendEvent(ctx context.Context, e any) {
 	select {
 	case n.events <- e:
 	case <-ctx.Done():
 	}
 }
 
-// hand hands in a client's request and waits for the answer.
-func (n *Node) hand(ctx context.Context, q request) answer {
+// submit passes a client's request to the loop and waits for the answer.
+func (n *Node) submit(ctx context.Context, q request) answer {
 	a := arrival{request: q, reply: make(chan answer, 1)}
-	n.tell(ctx, a)
+	n.sendEvent(ctx, a)
 	var r answer
 	select {
 	case r = <-a.reply:
@@ -444,7 +451,7 @@
 		select {
 		case r = <-a.reply:
 		default:
-			r = answer{refused: true, retryAfter: n.cfg.Settings.MaxRetryAfter} // the loop has ended and did not take it on
+			r = answer{refused: true, retryAfter: n.cfg.Settings.MaxRetryAfter} // the loop has ended and did not accept it
 		}
 	}
 	if (r.refused || r.failure != "") && !r.countedElsewhere {
@@ -453,14 +460,14 @@
 	return r
 }
 
-// loop batches what has come and steps through it, until the node has left or is another process's.
-func (n *Node) loop(ctx context.Context, gone <-chan struct{}) {
+// loop handles events in batches until the node has stopped or is handed over.
+func (n *Node) loop(ctx context.Context, stopped <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(n.untilWake())
+		timer.Reset(n.timeToWake())
 		notices := n.notices
-		if len(n.owed) == 0 {
+		if len(n.owedNotices) == 0 {
 			notices = nil
 		}
 		var batch []any
@@ -468,17 +475,17 @@
 		case e := <-n.events:
 			batch = append(batch, e)
 		case <-timer.C:
-		case notices <- n.owed:
-			n.owed = nil
+		case notices <- n.owedNotices:
+			n.owedNotices = nil
 			continue
 		case o := <-n.commands:
 			batch = append(batch, o)
-		case l := <-n.heirs:
-			if n.handOver(l) {
+		case conn := <-n.successors:
+			if n.handOver(conn) {
 				return
 			}
 			continue
-		case <-gone:
+		case <-stopped:
 			return
 		}
 		for more := true; more && len(batch) < maxBatch; {
@@ -489,12 +496,13 @@
 				more = false
 			}
 		}
-		n.take(ctx, batch)
+		n.handleBatch(ctx, batch)
 	}
 }
 
-// untilWake is the time to the module's next wake, or to the next try of a journal that could not be written.
-func (n *Node) untilWake() time.Duration {
+// timeToWake returns the time to the module's next wake, or to the next attempt to write a journal that could
+// not be written.
+func (n *Node) timeToWake() time.Duration {
 	wait := time.Hour
 	if n.wakeAt > 0 {
 		wait = max(n.wakeAt-n.now(), 0)
@@ -505,119 +513,120 @@
 	return wait
 }
 
-// newcomers are the messages of a batch, with all who handed them in: one id may stand there more than once.
-type newcomers map[uint64][]arrival
+// newMessages holds the messages of a batch with the requests of each: an ID may occur more than once.
+type newMessages map[uint64][]arrival
 
-func (w newcomers) reply(seq uint64, a answer) {
-	for _, c := range w[seq] {
+func (m newMessages) reply(seq uint64, a answer) {
+	for _, c := range m[seq] {
 		c.reply <- a
 	}
 }
 
-// take turns a batch into the module's events, and steps.
-func (n *Node) take(ctx context.Context, batch []any) {
+// handleBatch turns a batch into events of the module, and runs a step.
+func (n *Node) handleBatch(ctx context.Context, batch []any) {
 	var events []choice.Event
-	fresh := newcomers{}
+	added := newMessages{}
 	for _, e := range batch {
 		switch e := e.(type) {
 		case registry.Update:
-			n.told = e.Position()
-			events = append(events, n.listed(e.List))
-		case outcomeOf:
-			events = append(events, n.elsewhere(e)...)
-		case forebearGone:
-			events = append(events, n.orphaned()...)
-		case shareEvent:
-			e.tell(n.own)
-		case called:
-			events = append(events, n.called(e)...)
-		case settled:
+			n.listPosition = e.Position()
+			events = append(events, n.applyList(e.List))
+		case callOutcome:
+			events = append(events, n.predecessorCallEnded(e)...)
+		case predecessorGone:
+			events = append(events, n.endPredecessorCalls()...)
+		case ownershipEvent:
+			e.apply(n.ownership)
+		case callEnd:
+			events = append(events, n.callEnded(e)...)
+		case noticesTaken:
 			for _, s := range e {
 				n.forget(s.message)
 			}
 		case choice.Stopping:
 			events = append(events, e)
 		case endpointCommand:
-			events = append(events, n.bar(e)...)
+			events = append(events, n.applyCommand(e)...)
 		case arrival:
-			if p := n.accept(e, fresh); p != nil {
-				events = append(events, n.arrived(p, e.receivedAt.Add(e.ttl)))
+			if p := n.accept(e, added); p != nil {
+				events = append(events, n.arrivedEvent(p, e.receivedAt.Add(e.ttl)))
 			}
 		}
 	}
-	// What the module is about to be told of, and the clients with it, rests on these records.
-	if !n.flush() && len(fresh) > 0 { // these are turned away
+	// The module and the clients must not learn of these messages before their records are written.
+	if !n.flushJournal() && len(added) > 0 { // the new messages are refused
 		events = slices.DeleteFunc(events, func(e choice.Event) bool {
 			_, isNew := e.(choice.MessageArrived)
 			return isNew
 		})
-		for seq, all := range fresh {
+		for seq, all := range added {
 			n.forget(n.journal.live[seq])
-			fresh.reply(seq, n.turnAway(all[0]))
+			added.reply(seq, n.refuse(all[0]))
 		}
-		fresh = nil
+		added = nil
 	}
 	if n.wakeAt > 0 && n.now() >= n.wakeAt {
 		n.wakeAt = 0
 		events = append(events, choice.WakeDue{Tag: "sweep"})
 	}
-	n.step(ctx, events, fresh)
+	n.step(ctx, events, added)
 }
 
-// accept journals a new message and returns it; one that is not new, or can't be taken on, gets its answer.
-func (n *Node) accept(a arrival, fresh newcomers) *pendingMessage {
+// accept journals a new message and returns it. It answers a request whose message is not new or can't be
+// accepted.
+func (n *Node) accept(a arrival, added newMessages) *pendingMessage {
 	p := n.messages[a.id]
 	switch {
-	case p != nil && fresh[p.seq] != nil: // its fate is not known yet
-		fresh[p.seq] = append(fresh[p.seq], a)
+	case p != nil && added[p.seq] != nil: // it is not decided yet whether the message is accepted
+		added[p.seq] = append(added[p.seq], a)
 		return nil
-	case p != nil: // taken on before: handed in again it has no second effect
-		n.acts = append(n.acts, act{do: func() { a.reply <- answer{} }})
+	case p != nil: // accepted before; submitted again it has no second effect
+		n.actions = append(n.actions, guardedAction{run: func() { a.reply <- answer{} }})
 		return nil
-	case n.own != nil && n.foreign(a):
+	case n.ownership != nil && n.refuseForeign(a):
 		return nil
 	case !n.sender.KnowsDestination(a.dest):
 		a.reply <- answer{failure: "unknown destination"}
 		return nil
-	case n.cfg.Settings.MaxOpen > 0 && n.held >= n.cfg.Settings.MaxOpen:
-		a.reply <- n.turnAway(a)
+	case n.cfg.Settings.MaxOpen > 0 && n.openMessages >= n.cfg.Settings.MaxOpen:
+		a.reply <- n.refuse(a)
 		return nil
 	}
 	p, err := n.journal.accept(
 		&pendingMessage{id: a.id, key: a.key, class: a.class, tenant: a.tenant, dest: a.dest, body: a.body, deadline: a.receivedAt.Add(a.ttl)})
 	if err != nil {
-		a.reply <- n.turnAway(a)
+		a.reply <- n.refuse(a)
 		return nil
 	}
-	if n.own != nil {
-		n.own.took(p)
+	if n.ownership != nil {
+		n.ownership.trackDeadline(p)
 	}
 	n.messages[p.id] = p
-	n.held++
-	fresh[p.seq] = []arrival{a}
+	n.openMessages++
+	added[p.seq] = []arrival{a}
 	return p
 }
 
-// turnAway refuses a message for want of room, before the module has heard of it.
-func (n *Node) turnAway(a arrival) answer {
+// refuse answers a request that the node has no room for, before the module learns of it.
+func (n *Node) refuse(a arrival) answer {
 	return answer{refused: true, retryAfter: n.sender.RetryAfterIfFull(a.class, a.dest)}
 }
 
-// forget ends all that the node has of a message.
+// forget removes a message whose end needs no more work.
 func (n *Node) forget(p *pendingMessage) {
 	if n.messages[p.id] != p {
 		return
 	}
 	if p.final == nil {
-		n.held--
+		n.openMessages--
 	}
 	delete(n.messages, p.id)
 	n.journal.add(newRecord(recordDone, p.seq))
 }
 
-// listed brings the endpoints up to date. Calls that have not written their first byte hear of it by shut.
-func (n *Node) listed(l catalog.List) choice.ListUpdate {
-	maps.DeleteFunc(n.waits, func(dest int, _ *atomic.Int64) bool { return !n.sender.KnowsDestination(dest) })
+// applyList updates the endpoints. Calls that have not written their first byte notice it by endpoint.closed.
+func (n *Node) applyList(l catalog.List) choice.ListUpdate {
+	maps.DeleteFunc(n.destinationWaits, func(dest int, _ *atomic.Int64) bool { return !n.sender.KnowsDestination(dest) })
 	l.Members = slices.DeleteFunc(l.Members, func(m catalog.Endpoint) bool { return m.ID == "" })
 	entries := entries(l.Members, n.cfg.Names)
 	named := map[string]bool{}
@@ -630,12 +639,12 @@
 		if _, known := n.journal.disabled[m.ID]; !known {
 			n.journal.add(endpointRecord(recordListed, m.ID, time.Now()))
 		}
-		n.place(m, entries[i])
+		n.updateEndpoint(m, entries[i])
 	}
 	if l.Complete {
-		for id, e := range n.eps {
+		for id, e := range n.endpoints {
 			if !named[id] {
-				n.shut(e)
+				n.closeEndpoint(e)
 			}
 		}
 		maps.DeleteFunc(n.members, func(id string, _ catalog.Endpoint) bool { return !named[id] })
@@ -643,25 +652,26 @@
 	return choice.ListUpdate{Complete: l.Complete, Entries: entries}
 }
 
-// place opens or shuts the way to an endpoint, as the list and the operators have it.
-func (n *Node) place(m catalog.Endpoint, entry choice.Entry) {
-	e := n.eps[m.ID]
+// updateEndpoint opens or closes an endpoint for calls, as the list and the operators say.
+func (n *Node) updateEndpoint(m catalog.Endpoint, entry choice.Entry) {
+	e := n.endpoints[m.ID]
 	if entry.Phase != choice.Ready || n.journal.disabled[m.ID] {
-		n.shut(e)
+		n.closeEndpoint(e)
 		return
 	}
 	if e == nil || e.addr != m.Addr {
-		n.shut(e)
-		n.eps[m.ID] = &endpoint{
-			id: m.ID, addr: m.Addr, zone: entry.Zone, batch: n.batchOf(entry), wait: n.waitOf(entry),
+		n.closeEndpoint(e)
+		n.endpoints[m.ID] = &endpoint{
+			id: m.ID, addr: m.Addr, zone: entry.Zone, batch: n.batchSize(entry), wait: n.waitFor(entry),
 		}
 	}
 }
 
-// Bar leaves an endpoint out, or with lift lets it serve again. It returns once that is in the journal and the module
-// has it, or when ctx ends; then it may yet be done. It may be called at any time, and again.
-func (n *Node) SetEndpointEnabled(ctx context.Context, id string, lift bool) error {
-	o := endpointCommand{id, lift, make(chan error, 1)}
+// SetEndpointEnabled disables an endpoint, or enables it again. It returns once that is in the journal and
+// known to the module, or when ctx ends; in that case the change may still happen. It is idempotent and safe
+// for concurrent use.
+func (n *Node) SetEndpointEnabled(ctx context.Context, id string, enable bool) error {
+	o := endpointCommand{id, enable, make(chan error, 1)}
 	select {
 	case n.commands <- o:
 	case <-ctx.Done():
@@ -675,15 +685,15 @@
 	}
 }
 
-// bar carries out what the operators say of an endpoint. Saying it again changes nothing.
-func (n *Node) bar(o endpointCommand) []choice.Event {
-	was, known := n.journal.disabled[o.id]
+// applyCommand carries out an operator's command for an endpoint. A repeated command changes nothing.
+func (n *Node) applyCommand(o endpointCommand) []choice.Event {
+	disabled, known := n.journal.disabled[o.id]
 	if !known {
 		o.reply <- ErrUnknownEndpoint
 		return nil
 	}
-	n.acts = append(n.acts, act{do: func() { o.reply <- nil }})
-	if was != o.enable {
+	n.actions = append(n.actions, guardedAction{run: func() { o.reply <- nil }})
+	if disabled != o.enable {
 		return nil
 	}
 	kind := recordDisabled
@@ -691,80 +701,82 @@
 		kind = recordEnabled
 	}
 	n.journal.add(endpointRecord(kind, o.id, time.Now()))
-	n.log.Info("by hand", "endpoint", o.id, "serves", o.enable)
+	n.log.Info("endpoint switched by an operator", "endpoint", o.id, "serves", o.enable)
 	if m, listed := n.members[o.id]; listed {
-		n.place(m, entries([]catalog.Endpoint{m}, n.cfg.Names)[0])
+		n.updateEndpoint(m, entries([]catalog.Endpoint{m}, n.cfg.Names)[0])
 	}
 	return []choice.Event{choice.EndpointDisabled{Endpoint: o.id, Lifted: o.enable}}
 }
 
-func (n *Node) shut(e *endpoint) {
+func (n *Node) closeEndpoint(e *endpoint) {
 	if e != nil {
-		e.shut.Store(true)
-		delete(n.eps, e.id)
-		n.pool.hangUp(e.id, 0)
-		if n.forebear != nil {
-			n.forebear.send(message{Shut: e.id})
+		e.closed.Store(true)
+		delete(n.endpoints, e.id)
+		n.pool.closeIdle(e.id, 0)
+		if n.predecessor != nil {
+			n.predecessor.send(handoverMessage{ClosedEndpoint: e.id})
 		}
 	}
 }
 
-// batchOf is how many messages one call to an endpoint may carry.
-func (n *Node) batchOf(e choice.Entry) int {
+// batchSize returns how many messages one call to an endpoint may carry.
+func (n *Node) batchSize(e choice.Entry) int {
 	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) {
 		return max(kinds[e.Kind].MaxBatch, 1)
 	}
 	return 1
 }
 
-// waitOf is where the waits are kept that bind an endpoint: its own if it is a route apart.
-func (n *Node) waitOf(e choice.Entry) *atomic.Int64 {
+// waitFor returns the wait that applies to an endpoint: its own if it has a separate route, else that of its
+// destination.
+func (n *Node) waitFor(e choice.Entry) *atomic.Int64 {
 	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) && kinds[e.Kind].SeparateRoutes {
 		return new(atomic.Int64)
 	}
-	if n.waits[e.Dest] == nil {
-		n.waits[e.Dest] = new(atomic.Int64)
+	if n.destinationWaits[e.Dest] == nil {
+		n.destinationWaits[e.Dest] = new(atomic.Int64)
 	}
-	return n.waits[e.Dest]
+	return n.destinationWaits[e.Dest]
 }
 
-// heed keeps what has not begun from an endpoint that told to wait.
-func (e called) heed() {
+// applyWait stops new calls to an endpoint for the time that its answer asked for.
+func (e callEnd) applyWait() {
 	if e.wait > 0 {
 		until := time.Now().Add(e.wait).UnixNano()
 		e.endpoint.wait.Store(max(until, e.endpoint.wait.Load()))
 	}
 }
 
-// called notes the outcome of a call for each of its messages. Without a record of it, the attempt may have run.
-func (n *Node) called(e called) []choice.Event {
-	e.heed()
-	if e.wait > 0 && n.forebear != nil {
-		n.forebear.send(message{Wait: &waitOf{e.endpoint.id, e.wait}})
+// callEnded records the outcome of a call for each of its messages. Without such a record the attempt may
+// have run.
+func (n *Node) callEnded(e callEnd) []choice.Event {
+	e.applyWait()
+	if e.wait > 0 && n.predecessor != nil {
+		n.predecessor.send(handoverMessage{Wait: &endpointWait{e.endpoint.id, e.wait}})
 	}
 	events := make([]choice.Event, 0, len(e.attempts))
-	for i, name := range e.attempts {
-		m, fate := n.out[name].m, e.of(i)
-		delete(n.out, name)
+	for i, key := range e.attempts {
+		m, res := n.outstanding[key].message, e.forItem(i)
+		delete(n.outstanding, key)
 		ended := choice.AttemptEnded{
-			ID: m.choiceID(), Attempt: name.n, Endpoint: e.endpoint.id, Outcome: fate.outcome, Took: e.took, Final: fate.closed, Ambiguous: fate.unsure,
-			RetryAfter: e.wait, NoSlot: e.noSlot, Report: e.report, ReusedConn: e.kept, ConnClosed: e.hungUp,
+			ID: m.choiceID(), Attempt: key.number, Endpoint: e.endpoint.id, Outcome: res.outcome, Took: e.took, Final: res.final, Ambiguous: res.ambiguous,
+			RetryAfter: e.wait, NoSlot: e.noSlot, Report: e.report, ReusedConn: e.reusedConn, ConnClosed: e.connClosed,
 		}
-		ominous := n.sender.IndicatesOutage(m.dest, ended)
-		switch fate.outcome {
+		outage := n.sender.IndicatesOutage(m.dest, ended)
+		switch res.outcome {
 		case choice.Rejected, choice.Unreachable, choice.Stale:
 			kind := recordRejected
-			if ominous {
+			if outage {
 				kind = recordNotRun
 			}
-			n.journal.add(outcomeRecord(kind, name.seq, name.n))
+			n.journal.add(outcomeRecord(kind, key.seq, key.number))
 		default:
-			if ominous {
-				n.journal.add(outcomeRecord(recordFailed, name.seq, name.n))
+			if outage {
+				n.journal.add(outcomeRecord(recordFailed, key.seq, key.number))
 			}
 		}
-		if fate.closed && m.final == nil {
-			if fate.outcome == choice.Success {
+		if res.final && m.final == nil {
+			if res.outcome == choice.Success {
 				countClass(n.figures.ok, m.class)
 			}
 			n.forget(m)
@@ -774,26 +786,26 @@
 	return events
 }
 
-// step lets the module decide and carries out what it says, in order, once the records are written that guard
-// it. fresh are the messages whose clients still wait to hear whether they are taken on.
-func (n *Node) step(ctx context.Context, events []choice.Event, fresh newcomers) {
-	calls := map[uint64]*outgoingCall{} // by the module's number: those that further sends of this step may join
+// step lets the module decide and carries out its actions, in order, once the records that guard them are
+// written. The clients of added still wait to hear whether their messages are accepted.
+func (n *Node) step(ctx context.Context, events []choice.Event, added newMessages) {
+	calls := map[uint64]*outgoingCall{} // by the module's number: calls that later sends of this step may join
 	for _, a := range n.sender.Step(n.now(), events) {
 		switch a := a.(type) {
 		case choice.Send:
 			n.send(ctx, a, calls)
 		case choice.Refuse:
-			n.end(a.ID, finalAnswer{retryAfter: a.RetryAfter}, fresh)
+			n.finishMessage(a.ID, finalAnswer{retryAfter: a.RetryAfter}, added)
 		case choice.Fail:
-			n.end(a.ID, finalAnswer{failed: true}, fresh)
+			n.finishMessage(a.ID, finalAnswer{failed: true}, added)
 		case choice.Cancel:
-			n.acts = append(n.acts, act{do: func() {
-				if c, ok := n.out[attempt{parseChoiceID(a.ID), a.Attempt}]; ok {
+			n.actions = append(n.actions, guardedAction{run: func() {
+				if c, ok := n.outstanding[attemptKey{parseChoiceID(a.ID), a.Attempt}]; ok {
 					c.cancel()
 				}
 			}})
 		case choice.CloseIdle:
-			n.pool.hangUp(a.Endpoint, a.Keep)
+			n.pool.closeIdle(a.Endpoint, a.Keep)
 		case choice.Wake:
 			if n.wakeAt == 0 || a.At < n.wakeAt {
 				n.wakeAt = a.At
@@ -802,152 +814,153 @@
 			n.log.Info(a.Text)
 		}
 	}
-	for seq := range fresh { // not refused, so taken on
-		n.acts = append(n.acts, act{do: func() { fresh.reply(seq, answer{}) }})
+	for seq := range added { // not refused, so accepted
+		n.actions = append(n.actions, guardedAction{run: func() { added.reply(seq, answer{}) }})
 	}
-	n.show()
-	if !n.flush() {
-		n.unguarded(time.Now())
+	n.updateMetrics()
+	if !n.flushJournal() {
+		n.runUnguarded(time.Now())
 		return
 	}
-	for _, a := range n.acts {
-		a.do()
+	for _, a := range n.actions {
+		a.run()
 	}
-	n.acts = n.acts[:0]
+	n.actions = n.actions[:0]
 }
 
-// flush writes the journal, and tells whether it could. The log hears of it when that changes, not each time: it is
-// tried again ten times a second and at every message.
-func (n *Node) flush() bool {
+// flushJournal writes the journal and reports whether it could. It logs only changes of that: an unwritable
+// journal is tried again ten times a second and at every message.
+func (n *Node) flushJournal() bool {
 	err := n.journal.flush()
 	switch {
-	case err != nil && n.stuckSince.IsZero():
-		n.stuckSince = time.Now()
-		n.log.Error("the journal can't be written; messages are turned away until it can", "acts", len(n.acts), "err", err)
-	case err == nil && !n.stuckSince.IsZero():
-		n.log.Info("the journal is written again", "after", time.Since(n.stuckSince).Round(time.Millisecond))
-		n.stuckSince = time.Time{}
+	case err != nil && n.journalDownSince.IsZero():
+		n.journalDownSince = time.Now()
+		n.log.Error("the journal can't be written; messages are refused until it can", "acts", len(n.actions), "err", err)
+	case err == nil && !n.journalDownSince.IsZero():
+		n.log.Info("the journal is written again", "after", time.Since(n.journalDownSince).Round(time.Millisecond))
+		n.journalDownSince = time.Time{}
 	}
 	return err == nil
 }
 
-// unguarded does what needs no guard any more, while the journal can't be written: a full disk must not keep from the
-// platform what has become of a message, nor from the module that a call was never begun.
-func (n *Node) unguarded(now time.Time) {
-	n.acts = slices.DeleteFunc(n.acts, func(a act) bool {
-		if a.free.IsZero() || now.Before(a.free) {
+// runUnguarded runs the actions that need no record any more while the journal can't be written. A full disk
+// must not keep the end of a message from the platform, nor from the module that a call was never begun.
+func (n *Node) runUnguarded(now time.Time) {
+	n.actions = slices.DeleteFunc(n.actions, func(a guardedAction) bool {
+		if a.unguardedFrom.IsZero() || now.Before(a.unguardedFrom) {
 			return false
 		}
-		a.do()
+		a.run()
 		return true
 	})
 }
 
-// show brings the figures that the loop alone knows up to date.
-func (n *Node) show() {
+// updateMetrics publishes the metrics that only the loop knows.
+func (n *Node) updateMetrics() {
 	listed, avoided := n.sender.EndpointCounts()
-	n.figures.activeMessages.Store(int64(n.held))
+	n.figures.activeMessages.Store(int64(n.openMessages))
 	n.figures.listedEndpoints.Store(int64(listed))
 	n.figures.avoidedEndpoints.Store(int64(avoided))
-	n.revision.Store(n.told.Revision)
-	if n.own != nil {
-		n.own.show(n.figures)
+	n.revision.Store(n.listPosition.Revision)
+	if n.ownership != nil {
+		n.ownership.updateMetrics(n.figures)
 	}
 }
 
-// end gives a message its final answer: to its client if that still waits, and by a notice otherwise.
-func (n *Node) end(id string, e finalAnswer, fresh newcomers) {
+// finishMessage gives a message its final answer: to its clients if they still wait, else by a notice.
+func (n *Node) finishMessage(id string, e finalAnswer, added newMessages) {
 	p := n.journal.live[parseChoiceID(id)]
 	if p == nil || p.final != nil {
 		return
 	}
-	if all, ok := fresh[p.seq]; ok {
-		delete(fresh, p.seq)
+	if all, ok := added[p.seq]; ok {
+		delete(added, p.seq)
 		n.forget(p)
 		reply := answer{refused: true, retryAfter: e.retryAfter}
 		if e.failed {
 			reply = answer{failure: "the message failed"}
 		}
-		n.acts = append(n.acts, act{do: func() { newcomers{p.seq: all}.reply(p.seq, reply) }})
+		n.actions = append(n.actions, guardedAction{run: func() { newMessages{p.seq: all}.reply(p.seq, reply) }})
 		return
 	}
-	n.held--
+	n.openMessages--
 	n.figures.countUndelivered(p.class, e.failed)
 	n.journal.add(finalRecord(p.seq, e))
 	notice := newNotice(p)
-	n.acts = append(n.acts, act{do: func() { n.owed = append(n.owed, notice) }, free: p.deadline})
+	n.actions = append(n.actions, guardedAction{run: func() { n.owedNotices = append(n.owedNotices, notice) }, unguardedFrom: p.deadline})
 }
 
-// outgoing is a call while its step gathers the messages for it.
+// outgoingCall is a call while a step gathers its messages.
 type outgoingCall struct {
 	call
-	attempts []attempt
-	messages []*pendingMessage
-	room     int // what its items take in a batch's body
-	place    int // among the acts
+	attempts    []attemptKey
+	messages    []*pendingMessage
+	size        int // of its items in the body of a batch, at most
+	actionIndex int // index in actions
 }
 
-// send journals an attempt, and makes the call once that is written. What the module sends together travels as one
-// call, as far as its kind and a body have room: the module counts one slot for it, and the endpoint one call.
+// send journals an attempt, and makes the call once that is written. Messages that the module sends together
+// share one call, as far as the batch size of their kind and the size of a body allow: the module counts one
+// slot for it, and the endpoint one call.
 func (n *Node) send(ctx context.Context, a choice.Send, calls map[uint64]*outgoingCall) {
-	p, e := n.journal.live[parseChoiceID(a.ID)], n.eps[a.Endpoint]
+	p, e := n.journal.live[parseChoiceID(a.ID)], n.endpoints[a.Endpoint]
 	if p == nil {
-		return // the module and the journal differ, which only a journal that was lost in a handover can make them
+		return // module and journal differ only if the journal was lost in a handover
 	}
 	if e == nil {
-		// The list has just lost it; a call there is Stale, and so proven not to have run.
+		// The list has just dropped the endpoint. The call ends as Stale, which proves that it has not run.
 		e = &endpoint{id: a.Endpoint, wait: new(atomic.Int64)}
-		e.shut.Store(true)
+		e.closed.Store(true)
 	}
-	name := attempt{p.seq, len(p.attempts)}
+	key := attemptKey{p.seq, len(p.attempts)}
 	n.journal.add(attemptRecord(p.seq, time.Now(), e.zone))
-	one := item{p.id, p.key, p.body}
+	it := item{p.id, p.key, p.body}
 	o := calls[a.Call]
-	if o == nil || len(o.items) >= e.batch || o.room+one.room() > maxBody {
+	if o == nil || len(o.items) >= e.batch || o.size+it.maxEncodedSize() > maxBody {
 		o = &outgoingCall{call: call{endpoint: e}}
 		o.onWritten = func() { n.countWritten(o) }
 		calls[a.Call] = o
-		o.place = len(n.acts)
-		n.acts = append(n.acts, act{do: func() { n.call(ctx, o) }})
+		o.actionIndex = len(n.actions)
+		n.actions = append(n.actions, guardedAction{run: func() { n.startCall(ctx, o) }})
 	}
-	o.items, o.room = append(o.items, one), o.room+one.room()
-	o.attempts, o.messages = append(o.attempts, name), append(o.messages, p)
-	// It ends for all at once: who gave up on one alone could not take it out of the call.
-	if t := n.wall(a.TimeoutAt); t.After(o.notPast) {
-		o.notPast = t
+	o.items, o.size = append(o.items, it), o.size+it.maxEncodedSize()
+	o.attempts, o.messages = append(o.attempts, key), append(o.messages, p)
+	// The call ends for all its messages at once: one alone can't be taken out of it.
+	if t := n.wallTime(a.TimeoutAt); t.After(o.deadline) {
+		o.deadline = t
 	}
-	if t := n.wall(a.ResultBy); o.endBy.IsZero() || t.Before(o.endBy) {
-		o.endBy = t
+	if t := n.wallTime(a.ResultBy); o.resultBy.IsZero() || t.Before(o.resultBy) {
+		o.resultBy = t
 	}
-	if t := n.wall(a.StartBy); a.StartBy > 0 && (o.startBy.IsZero() || t.Before(o.startBy)) {
+	if t := n.wallTime(a.StartBy); a.StartBy > 0 && (o.startBy.IsZero() || t.Before(o.startBy)) {
 		o.startBy = t
 	}
-	o.fresh = o.fresh || a.NewConn
-	n.acts[o.place].free = o.notPast // begun then, it ends at once as one that was never sent
+	o.newConn = o.newConn || a.NewConn
+	n.actions[o.actionIndex].unguardedFrom = o.deadline // begun after that, it ends at once as not sent
 }
 
-// wrote counts the messages of a call that is written whole.
+// countWritten counts the messages of a call whose last byte is written.
 func (n *Node) countWritten(o *outgoingCall) {
 	for _, m := range o.messages {
 		countClass(n.figures.tries, m.class)
 	}
 }
 
-// call makes a call whose attempts are journaled.
-func (n *Node) call(ctx context.Context, o *outgoingCall) {
+// startCall makes a call whose attempts are journaled.
+func (n *Node) startCall(ctx context.Context, o *outgoingCall) {
 	ctx, cancel := context.WithCancel(ctx)
-	for i, name := range o.attempts {
-		n.out[name] = outCall{m: o.messages[i], cancel: cancel}
+	for i, key := range o.attempts {
+		n.outstanding[key] = outstandingCall{message: o.messages[i], cancel: cancel}
 	}
 	n.calls.Go(func() {
 		defer cancel()
 		began := time.Now()
 		res := n.pool.do(ctx, o.call)
 		took := time.Since(began)
-		if !res.heard.IsZero() {
-			took = res.heard.Sub(began) // an answer may be spoilt from there on, and take its time
+		if !res.firstLineAt.IsZero() {
+			took = res.firstLineAt.Sub(began) // the rest of a broken answer may take its time
 		}
-		// Not by tell: the loop takes every call's end, also while the node leaves.
-		n.events <- called{o.attempts, o.endpoint, res, took}
+		// Not by sendEvent: the loop takes the end of every call, also while the node stops.
+		n.events <- callEnd{o.attempts, o.endpoint, res, took}
 	})
 }
