--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -31,25 +31,26 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// registry is discovery on a loopback socket: lists go to whoever watches, notices are kept.
+// fakeRegistry is a discovery server on a loopback socket. It sends lists to all watches and keeps the
+// notices.
 type fakeRegistry struct {
 	srv *httptest.Server
 
-	mu      sync.Mutex
-	lists   []string
-	more    chan struct{} // closed when lists grows
-	watches int
-	posts   int
-	refuse  int // so many posts of notices are answered 503
-	notices []map[string]any
-	cut     context.Context // ends the watches that are open
-	cutNow  context.CancelFunc
+	mu          sync.Mutex
+	lists       []string
+	more        chan struct{} // closed when lists grows
+	watches     int
+	posts       int
+	refusePosts int // number of posts of notices to answer with 503
+	notices     []map[string]any
+	cut         context.Context // ends the open watches
+	endWatches  context.CancelFunc
 }
 
 func newFakeRegistry(t *testing.T) *fakeRegistry {
 	t.Helper()
 	r := &fakeRegistry{more: make(chan struct{})}
-	r.cut, r.cutNow = context.WithCancel(context.Background())
+	r.cut, r.endWatches = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, req *http.Request) {
 		r.mu.Lock()
@@ -78,7 +79,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.posts++
-		if r.posts <= r.refuse {
+		if r.posts <= r.refusePosts {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -95,7 +96,7 @@
 	})
 	r.srv = httptest.NewServer(mux)
 	t.Cleanup(func() {
-		r.cutNow()
+		r.endWatches()
 		r.srv.CloseClientConnections()
 		r.srv.Close()
 	})
@@ -112,7 +113,7 @@
 	r.more = make(chan struct{})
 }
 
-// state is what the notices said of a message, "" while there was none.
+// noticeState returns what the notices say of a message, "" if there is none.
 func (r *fakeRegistry) noticeState(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,13 +162,13 @@
 	return startNodeWith(t, r, state, nil, nil, known...)
 }
 
-// startSeen is startNode with the node shown to see before it runs.
-func startInspectedNode(t *testing.T, r *fakeRegistry, state string, see func(*Node), known ...string) (addr string, stop func()) {
+// startInspectedNode is startNode, but passes the node to inspect before it runs.
+func startInspectedNode(t *testing.T, r *fakeRegistry, state string, inspect func(*Node), known ...string) (addr string, stop func()) {
 	t.Helper()
-	return startNodeWith(t, r, state, nil, see, known...)
+	return startNodeWith(t, r, state, nil, inspect, known...)
 }
 
-// startAltered is startNode with something changed in the configuration.
+// startConfiguredNode is startNode with a changed configuration.
 func startConfiguredNode(
 	t *testing.T, r *fakeRegistry, state string, alter func(*Config), known ...string,
 ) (addr string, stop func()) {
@@ -176,7 +177,7 @@
 }
 
 func startNodeWith(
-	t *testing.T, r *fakeRegistry, state string, alter func(*Config), see func(*Node), known ...string,
+	t *testing.T, r *fakeRegistry, state string, alter func(*Config), inspect func(*Node), known ...string,
 ) (addr string, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -195,8 +196,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if see != nil {
-		see(n)
+	if inspect != nil {
+		inspect(n)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -220,7 +221,7 @@
 	}
 }
 
-func TestDeliversAndForgets(t *testing.T) {
+func TestDeliveredMessageLeavesJournal(t *testing.T) {
 	t.Parallel()
 	p, state := newFakeEndpoint(t, respondWith(okResponse)), t.TempDir()
 	r := newFakeRegistry(t)
@@ -235,24 +236,24 @@
 	}
 	stop()
 	if j := openTestJournal(t, state, 3); len(j.live) != 0 {
-		t.Errorf("%d live after delivery", len(j.live))
+		t.Errorf("%d live messages after delivery", len(j.live))
 	}
 }
 
-// held is the list of a destination that is known and has no endpoint to send to.
-func held() string { return memberJSON("e0", "127.0.0.1:9", 7, "DRAINING") }
+// drainingMember makes a destination known without an endpoint that takes calls.
+func drainingMember() string { return memberJSON("e0", "127.0.0.1:9", 7, "DRAINING") }
 
-func TestHeldMessageIsTakenOnOnceAndRoomIsBounded(t *testing.T) {
+func TestHeldMessagesAreDeduplicatedAndLimited(t *testing.T) {
 	t.Parallel()
 	p, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), held())
+	addr, _ := startNode(t, r, t.TempDir(), drainingMember())
 	mustAnswer(t, addr, enqueueCommand("a", statusFields, "x"), "+OK")
-	mustAnswer(t, addr, enqueueCommand("a", statusFields, "x"), "+OK") // the same one again
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, "x"), "+OK") // the same message again
 	answers := map[string]int{}
 	for i := range 6 {
 		answers[strings.Fields(roundTrip(t, addr, enqueueCommand("m"+itoa(i), statusFields, "x")))[0]]++
 	}
-	if answers["-BUSY"] < 3 || answers["+OK"] < 1 { // four may be held in all
+	if answers["-BUSY"] < 3 || answers["+OK"] < 1 { // the limit is four messages
 		t.Errorf("got %v", answers)
 	}
 	r.publish(listJSON(2, false, memberJSON("e", p.addr(), 7, "SERVING")))
@@ -265,7 +266,7 @@
 	}
 }
 
-func TestDrainAndWholeList(t *testing.T) {
+func TestDrainAndCompleteList(t *testing.T) {
 	t.Parallel()
 	first, second, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
 	addr, _ := startNode(t, r, t.TempDir(), memberJSON("e1", first.addr(), 7, "SERVING"))
@@ -279,7 +280,8 @@
 		before, _ := other.counts()
 		r.publish(l)
 		sentOn := func() bool {
-			// Until the list has come the other one is right; from the first call on the new one only it is.
+			// Until the node has the list the other endpoint may get calls; after the first call to the new
+			// one only that may.
 			mustAnswer(t, addr, enqueueCommand(fmt.Sprintf("m%d", time.Now().UnixNano()), statusFields, ""), "+OK")
 			select {
 			case <-from.requests:
@@ -291,7 +293,7 @@
 				return false
 			}
 		}
-		eventually(t, "the new list is followed", sentOn)
+		eventually(t, "the new list is applied", sentOn)
 		after, _ := other.counts()
 		for range 5 {
 			if !sentOn() {
@@ -304,20 +306,20 @@
 	}
 }
 
-func TestToldWaitIsKept(t *testing.T) {
+func TestRetryAfterIsHonored(t *testing.T) {
 	t.Parallel()
 	const wait = 700 * time.Millisecond
 	var mu sync.Mutex
-	var told time.Time
+	var rejectedAt time.Time
 	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		if told.IsZero() {
+		if rejectedAt.IsZero() {
 			io.WriteString(nc, "HTTP/1.1 429 No\r\nRetry-After: 0.7\r\nContent-Length: 0\r\n\r\n")
-			told = time.Now()
+			rejectedAt = time.Now()
 			return true
 		}
-		if early := wait - 100*time.Millisecond - time.Since(told); early > 0 { // calls that cross the answer are let through
+		if early := wait - 100*time.Millisecond - time.Since(rejectedAt); early > 0 { // tolerates calls that cross the answer on their way
 			t.Errorf("a call came %v early", early)
 		}
 		return respondWith(okResponse)(nc, nil)
@@ -331,10 +333,10 @@
 	p.nextRequest(t)
 }
 
-func TestDiscoverySilentAndBack(t *testing.T) {
+func TestDiscoveryOutage(t *testing.T) {
 	t.Parallel()
 	p, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), held())
+	addr, _ := startNode(t, r, t.TempDir(), drainingMember())
 	watching := func(least int) func() bool {
 		return func() bool {
 			r.mu.Lock()
@@ -343,30 +345,30 @@
 		}
 	}
 	eventually(t, "a watch", watching(1))
-	mustAnswer(t, addr, enqueueCommand("a", statusFields, ""), "+OK") // without discovery all goes on
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, ""), "+OK") // messages are accepted without discovery
 	r.mu.Lock()
-	r.cutNow()
-	r.cut, r.cutNow = context.WithCancel(context.Background())
+	r.endWatches()
+	r.cut, r.endWatches = context.WithCancel(context.Background())
 	r.mu.Unlock()
-	eventually(t, "the watch is taken up again", watching(2))
+	eventually(t, "the watch is opened again", watching(2))
 	r.publish(listJSON(2, true, memberJSON("e", p.addr(), 7, "SERVING")))
 	p.nextRequest(t)
 }
 
-// Another server may be behind the one before: its older list must not undo a drain, and the newer one must come. One
-// whose revisions count something else is believed after a while.
-func TestAnotherDiscoveryThatIsBehind(t *testing.T) {
+// A new discovery server may be behind the previous one. Its older list must not undo a drain, and its newer
+// one must be applied. If its revisions belong to another count it is believed after a while.
+func TestNewDiscoveryServerIsBehind(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
-		lists []int // revisions, one a watch; the last one again and again
+		lists []int // revisions, one a watch; the last one is repeated
 		want  []int64
-		count string // the history that both tell
+		count string // the history that both name
 	}{
 		{"behind, then not", []int{4, 4, 6}, []int64{5, 6}, ""},
-		{"of its own counting", []int{1}, []int64{5, 1}, ""},
-		// One of ours is known to count the same, so it is behind for as long as it takes: the last try is after the time
-		// that others are given.
+		{"another history", []int{1}, []int64{5, 1}, ""},
+		// A replica of the same history may stay behind for any time: its last list comes after the time that
+		// other servers are given.
 		{"a replica that is behind", []int{4, 4, 4, 4, 4, 4, 4, 4, 4, 6}, []int64{5, 6}, "3"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -384,11 +386,11 @@
 				t.Cleanup(srv.Close)
 				return srv.Listener.Addr().String()
 			}
-			n := bareNode(t, held())
+			n := newIdleNode(t, drainingMember())
 			n.cfg.Discovery = serve(func() int { return 5 })
 			ctx, cancel := context.WithCancel(t.Context())
 			var ended sync.WaitGroup
-			ended.Go(func() { n.consult(ctx) })
+			ended.Go(func() { n.followDiscovery(ctx) })
 			for i, want := range c.want {
 				if l := (<-n.events).(registry.Update); l.Revision != want {
 					t.Errorf("list %d: got revision %d, want %d", i, l.Revision, want)
@@ -403,9 +405,10 @@
 	}
 }
 
-// Payouts that get no answer are out for all their time. While others pass at their partner they must not hold those
-// up: once they looked slow, they took all the slots that slow partners may have, and nothing more was sent.
-func TestLostCallsHoldNobodyUp(t *testing.T) {
+// Payouts without an answer stay in flight until their deadline. They must not hold up the other messages of
+// their partner: once they counted as slow, they took all the slots that slow partners may have, and nothing
+// more was sent.
+func TestUnansweredCallsDoNotBlockOthers(t *testing.T) {
 	t.Parallel()
 	answer := respondWith(okResponse)
 	p := newFakeEndpoint(t, func(nc net.Conn, req *http.Request) bool {
@@ -422,7 +425,8 @@
 		mustAnswer(t, addr, enqueueCommand(id, payoutFields, ""), "+OK")
 		p.nextRequest(t)
 	}
-	// Well past the time after which a call looks slow each message still goes out at once: its payouts have 50 s.
+	// Each message goes out at once, well past the time after which a call counts as slow: the payouts have
+	// 50 s.
 	began, every := time.Now(), time.NewTicker(20*time.Millisecond)
 	defer every.Stop()
 	for i := 0; time.Since(began) < 2*time.Second; i++ {
@@ -432,8 +436,9 @@
 	}
 }
 
-// A partner whose table of connections others fill refuses new ones and closes them. That is no limit, for which the
-// rests would grow to half a minute here: one connection is tried every now and then until there is room.
+// A partner whose connection table is filled by others refuses new connections and closes them. That is no
+// rate limit, for which the pauses would grow to half a minute here: the node tries one connection now and
+// then until there is room.
 func TestFullConnectionTable(t *testing.T) {
 	t.Parallel()
 	const refusals = 9
@@ -453,13 +458,13 @@
 	})
 }
 
-func TestNoticeIsRetriedUntilTaken(t *testing.T) {
+func TestNoticeIsRetriedUntilAccepted(t *testing.T) {
 	t.Parallel()
 	p, r := newFakeEndpoint(t, respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), newFakeRegistry(t)
-	r.refuse = 2
+	r.refusePosts = 2
 	state := t.TempDir()
 	addr, stop := startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("h", "127.0.0.1:9", 8, "DRAINING"))
-	mustAnswer(t, addr, enqueueCommand("unsafe", payoutFields, ""), "+OK") // it may have run: failed
+	mustAnswer(t, addr, enqueueCommand("unsafe", payoutFields, ""), "+OK") // it may have run, so it fails
 	mustAnswer(t, addr, enqueueCommand("short", "c=status,d=300,dest=8", ""), "+OK")
 	eventually(t, "the notice of a failure", func() bool { return r.noticeState("unsafe") == "failed" })
 	eventually(t, "the notice of a refusal", func() bool { return r.noticeState("short") == "returned" })
@@ -468,11 +473,11 @@
 		t.Errorf("%d calls", calls)
 	}
 	if j := openTestJournal(t, state, 3); len(j.live) != 0 {
-		t.Errorf("%d live after their notices", len(j.live))
+		t.Errorf("%d live messages after their notices", len(j.live))
 	}
 }
 
-// TestMain is the node itself when a test starts this binary as a child.
+// TestMain runs a node instead of the tests when a test starts this binary as a child.
 func TestMain(m *testing.M) {
 	if os.Getenv("CORALYARD_TEST_CHILD") == "" {
 		os.Exit(m.Run())
@@ -496,7 +501,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println(ln.Addr()) // the parent reads where to connect
+	fmt.Println(ln.Addr()) // the parent reads the address from stdout
 	ctx, cancel := context.WithCancel(context.Background())
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
@@ -540,12 +545,12 @@
 	if err := c.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	c.cmd.Wait() // its error says that it was killed
+	c.cmd.Wait() // the error says that it was killed
 }
 
-// Killed with a call of each effect out: what may be repeated is delivered by the next life, what may not fails
-// without another call.
-func TestKilledWhileCallsAreOut(t *testing.T) {
+// A node is killed with a call of each effect in flight. The next process delivers the messages that may be
+// repeated, and fails the other one without a call.
+func TestKillWithCallsInFlight(t *testing.T) {
 	t.Parallel()
 	p, r, state := newFakeEndpoint(t, neverAnswer), newFakeRegistry(t), t.TempDir()
 	known := memberJSON("e", p.addr(), 7, "SERVING")
@@ -574,18 +579,19 @@
 	}
 }
 
-// Killed before anything was sent: all three effects are delivered, once each, in their order.
-func TestKilledWhileMessagesAreHeld(t *testing.T) {
+// A node is killed before it has sent anything. The next process delivers each message once, of all three
+// effects.
+func TestKillWithHeldMessages(t *testing.T) {
 	t.Parallel()
 	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
-	c := startChild(t, r, state, held())
+	c := startChild(t, r, state, drainingMember())
 	ids := []string{"safe", "keyed", "unsafe"}
 	for i, fields := range []string{statusFields, orderFields, payoutFields} {
 		mustAnswer(t, c.addr, enqueueCommand(ids[i], fields, ""), "+OK")
 	}
 	c.kill(t)
-	c = startChild(t, r, state, held())
-	mustAnswer(t, c.addr, enqueueCommand("safe", statusFields, ""), "+OK") // handed in again: no second effect
+	c = startChild(t, r, state, drainingMember())
+	mustAnswer(t, c.addr, enqueueCommand("safe", statusFields, ""), "+OK") // submitted again, it has no second effect
 	c.kill(t)
 	startChild(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
 	seen := map[string]int{}
@@ -600,8 +606,8 @@
 	}
 }
 
-// A journal as a kill between two records leaves it, for each effect and each record.
-func TestEveryPointOfAKill(t *testing.T) {
+// Starts from a journal as a kill between two records leaves it, for each effect and each record.
+func TestKillBetweenRecords(t *testing.T) {
 	t.Parallel()
 	for class, name := range []string{"safe", "keyed", "unsafe"} {
 		for point, records := range []string{"accepted", "attempt", "not run", "ended"} {
@@ -639,16 +645,16 @@
 	}
 }
 
-// The module must hear after a restart that a destination failed before it, or it would meet one that is coming
-// back cold with the whole backlog. A call that was merely out when the process died is no such sign.
-func TestFailuresAreRememberedAcrossARestart(t *testing.T) {
+// After a restart the module must learn that a destination failed before, or it would send the whole backlog
+// to one in slow start. A call that was only in flight when the process died is no such failure.
+func TestFailuresSurviveRestart(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name            string
 		records         func(seq uint64) []byte
 		failed, touched bool
 	}{
-		{"out at the kill", func(seq uint64) []byte { return nil }, false, true},
+		{"in flight at the kill", func(seq uint64) []byte { return nil }, false, true},
 		{"timed out", func(seq uint64) []byte { return outcomeRecord(recordFailed, seq, 0) }, true, true},
 		{"no route", func(seq uint64) []byte { return outcomeRecord(recordNotRun, seq, 0) }, true, false},
 		{"over a limit", func(seq uint64) []byte { return outcomeRecord(recordRejected, seq, 0) }, false, false},
@@ -661,12 +667,12 @@
 			j.add(rec)
 		}
 		mustFlush(t, j)
-		if err := j.compact(); err != nil { // keeps them apart as well
+		if err := j.compact(); err != nil { // compaction keeps the difference
 			t.Fatal(err)
 		}
-		n := &Node{start: time.Now()}
+		n := &Node{clockStart: time.Now()}
 		for _, p := range openTestJournal(t, dir, 3).live {
-			r := n.resumed(p)
+			r := n.resumedEvent(p)
 			if r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 || (r.MayHaveRun && r.MayHaveRunSince > n.now()) {
 				t.Errorf("%s: got %+v", c.name, r)
 			}
@@ -674,7 +680,7 @@
 	}
 }
 
-func TestOverdueAndPastTheWindowEndAtOnce(t *testing.T) {
+func TestExpiredMessagesEndAtOnce(t *testing.T) {
 	t.Parallel()
 	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
 	j := openTestJournal(t, state, 3)
@@ -687,19 +693,20 @@
 		t.Fatal(err)
 	}
 	j.add(attemptRecord(late.seq, time.Now().Add(-time.Minute), 0))
-	j.add(attemptRecord(forgotten.seq, time.Now().Add(-2*time.Minute), 0)) // its key is remembered for one
+	j.add(attemptRecord(forgotten.seq, time.Now().Add(-2*time.Minute), 0)) // its dedup window is one minute
 	mustFlush(t, j)
 	startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
-	eventually(t, "the overdue one's end", func() bool { return r.noticeState("late") == "returned" })
-	eventually(t, "the forgotten key's end", func() bool { return r.noticeState("forgotten") == "failed" })
+	eventually(t, "the end of the overdue message", func() bool { return r.noticeState("late") == "returned" })
+	eventually(t, "the end of the message with the forgotten key", func() bool { return r.noticeState("forgotten") == "failed" })
 	if calls, _ := p.counts(); calls != 0 {
 		t.Errorf("%d calls", calls)
 	}
 }
 
-// A journal that can't be written guards nothing that a later life could do wrong once a message's time is up: the
-// platform hears of its end all the same, be it held or about to be sent. Nothing is sent that was not written down.
-func TestEndsInTimeOnAFullDisk(t *testing.T) {
+// While the journal can't be written, the platform still gets the notice of a message past its deadline,
+// whether the message was held or about to be sent: no later process could do anything wrong with it. Nothing
+// is sent without a record.
+func TestMessagesEndOnAFullDisk(t *testing.T) {
 	t.Parallel()
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
 	if err != nil {
@@ -715,24 +722,24 @@
 	mustFlush(t, j)
 	addr, _ := startInspectedNode(t, r, state, func(n *Node) {
 		n.journal.file = full
-		if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // no compaction either
+		if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // prevents compaction as well
 			t.Error(err)
 		}
 	}, memberJSON("e", p.addr(), 7, "SERVING"))
-	eventually(t, "the end of the one whose time was up", func() bool { return r.noticeState("late") != "" })
-	eventually(t, "the end of the one that could not be sent", func() bool { return r.noticeState("soon") != "" })
+	eventually(t, "the end of the message past its deadline", func() bool { return r.noticeState("late") != "" })
+	eventually(t, "the end of the message that could not be sent", func() bool { return r.noticeState("soon") != "" })
 	if calls, _ := p.counts(); calls != 0 {
-		t.Errorf("%d calls that no record guarded", calls)
+		t.Errorf("%d calls without a record", calls)
 	}
 	if err := os.Remove(j.path() + ".new"); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "messages are taken on again", func() bool { return roundTrip(t, addr, enqueueCommand("a", statusFields, "x")) == "+OK" })
+	eventually(t, "messages are accepted again", func() bool { return roundTrip(t, addr, enqueueCommand("a", statusFields, "x")) == "+OK" })
 }
 
-// However often a journal can't be written, the log has one line when that begins and one when it ends.
-func TestOneLineForAJournalThatIsStuck(t *testing.T) {
-	n := bareNode(t, held())
+// However often writing the journal fails, the log has one line when that begins and one when it ends.
+func TestUnwritableJournalIsLoggedOnce(t *testing.T) {
+	n := newIdleNode(t, drainingMember())
 	var lines bytes.Buffer
 	n.log = slog.New(slog.NewTextHandler(&lines, nil))
 	good, block := n.journal.file, n.journal.path()+".new"
@@ -741,18 +748,18 @@
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
-	if err := os.Mkdir(block, 0o700); err != nil { // no compaction either
+	if err := os.Mkdir(block, 0o700); err != nil { // prevents compaction as well
 		t.Fatal(err)
 	}
 	n.journal.file = full
 	for i := range 20 {
-		n.take(t.Context(), []any{handIn("a"+itoa(i), time.Minute)})
+		n.handleBatch(t.Context(), []any{newArrival("a"+itoa(i), time.Minute)})
 	}
 	if err := os.Remove(block); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the journal is written again", func() bool {
-		n.take(t.Context(), nil)
+		n.handleBatch(t.Context(), nil)
 		return !n.journal.incomplete
 	})
 	got := lines.String()
@@ -761,16 +768,17 @@
 	}
 }
 
-// After SIGTERM clients are answered as ever, the process ends well by itself, and the next one has what was held.
+// After SIGTERM clients are still answered, the process ends by itself without an error, and the next one has
+// the held messages.
 func TestSIGTERM(t *testing.T) {
 	t.Parallel()
 	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
-	c := startChild(t, r, state, held())
+	c := startChild(t, r, state, drainingMember())
 	nc, br := dialClient(t, c.addr)
 	if err := c.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for _, m := range []string{enqueueCommand("a", statusFields, ""), enqueueCommand("b", payoutFields, "")} { // on an old connection
+	for _, m := range []string{enqueueCommand("a", statusFields, ""), enqueueCommand("b", payoutFields, "")} { // on an open connection
 		if _, err := io.WriteString(nc, m); err != nil {
 			t.Fatal(err)
 		}
@@ -778,7 +786,7 @@
 			t.Fatalf("got %q, %v", line, err)
 		}
 	}
-	mustAnswer(t, c.addr, enqueueCommand("c", orderFields, ""), "+OK") // and on a new one
+	mustAnswer(t, c.addr, enqueueCommand("c", orderFields, ""), "+OK") // on a new connection
 	if err := c.cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
@@ -792,14 +800,14 @@
 	}
 }
 
-// bareNode is a node of which the test itself is the loop.
-func bareNode(t *testing.T, known ...string) *Node {
+// newIdleNode returns a node whose loop does not run: the test handles its events.
+func newIdleNode(t *testing.T, known ...string) *Node {
 	t.Helper()
-	return bareAltered(t, nil, known...)
+	return newConfiguredIdleNode(t, nil, known...)
 }
 
-// bareAltered is bareNode with something changed in the configuration.
-func bareAltered(t *testing.T, alter func(*Config), known ...string) *Node {
+// newConfiguredIdleNode is newIdleNode with a changed configuration.
+func newConfiguredIdleNode(t *testing.T, alter func(*Config), known ...string) *Node {
 	t.Helper()
 	cfg, err := LoadConfig(writeConfig(t, "127.0.0.1:0", "127.0.0.1:9", known...), t.TempDir())
 	if err != nil {
@@ -812,31 +820,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.step(t.Context(), n.replayed(), nil)
+	n.step(t.Context(), n.replayJournal(), nil)
 	return n
 }
 
-func handIn(id string, life time.Duration) arrival {
+func newArrival(id string, life time.Duration) arrival {
 	return arrival{request{id: id, class: 0, dest: 7, ttl: life, receivedAt: time.Now()}, make(chan answer, 1)}
 }
 
-// An id handed in twice at once must not be taken on for the one and refused for the other, nor before it is written.
-func TestOneIDTwiceInABatchHasOneFate(t *testing.T) {
+// An ID submitted several times at once must get one answer for all, and not before its record is written.
+func TestRepeatedIDInABatchHasOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		life time.Duration
 		down bool
 		want answer
 	}{
-		"taken on":            {50 * time.Second, false, answer{}},
-		"refused":             {0, false, answer{refused: true, retryAfter: 3 * time.Second}}, // by the module, out of time
+		"accepted":            {50 * time.Second, false, answer{}},
+		"refused":             {0, false, answer{refused: true, retryAfter: 3 * time.Second}}, // by the module, as its deadline has passed
 		"the journal is down": {50 * time.Second, true, answer{refused: true, retryAfter: 3 * time.Second}},
 	} {
-		n := bareNode(t, held())
+		n := newIdleNode(t, drainingMember())
 		if c.down {
 			n.journal.file.Close()
 		}
-		all := []arrival{handIn("a", c.life), handIn("a", c.life), handIn("a", c.life)}
-		n.take(t.Context(), []any{all[0], all[1], all[2]})
+		all := []arrival{newArrival("a", c.life), newArrival("a", c.life), newArrival("a", c.life)}
+		n.handleBatch(t.Context(), []any{all[0], all[1], all[2]})
 		for _, a := range all {
 			select {
 			case got := <-a.reply:
@@ -847,46 +855,46 @@
 				t.Errorf("%s: no answer", name)
 			}
 		}
-		if taken := len(n.messages) == 1; taken != (c.want == answer{}) || n.held != len(n.messages) {
-			t.Errorf("%s: %d messages, %d held", name, len(n.messages), n.held)
+		if taken := len(n.messages) == 1; taken != (c.want == answer{}) || n.openMessages != len(n.messages) {
+			t.Errorf("%s: %d messages, %d held", name, len(n.messages), n.openMessages)
 		}
 	}
 }
 
-// An id may come again while a call under it is still out. The two must not be taken for one another.
-func TestAnIDUsedAgainWhileItsCallIsOut(t *testing.T) {
+// An ID may be used again while a call under it is still in flight. The two messages must not be confused.
+func TestIDReusedDuringItsCall(t *testing.T) {
 	p := newFakeEndpoint(t, neverAnswer)
-	n := bareNode(t, memberJSON("e", p.addr(), 7, "SERVING"))
-	n.take(t.Context(), []any{handIn("a", 50*time.Second)})
+	n := newIdleNode(t, memberJSON("e", p.addr(), 7, "SERVING"))
+	n.handleBatch(t.Context(), []any{newArrival("a", 50*time.Second)})
 	p.nextRequest(t)
 	n.step(t.Context(), []choice.Event{choice.MessageAbandoned{ID: n.messages["a"].choiceID()}}, nil)
 	n.forget(n.messages["a"])
-	n.take(t.Context(), []any{handIn("a", 50*time.Second)})
+	n.handleBatch(t.Context(), []any{newArrival("a", 50*time.Second)})
 	p.nextRequest(t)
-	if len(n.out) != 2 {
-		t.Fatalf("%d calls out", len(n.out))
+	if len(n.outstanding) != 2 {
+		t.Fatalf("%d calls in flight", len(n.outstanding))
 	}
-	for _, c := range n.out {
+	for _, c := range n.outstanding {
 		c.cancel()
 	}
 	for range 2 {
-		n.take(t.Context(), []any{<-n.events})
+		n.handleBatch(t.Context(), []any{<-n.events})
 	}
-	if n.messages["a"] == nil || n.held != 1 {
+	if n.messages["a"] == nil || n.openMessages != 1 {
 		t.Error("the first one's call has ended the second message")
 	}
-	for a, c := range n.out { // a second attempt of the second message, by then
+	for a, c := range n.outstanding { // by then a second attempt of the second message
 		if a.seq != n.messages["a"].seq {
-			t.Errorf("a call of message %d is out", a.seq)
+			t.Errorf("a call of message %d is in flight", a.seq)
 		}
 		c.cancel()
 	}
 	n.calls.Wait()
 }
 
-// A call that the leaving node cuts off, and a refusal over a limit, must not make the next life hold its destination
-// for one that comes back cold.
-func TestLeavingIsNoOutage(t *testing.T) {
+// A call that is cut off as the node stops, or rejected over a limit, must not make the next process treat
+// the destination as one after an outage.
+func TestStoppingIsNoOutage(t *testing.T) {
 	for name, c := range map[string]struct {
 		serve           func(net.Conn, *http.Request) bool
 		failed, touched bool
@@ -896,17 +904,17 @@
 		"error":        {respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), true, true},
 	} {
 		p := newFakeEndpoint(t, c.serve)
-		n := bareNode(t, memberJSON("e", p.addr(), 7, "SERVING"))
-		n.take(t.Context(), []any{handIn("a", 50*time.Second)})
+		n := newIdleNode(t, memberJSON("e", p.addr(), 7, "SERVING"))
+		n.handleBatch(t.Context(), []any{newArrival("a", 50*time.Second)})
 		p.nextRequest(t)
-		n.take(t.Context(), []any{choice.Stopping{By: 1}})
-		for _, out := range n.out {
+		n.handleBatch(t.Context(), []any{choice.Stopping{By: 1}})
+		for _, out := range n.outstanding {
 			if name == "cut off" {
 				out.cancel()
 			}
 		}
-		n.take(t.Context(), []any{<-n.events})
-		if r := n.resumed(n.messages["a"]); r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 {
+		n.handleBatch(t.Context(), []any{<-n.events})
+		if r := n.resumedEvent(n.messages["a"]); r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 {
 			t.Errorf("%s: got %+v", name, r)
 		}
 		n.pool.close()
@@ -914,12 +922,12 @@
 	}
 }
 
-// -BUSY tells when to come back, also where the module is not asked.
-func TestTurnedAwayWithATime(t *testing.T) {
-	n := bareNode(t, held())
+// -BUSY carries a retry-after also where the module is not asked.
+func TestRefusalHasRetryAfter(t *testing.T) {
+	n := newIdleNode(t, drainingMember())
 	for i := range 8 {
-		a := handIn(itoa(i), 50*time.Second)
-		n.take(t.Context(), []any{a})
+		a := newArrival(itoa(i), 50*time.Second)
+		n.handleBatch(t.Context(), []any{a})
 		if got := <-a.reply; got.refused && got.retryAfter <= 0 {
 			t.Errorf("got %+v", got)
 		} else if i == 7 && !got.refused {
@@ -928,42 +936,42 @@
 	}
 }
 
-// Endpoints, destinations and ids come and go; what the node keeps of them must not grow.
-func TestNodeForgetsWhatHasGone(t *testing.T) {
+// Endpoints, destinations and IDs come and go; the node's memory of them must not grow.
+func TestNodeStateDoesNotGrow(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse))
-	n := bareNode(t, held())
+	n := newIdleNode(t, drainingMember())
 	for i := range 2000 {
 		members := []catalog.Endpoint{{ID: "e" + itoa(i), Addr: p.addr(), Cell: i, Phase: "SERVING"}, {ID: "e" + itoa(i-1), Cell: i - 1, Phase: "DELETED"}}
-		a := handIn("m"+itoa(i), 50*time.Second)
+		a := newArrival("m"+itoa(i), 50*time.Second)
 		a.dest = i
-		n.take(t.Context(), []any{registry.Update{List: catalog.List{Revision: int64(i), Members: members}}})
-		n.take(t.Context(), []any{a})
-		for len(n.out) > 0 {
-			n.take(t.Context(), []any{<-n.events})
+		n.handleBatch(t.Context(), []any{registry.Update{List: catalog.List{Revision: int64(i), Members: members}}})
+		n.handleBatch(t.Context(), []any{a})
+		for len(n.outstanding) > 0 {
+			n.handleBatch(t.Context(), []any{<-n.events})
 			p.nextRequest(t)
 		}
 	}
 	for what, size := range map[string]int{
-		"endpoints": len(n.eps), "messages": len(n.messages), "live": len(n.journal.live), "held": n.held, "kept": keptBy(n.pool),
+		"endpoints": len(n.endpoints), "messages": len(n.messages), "live": len(n.journal.live), "held": n.openMessages, "kept": idleConns(n.pool),
 	} {
 		if size > 2 {
 			t.Errorf("%s: %d", what, size)
 		}
 	}
-	n.start = n.start.Add(-time.Hour) // all windows pass
+	n.clockStart = n.clockStart.Add(-time.Hour) // all time windows pass
 	for range 2 {
-		n.take(t.Context(), []any{registry.Update{List: catalog.List{Complete: true, Members: []catalog.Endpoint{{ID: "last", Addr: p.addr(), Cell: 1e6, Phase: "SERVING"}}}}})
+		n.handleBatch(t.Context(), []any{registry.Update{List: catalog.List{Complete: true, Members: []catalog.Endpoint{{ID: "last", Addr: p.addr(), Cell: 1e6, Phase: "SERVING"}}}}})
 	}
-	if len(n.waits) > 2 || n.sender.KnowsDestination(3) {
-		t.Errorf("%d waits", len(n.waits))
+	if len(n.destinationWaits) > 2 || n.sender.KnowsDestination(3) {
+		t.Errorf("%d waits", len(n.destinationWaits))
 	}
 	n.pool.close()
 	n.calls.Wait()
 }
 
-// What the module sends in one step to one endpoint is one call there and takes one slot, up to the kind's size of a
-// batch and to what a body holds.
-func TestSendsOfAStepTravelTogether(t *testing.T) {
+// Messages that the module sends to one endpoint in one step share a call and a slot there, up to the batch
+// size of their kind and the size of a body.
+func TestSendsOfAStepShareACall(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
 		batch, messages, body, calls int
@@ -975,46 +983,46 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newFakeEndpoint(t, neverAnswer)
-			n := bareAltered(t, func(cfg *Config) {
+			n := newConfiguredIdleNode(t, func(cfg *Config) {
 				cfg.Settings.MaxOpen = 100
 				cfg.Settings.Kinds = []choice.Kind{{MaxBatch: c.batch}}
 				cfg.Settings.Slots = 100
 			}, memberJSON("e", p.addr(), 7, "SERVING"))
 			var batch []any
 			for i := range c.messages {
-				a := handIn("m"+itoa(i), 50*time.Second)
+				a := newArrival("m"+itoa(i), 50*time.Second)
 				a.body = make([]byte, c.body)
 				batch = append(batch, a)
 			}
-			n.take(t.Context(), batch)
+			n.handleBatch(t.Context(), batch)
 			for range c.calls {
 				p.nextRequest(t)
 			}
-			if len(n.out) != c.messages {
-				t.Errorf("%d attempts out", len(n.out))
+			if len(n.outstanding) != c.messages {
+				t.Errorf("%d attempts in flight", len(n.outstanding))
 			}
-			for _, out := range n.out {
+			for _, out := range n.outstanding {
 				out.cancel()
 			}
-			n.calls.Wait() // each has put its end among the events
+			n.calls.Wait() // each call has sent its end event
 			if ended := len(n.events); ended != c.calls {
 				t.Errorf("%d calls, want %d", ended, c.calls)
 			}
 			for len(n.events) > 0 {
-				e := (<-n.events).(called)
-				if len(n.called(e)) != len(e.attempts) {
+				e := (<-n.events).(callEnd)
+				if len(n.callEnded(e)) != len(e.attempts) {
 					t.Error("an attempt without its outcome")
 				}
 			}
-			if len(n.out) != 0 {
-				t.Errorf("%d attempts out after their calls", len(n.out))
+			if len(n.outstanding) != 0 {
+				t.Errorf("%d attempts in flight after their calls", len(n.outstanding))
 			}
 		})
 	}
 }
 
-// Nothing in a node is cut to a number of endpoints or partners: each of a thousand and more gets its messages, and the
-// next life knows them all.
+// A node has no built-in limit on endpoints or partners: with more than a thousand endpoints each partner
+// gets its message, and the next process knows all of them.
 func TestManyEndpoints(t *testing.T) {
 	const partners, each = 512, 3
 	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool { _, err := io.WriteString(nc, okResponse); return err == nil })
@@ -1022,20 +1030,20 @@
 	for i := range partners * each {
 		members = append(members, catalog.Endpoint{ID: "e" + itoa(i), Addr: p.addr(), Locality: "z", Flavor: "m", Cell: i % partners, Phase: "SERVING", Size: 1000})
 	}
-	n := bareAltered(t, func(cfg *Config) { cfg.Settings.MaxOpen, cfg.Settings.Slots = partners, 50 })
-	n.take(t.Context(), []any{registry.Update{List: catalog.List{Complete: true, Members: members}}})
+	n := newConfiguredIdleNode(t, func(cfg *Config) { cfg.Settings.MaxOpen, cfg.Settings.Slots = partners, 50 })
+	n.handleBatch(t.Context(), []any{registry.Update{List: catalog.List{Complete: true, Members: members}}})
 	var batch []any
 	for i := range partners {
-		a := handIn("m"+itoa(i), 50*time.Second)
+		a := newArrival("m"+itoa(i), 50*time.Second)
 		a.dest = i
 		batch = append(batch, a)
 	}
-	n.take(t.Context(), batch)
+	n.handleBatch(t.Context(), batch)
 	reached := map[string]bool{}
 	for len(n.messages) > 0 {
-		e := (<-n.events).(called)
+		e := (<-n.events).(callEnd)
 		reached[e.endpoint.id] = true
-		n.take(t.Context(), []any{e})
+		n.handleBatch(t.Context(), []any{e})
 	}
 	if len(reached) != partners {
 		t.Errorf("%d endpoints had the messages of %d partners", len(reached), partners)
@@ -1043,17 +1051,18 @@
 	n.pool.close()
 	n.calls.Wait()
 	if again := openTestJournal(t, n.cfg.StateDir, 3); len(again.knownEndpoints) != len(members) {
-		t.Errorf("the next life knows %d endpoints of %d", len(again.knownEndpoints), len(members))
+		t.Errorf("the next process knows %d endpoints of %d", len(again.knownEndpoints), len(members))
 	}
 }
 
-// The module weighs a message by its tenant's share, before a restart and after it. A tenant that the settings don't
-// name is nobody's share, least of all the first one's; a journal of before tenants were told names none.
-func TestTheTenantReachesTheModule(t *testing.T) {
+// The module weighs a message by its tenant's share, before and after a restart. A tenant that is not in the
+// settings has no share, above all not the first tenant's. Journal records from before there were tenants
+// name none.
+func TestTenantReachesModule(t *testing.T) {
 	names := wire.Names{Classes: []string{"status"}, Tenants: []string{"acme", "zen"}}
 	dir := t.TempDir()
 	j := openTestJournal(t, dir, 3)
-	n := &Node{start: time.Now(), journal: j, messages: map[string]*pendingMessage{}, sender: choice.New(choice.Settings{}, 1)}
+	n := &Node{clockStart: time.Now(), journal: j, messages: map[string]*pendingMessage{}, sender: choice.New(choice.Settings{}, 1)}
 	n.sender.Step(n.now(), []choice.Event{choice.ListUpdate{Entries: []choice.Entry{{Endpoint: "e", Dest: 7}}}})
 	want := map[string]int{"acme": 0, "zen": 1, "": -1, "other": -1}
 	for tenant, place := range want {
@@ -1062,8 +1071,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := n.accept(arrival{request: q}, newcomers{})
-		if got := n.arrived(p, p.deadline).Tenant; got != place {
+		p := n.accept(arrival{request: q}, newMessages{})
+		if got := n.arrivedEvent(p, p.deadline).Tenant; got != place {
 			t.Errorf("%q: got %d, want %d", tenant, got, place)
 		}
 	}
@@ -1073,7 +1082,7 @@
 	mustFlush(t, j)
 	again := openTestJournal(t, dir, 3)
 	for _, p := range again.live {
-		if got, place := n.resumed(p).Tenant, want[strings.TrimPrefix(p.id, "of:")]; got != place {
+		if got, place := n.resumedEvent(p).Tenant, want[strings.TrimPrefix(p.id, "of:")]; got != place {
 			t.Errorf("%q after a restart: got %d, want %d", p.id, got, place)
 		}
 	}
@@ -1082,10 +1091,10 @@
 	}
 }
 
-// Without the folder that lasts the journal stood in whatever folder the process was started from, and the next start
-// might not find it.
-func TestConfigurationNamesItsFolder(t *testing.T) {
-	path := writeConfig(t, "127.0.0.1:0", "127.0.0.1:9", held())
+// Without a state folder the journal used to land in the working directory, where the next start might not
+// find it.
+func TestConfigNeedsStateFolder(t *testing.T) {
+	path := writeConfig(t, "127.0.0.1:0", "127.0.0.1:9", drainingMember())
 	if _, err := LoadConfig(path, t.TempDir()); err != nil {
 		t.Error(err)
 	}
@@ -1096,13 +1105,13 @@
 	}
 }
 
-// Whatever the limit and the slots, clients, operators, calls, kept connections and the node's own descriptors fit in it
-// together.
-func TestDescriptorsAreShared(t *testing.T) {
+// Whatever the limit and the slots, the descriptors of clients, operators, calls, idle connections and the
+// node itself fit the limit together.
+func TestSplitDescriptors(t *testing.T) {
 	for _, sockets := range []int{256, 384, 512, 1024, 4096} {
 		for _, slots := range []int{0, 1, 8, 60, 300, 5000} {
 			calls, idle := splitDescriptors(sockets, slots)
-			if all := sockets/clientSocketsDivisor + sockets/operatorSocketsDivisor + ownDescriptors + calls + idle; calls < 1 || idle < 1 || all > sockets {
+			if all := sockets/clientSocketsDivisor + sockets/operatorSocketsDivisor + nodeDescriptors + calls + idle; calls < 1 || idle < 1 || all > sockets {
 				t.Errorf("%d sockets, %d slots: %d calls and %d kept make %d in all", sockets, slots, calls, idle, all)
 			}
 		}
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -22,34 +22,36 @@
 	"starlingusher/internal/registry"
 )
 
-// With [ownership] a node follows the list of its partitions alone, and takes on what is for them. The loop owns the
-// share; a part of consult, the follower, fetches maps and watches what the share says. Maps, lists and what they are of
-// come to the loop as events, in their order, so that no list is taken for that of other partitions.
+// With [ownership] a node watches the lists of its own partitions only, and accepts messages for these. The
+// loop owns the ownershipState. The follower, a task of followDiscovery, fetches maps and watches the lists
+// of the followed partitions. Maps and lists, and the partitions of each list, reach the loop as events in
+// their order, so that no list is taken for one of other partitions.
 
 const (
-	mapName   = "map.cbor"
-	shareName = "share" // the folder of the kept list: a start without [ownership] must not take it for the whole list
+	mapName        = "map.cbor"
+	listFolderName = "share" // the folder of the cached list: a start without [ownership] must not take it for the whole list
 
 	defaultOwners = 3
 	maxOwners     = 5
 
-	// A new map is told to all nodes at once. They fetch its 50 KB or so over some milliseconds for each of them.
-	fetchEach  = 2 * time.Millisecond
-	fetchMost  = 2 * time.Second
-	fetchTime  = 7 * time.Second        // for one look, at all addresses
-	fetchFirst = 250 * time.Millisecond // pause after a look in vain, doubled each time,
-	fetchLast  = 8 * time.Second        // and at most
-	unheardFor = time.Minute            // without a sign of life of a watch a map is looked for: the replicas may be too old to tell of one
-	keepAgain  = time.Second            // pause after a map that could not be kept
+	// A new map is announced to all nodes at once. They fetch its 50 KB or so spread over some milliseconds
+	// for each node.
+	fetchSpreadPerNode = 2 * time.Millisecond
+	maxFetchSpread     = 2 * time.Second
+	fetchTimeout       = 7 * time.Second        // of one fetch, from all addresses
+	minFetchPause      = 250 * time.Millisecond // pause after a failed fetch, doubled each time,
+	maxFetchPause      = 8 * time.Second        // and at most
+	maxWatchSilence    = time.Minute            // the map is fetched after so long without a sign of life from a watch: the replicas may be too old to announce maps
+	mapSavePause       = time.Second            // pause after a map that could not be saved
 )
 
-// Ownership makes a node one of the owners of a share of the destinations.
+// Ownership makes a node one of the owners of a part of the destinations.
 type Ownership struct {
-	Name   string `toml:"name"`   // the node's, in the map of owners
-	Owners int    `toml:"owners"` // of a partition, who share the limits of its destinations; 0: 3
+	Name   string `toml:"name"`   // of the node in the map of owners
+	Owners int    `toml:"owners"` // of a partition, who share the limits of its destinations; 0 means 3
 }
 
-// check tells what can't be, and fills in what is not given.
+// check reports invalid values, and sets defaults.
 func (o *Ownership) check(addresses []string) error {
 	switch {
 	case o.Name == "" || len(o.Name) > catalog.MaxNameBytes || strings.ContainsFunc(o.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }):
@@ -64,8 +66,9 @@
 	return nil
 }
 
-// moduleSettings are the module's. With [ownership] the owners of a destination are the whole fleet that sends to it. They
-// have a part of all traffic, and so of what all tenants may send: by that the module knows its share of a limit.
+// moduleSettings returns the module's settings. With [ownership] the owners of a destination are the whole
+// fleet that sends to it. They see a part of all traffic, and so of what all tenants may send: from that the
+// module calculates its share of a limit.
 func (c *Config) moduleSettings() choice.Settings {
 	s, o := c.Settings, c.Fleet.Ownership
 	if o == nil || o.Owners >= s.FleetSize {
@@ -79,7 +82,7 @@
 	return s
 }
 
-// owner is the node's name in the map; empty without [ownership].
+// owner returns the node's name in the map of owners; it is empty without [ownership].
 func (c *Config) owner() string {
 	if c.Fleet.Ownership == nil {
 		return ""
@@ -87,23 +90,23 @@
 	return c.Fleet.Ownership.Name
 }
 
-// following is what a node follows: the partitions that it owns and, for some time, those that it has lost. It is not
-// changed once it has been handed on.
+// followedPartitions are the partitions that a node owns and those that linger. A value is not changed once
+// it has been handed out.
 type followedPartitions struct {
-	mapNumber int64 // of the map; 0: there is none
-	member    bool  // it names this node
-	owned     ownership.Set
-	lingering []lingeringPartitions
-	unkept    bool // the folder could not take the map
+	mapNumber  int64 // of the map; 0 for no map
+	inMap      bool  // the map names this node
+	owned      ownership.Set
+	lingering  []lingeringPartitions
+	mapUnsaved bool // the map could not be saved
 }
 
-// lost are partitions that are followed on, for what was taken on for them.
+// lingeringPartitions are no longer owned, but still followed for the messages that were accepted for them.
 type lingeringPartitions struct {
 	set   ownership.Set
 	until time.Time
 }
 
-// at is what is followed at a time, and when that becomes less; zero: never.
+// setAt returns the partitions followed at a time, and when the next of them end; zero for never.
 func (f *followedPartitions) setAt(now time.Time) (set ownership.Set, less time.Time) {
 	set = f.owned
 	for _, l := range f.lingering {
@@ -117,70 +120,71 @@
 	return set, less
 }
 
-// unready tells why it does not serve, "" if it does.
-func (f *followedPartitions) unready() string {
+// notReadyReason tells why the node does not serve; it is empty if it does.
+func (f *followedPartitions) notReadyReason() string {
 	switch {
 	case f.mapNumber == 0:
 		return "no map of owners is known"
-	case !f.member:
+	case !f.inMap:
 		return "not in the map of owners"
 	}
 	return ""
 }
 
-// share is what a node owns. It is the loop's, but for follow.
-type share struct {
+// ownershipState is what a node owns. The loop owns all of it but the follower.
+type ownershipState struct {
 	followedPartitions
-	name    string
-	path    string
-	log     *slog.Logger
-	longest time.Duration                   // the longest deadline of a class
-	latest  [ownership.PartitionCount]int64 // Unix ns: the deadline of the last message taken on, by partition
-	due     []byte                          // the map, while the folder could not take it
-	listed  ownership.Set                   // the list of these was handed to the module,
-	covered ownership.Set                   // and it has had it
-	shown   bool
-	follow  follower
+	name         string
+	path         string
+	log          *slog.Logger
+	maxDeadline  time.Duration                   // the longest deadline of a class
+	lastDeadline [ownership.PartitionCount]int64 // Unix ns: the deadline of the last message accepted, by partition
+	unsavedMap   []byte                          // the map, while it could not be saved
+	listedSet    ownership.Set                   // the list of these was passed to the module,
+	appliedSet   ownership.Set                   // which has applied it to these
+	published    bool
+	follower     follower
 }
 
-// openShare begins with the kept map, and with the partitions of what the journal owes; nil without [ownership].
-func openShare(cfg Config, j *journal, log *slog.Logger) *share {
+// openOwnership starts with the saved map, and with the partitions of open messages in the journal. It
+// returns nil without [ownership].
+func openOwnership(cfg Config, j *journal, log *slog.Logger) *ownershipState {
 	if cfg.Fleet.Ownership == nil {
 		return nil
 	}
-	s := &share{name: cfg.owner(), path: filepath.Join(cfg.StateDir, mapName), log: log}
+	s := &ownershipState{name: cfg.owner(), path: filepath.Join(cfg.StateDir, mapName), log: log}
 	for _, c := range cfg.Settings.Classes {
-		s.longest = max(s.longest, c.Deadline)
+		s.maxDeadline = max(s.maxDeadline, c.Deadline)
 	}
-	switch m, err := readMap(s.path); {
+	switch m, err := readSavedMap(s.path); {
 	case err != nil:
-		log.Warn("the kept map of owners is lost", "err", err)
+		log.Warn("the saved map of owners is unreadable", "err", err)
 	case m != nil:
 		s.mapNumber = m.Number
-		s.owned, s.member = m.PartitionsOf(s.name)
-		log.Info("beginning with the kept map of owners", "map", s.mapNumber, "member", s.member, "partitions", s.owned.Len())
+		s.owned, s.inMap = m.PartitionsOf(s.name)
+		log.Info("starting with the saved map of owners", "map", s.mapNumber, "member", s.inMap, "partitions", s.owned.Len())
 	}
-	var owed lingeringPartitions
+	var open lingeringPartitions
 	for _, p := range j.live {
 		if p.final != nil {
 			continue
 		}
-		if s.took(p); !s.owned.Has(ownership.PartitionOf(p.dest)) {
-			owed.set.Add(ownership.PartitionOf(p.dest))
-			if p.deadline.After(owed.until) {
-				owed.until = p.deadline
+		if s.trackDeadline(p); !s.owned.Has(ownership.PartitionOf(p.dest)) {
+			open.set.Add(ownership.PartitionOf(p.dest))
+			if p.deadline.After(open.until) {
+				open.until = p.deadline
 			}
 		}
 	}
-	s.lingering = []lingeringPartitions{owed}
-	s.follow = follower{name: s.name, log: log, nodes: max(cfg.Settings.FleetSize, 1), news: make(chan struct{}, 1), seen: -1, older: -1, unheard: unheardFor}
-	s.follow.told.Store(-1)
+	s.lingering = []lingeringPartitions{open}
+	s.follower = follower{name: s.name, log: log, nodes: max(cfg.Settings.FleetSize, 1), mapNamed: make(chan struct{}, 1), checkedMap: -1, loggedMap: -1, maxSilence: maxWatchSilence}
+	s.follower.namedMap.Store(-1)
 	return s
 }
 
-// readMap reads a kept map; nil if there is none.
-func readMap(path string) (*ownership.Map, error) {
-	os.Remove(path + ".new") // of a process that ended while it wrote
+// readSavedMap returns nil if no map is saved.
+func readSavedMap(path string) (*ownership.Map, error) {
+	os.Remove(path + ".new") // left by a process that ended while it wrote
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -191,8 +195,8 @@
 	return ownership.Decode(raw)
 }
 
-// only is a list without the endpoints of partitions that are not followed.
-func (s *share) only(l catalog.List) catalog.List {
+// filterList removes the endpoints of partitions that are not followed.
+func (s *ownershipState) filterList(l catalog.List) catalog.List {
 	if s == nil {
 		return l
 	}
@@ -207,188 +211,190 @@
 	return l
 }
 
-// took notes until when a message that was taken on has to be followed.
-func (s *share) took(p *pendingMessage) {
-	last := &s.latest[ownership.PartitionOf(p.dest)]
+// trackDeadline notes until when the partition of an accepted message has to be followed.
+func (s *ownershipState) trackDeadline(p *pendingMessage) {
+	last := &s.lastDeadline[ownership.PartitionOf(p.dest)]
 	*last = max(*last, p.deadline.UnixNano())
 }
 
-// keep writes the map into the folder, whole or not at all, if it is not there yet. Only who holds the folder's lock may.
-func (s *share) keep() error {
-	if s == nil || s.due == nil {
+// saveMap writes the map atomically, if it is not saved yet. Only the holder of the folder's lock may call
+// it.
+func (s *ownershipState) saveMap() error {
+	if s == nil || s.unsavedMap == nil {
 		return nil
 	}
 	next := s.path + ".new"
-	err := os.WriteFile(next, s.due, 0o600)
+	err := os.WriteFile(next, s.unsavedMap, 0o600)
 	if err == nil {
 		err = os.Rename(next, s.path)
 	}
 	if err != nil {
 		os.Remove(next)
-		if !s.unkept {
-			s.log.Warn("the map of owners can't be kept", "map", s.mapNumber, "err", err)
+		if !s.mapUnsaved {
+			s.log.Warn("the map of owners can't be saved", "map", s.mapNumber, "err", err)
 		}
-		s.unkept = true
+		s.mapUnsaved = true
 		return fmt.Errorf("map of owners: %w", err)
 	}
-	s.due, s.unkept = nil, false
+	s.unsavedMap, s.mapUnsaved = nil, false
 	return nil
 }
 
-// take makes a newer map the node's. From here on nothing is taken on for partitions that it has lost; they are followed
-// until all that was taken on has had its time.
-func (s *share) take(m *ownership.Map, now time.Time) {
+// applyMap makes a newer map the node's. From here on nothing is accepted for partitions that it has lost.
+// They are followed until the deadlines of all accepted messages have passed.
+func (s *ownershipState) applyMap(m *ownership.Map, now time.Time) {
 	raw, err := m.Encode()
-	if err != nil { // it was decoded a moment ago
-		s.log.Error("the map of owners can't be kept", "map", m.Number, "err", err)
+	if err != nil { // the map was decoded a moment ago
+		s.log.Error("the map of owners can't be saved", "map", m.Number, "err", err)
 	}
 	owned, member := m.PartitionsOf(s.name)
 	followed, _ := s.setAt(now)
-	gone := s.owned.Without(owned)
-	soon, later := lingeringPartitions{until: now.Add(s.longest)}, lingeringPartitions{}
-	for p := range gone.All() {
-		if last := time.Unix(0, s.latest[p]); last.After(soon.until) { // a client may give more time than its class has
-			later.set.Add(p)
-			if last.After(later.until) {
-				later.until = last
+	lost := s.owned.Without(owned)
+	byClass, byMessage := lingeringPartitions{until: now.Add(s.maxDeadline)}, lingeringPartitions{}
+	for p := range lost.All() {
+		if last := time.Unix(0, s.lastDeadline[p]); last.After(byClass.until) { // a client may set a longer deadline than its class has
+			byMessage.set.Add(p)
+			if last.After(byMessage.until) {
+				byMessage.until = last
 			}
 		}
 	}
-	soon.set = gone.Without(later.set)
-	var left []lingeringPartitions
-	for _, l := range append(slices.Clone(s.lingering), soon, later) {
+	byClass.set = lost.Without(byMessage.set)
+	var lingering []lingeringPartitions
+	for _, l := range append(slices.Clone(s.lingering), byClass, byMessage) {
 		if l.set = l.set.Without(owned); l.set.Len() > 0 && now.Before(l.until) {
-			left = append(left, l)
+			lingering = append(lingering, l)
 		}
 	}
-	s.log.Info("a new map of owners", "map", m.Number, "before", s.mapNumber, "member", member, "partitions", owned.Len(),
-		"gained", owned.Without(s.owned).Len(), "lost", gone.Len())
-	s.mapNumber, s.member, s.owned, s.lingering, s.shown = m.Number, member, owned, left, false
-	unlisted := owned.Without(followed)
-	s.listed, s.covered = s.listed.Without(unlisted), s.covered.Without(unlisted)
-	s.due = raw
+	s.log.Info("applied a new map of owners", "map", m.Number, "before", s.mapNumber, "member", member, "partitions", owned.Len(),
+		"gained", owned.Without(s.owned).Len(), "lost", lost.Len())
+	s.mapNumber, s.inMap, s.owned, s.lingering, s.published = m.Number, member, owned, lingering, false
+	added := owned.Without(followed)
+	s.listedSet, s.appliedSet = s.listedSet.Without(added), s.appliedSet.Without(added)
+	s.unsavedMap = raw
 }
 
-// show brings the figures up to date after a step, by which the module has had the lists before it.
-func (s *share) show(f *metrics) {
-	s.covered = s.listed
-	if !s.shown {
+// updateMetrics publishes the metrics after a step, in which the module has applied the lists before it.
+func (s *ownershipState) updateMetrics(f *metrics) {
+	s.appliedSet = s.listedSet
+	if !s.published {
 		now := s.followedPartitions
 		f.ownership.Store(&now)
-		s.shown = true
+		s.published = true
 	}
 }
 
-// foreign refuses what is for a partition that is not the node's, and what is for a destination that it can't know yet.
-// Another owner may take it on at once, and this one after a list.
-func (n *Node) foreign(a arrival) bool {
-	part := ownership.PartitionOf(a.dest)
+// refuseForeign refuses messages for partitions that the node does not own, and for destinations that it
+// can't know yet. Another owner may accept such a message at once, or this one after the next list.
+func (n *Node) refuseForeign(a arrival) bool {
+	partition := ownership.PartitionOf(a.dest)
 	switch {
-	case !n.own.owned.Has(part):
+	case !n.ownership.owned.Has(partition):
 		n.figures.notOwned.Add(1)
-	case n.own.covered.Has(part), n.sender.KnowsDestination(a.dest):
+	case n.ownership.appliedSet.Has(partition), n.sender.KnowsDestination(a.dest):
 		return false
 	}
 	a.reply <- answer{refused: true, retryAfter: n.cfg.Settings.MaxRetryAfter}
 	return true
 }
 
-// Events of the loop that are the share's.
+// Events of the loop for the ownershipState.
 type (
-	shareEvent interface{ tell(s *share) }
-	// newMap brings a map, or with none asks again for what is followed.
-	newMap struct {
-		m     *ownership.Map
-		taken chan<- followedPartitions
-	}
-	// listedOf says of which partitions the list is that came before it.
-	listedOf ownership.Set
+	ownershipEvent interface{ apply(s *ownershipState) }
+	// mapEvent brings a map; without one it asks again for the followed partitions.
+	mapEvent struct {
+		newMap *ownership.Map
+		reply  chan<- followedPartitions
+	}
+	// listedPartitions are the partitions of the list before it.
+	listedPartitions ownership.Set
 )
 
-func (e newMap) tell(s *share) {
-	if e.m != nil && e.m.Number > s.mapNumber {
-		s.take(e.m, time.Now())
+func (e mapEvent) apply(s *ownershipState) {
+	if e.newMap != nil && e.newMap.Number > s.mapNumber {
+		s.applyMap(e.newMap, time.Now())
 	}
-	s.keep() // what it could not do is logged, and asked for again
-	e.taken <- s.followedPartitions
+	s.saveMap() // an error is logged, and the follower tries again
+	e.reply <- s.followedPartitions
 }
 
-func (e listedOf) tell(s *share) { s.listed = ownership.Set(e) }
+func (e listedPartitions) apply(s *ownershipState) { s.listedSet = ownership.Set(e) }
 
-// follower watches the list of what the share follows, and keeps the map up to date. One goroutine at a time has it.
+// follower watches the lists of the followed partitions, and keeps the map up to date. One goroutine at a
+// time uses it.
 type follower struct {
-	followedPartitions // as the loop had it last
+	followedPartitions // as last received from the loop
 	name               string
 	log                *slog.Logger
 	nodes              int
-	unheard            time.Duration // unheardFor, but in tests
+	maxSilence         time.Duration // maxWatchSilence, except in tests
 
-	told  atomic.Int64 // shared: number of the map that the list named last; -1: none did
-	heard atomic.Int64 // shared: Unix ns of the last sign of life of a watch
-	news  chan struct{}
+	namedMap atomic.Int64 // shared: number of the map that the list named last; -1 for none
+	heardAt  atomic.Int64 // shared: Unix ns of the last sign of life of a watch
+	mapNamed chan struct{}
 
-	seen   int64     // of told
-	older  int64     // than ours, and logged
-	lookAt time.Time // for a map; zero: not
-	pause  time.Duration
-	keepAt time.Time // zero: it is kept
+	checkedMap int64     // the last value of namedMap that was checked
+	loggedMap  int64     // the last older number that was logged
+	fetchAt    time.Time // when to fetch a map; zero for never
+	fetchPause time.Duration
+	saveAt     time.Time // when to save the map; zero if it is saved
 }
 
-// watch is w.Watch; with [ownership] of what the node follows, which it keeps up to date.
-func (n *Node) watch(ctx context.Context, w *registry.Watcher, tell func(registry.Update) error) {
-	if n.own == nil {
+// watchList is w.Watch; with [ownership] it watches the followed partitions, and keeps these up to date.
+func (n *Node) watchList(ctx context.Context, w *registry.Watcher, tell func(registry.Update) error) {
+	if n.ownership == nil {
 		w.Watch(ctx, tell)
 		return
 	}
-	f := &n.own.follow
-	f.heard.Store(time.Now().UnixNano())
-	f.hand(ctx, n, nil)
+	f := &n.ownership.follower
+	f.heardAt.Store(time.Now().UnixNano())
+	f.passToLoop(ctx, n, nil)
 	if f.mapNumber == 0 {
-		f.look(time.Now())
+		f.scheduleFetch(time.Now())
 	}
 	for ctx.Err() == nil {
 		set, _ := f.setAt(time.Now())
-		here, leave := context.WithCancel(ctx)
-		var parts sync.WaitGroup
-		var whole atomic.Bool
-		one := *w
-		parts.Go(func() {
-			f.watch(here, &one, set, func(l registry.Update) error {
+		watchCtx, stopWatch := context.WithCancel(ctx)
+		var tasks sync.WaitGroup
+		var complete atomic.Bool
+		watcher := *w
+		tasks.Go(func() {
+			f.watch(watchCtx, &watcher, set, func(l registry.Update) error {
 				err := tell(l)
 				if err == nil && l.Complete {
-					whole.Store(true)
-					n.tell(ctx, listedOf(set))
+					complete.Store(true)
+					n.sendEvent(ctx, listedPartitions(set))
 				}
 				return err
 			})
 		})
-		f.await(ctx, n, w, set, &whole)
-		// The next one begins when this one is over, so that its lists come after all of this one's.
-		leave()
-		parts.Wait()
+		f.maintainMap(ctx, n, w, set, &complete)
+		// The next watch begins after this one has ended, so that its lists come after all of this one's.
+		stopWatch()
+		tasks.Wait()
 	}
 }
 
-// watch follows the list of a set. Of no partition there is none: any one's tells of maps.
+// watch watches the list of a set. For an empty set it watches any partition, only to learn of new maps.
 func (f *follower) watch(ctx context.Context, w *registry.Watcher, set ownership.Set, tell func(registry.Update) error) {
-	asked, none, heard := set, set.Len() == 0, w.OnLine
-	if none {
-		asked.Add(int(crc32.ChecksumIEEE([]byte(f.name)) % ownership.PartitionCount))
+	requested, empty, onHeard := set, set.Len() == 0, w.OnLine
+	if empty {
+		requested.Add(int(crc32.ChecksumIEEE([]byte(f.name)) % ownership.PartitionCount))
 	}
-	w.Partitions = &asked
+	w.Partitions = &requested
 	w.OnLine = func() {
-		f.heard.Store(time.Now().UnixNano())
-		if heard != nil {
-			heard()
+		f.heardAt.Store(time.Now().UnixNano())
+		if onHeard != nil {
+			onHeard()
 		}
 	}
 	w.Watch(ctx, func(l registry.Update) error {
-		if none {
+		if empty {
 			l.Members = nil
 		}
-		if f.told.Swap(l.Map) != l.Map {
+		if f.namedMap.Swap(l.Map) != l.Map {
 			select {
-			case f.news <- struct{}{}:
+			case f.mapNamed <- struct{}{}:
 			default:
 			}
 		}
@@ -396,47 +402,48 @@
 	})
 }
 
-// await keeps the map up to date until another set is to be watched, or the context ends.
-func (f *follower) await(ctx context.Context, n *Node, w *registry.Watcher, set ownership.Set, whole *atomic.Bool) {
+// maintainMap keeps the map up to date until another set has to be watched, or the context ends.
+func (f *follower) maintainMap(ctx context.Context, n *Node, w *registry.Watcher, set ownership.Set, complete *atomic.Bool) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		now := time.Now()
-		f.heed(now)
-		silent := time.Unix(0, f.heard.Load()).Add(f.unheard)
+		f.checkNamedMap(now)
+		silentAt := time.Unix(0, f.heardAt.Load()).Add(f.maxSilence)
 		switch {
-		case !f.lookAt.IsZero() && !now.Before(f.lookAt):
-			f.fetch(ctx, n, w)
-			if whole.Load() { // a map that changes nothing of the set has lost nothing of what was listed either
-				n.tell(ctx, listedOf(set))
+		case !f.fetchAt.IsZero() && !now.Before(f.fetchAt):
+			f.fetchMap(ctx, n, w)
+			if complete.Load() { // a map that leaves the set as it is keeps all that was listed
+				n.sendEvent(ctx, listedPartitions(set))
 			}
-		case !f.keepAt.IsZero() && !now.Before(f.keepAt):
-			f.hand(ctx, n, nil)
-		case f.lookAt.IsZero() && !now.Before(silent):
-			f.heard.Store(now.UnixNano())
-			f.look(now)
+		case !f.saveAt.IsZero() && !now.Before(f.saveAt):
+			f.passToLoop(ctx, n, nil)
+		case f.fetchAt.IsZero() && !now.Before(silentAt):
+			f.heardAt.Store(now.UnixNano())
+			f.scheduleFetch(now)
 		}
 		now = time.Now()
 		next, _ := f.setAt(now)
 		if next != set {
 			return
 		}
-		wake := f.wake(now)
+		wake := f.nextWake(now)
 		timer.Reset(wake.Sub(now))
 		select {
 		case <-timer.C:
-		case <-f.news:
+		case <-f.mapNamed:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// wake is when await has something to do next, later than now once it has done what was due. While a map is looked for, silence is no news.
-func (f *follower) wake(now time.Time) time.Time {
+// nextWake returns when maintainMap has something to do next, later than now once it has done what was due.
+// While a fetch is scheduled, silence of the watch needs no fetch of its own.
+func (f *follower) nextWake(now time.Time) time.Time {
 	_, wake := f.setAt(now)
-	due := []time.Time{f.lookAt, f.keepAt}
-	if f.lookAt.IsZero() {
-		due = append(due, time.Unix(0, f.heard.Load()).Add(f.unheard))
+	due := []time.Time{f.fetchAt, f.saveAt}
+	if f.fetchAt.IsZero() {
+		due = append(due, time.Unix(0, f.heardAt.Load()).Add(f.maxSilence))
 	}
 	for _, at := range due {
 		if !at.IsZero() && (wake.IsZero() || at.Before(wake)) {
@@ -446,105 +453,108 @@
 	return wake
 }
 
-// heed takes note of which map the list names. One of a smaller number is a replica's that is behind, or a restored
-// directory's: what a node has known is not undone by it.
-func (f *follower) heed(now time.Time) {
-	told := f.told.Load()
-	if told == f.seen {
+// checkNamedMap looks at the map number that the list names. A smaller number comes from a replica that is
+// behind, or from a restored directory; it does not replace a newer map.
+func (f *follower) checkNamedMap(now time.Time) {
+	named := f.namedMap.Load()
+	if named == f.checkedMap {
 		return
 	}
-	f.seen = told
+	f.checkedMap = named
 	switch {
-	case told > f.mapNumber:
-		f.look(now)
-	case told < f.mapNumber && told != f.older:
-		f.older = told
-		f.log.Warn("the directory names an older map of owners; the newer one stays", "map", f.mapNumber, "directory", told)
+	case named > f.mapNumber:
+		f.scheduleFetch(now)
+	case named < f.mapNumber && named != f.loggedMap:
+		f.loggedMap = named
+		f.log.Warn("the directory names an older map of owners; the newer one stays", "map", f.mapNumber, "directory", named)
 	}
 }
 
-// look has a map looked for soon, but not by all nodes at once.
-func (f *follower) look(now time.Time) {
-	at := now.Add(rand.N(min(time.Duration(f.nodes)*fetchEach, fetchMost)))
-	if f.lookAt.IsZero() || at.Before(f.lookAt) {
-		f.lookAt = at
+// scheduleFetch has a map fetched soon, but not by all nodes at once.
+func (f *follower) scheduleFetch(now time.Time) {
+	at := now.Add(rand.N(min(time.Duration(f.nodes)*fetchSpreadPerNode, maxFetchSpread)))
+	if f.fetchAt.IsZero() || at.Before(f.fetchAt) {
+		f.fetchAt = at
 	}
 }
 
-// fetch looks for a map that is as new as what the list names, and hands it to the loop.
-func (f *follower) fetch(ctx context.Context, n *Node, w *registry.Watcher) {
-	within, cancel := context.WithTimeout(ctx, fetchTime)
+// fetchMap fetches a map at least as new as the one that the list names, and passes it to the loop.
+func (f *follower) fetchMap(ctx context.Context, n *Node, w *registry.Watcher) {
+	fetchCtx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	m, err := registry.FetchMap(within, w.Client, w.Addresses, max(f.told.Load(), f.mapNumber, 1))
+	m, err := registry.FetchMap(fetchCtx, w.Client, w.Addresses, max(f.namedMap.Load(), f.mapNumber, 1))
 	switch {
 	case ctx.Err() != nil:
-		return // what is next begins by looking again
+		return // the next watch starts with another fetch
 	case err != nil:
-		if f.pause == 0 {
-			f.log.Warn("no map of owners can be had; looking for it again and again", "map", f.mapNumber, "err", err)
+		if f.fetchPause == 0 {
+			f.log.Warn("the map of owners can't be fetched; retrying", "map", f.mapNumber, "err", err)
 		}
-		f.pause = min(max(2*f.pause, fetchFirst), fetchLast)
-		f.lookAt = time.Now().Add(f.pause/2 + rand.N(f.pause/2))
+		f.fetchPause = min(max(2*f.fetchPause, minFetchPause), maxFetchPause)
+		f.fetchAt = time.Now().Add(f.fetchPause/2 + rand.N(f.fetchPause/2))
 		return
 	}
-	f.pause, f.lookAt = 0, time.Time{}
+	f.fetchPause, f.fetchAt = 0, time.Time{}
 	if m.Number > f.mapNumber {
-		f.hand(ctx, n, m)
+		f.passToLoop(ctx, n, m)
 	}
 }
 
-// hand gives the loop a map, if there is one, and takes what follows from it.
-func (f *follower) hand(ctx context.Context, n *Node, m *ownership.Map) {
-	taken := make(chan followedPartitions, 1)
-	n.tell(ctx, newMap{m, taken})
+// passToLoop passes the loop a map, if m is not nil, and receives the partitions to follow.
+func (f *follower) passToLoop(ctx context.Context, n *Node, m *ownership.Map) {
+	reply := make(chan followedPartitions, 1)
+	n.sendEvent(ctx, mapEvent{m, reply})
 	select {
-	case f.followedPartitions = <-taken:
+	case f.followedPartitions = <-reply:
 	case <-ctx.Done():
 		return
 	}
-	if f.keepAt = (time.Time{}); f.unkept {
-		f.keepAt = time.Now().Add(keepAgain)
+	if f.saveAt = (time.Time{}); f.mapUnsaved {
+		f.saveAt = time.Now().Add(mapSavePause)
 	}
 }
 
-// suits tells whether the node may be handed to a process that has this name in the map. One without, or of an older
-// build, would take the list of a share for the whole, and call every other destination unknown.
-func (s *share) suits(name string) error {
+// checkSuccessor reports an error unless the node may be handed to a process with this name in the map of
+// owners. A process without a name, or of an older build, would take the list of some partitions for the
+// whole list, and treat every other destination as unknown.
+func (s *ownershipState) checkSuccessor(name string) error {
 	if s == nil || s.name == name {
 		return nil
 	}
 	return fmt.Errorf("the other process has the name %q in the map of owners, this one %q", name, s.name)
 }
 
-// Reload moves a running node to the addresses that its files name now. What can't change in a process's life stays.
+// Reload moves a running node to the addresses in its reread files. Settings that can't change while a
+// process runs stay.
 func (n *Node) Reload(cfg Config) {
-	was, is := n.cfg.Fleet.Ownership, cfg.Fleet.Ownership
-	if (was == nil) != (is == nil) || was != nil && *was != *is {
-		n.log.Warn("a change of ownership is ignored: it takes a new process", "name", n.cfg.owner(), "ignored", cfg.owner())
+	current, next := n.cfg.Fleet.Ownership, cfg.Fleet.Ownership
+	if (current == nil) != (next == nil) || current != nil && *current != *next {
+		n.log.Warn("a change of ownership is ignored until the process is replaced", "name", n.cfg.owner(), "ignored", cfg.owner())
 	}
-	if was != nil && len(cfg.Fleet.Registry.Addresses) == 0 {
-		n.log.Error("the old addresses stay: there is no directory among the new ones, and nothing else tells of partitions")
+	if current != nil && len(cfg.Fleet.Registry.Addresses) == 0 {
+		n.log.Error("the old addresses stay: the new configuration names no directory, which ownership needs")
 		return
 	}
 	n.MoveDiscovery(cfg.DiscoveryAddresses()...)
 }
 
-// listDir is where the list is kept. A share's is kept apart: a start without [ownership], also of an older build, would take
-// it for the whole one, and go on from its revision.
-func (c *Config) listDir() (string, error) {
+// listFolder returns where the list is cached. The list of some partitions has its own folder: a start
+// without [ownership], also of an older build, would take it for the whole list, and continue from its
+// revision.
+func (c *Config) listFolder() (string, error) {
 	if c.Fleet.Ownership == nil {
 		return c.StateDir, nil
 	}
-	dir := filepath.Join(c.StateDir, shareName)
+	dir := filepath.Join(c.StateDir, listFolderName)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return "", fmt.Errorf("kept list: %w", err)
+		return "", fmt.Errorf("list cache: %w", err)
 	}
 	return dir, nil
 }
 
-// shareKB is what of the lasting folder the map may take, of which there are two while it is replaced, and a kept list
-// from before the node had a share.
-func (c *Config) shareKB() int64 {
+// ownershipKB is the part of the state folder for the map, of which there are two while it is replaced, and
+// for a cached list from before the node had [ownership].
+func (c *Config) ownershipKB() int64 {
 	if c.Fleet.Ownership == nil {
 		return 0
 	}
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -24,36 +24,37 @@
 	"starlingusher/internal/registry"
 )
 
-// fakeDirectory is a replica of the list service on a loopback socket: lists by partition, and the record of the map.
+// fakeDirectory is a directory replica on a loopback socket. It serves lists by partition, and the record of
+// the map of owners.
 type fakeDirectory struct {
 	srv *httptest.Server
 
-	mu      sync.Mutex
-	rev     int64
-	history int64
-	members map[string]catalog.Endpoint
-	changes []catalog.List // all, in their order
-	number  int64
-	value   []byte
-	more    chan struct{} // closed at any change
-	asks    []string      // method and URI
-	old     bool          // a build that knows no partitions
-	hold    chan struct{} // not nil: a watch's first line waits for it
-	notices []string
-	cut     context.Context
-	cutNow  context.CancelFunc
+	mu            sync.Mutex
+	revision      int64
+	history       int64
+	members       map[string]catalog.Endpoint
+	changes       []catalog.List // all changes, in their order
+	number        int64
+	value         []byte
+	more          chan struct{} // closed at any change
+	requests      []string      // method and URI of each request
+	unpartitioned bool          // behaves as a build that knows no partitions
+	hold          chan struct{} // unless nil, the first line of a watch waits for it
+	notices       []string
+	cut           context.Context
+	endWatches    context.CancelFunc
 }
 
 func newDirectory(t *testing.T) *fakeDirectory {
 	t.Helper()
 	d := &fakeDirectory{history: 1, members: map[string]catalog.Endpoint{}, more: make(chan struct{})}
-	d.cut, d.cutNow = context.WithCancel(context.Background())
+	d.cut, d.endWatches = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", d.watch)
 	mux.HandleFunc("GET /records/{name}", func(w http.ResponseWriter, req *http.Request) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.asks = append(d.asks, req.Method+" "+req.URL.RequestURI())
+		d.requests = append(d.requests, req.Method+" "+req.URL.RequestURI())
 		if d.number == 0 || req.PathValue("name") != ownership.RecordName {
 			http.Error(w, `{"error":"none","outcome":"refused"}`, http.StatusNotFound)
 			return
@@ -78,7 +79,7 @@
 }
 
 func (d *fakeDirectory) close() {
-	d.cutNow()
+	d.endWatches()
 	d.srv.CloseClientConnections()
 	d.srv.Close()
 }
@@ -89,15 +90,15 @@
 	q := req.URL.Query()
 	set, err := ownership.ParseSet(q.Get("partitions"))
 	d.mu.Lock()
-	d.asks = append(d.asks, req.Method+" "+req.URL.RequestURI())
-	old, hold, cut := d.old || !q.Has("partitions"), d.hold, d.cut
+	d.requests = append(d.requests, req.Method+" "+req.URL.RequestURI())
+	unpartitioned, hold, cut := d.unpartitioned || !q.Has("partitions"), d.hold, d.cut
 	w.Header().Set("Registry-History", strconv.FormatInt(d.history, 10))
-	if !old {
+	if !unpartitioned {
 		w.Header().Set("Registry-Partitions", strconv.Itoa(ownership.PartitionCount))
 		w.Header().Set("Registry-Map", strconv.FormatInt(d.number, 10))
 	}
 	d.mu.Unlock()
-	if !old && (err != nil || set.Len() == 0) {
+	if !unpartitioned && (err != nil || set.Len() == 0) {
 		http.Error(w, "partitions", http.StatusBadRequest)
 		return
 	}
@@ -118,7 +119,7 @@
 		more := d.more
 		var lists []catalog.List
 		if first && after <= 0 {
-			all := catalog.List{Revision: d.rev, Complete: true}
+			all := catalog.List{Revision: d.revision, Complete: true}
 			for _, m := range d.members {
 				all.Members = append(all.Members, m)
 			}
@@ -130,21 +131,21 @@
 				}
 			}
 		}
-		if !old && (first || d.number != named) && len(lists) == 0 {
-			lists = append(lists, catalog.List{Revision: d.rev})
+		if !unpartitioned && (first || d.number != named) && len(lists) == 0 {
+			lists = append(lists, catalog.List{Revision: d.revision})
 		}
-		if !old {
+		if !unpartitioned {
 			named = d.number
 			for i := range lists {
 				lists[i].Map = named
 			}
 		}
-		after = d.rev
+		after = d.revision
 		d.mu.Unlock()
 		for _, l := range lists {
 			part := []catalog.Endpoint{}
 			for _, m := range l.Members {
-				if old || set.Has(ownership.PartitionOf(m.Cell)) {
+				if unpartitioned || set.Has(ownership.PartitionOf(m.Cell)) {
 					part = append(part, m)
 				}
 			}
@@ -168,7 +169,7 @@
 	}
 }
 
-// change runs f with the lock and tells the watches.
+// change runs f with the lock held and wakes the watches.
 func (d *fakeDirectory) change(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -179,13 +180,13 @@
 
 func (d *fakeDirectory) put(members ...catalog.Endpoint) {
 	d.change(func() {
-		d.rev++
+		d.revision++
 		for _, m := range members {
 			if d.members[m.ID] = m; m.Phase == catalog.Deleted {
 				delete(d.members, m.ID)
 			}
 		}
-		d.changes = append(d.changes, catalog.List{Revision: d.rev, Members: members})
+		d.changes = append(d.changes, catalog.List{Revision: d.revision, Members: members})
 	})
 }
 
@@ -198,18 +199,18 @@
 	d.change(func() { d.number, d.value = m.Number, raw })
 }
 
-// cutWatches ends what is open.
+// cutWatches ends the open watches.
 func (d *fakeDirectory) cutWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cutNow()
-	d.cut, d.cutNow = context.WithCancel(context.Background())
+	d.endWatches()
+	d.cut, d.endWatches = context.WithCancel(context.Background())
 }
 
-func (d *fakeDirectory) asked(part string) (n int) {
+func (d *fakeDirectory) countRequests(part string) (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, a := range d.asks {
+	for _, a := range d.requests {
 		if strings.Contains(a, part) {
 			n++
 		}
@@ -217,18 +218,18 @@
 	return n
 }
 
-func (d *fakeDirectory) told() []string {
+func (d *fakeDirectory) noticeTexts() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.notices)
 }
 
-func at(id, addr string, dest int, phase string) catalog.Endpoint {
+func testMember(id, addr string, dest int, phase string) catalog.Endpoint {
 	return catalog.Endpoint{ID: id, Addr: addr, Locality: "z", Flavor: "m", Cell: dest, Phase: phase, Size: 1000}
 }
 
-// mapOf makes a map of one owner for each partition.
-func mapOf(t *testing.T, number int64, before *ownership.Map, names ...string) *ownership.Map {
+// testMap makes a map with one owner for each partition.
+func testMap(t *testing.T, number int64, before *ownership.Map, names ...string) *ownership.Map {
 	t.Helper()
 	var members []ownership.Member
 	for i, n := range names {
@@ -241,48 +242,48 @@
 	return m
 }
 
-// parting are a map by which n1 owns all, the next one by which it shares with n2, and destinations: of those that stay with
-// n1, and of those that go.
-func parting(t *testing.T) (all, half *ownership.Map, stays, goes []int) {
+// splitMaps returns a map in which n1 owns all partitions, its successor in which n1 shares them with n2, and
+// destinations: those that stay with n1, and those that move.
+func splitMaps(t *testing.T) (all, half *ownership.Map, retained, moved []int) {
 	t.Helper()
-	all = mapOf(t, 1, nil, "n1")
-	half = mapOf(t, 2, all, "n1", "n2")
+	all = testMap(t, 1, nil, "n1")
+	half = testMap(t, 2, all, "n1", "n2")
 	own, _ := half.PartitionsOf("n1")
-	for d := 1; len(stays) < 5 || len(goes) < 5; d++ {
+	for d := 1; len(retained) < 5 || len(moved) < 5; d++ {
 		if own.Has(ownership.PartitionOf(d)) {
-			stays = append(stays, d)
+			retained = append(retained, d)
 		} else {
-			goes = append(goes, d)
+			moved = append(moved, d)
 		}
 	}
-	return all, half, stays, goes
+	return all, half, retained, moved
 }
 
-// owns lets a node be n1.
-func owns(addrs ...string) func(*Config) {
+// ownerNamed1 configures a node as the owner n1.
+func ownerNamed1(addrs ...string) func(*Config) {
 	return func(c *Config) {
 		c.Fleet.Registry.Addresses, c.Fleet.Registry.KeepKB = addrs, 64
 		c.Fleet.Ownership = &Ownership{Name: "n1", Owners: 3}
 	}
 }
 
-// logged are the lines of a log.
-type logged struct {
-	mu  sync.Mutex
-	all []string
+// logLines collects the lines of a log.
+type logLines struct {
+	mu    sync.Mutex
+	lines []string
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logLines) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, string(b))
+	l.lines = append(l.lines, string(b))
 	return len(b), nil
 }
 
-func (l *logged) with(part string) (n int) {
+func (l *logLines) count(part string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, one := range l.all {
+	for _, one := range l.lines {
 		if strings.Contains(one, part) {
 			n++
 		}
@@ -290,10 +291,10 @@
 	return n
 }
 
-// owner is a node that is n1, running.
-type owner struct {
+// ownerNode is a running node that is the owner n1.
+type ownerNode struct {
 	*nodeProcess
-	log  *logged
+	log  *logLines
 	stop func()
 }
 
@@ -307,22 +308,23 @@
 	return cfg
 }
 
-// startOwner starts a process of a node, at addr if that is not empty. The node is shown to see, if that is not nil, before it runs.
-func startOwner(t *testing.T, state, addr string, alter func(*Config), see func(*Node)) *owner {
+// startOwner starts a process of a node, at addr if that is not empty. Unless inspect is nil, it gets the
+// node before that runs.
+func startOwner(t *testing.T, state, addr string, alter func(*Config), inspect func(*Node)) *ownerNode {
 	t.Helper()
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
 	cfg := ownerConfig(t, state, addr, alter)
-	o := &owner{nodeProcess: &nodeProcess{done: make(chan error, 1)}, log: &logged{}}
+	o := &ownerNode{nodeProcess: &nodeProcess{done: make(chan error, 1)}, log: &logLines{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	n, ln, err := Start(ctx, cfg, slog.New(slog.NewTextHandler(o.log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if see != nil {
-		see(n)
+	if inspect != nil {
+		inspect(n)
 	}
 	o.node, o.addr, o.cancel = n, ln.Addr().String(), cancel
 	go func() { o.done <- n.Run(ctx, ln) }()
@@ -336,67 +338,67 @@
 	return o
 }
 
-// seen is the share as the figures have it.
-func (o *owner) seen() followedPartitions {
+// followed returns the followed partitions as in the metrics.
+func (o *ownerNode) followed() followedPartitions {
 	if s := o.node.figures.ownership.Load(); s != nil {
 		return *s
 	}
 	return followedPartitions{}
 }
 
-func (o *owner) ready(t *testing.T) {
+func (o *ownerNode) ready(t *testing.T) {
 	t.Helper()
 	eventually(t, "ready", func() bool { return o.node.NotReadyReason() == "" })
 }
 
-func (o *owner) awaitMap(t *testing.T, number int64) {
+func (o *ownerNode) awaitMap(t *testing.T, number int64) {
 	t.Helper()
-	eventually(t, fmt.Sprint("map ", number), func() bool { return o.seen().mapNumber == number })
+	eventually(t, fmt.Sprint("map ", number), func() bool { return o.followed().mapNumber == number })
 }
 
-// awaitTaken waits until a request is taken on.
-func (o *owner) awaitTaken(t *testing.T, text string) {
+// awaitAccepted waits until a request is accepted.
+func (o *ownerNode) awaitAccepted(t *testing.T, text string) {
 	t.Helper()
-	eventually(t, "it is taken on", func() bool { return roundTrip(t, o.addr, text) == "+OK" })
+	eventually(t, "it is accepted", func() bool { return roundTrip(t, o.addr, text) == "+OK" })
 }
 
-func to(class string, dest int) string {
+func messageFields(class string, dest int) string {
 	return fmt.Sprintf("c=%s,d=50000,dest=%d,k=key%d", class, dest, dest)
 }
 
-const busy = "-BUSY 3000"
+const busyAnswer = "-BUSY 3000"
 
-// A node takes on what is for its partitions, from their list on, and refuses all else with when to come back, before
-// anything is written.
-func TestOwnerTakesOnWhatIsItsOwn(t *testing.T) {
+// A node accepts messages for its partitions once it has their list. It refuses all others with a
+// retry-after, before anything is written.
+func TestOwnerAcceptsItsPartitions(t *testing.T) {
 	t.Parallel()
-	_, half, stays, goes := parting(t)
+	_, half, retained, moved := splitMaps(t)
 	p, d, state := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t), t.TempDir()
-	d.put(at("e1", p.addr(), stays[0], "SERVING"), at("e2", p.addr(), goes[0], "SERVING"))
-	o := startOwner(t, state, "", owns(d.addr()), nil)
-	mustAnswer(t, o.addr, enqueueCommand("early", to("status", stays[0]), ""), busy)
+	d.put(testMember("e1", p.addr(), retained[0], "SERVING"), testMember("e2", p.addr(), moved[0], "SERVING"))
+	o := startOwner(t, state, "", ownerNamed1(d.addr()), nil)
+	mustAnswer(t, o.addr, enqueueCommand("early", messageFields("status", retained[0]), ""), busyAnswer)
 	if why := o.node.NotReadyReason(); why != "no map of owners is known" {
 		t.Errorf("without a map: %q", why)
 	}
 	d.setMap(t, half)
 	o.ready(t)
-	mustAnswer(t, o.addr, enqueueCommand("mine", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("mine", messageFields("order", retained[0]), ""), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, o.addr, enqueueCommand("foreign", to("order", goes[0]), ""), busy)
-	mustAnswer(t, o.addr, enqueueCommand("nowhere", to("order", stays[1]), ""), "-ERR unknown destination")
+	mustAnswer(t, o.addr, enqueueCommand("foreign", messageFields("order", moved[0]), ""), busyAnswer)
+	mustAnswer(t, o.addr, enqueueCommand("nowhere", messageFields("order", retained[1]), ""), "-ERR unknown destination")
 	var figures strings.Builder
 	o.node.figures.write(&figures)
 	for _, want := range []string{
-		"app.map:2|g\n", fmt.Sprintf("app.partitions_owned:%d|g\n", o.seen().owned.Len()), "app.partitions_lingering:0|g\n",
+		"app.map:2|g\n", fmt.Sprintf("app.partitions_owned:%d|g\n", o.followed().owned.Len()), "app.partitions_lingering:0|g\n",
 		"app.not_owned:2|c\n", "app.pool_size:1|g\n",
 	} {
 		if !strings.Contains(figures.String(), want) {
 			t.Errorf("no %q in %s", want, figures.String())
 		}
 	}
-	d.setMap(t, mapOf(t, 3, half, "n2"))
+	d.setMap(t, testMap(t, 3, half, "n2"))
 	eventually(t, "not in the map", func() bool { return o.node.NotReadyReason() == "not in the map of owners" })
-	mustAnswer(t, o.addr, enqueueCommand("late", to("order", stays[0]), ""), busy)
+	mustAnswer(t, o.addr, enqueueCommand("late", messageFields("order", retained[0]), ""), busyAnswer)
 	o.stop()
 	raw, err := os.ReadFile(filepath.Join(state, journalName))
 	if err != nil {
@@ -412,51 +414,51 @@
 	}
 }
 
-// What was taken on before its partition was lost ends as if it had not been: its list is followed on, and who hands it
-// in again is told that it was taken. Nothing new is.
-func TestLostPartitionsEndByTheirOwnRules(t *testing.T) {
+// A message accepted before its partition was lost ends as if it still were owned: its list is still
+// followed, and a client that submits it again is told that it was accepted. New messages are refused.
+func TestLostPartitionsKeepAcceptedMessages(t *testing.T) {
 	t.Parallel()
-	all, half, stays, goes := parting(t)
+	all, half, retained, moved := splitMaps(t)
 	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
-	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", p.addr(), stays[0], "SERVING"))
+	d.put(testMember("e1", "127.0.0.1:9", moved[0], "DRAINING"), testMember("e2", p.addr(), retained[0], "SERVING"))
 	d.setMap(t, all)
-	o := startOwner(t, t.TempDir(), "", owns(d.addr()), func(n *Node) { n.own.longest = 300 * time.Millisecond })
+	o := startOwner(t, t.TempDir(), "", ownerNamed1(d.addr()), func(n *Node) { n.ownership.maxDeadline = 300 * time.Millisecond })
 	o.ready(t)
-	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("a", messageFields("order", moved[0]), ""), "+OK")
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
-	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
-	if !slices.ContainsFunc(o.seen().lingering, func(l lingeringPartitions) bool { // a has 50 s
-		return l.set.Has(ownership.PartitionOf(goes[0])) && time.Until(l.until) > 20*time.Second
+	mustAnswer(t, o.addr, enqueueCommand("a", messageFields("order", moved[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", messageFields("order", moved[0]), ""), busyAnswer)
+	if !slices.ContainsFunc(o.followed().lingering, func(l lingeringPartitions) bool { // a has 50 s
+		return l.set.Has(ownership.PartitionOf(moved[0])) && time.Until(l.until) > 20*time.Second
 	}) {
-		t.Fatalf("followed on: %+v", o.seen().lingering)
+		t.Fatalf("lingering: %+v", o.followed().lingering)
 	}
-	d.put(at("e3", p.addr(), goes[0], "SERVING"))
+	d.put(testMember("e3", p.addr(), moved[0], "SERVING"))
 	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
 		t.Errorf("got %q", id)
 	}
-	mustAnswer(t, o.addr, enqueueCommand("c", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("c", messageFields("order", retained[0]), ""), "+OK")
 	p.nextRequest(t)
-	if asks := d.asked("watch=1&after=0&history"); asks+d.asked("watch=1&after=0&part") > 2 { // of the map, and of all
-		t.Errorf("asks %q", d.asks)
+	if asks := d.countRequests("watch=1&after=0&history"); asks+d.countRequests("watch=1&after=0&part") > 2 { // one of the map, and one of all lists
+		t.Errorf("asks %q", d.requests)
 	}
 	if calls, _ := p.counts(); calls != 2 {
 		t.Errorf("%d calls", calls)
 	}
 }
 
-// Once the last of it has had its time, a lost partition is let go of: the watch goes on with the others, whose
-// endpoints keep even their connections.
-func TestLostPartitionsAreLetGoOf(t *testing.T) {
+// A lost partition is no longer followed once its last message has had its time. The watch continues with the
+// others, whose endpoints keep even their connections.
+func TestLostPartitionsAreDropped(t *testing.T) {
 	t.Parallel()
-	all, half, stays, goes := parting(t)
+	all, half, retained, moved := splitMaps(t)
 	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
-	d.put(at("e1", p.addr(), goes[0], "SERVING"), at("e2", p.addr(), stays[0], "SERVING"))
+	d.put(testMember("e1", p.addr(), moved[0], "SERVING"), testMember("e2", p.addr(), retained[0], "SERVING"))
 	d.setMap(t, all)
-	o := startOwner(t, t.TempDir(), "", owns(d.addr()), func(n *Node) { n.own.longest = 100 * time.Millisecond })
+	o := startOwner(t, t.TempDir(), "", ownerNamed1(d.addr()), func(n *Node) { n.ownership.maxDeadline = 100 * time.Millisecond })
 	o.ready(t)
-	o.awaitTaken(t, enqueueCommand("a", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""))
+	o.awaitAccepted(t, enqueueCommand("a", fmt.Sprintf("c=order,d=1000,dest=%d", retained[0]), ""))
 	p.nextRequest(t)
 	if n := o.node.figures.listedEndpoints.Load(); n != 2 {
 		t.Errorf("%d endpoints", n)
@@ -464,20 +466,20 @@
 	d.setMap(t, half)
 	own, _ := half.PartitionsOf("n1")
 	eventually(t, "the smaller set", func() bool {
-		return d.asked("partitions="+own.String()) == 1 && o.node.figures.listedEndpoints.Load() == 1
+		return d.countRequests("partitions="+own.String()) == 1 && o.node.figures.listedEndpoints.Load() == 1
 	})
-	mustAnswer(t, o.addr, enqueueCommand("b", fmt.Sprintf("c=order,d=1000,dest=%d", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", fmt.Sprintf("c=order,d=1000,dest=%d", retained[0]), ""), "+OK")
 	p.nextRequest(t)
 	if calls, conns := p.counts(); calls != 2 || conns != 1 {
 		t.Errorf("%d calls on %d connections", calls, conns)
 	}
-	// Not in a map at all, it follows none, and hears of the next one nevertheless: by the watch of a partition that is not
-	// its own, whose endpoints it passes over.
-	none := mapOf(t, 3, half, "n2")
+	// A node that is not in the map follows no partition. It still learns of the next map, by the watch of a
+	// partition that is not its own, and ignores its endpoints.
+	none := testMap(t, 3, half, "n2")
 	d.setMap(t, none)
-	eventually(t, "nothing", func() bool { return o.seen().mapNumber == 3 && o.node.figures.listedEndpoints.Load() == 0 })
+	eventually(t, "nothing", func() bool { return o.followed().mapNumber == 3 && o.node.figures.listedEndpoints.Load() == 0 })
 	d.mu.Lock()
-	last := d.asks[len(d.asks)-1]
+	last := d.requests[len(d.requests)-1]
 	d.mu.Unlock()
 	set, err := ownership.ParseSet(last[strings.LastIndex(last, "=")+1:])
 	if err != nil || set.Len() != 1 {
@@ -487,29 +489,29 @@
 	for !set.Has(ownership.PartitionOf(stray)) {
 		stray++
 	}
-	d.put(at("e3", p.addr(), stray, "SERVING"))
-	asks := d.asked("watch=1")
+	d.put(testMember("e3", p.addr(), stray, "SERVING"))
+	asks := d.countRequests("watch=1")
 	d.cutWatches()
-	eventually(t, "another watch", func() bool { return d.asked("watch=1") > asks })
-	d.setMap(t, mapOf(t, 4, none, "n2", "n3"))
+	eventually(t, "another watch", func() bool { return d.countRequests("watch=1") > asks })
+	d.setMap(t, testMap(t, 4, none, "n2", "n3"))
 	o.awaitMap(t, 4)
 	if n := o.node.figures.listedEndpoints.Load(); n != 0 {
 		t.Errorf("%d endpoints of nothing", n)
 	}
-	d.setMap(t, mapOf(t, 5, none, "n1"))
+	d.setMap(t, testMap(t, 5, none, "n1"))
 	o.ready(t)
 	eventually(t, "all", func() bool { return o.node.figures.listedEndpoints.Load() == 3 })
 }
 
-// A set's watch begins when that of the set before it is over, to its last list: one that came later would be taken for the
-// whole of the new set.
+// The watch of a set begins after the watch of the previous set has ended and its last list is handled: a
+// list that came later would be taken for the whole of the new set.
 func TestWatchesOfSetsDoNotOverlap(t *testing.T) {
 	t.Parallel()
-	_, half, stays, _ := parting(t)
+	_, half, retained, _ := splitMaps(t)
 	d := newDirectory(t)
-	d.put(at("e1", "127.0.0.1:9", stays[0], "DRAINING"))
+	d.put(testMember("e1", "127.0.0.1:9", retained[0], "DRAINING"))
 	d.setMap(t, half)
-	n := bareAltered(t, owns(d.addr()))
+	n := newConfiguredIdleNode(t, ownerNamed1(d.addr()))
 	ctx, cancel := context.WithCancel(t.Context())
 	var parts sync.WaitGroup
 	defer parts.Wait()
@@ -520,9 +522,9 @@
 		for {
 			select {
 			case e := <-n.events:
-				n.take(ctx, []any{e})
-				if n.own.mapNumber != last {
-					last = n.own.mapNumber
+				n.handleBatch(ctx, []any{e})
+				if n.ownership.mapNumber != last {
+					last = n.ownership.mapNumber
 					numbers <- last
 				}
 			case <-ctx.Done():
@@ -536,13 +538,13 @@
 		Log: slog.New(slog.DiscardHandler), Cursor: registry.NewCursor(registry.Position{}),
 	}
 	parts.Go(func() {
-		n.watch(ctx, &w, func(l registry.Update) error {
+		n.watchList(ctx, &w, func(l registry.Update) error {
 			if l.Complete {
 				whole <- len(l.Members)
 			}
 			if l.Map == 2 && !l.Complete {
 				held <- struct{}{}
-				<-release // the old set's last word
+				<-release // the last list of the old set
 			}
 			return nil
 		})
@@ -551,188 +553,189 @@
 		t.Fatalf("map %d", got)
 	}
 	eventually(t, "the half", func() bool { return len(whole) > 0 && <-whole == 1 })
-	d.put(at("e2", "127.0.0.1:9", stays[1], "DRAINING"))
+	d.put(testMember("e2", "127.0.0.1:9", retained[1], "DRAINING"))
 	<-held
-	asks := d.asked("watch=1")
-	// It is the follower's next look that finds it: the watch, which is held, can't tell of it.
-	d.setMap(t, mapOf(t, 3, half, "n1"))
-	n.own.follow.told.Store(3)
+	asks := d.countRequests("watch=1")
+	// The follower has to find the map itself: the blocked watch can't announce it.
+	d.setMap(t, testMap(t, 3, half, "n1"))
+	n.ownership.follower.namedMap.Store(3)
 	select {
-	case n.own.follow.news <- struct{}{}:
+	case n.ownership.follower.mapNamed <- struct{}{}:
 	default:
 	}
 	if got := <-numbers; got != 3 {
 		t.Fatalf("map %d", got)
 	}
 	time.Sleep(200 * time.Millisecond)
-	if now := d.asked("watch=1"); now != asks {
+	if now := d.countRequests("watch=1"); now != asks {
 		t.Errorf("%d watches more while the last one still tells", now-asks)
 	}
 	close(release)
-	eventually(t, "the whole", func() bool { return d.asked("watch=1") > asks && len(whole) > 0 && <-whole == 2 })
+	eventually(t, "the whole", func() bool { return d.countRequests("watch=1") > asks && len(whole) > 0 && <-whole == 2 })
 }
 
-// A share that is taken away and given back in that time is as if it had stayed, but for what comes between.
-func TestShareGivenBack(t *testing.T) {
+// A partition that is lost and regained before its messages are over is as if it had stayed, except for
+// messages submitted meanwhile.
+func TestPartitionsLostAndRegained(t *testing.T) {
 	t.Parallel()
-	all, half, _, goes := parting(t)
+	all, half, _, moved := splitMaps(t)
 	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
-	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", "127.0.0.1:9", goes[1], "DRAINING"))
+	d.put(testMember("e1", "127.0.0.1:9", moved[0], "DRAINING"), testMember("e2", "127.0.0.1:9", moved[1], "DRAINING"))
 	d.setMap(t, all)
-	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
+	o := startOwner(t, t.TempDir(), "", ownerNamed1(d.addr()), nil)
 	o.ready(t)
-	o.awaitTaken(t, enqueueCommand("a", to("order", goes[0]), ""))
-	mustAnswer(t, o.addr, enqueueCommand("b", to("payout", goes[1]), ""), "+OK")
-	watches := d.asked("watch=1")
+	o.awaitAccepted(t, enqueueCommand("a", messageFields("order", moved[0]), ""))
+	mustAnswer(t, o.addr, enqueueCommand("b", messageFields("payout", moved[1]), ""), "+OK")
+	watches := d.countRequests("watch=1")
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
-	mustAnswer(t, o.addr, enqueueCommand("c", to("order", goes[0]), ""), busy)
-	d.put(at("e3", p.addr(), goes[0], "SERVING"))
+	mustAnswer(t, o.addr, enqueueCommand("c", messageFields("order", moved[0]), ""), busyAnswer)
+	d.put(testMember("e3", p.addr(), moved[0], "SERVING"))
 	p.nextRequest(t)
-	d.setMap(t, mapOf(t, 3, half, "n1"))
+	d.setMap(t, testMap(t, 3, half, "n1"))
 	o.awaitMap(t, 3)
-	if len(o.seen().lingering) != 0 {
-		t.Errorf("lost: %+v", o.seen().lingering)
+	if len(o.followed().lingering) != 0 {
+		t.Errorf("lingering: %+v", o.followed().lingering)
 	}
-	mustAnswer(t, o.addr, enqueueCommand("b", to("payout", goes[1]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueueCommand("c", to("order", goes[0]), ""), "+OK")
-	d.put(at("e4", p.addr(), goes[1], "SERVING"))
+	mustAnswer(t, o.addr, enqueueCommand("b", messageFields("payout", moved[1]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("c", messageFields("order", moved[0]), ""), "+OK")
+	d.put(testMember("e4", p.addr(), moved[1], "SERVING"))
 	got := []string{p.nextRequest(t).Header.Get("X-Trace-Id"), p.nextRequest(t).Header.Get("X-Trace-Id")}
 	if slices.Sort(got); !slices.Equal(got, []string{"b", "c"}) {
 		t.Errorf("got %v", got)
 	}
 	eventually(t, "all delivered", func() bool { return o.node.figures.ok[1].Load() == 2 && o.node.figures.ok[2].Load() == 1 })
-	if calls, _ := p.counts(); calls != 3 || d.asked("watch=1") != watches || len(d.told()) != 0 {
-		t.Errorf("%d calls, %d watches after %d, notices %v", calls, d.asked("watch=1"), watches, d.told())
+	if calls, _ := p.counts(); calls != 3 || d.countRequests("watch=1") != watches || len(d.noticeTexts()) != 0 {
+		t.Errorf("%d calls, %d watches after %d, notices %v", calls, d.countRequests("watch=1"), watches, d.noticeTexts())
 	}
 }
 
-// A restart in the midst of it, with nobody to ask: the kept map says what is the node's, the kept list where it goes, and
-// the journal what is owed for partitions that are not the node's any more.
+// A node restarts between two maps with no server to ask. The saved map tells its partitions, the cached list
+// their endpoints, and the journal the open messages of partitions that it has lost.
 func TestRestartBetweenMaps(t *testing.T) {
 	t.Parallel()
-	all, half, stays, goes := parting(t)
+	all, half, retained, moved := splitMaps(t)
 	p, d, state := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t), t.TempDir()
-	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", p.addr(), stays[0], "SERVING"), at("e3", p.addr(), goes[1], "SERVING"))
+	d.put(testMember("e1", "127.0.0.1:9", moved[0], "DRAINING"), testMember("e2", p.addr(), retained[0], "SERVING"), testMember("e3", p.addr(), moved[1], "SERVING"))
 	d.setMap(t, all)
-	o := startOwner(t, state, "", owns(d.addr()), nil)
+	o := startOwner(t, state, "", ownerNamed1(d.addr()), nil)
 	o.ready(t)
-	o.awaitTaken(t, enqueueCommand("a", to("order", goes[0]), ""))
+	o.awaitAccepted(t, enqueueCommand("a", messageFields("order", moved[0]), ""))
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
 	o.stop()
 
 	dead := newDirectory(t)
 	dead.close()
-	o = startOwner(t, state, "", owns(dead.addr()), nil)
+	o = startOwner(t, state, "", ownerNamed1(dead.addr()), nil)
 	o.ready(t)
-	if s := o.seen(); s.mapNumber != 2 || len(s.lingering) != 1 || s.lingering[0].set.Len() != 1 || time.Until(s.lingering[0].until) < 20*time.Second {
+	if s := o.followed(); s.mapNumber != 2 || len(s.lingering) != 1 || s.lingering[0].set.Len() != 1 || time.Until(s.lingering[0].until) < 20*time.Second {
 		t.Errorf("got %d, %+v", s.mapNumber, s.lingering)
 	}
-	if listed := o.node.figures.listedEndpoints.Load(); listed != 2 { // e3's partition is not followed
+	if listed := o.node.figures.listedEndpoints.Load(); listed != 2 { // the partition of e3 is not followed
 		t.Errorf("%d endpoints", listed)
 	}
-	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
-	mustAnswer(t, o.addr, enqueueCommand("c", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("a", messageFields("order", moved[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", messageFields("order", moved[0]), ""), busyAnswer)
+	mustAnswer(t, o.addr, enqueueCommand("c", messageFields("order", retained[0]), ""), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, o.addr, enqueueCommand("d", to("order", stays[1]), ""), busy) // it may be on the list that nobody tells
+	mustAnswer(t, o.addr, enqueueCommand("d", messageFields("order", retained[1]), ""), busyAnswer) // the destination may be on the list that no server sends
 	o.stop()
 
-	o = startOwner(t, state, "", owns(d.addr()), nil)
+	o = startOwner(t, state, "", ownerNamed1(d.addr()), nil)
 	o.ready(t)
-	d.put(at("e4", p.addr(), goes[0], "SERVING"))
+	d.put(testMember("e4", p.addr(), moved[0], "SERVING"))
 	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
 		t.Errorf("got %q", id)
 	}
-	if len(d.told()) != 0 {
-		t.Errorf("notices %v", d.told())
+	if len(d.noticeTexts()) != 0 {
+		t.Errorf("notices %v", d.noticeTexts())
 	}
 }
 
-// While the watch of a larger set comes up, what is on both goes on as if nothing happened, and what is gained is neither
-// unknown nor taken on before its list is there.
-func TestGainedPartitionsWaitForTheirList(t *testing.T) {
+// While the watch of a larger set starts, destinations in both sets are served without a break. Those of
+// gained partitions are neither unknown nor accepted before their list has come.
+func TestGainedPartitionsWaitForList(t *testing.T) {
 	t.Parallel()
-	_, half, stays, goes := parting(t)
+	_, half, retained, moved := splitMaps(t)
 	p, d := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t)
-	d.put(at("e1", p.addr(), stays[0], "SERVING"), at("e2", p.addr(), goes[0], "SERVING"))
+	d.put(testMember("e1", p.addr(), retained[0], "SERVING"), testMember("e2", p.addr(), moved[0], "SERVING"))
 	d.setMap(t, half)
-	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
+	o := startOwner(t, t.TempDir(), "", ownerNamed1(d.addr()), nil)
 	o.ready(t)
-	o.awaitTaken(t, enqueueCommand("a", to("order", stays[0]), ""))
+	o.awaitAccepted(t, enqueueCommand("a", messageFields("order", retained[0]), ""))
 	p.nextRequest(t)
-	hold, watches := make(chan struct{}), d.asked("watch=1")
+	hold, watches := make(chan struct{}), d.countRequests("watch=1")
 	d.change(func() { d.hold = hold })
-	d.setMap(t, mapOf(t, 3, half, "n1"))
-	eventually(t, "the new watch", func() bool { return d.asked("watch=1") > watches })
-	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
-	mustAnswer(t, o.addr, enqueueCommand("c", to("order", goes[1]), ""), busy)
-	mustAnswer(t, o.addr, enqueueCommand("d", to("order", stays[0]), ""), "+OK")
+	d.setMap(t, testMap(t, 3, half, "n1"))
+	eventually(t, "the new watch", func() bool { return d.countRequests("watch=1") > watches })
+	mustAnswer(t, o.addr, enqueueCommand("b", messageFields("order", moved[0]), ""), busyAnswer)
+	mustAnswer(t, o.addr, enqueueCommand("c", messageFields("order", moved[1]), ""), busyAnswer)
+	mustAnswer(t, o.addr, enqueueCommand("d", messageFields("order", retained[0]), ""), "+OK")
 	p.nextRequest(t)
 	d.change(func() { d.hold = nil })
 	close(hold)
 	eventually(t, "the list", func() bool { return o.node.figures.listedEndpoints.Load() == 2 })
 	eventually(t, "it is known", func() bool {
-		return roundTrip(t, o.addr, enqueueCommand("c", to("order", goes[1]), "")) == "-ERR unknown destination"
+		return roundTrip(t, o.addr, enqueueCommand("c", messageFields("order", moved[1]), "")) == "-ERR unknown destination"
 	})
-	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", messageFields("order", moved[0]), ""), "+OK")
 	p.nextRequest(t)
-	mustAnswer(t, o.addr, enqueueCommand("e", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("e", messageFields("order", retained[0]), ""), "+OK")
 	p.nextRequest(t)
-	if _, conns := p.counts(); conns != 2 { // e1's, which was never hung up, and e2's
+	if _, conns := p.counts(); conns != 2 { // that of e1, which was never closed, and that of e2
 		t.Errorf("%d connections", conns)
 	}
 	// A change reaches the new watch.
-	d.put(at("e3", p.addr(), goes[2], "SERVING"))
+	d.put(testMember("e3", p.addr(), moved[2], "SERVING"))
 	eventually(t, "a change", func() bool { return o.node.figures.listedEndpoints.Load() == 3 })
 }
 
-// A number that a node has known is never undone: not by a replica that is behind, nor by a directory restored from a
-// backup, nor by a restart.
-func TestMapNumbersNeverGoBack(t *testing.T) {
+// A node never goes back to a smaller map number: not for a replica that is behind, nor for a directory
+// restored from a backup, nor at a restart.
+func TestMapNumberNeverDecreases(t *testing.T) {
 	t.Parallel()
-	all, half, stays, goes := parting(t)
+	all, half, retained, moved := splitMaps(t)
 	d, state := newDirectory(t), t.TempDir()
-	d.put(at("e1", "127.0.0.1:9", stays[0], "DRAINING"), at("e2", "127.0.0.1:9", goes[0], "DRAINING"))
+	d.put(testMember("e1", "127.0.0.1:9", retained[0], "DRAINING"), testMember("e2", "127.0.0.1:9", moved[0], "DRAINING"))
 	d.setMap(t, half)
-	o := startOwner(t, state, "", owns(d.addr()), nil)
+	o := startOwner(t, state, "", ownerNamed1(d.addr()), nil)
 	o.ready(t)
 	d.change(func() { d.history++ })
 	d.setMap(t, all) // of number 1
 	const line = "an older map of owners"
-	eventually(t, "it is logged", func() bool { return o.log.with(line) == 1 })
+	eventually(t, "it is logged", func() bool { return o.log.count(line) == 1 })
 	for range 3 {
-		asks := d.asked("watch=1")
+		asks := d.countRequests("watch=1")
 		d.cutWatches()
-		eventually(t, "another watch", func() bool { return d.asked("watch=1") > asks })
+		eventually(t, "another watch", func() bool { return d.countRequests("watch=1") > asks })
 	}
-	mustAnswer(t, o.addr, enqueueCommand("a", to("order", goes[0]), ""), busy)
-	if s := o.seen(); s.mapNumber != 2 || o.log.with(line) != 1 {
-		t.Errorf("number %d, logged %d times", s.mapNumber, o.log.with(line))
+	mustAnswer(t, o.addr, enqueueCommand("a", messageFields("order", moved[0]), ""), busyAnswer)
+	if s := o.followed(); s.mapNumber != 2 || o.log.count(line) != 1 {
+		t.Errorf("number %d, logged %d times", s.mapNumber, o.log.count(line))
 	}
 	o.stop()
-	o = startOwner(t, state, "", owns(d.addr()), nil)
+	o = startOwner(t, state, "", ownerNamed1(d.addr()), nil)
 	o.ready(t)
-	eventually(t, "it is logged", func() bool { return o.log.with(line) == 1 })
-	if s := o.seen(); s.mapNumber != 2 {
+	eventually(t, "it is logged", func() bool { return o.log.count(line) == 1 })
+	if s := o.followed(); s.mapNumber != 2 {
 		t.Errorf("number %d", s.mapNumber)
 	}
-	d.setMap(t, mapOf(t, 3, half, "n1"))
+	d.setMap(t, testMap(t, 3, half, "n1"))
 	o.awaitMap(t, 3)
-	if taken := o.log.with("a new map of owners"); taken != 1 {
-		t.Errorf("taken %d times", taken)
+	if taken := o.log.count("applied a new map of owners"); taken != 1 {
+		t.Errorf("applied %d times", taken)
 	}
 }
 
-// The loop by itself: an older map, the same one again, and lists of other sets.
-func TestShareInTheLoop(t *testing.T) {
+// Drives the loop by hand: an older map, the same map again, and lists of other sets.
+func TestOwnershipInTheLoop(t *testing.T) {
 	t.Parallel()
-	all, half, stays, goes := parting(t)
-	n := bareAltered(t, owns("127.0.0.1:9"))
+	all, half, retained, moved := splitMaps(t)
+	n := newConfiguredIdleNode(t, ownerNamed1("127.0.0.1:9"))
 	hand := func(m *ownership.Map) followedPartitions {
 		taken := make(chan followedPartitions, 1)
-		n.take(t.Context(), []any{newMap{m, taken}})
+		n.handleBatch(t.Context(), []any{mapEvent{m, taken}})
 		return <-taken
 	}
 	set := func(m *ownership.Map) ownership.Set {
@@ -742,10 +745,10 @@
 	list := func(whole bool, members ...catalog.Endpoint) registry.Update {
 		return registry.Update{List: catalog.List{Revision: 1, Complete: whole, Members: members}}
 	}
-	mine, other := at("e1", "127.0.0.1:9", stays[0], "DRAINING"), at("e2", "127.0.0.1:9", goes[0], "DRAINING")
-	second := at("e3", "127.0.0.1:9", stays[1], "SERVING")
+	mine, other := testMember("e1", "127.0.0.1:9", retained[0], "DRAINING"), testMember("e2", "127.0.0.1:9", moved[0], "DRAINING")
+	second := testMember("e3", "127.0.0.1:9", retained[1], "SERVING")
 	arrive := func(id string, dest int) arrival {
-		a := handIn(id, 50*time.Second)
+		a := newArrival(id, 50*time.Second)
 		a.dest = dest
 		return a
 	}
@@ -753,173 +756,178 @@
 	if f := hand(half); f.mapNumber != 2 || f.owned != set(half) || len(f.lingering) != 0 {
 		t.Fatalf("got %+v", f)
 	}
-	// An arrival in the batch that brings its list: the module does not know it yet, and it is not unknown.
-	first, again := arrive("a", stays[0]), arrive("a", stays[0])
-	n.take(t.Context(), []any{list(true, mine, second), listedOf(set(half)), first})
-	n.take(t.Context(), []any{again})
+	// A message in the batch that brings its list: the module does not know its destination yet, but it is
+	// not unknown.
+	first, again := arrive("a", retained[0]), arrive("a", retained[0])
+	n.handleBatch(t.Context(), []any{list(true, mine, second), listedPartitions(set(half)), first})
+	n.handleBatch(t.Context(), []any{again})
 	if got := <-first.reply; got != refused {
 		t.Errorf("before its list: %+v", got)
 	}
 	if got := <-again.reply; got != (answer{}) {
 		t.Errorf("after its list: %+v", got)
 	}
-	e := n.eps["e3"]
+	e := n.endpoints["e3"]
 	if f := hand(all); f.mapNumber != 2 || f.owned != set(half) {
 		t.Errorf("an older map: %+v", f.mapNumber)
 	}
-	// All is gained; the old set's watch says its whole list once more, then the new one's comes.
-	whole := mapOf(t, 3, half, "n1")
+	// All partitions are gained. The watch of the old set sends its whole list once more, then that of the
+	// new set comes.
+	whole := testMap(t, 3, half, "n1")
 	if f := hand(whole); f.mapNumber != 3 || f.owned.Len() != ownership.PartitionCount {
 		t.Errorf("got %+v", f.mapNumber)
 	}
 	for i, l := range []registry.Update{list(true, mine, second), list(false), list(true, mine, second, other)} {
-		late := arrive("late"+itoa(i), goes[1])
-		n.take(t.Context(), []any{l, late})
+		late := arrive("late"+itoa(i), moved[1])
+		n.handleBatch(t.Context(), []any{l, late})
 		if got := <-late.reply; got != refused {
 			t.Errorf("of a partition whose list has not come: %+v", got)
 		}
-		if n.eps["e3"] != e || e.shut.Load() {
-			t.Errorf("an endpoint that stays was gone or shut after list %d", i)
+		if n.endpoints["e3"] != e || e.closed.Load() {
+			t.Errorf("a remaining endpoint was gone or closed after list %d", i)
 		}
 	}
-	n.take(t.Context(), []any{listedOf(set(whole))})
-	unknown := arrive("u", goes[1])
-	n.take(t.Context(), []any{unknown})
+	n.handleBatch(t.Context(), []any{listedPartitions(set(whole))})
+	unknown := arrive("u", moved[1])
+	n.handleBatch(t.Context(), []any{unknown})
 	if got := <-unknown.reply; got.failure == "" {
 		t.Errorf("owned, listed and not there: %+v", got)
 	}
-	// Lost, with nothing held, and let go of at once; gained anew, nothing is known of it until its list comes.
-	n.own.longest = 0
-	parted := mapOf(t, 4, whole, "n1", "n2")
+	// Lost with no open messages, a partition is dropped at once. When it is regained nothing is known of it
+	// until its list comes.
+	n.ownership.maxDeadline = 0
+	parted := testMap(t, 4, whole, "n1", "n2")
 	if f := hand(parted); len(f.lingering) != 0 {
 		t.Errorf("with nothing held: %+v", f.lingering)
 	}
-	hand(mapOf(t, 5, parted, "n1"))
-	for i, dest := range goes[1:] {
+	hand(testMap(t, 5, parted, "n1"))
+	for i, dest := range moved[1:] {
 		a := arrive("x"+itoa(i), dest)
-		n.take(t.Context(), []any{a})
+		n.handleBatch(t.Context(), []any{a})
 		if got := <-a.reply; got != refused && !set(parted).Has(ownership.PartitionOf(dest)) {
 			t.Errorf("gained anew: %+v", got)
 		}
 	}
 }
 
-// The next process of a node goes on with the map, the share and what is owed for what was lost. One that is not the same
-// owner, as an older build is none, gets nothing: the share would be the whole list to it.
-func TestHandoverOfAShare(t *testing.T) {
+// The successor takes over the map, the owned partitions and the open messages of lost ones. A process that
+// is not the same owner, such as an older build, gets nothing: it would take the list of some partitions for
+// the whole.
+func TestHandoverOfOwnership(t *testing.T) {
 	t.Parallel()
-	all, half, stays, goes := parting(t)
+	all, half, retained, moved := splitMaps(t)
 	p, d, state := newFakeEndpoint(t, respondWith(okResponse)), newDirectory(t), t.TempDir()
-	d.put(at("e1", "127.0.0.1:9", goes[0], "DRAINING"), at("e2", p.addr(), stays[0], "SERVING"))
+	d.put(testMember("e1", "127.0.0.1:9", moved[0], "DRAINING"), testMember("e2", p.addr(), retained[0], "SERVING"))
 	d.setMap(t, all)
-	old := startOwner(t, state, "", owns(d.addr()), nil)
-	old.ready(t)
-	old.awaitTaken(t, enqueueCommand("a", to("order", goes[0]), ""))
+	predecessor := startOwner(t, state, "", ownerNamed1(d.addr()), nil)
+	predecessor.ready(t)
+	predecessor.awaitAccepted(t, enqueueCommand("a", messageFields("order", moved[0]), ""))
 	d.setMap(t, half)
-	old.awaitMap(t, 2)
+	predecessor.awaitMap(t, 2)
 
 	for name, alter := range map[string]func(*Config){
 		"another owner": func(c *Config) {
-			owns(d.addr())(c)
+			ownerNamed1(d.addr())(c)
 			c.Fleet.Ownership.Name = "n2"
 		},
 		"no owner": func(c *Config) { c.Fleet.Registry.Addresses = []string{d.addr()} },
 	} {
-		cfg := ownerConfig(t, state, old.addr, alter)
-		refusals := old.log.with("not handed over")
+		cfg := ownerConfig(t, state, predecessor.addr, alter)
+		refusals := predecessor.log.count("not handed over")
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
 			_, _, err := Start(ctx, cfg, slog.New(slog.DiscardHandler))
 			ended <- err
 		}()
-		eventually(t, name+" is refused", func() bool { return old.log.with("not handed over") > refusals })
+		eventually(t, name+" is refused", func() bool { return predecessor.log.count("not handed over") > refusals })
 		cancel()
 		if err := <-ended; err == nil {
-			t.Errorf("%s: it has the node", name)
+			t.Errorf("%s: it got the node", name)
 		}
-		mustAnswer(t, old.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
+		mustAnswer(t, predecessor.addr, enqueueCommand("a", messageFields("order", moved[0]), ""), "+OK")
 	}
-	conn, err := dialDoor(door(state)) // as an older build says it
+	conn, err := dialHandover(handoverSocketPath(state)) // as an older build sends it
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	fmt.Fprintf(conn, `{"Hello":%d}`+"\n", handoverVersion)
-	if _, err := newLink(conn).receiveListener(); err == nil {
+	if _, err := newHandoverConn(conn).receiveListener(); err == nil {
 		t.Error("an older build is offered the node")
 	}
 
-	young := startOwner(t, state, old.addr, owns(d.addr()), nil)
+	successor := startOwner(t, state, predecessor.addr, ownerNamed1(d.addr()), nil)
 	eventually(t, "handed over", func() bool {
-		return old.node.NotReadyReason() == stages[stageHandedOver] && young.node.NotReadyReason() == ""
+		return predecessor.node.NotReadyReason() == stageReasons[stageHandedOver] && successor.node.NotReadyReason() == ""
 	})
-	s := young.seen()
-	if s.mapNumber != 2 || len(s.lingering) != 1 || !s.lingering[0].set.Has(ownership.PartitionOf(goes[0])) {
+	s := successor.followed()
+	if s.mapNumber != 2 || len(s.lingering) != 1 || !s.lingering[0].set.Has(ownership.PartitionOf(moved[0])) {
 		t.Errorf("got %d, %+v", s.mapNumber, s.lingering)
 	}
-	mustAnswer(t, young.addr, enqueueCommand("a", to("order", goes[0]), ""), "+OK")
-	mustAnswer(t, young.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
-	mustAnswer(t, young.addr, enqueueCommand("c", to("order", stays[0]), ""), "+OK")
+	mustAnswer(t, successor.addr, enqueueCommand("a", messageFields("order", moved[0]), ""), "+OK")
+	mustAnswer(t, successor.addr, enqueueCommand("b", messageFields("order", moved[0]), ""), busyAnswer)
+	mustAnswer(t, successor.addr, enqueueCommand("c", messageFields("order", retained[0]), ""), "+OK")
 	p.nextRequest(t)
-	d.setMap(t, mapOf(t, 3, half, "n1", "n2", "n3"))
-	young.awaitMap(t, 3)
-	old.stop()
-	d.put(at("e3", p.addr(), goes[0], "SERVING"))
+	d.setMap(t, testMap(t, 3, half, "n1", "n2", "n3"))
+	successor.awaitMap(t, 3)
+	predecessor.stop()
+	d.put(testMember("e3", p.addr(), moved[0], "SERVING"))
 	if id := p.nextRequest(t).Header.Get("X-Trace-Id"); id != "a" {
 		t.Errorf("got %q", id)
 	}
-	young.stop()
-	if m, err := readMap(filepath.Join(state, mapName)); err != nil || m.Number != 3 {
-		t.Errorf("kept: %+v, %v", m, err)
+	successor.stop()
+	if m, err := readSavedMap(filepath.Join(state, mapName)); err != nil || m.Number != 3 {
+		t.Errorf("saved map: %+v, %v", m, err)
 	}
 }
 
-// A map that can't be kept is in force, is written as soon as it can be, and the node goes to no other process before.
-func TestMapThatCannotBeKept(t *testing.T) {
+// A map that can't be saved is in force. It is saved as soon as possible, and the node is not handed over
+// before.
+func TestUnsavableMap(t *testing.T) {
 	t.Parallel()
-	_, half, stays, _ := parting(t)
+	_, half, retained, _ := splitMaps(t)
 	d, state := newDirectory(t), t.TempDir()
-	d.put(at("e1", "127.0.0.1:9", stays[0], "DRAINING"))
+	d.put(testMember("e1", "127.0.0.1:9", retained[0], "DRAINING"))
 	d.setMap(t, half)
-	o := startOwner(t, state, "", owns(d.addr()), nil)
+	o := startOwner(t, state, "", ownerNamed1(d.addr()), nil)
 	o.ready(t)
-	inTheWay := filepath.Join(state, mapName+".new")
-	if err := os.MkdirAll(filepath.Join(inTheWay, "x"), 0o700); err != nil {
+	blocker := filepath.Join(state, mapName+".new")
+	if err := os.MkdirAll(filepath.Join(blocker, "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	d.setMap(t, mapOf(t, 3, half, "n1"))
+	d.setMap(t, testMap(t, 3, half, "n1"))
 	o.awaitMap(t, 3)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	cfg := ownerConfig(t, state, o.addr, owns(d.addr()))
+	cfg := ownerConfig(t, state, o.addr, ownerNamed1(d.addr()))
 	go func() {
 		_, _, err := Start(ctx, cfg, slog.New(slog.DiscardHandler))
 		ended <- err
 	}()
-	eventually(t, "not handed over", func() bool { return o.log.with("not handed over") > 0 })
+	eventually(t, "not handed over", func() bool { return o.log.count("not handed over") > 0 })
 	cancel()
 	if err := <-ended; err == nil {
-		t.Error("it has the node without its map")
+		t.Error("it got the node although the map was not saved")
 	}
-	if n := o.log.with("map of owners can't be kept"); n != 1 {
+	if n := o.log.count("map of owners can't be saved"); n != 1 {
 		t.Errorf("logged %d times", n)
 	}
-	if err := os.RemoveAll(inTheWay); err != nil {
+	if err := os.RemoveAll(blocker); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "kept", func() bool {
-		m, err := readMap(filepath.Join(state, mapName))
+		m, err := readSavedMap(filepath.Join(state, mapName))
 		return err == nil && m.Number == 3
 	})
 }
 
-// A kept map that can't be read is as if lost.
-func TestSpoiltMap(t *testing.T) {
+// A saved map that can't be read counts as missing.
+func TestDamagedSavedMap(t *testing.T) {
 	t.Parallel()
-	_, half, stays, _ := parting(t)
+	_, half, retained, _ := splitMaps(t)
 	d, state := newDirectory(t), t.TempDir()
-	d.put(at("e1", "127.0.0.1:9", stays[0], "DRAINING"))
+	d.put(testMember("e1", "127.0.0.1:9", retained[0], "DRAINING"))
 	raw, err := half.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -927,55 +935,56 @@
 	if err := os.WriteFile(filepath.Join(state, mapName), raw[:len(raw)-1], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	o := startOwner(t, state, "", owns(d.addr()), nil)
+	o := startOwner(t, state, "", ownerNamed1(d.addr()), nil)
 	eventually(t, "no map", func() bool {
-		return o.node.NotReadyReason() == "no map of owners is known" && o.log.with("the kept map of owners is lost") == 1
+		return o.node.NotReadyReason() == "no map of owners is known" && o.log.count("the saved map of owners is unreadable") == 1
 	})
 	d.setMap(t, half)
 	o.ready(t)
 }
 
-// A replica that can't part the list is passed over. With none but such a node goes on with what it keeps.
+// A replica that can't filter the list by partition is skipped. If there is no other, the node continues with
+// what it has saved.
 func TestOlderReplicas(t *testing.T) {
 	t.Parallel()
-	all, half, stays, goes := parting(t)
-	old, d, state := newDirectory(t), newDirectory(t), t.TempDir()
-	old.old = true
-	for _, one := range []*fakeDirectory{old, d} {
-		one.put(at("e1", "127.0.0.1:9", stays[0], "DRAINING"), at("e2", "127.0.0.1:9", goes[0], "DRAINING"))
+	all, half, retained, moved := splitMaps(t)
+	older, d, state := newDirectory(t), newDirectory(t), t.TempDir()
+	older.unpartitioned = true
+	for _, one := range []*fakeDirectory{older, d} {
+		one.put(testMember("e1", "127.0.0.1:9", retained[0], "DRAINING"), testMember("e2", "127.0.0.1:9", moved[0], "DRAINING"))
 		one.setMap(t, all)
 	}
-	o := startOwner(t, state, "", owns(old.addr(), d.addr()), nil)
+	o := startOwner(t, state, "", ownerNamed1(older.addr(), d.addr()), nil)
 	o.ready(t)
-	old.setMap(t, half)
+	older.setMap(t, half)
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
 	o.stop()
-	asks := old.asked("partitions=")
-	o = startOwner(t, state, "", owns(old.addr()), nil)
+	asks := older.countRequests("partitions=")
+	o = startOwner(t, state, "", ownerNamed1(older.addr()), nil)
 	o.ready(t)
-	eventually(t, "asked", func() bool { return old.asked("partitions=") > asks })
-	mustAnswer(t, o.addr, enqueueCommand("a", to("order", stays[0]), ""), "+OK")
-	mustAnswer(t, o.addr, enqueueCommand("b", to("order", goes[0]), ""), busy)
+	eventually(t, "asked", func() bool { return older.countRequests("partitions=") > asks })
+	mustAnswer(t, o.addr, enqueueCommand("a", messageFields("order", retained[0]), ""), "+OK")
+	mustAnswer(t, o.addr, enqueueCommand("b", messageFields("order", moved[0]), ""), busyAnswer)
 }
 
-// Where no watch tells of a map, it is looked for from time to time.
-func TestMapWithoutAWatch(t *testing.T) {
+// Where no watch announces maps, the node fetches the map from time to time.
+func TestMapIsFetchedWithoutWatch(t *testing.T) {
 	t.Parallel()
-	all, half, stays, _ := parting(t)
+	all, half, retained, _ := splitMaps(t)
 	d := newDirectory(t)
-	d.put(at("e1", "127.0.0.1:9", stays[0], "DRAINING"))
+	d.put(testMember("e1", "127.0.0.1:9", retained[0], "DRAINING"))
 	d.setMap(t, all)
-	d.old = true
-	o := startOwner(t, t.TempDir(), "", owns(d.addr()), func(n *Node) { n.own.follow.unheard = 50 * time.Millisecond })
+	d.unpartitioned = true
+	o := startOwner(t, t.TempDir(), "", ownerNamed1(d.addr()), func(n *Node) { n.ownership.follower.maxSilence = 50 * time.Millisecond })
 	o.awaitMap(t, 1)
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
 }
 
-// The module of an owner counts the owners of a destination as its fleet, and of the tenants' allowances their part; the
-// pauses of its watch stay the whole fleet's.
-func TestOwnersShareALimit(t *testing.T) {
+// The module of an owner counts the owners of a destination as its fleet, and takes their part of the
+// tenants' allowances. The pauses of the watch still go by the whole fleet.
+func TestOwnersShareLimits(t *testing.T) {
 	t.Parallel()
 	c := Config{Settings: choice.Settings{FleetSize: 820, Tenants: []choice.Tenant{{PerSecond: 8200}}}}
 	if s := c.moduleSettings(); s.FleetSize != 820 || s.Tenants[0].PerSecond != 8200 {
@@ -991,43 +1000,43 @@
 	}
 }
 
-// A file that is read again changes the addresses and nothing else of ownership.
-func TestReloadKeepsNameAndOwners(t *testing.T) {
+// A reload changes the addresses and nothing else of ownership.
+func TestReloadKeepsOwnership(t *testing.T) {
 	t.Parallel()
-	_, half, stays, _ := parting(t)
+	_, half, retained, _ := splitMaps(t)
 	d, next := newDirectory(t), newDirectory(t)
 	for _, one := range []*fakeDirectory{d, next} {
-		one.put(at("e1", "127.0.0.1:9", stays[0], "DRAINING"))
+		one.put(testMember("e1", "127.0.0.1:9", retained[0], "DRAINING"))
 		one.setMap(t, half)
 	}
-	o := startOwner(t, t.TempDir(), "", owns(d.addr()), nil)
+	o := startOwner(t, t.TempDir(), "", ownerNamed1(d.addr()), nil)
 	o.ready(t)
 	const ignored = "a change of ownership is ignored"
 	o.node.Reload(Config{Discovery: "127.0.0.1:9"})
-	if o.log.with(ignored) != 1 || o.log.with("the old addresses stay") != 1 {
-		t.Errorf("got %q", o.log.all)
+	if o.log.count(ignored) != 1 || o.log.count("the old addresses stay") != 1 {
+		t.Errorf("got %q", o.log.lines)
 	}
 	var cfg Config
-	owns(next.addr())(&cfg)
+	ownerNamed1(next.addr())(&cfg)
 	cfg.Fleet.Ownership.Name = "n2"
 	o.node.Reload(cfg)
-	eventually(t, "the new address", func() bool { return next.asked("partitions=") > 0 })
-	if o.log.with(ignored) != 2 {
-		t.Errorf("got %q", o.log.all)
+	eventually(t, "the new address", func() bool { return next.countRequests("partitions=") > 0 })
+	if o.log.count(ignored) != 2 {
+		t.Errorf("got %q", o.log.lines)
 	}
-	owns(next.addr())(&cfg)
+	ownerNamed1(next.addr())(&cfg)
 	o.node.Reload(cfg)
-	if o.log.with(ignored) != 2 {
-		t.Errorf("the same is no change: %q", o.log.all)
+	if o.log.count(ignored) != 2 {
+		t.Errorf("the same is no change: %q", o.log.lines)
 	}
-	next.setMap(t, mapOf(t, 3, half, "n1"))
+	next.setMap(t, testMap(t, 3, half, "n1"))
 	o.awaitMap(t, 3)
 }
 
-// Without [ownership] a node is as it was: not one goroutine, file, request or line more. This test is not parallel, so that
-// nobody else's goroutines are counted.
+// Without [ownership] a node uses no more goroutines, files, requests or log lines than before ownership
+// existed. This test is not parallel, so that no other test's goroutines are counted.
 func TestWithoutOwnership(t *testing.T) {
-	_, half, stays, _ := parting(t)
+	_, half, retained, _ := splitMaps(t)
 	work := func() (n int) {
 		buf := make([]byte, 4<<20)
 		for one := range strings.SplitSeq(string(buf[:runtime.Stack(buf, true)]), "\n\n") {
@@ -1038,16 +1047,16 @@
 		return n
 	}
 	begun := work()
-	run := func(alter func(*Config)) (goroutines int, files, asks []string, log *logged) {
+	run := func(alter func(*Config)) (goroutines int, files, asks []string, log *logLines) {
 		d, state := newDirectory(t), t.TempDir()
-		d.put(at("e1", "127.0.0.1:9", stays[0], "DRAINING"))
+		d.put(testMember("e1", "127.0.0.1:9", retained[0], "DRAINING"))
 		d.setMap(t, half)
 		o := startOwner(t, state, "", func(c *Config) {
-			owns(d.addr())(c)
+			ownerNamed1(d.addr())(c)
 			alter(c)
 		}, nil)
 		o.ready(t)
-		o.awaitTaken(t, enqueueCommand("a", to("order", stays[0]), ""))
+		o.awaitAccepted(t, enqueueCommand("a", messageFields("order", retained[0]), ""))
 		settled := 0 // in a row
 		eventually(t, "it has settled", func() bool {
 			was := goroutines
@@ -1064,18 +1073,18 @@
 			return settled > 10
 		})
 		d.mu.Lock()
-		asks = slices.Clone(d.asks)
+		asks = slices.Clone(d.requests)
 		d.mu.Unlock()
 		var figures strings.Builder
 		o.node.figures.write(&figures)
-		if owned := strings.Contains(figures.String(), "app.map"); owned != (o.node.own != nil) {
+		if owned := strings.Contains(figures.String(), "app.map"); owned != (o.node.ownership != nil) {
 			t.Errorf("figures: %s", figures.String())
 		}
 		o.stop()
 		eventually(t, "its end", func() bool { return work() == begun })
 		return goroutines, files, asks, o.log
 	}
-	const before = 9 // counted by this test in the build before there was ownership
+	const before = 9 // counted by this test in the build before ownership
 	goroutines, files, asks, log := run(func(c *Config) { c.Fleet.Ownership = nil })
 	if goroutines != before {
 		t.Errorf("%d goroutines, %d before", goroutines, before)
@@ -1086,11 +1095,11 @@
 	if !slices.Equal(asks, []string{"GET /registry/instances?watch=1&after=0"}) {
 		t.Errorf("asks %v", asks)
 	}
-	if log.with("owner") > 0 || log.with("map") > 0 || log.with("") != 2 { // serving, watching
-		t.Errorf("log %q", log.all)
+	if log.count("owner") > 0 || log.count("map") > 0 || log.count("") != 2 { // serving, watching
+		t.Errorf("log %q", log.lines)
 	}
 	with, files, asks, _ := run(func(*Config) {})
-	if with != goroutines+1 { // the watch is apart from what keeps the map
+	if with != goroutines+1 { // the watch and the follower are separate
 		t.Errorf("%d goroutines with ownership, %d without", with, goroutines)
 	}
 	if !slices.Equal(files, []string{"journal", "lock", "map.cbor", "share/list.json"}) {
