--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -76,7 +76,7 @@
 type callResult struct {
 	outcome     choice.Outcome
 	perItem     []itemResult // in the order of the items, if a batch's answer tells them apart
-	wait        time.Duration
+	retryAfter  time.Duration
 	noSlot      bool
 	final       bool
 	ambiguous   bool // as in an itemResult
@@ -356,7 +356,7 @@
 	body := io.LimitReader(resp.Body, maxAnswerBody+1)
 	if len(items) > 1 && res.outcome == choice.Success {
 		res.perItem, err = parseBatchAnswer(body, items)
-		res.wait = retryAfter(resp) // meant for the deferred items, but it applies to all calls
+		res.retryAfter = retryAfter(resp) // meant for the deferred items, but it applies to all calls
 	}
 	if err == nil { // the rest of the body
 		_, err = io.Copy(io.Discard, body)
@@ -407,7 +407,7 @@
 	case http.StatusOK:
 		res.outcome, res.final = choice.Success, true
 	case http.StatusTooManyRequests:
-		res.outcome, res.wait = choice.Rejected, retryAfter(resp)
+		res.outcome, res.retryAfter = choice.Rejected, retryAfter(resp)
 	case http.StatusServiceUnavailable:
 		res.outcome = choice.Rejected
 		if resp.Header.Get("X-Line-Busy") == "1" {
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -119,7 +119,7 @@
 }
 
 func newTestEndpoint(addr string) *endpoint {
-	return &endpoint{id: "e", addr: addr, wait: new(atomic.Int64)}
+	return &endpoint{id: "e", addr: addr, waitUntil: new(atomic.Int64)}
 }
 
 func newTestPool() *pool { return newPool(2*time.Second, time.Minute, 16) }
@@ -157,7 +157,7 @@
 		{"after a 1xx", "HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse, callResult{outcome: choice.Success, final: true}},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", callResult{outcome: choice.ServerError}},
 		{"told to wait", "HTTP/1.1 429 No\r\nRetry-After: 0.35\r\nContent-Length: 0\r\n\r\n",
-			callResult{outcome: choice.Rejected, wait: 350 * time.Millisecond}},
+			callResult{outcome: choice.Rejected, retryAfter: 350 * time.Millisecond}},
 		{"rejected", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", callResult{outcome: choice.Rejected}},
 		{"rejected and connection closed", "HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
 			callResult{outcome: choice.Rejected, connClosed: true}},
@@ -324,9 +324,9 @@
 func TestNewConnectionReplacesIdleOne(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	pool, c := newTestPool(), newTestCall(newTestEndpoint(p.addr()))
-	for i, step := range []struct{ fresh, kept bool }{{false, false}, {false, true}, {true, false}} {
-		c.newConn = step.fresh
-		if got := pool.do(t.Context(), c); got.outcome != choice.Success || got.reusedConn != step.kept || idleConns(pool) != 1 {
+	for i, step := range []struct{ newConn, reused bool }{{false, false}, {false, true}, {true, false}} {
+		c.newConn = step.newConn
+		if got := pool.do(t.Context(), c); got.outcome != choice.Success || got.reusedConn != step.reused || idleConns(pool) != 1 {
 			t.Errorf("call %d: got %+v, %d kept", i, got, idleConns(pool))
 		}
 	}
@@ -352,7 +352,7 @@
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	drained, waiting := newTestEndpoint(p.addr()), newTestEndpoint(p.addr())
 	drained.closed.Store(true)
-	waiting.wait.Store(time.Now().Add(time.Hour).UnixNano())
+	waiting.waitUntil.Store(time.Now().Add(time.Hour).UnixNano())
 	for _, e := range []*endpoint{drained, waiting} {
 		if got := newTestPool().do(t.Context(), newTestCall(e)); got.outcome != choice.Stale {
 			t.Errorf("got %+v", got)
@@ -522,8 +522,8 @@
 					t.Errorf("%d: got %+v, want %+v", i, got.forItem(i), want)
 				}
 			}
-			if got.wait != c.wait {
-				t.Errorf("got a wait of %v", got.wait)
+			if got.retryAfter != c.wait {
+				t.Errorf("got a wait of %v", got.retryAfter)
 			}
 			if path := p.nextRequest(t).URL.Path; path != "/v1/messages:batch" {
 				t.Errorf("got %q", path)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -37,14 +37,14 @@
 
 // endpoint is what calls need to know of an endpoint. The loop writes it, and calls in flight read it.
 type endpoint struct {
-	id, addr string
-	zone     int
-	batch    int           // most messages in one call
-	closed   atomic.Bool   // it drains or is gone
-	wait     *atomic.Int64 // Unix time in nanoseconds; no calls until then, at the wish of its destination or route
+	id, addr  string
+	zone      int
+	maxBatch  int           // most messages in one call
+	closed    atomic.Bool   // it drains or is gone
+	waitUntil *atomic.Int64 // Unix time in nanoseconds; no calls until then, at the wish of its destination or route
 }
 
 // closedAt reports whether no new call may go to the endpoint.
 func (e *endpoint) closedAt(now time.Time) bool {
-	return e.closed.Load() || now.UnixNano() < e.wait.Load()
+	return e.closed.Load() || now.UnixNano() < e.waitUntil.Load()
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -86,7 +86,7 @@
 	Duration   time.Duration `json:"Took"`
 	Outcome    choice.Outcome
 	PerItem    []itemOutcome `json:"Each"`
-	Wait       time.Duration
+	RetryAfter time.Duration `json:"Wait"`
 	NoSlot     bool
 	Final      bool `json:"Closed"`
 	Ambiguous  bool `json:"Unsure"` // not set by older builds
@@ -96,8 +96,8 @@
 }
 
 type endpointWait struct {
-	Endpoint string
-	Wait     time.Duration
+	Endpoint   string
+	RetryAfter time.Duration `json:"Wait"`
 }
 
 type itemOutcome struct {
@@ -125,9 +125,9 @@
 	Number          uint64
 	Refused         bool
 	RetryAfter      time.Duration `json:"After"`
-	Failed          string
-	OutcomeUnknown  bool `json:"Gone"`
-	UnknownEndpoint bool `json:"Unknown"` // there is no endpoint of the Command's ID
+	Failure         string        `json:"Failed"`
+	OutcomeUnknown  bool          `json:"Gone"`
+	UnknownEndpoint bool          `json:"Unknown"` // there is no endpoint of the Command's ID
 }
 
 // predecessorGone is the loop's event when the predecessor ends.
@@ -383,7 +383,8 @@
 	if err := l.send(handoverMessage{Ready: true}); err != nil {
 		return nil, nil, err
 	}
-	// Until the predecessor says this, it may carry on itself, and the state that it sent is outdated.
+	// Until the predecessor releases the lock it may carry on itself; the state that it sent is outdated
+	// then.
 	release, err := l.receive()
 	if err != nil {
 		return nil, nil, err
@@ -455,7 +456,7 @@
 	n.applyList(n.cfg.InitialList) // the module has the list already
 	for id, until := range state.Waits {
 		if e := n.endpoints[id]; e != nil {
-			e.wait.Store(max(until, e.wait.Load()))
+			e.waitUntil.Store(max(until, e.waitUntil.Load()))
 		}
 	}
 	for _, o := range state.Outstanding {
@@ -483,13 +484,13 @@
 		case m.Request != nil: // as many at once as the predecessor has clients
 			tasks.Go(func() {
 				a := n.submit(ctx, m.Request.request())
-				l.send(handoverMessage{Answer: &forwardedAnswer{Number: m.Request.Number, Refused: a.refused, RetryAfter: a.retryAfter, Failed: a.failure, OutcomeUnknown: a.outcomeUnknown}})
+				l.send(handoverMessage{Answer: &forwardedAnswer{Number: m.Request.Number, Refused: a.refused, RetryAfter: a.retryAfter, Failure: a.failure, OutcomeUnknown: a.outcomeUnknown}})
 			})
 		case m.Command != nil: // as many at once as the predecessor has operators' calls
 			tasks.Go(func() {
-				orderCtx, cancel := context.WithTimeout(ctx, adminCommandTimeout)
+				commandCtx, cancel := context.WithTimeout(ctx, adminCommandTimeout)
 				defer cancel()
-				err := n.SetEndpointEnabled(orderCtx, m.Command.ID, m.Command.Enable)
+				err := n.SetEndpointEnabled(commandCtx, m.Command.ID, m.Command.Enable)
 				l.send(handoverMessage{Answer: &forwardedAnswer{Number: m.Command.Number, OutcomeUnknown: err != nil, UnknownEndpoint: errors.Is(err, ErrUnknownEndpoint)}})
 			})
 		}
@@ -506,10 +507,10 @@
 func (n *Node) predecessorCallEnded(o callOutcome) []choice.Event {
 	e := n.endpoints[o.Endpoint]
 	if e == nil {
-		e = &endpoint{id: o.Endpoint, wait: new(atomic.Int64)}
+		e = &endpoint{id: o.Endpoint, waitUntil: new(atomic.Int64)}
 	}
 	c := callEnd{endpoint: e, took: o.Duration, callResult: callResult{
-		outcome: o.Outcome, wait: o.Wait, noSlot: o.NoSlot, final: o.Final, ambiguous: o.Ambiguous, report: o.Report, reusedConn: o.ReusedConn, connClosed: o.ConnClosed,
+		outcome: o.Outcome, retryAfter: o.RetryAfter, noSlot: o.NoSlot, final: o.Final, ambiguous: o.Ambiguous, report: o.Report, reusedConn: o.ReusedConn, connClosed: o.ConnClosed,
 	}}
 	for i, a := range o.Attempts {
 		key := attemptKey{a.Seq, a.Attempt}
@@ -520,8 +521,8 @@
 		if o.PerItem != nil {
 			c.perItem = append(c.perItem, itemResult{o.PerItem[i].Outcome, o.PerItem[i].Final, o.PerItem[i].Ambiguous})
 		}
-		if n.destinationWaits[a.Dest] != nil && o.Wait > 0 && n.endpoints[o.Endpoint] == nil {
-			e.wait = n.destinationWaits[a.Dest]
+		if n.destinationWaits[a.Dest] != nil && o.RetryAfter > 0 && n.endpoints[o.Endpoint] == nil {
+			e.waitUntil = n.destinationWaits[a.Dest]
 		}
 	}
 	return n.callEnded(c)
@@ -586,7 +587,7 @@
 		Members: slices.Collect(maps.Values(n.members)), Waits: map[string]int64{},
 	}
 	for id, e := range n.endpoints {
-		state.Waits[id] = e.wait.Load()
+		state.Waits[id] = e.waitUntil.Load()
 	}
 	for key, c := range n.outstanding {
 		state.Outstanding = append(state.Outstanding, outstandingAttempt{key.seq, key.number, c.message.dest, c.message.class})
@@ -707,7 +708,7 @@
 				continue
 			}
 			n.lastForwarded++
-			pending[n.lastForwarded] = func(r forwardedAnswer) { e.reply <- answer{r.Refused, r.RetryAfter, r.Failed, r.OutcomeUnknown, true} }
+			pending[n.lastForwarded] = func(r forwardedAnswer) { e.reply <- answer{r.Refused, r.RetryAfter, r.Failure, r.OutcomeUnknown, true} }
 			n.successor.send(handoverMessage{Request: &forwardedRequest{n.lastForwarded, e.id, e.key, e.class, e.dest, e.tenant, e.ttl, e.body, e.receivedAt}})
 		case handoverMessage:
 			switch {
@@ -724,7 +725,7 @@
 				n.closeEndpoint(n.endpoints[e.ClosedEndpoint])
 			case e.Wait != nil:
 				if ep := n.endpoints[e.Wait.Endpoint]; ep != nil {
-					callEnd{endpoint: ep, callResult: callResult{wait: e.Wait.Wait}}.applyWait()
+					callEnd{endpoint: ep, callResult: callResult{retryAfter: e.Wait.RetryAfter}}.applyWait()
 				}
 			}
 		}
@@ -736,7 +737,7 @@
 func (n *Node) takeOutcome(c callEnd) *callOutcome {
 	o := &callOutcome{
 		Endpoint: c.endpoint.id, Duration: c.took, Outcome: itemResult{c.outcome, c.final, c.ambiguous}.forSuccessor(),
-		Wait: c.wait, NoSlot: c.noSlot, Final: c.final, Ambiguous: c.ambiguous, Report: c.report, ReusedConn: c.reusedConn, ConnClosed: c.connClosed,
+		RetryAfter: c.retryAfter, NoSlot: c.noSlot, Final: c.final, Ambiguous: c.ambiguous, Report: c.report, ReusedConn: c.reusedConn, ConnClosed: c.connClosed,
 	}
 	for _, key := range c.attempts {
 		m := n.outstanding[key].message
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -662,7 +662,7 @@
 	if e == nil || e.addr != m.Addr {
 		n.closeEndpoint(e)
 		n.endpoints[m.ID] = &endpoint{
-			id: m.ID, addr: m.Addr, zone: entry.Zone, batch: n.batchSize(entry), wait: n.waitFor(entry),
+			id: m.ID, addr: m.Addr, zone: entry.Zone, maxBatch: n.batchSize(entry), waitUntil: n.waitFor(entry),
 		}
 	}
 }
@@ -741,9 +741,9 @@
 
 // applyWait stops new calls to an endpoint for the time that its answer asked for.
 func (e callEnd) applyWait() {
-	if e.wait > 0 {
-		until := time.Now().Add(e.wait).UnixNano()
-		e.endpoint.wait.Store(max(until, e.endpoint.wait.Load()))
+	if e.retryAfter > 0 {
+		until := time.Now().Add(e.retryAfter).UnixNano()
+		e.endpoint.waitUntil.Store(max(until, e.endpoint.waitUntil.Load()))
 	}
 }
 
@@ -751,8 +751,8 @@
 // have run.
 func (n *Node) callEnded(e callEnd) []choice.Event {
 	e.applyWait()
-	if e.wait > 0 && n.predecessor != nil {
-		n.predecessor.send(handoverMessage{Wait: &endpointWait{e.endpoint.id, e.wait}})
+	if e.retryAfter > 0 && n.predecessor != nil {
+		n.predecessor.send(handoverMessage{Wait: &endpointWait{e.endpoint.id, e.retryAfter}})
 	}
 	events := make([]choice.Event, 0, len(e.attempts))
 	for i, key := range e.attempts {
@@ -760,7 +760,7 @@
 		delete(n.outstanding, key)
 		ended := choice.AttemptEnded{
 			ID: m.choiceID(), Attempt: key.number, Endpoint: e.endpoint.id, Outcome: res.outcome, Took: e.took, Final: res.final, Ambiguous: res.ambiguous,
-			RetryAfter: e.wait, NoSlot: e.noSlot, Report: e.report, ReusedConn: e.reusedConn, ConnClosed: e.connClosed,
+			RetryAfter: e.retryAfter, NoSlot: e.noSlot, Report: e.report, ReusedConn: e.reusedConn, ConnClosed: e.connClosed,
 		}
 		outage := n.sender.IndicatesOutage(m.dest, ended)
 		switch res.outcome {
@@ -909,14 +909,14 @@
 	}
 	if e == nil {
 		// The list has just dropped the endpoint. The call ends as Stale, which proves that it has not run.
-		e = &endpoint{id: a.Endpoint, wait: new(atomic.Int64)}
+		e = &endpoint{id: a.Endpoint, waitUntil: new(atomic.Int64)}
 		e.closed.Store(true)
 	}
 	key := attemptKey{p.seq, len(p.attempts)}
 	n.journal.add(attemptRecord(p.seq, time.Now(), e.zone))
 	it := item{p.id, p.key, p.body}
 	o := calls[a.Call]
-	if o == nil || len(o.items) >= e.batch || o.size+it.maxEncodedSize() > maxBody {
+	if o == nil || len(o.items) >= e.maxBatch || o.size+it.maxEncodedSize() > maxBody {
 		o = &outgoingCall{call: call{endpoint: e}}
 		o.onWritten = func() { n.countWritten(o) }
 		calls[a.Call] = o
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -93,7 +93,7 @@
 // followedPartitions are the partitions that a node owns and those that linger. A value is not changed once
 // it has been handed out.
 type followedPartitions struct {
-	mapNumber  int64 // of the map; 0 for no map
+	mapNumber  int64 // 0 for no map
 	inMap      bool  // the map names this node
 	owned      ownership.Set
 	lingering  []lingeringPartitions
@@ -107,17 +107,17 @@
 }
 
 // setAt returns the partitions followed at a time, and when the next of them end; zero for never.
-func (f *followedPartitions) setAt(now time.Time) (set ownership.Set, less time.Time) {
+func (f *followedPartitions) setAt(now time.Time) (set ownership.Set, shrinksAt time.Time) {
 	set = f.owned
 	for _, l := range f.lingering {
 		if now.Before(l.until) {
 			set = set.Union(l.set)
-			if less.IsZero() || l.until.Before(less) {
-				less = l.until
+			if shrinksAt.IsZero() || l.until.Before(shrinksAt) {
+				shrinksAt = l.until
 			}
 		}
 	}
-	return set, less
+	return set, shrinksAt
 }
 
 // notReadyReason tells why the node does not serve; it is empty if it does.
@@ -139,9 +139,9 @@
 	log          *slog.Logger
 	maxDeadline  time.Duration                   // the longest deadline of a class
 	lastDeadline [ownership.PartitionCount]int64 // Unix ns: the deadline of the last message accepted, by partition
-	unsavedMap   []byte                          // the map, while it could not be saved
-	listedSet    ownership.Set                   // the list of these was passed to the module,
-	appliedSet   ownership.Set                   // which has applied it to these
+	unsavedMap   []byte                          // the encoded map, until it is saved
+	listedSet    ownership.Set                   // the list of these was passed to the module
+	appliedSet   ownership.Set                   // the module has applied the list of these
 	published    bool
 	follower     follower
 }
@@ -275,11 +275,11 @@
 }
 
 // updateMetrics publishes the metrics after a step, in which the module has applied the lists before it.
-func (s *ownershipState) updateMetrics(f *metrics) {
+func (s *ownershipState) updateMetrics(m *metrics) {
 	s.appliedSet = s.listedSet
 	if !s.published {
 		now := s.followedPartitions
-		f.ownership.Store(&now)
+		m.ownership.Store(&now)
 		s.published = true
 	}
 }
