--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -607,7 +607,7 @@
 	t.Run("canceled", func(t *testing.T) { testUnreadAnswer(t, true) })
 }
 
-func testUnreadAnswer(t *testing.T, calledOff bool) {
+func testUnreadAnswer(t *testing.T, canceled bool) {
 	arrived := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -633,7 +633,7 @@
 		return &pausedConn{Conn: nc, arrived: arrived, wake: make(chan struct{})}, nil
 	}
 	c := newTestCall(newTestEndpoint(partner.addr()))
-	if calledOff {
+	if canceled {
 		go func() { // once the answer has arrived
 			<-arrived
 			cancel()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -38,28 +38,28 @@
 
 	mu          sync.Mutex
 	lists       []string
-	more        chan struct{} // closed when lists grows
+	changed     chan struct{} // closed when lists grows
 	watches     int
 	posts       int
 	refusePosts int // number of posts of notices to answer with 503
 	notices     []map[string]any
-	cut         context.Context // ends the open watches
+	watchCtx    context.Context // ends the open watches
 	endWatches  context.CancelFunc
 }
 
 func newFakeRegistry(t *testing.T) *fakeRegistry {
 	t.Helper()
-	r := &fakeRegistry{more: make(chan struct{})}
-	r.cut, r.endWatches = context.WithCancel(context.Background())
+	r := &fakeRegistry{changed: make(chan struct{})}
+	r.watchCtx, r.endWatches = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, req *http.Request) {
 		r.mu.Lock()
 		r.watches++
-		cut := r.cut
+		cut := r.watchCtx
 		r.mu.Unlock()
 		for sent := 0; ; {
 			r.mu.Lock()
-			news, more := r.lists[sent:], r.more
+			news, more := r.lists[sent:], r.changed
 			sent = len(r.lists)
 			r.mu.Unlock()
 			for _, l := range news {
@@ -109,8 +109,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lists = append(r.lists, l)
-	close(r.more)
-	r.more = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // noticeState returns what the notices say of a message, "" if there is none.
@@ -348,7 +348,7 @@
 	mustAnswer(t, addr, enqueueCommand("a", statusFields, ""), "+OK") // messages are accepted without discovery
 	r.mu.Lock()
 	r.endWatches()
-	r.cut, r.endWatches = context.WithCancel(context.Background())
+	r.watchCtx, r.endWatches = context.WithCancel(context.Background())
 	r.mu.Unlock()
 	eventually(t, "the watch is opened again", watching(2))
 	r.publish(listJSON(2, true, memberJSON("e", p.addr(), 7, "SERVING")))
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -34,32 +34,32 @@
 	history       int64
 	members       map[string]catalog.Endpoint
 	changes       []catalog.List // all changes, in their order
-	number        int64
-	value         []byte
-	more          chan struct{} // closed at any change
+	mapNumber     int64
+	mapValue      []byte
+	changed       chan struct{} // closed at any change
 	requests      []string      // method and URI of each request
 	unpartitioned bool          // behaves as a build that knows no partitions
-	hold          chan struct{} // unless nil, the first line of a watch waits for it
+	holdFirstLine chan struct{} // unless nil, the first line of a watch waits for it
 	notices       []string
-	cut           context.Context
+	watchCtx      context.Context
 	endWatches    context.CancelFunc
 }
 
 func newDirectory(t *testing.T) *fakeDirectory {
 	t.Helper()
-	d := &fakeDirectory{history: 1, members: map[string]catalog.Endpoint{}, more: make(chan struct{})}
-	d.cut, d.endWatches = context.WithCancel(context.Background())
+	d := &fakeDirectory{history: 1, members: map[string]catalog.Endpoint{}, changed: make(chan struct{})}
+	d.watchCtx, d.endWatches = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", d.watch)
 	mux.HandleFunc("GET /records/{name}", func(w http.ResponseWriter, req *http.Request) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.requests = append(d.requests, req.Method+" "+req.URL.RequestURI())
-		if d.number == 0 || req.PathValue("name") != ownership.RecordName {
+		if d.mapNumber == 0 || req.PathValue("name") != ownership.RecordName {
 			http.Error(w, `{"error":"none","outcome":"refused"}`, http.StatusNotFound)
 			return
 		}
-		json.NewEncoder(w).Encode(catalog.Record{Name: ownership.RecordName, Token: 1, Value: d.value})
+		json.NewEncoder(w).Encode(catalog.Record{Name: ownership.RecordName, Token: 1, Value: d.mapValue})
 	})
 	mux.HandleFunc("POST /reports", func(w http.ResponseWriter, req *http.Request) {
 		for lines := json.NewDecoder(req.Body); ; {
@@ -91,11 +91,11 @@
 	set, err := ownership.ParseSet(q.Get("partitions"))
 	d.mu.Lock()
 	d.requests = append(d.requests, req.Method+" "+req.URL.RequestURI())
-	unpartitioned, hold, cut := d.unpartitioned || !q.Has("partitions"), d.hold, d.cut
+	unpartitioned, hold, cut := d.unpartitioned || !q.Has("partitions"), d.holdFirstLine, d.watchCtx
 	w.Header().Set("Registry-History", strconv.FormatInt(d.history, 10))
 	if !unpartitioned {
 		w.Header().Set("Registry-Partitions", strconv.Itoa(ownership.PartitionCount))
-		w.Header().Set("Registry-Map", strconv.FormatInt(d.number, 10))
+		w.Header().Set("Registry-Map", strconv.FormatInt(d.mapNumber, 10))
 	}
 	d.mu.Unlock()
 	if !unpartitioned && (err != nil || set.Len() == 0) {
@@ -116,7 +116,7 @@
 	named := int64(0)
 	for first := true; ; first = false {
 		d.mu.Lock()
-		more := d.more
+		more := d.changed
 		var lists []catalog.List
 		if first && after <= 0 {
 			all := catalog.List{Revision: d.revision, Complete: true}
@@ -131,11 +131,11 @@
 				}
 			}
 		}
-		if !unpartitioned && (first || d.number != named) && len(lists) == 0 {
+		if !unpartitioned && (first || d.mapNumber != named) && len(lists) == 0 {
 			lists = append(lists, catalog.List{Revision: d.revision})
 		}
 		if !unpartitioned {
-			named = d.number
+			named = d.mapNumber
 			for i := range lists {
 				lists[i].Map = named
 			}
@@ -174,8 +174,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f()
-	close(d.more)
-	d.more = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 func (d *fakeDirectory) put(members ...catalog.Endpoint) {
@@ -196,7 +196,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.change(func() { d.number, d.value = m.Number, raw })
+	d.change(func() { d.mapNumber, d.mapValue = m.Number, raw })
 }
 
 // cutWatches ends the open watches.
@@ -204,7 +204,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.endWatches()
-	d.cut, d.endWatches = context.WithCancel(context.Background())
+	d.watchCtx, d.endWatches = context.WithCancel(context.Background())
 }
 
 func (d *fakeDirectory) countRequests(part string) (n int) {
@@ -386,14 +386,14 @@
 	p.nextRequest(t)
 	mustAnswer(t, o.addr, enqueueCommand("foreign", messageFields("order", moved[0]), ""), busyAnswer)
 	mustAnswer(t, o.addr, enqueueCommand("nowhere", messageFields("order", retained[1]), ""), "-ERR unknown destination")
-	var figures strings.Builder
-	o.node.figures.write(&figures)
+	var text strings.Builder
+	o.node.figures.write(&text)
 	for _, want := range []string{
 		"app.map:2|g\n", fmt.Sprintf("app.partitions_owned:%d|g\n", o.followed().owned.Len()), "app.partitions_lingering:0|g\n",
 		"app.not_owned:2|c\n", "app.pool_size:1|g\n",
 	} {
-		if !strings.Contains(figures.String(), want) {
-			t.Errorf("no %q in %s", want, figures.String())
+		if !strings.Contains(text.String(), want) {
+			t.Errorf("no %q in %s", want, text.String())
 		}
 	}
 	d.setMap(t, testMap(t, 3, half, "n2"))
@@ -440,8 +440,8 @@
 	}
 	mustAnswer(t, o.addr, enqueueCommand("c", messageFields("order", retained[0]), ""), "+OK")
 	p.nextRequest(t)
-	if asks := d.countRequests("watch=1&after=0&history"); asks+d.countRequests("watch=1&after=0&part") > 2 { // one of the map, and one of all lists
-		t.Errorf("asks %q", d.requests)
+	if requests := d.countRequests("watch=1&after=0&history"); requests+d.countRequests("watch=1&after=0&part") > 2 { // one of the map, and one of all lists
+		t.Errorf("requests %q", d.requests)
 	}
 	if calls, _ := p.counts(); calls != 2 {
 		t.Errorf("%d calls", calls)
@@ -490,9 +490,9 @@
 		stray++
 	}
 	d.put(testMember("e3", p.addr(), stray, "SERVING"))
-	asks := d.countRequests("watch=1")
+	requests := d.countRequests("watch=1")
 	d.cutWatches()
-	eventually(t, "another watch", func() bool { return d.countRequests("watch=1") > asks })
+	eventually(t, "another watch", func() bool { return d.countRequests("watch=1") > requests })
 	d.setMap(t, testMap(t, 4, none, "n2", "n3"))
 	o.awaitMap(t, 4)
 	if n := o.node.figures.listedEndpoints.Load(); n != 0 {
@@ -555,7 +555,7 @@
 	eventually(t, "the half", func() bool { return len(whole) > 0 && <-whole == 1 })
 	d.put(testMember("e2", "127.0.0.1:9", retained[1], "DRAINING"))
 	<-held
-	asks := d.countRequests("watch=1")
+	requests := d.countRequests("watch=1")
 	// The follower has to find the map itself: the blocked watch can't announce it.
 	d.setMap(t, testMap(t, 3, half, "n1"))
 	n.ownership.follower.namedMap.Store(3)
@@ -567,11 +567,11 @@
 		t.Fatalf("map %d", got)
 	}
 	time.Sleep(200 * time.Millisecond)
-	if now := d.countRequests("watch=1"); now != asks {
-		t.Errorf("%d watches more while the last one still tells", now-asks)
+	if now := d.countRequests("watch=1"); now != requests {
+		t.Errorf("%d watches more while the last one still tells", now-requests)
 	}
 	close(release)
-	eventually(t, "the whole", func() bool { return d.countRequests("watch=1") > asks && len(whole) > 0 && <-whole == 2 })
+	eventually(t, "the whole", func() bool { return d.countRequests("watch=1") > requests && len(whole) > 0 && <-whole == 2 })
 }
 
 // A partition that is lost and regained before its messages are over is as if it had stayed, except for
@@ -666,14 +666,14 @@
 	o.awaitAccepted(t, enqueueCommand("a", messageFields("order", retained[0]), ""))
 	p.nextRequest(t)
 	hold, watches := make(chan struct{}), d.countRequests("watch=1")
-	d.change(func() { d.hold = hold })
+	d.change(func() { d.holdFirstLine = hold })
 	d.setMap(t, testMap(t, 3, half, "n1"))
 	eventually(t, "the new watch", func() bool { return d.countRequests("watch=1") > watches })
 	mustAnswer(t, o.addr, enqueueCommand("b", messageFields("order", moved[0]), ""), busyAnswer)
 	mustAnswer(t, o.addr, enqueueCommand("c", messageFields("order", moved[1]), ""), busyAnswer)
 	mustAnswer(t, o.addr, enqueueCommand("d", messageFields("order", retained[0]), ""), "+OK")
 	p.nextRequest(t)
-	d.change(func() { d.hold = nil })
+	d.change(func() { d.holdFirstLine = nil })
 	close(hold)
 	eventually(t, "the list", func() bool { return o.node.figures.listedEndpoints.Load() == 2 })
 	eventually(t, "it is known", func() bool {
@@ -706,9 +706,9 @@
 	const line = "an older map of owners"
 	eventually(t, "it is logged", func() bool { return o.log.count(line) == 1 })
 	for range 3 {
-		asks := d.countRequests("watch=1")
+		requests := d.countRequests("watch=1")
 		d.cutWatches()
-		eventually(t, "another watch", func() bool { return d.countRequests("watch=1") > asks })
+		eventually(t, "another watch", func() bool { return d.countRequests("watch=1") > requests })
 	}
 	mustAnswer(t, o.addr, enqueueCommand("a", messageFields("order", moved[0]), ""), busyAnswer)
 	if s := o.followed(); s.mapNumber != 2 || o.log.count(line) != 1 {
@@ -733,7 +733,7 @@
 	t.Parallel()
 	all, half, retained, moved := splitMaps(t)
 	n := newConfiguredIdleNode(t, ownerNamed1("127.0.0.1:9"))
-	hand := func(m *ownership.Map) followedPartitions {
+	applyMap := func(m *ownership.Map) followedPartitions {
 		taken := make(chan followedPartitions, 1)
 		n.handleBatch(t.Context(), []any{mapEvent{m, taken}})
 		return <-taken
@@ -753,7 +753,7 @@
 		return a
 	}
 	refused := answer{refused: true, retryAfter: 3 * time.Second}
-	if f := hand(half); f.mapNumber != 2 || f.owned != set(half) || len(f.lingering) != 0 {
+	if f := applyMap(half); f.mapNumber != 2 || f.owned != set(half) || len(f.lingering) != 0 {
 		t.Fatalf("got %+v", f)
 	}
 	// A message in the batch that brings its list: the module does not know its destination yet, but it is
@@ -768,13 +768,13 @@
 		t.Errorf("after its list: %+v", got)
 	}
 	e := n.endpoints["e3"]
-	if f := hand(all); f.mapNumber != 2 || f.owned != set(half) {
+	if f := applyMap(all); f.mapNumber != 2 || f.owned != set(half) {
 		t.Errorf("an older map: %+v", f.mapNumber)
 	}
 	// All partitions are gained. The watch of the old set sends its whole list once more, then that of the
 	// new set comes.
 	whole := testMap(t, 3, half, "n1")
-	if f := hand(whole); f.mapNumber != 3 || f.owned.Len() != ownership.PartitionCount {
+	if f := applyMap(whole); f.mapNumber != 3 || f.owned.Len() != ownership.PartitionCount {
 		t.Errorf("got %+v", f.mapNumber)
 	}
 	for i, l := range []registry.Update{list(true, mine, second), list(false), list(true, mine, second, other)} {
@@ -797,10 +797,10 @@
 	// until its list comes.
 	n.ownership.maxDeadline = 0
 	parted := testMap(t, 4, whole, "n1", "n2")
-	if f := hand(parted); len(f.lingering) != 0 {
+	if f := applyMap(parted); len(f.lingering) != 0 {
 		t.Errorf("with nothing held: %+v", f.lingering)
 	}
-	hand(testMap(t, 5, parted, "n1"))
+	applyMap(testMap(t, 5, parted, "n1"))
 	for i, dest := range moved[1:] {
 		a := arrive("x"+itoa(i), dest)
 		n.handleBatch(t.Context(), []any{a})
@@ -960,10 +960,10 @@
 	d.setMap(t, half)
 	o.awaitMap(t, 2)
 	o.stop()
-	asks := older.countRequests("partitions=")
+	requests := older.countRequests("partitions=")
 	o = startOwner(t, state, "", ownerNamed1(older.addr()), nil)
 	o.ready(t)
-	eventually(t, "asked", func() bool { return older.countRequests("partitions=") > asks })
+	eventually(t, "asked", func() bool { return older.countRequests("partitions=") > requests })
 	mustAnswer(t, o.addr, enqueueCommand("a", messageFields("order", retained[0]), ""), "+OK")
 	mustAnswer(t, o.addr, enqueueCommand("b", messageFields("order", moved[0]), ""), busyAnswer)
 }
@@ -1027,7 +1027,7 @@
 	ownerNamed1(next.addr())(&cfg)
 	o.node.Reload(cfg)
 	if o.log.count(ignored) != 2 {
-		t.Errorf("the same is no change: %q", o.log.lines)
+		t.Errorf("the same ownership is not a change: %q", o.log.lines)
 	}
 	next.setMap(t, testMap(t, 3, half, "n1"))
 	o.awaitMap(t, 3)
@@ -1037,7 +1037,7 @@
 // existed. This test is not parallel, so that no other test's goroutines are counted.
 func TestWithoutOwnership(t *testing.T) {
 	_, half, retained, _ := splitMaps(t)
-	work := func() (n int) {
+	countGoroutines := func() (n int) {
 		buf := make([]byte, 4<<20)
 		for one := range strings.SplitSeq(string(buf[:runtime.Stack(buf, true)]), "\n\n") {
 			if strings.Contains(one, "starlingusher/internal/") && !strings.Contains(one, "testing.tRunner") && !strings.Contains(one, "fakeDirectory") {
@@ -1046,8 +1046,8 @@
 		}
 		return n
 	}
-	begun := work()
-	run := func(alter func(*Config)) (goroutines int, files, asks []string, log *logLines) {
+	initial := countGoroutines()
+	run := func(alter func(*Config)) (goroutines int, files, requests []string, log *logLines) {
 		d, state := newDirectory(t), t.TempDir()
 		d.put(testMember("e1", "127.0.0.1:9", retained[0], "DRAINING"))
 		d.setMap(t, half)
@@ -1058,9 +1058,9 @@
 		o.ready(t)
 		o.awaitAccepted(t, enqueueCommand("a", messageFields("order", retained[0]), ""))
 		settled := 0 // in a row
-		eventually(t, "it has settled", func() bool {
+		eventually(t, "the goroutines and files have settled", func() bool {
 			was := goroutines
-			goroutines, files = work()-begun, nil
+			goroutines, files = countGoroutines()-initial, nil
 			filepath.WalkDir(state, func(path string, e fs.DirEntry, err error) error {
 				if err == nil && !e.IsDir() {
 					files = append(files, strings.TrimPrefix(path, state+"/"))
@@ -1073,39 +1073,39 @@
 			return settled > 10
 		})
 		d.mu.Lock()
-		asks = slices.Clone(d.requests)
+		requests = slices.Clone(d.requests)
 		d.mu.Unlock()
-		var figures strings.Builder
-		o.node.figures.write(&figures)
-		if owned := strings.Contains(figures.String(), "app.map"); owned != (o.node.ownership != nil) {
-			t.Errorf("figures: %s", figures.String())
+		var text strings.Builder
+		o.node.figures.write(&text)
+		if owned := strings.Contains(text.String(), "app.map"); owned != (o.node.ownership != nil) {
+			t.Errorf("metrics: %s", text.String())
 		}
 		o.stop()
-		eventually(t, "its end", func() bool { return work() == begun })
-		return goroutines, files, asks, o.log
+		eventually(t, "the goroutines have ended", func() bool { return countGoroutines() == initial })
+		return goroutines, files, requests, o.log
 	}
 	const before = 9 // counted by this test in the build before ownership
-	goroutines, files, asks, log := run(func(c *Config) { c.Fleet.Ownership = nil })
+	goroutines, files, requests, log := run(func(c *Config) { c.Fleet.Ownership = nil })
 	if goroutines != before {
 		t.Errorf("%d goroutines, %d before", goroutines, before)
 	}
 	if !slices.Equal(files, []string{"journal", "list.json", "lock"}) {
 		t.Errorf("files %v", files)
 	}
-	if !slices.Equal(asks, []string{"GET /registry/instances?watch=1&after=0"}) {
-		t.Errorf("asks %v", asks)
+	if !slices.Equal(requests, []string{"GET /registry/instances?watch=1&after=0"}) {
+		t.Errorf("requests %v", requests)
 	}
 	if log.count("owner") > 0 || log.count("map") > 0 || log.count("") != 2 { // serving, watching
 		t.Errorf("log %q", log.lines)
 	}
-	with, files, asks, _ := run(func(*Config) {})
+	with, files, requests, _ := run(func(*Config) {})
 	if with != goroutines+1 { // the watch and the follower are separate
 		t.Errorf("%d goroutines with ownership, %d without", with, goroutines)
 	}
 	if !slices.Equal(files, []string{"journal", "lock", "map.cbor", "share/list.json"}) {
 		t.Errorf("files with ownership %v", files)
 	}
-	if !slices.ContainsFunc(asks, func(a string) bool { return strings.HasPrefix(a, "GET /records/") }) {
-		t.Errorf("asks with ownership %v", asks)
+	if !slices.ContainsFunc(requests, func(a string) bool { return strings.HasPrefix(a, "GET /records/") }) {
+		t.Errorf("requests with ownership %v", requests)
 	}
 }
