--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -79,7 +79,7 @@
 	}
 	asked := len(w.wakes)
 	w.step(time.Minute, WakeDue{})
-	if len(w.wakes) != asked || len(w.sender.activeDests) != 0 || len(w.sender.open) != 0 {
+	if len(w.wakes) != asked || len(w.sender.activeDests) != 0 || len(w.sender.openMessages) != 0 {
 		t.Errorf("an idle sender asked for %d wakes and has %d active destinations", len(w.wakes)-asked, len(w.sender.activeDests))
 	}
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -42,13 +42,13 @@
 	rareArrivals         = 0.5                     // or if fewer messages than this come within it
 	// The load limit of a returning destination counts the calls of senders that know of the outage. A tenth
 	// less than all of it leaves room for chance.
-	knowingSendersShare = 0.9
+	evenBudgetShare = 0.9
 	// A sender takes less than its own demand: a busy destination may be asked for more than it can do.
 	ownDemandShare    = 0.4
 	roughWeightFactor = 1.5 // a rough weight may be too high by this factor
 	// Calls above the budget of a destination in slow start, up to so many times the square root of the
 	// budget and so many more, are put down to chance.
-	chanceRoots, chanceCalls = 2, 2
+	chanceDeviations, chanceExtraCalls = 2, 2
 
 	// Connections.
 	rareCallIdleTimes  = 2.0              // with a mean gap of so many idle times between calls, two in five calls come before the connection is closed
@@ -66,20 +66,20 @@
 	slowSlotShare  = 0.4                    // share of the slots that all slow destinations together may hold
 
 	// Pacing. Rate shares are in multiples of this sender's share of the traffic.
-	shareDecreaseFactor         = 0.6  // factor on the rate share at a rejection, once more for each in a row
-	minRateShare                = 0.05 // lower bound of a decrease
-	shareIncrease               = 0.03 // increase in the time of one call at the own share, while calls succeed,
-	shareIncreaseAfterRejection = 0.1  // and the increase of its logarithm after a rejection, less than the next one decreases it
-	initialRateShare            = 2.0  // above the own share at first, because sparse traffic is uneven,
-	maxRateShare                = 4.0  // and at most this; maxBurstCalls may go at once
-	maxBurstCalls               = 3.0
-	maxBatchRateShare           = 0.9                    // where waiting messages share calls, keeping to the own share costs little
-	trafficSpan                 = 30 * time.Second       // the share of the traffic is taken from first submissions within this time,
-	trafficPriorSeconds         = 3.0                    // after as many seconds of an even share before the start
-	firstTryMaxAge              = 300 * time.Millisecond // a message younger than this is a first submission
-	arrivalsSpan                = 10 * time.Second       // this sender's own demand is the arrivals within this time
-	burstSeconds                = 0.25                   // seconds of the rate that may go at once
-	firstRejectionPause         = 120 * time.Millisecond // first pause after a rejection without a retry-after
+	rateShareDecreaseFactor         = 0.6  // factor on the rate share at a rejection, once more for each in a row
+	minRateShare                    = 0.05 // lower bound of a decrease
+	rateShareIncrease               = 0.03 // increase in the time of one call at the own share, while calls succeed,
+	rateShareIncreaseAfterRejection = 0.1  // and the increase of its logarithm after a rejection, less than the next one decreases it
+	initialRateShare                = 2.0  // above the own share at first, because sparse traffic is uneven,
+	maxRateShare                    = 4.0  // and at most this; maxBurstCalls may go at once
+	maxBurstCalls                   = 3.0
+	maxBatchRateShare               = 0.9                    // where waiting messages share calls, keeping to the own share costs little
+	trafficSpan                     = 30 * time.Second       // the share of the traffic is taken from first submissions within this time,
+	trafficPriorSeconds             = 3.0                    // after as many seconds of an even share before the start
+	firstSubmissionMaxAge           = 300 * time.Millisecond // a message younger than this is a first submission
+	arrivalsSpan                    = 10 * time.Second       // this sender's own demand is the arrivals within this time
+	burstSeconds                    = 0.25                   // seconds of the rate that may go at once
+	firstRejectionPause             = 120 * time.Millisecond // first pause after a rejection without a retry-after
 
 	// Attempts.
 	timeoutFactor           = 6                      // timeout in typical times, where a repeat is allowed,
@@ -123,8 +123,8 @@
 // Step handles the events of a moment and returns the actions to take, in order.
 func (s *Sender) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = now, nil
-	if s.firstTriesAt == 0 {
-		s.firstTriesAt = now // the clock may start at any value
+	if s.firstSubmissionsAt == 0 {
+		s.firstSubmissionsAt = now // the clock may start at any value
 	}
 	// List changes and disabled endpoints come first: a drain takes effect in the step that reports it,
 	// whatever comes before it in the batch.
@@ -174,7 +174,7 @@
 	if s.watchAt > 0 {
 		due = s.watchAt
 	}
-	for _, m := range s.open {
+	for _, m := range s.openMessages {
 		due = min(due, max(m.deadline-answerMargin-s.cfg.Tick, s.now+minWakeInterval))
 		if m.waiting {
 			due = min(due, s.now+pollInterval)
@@ -282,13 +282,13 @@
 		class.SoftDeadline+duration(class.SoftDeadlineStretch*seconds(e.Hint)),
 		max(class.Deadline, class.SoftDeadline),
 	)
-	if !s.withinTenantShare(e.Tenant) {
+	if !s.withinTenantAllowance(e.Tenant) {
 		m.worth *= s.cfg.OverShareWorth
 	}
-	if s.now-m.submittedAt < firstTryMaxAge {
-		fade := math.Exp(-seconds(s.now-s.firstTriesAt) / seconds(trafficSpan))
-		s.firstTriesSpan, s.firstTries, s.firstTriesAt =
-			s.firstTriesSpan*fade+seconds(trafficSpan)*(1-fade), s.firstTries*fade+1, s.now
+	if s.now-m.submittedAt < firstSubmissionMaxAge {
+		fade := math.Exp(-seconds(s.now-s.firstSubmissionsAt) / seconds(trafficSpan))
+		s.firstSubmissionsSpan, s.firstSubmissions, s.firstSubmissionsAt =
+			s.firstSubmissionsSpan*fade+seconds(trafficSpan)*(1-fade), s.firstSubmissions*fade+1, s.now
 	}
 	s.messages[m.id] = m
 	return m, d
@@ -296,7 +296,7 @@
 
 // holdMessage queues an admitted message.
 func (s *Sender) holdMessage(m *message, key string) {
-	s.open = append(s.open, m)
+	s.openMessages = append(s.openMessages, m)
 	if len(m.dest.waiting) == 0 {
 		s.dropSavedTokens(m.dest)
 	}
@@ -331,7 +331,7 @@
 // calls, chance included. One extra call of each sender is too much then.
 func (s *Sender) fleetExceedsBudget(r *route) bool {
 	budget := s.cfg.CollapseMultiple * s.cfg.SlowStartShare * s.capacity(r) * seconds(s.cfg.CollapseSpan)
-	return budget > 0 && float64(s.cfg.FleetSize) > budget+chanceRoots*math.Sqrt(budget)+chanceCalls
+	return budget > 0 && float64(s.cfg.FleetSize) > budget+chanceDeviations*math.Sqrt(budget)+chanceExtraCalls
 }
 
 // handleResumed takes back a message from before a restart. It was admitted then, so the gate is not asked. A
@@ -358,7 +358,7 @@
 }
 
 // withinTenantShare counts a request against its tenant's allowance, of which each sender has an equal part.
-func (s *Sender) withinTenantShare(i int) bool {
+func (s *Sender) withinTenantAllowance(i int) bool {
 	if i < 0 || i >= len(s.tenants) || s.cfg.Tenants[i].PerSecond <= 0 {
 		return true
 	}
@@ -376,7 +376,7 @@
 // deadline, and a share of the room for held messages, because one backlog must not turn away the messages of
 // all others.
 func (s *Sender) admit(d *destination, m *message) bool {
-	if s.cfg.MaxOpen > 0 && len(d.waiting) > s.cfg.MaxOpen-len(s.open) {
+	if s.cfg.MaxOpen > 0 && len(d.waiting) > s.cfg.MaxOpen-len(s.openMessages) {
 		return false
 	}
 	g := m.gate
@@ -508,7 +508,7 @@
 
 // expireMessages ends every open message in time, and removes the ended ones.
 func (s *Sender) expireMessages() {
-	s.open = slices.DeleteFunc(s.open, func(m *message) bool {
+	s.openMessages = slices.DeleteFunc(s.openMessages, func(m *message) bool {
 		switch {
 		case m.ended:
 		case s.now >= m.deadline-answerMargin-s.cfg.Tick && m.attemptsOut == 0, s.now >= m.deadline:
@@ -667,7 +667,7 @@
 		if isShut := e.RetryAfter > shutRetryAfter; isShut || queueFull || r.breakerOpen {
 			s.recordFailure(ep, isShut, true)
 		} else {
-			s.decreaseShare(c)
+			s.decreaseRateShare(c)
 		}
 	default:
 		s.recordFailedCall(ep, took, e.Outcome == Unreachable)
@@ -721,15 +721,15 @@
 // decreaseShare lowers the rate share at a rejection: below the own share immediately, and further with each
 // rejection in a row. Where rejected calls use up the limit, a fleet that does not slow down gets nothing.
 // The next call comes at a random moment of the new rate, so that the senders do not all come at once.
-func (s *Sender) decreaseShare(c *call) {
+func (s *Sender) decreaseRateShare(c *call) {
 	r := c.endpoint.route
 	if c.sentAt < r.decreasedAt { // it was sent before the last decrease and is no new sign
 		return
 	}
-	s.increaseShare(r)
+	s.increaseRateShare(r)
 	r.rejections++
 	r.decreasedAt = s.now
-	r.rateShare = max(min(r.rateShare, 1)*math.Pow(shareDecreaseFactor, float64(r.rejections)), minRateShare)
+	r.rateShare = max(min(r.rateShare, 1)*math.Pow(rateShareDecreaseFactor, float64(r.rejections)), minRateShare)
 	r.tokens = min(r.tokens, s.rng.Float64())
 }
 
@@ -803,7 +803,7 @@
 		r.successes, r.successesSince = 0, s.now
 	}
 	r.successes++
-	s.increaseShare(r)
+	s.increaseRateShare(r)
 	r.rejections = 0
 	switch {
 	case r.breakerOpen:
@@ -847,7 +847,7 @@
 		if s.fleetExceedsBudget(r) {
 			own = r.outageDemand / (seconds(s.now-r.outageAt) + seconds(arrivalsSpan))
 		}
-		allotted := max(knowingSendersShare*even, ownDemandShare*min(own, s.capacity(r)))
+		allotted := max(evenBudgetShare*even, ownDemandShare*min(own, s.capacity(r)))
 		rate, bound = s.cfg.CollapseMultiple*share*allotted, true
 	}
 	limit := s.rateLimit(r)
@@ -879,12 +879,12 @@
 // drove the shares of a fleet apart until half of it starved. After a rejection it grows by less in that time
 // than the next rejection decreases it: a fleet whose shares recover between its rare calls keeps a limit
 // overbooked for good.
-func (s *Sender) increaseShare(r *route) {
+func (s *Sender) increaseRateShare(r *route) {
 	calls := s.trafficShare() * s.rateLimit(r) * min(seconds(s.now-r.rateShareAt), seconds(arrivalsSpan))
 	if r.rejections > 0 {
-		r.rateShare *= math.Exp(shareIncreaseAfterRejection * calls)
+		r.rateShare *= math.Exp(rateShareIncreaseAfterRejection * calls)
 	} else {
-		r.rateShare += shareIncrease * calls
+		r.rateShare += rateShareIncrease * calls
 	}
 	r.rateShare, r.rateShareAt = min(r.rateShare, r.maxRateShare), s.now
 }
@@ -899,16 +899,16 @@
 	if total <= 0 {
 		return even
 	}
-	fade := math.Exp(-seconds(s.now-s.firstTriesAt) / seconds(trafficSpan))
-	observed := s.firstTriesSpan*fade + seconds(trafficSpan)*(1-fade)
-	return min(1, (s.firstTries*fade/total+even*trafficPriorSeconds)/(observed+trafficPriorSeconds))
+	fade := math.Exp(-seconds(s.now-s.firstSubmissionsAt) / seconds(trafficSpan))
+	observed := s.firstSubmissionsSpan*fade + seconds(trafficSpan)*(1-fade)
+	return min(1, (s.firstSubmissions*fade/total+even*trafficPriorSeconds)/(observed+trafficPriorSeconds))
 }
 
 // refillTokens brings the token bucket up to the current time. During recovery no tokens are saved for a
 // burst.
 func (s *Sender) refillTokens(r *route) {
 	if !r.recovering() {
-		s.increaseShare(r)
+		s.increaseRateShare(r)
 	}
 	rate, bound := s.pace(r)
 	if !bound {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -666,7 +666,7 @@
 	before, _ := w.sender.pace(r)
 	for range 3 {
 		w.sender.now += time.Second
-		w.sender.decreaseShare(&call{endpoint: w.sender.endpoints["a"], sentAt: w.sender.now})
+		w.sender.decreaseRateShare(&call{endpoint: w.sender.endpoints["a"], sentAt: w.sender.now})
 	}
 	if after, bound := w.sender.pace(r); !bound || after > 0.3 || before < 0.9 {
 		t.Errorf("%v calls a second before and %v after three rejections; the own share is 1", before, after)
@@ -694,7 +694,7 @@
 			}
 			due[r]--
 			if s.rng.Float64() < 0.1 {
-				s.decreaseShare(&call{endpoint: &endpoint{route: r}, sentAt: s.now})
+				s.decreaseRateShare(&call{endpoint: &endpoint{route: r}, sentAt: s.now})
 			} else {
 				s.recordSuccess(r)
 			}
@@ -719,7 +719,7 @@
 	for _, id := range []string{"a", "b", "c"} {
 		w.step(5*ms, w.outcome(id, Rejected, 0), MessageAbandoned{ID: id})
 	}
-	if r := w.sender.endpoints["a"].route; r.rejections != 1 || r.rateShare < shareDecreaseFactor {
+	if r := w.sender.endpoints["a"].route; r.rejections != 1 || r.rateShare < rateShareDecreaseFactor {
 		t.Errorf("%d decreases, the rate share is %v", r.rejections, r.rateShare)
 	}
 }
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -259,7 +259,7 @@
 						}
 						f.run(f.outageEnd + f.cfg.SlowStartDuration)
 						calls, knowing, budget := f.worstWindow()
-						bound := budget + chanceRoots*math.Sqrt(budget) + chanceCalls
+						bound := budget + chanceDeviations*math.Sqrt(budget) + chanceExtraCalls
 						runs++
 						knowingRatio = max(knowingRatio, float64(knowing)/bound)
 						if float64(calls) <= bound {
--- a/choice/growth_test.go
+++ b/choice/growth_test.go
@@ -46,7 +46,7 @@
 	s.pauseKey("another")
 	for what, size := range map[string]int{
 		"endpoints": len(s.endpoints) - 1, "destinations": len(s.dests) - 1, "destination order": len(s.destOrder) - 1, "messages": len(s.messages),
-		"open": len(s.open), "key queues": len(s.keyQueues), "key pauses": len(s.keyPauses) - 1, "paused keys": len(s.pausedKeys) - 1,
+		"open": len(s.openMessages), "key queues": len(s.keyQueues), "key pauses": len(s.keyPauses) - 1, "paused keys": len(s.pausedKeys) - 1,
 		"attempts out":        len(s.attemptsOut),
 		"active destinations": len(s.activeDests), "waits of removed routes": len(s.removedWaits), "calls out": s.callsOut,
 	} {
--- a/choice/saved.go
+++ b/choice/saved.go
@@ -13,28 +13,28 @@
 // be added there as well, or the package does not compile. The JSON names stay as they are, because the other
 // process may be another build.
 type Saved struct {
-	Now                 time.Duration
-	Random              []byte
-	Dests               []SavedDestination
-	ActiveDests         []int            `json:"Active"` // indices in Dests
-	Messages            []SavedMessage   // the open ones in their order, then those that have ended and have an attempt out
-	OpenCount           int              `json:"Open"`
-	KeyQueues           map[string][]int `json:"Lines"` // indices in Messages
-	Calls               []SavedCall
-	KeyPauses           map[string]time.Duration `json:"Rests"`
-	PausedKeys          []SavedKeyPause          `json:"Resting"`
-	RemovedWaits        map[string]time.Duration `json:"Parted"`
-	Disabled            map[string]bool          `json:"Barred"`
-	TableFullUntil      map[int]time.Duration    `json:"Crowded"`
-	DistrustReusedUntil time.Duration            `json:"WornTil"`
-	Tenants             []SavedTenant
-	CallsMade           uint64        `json:"Made"`
-	WatchBackoff        time.Duration `json:"Asking"`
-	WatchAt             time.Duration `json:"AskAt"`
-	FailureShare        float64       `json:"Failing"`
-	FirstTries          float64       `json:"Came"`
-	FirstTriesSpan      float64       `json:"Seen"`
-	FirstTriesAt        time.Duration `json:"CameAt"`
+	Now                  time.Duration
+	Random               []byte
+	Dests                []SavedDestination
+	ActiveDests          []int            `json:"Active"` // indices in Dests
+	Messages             []SavedMessage   // the open ones in their order, then those that have ended and have an attempt out
+	OpenCount            int              `json:"Open"`
+	KeyQueues            map[string][]int `json:"Lines"` // indices in Messages
+	Calls                []SavedCall
+	KeyPauses            map[string]time.Duration `json:"Rests"`
+	PausedKeys           []SavedKeyPause          `json:"Resting"`
+	RemovedWaits         map[string]time.Duration `json:"Parted"`
+	Disabled             map[string]bool          `json:"Barred"`
+	TableFullUntil       map[int]time.Duration    `json:"Crowded"`
+	DistrustReusedUntil  time.Duration            `json:"WornTil"`
+	Tenants              []SavedTenant
+	CallsMade            uint64        `json:"Made"`
+	WatchBackoff         time.Duration `json:"Asking"`
+	WatchAt              time.Duration `json:"AskAt"`
+	FailureShare         float64       `json:"Failing"`
+	FirstSubmissions     float64       `json:"Came"`
+	FirstSubmissionsSpan float64       `json:"Seen"`
+	FirstSubmissionsAt   time.Duration `json:"CameAt"`
 }
 
 // SavedKeyPause is the saved form of a keyPause.
@@ -234,7 +234,7 @@
 		RemovedWaits: s.removedWaits, Disabled: s.disabled, TableFullUntil: s.tableFullUntil,
 		DistrustReusedUntil: s.distrustReusedUntil, CallsMade: s.callsMade, WatchBackoff: s.watchBackoff,
 		WatchAt: s.watchAt, FailureShare: s.failureShare,
-		FirstTries: s.firstTries, FirstTriesSpan: s.firstTriesSpan, FirstTriesAt: s.firstTriesAt,
+		FirstSubmissions: s.firstSubmissions, FirstSubmissionsSpan: s.firstSubmissionsSpan, FirstSubmissionsAt: s.firstSubmissionsAt,
 	}
 	for _, t := range s.tenants {
 		v.Tenants = append(v.Tenants, SavedTenant{t.tokens, t.updatedAt})
@@ -284,7 +284,7 @@
 			m.notBefore, m.waiting, m.ended,
 		})
 	}
-	for _, m := range s.open {
+	for _, m := range s.openMessages {
 		addMessage(m)
 	}
 	v.OpenCount = len(v.Messages)
@@ -326,7 +326,7 @@
 	s.rng = rand.New(s.source)
 	s.now, s.distrustReusedUntil, s.callsMade, s.watchBackoff, s.watchAt, s.failureShare =
 		v.Now, v.DistrustReusedUntil, v.CallsMade, v.WatchBackoff, v.WatchAt, v.FailureShare
-	s.firstTries, s.firstTriesSpan, s.firstTriesAt = v.FirstTries, v.FirstTriesSpan, v.FirstTriesAt
+	s.firstSubmissions, s.firstSubmissionsSpan, s.firstSubmissionsAt = v.FirstSubmissions, v.FirstSubmissionsSpan, v.FirstSubmissionsAt
 	maps.Copy(s.keyPauses, v.KeyPauses)
 	maps.Copy(s.removedWaits, v.RemovedWaits)
 	maps.Copy(s.tableFullUntil, v.TableFullUntil)
@@ -368,7 +368,7 @@
 			s.messages[m.ID] = messages[i]
 		}
 	}
-	s.open = append(s.open, messages[:v.OpenCount]...)
+	s.openMessages = append(s.openMessages, messages[:v.OpenCount]...)
 	for i, d := range v.Dests {
 		for _, m := range d.Waiting {
 			s.destOrder[i].waiting = append(s.destOrder[i].waiting, messages[m])
--- a/choice/state.go
+++ b/choice/state.go
@@ -9,36 +9,36 @@
 
 // Sender makes the decisions of one delivery node.
 type Sender struct {
-	cfg                 Settings
-	source              *rand.PCG
-	rng                 *rand.Rand // draws from source
-	now                 time.Duration
-	dests               map[int]*destination
-	destOrder           []*destination // in order of first mention, so that no decision depends on map order
-	endpoints           map[string]*endpoint
-	messages            map[string]*message
-	open                []*message // in order of arrival; ended ones are removed by expireMessages
-	keyQueues           map[string][]*message
-	keyPauses           map[string]time.Duration // keys that pause until then
-	pausedKeys          []keyPause               // the same in the order in which they end
-	removedWaits        map[string]time.Duration // waits of separate routes that have left the list
-	disabled            map[string]bool          // endpoints that an operator has disabled
-	tableFullUntil      map[int]time.Duration    // by kind: the connection tables seem full until then
-	distrustReusedUntil time.Duration            // reused connections are not trusted until then
-	tenants             []tenant
-	callsOut            int                        // number of calls out
-	callsMade           uint64                     // number of calls made so far
-	attemptsOut         map[attempt]pendingAttempt // attempts without an outcome
-	activeDests         []*destination             // with messages waiting or calls out; startCalls removes the others
-	wakeAt              time.Duration              // the earliest wake asked for
-	watchBackoff        time.Duration              // pause before the list is asked for again
-	watchAt             time.Duration
-	stopAt              time.Duration // when the process ends; 0 while it goes on
-	failureShare        float64       // smoothed share of failures on routes not known to have an outage
-	firstTries          float64       // first submissions at this sender, decaying,
-	firstTriesSpan      float64       // and the time in which they came, in seconds, decaying alike
-	firstTriesAt        time.Duration
-	actions             []Action
+	cfg                  Settings
+	source               *rand.PCG
+	rng                  *rand.Rand // draws from source
+	now                  time.Duration
+	dests                map[int]*destination
+	destOrder            []*destination // in order of first mention, so that no decision depends on map order
+	endpoints            map[string]*endpoint
+	messages             map[string]*message
+	openMessages         []*message // in order of arrival; ended ones are removed by expireMessages
+	keyQueues            map[string][]*message
+	keyPauses            map[string]time.Duration // keys that pause until then
+	pausedKeys           []keyPause               // the same in the order in which they end
+	removedWaits         map[string]time.Duration // waits of separate routes that have left the list
+	disabled             map[string]bool          // endpoints that an operator has disabled
+	tableFullUntil       map[int]time.Duration    // by kind: the connection tables seem full until then
+	distrustReusedUntil  time.Duration            // reused connections are not trusted until then
+	tenants              []tenant
+	callsOut             int                        // number of calls out
+	callsMade            uint64                     // number of calls made so far
+	attemptsOut          map[attempt]pendingAttempt // attempts without an outcome
+	activeDests          []*destination             // with messages waiting or calls out; startCalls removes the others
+	wakeAt               time.Duration              // the earliest wake asked for
+	watchBackoff         time.Duration              // pause before the list is asked for again
+	watchAt              time.Duration
+	stopAt               time.Duration // when the process ends; 0 while it goes on
+	failureShare         float64       // smoothed share of failures on routes not known to have an outage
+	firstSubmissions     float64       // first submissions at this sender, decaying,
+	firstSubmissionsSpan float64       // and the time in which they came, in seconds, decaying alike
+	firstSubmissionsAt   time.Duration
+	actions              []Action
 }
 
 type tenant struct {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -61,7 +61,7 @@
 
 // SetNode sets the node that the answers are about from now on. The node must not run yet.
 func (a *Admin) SetNode(n *Node) {
-	n.figures = a.metrics
+	n.metrics = a.metrics
 	a.node.Store(n)
 }
 
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -127,14 +127,14 @@
 func TestTriesCountWhollyWrittenCalls(t *testing.T) {
 	t.Parallel()
 	p := newFakeEndpoint(t, respondWith(okResponse))
-	n := &Node{figures: newMetrics([]string{"a"})}
+	n := &Node{metrics: newMetrics([]string{"a"})}
 	o := &outgoingCall{call: newTestCall(newTestEndpoint(p.addr())), messages: []*pendingMessage{{}, {}, {class: 7}}}
 	o.onWritten = func() { n.countWritten(o) }
 	for i, addr := range []string{p.addr(), "127.0.0.1:1"} {
 		o.endpoint = newTestEndpoint(addr)
 		want := []choice.Outcome{choice.Success, choice.Unreachable}[i]
-		if got := newTestPool().do(t.Context(), o.call); got.outcome != want || n.figures.tries[0].Load() != 2 {
-			t.Errorf("got outcome %v, %d tries", got.outcome, n.figures.tries[0].Load())
+		if got := newTestPool().do(t.Context(), o.call); got.outcome != want || n.metrics.tries[0].Load() != 2 {
+			t.Errorf("got outcome %v, %d tries", got.outcome, n.metrics.tries[0].Load())
 		}
 	}
 }
@@ -286,9 +286,9 @@
 	command("e1", "disable", http.StatusOK)
 	command("e1", "disable", http.StatusOK)
 	r.publish(listJSON(2, true, both...)) // a complete list without the old one
-	eventually(t, "the list", func() bool { return predecessor.node.figures.listedEndpoints.Load() == 2 })
+	eventually(t, "the list", func() bool { return predecessor.node.metrics.listedEndpoints.Load() == 2 })
 	command("old", "disable", http.StatusOK)
-	if got := predecessor.node.figures.avoidedEndpoints.Load(); got != 1 {
+	if got := predecessor.node.metrics.avoidedEndpoints.Load(); got != 1 {
 		t.Errorf("%d listed endpoints are avoided, want 1", got)
 	}
 	deliver(predecessor.addr, false)
@@ -307,7 +307,7 @@
 	}
 	restarted := startProcess(t, r, state, "", both...)
 	a.node.Store(restarted.node)
-	if got := restarted.node.figures.avoidedEndpoints.Load(); got != 1 {
+	if got := restarted.node.metrics.avoidedEndpoints.Load(); got != 1 {
 		t.Errorf("after a restart %d endpoints are avoided, want 1", got)
 	}
 	deliver(restarted.addr, false)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -92,9 +92,9 @@
 	idleTimeout time.Duration
 	maxIdle     int
 
-	mu   sync.Mutex
-	idle map[string][]*conn // by endpoint, the one used last at the end
-	size int
+	mu        sync.Mutex
+	idle      map[string][]*conn // by endpoint, the one used last at the end
+	idleCount int
 }
 
 // conn is a connection to an endpoint.
@@ -485,7 +485,7 @@
 
 // removeIdle removes the i-th idle connection of an endpoint; the caller holds the lock.
 func (p *pool) removeIdle(id string, i int) {
-	p.size--
+	p.idleCount--
 	if p.idle[id] = slices.Delete(p.idle[id], i, i+1); len(p.idle[id]) == 0 {
 		delete(p.idle, id)
 	}
@@ -499,13 +499,13 @@
 	k.limit.N = 1
 	p.mu.Lock()
 	// An endpoint is marked closed before its idle connections are closed, so that none is kept after that.
-	if p.size >= p.maxIdle || e.closed.Load() || k.SetReadDeadline(time.Now().Add(p.idleTimeout)) != nil {
+	if p.idleCount >= p.maxIdle || e.closed.Load() || k.SetReadDeadline(time.Now().Add(p.idleTimeout)) != nil {
 		p.mu.Unlock()
 		k.Close()
 		return
 	}
 	p.idle[e.id] = append(p.idle[e.id], k)
-	p.size++
+	p.idleCount++
 	p.mu.Unlock()
 	go func() { // ends with the connection, or when takeIdle interrupts it
 		_, err := k.br.Peek(1)
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -128,7 +128,7 @@
 func idleConns(p *pool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.size
+	return p.idleCount
 }
 
 func newTestCall(e *endpoint) call {
--- a/internal/node/formats_a_test.go
+++ b/internal/node/formats_a_test.go
@@ -134,12 +134,12 @@
 func TestNoticeFormat(t *testing.T) {
 	var lines []byte
 	want := []notice{{ID: "a", State: "failed"}, {ID: "b", State: "returned", AfterMS: 1500}, {ID: "c", State: "returned"}}
-	for _, p := range []*pendingMessage{
+	for _, m := range []*pendingMessage{
 		{id: "a", final: &finalAnswer{failed: true, retryAfter: time.Second}},
 		{id: "b", final: &finalAnswer{retryAfter: 1500 * time.Millisecond}},
 		{id: "c", final: &finalAnswer{}},
 	} {
-		line, err := json.Marshal(newNotice(p))
+		line, err := json.Marshal(newNotice(m))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -217,7 +217,7 @@
 	call("at the start", "GET", "/-/ready")
 	n.stage.Store(stageServing)
 	call("without endpoints", "GET", "/-/ready")
-	n.figures.listedEndpoints.Store(1)
+	n.metrics.listedEndpoints.Store(1)
 	call("in service", "GET", "/-/ready")
 	for _, id := range []string{"e", "unknown", "late"} {
 		call("in service", "POST", "/-/endpoints/"+id+"/disable")
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -620,7 +620,7 @@
 	}
 	n.successor = l
 	n.stage.Store(stageHandedOver)
-	n.figures.activeMessages.Store(0)
+	n.metrics.activeMessages.Store(0)
 	n.handoverListener.Close()
 	n.journal.file.Close()
 	n.lock.Close() // from here on the other process decides
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -98,7 +98,7 @@
 	}
 	mustAnswer(t, successor.addr, enqueueCommand("held", "c=status,d=50000,dest=8", "x"), "+OK") // known, so not accepted again
 	answers <- okResponse
-	eventually(t, "the outcome", func() bool { return successor.node.figures.ok[2].Load() == 1 })
+	eventually(t, "the outcome", func() bool { return successor.node.metrics.ok[2].Load() == 1 })
 	predecessor.cancel()
 	if err := predecessor.wait(t); err != nil {
 		t.Error(err)
@@ -112,7 +112,7 @@
 	if calls, _ := p.counts(); calls != 1 {
 		t.Errorf("the payout went out %d times", calls)
 	}
-	if n := predecessor.node.figures.ok[2].Load() + predecessor.node.figures.tries[0].Load() + successor.node.figures.tries[2].Load(); n != 0 {
+	if n := predecessor.node.metrics.ok[2].Load() + predecessor.node.metrics.tries[0].Load() + successor.node.metrics.tries[2].Load(); n != 0 {
 		t.Errorf("counted by the wrong process: %d", n)
 	}
 	successor.cancel()
@@ -154,7 +154,7 @@
 	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
 	predecessor := startProcess(t, r, state, "", memberJSON("e", p.addr(), 7, "SERVING"))
 	r.publish(listJSON(2, false, memberJSON("new", p.addr(), 8, "SERVING")))
-	eventually(t, "the list", func() bool { return predecessor.node.figures.listedEndpoints.Load() == 2 })
+	eventually(t, "the list", func() bool { return predecessor.node.metrics.listedEndpoints.Load() == 2 })
 	l, offered := requestHandover(t, state)
 	l.conn.Close()
 	if offered.Revision != 2 || offered.ListSource != r.addr() || len(offered.Members) != 2 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,7 +87,7 @@
 	owedNotices      []notice              // not yet handed to the reporter
 	openMessages     int                   // messages without a final answer
 	actions          []guardedAction       // wait for the records that guard them, in order
-	figures          *metrics
+	metrics          *metrics
 	stage            atomic.Int32  // shared
 	revision         atomic.Int64  // shared; of the list that the module applied last
 	wakeAt           time.Duration // of the module; 0 for none
@@ -173,7 +173,7 @@
 		events: make(chan any, eventQueue), commands: make(chan endpointCommand), notices: make(chan []notice), newAddresses: make(chan []string),
 		done: make(chan struct{}), messages: map[string]*pendingMessage{},
 		outstanding: map[attemptKey]outstandingCall{}, endpoints: map[string]*endpoint{}, destinationWaits: map[int]*atomic.Int64{},
-		figures: newMetrics(cfg.Names.Classes), members: map[string]catalog.Endpoint{}, successors: make(chan *handoverConn),
+		metrics: newMetrics(cfg.Names.Classes), members: map[string]catalog.Endpoint{}, successors: make(chan *handoverConn),
 	}, nil
 }
 
@@ -194,10 +194,10 @@
 	if s := n.stage.Load(); s != stageServing {
 		return stageReasons[s]
 	}
-	if s := n.figures.ownership.Load(); s != nil && s.notReadyReason() != "" {
+	if s := n.metrics.ownership.Load(); s != nil && s.notReadyReason() != "" {
 		return s.notReadyReason()
 	}
-	if n.figures.listedEndpoints.Load() == 0 {
+	if n.metrics.listedEndpoints.Load() == 0 {
 		return "no endpoints are known"
 	}
 	return ""
@@ -207,7 +207,7 @@
 // endpoints. It is safe for concurrent use.
 func (n *Node) CurrentList() (revision int64, endpoints int) {
 	revision = n.revision.Load()
-	return revision, int(n.figures.listedEndpoints.Load()) // of that revision or a later one
+	return revision, int(n.metrics.listedEndpoints.Load()) // of that revision or a later one
 }
 
 // seed parses the configuration's hexadecimal seed; any other text is hashed.
@@ -380,15 +380,15 @@
 	}
 	// In the order in which they were accepted.
 	for _, seq := range slices.Sorted(maps.Keys(n.journal.live)) {
-		p := n.journal.live[seq]
-		n.messages[p.id] = p
-		if p.final != nil {
-			n.owedNotices = append(n.owedNotices, newNotice(p))
+		m := n.journal.live[seq]
+		n.messages[m.id] = m
+		if m.final != nil {
+			n.owedNotices = append(n.owedNotices, newNotice(m))
 			continue
 		}
 		n.openMessages++
-		if !n.sender.HasMessage(p.choiceID()) { // false for those taken over from the predecessor
-			events = append(events, n.resumedEvent(p))
+		if !n.sender.HasMessage(m.choiceID()) { // false for those taken over from the predecessor
+			events = append(events, n.resumedEvent(m))
 		}
 	}
 	if len(n.messages) > 0 {
@@ -415,9 +415,9 @@
 
 // resumedEvent tells the module of a message from the journal. An attempt not proven not to have run may have
 // run.
-func (n *Node) resumedEvent(p *pendingMessage) choice.MessageResumed {
-	r := choice.MessageResumed{MessageArrived: n.arrivedEvent(p, p.deadline), Attempts: len(p.attempts)}
-	for _, s := range p.attempts {
+func (n *Node) resumedEvent(m *pendingMessage) choice.MessageResumed {
+	r := choice.MessageResumed{MessageArrived: n.arrivedEvent(m, m.deadline), Attempts: len(m.attempts)}
+	for _, s := range m.attempts {
 		r.Failed = r.Failed || s.failed
 		if !s.notRun && !r.MayHaveRun {
 			r.MayHaveRun, r.MayHaveRunSince, r.Zone = true, n.moduleTime(s.sentAt), s.zone
@@ -428,8 +428,8 @@
 
 // arrivedEvent tells the module of a message. A deadline that has not been through the journal is on the
 // monotonic clock, so that a step of the wall clock does not move it.
-func (n *Node) arrivedEvent(p *pendingMessage, deadline time.Time) choice.MessageArrived {
-	return choice.MessageArrived{ID: p.choiceID(), Class: p.class, Tenant: p.tenant, Dest: p.dest, Key: p.key, Deadline: n.moduleTime(deadline)}
+func (n *Node) arrivedEvent(m *pendingMessage, deadline time.Time) choice.MessageArrived {
+	return choice.MessageArrived{ID: m.choiceID(), Class: m.class, Tenant: m.tenant, Dest: m.dest, Key: m.key, Deadline: n.moduleTime(deadline)}
 }
 
 // sendEvent passes an event to the loop.
@@ -455,7 +455,7 @@
 		}
 	}
 	if (r.refused || r.failure != "") && !r.countedElsewhere {
-		n.figures.countUndelivered(q.class, !r.refused)
+		n.metrics.countUndelivered(q.class, !r.refused)
 	}
 	return r
 }
@@ -548,8 +548,8 @@
 		case endpointCommand:
 			events = append(events, n.applyCommand(e)...)
 		case arrival:
-			if p := n.accept(e, added); p != nil {
-				events = append(events, n.arrivedEvent(p, e.receivedAt.Add(e.ttl)))
+			if m := n.accept(e, added); m != nil {
+				events = append(events, n.arrivedEvent(m, e.receivedAt.Add(e.ttl)))
 			}
 		}
 	}
@@ -575,12 +575,12 @@
 // accept journals a new message and returns it. It answers a request whose message is not new or can't be
 // accepted.
 func (n *Node) accept(a arrival, added newMessages) *pendingMessage {
-	p := n.messages[a.id]
+	m := n.messages[a.id]
 	switch {
-	case p != nil && added[p.seq] != nil: // it is not decided yet whether the message is accepted
-		added[p.seq] = append(added[p.seq], a)
+	case m != nil && added[m.seq] != nil: // it is not decided yet whether the message is accepted
+		added[m.seq] = append(added[m.seq], a)
 		return nil
-	case p != nil: // accepted before; submitted again it has no second effect
+	case m != nil: // accepted before; submitted again it has no second effect
 		n.actions = append(n.actions, guardedAction{run: func() { a.reply <- answer{} }})
 		return nil
 	case n.ownership != nil && n.refuseForeign(a):
@@ -592,19 +592,19 @@
 		a.reply <- n.refuse(a)
 		return nil
 	}
-	p, err := n.journal.accept(
+	m, err := n.journal.accept(
 		&pendingMessage{id: a.id, key: a.key, class: a.class, tenant: a.tenant, dest: a.dest, body: a.body, deadline: a.receivedAt.Add(a.ttl)})
 	if err != nil {
 		a.reply <- n.refuse(a)
 		return nil
 	}
 	if n.ownership != nil {
-		n.ownership.trackDeadline(p)
+		n.ownership.trackDeadline(m)
 	}
-	n.messages[p.id] = p
+	n.messages[m.id] = m
 	n.openMessages++
-	added[p.seq] = []arrival{a}
-	return p
+	added[m.seq] = []arrival{a}
+	return m
 }
 
 // refuse answers a request that the node has no room for, before the module learns of it.
@@ -613,15 +613,15 @@
 }
 
 // forget removes a message whose end needs no more work.
-func (n *Node) forget(p *pendingMessage) {
-	if n.messages[p.id] != p {
+func (n *Node) forget(m *pendingMessage) {
+	if n.messages[m.id] != m {
 		return
 	}
-	if p.final == nil {
+	if m.final == nil {
 		n.openMessages--
 	}
-	delete(n.messages, p.id)
-	n.journal.add(newRecord(recordDone, p.seq))
+	delete(n.messages, m.id)
+	n.journal.add(newRecord(recordDone, m.seq))
 }
 
 // applyList updates the endpoints. Calls that have not written their first byte notice it by endpoint.closed.
@@ -777,7 +777,7 @@
 		}
 		if res.final && m.final == nil {
 			if res.outcome == choice.Success {
-				countClass(n.figures.ok, m.class)
+				countClass(n.metrics.ok, m.class)
 			}
 			n.forget(m)
 		}
@@ -858,36 +858,36 @@
 // updateMetrics publishes the metrics that only the loop knows.
 func (n *Node) updateMetrics() {
 	listed, avoided := n.sender.EndpointCounts()
-	n.figures.activeMessages.Store(int64(n.openMessages))
-	n.figures.listedEndpoints.Store(int64(listed))
-	n.figures.avoidedEndpoints.Store(int64(avoided))
+	n.metrics.activeMessages.Store(int64(n.openMessages))
+	n.metrics.listedEndpoints.Store(int64(listed))
+	n.metrics.avoidedEndpoints.Store(int64(avoided))
 	n.revision.Store(n.listPosition.Revision)
 	if n.ownership != nil {
-		n.ownership.updateMetrics(n.figures)
+		n.ownership.updateMetrics(n.metrics)
 	}
 }
 
 // finishMessage gives a message its final answer: to its clients if they still wait, else by a notice.
 func (n *Node) finishMessage(id string, e finalAnswer, added newMessages) {
-	p := n.journal.live[parseChoiceID(id)]
-	if p == nil || p.final != nil {
+	m := n.journal.live[parseChoiceID(id)]
+	if m == nil || m.final != nil {
 		return
 	}
-	if all, ok := added[p.seq]; ok {
-		delete(added, p.seq)
-		n.forget(p)
+	if all, ok := added[m.seq]; ok {
+		delete(added, m.seq)
+		n.forget(m)
 		reply := answer{refused: true, retryAfter: e.retryAfter}
 		if e.failed {
 			reply = answer{failure: "the message failed"}
 		}
-		n.actions = append(n.actions, guardedAction{run: func() { newMessages{p.seq: all}.reply(p.seq, reply) }})
+		n.actions = append(n.actions, guardedAction{run: func() { newMessages{m.seq: all}.reply(m.seq, reply) }})
 		return
 	}
 	n.openMessages--
-	n.figures.countUndelivered(p.class, e.failed)
-	n.journal.add(finalRecord(p.seq, e))
-	notice := newNotice(p)
-	n.actions = append(n.actions, guardedAction{run: func() { n.owedNotices = append(n.owedNotices, notice) }, unguardedFrom: p.deadline})
+	n.metrics.countUndelivered(m.class, e.failed)
+	n.journal.add(finalRecord(m.seq, e))
+	notice := newNotice(m)
+	n.actions = append(n.actions, guardedAction{run: func() { n.owedNotices = append(n.owedNotices, notice) }, unguardedFrom: m.deadline})
 }
 
 // outgoingCall is a call while a step gathers its messages.
@@ -903,8 +903,8 @@
 // share one call, as far as the batch size of their kind and the size of a body allow: the module counts one
 // slot for it, and the endpoint one call.
 func (n *Node) send(ctx context.Context, a choice.Send, calls map[uint64]*outgoingCall) {
-	p, e := n.journal.live[parseChoiceID(a.ID)], n.endpoints[a.Endpoint]
-	if p == nil {
+	m, e := n.journal.live[parseChoiceID(a.ID)], n.endpoints[a.Endpoint]
+	if m == nil {
 		return // module and journal differ only if the journal was lost in a handover
 	}
 	if e == nil {
@@ -912,9 +912,9 @@
 		e = &endpoint{id: a.Endpoint, waitUntil: new(atomic.Int64)}
 		e.closed.Store(true)
 	}
-	key := attemptKey{p.seq, len(p.attempts)}
-	n.journal.add(attemptRecord(p.seq, time.Now(), e.zone))
-	it := item{p.id, p.key, p.body}
+	key := attemptKey{m.seq, len(m.attempts)}
+	n.journal.add(attemptRecord(m.seq, time.Now(), e.zone))
+	it := item{m.id, m.key, m.body}
 	o := calls[a.Call]
 	if o == nil || len(o.items) >= e.maxBatch || o.size+it.maxEncodedSize() > maxBody {
 		o = &outgoingCall{call: call{endpoint: e}}
@@ -924,7 +924,7 @@
 		n.actions = append(n.actions, guardedAction{run: func() { n.startCall(ctx, o) }})
 	}
 	o.items, o.size = append(o.items, it), o.size+it.maxEncodedSize()
-	o.attempts, o.messages = append(o.attempts, key), append(o.messages, p)
+	o.attempts, o.messages = append(o.attempts, key), append(o.messages, m)
 	// The call ends for all its messages at once: one alone can't be taken out of it.
 	if t := n.wallTime(a.TimeoutAt); t.After(o.deadline) {
 		o.deadline = t
@@ -942,7 +942,7 @@
 // countWritten counts the messages of a call whose last byte is written.
 func (n *Node) countWritten(o *outgoingCall) {
 	for _, m := range o.messages {
-		countClass(n.figures.tries, m.class)
+		countClass(n.metrics.tries, m.class)
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -671,8 +671,8 @@
 			t.Fatal(err)
 		}
 		n := &Node{clockStart: time.Now()}
-		for _, p := range openTestJournal(t, dir, 3).live {
-			r := n.resumedEvent(p)
+		for _, m := range openTestJournal(t, dir, 3).live {
+			r := n.resumedEvent(m)
 			if r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 || (r.MayHaveRun && r.MayHaveRunSince > n.now()) {
 				t.Errorf("%s: got %+v", c.name, r)
 			}
@@ -1081,9 +1081,9 @@
 	want["old"] = -1
 	mustFlush(t, j)
 	again := openTestJournal(t, dir, 3)
-	for _, p := range again.live {
-		if got, place := n.resumedEvent(p).Tenant, want[strings.TrimPrefix(p.id, "of:")]; got != place {
-			t.Errorf("%q after a restart: got %d, want %d", p.id, got, place)
+	for _, m := range again.live {
+		if got, place := n.resumedEvent(m).Tenant, want[strings.TrimPrefix(m.id, "of:")]; got != place {
+			t.Errorf("%q after a restart: got %d, want %d", m.id, got, place)
 		}
 	}
 	if len(again.live) != len(want) {
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	maxReportSize = maxBody         // bytes of one post: the protocol's bodies hold no more
-	reportTimeout = 2 * time.Second // the agent answers at once, so one that does not answer is gone
+	maxNoticePostSize = maxBody         // bytes of one post: the protocol's bodies hold no more
+	noticePostTimeout = 2 * time.Second // the agent answers at once, so one that does not answer is gone
 	// When there are several addresses, each gets this long at first, because a notice is due within 300 ms
 	// of its message's end. The timeout is doubled whenever none of them has answered.
-	firstReportTimeout = 100 * time.Millisecond
+	firstNoticePostTimeout = 100 * time.Millisecond
 )
 
 // notice tells the platform how a message ended that was accepted and not delivered.
@@ -46,9 +46,9 @@
 	unanswered []notice, more <-chan []notice, done func([]notice),
 ) []notice {
 	var backoff registry.Backoff
-	firstTimeout := reportTimeout
+	firstTimeout := noticePostTimeout
 	if len(addrs) > 1 {
-		firstTimeout = firstReportTimeout
+		firstTimeout = firstNoticePostTimeout
 	}
 	timeout := firstTimeout
 	for next, failures := 0, 0; ctx.Err() == nil; {
@@ -66,7 +66,7 @@
 				log.Warn("notices were not answered; trying the next address", "discovery", addr, "owed", len(unanswered), "err", err)
 				next++ // the next address may accept them
 				if failures++; failures%len(addrs) == 0 {
-					timeout = min(2*timeout, reportTimeout)
+					timeout = min(2*timeout, noticePostTimeout)
 					registry.Sleep(ctx, backoff.Next())
 				}
 			}
@@ -90,7 +90,7 @@
 		if err != nil {
 			return 0, fmt.Errorf("post notices: %w", err)
 		}
-		if n > 0 && body.Len()+len(line) >= maxReportSize {
+		if n > 0 && body.Len()+len(line) >= maxNoticePostSize {
 			break
 		}
 		body.Write(append(line, '\n'))
@@ -105,7 +105,7 @@
 		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	defer resp.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxReportSize)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxNoticePostSize)); err != nil {
 		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	if resp.StatusCode/100 != 2 {
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -56,7 +56,7 @@
 	srv.Close()
 	posted := 0
 	for _, body := range bodies {
-		if len(body) > maxReportSize {
+		if len(body) > maxNoticePostSize {
 			t.Errorf("a body has %d bytes", len(body))
 		}
 		for lines := bufio.NewScanner(strings.NewReader(body)); lines.Scan(); posted++ {
@@ -87,7 +87,7 @@
 	began, accepted := time.Now(), 0
 	returned := reportNotices(ctx, slog.New(slog.DiscardHandler), http.DefaultClient, []string{hung.Listener.Addr().String(), good.Listener.Addr().String()},
 		[]notice{newNotice(&pendingMessage{id: "a", final: &finalAnswer{}})}, nil, func(n []notice) { accepted = len(n); cancel() })
-	if took := time.Since(began); accepted != 1 || len(returned) != 0 || took >= reportTimeout {
+	if took := time.Since(began); accepted != 1 || len(returned) != 0 || took >= noticePostTimeout {
 		t.Errorf("%d done, %d returned, after %v", accepted, len(returned), took)
 	}
 }
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -165,14 +165,14 @@
 		log.Info("starting with the saved map of owners", "map", s.mapNumber, "member", s.inMap, "partitions", s.owned.Len())
 	}
 	var open lingeringPartitions
-	for _, p := range j.live {
-		if p.final != nil {
+	for _, m := range j.live {
+		if m.final != nil {
 			continue
 		}
-		if s.trackDeadline(p); !s.owned.Has(ownership.PartitionOf(p.dest)) {
-			open.set.Add(ownership.PartitionOf(p.dest))
-			if p.deadline.After(open.until) {
-				open.until = p.deadline
+		if s.trackDeadline(m); !s.owned.Has(ownership.PartitionOf(m.dest)) {
+			open.set.Add(ownership.PartitionOf(m.dest))
+			if m.deadline.After(open.until) {
+				open.until = m.deadline
 			}
 		}
 	}
@@ -212,9 +212,9 @@
 }
 
 // trackDeadline notes until when the partition of an accepted message has to be followed.
-func (s *ownershipState) trackDeadline(p *pendingMessage) {
-	last := &s.lastDeadline[ownership.PartitionOf(p.dest)]
-	*last = max(*last, p.deadline.UnixNano())
+func (s *ownershipState) trackDeadline(m *pendingMessage) {
+	last := &s.lastDeadline[ownership.PartitionOf(m.dest)]
+	*last = max(*last, m.deadline.UnixNano())
 }
 
 // saveMap writes the map atomically, if it is not saved yet. Only the holder of the folder's lock may call
@@ -290,7 +290,7 @@
 	partition := ownership.PartitionOf(a.dest)
 	switch {
 	case !n.ownership.owned.Has(partition):
-		n.figures.notOwned.Add(1)
+		n.metrics.notOwned.Add(1)
 	case n.ownership.appliedSet.Has(partition), n.sender.KnowsDestination(a.dest):
 		return false
 	}
--- a/internal/node/ownership_test.go
+++ b/internal/node/ownership_test.go
@@ -340,7 +340,7 @@
 
 // followed returns the followed partitions as in the metrics.
 func (o *ownerNode) followed() followedPartitions {
-	if s := o.node.figures.ownership.Load(); s != nil {
+	if s := o.node.metrics.ownership.Load(); s != nil {
 		return *s
 	}
 	return followedPartitions{}
@@ -387,7 +387,7 @@
 	mustAnswer(t, o.addr, enqueueCommand("foreign", messageFields("order", moved[0]), ""), busyAnswer)
 	mustAnswer(t, o.addr, enqueueCommand("nowhere", messageFields("order", retained[1]), ""), "-ERR unknown destination")
 	var text strings.Builder
-	o.node.figures.write(&text)
+	o.node.metrics.write(&text)
 	for _, want := range []string{
 		"app.map:2|g\n", fmt.Sprintf("app.partitions_owned:%d|g\n", o.followed().owned.Len()), "app.partitions_lingering:0|g\n",
 		"app.not_owned:2|c\n", "app.pool_size:1|g\n",
@@ -460,13 +460,13 @@
 	o.ready(t)
 	o.awaitAccepted(t, enqueueCommand("a", fmt.Sprintf("c=order,d=1000,dest=%d", retained[0]), ""))
 	p.nextRequest(t)
-	if n := o.node.figures.listedEndpoints.Load(); n != 2 {
+	if n := o.node.metrics.listedEndpoints.Load(); n != 2 {
 		t.Errorf("%d endpoints", n)
 	}
 	d.setMap(t, half)
 	own, _ := half.PartitionsOf("n1")
 	eventually(t, "the smaller set", func() bool {
-		return d.countRequests("partitions="+own.String()) == 1 && o.node.figures.listedEndpoints.Load() == 1
+		return d.countRequests("partitions="+own.String()) == 1 && o.node.metrics.listedEndpoints.Load() == 1
 	})
 	mustAnswer(t, o.addr, enqueueCommand("b", fmt.Sprintf("c=order,d=1000,dest=%d", retained[0]), ""), "+OK")
 	p.nextRequest(t)
@@ -477,7 +477,7 @@
 	// partition that is not its own, and ignores its endpoints.
 	none := testMap(t, 3, half, "n2")
 	d.setMap(t, none)
-	eventually(t, "nothing", func() bool { return o.followed().mapNumber == 3 && o.node.figures.listedEndpoints.Load() == 0 })
+	eventually(t, "nothing", func() bool { return o.followed().mapNumber == 3 && o.node.metrics.listedEndpoints.Load() == 0 })
 	d.mu.Lock()
 	last := d.requests[len(d.requests)-1]
 	d.mu.Unlock()
@@ -495,12 +495,12 @@
 	eventually(t, "another watch", func() bool { return d.countRequests("watch=1") > requests })
 	d.setMap(t, testMap(t, 4, none, "n2", "n3"))
 	o.awaitMap(t, 4)
-	if n := o.node.figures.listedEndpoints.Load(); n != 0 {
+	if n := o.node.metrics.listedEndpoints.Load(); n != 0 {
 		t.Errorf("%d endpoints of nothing", n)
 	}
 	d.setMap(t, testMap(t, 5, none, "n1"))
 	o.ready(t)
-	eventually(t, "all", func() bool { return o.node.figures.listedEndpoints.Load() == 3 })
+	eventually(t, "all", func() bool { return o.node.metrics.listedEndpoints.Load() == 3 })
 }
 
 // The watch of a set begins after the watch of the previous set has ended and its last list is handled: a
@@ -604,7 +604,7 @@
 	if slices.Sort(got); !slices.Equal(got, []string{"b", "c"}) {
 		t.Errorf("got %v", got)
 	}
-	eventually(t, "all delivered", func() bool { return o.node.figures.ok[1].Load() == 2 && o.node.figures.ok[2].Load() == 1 })
+	eventually(t, "all delivered", func() bool { return o.node.metrics.ok[1].Load() == 2 && o.node.metrics.ok[2].Load() == 1 })
 	if calls, _ := p.counts(); calls != 3 || d.countRequests("watch=1") != watches || len(d.noticeTexts()) != 0 {
 		t.Errorf("%d calls, %d watches after %d, notices %v", calls, d.countRequests("watch=1"), watches, d.noticeTexts())
 	}
@@ -632,7 +632,7 @@
 	if s := o.followed(); s.mapNumber != 2 || len(s.lingering) != 1 || s.lingering[0].set.Len() != 1 || time.Until(s.lingering[0].until) < 20*time.Second {
 		t.Errorf("got %d, %+v", s.mapNumber, s.lingering)
 	}
-	if listed := o.node.figures.listedEndpoints.Load(); listed != 2 { // the partition of e3 is not followed
+	if listed := o.node.metrics.listedEndpoints.Load(); listed != 2 { // the partition of e3 is not followed
 		t.Errorf("%d endpoints", listed)
 	}
 	mustAnswer(t, o.addr, enqueueCommand("a", messageFields("order", moved[0]), ""), "+OK")
@@ -675,7 +675,7 @@
 	p.nextRequest(t)
 	d.change(func() { d.holdFirstLine = nil })
 	close(hold)
-	eventually(t, "the list", func() bool { return o.node.figures.listedEndpoints.Load() == 2 })
+	eventually(t, "the list", func() bool { return o.node.metrics.listedEndpoints.Load() == 2 })
 	eventually(t, "it is known", func() bool {
 		return roundTrip(t, o.addr, enqueueCommand("c", messageFields("order", moved[1]), "")) == "-ERR unknown destination"
 	})
@@ -688,7 +688,7 @@
 	}
 	// A change reaches the new watch.
 	d.put(testMember("e3", p.addr(), moved[2], "SERVING"))
-	eventually(t, "a change", func() bool { return o.node.figures.listedEndpoints.Load() == 3 })
+	eventually(t, "a change", func() bool { return o.node.metrics.listedEndpoints.Load() == 3 })
 }
 
 // A node never goes back to a smaller map number: not for a replica that is behind, nor for a directory
@@ -1076,7 +1076,7 @@
 		requests = slices.Clone(d.requests)
 		d.mu.Unlock()
 		var text strings.Builder
-		o.node.figures.write(&text)
+		o.node.metrics.write(&text)
 		if owned := strings.Contains(text.String(), "app.map"); owned != (o.node.ownership != nil) {
 			t.Errorf("metrics: %s", text.String())
 		}
