--- a/internal/lab/trial/check.go
+++ b/internal/lab/trial/check.go
@@ -77,15 +77,18 @@
 		if op.Outcome == Ambiguous { // it may take effect at any later time
 			end = math.MaxInt64
 		}
-		byEndpoint[op.EndpointID] = append(byEndpoint[op.EndpointID], porcupine.Operation{ClientId: op.Client, Input: op, Call: int64(op.Call), Return: end})
+		byEndpoint[op.EndpointID] = append(byEndpoint[op.EndpointID],
+			porcupine.Operation{ClientId: op.Client, Input: op, Call: int64(op.Call), Return: end})
 	}
 	var violations []string
 	for _, id := range slices.Sorted(maps.Keys(byEndpoint)) {
 		switch porcupine.CheckOperationsTimeout(registerModel, byEndpoint[id], timeout) {
 		case porcupine.Illegal:
-			violations = append(violations, fmt.Sprintf("endpoint %s: its %d reads and writes are not linearizable", id, len(byEndpoint[id])))
+			violations = append(violations,
+				fmt.Sprintf("endpoint %s: its %d reads and writes are not linearizable", id, len(byEndpoint[id])))
 		case porcupine.Unknown:
-			violations = append(violations, fmt.Sprintf("endpoint %s: %d reads and writes could not be checked within %v", id, len(byEndpoint[id]), timeout))
+			violations = append(violations,
+				fmt.Sprintf("endpoint %s: %d reads and writes could not be checked within %v", id, len(byEndpoint[id]), timeout))
 		}
 	}
 	return violations
@@ -163,7 +166,8 @@
 		}
 	}
 	if history != lastHistory || len(pending) > 0 {
-		return fmt.Sprintf("stopped at revision %d of history %d, before the end: %d more changes of history %d", revision, history, len(pending), lastHistory)
+		return fmt.Sprintf("stopped at revision %d of history %d, before the end: %d more changes of history %d", revision,
+			history, len(pending), lastHistory)
 	}
 	return ""
 }
@@ -202,10 +206,13 @@
 		}
 		requested[op.New] = true
 		if op.Outcome == Done && valuesAt[op.Revision][op.EndpointID] != op.New {
-			violations = append(violations, fmt.Sprintf("endpoint %s: the write of %d was acknowledged at revision %d, where the service has %v", op.EndpointID, op.New, op.Revision, valuesAt[op.Revision]))
+			violations = append(violations,
+				fmt.Sprintf("endpoint %s: the write of %d was acknowledged at revision %d, where the service has %v",
+					op.EndpointID, op.New, op.Revision, valuesAt[op.Revision]))
 		}
 		if op.Outcome == Conflict && writeCounts[op.New] > 0 {
-			violations = append(violations, fmt.Sprintf("endpoint %s: the write of %d was refused as a conflict, but took effect", op.EndpointID, op.New))
+			violations = append(violations,
+				fmt.Sprintf("endpoint %s: the write of %d was refused as a conflict, but took effect", op.EndpointID, op.New))
 		}
 	}
 	for value, count := range writeCounts {
--- a/internal/lab/trial/check_test.go
+++ b/internal/lab/trial/check_test.go
@@ -14,7 +14,8 @@
 // proves nothing.
 func TestCheckLinearizable(t *testing.T) {
 	op := func(kind OperationKind, outcome Outcome, old, new, readValue int64, call, back int) Operation {
-		return Operation{Kind: kind, EndpointID: "e", Old: old, New: new, ReadValue: readValue, Outcome: outcome, Call: milliseconds(call), Return: milliseconds(back)}
+		return Operation{Kind: kind, EndpointID: "e", Old: old, New: new, ReadValue: readValue, Outcome: outcome, Call: milliseconds(call),
+			Return: milliseconds(back)}
 	}
 	for _, test := range []struct {
 		name  string
@@ -27,8 +28,10 @@
 		{"a lost write", []Operation{op(Put, Done, 0, 1, 0, 0, 1), op(CompareAndSwap, Done, 0, 2, 0, 2, 3)}, false},
 		{"two conditional writes on one value", []Operation{op(CompareAndSwap, Done, 0, 1, 0, 0, 9), op(CompareAndSwap, Done, 0, 2, 0, 0, 9)}, false},
 		{"a conflict without a cause", []Operation{op(CompareAndSwap, Conflict, 0, 1, 0, 0, 9)}, false},
-		{"an ambiguous write that took effect late", []Operation{op(Put, Ambiguous, 0, 1, 0, 0, 1), op(Read, Done, 0, 0, 0, 2, 3), op(Read, Done, 0, 0, 1, 4, 5)}, true},
-		{"an ambiguous write that took effect and was undone", []Operation{op(Put, Ambiguous, 0, 1, 0, 0, 1), op(Read, Done, 0, 0, 1, 2, 3), op(Read, Done, 0, 0, 0, 4, 5)}, false},
+		{"an ambiguous write that took effect late",
+			[]Operation{op(Put, Ambiguous, 0, 1, 0, 0, 1), op(Read, Done, 0, 0, 0, 2, 3), op(Read, Done, 0, 0, 1, 4, 5)}, true},
+		{"an ambiguous write that took effect and was undone",
+			[]Operation{op(Put, Ambiguous, 0, 1, 0, 0, 1), op(Read, Done, 0, 0, 1, 2, 3), op(Read, Done, 0, 0, 0, 4, 5)}, false},
 	} {
 		if violations := CheckLinearizable(test.ops, time.Minute); (len(violations) == 0) != test.valid {
 			t.Errorf("%s: %v", test.name, violations)
@@ -45,7 +48,8 @@
 	}
 	histories := map[int64]CommittedHistory{
 		1: {Changes: []catalog.Change{change(1, endpoint("a", 0), endpoint("b", 0)), change(2, endpoint("a", 1)), change(3, endpoint("b", 1))}},
-		2: {Initial: catalog.List{Revision: 2, Members: []catalog.Endpoint{endpoint("a", 1), endpoint("b", 0)}}, Changes: []catalog.Change{change(3, endpoint("a", 5))}},
+		2: {Initial: catalog.List{Revision: 2, Members: []catalog.Endpoint{endpoint("a", 1), endpoint("b", 0)}},
+			Changes: []catalog.Change{change(3, endpoint("a", 5))}},
 	}
 	update := func(history, revision int64, complete bool, members ...catalog.Endpoint) WatcherUpdate {
 		return WatcherUpdate{History: history, List: catalog.List{Revision: revision, Complete: complete, Members: members}}
@@ -54,7 +58,8 @@
 		update(1, 1, true, endpoint("a", 0), endpoint("b", 0)), update(1, 2, false, endpoint("a", 1)), update(1, 3, false, endpoint("b", 1)),
 		update(2, 2, true, endpoint("a", 1), endpoint("b", 0)), update(2, 3, false, endpoint("a", 5)),
 	}
-	if violations := CheckWatches(histories, [][]WatcherUpdate{correct, append([]WatcherUpdate{update(1, 3, true, endpoint("a", 1), endpoint("b", 1))}, correct[3:]...)}); len(violations) > 0 {
+	if violations := CheckWatches(histories,
+		[][]WatcherUpdate{correct, append([]WatcherUpdate{update(1, 3, true, endpoint("a", 1), endpoint("b", 1))}, correct[3:]...)}); len(violations) > 0 {
 		t.Errorf("unexpected violations: %v", violations)
 	}
 	for _, test := range []struct {
@@ -64,7 +69,8 @@
 		{"a change missed", "the list is", append([]WatcherUpdate{correct[0], correct[2]}, correct[3:]...)},
 		{"an empty update in its place", "the list is", append([]WatcherUpdate{correct[0], update(1, 2, false), correct[2]}, correct[3:]...)},
 		{"a change invented", "the list is", append([]WatcherUpdate{correct[0], update(1, 2, false, endpoint("a", 9))}, correct[2:]...)},
-		{"changes out of order", "after 3", append([]WatcherUpdate{correct[0], update(1, 3, false, endpoint("a", 1), endpoint("b", 1)), correct[1]}, correct[3:]...)},
+		{"changes out of order", "after 3",
+			append([]WatcherUpdate{correct[0], update(1, 3, false, endpoint("a", 1), endpoint("b", 1)), correct[1]}, correct[3:]...)},
 		{"a revision that does not exist", "does not have", append(append([]WatcherUpdate{}, correct...), update(2, 4, false))},
 		{"back to the old history", "after 2", append(append([]WatcherUpdate{}, correct...), correct[2])},
 		{"a new history without its list", "without its list", []WatcherUpdate{correct[0], correct[1], correct[2], update(2, 3, false, endpoint("a", 5))}},
@@ -80,7 +86,8 @@
 	committed := CommittedHistory{Changes: []catalog.Change{
 		{Revision: 1, Members: []catalog.Endpoint{{ID: "a", UpSince: 1}}}, {Revision: 2, Members: []catalog.Endpoint{{ID: "a", UpSince: 2}}},
 	}}
-	correct := []Operation{{Kind: Put, EndpointID: "a", New: 1, Revision: 1, Outcome: Done}, {Kind: Put, EndpointID: "a", New: 2, Outcome: Ambiguous}, {Kind: Put, EndpointID: "a", New: 3, Outcome: Ambiguous}}
+	correct := []Operation{{Kind: Put, EndpointID: "a", New: 1, Revision: 1, Outcome: Done}, {Kind: Put, EndpointID: "a", New: 2, Outcome: Ambiguous},
+		{Kind: Put, EndpointID: "a", New: 3, Outcome: Ambiguous}}
 	if violations := CheckWrites(committed, correct); len(violations) > 0 {
 		t.Errorf("unexpected violations: %v", violations)
 	}
--- a/internal/lab/trial/leases.go
+++ b/internal/lab/trial/leases.go
@@ -31,15 +31,19 @@
 // CheckLeases reports two holders that could rely on the record at the same time, and fencing tokens that do
 // not increase from holder to holder.
 func CheckLeases(holdings []LeaseHolding) []string {
-	holdings = slices.SortedFunc(slices.Values(holdings), func(a, current LeaseHolding) int { return cmp.Compare(a.Token, current.Token) })
+	holdings = slices.SortedFunc(slices.Values(holdings),
+		func(a, current LeaseHolding) int { return cmp.Compare(a.Token, current.Token) })
 	var violations []string
 	for i := 1; i < len(holdings); i++ {
 		previous, b := holdings[i-1], holdings[i]
 		switch {
 		case previous.Token == b.Token:
-			violations = append(violations, fmt.Sprintf("token %d was given to holder %d and to holder %d", previous.Token, previous.Holder, b.Holder))
+			violations = append(violations,
+				fmt.Sprintf("token %d was given to holder %d and to holder %d", previous.Token, previous.Holder, b.Holder))
 		case previous.Holder != b.Holder && b.From < previous.Until:
-			violations = append(violations, fmt.Sprintf("holder %d had token %d from %v, while holder %d could rely on token %d until %v", b.Holder, b.Token, b.From, previous.Holder, previous.Token, previous.Until))
+			violations = append(violations,
+				fmt.Sprintf("holder %d had token %d from %v, while holder %d could rely on token %d until %v", b.Holder,
+					b.Token, b.From, previous.Holder, previous.Token, previous.Until))
 		}
 	}
 	return violations
@@ -69,7 +73,8 @@
 	}
 	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(80*time.Millisecond))) {
 		requestedAt := t.elapsed()
-		granted, ok := send(http.MethodPut, "/records/"+leaseRecord, map[string]any{"holder": fmt.Sprint("h", holder), "ttl_ms": leaseTTL.Milliseconds()})
+		granted, ok := send(http.MethodPut, "/records/"+leaseRecord,
+			map[string]any{"holder": fmt.Sprint("h", holder), "ttl_ms": leaseTTL.Milliseconds()})
 		if !ok {
 			continue
 		}
@@ -79,7 +84,8 @@
 				break
 			}
 			renewedAt := t.elapsed()
-			renewed, ok := send(http.MethodPost, "/registry/renewals", map[string]any{"records": []any{map[string]any{"name": leaseRecord, "token": holding.Token}}})
+			renewed, ok := send(http.MethodPost, "/registry/renewals",
+				map[string]any{"records": []any{map[string]any{"name": leaseRecord, "token": holding.Token}}})
 			if ok && len(renewed.Unknown) > 0 {
 				break
 			}
--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -62,7 +62,8 @@
 )
 
 // InjectedViolations maps each injected violation to the rule that must find it.
-var InjectedViolations = map[string]OwnershipRule{InjectLateAccept: RuleTimelyRelease, InjectDuplicateNumber: RuleUniqueMaps, InjectDroppedChange: RuleFilteredLists}
+var InjectedViolations = map[string]OwnershipRule{InjectLateAccept: RuleTimelyRelease, InjectDuplicateNumber: RuleUniqueMaps,
+	InjectDroppedChange: RuleFilteredLists}
 
 // OwnershipOptions configure a trial of ownership.
 type OwnershipOptions struct {
@@ -148,10 +149,12 @@
 	}
 	base := Options{Command: options.Directory, Dir: options.Dir, Seed: options.Seed, Duration: options.Duration, Log: options.Log}
 	t := &ownershipTrial{
-		trial: &trial{options: base, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(options.Seed, 1))}, ownershipOptions: options, killedNodes: make(chan killedNode, nodeCount),
+		trial:            &trial{options: base, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(options.Seed, 1))},
+		ownershipOptions: options, killedNodes: make(chan killedNode, nodeCount),
 		pollClient:   &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 		answerDelays: map[string]time.Duration{}, killOnFetch: map[int]bool{}, lateAcceptor: -1,
-		result: OwnershipResult{Seed: options.Seed, Injected: options.Inject, MapChanges: map[string]int{}, Submissions: map[string]int{}, Faults: []string{}, Violations: []Violation{}},
+		result: OwnershipResult{Seed: options.Seed, Injected: options.Inject, MapChanges: map[string]int{},
+			Submissions: map[string]int{}, Faults: []string{}, Violations: []Violation{}},
 	}
 	for z := range zoneCount {
 		t.zones = append(t.zones, fmt.Sprint("z", z))
@@ -175,7 +178,8 @@
 	for _, node := range t.nodes { // the dump of each node's goroutines may tell the cause
 		node.process().Signal(syscall.SIGQUIT)
 	}
-	raw, err := json.Marshal(map[string]any{"sights": t.observations, "writes": t.mapWrites, "eras": t.maps, "handed": t.submissions, "asks": t.watchRequests, "ends": t.messageEnds, "disturbed": t.disturbances})
+	raw, err := json.Marshal(map[string]any{"sights": t.observations, "writes": t.mapWrites, "eras": t.maps,
+		"handed": t.submissions, "asks": t.watchRequests, "ends": t.messageEnds, "disturbed": t.disturbances})
 	if err != nil {
 		return nil, err
 	}
@@ -287,7 +291,8 @@
 	}
 	firstController := t.newController(controllerCount)
 	firstController.admin.RetryFor = settleTimeout
-	if _, err := firstController.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member { return t.members() }); err != nil {
+	if _, err := firstController.publishMap(ctx, uninterrupted,
+		func([]ownership.Member) []ownership.Member { return t.members() }); err != nil {
 		return fmt.Errorf("publish the first map: %w", err)
 	}
 	errs := make([]error, len(t.nodes))
@@ -310,7 +315,8 @@
 }
 
 func (t *ownershipTrial) destinationEndpoint(id string, destination, address int) catalog.Endpoint {
-	return catalog.Endpoint{ID: id, Addr: t.partners.addresses[address], Locality: t.zones[address%zoneCount], Flavor: "hook", Cell: destination, Phase: catalog.Serving, Size: 1}
+	return catalog.Endpoint{ID: id, Addr: t.partners.addresses[address], Locality: t.zones[address%zoneCount], Flavor: "hook",
+		Cell: destination, Phase: catalog.Serving, Size: 1}
 }
 
 // changeList changes the list at random until the context ends.
@@ -319,7 +325,8 @@
 	admin := t.newClient(400)
 	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(meanListChangeInterval))) {
 		i := random.IntN(changingEndpoints)
-		endpoint := t.destinationEndpoint(fmt.Sprint("c", i), random.IntN(steadyDestinations+intermittentDestinations), steadyDestinations+i)
+		endpoint := t.destinationEndpoint(fmt.Sprint("c", i), random.IntN(steadyDestinations+intermittentDestinations),
+			steadyDestinations+i)
 		endpoint.Size = float64(1 + random.IntN(4))
 		switch random.IntN(6) {
 		case 0:
@@ -363,7 +370,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.result.Violations = append(t.result.Violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s has a map that does not decode: %v", observer, err)})
+		t.result.Violations = append(t.result.Violations,
+			Violation{RuleUniqueMaps, fmt.Sprintf("%s has a map that does not decode: %v", observer, err)})
 		return
 	}
 	at, sum := t.elapsed(), checksum(value)
@@ -385,7 +393,8 @@
 
 // recordMapIntent records that a map is about to be written.
 func (t *ownershipTrial) recordMapIntent(m *ownership.Map, write MapWrite) *PublishedMap {
-	published := &PublishedMap{Number: write.Number, Checksum: write.Checksum, WrittenAfter: write.Call, CommittedBy: never, Owned: map[int]ownership.Set{}}
+	published := &PublishedMap{Number: write.Number, Checksum: write.Checksum, WrittenAfter: write.Call, CommittedBy: never,
+		Owned: map[int]ownership.Set{}}
 	for i := range nodeCount {
 		if owned, ok := m.PartitionsOf(nodeName(i)); ok {
 			published.Owned[i] = owned
@@ -554,12 +563,14 @@
 
 // submit submits a message to a node and records the answer.
 func (t *ownershipTrial) submit(node *deliveryNode, id string, class, destination int, deadline time.Duration, repeat bool) Submission {
-	submission := Submission{Node: node.number, Destination: destination, ID: id, AtMostOnce: class == classAtMostOnce, Repeat: repeat, Deadline: deadline, Call: t.elapsed()}
+	submission := Submission{Node: node.number, Destination: destination, ID: id, AtMostOnce: class == classAtMostOnce,
+		Repeat: repeat, Deadline: deadline, Call: t.elapsed()}
 	submission.Answer, submission.RetryAfter, submission.Reason = node.submit(id, class, destination, deadline-submission.Call)
 	submission.Return = t.elapsed()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if node.number == t.lateAcceptor && submission.Answer == history.Refused && slices.ContainsFunc(t.maps, func(m *PublishedMap) bool { return m.Owned[node.number].Has(ownership.PartitionOf(destination)) }) {
+	if node.number == t.lateAcceptor && submission.Answer == history.Refused &&
+		slices.ContainsFunc(t.maps, func(m *PublishedMap) bool { return m.Owned[node.number].Has(ownership.PartitionOf(destination)) }) {
 		submission.Answer, submission.RetryAfter = history.Taken, 0
 	}
 	t.submissions = append(t.submissions, submission)
@@ -593,20 +604,22 @@
 	{"node handed over", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
 		return n.handOver(ctx, d)
 	})},
-	{"node killed and started while cut off", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
-		t.setLinks(n.fronts, relay.Conditions{CutOutbound: true, CutReturn: true})
-		defer t.setLinks(n.fronts, healthyLink)
-		n.kill()
-		saved, _ := n.savedList() // the node may have been killed before it stored a list
-		registry.Sleep(ctx, d/2)
-		if err := n.start(ctx); err != nil {
-			return err
-		}
-		t.checkAcceptsWithoutDirectory(ctx, n, func(destination int) bool {
-			return slices.ContainsFunc(slices.Collect(maps.Values(saved)), func(endpoint catalog.Endpoint) bool { return endpoint.Cell == destination })
-		})
-		return nil
-	})},
+	{"node killed and started while cut off",
+		nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
+			t.setLinks(n.fronts, relay.Conditions{CutOutbound: true, CutReturn: true})
+			defer t.setLinks(n.fronts, healthyLink)
+			n.kill()
+			saved, _ := n.savedList() // the node may have been killed before it stored a list
+			registry.Sleep(ctx, d/2)
+			if err := n.start(ctx); err != nil {
+				return err
+			}
+			t.checkAcceptsWithoutDirectory(ctx, n, func(destination int) bool {
+				return slices.ContainsFunc(slices.Collect(maps.Values(saved)),
+					func(endpoint catalog.Endpoint) bool { return endpoint.Cell == destination })
+			})
+			return nil
+		})},
 	{"node cut off", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
 		t.setLinks(n.fronts, relay.Conditions{CutOutbound: t.random.IntN(2) == 0, CutReturn: true})
 		registry.Sleep(ctx, d)
@@ -713,7 +726,9 @@
 	}},
 }
 
-func nodeFault(inject func(t *ownershipTrial, ctx context.Context, node *deliveryNode, duration time.Duration) error) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
+func nodeFault(
+	inject func(t *ownershipTrial, ctx context.Context, node *deliveryNode, duration time.Duration) error,
+) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
 	return func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		n := t.nodes[t.random.IntN(len(t.nodes))]
 		defer t.beginDisturbance(n.number, "a fault of its own")()
@@ -760,7 +775,8 @@
 	next := 0
 	accepts := func() bool {
 		next++
-		return t.submit(node, t.newMessageID(), classIdempotent, destinations[next%len(destinations)], t.elapsed()+messageLifetime, false).Answer == history.Taken
+		return t.submit(node, t.newMessageID(), classIdempotent, destinations[next%len(destinations)],
+			t.elapsed()+messageLifetime, false).Answer == history.Taken
 	}
 	if err := await(ctx, node.name+" to accept without a directory", accepts); err != nil && ctx.Err() == nil {
 		t.addViolation(RuleRecovery, "%v, for any of %d destinations that it owned all the time", err, len(destinations))
@@ -825,7 +841,8 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", description, err)
 		}
-		if err := await(ctx, "three voters after the fault "+f.name, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+		if err := await(ctx, "three voters after the fault "+f.name,
+			func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			return err
 		}
 	}
@@ -960,7 +977,9 @@
 
 // submitToAll submits a message for each destination to a node. With untilCorrect it tries again until the
 // answer is correct; without, only while the node refuses with a retry-after.
-func (t *ownershipTrial) submitToAll(ctx context.Context, node *deliveryNode, lastMap PublishedMap, destinations []int, isListed func(int) bool, untilCorrect bool) []Submission {
+func (t *ownershipTrial) submitToAll(
+	ctx context.Context, node *deliveryNode, lastMap PublishedMap, destinations []int, isListed func(int) bool, untilCorrect bool,
+) []Submission {
 	var submissions []Submission
 	for _, destination := range destinations {
 		for {
@@ -968,7 +987,9 @@
 			correct := submission.isCorrect(lastMap, isListed(destination))
 			busy := submission.Answer == history.Refused && submission.RetryAfter > 0
 			if !correct {
-				t.ownershipOptions.Log.Debug("answer does not match the last map yet", "node", node.name, "dest", destination, "state", submission.Answer, "wait", submission.RetryAfter, "why", submission.Reason, "took", submission.Return-submission.Call)
+				t.ownershipOptions.Log.Debug("answer does not match the last map yet", "node", node.name, "dest", destination,
+					"state", submission.Answer, "wait", submission.RetryAfter, "why", submission.Reason, "took",
+					submission.Return-submission.Call)
 			}
 			if correct || !untilCorrect && !busy || t.hasFoundInjected() || !registry.Sleep(ctx, pollInterval) {
 				submissions = append(submissions, submission)
@@ -987,7 +1008,8 @@
 	}
 	observed := t.copyObservations()
 	violations, _ := CheckAccepts(observed.published, observed.submissions, observed.disturbances, mapAdoptionLimit)
-	return slices.ContainsFunc(violations, func(violation Violation) bool { return violation.Rule == InjectedViolations[InjectLateAccept] })
+	return slices.ContainsFunc(violations,
+		func(violation Violation) bool { return violation.Rule == InjectedViolations[InjectLateAccept] })
 }
 
 // awaitLists waits until each node requests and stores the list of its own partitions only, and until all
@@ -1021,8 +1043,9 @@
 			}
 			return false
 		}
-		if await(ctx, node.name+" to follow the last map", isDone) != nil {
-			t.addViolation(RuleFilteredLists, "node %d, whose partitions have %d endpoints, does not follow map %d: %s", i, len(expected), lastMap.Number, problem)
+		if await(ctx, node.name, isDone) != nil {
+			t.addViolation(RuleFilteredLists, "node %d, whose partitions have %d endpoints, does not follow map %d: %s", i,
+				len(expected), lastMap.Number, problem)
 		}
 	}
 	await(ctx, "the end of all messages", func() bool { // check reports messages without an end
@@ -1045,7 +1068,8 @@
 func (t *ownershipTrial) copyObservations() observations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	observed := observations{maps: slices.Clone(t.observations), writes: slices.Clone(t.mapWrites), submissions: slices.Clone(t.submissions), messageEnds: slices.Clone(t.messageEnds)}
+	observed := observations{maps: slices.Clone(t.observations), writes: slices.Clone(t.mapWrites),
+		submissions: slices.Clone(t.submissions), messageEnds: slices.Clone(t.messageEnds)}
 	for _, m := range t.maps {
 		observed.published = append(observed.published, *m)
 	}
@@ -1063,9 +1087,13 @@
 	observed := t.copyObservations()
 	checkedAt := t.elapsed()
 	var violations []Violation
-	acceptViolations, longestLateAccept := CheckAccepts(observed.published, observed.submissions, observed.disturbances, mapAdoptionLimit)
-	violations = slices.Concat(violations, CheckMapNumbers(observed.maps, observed.writes), acceptViolations, CheckWatchRequests(observed.published, observed.watchRequests, watchCrossingSlack), CheckEnds(observed.submissions, observed.messageEnds, observed.disturbances, messageEndSlack, checkedAt),
-		CheckAnswers(observed.submissions, observed.messageEnds, func(destination int) bool { return destination < steadyDestinations }))
+	acceptViolations, longestLateAccept := CheckAccepts(observed.published, observed.submissions, observed.disturbances,
+		mapAdoptionLimit)
+	violations = slices.Concat(violations, CheckMapNumbers(observed.maps, observed.writes), acceptViolations,
+		CheckWatchRequests(observed.published, observed.watchRequests, watchCrossingSlack),
+		CheckEnds(observed.submissions, observed.messageEnds, observed.disturbances, messageEndSlack, checkedAt),
+		CheckAnswers(observed.submissions, observed.messageEnds,
+			func(destination int) bool { return destination < steadyDestinations }))
 	if t.ownershipOptions.Inject != InjectDuplicateNumber { // that one restores a backup, which starts another history
 		admin := t.newClient(99)
 		admin.RetryFor = settleTimeout
@@ -1078,7 +1106,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.Violations = append(t.result.Violations, violations...)
-	t.result.LongestLateAccept, t.result.WatchRequests, t.result.EndedAfterLoss = longestLateAccept, len(observed.watchRequests), CountEndedAfterLoss(observed.published, observed.submissions, observed.messageEnds)
+	t.result.LongestLateAccept, t.result.WatchRequests, t.result.EndedAfterLoss =
+		longestLateAccept, len(observed.watchRequests), CountEndedAfterLoss(observed.published, observed.submissions, observed.messageEnds)
 	for _, submission := range observed.submissions {
 		if submission.Repeat && submission.Answer == history.Taken {
 			t.result.AcceptedRepeats++
--- a/internal/lab/trial/ownership_check.go
+++ b/internal/lab/trial/ownership_check.go
@@ -63,7 +63,8 @@
 	ordered := slices.Clone(observations)
 	for _, write := range writes {
 		if write.Outcome == Done {
-			ordered = append(ordered, MapObservation{At: write.Return, Observer: write.Writer, Number: write.Number, Checksum: write.Checksum})
+			ordered = append(ordered, MapObservation{At: write.Return, Observer: write.Writer, Number: write.Number,
+				Checksum: write.Checksum})
 		}
 	}
 	slices.SortStableFunc(ordered, func(a, b MapObservation) int { return cmp.Compare(a.At, b.At) })
@@ -75,13 +76,20 @@
 			first[observation.Number] = observation
 		case firstSeen.Checksum != observation.Checksum && !reported[observation.Number]:
 			reported[observation.Number] = true
-			violations = append(violations, Violation{RuleUniqueMaps, fmt.Sprintf("map number %d has checksum %x at %v (%s), and checksum %x at %v (%s)", observation.Number, firstSeen.Checksum, firstSeen.At, firstSeen.Observer, observation.Checksum, observation.At, observation.Observer)})
+			violations = append(violations,
+				Violation{RuleUniqueMaps,
+					fmt.Sprintf("map number %d has checksum %x at %v (%s), and checksum %x at %v (%s)", observation.Number,
+						firstSeen.Checksum, firstSeen.At, firstSeen.Observer, observation.Checksum, observation.At,
+						observation.Observer)})
 		}
 	}
 	for _, earlier := range writes {
 		for _, later := range writes {
 			if earlier.Outcome == Done && later.Outcome == Done && earlier.Return < later.Call && later.Number <= earlier.Number {
-				violations = append(violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s wrote map number %d at %v, after %s had written number %d at %v", later.Writer, later.Number, later.Return, earlier.Writer, earlier.Number, earlier.Return)})
+				violations = append(violations,
+					Violation{RuleUniqueMaps,
+						fmt.Sprintf("%s wrote map number %d at %v, after %s had written number %d at %v", later.Writer,
+							later.Number, later.Return, earlier.Writer, earlier.Number, earlier.Return)})
 			}
 		}
 	}
@@ -143,7 +151,8 @@
 func (s Submission) acceptsNew() bool { return s.Answer == history.Taken && !s.Repeat }
 
 func (s Submission) String() string {
-	return fmt.Sprintf("node %d accepted %s for destination %d (partition %d) at %v", s.Node, s.ID, s.Destination, ownership.PartitionOf(s.Destination), s.Return)
+	return fmt.Sprintf("node %d accepted %s for destination %d (partition %d) at %v", s.Node, s.ID, s.Destination,
+		ownership.PartitionOf(s.Destination), s.Return)
 }
 
 // CheckAccepts reports messages that a node accepted although no map allows it. A node moves through the maps
@@ -151,9 +160,13 @@
 // what it accepted before assigns the destination to it, and RuleTimelyRelease if all maps that do are older
 // than the one that it must have had within the limit. longest is the longest time after a map in which a
 // node still accepted messages for a destination that it lost by it.
-func CheckAccepts(published []PublishedMap, submissions []Submission, disturbances []Disturbance, limit time.Duration) (violations []Violation, longest time.Duration) {
-	published = slices.SortedStableFunc(slices.Values(published), func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
-	submissions = slices.SortedStableFunc(slices.Values(submissions), func(a, b Submission) int { return cmp.Compare(a.Return, b.Return) })
+func CheckAccepts(
+	published []PublishedMap, submissions []Submission, disturbances []Disturbance, limit time.Duration,
+) (violations []Violation, longest time.Duration) {
+	published = slices.SortedStableFunc(slices.Values(published),
+		func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
+	submissions = slices.SortedStableFunc(slices.Values(submissions),
+		func(a, b Submission) int { return cmp.Compare(a.Return, b.Return) })
 	lowest := map[int]int64{} // by node: the lowest number that explains everything accepted so far
 	for _, submission := range submissions {
 		if !submission.acceptsNew() {
@@ -180,9 +193,14 @@
 		}
 		switch {
 		case newest < required:
-			violations = append(violations, Violation{RuleTimelyRelease, fmt.Sprintf("%v, more than %v after it must have had map %d, which does not assign the partition to it", submission, limit, required)})
+			violations = append(violations,
+				Violation{RuleTimelyRelease,
+					fmt.Sprintf("%v, more than %v after it must have had map %d, which does not assign the partition to it",
+						submission, limit, required)})
 		case explaining == 0:
-			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("%v; no map from number %d on, the lowest that explains what it accepted before, assigns the partition to it", submission, lowest[submission.Node])})
+			violations = append(violations,
+				Violation{RuleForwardOnly,
+					fmt.Sprintf("%v; no map from number %d on, the lowest that explains what it accepted before, assigns the partition to it", submission, lowest[submission.Node])})
 		default:
 			lowest[submission.Node] = explaining
 		}
@@ -224,7 +242,8 @@
 // node that owns nothing, or has no map yet, may request any single partition in order to hear of new maps. A
 // request that a newer one overtook within the slack does not count as a step back.
 func CheckWatchRequests(published []PublishedMap, requests []WatchRequest, slack time.Duration) []Violation {
-	published = slices.SortedStableFunc(slices.Values(published), func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
+	published = slices.SortedStableFunc(slices.Values(published),
+		func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
 	requests = slices.SortedStableFunc(slices.Values(requests), func(a, b WatchRequest) int { return cmp.Compare(a.At, b.At) })
 	type position struct {
 		number int64
@@ -234,7 +253,9 @@
 	reached := map[int]position{}
 	for _, request := range requests {
 		if request.AllPartitions {
-			violations = append(violations, Violation{RuleFilteredLists, fmt.Sprintf("node %d requested the list of all partitions at %v", request.Node, request.At)})
+			violations = append(violations,
+				Violation{RuleFilteredLists,
+					fmt.Sprintf("node %d requested the list of all partitions at %v", request.Node, request.At)})
 			continue
 		}
 		previous := reached[request.Node]
@@ -250,7 +271,8 @@
 				everOwned = everOwned.Union(m.Owned[request.Node])
 				owned := m.Owned[request.Node]
 				ownsNothing := owned.Len() == 0 && request.Partitions.Len() == 1
-				if m.Number >= minNumber && owned.Without(request.Partitions).Len() == 0 && (ownsNothing || request.Partitions.Without(everOwned).Len() == 0) {
+				if m.Number >= minNumber && owned.Without(request.Partitions).Len() == 0 &&
+					(ownsNothing || request.Partitions.Without(everOwned).Len() == 0) {
 					return m.Number, true
 				}
 			}
@@ -263,10 +285,15 @@
 			reached[request.Node] = position{number, request.At}
 		case ok:
 		case !fitsAny:
-			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("node %d requested %s at %v, which match none of the maps", request.Node, summarize(request.Partitions), request.At)})
+			violations = append(violations,
+				Violation{RuleForwardOnly,
+					fmt.Sprintf("node %d requested %s at %v, which match none of the maps", request.Node,
+						summarize(request.Partitions), request.At)})
 		case request.At > previous.at+slack:
-			violations = append(violations, Violation{RuleForwardOnly, fmt.Sprintf("node %d requested %s at %v, which are those of map %d, after it had requested those of map %d at %v",
-				request.Node, summarize(request.Partitions), request.At, olderNumber, previous.number, previous.at)})
+			violations = append(violations,
+				Violation{RuleForwardOnly,
+					fmt.Sprintf("node %d requested %s at %v, which are those of map %d, after it had requested those of map %d at %v",
+						request.Node, summarize(request.Partitions), request.At, olderNumber, previous.number, previous.at)})
 		}
 	}
 	return violations
@@ -321,12 +348,16 @@
 	type position struct{ history, revision int64 }
 	delivered := map[int]position{} // by node: the furthest position that it was sent
 	var violations []Violation
-	for _, request := range slices.SortedStableFunc(slices.Values(requests), func(request, b WatchRequest) int { return cmp.Compare(request.At, b.At) }) {
+	for _, request := range slices.SortedStableFunc(slices.Values(requests),
+		func(request, b WatchRequest) int { return cmp.Compare(request.At, b.At) }) {
 		if request.AllPartitions || request.OlderBuild || len(request.Lines) == 0 {
 			continue
 		}
 		report := func(format string, args ...any) {
-			violations = append(violations, Violation{RuleFilteredLists, fmt.Sprintf("node %d, watch requested at %v from replica %d for %s: ", request.Node, request.At, request.Replica, summarize(request.Partitions)) + fmt.Sprintf(format, args...)})
+			violations = append(violations,
+				Violation{RuleFilteredLists,
+					fmt.Sprintf("node %d, watch requested at %v from replica %d for %s: ", request.Node, request.At,
+						request.Replica, summarize(request.Partitions)) + fmt.Sprintf(format, args...)})
 		}
 		snapshots, ok := snapshotsOf[request.History]
 		if !ok {
@@ -339,7 +370,8 @@
 		if last := delivered[request.Node]; request.After > 0 {
 			// The node resumes, so it has what it was sent before.
 			if request.AskedHistory > last.history || request.AskedHistory == last.history && request.After > last.revision {
-				report("it resumes from revision %d of history %d, and was sent no more than revision %d of history %d", request.After, request.AskedHistory, last.revision, last.history)
+				report("it resumes from revision %d of history %d, and was sent no more than revision %d of history %d",
+					request.After, request.AskedHistory, last.revision, last.history)
 				continue
 			}
 			if request.AskedHistory == request.History {
@@ -370,7 +402,8 @@
 				report("line %d, revision %d: the node was sent %s", i, revision, describeDifference(actual, expected))
 				break
 			}
-			if last := delivered[request.Node]; request.History > last.history || request.History == last.history && revision > last.revision {
+			if last := delivered[request.Node]; request.History > last.history || request.History == last.history &&
+				revision > last.revision {
 				delivered[request.Node] = position{request.History, revision}
 			}
 		}
@@ -396,7 +429,8 @@
 	slices.Sort(missing)
 	slices.Sort(extra)
 	slices.Sort(different)
-	return fmt.Sprintf("%d of %d endpoints: missing %v, unexpected %v, different %v", len(actual), len(expected), missing, extra, different)
+	return fmt.Sprintf("%d of %d endpoints: missing %v, unexpected %v, different %v", len(actual), len(expected), missing,
+		extra, different)
 }
 
 // CheckConverged reports the answers of a pass over all nodes and destinations, after the faults and with the
@@ -414,8 +448,11 @@
 			submission, ok := answers[place{node, destination}]
 			submission.Node, submission.Destination = node, destination
 			if !ok || !submission.isCorrect(lastMap, isListed(destination)) {
-				violations = append(violations, Violation{RuleOwnersOnly, fmt.Sprintf("node %d, destination %d (owner by map %d: %v, listed: %v): %s %v %s",
-					node, destination, lastMap.Number, lastMap.Owned[node].Has(ownership.PartitionOf(destination)), isListed(destination), cmp.Or(submission.Answer, "no answer recorded"), submission.RetryAfter, submission.Reason)})
+				violations = append(violations,
+					Violation{RuleOwnersOnly, fmt.Sprintf("node %d, destination %d (owner by map %d: %v, listed: %v): %s %v %s",
+						node, destination, lastMap.Number, lastMap.Owned[node].Has(ownership.PartitionOf(destination)),
+						isListed(destination), cmp.Or(submission.Answer, "no answer recorded"), submission.RetryAfter,
+						submission.Reason)})
 			}
 		}
 	}
@@ -476,7 +513,8 @@
 	count := 0
 	for _, submission := range submissions {
 		lost := func(m PublishedMap) bool {
-			return m.CommittedBy > submission.Return && m.CommittedBy < endedAt[submission.ID] && !m.Owned[submission.Node].Has(ownership.PartitionOf(submission.Destination))
+			return m.CommittedBy > submission.Return && m.CommittedBy < endedAt[submission.ID] &&
+				!m.Owned[submission.Node].Has(ownership.PartitionOf(submission.Destination))
 		}
 		if submission.acceptsNew() && slices.ContainsFunc(published, lost) {
 			count++
@@ -508,7 +546,10 @@
 			endedAt = min(endedAt, end.At)
 		}
 		if submission.AtMostOnce && (runs > 1 || runs > 0 && returned) {
-			violations = append(violations, Violation{RuleMessagesEnd, fmt.Sprintf("%s at node %d must run at most once; it ran %d times, returned: %v", submission.ID, submission.Node, runs, returned)})
+			violations = append(violations,
+				Violation{RuleMessagesEnd,
+					fmt.Sprintf("%s at node %d must run at most once; it ran %d times, returned: %v", submission.ID,
+						submission.Node, runs, returned)})
 		}
 		if !submission.acceptsNew() {
 			continue
@@ -522,9 +563,15 @@
 		switch {
 		case endedAt <= due:
 		case endedAt != never:
-			violations = append(violations, Violation{RuleMessagesEnd, fmt.Sprintf("%s, accepted by node %d at %v, ended at %v and was due by %v", submission.ID, submission.Node, submission.Return, endedAt, due)})
+			violations = append(violations,
+				Violation{RuleMessagesEnd,
+					fmt.Sprintf("%s, accepted by node %d at %v, ended at %v and was due by %v", submission.ID, submission.Node,
+						submission.Return, endedAt, due)})
 		case due < checkedAt:
-			violations = append(violations, Violation{RuleMessagesEnd, fmt.Sprintf("%s, accepted by node %d at %v, has no end; it was due by %v", submission.ID, submission.Node, submission.Return, due)})
+			violations = append(violations,
+				Violation{RuleMessagesEnd,
+					fmt.Sprintf("%s, accepted by node %d at %v, has no end; it was due by %v", submission.ID, submission.Node,
+						submission.Return, due)})
 		}
 	}
 	return violations
@@ -542,11 +589,15 @@
 	var violations []Violation
 	for _, submission := range submissions {
 		negative := submission.Answer == history.Failed || submission.Answer == history.Refused
-		if submission.Answer == history.Failed && !submission.Repeat && (alwaysListed(submission.Destination) || submission.Reason != unknownDestination) {
-			violations = append(violations, Violation{RuleAnswers, fmt.Sprintf("node %d, destination %d at %v: failed: %s", submission.Node, submission.Destination, submission.Return, submission.Reason)})
+		if submission.Answer == history.Failed && !submission.Repeat &&
+			(alwaysListed(submission.Destination) || submission.Reason != unknownDestination) {
+			violations = append(violations,
+				Violation{RuleAnswers, fmt.Sprintf("node %d, destination %d at %v: failed: %s", submission.Node,
+					submission.Destination, submission.Return, submission.Reason)})
 		}
 		if at, ended := endedAt[submission.ID]; submission.Repeat && negative && (!ended || at > submission.Return) {
-			violations = append(violations, Violation{RuleAnswers, fmt.Sprintf("node %d had accepted %s, which has not ended, and rejected its repeat at %v: %s %v %s", submission.Node, submission.ID, submission.Return, submission.Answer, submission.RetryAfter, submission.Reason)})
+			violations = append(violations,
+				Violation{RuleAnswers, fmt.Sprintf("node %d had accepted %s, which has not ended, and rejected its repeat at %v: %s %v %s", submission.Node, submission.ID, submission.Return, submission.Answer, submission.RetryAfter, submission.Reason)})
 		}
 	}
 	return violations
--- a/internal/lab/trial/ownership_check_test.go
+++ b/internal/lab/trial/ownership_check_test.go
@@ -42,7 +42,8 @@
 	write := func(number int64, checksum uint64, outcome Outcome, call, returned float64) MapWrite {
 		return MapWrite{"c", number, checksum, outcome, seconds(call), seconds(returned)}
 	}
-	observations := []MapObservation{observation(1, "d0", 1, 11), observation(1.5, "d1", 1, 11), observation(2, "d0", 2, 22), observation(2.1, "d1", 1, 11), observation(3, "n0", 4, 44)}
+	observations := []MapObservation{observation(1, "d0", 1, 11), observation(1.5, "d1", 1, 11), observation(2, "d0", 2, 22), observation(2.1, "d1", 1, 11),
+		observation(3, "n0", 4, 44)}
 	writes := []MapWrite{write(1, 11, Done, 0, 1), write(2, 22, Done, 1.4, 2), write(3, 33, Ambiguous, 2, 2.5), write(4, 44, Done, 2.6, 3)}
 	for _, test := range []struct {
 		name         string
@@ -66,7 +67,8 @@
 // never owns 3.
 func testMaps() []PublishedMap {
 	published := func(number int64, writtenAfter, committedBy float64, destinations ...int) PublishedMap {
-		return PublishedMap{Number: number, WrittenAfter: seconds(writtenAfter), CommittedBy: seconds(committedBy), Owned: map[int]ownership.Set{0: partitions(destinations...)}}
+		return PublishedMap{Number: number, WrittenAfter: seconds(writtenAfter), CommittedBy: seconds(committedBy),
+			Owned: map[int]ownership.Set{0: partitions(destinations...)}}
 	}
 	return []PublishedMap{published(1, 0, 1, 1, 2), published(2, 10, 11, 2), published(3, 30, 31, 1, 2), published(4, 50, 51, 2, 4)}
 }
@@ -89,13 +91,17 @@
 		rule         OwnershipRule
 		wantText     string
 	}{
-		{name: "allowed by the maps", submissions: []Submission{accepted(1, 2, 2), accepted(2, 3, 3), accepted(1, 15, 15), refused, repeat, accepted(1, 30, 30.5), accepted(4, 50.5, 50.6), accepted(2, 60, 60)}},
+		{name: "allowed by the maps", submissions: []Submission{accepted(1, 2, 2), accepted(2, 3, 3), accepted(1, 15, 15), refused, repeat,
+			accepted(1, 30, 30.5), accepted(4, 50.5, 50.6), accepted(2, 60, 60)}},
 		{name: "lost partition within the limit", submissions: []Submission{accepted(1, 18.9, 19.5)}},
 		{name: "lost partition after the limit", submissions: []Submission{accepted(1, 19.1, 19.5)}, rule: RuleTimelyRelease, wantText: "map 2"},
-		{name: "after the limit, but the node was cut off", submissions: []Submission{accepted(1, 24.9, 25)}, disturbances: []Disturbance{{0, seconds(9), seconds(17), ""}}},
-		{name: "the limit after the node was cut off", submissions: []Submission{accepted(1, 25.1, 25.1)}, disturbances: []Disturbance{{-1, seconds(9), seconds(17), ""}}, rule: RuleTimelyRelease, wantText: "map 2"},
+		{name: "after the limit, but the node was cut off", submissions: []Submission{accepted(1, 24.9, 25)},
+			disturbances: []Disturbance{{0, seconds(9), seconds(17), ""}}},
+		{name: "the limit after the node was cut off", submissions: []Submission{accepted(1, 25.1, 25.1)},
+			disturbances: []Disturbance{{-1, seconds(9), seconds(17), ""}}, rule: RuleTimelyRelease, wantText: "map 2"},
 		{name: "while the node is cut off", submissions: []Submission{accepted(1, 25.1, 25.1)}, disturbances: []Disturbance{{0, seconds(9), never, ""}}},
-		{name: "another node was cut off", submissions: []Submission{accepted(1, 25.1, 25.1)}, disturbances: []Disturbance{{1, seconds(9), never, ""}}, rule: RuleTimelyRelease, wantText: "map 2"},
+		{name: "another node was cut off", submissions: []Submission{accepted(1, 25.1, 25.1)}, disturbances: []Disturbance{{1, seconds(9), never, ""}},
+			rule: RuleTimelyRelease, wantText: "map 2"},
 		{name: "partition that it never owned", submissions: []Submission{accepted(3, 2, 2)}, rule: RuleForwardOnly, wantText: "from number 0"},
 		{name: "before the map that assigns the partition", submissions: []Submission{accepted(4, 49, 49.5)}, rule: RuleTimelyRelease, wantText: "map 3"},
 		{name: "back to an older map", submissions: []Submission{accepted(4, 51, 51.5), accepted(1, 52, 52.1)}, rule: RuleForwardOnly, wantText: "from number 4"},
@@ -108,7 +114,8 @@
 		violations, _ := CheckAccepts(published, test.submissions, test.disturbances, 8*time.Second)
 		checkViolation(t, test.name, violations, test.rule, test.wantText)
 	}
-	if _, longest := CheckAccepts(testMaps(), []Submission{accepted(1, 15, 15), accepted(1, 12, 12), accepted(2, 20, 20)}, nil, 8*time.Second); longest != seconds(4) {
+	if _, longest := CheckAccepts(testMaps(), []Submission{accepted(1, 15, 15), accepted(1, 12, 12), accepted(2, 20, 20)}, nil,
+		8*time.Second); longest != seconds(4) {
 		t.Errorf("the longest late accept is %v, want 4s", longest)
 	}
 }
@@ -123,20 +130,26 @@
 		rule     OwnershipRule
 		wantText string
 	}{
-		{name: "fits the maps", requests: []WatchRequest{request(1, 1, 2), request(12, 1, 2), request(15, 2), request(31, 1, 2), request(52, 1, 2, 4), request(60, 2, 4)}},
+		{name: "fits the maps", requests: []WatchRequest{request(1, 1, 2), request(12, 1, 2), request(15, 2), request(31, 1, 2), request(52, 1, 2, 4),
+			request(60, 2, 4)}},
 		{name: "any partition while it owns nothing", requests: []WatchRequest{request(55, 2, 4), request(72, 3)}},
-		{name: "any partition while it owns some", requests: []WatchRequest{request(52, 1, 2, 4), request(55, 3)}, rule: RuleForwardOnly, wantText: "those of map 0, after it had requested those of map 4"},
+		{name: "any partition while it owns some", requests: []WatchRequest{request(52, 1, 2, 4), request(55, 3)}, rule: RuleForwardOnly,
+			wantText: "those of map 0, after it had requested those of map 4"},
 		{name: "any partition, overtaken by its first request", requests: []WatchRequest{request(2, 1, 2), request(2.1, 3)}},
 		{name: "any partition before it has a map", requests: []WatchRequest{request(0.5, 3), request(2, 1, 2)}},
 		{name: "two partitions while it owns nothing", requests: []WatchRequest{request(72, 3, 5)}, rule: RuleForwardOnly, wantText: "none of the maps"},
 		{name: "overtaken by a newer request", requests: []WatchRequest{request(51, 2, 4), request(52, 1, 2)}},
-		{name: "back to an older map", requests: []WatchRequest{request(51, 2, 4), request(59, 1, 2)}, rule: RuleForwardOnly, wantText: "those of map 1, after it had requested those of map 4"},
+		{name: "back to an older map", requests: []WatchRequest{request(51, 2, 4), request(59, 1, 2)}, rule: RuleForwardOnly,
+			wantText: "those of map 1, after it had requested those of map 4"},
 		{name: "more than it ever owned", requests: []WatchRequest{request(12, 1, 2, 4)}, rule: RuleForwardOnly, wantText: "none of the maps"},
-		{name: "less than it owns", requests: []WatchRequest{request(2, 1, 2), request(5, 1)}, rule: RuleForwardOnly, wantText: "those of map 0, after it had requested those of map 1"},
-		{name: "ahead of the maps", requests: []WatchRequest{request(2, 1, 2), request(5, 2)}, rule: RuleForwardOnly, wantText: "those of map 0, after it had requested those of map 1"},
+		{name: "less than it owns", requests: []WatchRequest{request(2, 1, 2), request(5, 1)}, rule: RuleForwardOnly,
+			wantText: "those of map 0, after it had requested those of map 1"},
+		{name: "ahead of the maps", requests: []WatchRequest{request(2, 1, 2), request(5, 2)}, rule: RuleForwardOnly,
+			wantText: "those of map 0, after it had requested those of map 1"},
 		{name: "the whole list", requests: []WatchRequest{{At: seconds(5), AllPartitions: true}}, rule: RuleFilteredLists, wantText: "all partitions"},
 	} {
-		checkViolation(t, test.name, CheckWatchRequests(append(testMaps(), PublishedMap{Number: 5, WrittenAfter: seconds(70), CommittedBy: seconds(71)}), test.requests, watchCrossingSlack), test.rule, test.wantText)
+		checkViolation(t, test.name, CheckWatchRequests(append(testMaps(), PublishedMap{Number: 5, WrittenAfter: seconds(70), CommittedBy: seconds(71)}),
+			test.requests, watchCrossingSlack), test.rule, test.wantText)
 	}
 }
 
@@ -149,7 +162,8 @@
 		return catalog.Change{Revision: revision, Members: members}
 	}
 	histories := map[int64]CommittedHistory{7: {Changes: []catalog.Change{
-		change(1, endpoint("a", 1, 1), endpoint("b", 2, 1)), change(2, endpoint("a", 1, 2)), change(3, endpoint("b", 2, 2)), change(4, endpoint("b", 1, 2)), change(5, endpoint("a", 2, 2)), change(6, endpoint("c", 1, 1)),
+		change(1, endpoint("a", 1, 1), endpoint("b", 2, 1)), change(2, endpoint("a", 1, 2)), change(3, endpoint("b", 2, 2)), change(4, endpoint("b", 1, 2)),
+		change(5, endpoint("a", 2, 2)), change(6, endpoint("c", 1, 1)),
 	}}}
 	line := func(revision int64, complete bool, members ...catalog.Endpoint) WatchLine {
 		return WatchLine{List: catalog.List{Revision: revision, Complete: complete, Members: members}}
@@ -161,7 +175,8 @@
 		}
 		return made
 	}
-	correct := []WatchLine{line(1, true, endpoint("a", 1, 1)), line(2, false, endpoint("a", 1, 2)), line(3, false), line(4, false, endpoint("b", 1, 2)), line(5, false, deleted("a")), line(6, false, endpoint("c", 1, 1))}
+	correct := []WatchLine{line(1, true, endpoint("a", 1, 1)), line(2, false, endpoint("a", 1, 2)), line(3, false), line(4, false, endpoint("b", 1, 2)),
+		line(5, false, deleted("a")), line(6, false, endpoint("c", 1, 1))}
 	olderBuild := request(2, 0, line(6, true, endpoint("a", 2, 2), endpoint("b", 1, 2), endpoint("c", 1, 1)))
 	olderBuild.OlderBuild = true
 	newerMap := line(2, false, endpoint("a", 1, 2))
@@ -172,13 +187,16 @@
 		wantText string
 	}{
 		{"correct", []WatchRequest{request(1, 0, correct...)}, ""},
-		{"in several watches", []WatchRequest{request(1, 0, correct[:2]...), request(2, 2, line(5, false, endpoint("b", 1, 2), deleted("a"))), request(3, 5, correct[5])}, ""},
+		{"in several watches", []WatchRequest{request(1, 0, correct[:2]...), request(2, 2, line(5, false, endpoint("b", 1, 2), deleted("a"))),
+			request(3, 5, correct[5])}, ""},
 		{"from before what was sent last", []WatchRequest{request(1, 0, correct[:4]...), request(2, 2, correct[3:]...)}, ""},
-		{"the whole list instead of changes", []WatchRequest{request(1, 0, correct[:2]...), request(2, 2, line(6, true, endpoint("b", 1, 2), endpoint("c", 1, 1)))}, ""},
+		{"the whole list instead of changes",
+			[]WatchRequest{request(1, 0, correct[:2]...), request(2, 2, line(6, true, endpoint("b", 1, 2), endpoint("c", 1, 1)))}, ""},
 		{"not answered", []WatchRequest{request(1, 0), request(2, 0, correct...)}, ""},
 		{"lines of an older build are skipped", []WatchRequest{request(1, 0, correct[:2]...), olderBuild, request(3, 2, correct[2:]...)}, ""},
 		{"resumed from an older build's revision, nothing sent", []WatchRequest{request(1, 0, correct[:2]...), olderBuild, request(3, 6)}, ""}, // that watch was sent nothing
-		{"resumed from an older build's revision", []WatchRequest{request(1, 0, correct[:2]...), olderBuild, request(3, 6, line(6, false))}, "was sent no more than revision 2"},
+		{"resumed from an older build's revision", []WatchRequest{request(1, 0, correct[:2]...), olderBuild, request(3, 6, line(6, false))},
+			"was sent no more than revision 2"},
 		{"a change missing", []WatchRequest{request(1, 0, correct[0], line(2, false))}, "different [a]"},
 		{"a change missing, and another sent", []WatchRequest{request(1, 0, correct[0], line(3, false), correct[3])}, "line 1, revision 3"},
 		{"an endpoint added to the partition missing", []WatchRequest{request(1, 0, correct[0], correct[1], line(4, false))}, "missing [b]"},
@@ -224,7 +242,8 @@
 		{"no answer", except(1, submission(0, 0, history.ClientTimedOut, 0, "")), "unheard"},
 		{"never asked", correct[1:], "no answer recorded"},
 	} {
-		checkViolation(t, test.name, CheckConverged(lastMap, 2, []int{1, 2, 900}, func(destination int) bool { return destination < 900 }, test.submissions), RuleOwnersOnly, test.wantText)
+		checkViolation(t, test.name, CheckConverged(lastMap, 2, []int{1, 2, 900}, func(destination int) bool { return destination < 900 }, test.submissions),
+			RuleOwnersOnly, test.wantText)
 	}
 }
 
@@ -248,15 +267,18 @@
 		{"failed, with the answer lost", atMostOnce, []MessageEnd{end(1.2, RanAtPartner), end(3, NoticeFailed)}, nil, ""},
 		{"no end", submission, []MessageEnd{end(1.2, RanAtPartner)}, nil, "has no end"},
 		{"late", submission, []MessageEnd{end(4.5, NoticeFailed)}, nil, "ended at 4.5s"},
-		{"late, because its node was down", submission, []MessageEnd{end(9, NoticeFailed)}, []Disturbance{{0, seconds(2), seconds(5), ""}, {0, seconds(5.5), seconds(8.5), ""}}, ""},
-		{"late, although only another node was down", submission, []MessageEnd{end(9, NoticeFailed)}, []Disturbance{{1, seconds(2), seconds(8.5), ""}}, "ended at 9s"},
+		{"late, because its node was down", submission, []MessageEnd{end(9, NoticeFailed)},
+			[]Disturbance{{0, seconds(2), seconds(5), ""}, {0, seconds(5.5), seconds(8.5), ""}}, ""},
+		{"late, although only another node was down", submission, []MessageEnd{end(9, NoticeFailed)}, []Disturbance{{1, seconds(2), seconds(8.5), ""}},
+			"ended at 9s"},
 		{"not due yet", submission, nil, []Disturbance{{-1, seconds(2), seconds(19.5), ""}}, ""},
 		{"never accepted", connectionLost, nil, nil, ""},
 		{"accepted before", repeat, nil, nil, ""},
 		{"run twice, which is forbidden", atMostOnce, []MessageEnd{end(1.2, RanAtPartner), end(1.3, RanAtPartner), end(1.4, AnsweredByPartner)}, nil, "ran 2 times"},
 		{"run and returned", atMostOnce, []MessageEnd{end(1.2, RanAtPartner), end(1.4, NoticeReturned)}, nil, "returned: true"},
 	} {
-		checkViolation(t, test.name, CheckEnds([]Submission{test.submission}, test.ends, test.disturbances, time.Second, seconds(20)), RuleMessagesEnd, test.wantText)
+		checkViolation(t, test.name, CheckEnds([]Submission{test.submission}, test.ends, test.disturbances, time.Second, seconds(20)), RuleMessagesEnd,
+			test.wantText)
 	}
 }
 
@@ -294,7 +316,8 @@
 	for i, id := range []string{"lost", "its own", "ended before"} {
 		submissions[i].ID = id
 	}
-	ends := []MessageEnd{{"lost", seconds(10.95), RanAtPartner}, {"lost", seconds(11.5), AnsweredByPartner}, {"its own", seconds(11.5), AnsweredByPartner}, {"ended before", seconds(3), AnsweredByPartner}}
+	ends := []MessageEnd{{"lost", seconds(10.95), RanAtPartner}, {"lost", seconds(11.5), AnsweredByPartner}, {"its own", seconds(11.5), AnsweredByPartner},
+		{"ended before", seconds(3), AnsweredByPartner}}
 	if count := CountEndedAfterLoss(testMaps(), submissions, ends); count != 1 {
 		t.Errorf("%d messages counted, want 1", count)
 	}
--- a/internal/lab/trial/ownership_control.go
+++ b/internal/lab/trial/ownership_control.go
@@ -38,7 +38,8 @@
 	updateAnswerLost    interruption = "the answer to its update lost"
 )
 
-var interruptions = []interruption{uninterrupted, killedAfterAcquire, killedBeforeUpdate, killedAfterUpdate, killedDuringUpdate, killedBeforeRelease, sleepsPastLease, updateAnswerLost}
+var interruptions = []interruption{uninterrupted, killedAfterAcquire, killedBeforeUpdate, killedAfterUpdate,
+	killedDuringUpdate, killedBeforeRelease, sleepsPastLease, updateAnswerLost}
 
 // errControllerKilled reports that a controller was killed by its interruption.
 var errControllerKilled = errors.New("controller killed")
@@ -55,7 +56,8 @@
 func (t *ownershipTrial) newController(number int) *controller {
 	admin := t.newClient(300 + number)
 	admin.HTTPClient.Timeout = controllerTimeout
-	return &controller{trial: t, name: fmt.Sprint("c", number), random: rand.New(rand.NewPCG(t.options.Seed, uint64(3000+number))), admin: admin}
+	return &controller{trial: t, name: fmt.Sprint("c", number),
+		random: rand.New(rand.NewPCG(t.options.Seed, uint64(3000+number))), admin: admin}
 }
 
 // run changes the map again and again until the context ends.
@@ -100,7 +102,9 @@
 
 // publishMap publishes one new map, whose members are derived from those of the map before, and returns it.
 // The controller is killed or loses an answer where the interruption says so.
-func (c *controller) publishMap(ctx context.Context, interrupted interruption, members func([]ownership.Member) []ownership.Member) (*ownership.Map, error) {
+func (c *controller) publishMap(
+	ctx context.Context, interrupted interruption, members func([]ownership.Member) []ownership.Member,
+) (*ownership.Map, error) {
 	deadline := time.Now().Add(mapChangeTimeout + c.admin.RetryFor)
 	var planned *ownership.Map
 	publisher := ownership.Publisher{Plan: func(number int64, before *ownership.Map) (m *ownership.Map, err error) {
@@ -119,7 +123,8 @@
 		}
 		answer := c.execute(ctx, interrupted, action, planned)
 		switch {
-		case interrupted == killedAfterUpdate && action.Operation == ownership.Update && answer.Outcome == ownership.Done, interrupted == killedDuringUpdate && action.Operation == ownership.Update:
+		case interrupted == killedAfterUpdate && action.Operation == ownership.Update && answer.Outcome == ownership.Done,
+			interrupted == killedDuringUpdate && action.Operation == ownership.Update:
 			c.incarnation++
 			return nil, errControllerKilled
 		case interrupted == updateAnswerLost && action.Operation == ownership.Update && answer.Outcome == ownership.Done:
@@ -157,14 +162,16 @@
 	var err error
 	switch action.Operation {
 	case ownership.Acquire:
-		record, err = c.request(ctx, http.MethodPut, mapPath, map[string]any{"holder": fmt.Sprint(c.name, "-", c.incarnation), "ttl_ms": mapLeaseTTL.Milliseconds()})
+		record, err = c.request(ctx, http.MethodPut, mapPath,
+			map[string]any{"holder": fmt.Sprint(c.name, "-", c.incarnation), "ttl_ms": mapLeaseTTL.Milliseconds()})
 	case ownership.Read:
 		record, err = c.request(ctx, http.MethodGet, mapPath+"?fresh=1", nil)
 	case ownership.Update:
 		if interrupted == sleepsPastLease {
 			registry.Sleep(ctx, mapLeaseTTL+time.Duration(c.random.Int64N(int64(mapLeaseTTL))))
 		}
-		write := MapWrite{Writer: fmt.Sprint(c.name, "-", c.incarnation), Number: planned.Number, Checksum: checksum(action.Value), Outcome: Done, Call: c.trial.elapsed()}
+		write := MapWrite{Writer: fmt.Sprint(c.name, "-", c.incarnation), Number: planned.Number,
+			Checksum: checksum(action.Value), Outcome: Done, Call: c.trial.elapsed()}
 		published := c.trial.recordMapIntent(planned, write)
 		if interrupted == killedDuringUpdate {
 			var cancel context.CancelFunc
--- a/internal/lab/trial/ownership_front.go
+++ b/internal/lab/trial/ownership_front.go
@@ -42,9 +42,11 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &front{trial: t, node: node, replica: replica, replicaAddr: replicaAddr, client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
+	f := &front{trial: t, node: node, replica: replica, replicaAddr: replicaAddr,
+		client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
-	f.server = &http.Server{Handler: f, ReadHeaderTimeout: 30 * time.Second, BaseContext: func(net.Listener) context.Context { return f.ctx }}
+	f.server = &http.Server{Handler: f, ReadHeaderTimeout: 30 * time.Second,
+		BaseContext: func(net.Listener) context.Context { return f.ctx }}
 	f.serving.Go(func() { f.server.Serve(ln) })
 	if f.link, err = relay.Listen(linkAddr, t.options.Seed+uint64(100*node+replica), relay.DialTo(addr), nil); err != nil {
 		f.close()
@@ -86,7 +88,8 @@
 			url.RawQuery = q.Encode()
 		}
 	}
-	forwarded, err := http.NewRequestWithContext(req.Context(), req.Method, "http://"+f.replicaAddr+url.RequestURI(), bytes.NewReader(body))
+	forwarded, err := http.NewRequestWithContext(req.Context(), req.Method, "http://"+f.replicaAddr+url.RequestURI(),
+		bytes.NewReader(body))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -135,7 +138,8 @@
 // recordWatch records a watch that the node requests.
 func (f *front) recordWatch(req *http.Request, olderBuild bool) (*WatchRequest, error) {
 	query := req.URL.Query()
-	request := &WatchRequest{Node: f.node, Replica: f.replica, At: f.trial.elapsed(), OlderBuild: olderBuild, AllPartitions: !query.Has("partitions")}
+	request := &WatchRequest{Node: f.node, Replica: f.replica, At: f.trial.elapsed(), OlderBuild: olderBuild,
+		AllPartitions: !query.Has("partitions")}
 	var err error
 	if !request.AllPartitions {
 		if request.Partitions, err = ownership.ParseSet(query.Get("partitions")); err != nil {
--- a/internal/lab/trial/ownership_node.go
+++ b/internal/lab/trial/ownership_node.go
@@ -53,14 +53,17 @@
 // nodeSettings returns the settings that a node gets from the platform.
 func nodeSettings(node int, zones []string, nodes int) (json.RawMessage, error) {
 	class := func(n int, effect judge.Effect) experiment.ClassPlan {
-		return experiment.ClassPlan{Name: classNames[n], SoftDeadline: time.Second, Deadline: messageLifetime, Worth: 1, WorthAtDeadline: 0.5, Effect: effect, Window: time.Minute}
+		return experiment.ClassPlan{Name: classNames[n], SoftDeadline: time.Second, Deadline: messageLifetime, Worth: 1,
+			WorthAtDeadline: 0.5, Effect: effect, Window: time.Minute}
 	}
 	plan := experiment.Plan{
 		Zones: zones, PartnerKinds: []string{"hook"}, Tenants: []experiment.TenantPlan{{Name: "m", Share: 1, Allowance: 1e6}},
-		Classes: []experiment.ClassPlan{class(classIdempotent, judge.EffectIdempotent), class(classDeduplicated, judge.EffectDeduplicated), class(classAtMostOnce, judge.EffectAtMostOnce)},
+		Classes: []experiment.ClassPlan{class(classIdempotent, judge.EffectIdempotent),
+			class(classDeduplicated, judge.EffectDeduplicated), class(classAtMostOnce, judge.EffectAtMostOnce)},
 		Rules: experiment.RulesPlan{
-			MaxAttempts: 6, DrainGrace: time.Second, CollapseMultiple: 1.5, CollapseSpan: 2 * time.Second, SlowStartFrom: 0.3, SlowStartDuration: 2 * time.Second,
-			DialTimeout: time.Second, ConnIdleTimeout: 5 * time.Second, MaxRetryAfter: 3 * time.Second,
+			MaxAttempts: 6, DrainGrace: time.Second, CollapseMultiple: 1.5, CollapseSpan: 2 * time.Second, SlowStartFrom: 0.3,
+			SlowStartDuration: 2 * time.Second,
+			DialTimeout:       time.Second, ConnIdleTimeout: 5 * time.Second, MaxRetryAfter: 3 * time.Second,
 		},
 	}
 	for i := range nodes {
@@ -97,14 +100,16 @@
 	var addresses []string
 	for i, replica := range t.replicas {
 		linkAddr := fmt.Sprintf("%s:%d", t.block.IP(frontLinkHost+i, number+1), frontPort)
-		front, err := openFront(t, number, i, fmt.Sprintf("%s:%d", t.block.IP(frontHost+i, number+1), frontPort), linkAddr, replica.AdvertisedAddr(0))
+		front, err := openFront(t, number, i, fmt.Sprintf("%s:%d", t.block.IP(frontHost+i, number+1), frontPort), linkAddr,
+			replica.AdvertisedAddr(0))
 		if err != nil {
 			return n, fmt.Errorf("open a front of %s: %w", n.name, err)
 		}
 		n.fronts = append(n.fronts, front)
 		addresses = append(addresses, strconv.Quote(linkAddr))
 	}
-	fleetConfig := fmt.Sprintf("[registry]\naddresses = [%s]\nkeep_kb = 64\n[ownership]\nname = %q\nowners = %d\n", strings.Join(addresses, ", "), n.name, ownersPerPartition)
+	fleetConfig := fmt.Sprintf("[registry]\naddresses = [%s]\nkeep_kb = 64\n[ownership]\nname = %q\nowners = %d\n",
+		strings.Join(addresses, ", "), n.name, ownersPerPartition)
 	if err := os.WriteFile(filepath.Join(n.folder, "fleet.toml"), []byte(fleetConfig), 0o600); err != nil {
 		return n, err
 	}
@@ -113,7 +118,8 @@
 		return n, err
 	}
 	raw, err := json.Marshal(map[string]any{
-		"name": n.name, "listen": n.clientAddr(), "discovery": discoveryAddr(n), "seed": fmt.Sprintf("%016x", t.options.Seed+uint64(number)), "settings": settings,
+		"name": n.name, "listen": n.clientAddr(), "discovery": discoveryAddr(n),
+		"seed": fmt.Sprintf("%016x", t.options.Seed+uint64(number)), "settings": settings,
 		"known":  catalog.List{Members: []catalog.Endpoint{}},
 		"limits": map[string]any{"cores": 1, "memory_mb": 256, "sockets": 512, "disk_mb": 16},
 	})
@@ -169,11 +175,14 @@
 // launchLocked starts a process; the caller holds mu.
 func (n *deliveryNode) launchLocked() error {
 	n.startCount++
-	process, err := n.trial.supervisor.Start(proc.Spec{Name: n.name, Command: n.trial.ownershipOptions.Node, Output: n.logFile, MaxDescriptors: 512, Env: []string{
-		"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=" + n.name, "ROUTER_LISTEN=" + n.clientAddr(), "ROUTER_DISCOVERY=" + discoveryAddr(n),
-		"ROUTER_STATE=" + filepath.Join(n.folder, "state"), "ROUTER_CONFIG=" + filepath.Join(n.folder, "config.json"), "TMPDIR=" + filepath.Join(n.folder, "tmp"),
-		"ROUTER_FLEET=" + filepath.Join(n.folder, "fleet.toml"), "ROUTER_ADMIN_ADDR=" + n.adminAddrLocked(),
-	}})
+	process, err := n.trial.supervisor.Start(proc.Spec{Name: n.name, Command: n.trial.ownershipOptions.Node, Output: n.logFile,
+		MaxDescriptors: 512, Env: []string{
+			"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=" + n.name, "ROUTER_LISTEN=" + n.clientAddr(),
+			"ROUTER_DISCOVERY=" + discoveryAddr(n),
+			"ROUTER_STATE=" + filepath.Join(n.folder, "state"), "ROUTER_CONFIG=" + filepath.Join(n.folder, "config.json"),
+			"TMPDIR=" + filepath.Join(n.folder, "tmp"),
+			"ROUTER_FLEET=" + filepath.Join(n.folder, "fleet.toml"), "ROUTER_ADMIN_ADDR=" + n.adminAddrLocked(),
+		}})
 	if err == nil {
 		n.running = process
 	}
--- a/internal/lab/trial/size.go
+++ b/internal/lab/trial/size.go
@@ -73,7 +73,8 @@
 
 // Measure measures the list service, and simpler designs for comparison.
 func Measure(ctx context.Context, options SizeOptions) (*Measurements, error) {
-	measurements := &Measurements{Watchers: options.Watchers, ChangesPerSecond: options.ChangesPerSecond, Endpoints: options.Endpoints, WritesPerSecond: map[string]float64{}, WriteP99Millis: map[string]float64{}}
+	measurements := &Measurements{Watchers: options.Watchers, ChangesPerSecond: options.ChangesPerSecond,
+		Endpoints: options.Endpoints, WritesPerSecond: map[string]float64{}, WriteP99Millis: map[string]float64{}}
 	sup := proc.NewSupervisor()
 	defer sup.Close()
 	steps := []struct {
@@ -81,11 +82,12 @@
 		do   func() error
 	}{
 		{"watches of one replica", func() error { return measurements.measurePropagation(ctx, options, sup, "directory") }},
-		{"watches that are each encoded for", func() error { return measurements.measurePropagation(ctx, options, sup, "encode for each") }},
+		{"watches for which each change is encoded anew",
+			func() error { return measurements.measurePropagation(ctx, options, sup, "encode for each") }},
 		{"nodes that poll", func() error { return measurements.measurePropagation(ctx, options, sup, "poll") }},
 		{"writes at one replica", func() error { return measurements.measureWrites(ctx, options, 1) }},
-		{"writes at three", func() error { return measurements.measureWrites(ctx, options, 3) }},
-		{"fail-over", func() error { return measurements.measureFailover(ctx, options) }},
+		{"writes at three replicas", func() error { return measurements.measureWrites(ctx, options, 3) }},
+		{"failover", func() error { return measurements.measureFailover(ctx, options) }},
 	}
 	for _, step := range steps {
 		options.Progress(step.name)
@@ -108,7 +110,8 @@
 // stampedEndpoint returns the endpoint of a number. Its start time carries the time of the change's request
 // in microseconds.
 func stampedEndpoint(n int, stamp int64) catalog.Endpoint {
-	return catalog.Endpoint{ID: fmt.Sprintf("s-%08x", n), Addr: fmt.Sprintf("10.1.%d.%d:6379", n/250, n%250), Locality: "a", Flavor: "m2", Cell: n / 4,
+	return catalog.Endpoint{ID: fmt.Sprintf("s-%08x", n), Addr: fmt.Sprintf("10.1.%d.%d:6379", n/250, n%250), Locality: "a",
+		Flavor: "m2", Cell: n / 4,
 		Phase: catalog.Serving, Size: 1, UpSince: stamp}
 }
 
@@ -186,7 +189,8 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	command := []string{options.Program, "lab", "plain-directory", addr, "--endpoints", strconv.Itoa(options.Endpoints), "--rate", strconv.Itoa(options.ChangesPerSecond)}
+	command := []string{options.Program, "lab", "plain-directory", addr, "--endpoints", strconv.Itoa(options.Endpoints),
+		"--rate", strconv.Itoa(options.ChangesPerSecond)}
 	if method != "encode for each" {
 		config := filepath.Join(dir, "directory.toml")
 		settings := fmt.Sprintf("id = \"d\"\nhttp = %q\ndata = %q\n", addr, filepath.Join(dir, "data"))
@@ -198,12 +202,14 @@
 		}
 		command = []string{options.Program, "directory", "serve", "--config", config}
 	}
-	process, err := supervisor.Start(proc.Spec{Name: method, Command: command, Env: []string{"PATH=" + os.Getenv("PATH")}, Output: io.Discard})
+	process, err := supervisor.Start(proc.Spec{Name: method, Command: command, Env: []string{"PATH=" + os.Getenv("PATH")},
+		Output: io.Discard})
 	if err != nil {
 		return err
 	}
 	defer process.Terminate(ctx, 3*time.Second)
-	admin := &directory.AdminClient{Addresses: []string{addr}, RetryFor: settleTimeout, HTTPClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	admin := &directory.AdminClient{Addresses: []string{addr}, RetryFor: settleTimeout,
+		HTTPClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	if method != "encode for each" {
 		var list []catalog.Endpoint
 		for n := range options.Endpoints {
@@ -212,7 +218,8 @@
 		if _, err := admin.Put(ctx, list, true, true, "*"); err != nil {
 			return err
 		}
-	} else if err := await(ctx, "the plain directory", func() bool { _, _, _, err := admin.List(ctx, false); return err == nil }); err != nil {
+	} else if err := await(ctx, "the plain directory",
+		func() bool { _, _, _, err := admin.List(ctx, false); return err == nil }); err != nil {
 		return err
 	}
 	usageBefore, err := process.Usage()
@@ -268,7 +275,8 @@
 			}
 			writes.Go(func() {
 				op := *admin
-				if _, err := op.Put(ctx, []catalog.Endpoint{stampedEndpoint(sent%options.Endpoints, time.Now().UnixMicro())}, false, false, "*"); err != nil {
+				if _, err := op.Put(ctx, []catalog.Endpoint{stampedEndpoint(sent%options.Endpoints, time.Now().UnixMicro())},
+					false, false, "*"); err != nil {
 					slog.Warn("write of a change failed", "err", err)
 				}
 			})
@@ -281,7 +289,8 @@
 	registry.Sleep(ctx, 2*time.Second)
 	stop()
 	watchers.Wait()
-	propagation := Propagation{Method: method, BytesPerWatcher: (usageWith.RSS - usageBefore.RSS) / int64(options.Watchers), Cores: cpuUsed.Seconds() / elapsed.Seconds()}
+	propagation := Propagation{Method: method, BytesPerWatcher: (usageWith.RSS - usageBefore.RSS) / int64(options.Watchers),
+		Cores: cpuUsed.Seconds() / elapsed.Seconds()}
 	toLast := hdrhistogram.New(1, 60e6, 3)
 	for stamp, latest := range recorded.latestByStamp {
 		if stamp < firstStamp || stamp > lastStamp {
@@ -296,7 +305,8 @@
 	quantile := func(delays *hdrhistogram.Histogram, q float64) time.Duration {
 		return time.Duration(delays.ValueAtQuantile(q)) * time.Microsecond
 	}
-	propagation.LastMedian, propagation.LastP99, propagation.EachMedian, propagation.EachP99 = quantile(toLast, 50), quantile(toLast, 99), quantile(recorded.delays, 50), quantile(recorded.delays, 99)
+	propagation.LastMedian, propagation.LastP99, propagation.EachMedian, propagation.EachP99 =
+		quantile(toLast, 50), quantile(toLast, 99), quantile(recorded.delays, 50), quantile(recorded.delays, 99)
 	s.Propagation = append(s.Propagation, propagation)
 	return nil
 }
@@ -387,7 +397,8 @@
 
 // startService starts count replicas without links, as part of a trial that runs no clients.
 func (o SizeOptions) startService(ctx context.Context, count int, dir string) (*trial, error) {
-	t := &trial{options: Options{Command: []string{o.Program, "directory", "serve"}, Dir: dir, Seed: 1, Log: slog.New(slog.DiscardHandler)},
+	t := &trial{options: Options{Command: []string{o.Program, "directory", "serve"}, Dir: dir, Seed: 1,
+		Log: slog.New(slog.DiscardHandler)},
 		supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(1, 1))}
 	if err := t.buildReplicas(count, true); err != nil {
 		t.close()
@@ -457,13 +468,15 @@
 	for _, r := range t.replicas {
 		addresses = append(addresses, r.OwnAddr(replica.HTTP))
 	}
-	admin := &directory.AdminClient{Addresses: addresses, HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+	admin := &directory.AdminClient{Addresses: addresses,
+		HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for i := range options.LeaderKills {
 		leader := t.leader(ctx)
 		leader.Process().Signal(syscall.SIGKILL)
 		killedAt := time.Now()
 		for n := int64(1); ; n++ {
-			if _, err := admin.Put(ctx, []catalog.Endpoint{stampedEndpoint(i, time.Now().UnixMicro())}, false, false, "*"); err == nil {
+			if _, err := admin.Put(ctx, []catalog.Endpoint{stampedEndpoint(i, time.Now().UnixMicro())},
+				false, false, "*"); err == nil {
 				break
 			}
 			if time.Since(killedAt) > settleTimeout || !registry.Sleep(ctx, 5*time.Millisecond) {
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -89,7 +89,8 @@
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
 	}
-	t := &trial{options: options, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(options.Seed, 1)), updates: make([][]WatcherUpdate, watcherCount)}
+	t := &trial{options: options, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(options.Seed, 1)),
+		updates: make([][]WatcherUpdate, watcherCount)}
 	t.result = Result{Seed: options.Seed, Operations: map[string]int{}, Violations: []string{}}
 	defer t.close()
 	if err := t.buildReplicas(replicaCount, false); err != nil {
@@ -126,7 +127,8 @@
 	if t.block, err = block.Reserve(); err != nil {
 		return err
 	}
-	options := replica.Options{Command: t.options.Command, Dir: t.options.Dir, Block: t.block, Supervisor: t.supervisor, Seed: t.options.Seed}
+	options := replica.Options{Command: t.options.Command, Dir: t.options.Dir, Block: t.block, Supervisor: t.supervisor,
+		Seed: t.options.Seed}
 	if !withoutLinks { // short intervals, so that much happens in a short time
 		options.Conditions = &healthyLink
 		options.Settings = "election = \"300ms\"\n[snapshot]\nevery = 40\ntrailing = 20\ninterval = \"200ms\"\n[watch]\nlag_kb = 64\n"
@@ -137,7 +139,8 @@
 
 // operatorClient returns a client that reaches one replica without its links.
 func operatorClient(target *replica.Replica) *directory.AdminClient {
-	return &directory.AdminClient{Addresses: []string{target.OwnAddr(replica.HTTP)}, HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+	return &directory.AdminClient{Addresses: []string{target.OwnAddr(replica.HTTP)},
+		HTTPClient: &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // leader returns the replica that reports to be the leader, or any replica if none does.
@@ -173,7 +176,8 @@
 	for _, r := range t.replicas {
 		addresses = append(addresses, r.AdvertisedAddr(replica.HTTP))
 	}
-	rand.New(rand.NewPCG(t.options.Seed, seed)).Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	rand.New(rand.NewPCG(t.options.Seed, seed)).Shuffle(len(addresses),
+		func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return addresses
 }
 
@@ -263,7 +267,8 @@
 func (t *trial) watchList(ctx context.Context, watcher int) {
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
-	listWatcher := registry.Watcher{Addresses: t.shuffledAddresses(uint64(watcher)), FleetSize: 1, Client: &http.Client{Transport: transport}, Log: t.options.Log,
+	listWatcher := registry.Watcher{Addresses: t.shuffledAddresses(uint64(watcher)), FleetSize: 1,
+		Client: &http.Client{Transport: transport}, Log: t.options.Log,
 		Cursor: registry.NewCursor(registry.Position{})}
 	listWatcher.Watch(ctx, func(update registry.Update) error {
 		t.mu.Lock()
@@ -324,7 +329,8 @@
 
 func (t *trial) writeValue(client *directory.AdminClient, op Operation, match string) {
 	op.New, op.Call = t.lastValue.Add(1), t.elapsed()
-	written, err := client.Put(context.Background(), []catalog.Endpoint{t.endpointWithValue(op.EndpointID, op.New)}, false, false, match)
+	written, err := client.Put(context.Background(), []catalog.Endpoint{t.endpointWithValue(op.EndpointID, op.New)},
+		false, false, match)
 	switch {
 	case err == nil:
 		op.Outcome, op.Revision = Done, written.Revision
@@ -460,7 +466,8 @@
 		}
 		// Losing a folder is safe only while the other replicas have all changes, so each fault is over
 		// before the next one.
-		if err := await(ctx, "three voters after the fault "+f.name, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+		if err := await(ctx, "three voters after the fault "+f.name,
+			func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			t.result.Violations = append(t.result.Violations, err.Error())
 		}
 	}
@@ -482,7 +489,8 @@
 			return err
 		}
 		for i := range 5 {
-			if _, err := admin.Put(ctx, []catalog.Endpoint{t.endpointWithValue(fmt.Sprint("x", i), 0)}, false, false, "*"); err != nil {
+			if _, err := admin.Put(ctx, []catalog.Endpoint{t.endpointWithValue(fmt.Sprint("x", i), 0)},
+				false, false, "*"); err != nil {
 				return fmt.Errorf("write after the faults: %w", err)
 			}
 		}
