--- a/internal/lab/trial/leases.go
+++ b/internal/lab/trial/leases.go
@@ -32,18 +32,18 @@
 // not increase from holder to holder.
 func CheckLeases(holdings []LeaseHolding) []string {
 	holdings = slices.SortedFunc(slices.Values(holdings),
-		func(a, current LeaseHolding) int { return cmp.Compare(a.Token, current.Token) })
+		func(a, b LeaseHolding) int { return cmp.Compare(a.Token, b.Token) })
 	var violations []string
 	for i := 1; i < len(holdings); i++ {
-		previous, b := holdings[i-1], holdings[i]
+		previous, current := holdings[i-1], holdings[i]
 		switch {
-		case previous.Token == b.Token:
+		case previous.Token == current.Token:
 			violations = append(violations,
-				fmt.Sprintf("token %d was given to holder %d and to holder %d", previous.Token, previous.Holder, b.Holder))
-		case previous.Holder != b.Holder && b.From < previous.Until:
+				fmt.Sprintf("token %d was given to holder %d and to holder %d", previous.Token, previous.Holder, current.Holder))
+		case previous.Holder != current.Holder && current.From < previous.Until:
 			violations = append(violations,
-				fmt.Sprintf("holder %d had token %d from %v, while holder %d could rely on token %d until %v", b.Holder,
-					b.Token, b.From, previous.Holder, previous.Token, previous.Until))
+				fmt.Sprintf("holder %d had token %d from %v, while holder %d could rely on token %d until %v", current.Holder,
+					current.Token, current.From, previous.Holder, previous.Token, previous.Until))
 		}
 	}
 	return violations
--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -123,18 +123,18 @@
 	killedNodes      chan killedNode
 
 	// What was recorded, and what is to be injected; guarded by mu.
-	observations   []MapObservation
-	mapWrites      []MapWrite
-	maps           []*PublishedMap
-	submissions    []Submission
-	watchRequests  []*WatchRequest
-	messageEnds    []MessageEnd
-	disturbances   []*Disturbance
-	answerDelays   map[string]time.Duration // by message: for how long the partner delays its answer
-	result         OwnershipResult
-	dropNextChange bool         // drop the next change that a node is sent on a filtered watch
-	killOnFetch    map[int]bool // nodes to kill when they next fetch the map; true: after the map was sent to them
-	lateAcceptor   int          // the node whose refusals are recorded as acceptances of what it lost; -1: none
+	mapObservations []MapObservation
+	mapWrites       []MapWrite
+	published       []*PublishedMap
+	submissions     []Submission
+	watchRequests   []*WatchRequest
+	messageEnds     []MessageEnd
+	disturbances    []*Disturbance
+	answerDelays    map[string]time.Duration // by message: for how long the partner delays its answer
+	result          OwnershipResult
+	dropNextChange  bool         // drop the next change that a node is sent on a filtered watch
+	killOnFetch     map[int]bool // nodes to kill when they next fetch the map; true: after the map was sent to them
+	lateAcceptor    int          // the node whose refusals are recorded as acceptances of what it lost; -1: none
 }
 
 type killedNode struct {
@@ -178,7 +178,7 @@
 	for _, node := range t.nodes { // the dump of each node's goroutines may tell the cause
 		node.process().Signal(syscall.SIGQUIT)
 	}
-	raw, err := json.Marshal(map[string]any{"sights": t.observations, "writes": t.mapWrites, "eras": t.maps,
+	raw, err := json.Marshal(map[string]any{"sights": t.mapObservations, "writes": t.mapWrites, "eras": t.published,
 		"handed": t.submissions, "asks": t.watchRequests, "ends": t.messageEnds, "disturbed": t.disturbances})
 	if err != nil {
 		return nil, err
@@ -375,12 +375,12 @@
 		return
 	}
 	at, sum := t.elapsed(), checksum(value)
-	for _, published := range t.maps {
+	for _, published := range t.published {
 		if published.Number == m.Number && published.Checksum == sum {
 			published.CommittedBy = min(published.CommittedBy, at)
 		}
 	}
-	for _, previous := range slices.Backward(t.observations) {
+	for _, previous := range slices.Backward(t.mapObservations) {
 		if previous.Observer == observer {
 			if previous.Number == m.Number && previous.Checksum == sum {
 				return
@@ -388,7 +388,7 @@
 			break
 		}
 	}
-	t.observations = append(t.observations, MapObservation{at, observer, m.Number, sum})
+	t.mapObservations = append(t.mapObservations, MapObservation{at, observer, m.Number, sum})
 }
 
 // recordMapIntent records that a map is about to be written.
@@ -402,7 +402,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.maps = append(t.maps, published)
+	t.published = append(t.published, published)
 	return published
 }
 
@@ -410,7 +410,7 @@
 func (t *ownershipTrial) forgetMap(published *PublishedMap) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.maps = slices.DeleteFunc(t.maps, func(other *PublishedMap) bool { return other == published })
+	t.published = slices.DeleteFunc(t.published, func(other *PublishedMap) bool { return other == published })
 }
 
 func (t *ownershipTrial) recordMapWrite(published *PublishedMap, write MapWrite) {
@@ -570,7 +570,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if node.number == t.lateAcceptor && submission.Answer == history.Refused &&
-		slices.ContainsFunc(t.maps, func(m *PublishedMap) bool { return m.Owned[node.number].Has(ownership.PartitionOf(destination)) }) {
+		slices.ContainsFunc(t.published, func(m *PublishedMap) bool { return m.Owned[node.number].Has(ownership.PartitionOf(destination)) }) {
 		submission.Answer, submission.RetryAfter = history.Taken, 0
 	}
 	t.submissions = append(t.submissions, submission)
@@ -628,7 +628,7 @@
 	})},
 	{"node killed as it fetches a map", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		t.mu.Lock()
-		for _, n := range t.nodes { // only the first node that fetches the map has to be killed
+		for _, n := range t.nodes { // whichever fetches the map first; the others keep running
 			t.killOnFetch[n.number] = t.random.IntN(2) == 0
 		}
 		t.mu.Unlock()
@@ -736,7 +736,9 @@
 	}
 }
 
-// whichever fetches the map first; the others keep running
+// replicaFault injects a fault of the list service's own trial at a replica. Nodes that watch there turn to
+// another replica. A replica that goes on answering while it is cut off from the others (cutsOffWatchers)
+// leaves its watchers without news, so that is recorded as a disturbance of all nodes.
 func replicaFault(name string, cutsOffWatchers bool) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
 	return func(t *ownershipTrial, ctx context.Context, duration time.Duration) (string, error) {
 		target := t.replicas[t.random.IntN(replicaCount)]
@@ -753,7 +755,7 @@
 
 // checkAcceptsWithoutDirectory requires a node without a directory to go on by its map and list: it accepts
 // messages for what it owns by all recent maps, whichever of them it has, as far as it is on its list.
-func (t *ownershipTrial) checkAcceptsWithoutDirectory(ctx context.Context, node *deliveryNode, isListed func(dest int) bool) {
+func (t *ownershipTrial) checkAcceptsWithoutDirectory(ctx context.Context, node *deliveryNode, isListed func(destination int) bool) {
 	observed := t.copyObservations()
 	oldest := int64(0)
 	for _, m := range observed.published {
@@ -878,7 +880,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, published := range slices.Backward(t.maps) {
+	for _, published := range slices.Backward(t.published) {
 		if published.Number == m.Number {
 			return *published, nil
 		}
@@ -976,7 +978,7 @@
 }
 
 // submitToAll submits a message for each destination to a node. With untilCorrect it tries again until the
-// answer is correct; without, only while the node refuses with a retry-after.
+// answer is correct; without, only while an owner refuses with a retry-after.
 func (t *ownershipTrial) submitToAll(
 	ctx context.Context, node *deliveryNode, lastMap PublishedMap, destinations []int, isListed func(int) bool, untilCorrect bool,
 ) []Submission {
@@ -1000,8 +1002,8 @@
 	return submissions
 }
 
-// submitToAll submits a message for each destination to a node. With untilCorrect it tries again until the
-// answer is correct; without, only while an owner refuses with a retry-after.
+// hasFoundInjected tells whether the recorded submissions already show the injected violation, so that there is
+// nothing to wait for.
 func (t *ownershipTrial) hasFoundInjected() bool {
 	if t.ownershipOptions.Inject != InjectLateAccept {
 		return false
@@ -1056,21 +1058,21 @@
 
 // observations is a copy of what was recorded so far.
 type observations struct {
-	maps          []MapObservation
-	writes        []MapWrite
-	published     []PublishedMap
-	submissions   []Submission
-	watchRequests []WatchRequest
-	messageEnds   []MessageEnd
-	disturbances  []Disturbance
+	mapObservations []MapObservation
+	mapWrites       []MapWrite
+	published       []PublishedMap
+	submissions     []Submission
+	watchRequests   []WatchRequest
+	messageEnds     []MessageEnd
+	disturbances    []Disturbance
 }
 
 func (t *ownershipTrial) copyObservations() observations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	observed := observations{maps: slices.Clone(t.observations), writes: slices.Clone(t.mapWrites),
+	observed := observations{mapObservations: slices.Clone(t.mapObservations), mapWrites: slices.Clone(t.mapWrites),
 		submissions: slices.Clone(t.submissions), messageEnds: slices.Clone(t.messageEnds)}
-	for _, m := range t.maps {
+	for _, m := range t.published {
 		observed.published = append(observed.published, *m)
 	}
 	for _, request := range t.watchRequests {
@@ -1089,7 +1091,7 @@
 	var violations []Violation
 	acceptViolations, longestLateAccept := CheckAccepts(observed.published, observed.submissions, observed.disturbances,
 		mapAdoptionLimit)
-	violations = slices.Concat(violations, CheckMapNumbers(observed.maps, observed.writes), acceptViolations,
+	violations = slices.Concat(violations, CheckMapNumbers(observed.mapObservations, observed.mapWrites), acceptViolations,
 		CheckWatchRequests(observed.published, observed.watchRequests, watchCrossingSlack),
 		CheckEnds(observed.submissions, observed.messageEnds, observed.disturbances, messageEndSlack, checkedAt),
 		CheckAnswers(observed.submissions, observed.messageEnds,
--- a/internal/lab/trial/ownership_check.go
+++ b/internal/lab/trial/ownership_check.go
@@ -349,7 +349,7 @@
 	delivered := map[int]position{} // by node: the furthest position that it was sent
 	var violations []Violation
 	for _, request := range slices.SortedStableFunc(slices.Values(requests),
-		func(request, b WatchRequest) int { return cmp.Compare(request.At, b.At) }) {
+		func(a, b WatchRequest) int { return cmp.Compare(a.At, b.At) }) {
 		if request.AllPartitions || request.OlderBuild || len(request.Lines) == 0 {
 			continue
 		}
--- a/internal/lab/trial/size.go
+++ b/internal/lab/trial/size.go
@@ -87,7 +87,7 @@
 		{"nodes that poll", func() error { return measurements.measurePropagation(ctx, options, sup, "poll") }},
 		{"writes at one replica", func() error { return measurements.measureWrites(ctx, options, 1) }},
 		{"writes at three replicas", func() error { return measurements.measureWrites(ctx, options, 3) }},
-		{"failover", func() error { return measurements.measureFailover(ctx, options) }},
+		{"fail-over", func() error { return measurements.measureFailover(ctx, options) }},
 	}
 	for _, step := range steps {
 		options.Progress(step.name)
