--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -44,7 +44,7 @@
 	// target's 8 s. A slow machine must not cause a violation of it, so times in which the machine stalled
 	// the trial are not judged; see stallThreshold.
 	mapAdoptionLimit       = 8 * time.Second
-	watchCrossingSlack     = 2 * time.Second // in which an older watch request may overtake a newer one
+	watchCrossingSlack     = 2 * time.Second // in which an older watch request may arrive after a newer one
 	messageEndSlack        = 4 * time.Second
 	stallThreshold         = 500 * time.Millisecond // the checks do not judge a time in which the trial's own timer was later than this
 	stallCheckInterval     = 10 * time.Millisecond
--- a/internal/lab/trial/ownership_check.go
+++ b/internal/lab/trial/ownership_check.go
@@ -101,7 +101,7 @@
 	Number       int64
 	Checksum     uint64                `json:"Sum"`   // of the encoded map
 	WrittenAfter time.Duration         `json:"Asked"` // no process can have the map before this time
-	CommittedBy  time.Duration         `json:"Known"` // the directory had the map at this time; never: it is not known to have had it
+	CommittedBy  time.Duration         `json:"Known"` // the directory had the map by this time; never: not known
 	Owned        map[int]ownership.Set // by node; a node that is missing owns nothing
 }
 
