--- a/internal/lab/trial/formats_test.go
+++ b/internal/lab/trial/formats_test.go
@@ -83,16 +83,16 @@
 
 // The names that settings, flags, results and reports have.
 func TestNames(t *testing.T) {
-	var faultNames, ownFaultNames []string
+	var faultNames, ownershipFaultNames []string
 	for _, f := range faults {
 		faultNames = append(faultNames, f.name)
 	}
 	for _, f := range ownershipFaults {
-		ownFaultNames = append(ownFaultNames, f.name)
+		ownershipFaultNames = append(ownershipFaultNames, f.name)
 	}
 	raw, err := json.MarshalIndent(map[string]any{
 		"faults":           faultNames,
-		"ownership faults": ownFaultNames,
+		"ownership faults": ownershipFaultNames,
 		"boundaries":       interruptions,
 		"breaches":         InjectedViolations,
 		"rules": []OwnershipRule{RuleUniqueMaps, RuleForwardOnly, RuleTimelyRelease, RuleOwnersOnly, RuleFilteredLists, RuleAnswers,
--- a/internal/lab/trial/size.go
+++ b/internal/lab/trial/size.go
@@ -338,7 +338,7 @@
 		fmt.Fprintf(conn, "GET /registry/instances?watch=1&after=0 HTTP/1.1\r\nHost: d\r\n\r\n")
 		reader := bufio.NewReaderSize(conn, 4096)
 		status, err := reader.ReadSlice('\n')
-		if err == nil && !bytes.Contains(status, []byte(" 200 ")) { // refused: watchers return after the second that they are told to wait
+		if err == nil && !bytes.Contains(status, []byte(" 200 ")) { // refused and told when to return: it does so after 1 to 2 s
 			refused.Add(1)
 			stop()
 			conn.Close()
