--- a/cmd/cottonrack/capacity_test.go
+++ b/cmd/cottonrack/capacity_test.go
@@ -220,11 +220,11 @@
 	for _, f := range capacity.Bounds() {
 		var got float64
 		switch f.Name {
-		case "UsualMembers":
+		case "DefaultMaxEndpoints":
 			got = catalog.DefaultMaxEndpoints
 		case "MaxChanges":
 			got = catalog.MaxChanges
-		case "Watch.Most":
+		case "Watch.MaxOpen":
 			got = float64(directory.Defaults().Watch.MaxOpen)
 		case "keep_kb": // a setting without a default; the page's example is what is deployed
 			if strings.Contains(read(t, f.Place), "keep_kb = 256 ") {
--- a/fleet/capacity/capacity_test.go
+++ b/fleet/capacity/capacity_test.go
@@ -194,7 +194,7 @@
 		t.Errorf("with one slope missing: figure %v, missing %v", l.Figure, l.Provenance.Missing)
 	}
 	w := row{axis: ByDestinations, place: "x", unit: Bytes, figure: fromSlope("node.destinations.heap", Target.measuredDestinations),
-		limits: []limit{controlMemory, capLimit(boundMembers, fromTarget(Target.Endpoints))}}
+		limits: []limit{controlMemory, capLimit(boundEndpoints, fromTarget(Target.Endpoints))}}
 	l = w.line(committedTarget(t), nil)
 	if !l.End.UpperBound || l.endText() != "at most 7.7% of the destinations" {
 		t.Errorf("a cap beside a missing slope: %q", l.endText())
--- a/fleet/capacity/facts.go
+++ b/fleet/capacity/facts.go
@@ -11,21 +11,21 @@
 }
 
 var (
-	boundList = Bound{"maxList", "internal/registry/registry.go", 16 << 20, Bytes, "a list, or what changed of it, as a node reads it", ""}
-	boundKept = Bound{"keep_kb", "docs/directory.md", 256 << 10, Bytes, "the kept list in the lasting folder, as the page has it; without the setting none is kept",
+	boundList  = Bound{"maxListBytes", "internal/registry/registry.go", 16 << 20, Bytes, "a list, or the changes of one, that a node reads", ""}
+	boundCache = Bound{"keep_kb", "docs/directory.md", 256 << 10, Bytes, "the cached list in a node's state folder, by the example in the documentation; without the setting there is no cache",
 		"registry.keep_kb"}
-	boundKnown   = Bound{"maxKnown", "internal/node/journal.go", 2000, Count, "endpoints that the journal remembers", ""}
-	boundDisk    = Bound{"defaultDiskMB", "internal/node/journal.go", 3 << 20, Bytes, "the journal, unless the platform says otherwise; twice what it holds must fit", "limits.disk_mb"}
-	boundReserve = Bound{"messageReserve", "internal/node/journal.go", 700, Bytes, "room that the journal keeps for the small records of an event", ""}
-	boundLoop    = Bound{"loop", "internal/node/node.go", 1, Cores, "one goroutine takes all events and decides", ""}
-	boundMembers = Bound{"UsualMembers", "fleet/catalog/list.go", 50_000, Count, "endpoints of the list", "list.most"}
-	boundChanges = Bound{"MaxChanges", "fleet/catalog/state.go", 10_000, Count, "changes that are kept for who comes back", ""}
-	boundWrite   = Bound{"maxWrite", "internal/directory/server.go", 16 << 20, Bytes, "a body that a replica takes", ""}
-	boundRead    = Bound{"maxBackup", "internal/directory/code.go", 1 << 30, Bytes, "a list or a backup that the operators' program reads", ""}
-	boundWatches = Bound{"Watch.Most", "internal/directory/config.go", 20_000, Count, "watches of a replica", "watch.most"}
+	boundKnownEndpoints = Bound{"maxKnown", "internal/node/journal.go", 2000, Count, "known endpoints in the journal", ""}
+	boundJournal        = Bound{"defaultDiskMB", "internal/node/journal.go", 3 << 20, Bytes, "the journal, unless the platform sets another limit; it must have room for twice its contents", "limits.disk_mb"}
+	boundReserve        = Bound{"messageReserve", "internal/node/journal.go", 700, Bytes, "space in the journal that each event reserves for its later records", ""}
+	boundLoop           = Bound{"loop", "internal/node/node.go", 1, Cores, "one goroutine processes all input and makes all decisions", ""}
+	boundEndpoints      = Bound{"DefaultMaxEndpoints", "fleet/catalog/list.go", 50_000, Count, "endpoints in the list", "list.most"}
+	boundChanges        = Bound{"MaxChanges", "fleet/catalog/state.go", 10_000, Count, "recent changes kept for nodes that reconnect", ""}
+	boundRequestBody    = Bound{"maxBodyBytes", "internal/directory/server.go", 16 << 20, Bytes, "a request body that a replica accepts", ""}
+	boundResponseBody   = Bound{"maxBackupBytes", "internal/directory/code.go", 1 << 30, Bytes, "a list or a backup that the operators' program reads", ""}
+	boundWatches        = Bound{"Watch.MaxOpen", "internal/directory/config.go", 20_000, Count, "open watches of a replica", "watch.most"}
 )
 
 // Bounds returns the limits that rows are compared with.
 func Bounds() []Bound {
-	return []Bound{boundList, boundKept, boundKnown, boundDisk, boundReserve, boundLoop, boundMembers, boundChanges, boundWrite, boundRead, boundWatches}
+	return []Bound{boundList, boundCache, boundKnownEndpoints, boundJournal, boundReserve, boundLoop, boundEndpoints, boundChanges, boundRequestBody, boundResponseBody, boundWatches}
 }
--- a/fleet/capacity/rows.go
+++ b/fleet/capacity/rows.go
@@ -155,18 +155,18 @@
 var rows = []row{
 	// What a node spends on control data.
 	{id: "control.state.endpoints", role: NodeControl, kind: State, description: "endpoints that it knows", unit: Count, axis: ByDestinations,
-		formula: "destinations × endpoints each", figure: fromTarget(Target.Endpoints), limits: []limit{capLimit(boundMembers, nil)},
+		formula: "destinations × endpoints each", figure: fromTarget(Target.Endpoints), limits: []limit{capLimit(boundEndpoints, nil)},
 		place: "internal/registry", waitsFor: []string{ownership},
 		owned: &ownedVariant{"destinations × endpoints each × owners / nodes", fromTarget(func(t Target) float64 { return t.Endpoints() * t.owners() / t.Fleet.Nodes }), nil}},
 	{id: "control.state.remembered", role: NodeControl, kind: State, description: "endpoints that its journal should remember", unit: Count, axis: ByDestinations,
-		formula: "destinations × endpoints each", figure: fromTarget(Target.Endpoints), limits: []limit{capLimit(boundKnown, nil)},
+		formula: "destinations × endpoints each", figure: fromTarget(Target.Endpoints), limits: []limit{capLimit(boundKnownEndpoints, nil)},
 		place: "internal/node/journal.go", waitsFor: []string{ownership},
 		owned: &ownedVariant{"destinations × endpoints each × owners / nodes", fromTarget(func(t Target) float64 { return t.Endpoints() * t.owners() / t.Fleet.Nodes }),
-			[]limit{capLimit(boundKnown, nil)}}},
+			[]limit{capLimit(boundKnownEndpoints, nil)}}},
 	{id: "control.state.kept", role: NodeControl, kind: State, description: "the stored copy of the list", unit: Bytes, axis: ByDestinations,
-		formula: "node.list.bytes" + byDestinations, figure: fromSlope("node.list.bytes", Target.measuredDestinations), limits: []limit{capLimit(boundKept, nil)},
+		formula: "node.list.bytes" + byDestinations, figure: fromSlope("node.list.bytes", Target.measuredDestinations), limits: []limit{capLimit(boundCache, nil)},
 		assumption: "that its file is as large as the list in transit", place: "internal/registry/kept.go", waitsFor: []string{ownership},
-		owned: &ownedVariant{"owned.list.bytes" + byOwned, fromSlope("owned.list.bytes", Target.ownedDestinations), []limit{capLimit(boundKept, nil)}}},
+		owned: &ownedVariant{"owned.list.bytes" + byOwned, fromSlope("owned.list.bytes", Target.ownedDestinations), []limit{capLimit(boundCache, nil)}}},
 	{id: "control.state.members", role: NodeControl, kind: State, description: "members whose views it compares", unit: Count, axis: ByNodes,
 		formula: "nodes", figure: fromTarget(nodesOf), waitsFor: []string{membership}},
 	{id: "control.state.configuration", role: NodeControl, kind: State, description: "configuration changes a day, each in force everywhere within the target's seconds", unit: Count, axis: ByChanges,
@@ -264,7 +264,7 @@
 		formula: "2 × backlog / nodes × (body + id and key + " + boundReserve.Name + ")",
 		figure: func(t Target, _ *slopeReader) float64 {
 			return 2 * t.BacklogPerNode() * (t.Events.BodyBytes + t.Events.NameBytes + boundReserve.Value)
-		}, limits: []limit{capLimit(boundDisk, nil)}, place: "internal/node/journal.go", waitsFor: []string{backlog}},
+		}, limits: []limit{capLimit(boundJournal, nil)}, place: "internal/node/journal.go", waitsFor: []string{backlog}},
 	{id: "own.state.file", role: NodeOwn, kind: State, description: "file of the journal with the backlog in it", unit: Bytes, axis: ByBacklog,
 		formula: "journal.held.file" + byHeld, figure: fromSlope("journal.held.file", Target.BacklogPerNode), place: "internal/node/journal.go", waitsFor: []string{backlog}},
 	{id: "own.state.paged", role: NodeOwn, kind: State, description: "events that wait on disk and not in memory", unit: Count, axis: ByBacklog,
@@ -312,10 +312,10 @@
 
 	// A replica of the directory.
 	{id: "directory.state.endpoints", role: Directory, kind: State, description: "endpoints of the list", unit: Count, axis: ByDestinations,
-		formula: "destinations × endpoints each", figure: fromTarget(Target.Endpoints), limits: []limit{capLimit(boundMembers, nil)},
+		formula: "destinations × endpoints each", figure: fromTarget(Target.Endpoints), limits: []limit{capLimit(boundEndpoints, nil)},
 		place: "fleet/catalog", waitsFor: []string{ownership}},
 	{id: "directory.messages.write", role: Directory, kind: Messages, description: "a whole list in one write", unit: Bytes, axis: ByDestinations,
-		formula: "node.list.bytes" + byDestinations, figure: fromSlope("node.list.bytes", Target.measuredDestinations), limits: []limit{capLimit(boundWrite, nil)},
+		formula: "node.list.bytes" + byDestinations, figure: fromSlope("node.list.bytes", Target.measuredDestinations), limits: []limit{capLimit(boundRequestBody, nil)},
 		place: "internal/directory"},
 	{id: "directory.messages.watches", role: Directory, kind: Messages, description: "watches of one replica, all nodes at one of them", unit: Count, axis: ByNodes,
 		formula: "nodes", figure: fromTarget(nodesOf), limits: []limit{capLimit(boundWatches, nil)}, place: "internal/directory"},
@@ -353,7 +353,7 @@
 	// The operators' program.
 	{id: "operators.state", role: Operators, kind: State, description: "no state between two calls", axis: ByDestinations, formula: "-", place: "cmd/cottonrack"},
 	{id: "operators.messages.list", role: Operators, kind: Messages, description: "the complete list", unit: Bytes, axis: ByDestinations,
-		formula: "node.list.bytes" + byDestinations, figure: fromSlope("node.list.bytes", Target.measuredDestinations), limits: []limit{capLimit(boundRead, nil)},
+		formula: "node.list.bytes" + byDestinations, figure: fromSlope("node.list.bytes", Target.measuredDestinations), limits: []limit{capLimit(boundResponseBody, nil)},
 		place: "internal/directory/operator.go"},
 	{id: "operators.processor.list", role: Operators, kind: Processor, description: "processor time of one `directory list`", unit: Seconds, axis: ByDestinations,
 		formula: "operator.list.cpu" + byDestinations, figure: fromSlope("operator.list.cpu", Target.measuredDestinations), place: "cmd/cottonrack/directory.go"},
