--- a/internal/lab/scale/play/play.go
+++ b/internal/lab/scale/play/play.go
@@ -51,7 +51,7 @@
 	r.Notes = append(r.Notes, fmt.Sprintf(format, args...))
 }
 
-// AddDisturbance notes that the machine fell short, and how.
+// MarkInvalid notes that the machine fell short, and how.
 func (r *Reading) MarkInvalid(format string, args ...any) {
 	r.Invalid = append(r.Invalid, fmt.Sprintf(format, args...))
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -34,7 +34,7 @@
 		}
 		b.WriteString(".\n")
 	}
-	fmt.Fprintf(&b, "\n![each figure by %s](%s)\n\n## Points\n\nMedian, with the range of the plays in parentheses. Plays that failed, were disturbed or reached a limit are left out.\n\n", res.XUnit, plots)
+	fmt.Fprintf(&b, "\n![each figure by %s](%s)\n\n## Points\n\nMedian, with the range of the plays in parentheses. Plays that failed, are invalid or reached a limit are left out.\n\n", res.XUnit, plots)
 	b.WriteString("| figure | unit |")
 	for _, p := range res.Points {
 		fmt.Fprintf(&b, " %s |", formatNumber(p.X))
@@ -95,7 +95,7 @@
 			bad = append(bad, at+"failed: "+k.Failure)
 		}
 		for _, why := range k.InvalidReasons() {
-			bad = append(bad, at+"disturbed: "+why)
+			bad = append(bad, at+"invalid: "+why)
 		}
 		for _, n := range k.Reading.Notes {
 			if n = "at " + formatNumber(k.X) + ": " + n; !slices.Contains(notes, n) {
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -36,7 +36,7 @@
 	Fits         []Fit               `json:"fits"`
 	Limits       []ReachedLimit      `json:"ends,omitempty"` // points past which today's program can't go
 	Failed       int                 `json:"failed"`         // number of plays that failed
-	Invalid      int                 `json:"spoilt"`         // number of plays disturbed by the machine or other programs
+	Invalid      int                 `json:"spoilt"`         // number of plays that the machine or other programs disturbed
 	Expectations []ExpectationResult `json:"expected,omitempty"`
 	Passed       bool                `json:"kept"` // no play failed, and each expectation was met
 	Records      []Record            `json:"plays_of_points"`
@@ -173,7 +173,7 @@
 	}
 }
 
-// checkExpectation checks an expectation at one point against each of its plays, also the disturbed ones: an
+// checkExpectation checks an expectation at one point against each of its plays, also the invalid ones: an
 // exact figure does not depend on the load of the machine.
 func (res *Result) checkExpectation(e Expectation, x float64, plays int) {
 	e.X = &x
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -105,7 +105,7 @@
 	r.SetCount("seed", float64(s.Seed))
 	switch mode := s.Settings["mode"]; {
 	case mode == spoils && s.Seed%2 == 0:
-		r.MarkInvalid("test disturbance")
+		r.MarkInvalid("test reason")
 	case mode == ends && s.X == 20:
 		r.AddLimit("a cap of %d", 19)
 	case mode == odd && s.X == 4:
@@ -316,14 +316,14 @@
 	}
 }
 
-// Plays that the machine or the play itself reports as disturbed are listed and not fitted, and a resumed run
+// Plays that the machine or the play itself reports as invalid are listed and not fitted, and a resumed run
 // plays them again.
 func TestSpoiltIsNotFitted(t *testing.T) {
 	t.Run("by the play", func(t *testing.T) {
 		f := stubFile(t, spoils)
 		res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
-		if res.Invalid != 4 || slopeOf(t, res, "stub.bytes") != nil { // seeds 1 to 9, the even ones are disturbed
-			t.Errorf("%d disturbed, slope %+v", res.Invalid, slopeOf(t, res, "stub.bytes"))
+		if res.Invalid != 4 || slopeOf(t, res, "stub.bytes") != nil { // seeds 1 to 9, the even ones are invalid
+			t.Errorf("%d invalid, slope %+v", res.Invalid, slopeOf(t, res, "stub.bytes"))
 		}
 	})
 	for name, m := range map[string]*testMachine{
@@ -341,7 +341,7 @@
 			o := stubOptions(t.TempDir(), m)
 			res := lookAt(t, f, o)
 			if res.Invalid == 0 || res.Failed != 0 || slopeOf(t, res, "stub.bytes") != nil {
-				t.Errorf("%d disturbed, %d failed, slope %+v", res.Invalid, res.Failed, slopeOf(t, res, "stub.bytes"))
+				t.Errorf("%d invalid, %d failed, slope %+v", res.Invalid, res.Failed, slopeOf(t, res, "stub.bytes"))
 			}
 			if name == "memory" || name == "processes" || name == "short" {
 				if exists(marks("hung")) {
@@ -349,14 +349,14 @@
 				}
 			}
 			page := res.markdown()
-			if !strings.Contains(page, "## Not fitted") || !strings.Contains(page, "disturbed: ") {
-				t.Errorf("the page does not list disturbed plays:\n%s", page)
+			if !strings.Contains(page, "## Not fitted") || !strings.Contains(page, "invalid: ") {
+				t.Errorf("the page does not list invalid plays:\n%s", page)
 			}
 			// Once the machine is quiet, a resumed run plays it again.
 			o.Resume, o.Machine = true, &testMachine{}
 			mark("hung", "")
 			if res = lookAt(t, f, o); res.Invalid != 0 || slopeOf(t, res, "stub.bytes") == nil {
-				t.Errorf("resumed: %d disturbed, slope %+v", res.Invalid, slopeOf(t, res, "stub.bytes"))
+				t.Errorf("resumed: %d invalid, slope %+v", res.Invalid, slopeOf(t, res, "stub.bytes"))
 			}
 		})
 	}
--- a/internal/lab/scale/store.go
+++ b/internal/lab/scale/store.go
@@ -58,7 +58,7 @@
 	MinAvailableMemory int64        `json:"free"` // of the machine, in bytes
 }
 
-// Disturbances returns the reasons, from the run and from the play itself, why a disturbed play is not
+// InvalidReasons returns the reasons, from the run and from the play itself, why an invalid play is not
 // fitted.
 func (r Record) InvalidReasons() []string {
 	return append(append([]string(nil), r.MachineReasons...), r.Reading.Invalid...)
