--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -89,84 +89,84 @@
 // Parse reads a run file and checks it against the known axes. It returns all errors found, joined; each is a
 // *tomlfile.Error.
 func Parse(raw []byte, axes []play.Axis) (RunFile, error) {
-	t := runFileTOML{Plays: 3, Seed: 1, PlayTimeout: durationText(2 * time.Minute)}
-	if err := tomlfile.Decode(raw, &t, unknownKeyMessage); err != nil {
+	text := runFileTOML{Plays: 3, Seed: 1, PlayTimeout: durationText(2 * time.Minute)}
+	if err := tomlfile.Decode(raw, &text, unknownKeyMessage); err != nil {
 		return RunFile{}, err
 	}
 	sum := sha256.Sum256(raw)
 	f := RunFile{
-		Name: t.Name, Description: t.Description, Points: t.Points, Plays: t.Plays, Seed: uint64(t.Seed), PlayTimeout: time.Duration(t.PlayTimeout), Hash: hex.EncodeToString(sum[:]),
+		Name: text.Name, Description: text.Description, Points: text.Points, Plays: text.Plays, Seed: uint64(text.Seed), PlayTimeout: time.Duration(text.PlayTimeout), Hash: hex.EncodeToString(sum[:]),
 	}
-	where := tomlfile.KeyLines(raw)
-	var found []error
-	bad := func(key, form string, args ...any) {
-		line := where[key]
+	keyLines := tomlfile.KeyLines(raw)
+	var errs []error
+	addError := func(key, format string, args ...any) {
+		line := keyLines[key]
 		for line == 0 && strings.Contains(key, ".") { // report a missing key at its table
 			key = key[:strings.LastIndex(key, ".")]
-			line = where[key]
+			line = keyLines[key]
 		}
-		found = append(found, &tomlfile.Error{Line: line, Message: fmt.Sprintf(form, args...)})
+		errs = append(errs, &tomlfile.Error{Line: line, Message: fmt.Sprintf(format, args...)})
 	}
-	if !namePattern.MatchString(t.Name) {
-		bad("name", "name must consist of small letters, digits and dashes, as the result files are named after it")
+	if !namePattern.MatchString(text.Name) {
+		addError("name", "name must consist of small letters, digits and dashes, as the result files are named after it")
 	}
-	if t.Plays < 1 || t.Plays > maxPlays {
-		bad("plays", "plays must be from 1 to %d", maxPlays)
+	if text.Plays < 1 || text.Plays > maxPlays {
+		addError("plays", "plays must be from 1 to %d", maxPlays)
 	}
-	if t.Seed < 1 {
-		bad("seed", "seed must be 1 or more")
+	if text.Seed < 1 {
+		addError("seed", "seed must be 1 or more")
 	}
 	if f.PlayTimeout < time.Second || f.PlayTimeout > maxPlayTimeout {
-		bad("limit", "limit must be from 1s to %v", maxPlayTimeout)
+		addError("limit", "limit must be from 1s to %v", maxPlayTimeout)
 	}
-	if len(t.Points) == 0 || len(t.Points) > maxPoints {
-		bad("points", "points must have from 1 to %d values of the axis", maxPoints)
+	if len(text.Points) == 0 || len(text.Points) > maxPoints {
+		addError("points", "points must have from 1 to %d values of the axis", maxPoints)
 	}
-	for i, x := range t.Points {
-		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 || i > 0 && x <= t.Points[i-1] {
-			bad("points", "points must be 0 or more, each larger than the one before it; %v is not", formatNumber(x))
+	for i, x := range text.Points {
+		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 || i > 0 && x <= text.Points[i-1] {
+			addError("points", "points must be 0 or more, each larger than the one before it; %v is not", formatNumber(x))
 		}
 	}
-	i := slices.IndexFunc(axes, func(a play.Axis) bool { return a.Name == t.Axis })
+	i := slices.IndexFunc(axes, func(a play.Axis) bool { return a.Name == text.Axis })
 	if i < 0 {
 		var names []string
 		for _, a := range axes {
 			names = append(names, a.Name)
 		}
-		bad("axis", "unknown axis %q; known axes: %s", t.Axis, strings.Join(names, ", "))
-		return f, errors.Join(found...)
+		addError("axis", "unknown axis %q; known axes: %s", text.Axis, strings.Join(names, ", "))
+		return f, errors.Join(errs...)
 	}
 	f.Axis = axes[i]
 	var err error
-	if f.Settings, err = f.Axis.FillSettings(t.Settings); err != nil {
+	if f.Settings, err = f.Axis.FillSettings(text.Settings); err != nil {
 		// FillSettings stops at the first error; check each setting alone to report them all.
-		for _, name := range slices.Sorted(maps.Keys(t.Settings)) {
-			if _, err := f.Axis.FillSettings(map[string]float64{name: t.Settings[name]}); err != nil {
-				bad("set."+name, "%v", err)
+		for _, name := range slices.Sorted(maps.Keys(text.Settings)) {
+			if _, err := f.Axis.FillSettings(map[string]float64{name: text.Settings[name]}); err != nil {
+				addError("set."+name, "%v", err)
 			}
 		}
 	}
-	for i, e := range t.Expectations {
+	for i, e := range text.Expectations {
 		key := fmt.Sprintf("expect[%d]", i)
 		m, ok := f.Axis.FindMeasure(e.ID)
 		switch {
 		case !ok:
-			bad(key+".id", "axis %s has no figure %q", t.Axis, e.ID)
+			addError(key+".id", "axis %s has no figure %q", text.Axis, e.ID)
 		case !m.Exact:
-			bad(key+".id", "%s depends on the machine's speed; only bytes and counts that do not can have bounds", e.ID)
+			addError(key+".id", "%s depends on the machine's speed; only bytes and counts that do not can have bounds", e.ID)
 		}
 		if e.Least == nil && e.Most == nil {
-			bad(key, "a bound is missing: least, most or both")
+			addError(key, "a bound is missing: least, most or both")
 		}
 		if e.Least != nil && e.Most != nil && *e.Least > *e.Most {
-			bad(key+".least", "least is more than most")
+			addError(key+".least", "least is more than most")
 		}
-		if e.At != nil && !slices.Contains(t.Points, *e.At) {
-			bad(key+".at", "%v is not a point of this file", formatNumber(*e.At))
+		if e.At != nil && !slices.Contains(text.Points, *e.At) {
+			addError(key+".at", "%v is not a point of this file", formatNumber(*e.At))
 		}
 		f.Expectations = append(f.Expectations, Expectation{ID: e.ID, X: e.At, Min: e.Least, Max: e.Most})
 	}
-	return f, errors.Join(found...)
+	return f, errors.Join(errs...)
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*$`)
--- a/internal/lab/scale/file_test.go
+++ b/internal/lab/scale/file_test.go
@@ -46,7 +46,7 @@
 }
 
 // Each mistake is reported with its line and its name.
-func TestWrongFiles(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"unknown name", "seed = 7", "seeds = 7", `line 6: unknown name "seeds"`},
 		{"form", "seed = 7", `form = "linear"`, "line 6: the form of a slope can't be set"},
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestFill(t *testing.T) {
+func TestFillSettings(t *testing.T) {
 	given := map[string]float64{"mode": 1}
 	if _, err := stubAxes[0].FillSettings(given); err != nil || len(given) != 1 {
 		t.Errorf("error %v; the given map is now %v", err, given)
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -46,7 +46,7 @@
 	degree    int        // 0 constant, 1 linear, 2 quadratic
 	chiSquare float64    // sum of the squared residuals, each in standard errors
 	cov       *mat.SymDense
-	xScale    float64 // cov is that of the coefficients of x/xScale
+	xScale    float64 // cov is the covariance of the coefficients of x/xScale
 }
 
 func (f curve) valueAt(x float64) float64 { return f.coefs[0] + x*(f.coefs[1]+x*f.coefs[2]) }
@@ -57,10 +57,10 @@
 	return math.Sqrt(max(0, mat.Inner(v, f.cov, v)))
 }
 
-func powers(x float64, order int) *mat.VecDense {
-	v := mat.NewVecDense(order+1, nil)
+func powers(x float64, degree int) *mat.VecDense {
+	v := mat.NewVecDense(degree+1, nil)
 	p := 1.0
-	for i := range order + 1 {
+	for i := range degree + 1 {
 		v.SetVec(i, p)
 		p *= x
 	}
@@ -74,38 +74,38 @@
 // weightPoints returns each point's mean and standard error, and the degrees of freedom of all points
 // together. Few plays tell little of a point's scatter, so its relative scatter is shrunk towards the pooled
 // one.
-func weightPoints(samples []sample) (points []weightedPoint, freedom int) {
-	biggest := 0.0
+func weightPoints(samples []sample) (points []weightedPoint, degreesOfFreedom int) {
+	largest := 0.0
 	for _, s := range samples {
-		biggest = max(biggest, math.Abs(mean(s.values)))
+		largest = max(largest, math.Abs(mean(s.values)))
 	}
 	type scatter struct {
 		squares float64 // sum of squared relative deviations
 		freedom int
 	}
-	each := make([]scatter, len(samples))
+	scatters := make([]scatter, len(samples))
 	var all scatter
 	for i, s := range samples {
 		m := mean(s.values)
-		size := max(math.Abs(m), minRelativeSize*biggest)
+		size := max(math.Abs(m), minRelativeSize*largest)
 		p := weightedPoint{x: s.x, y: m, size: size}
 		for _, y := range s.values {
 			if size > 0 {
-				each[i].squares += (y - m) / size * (y - m) / size
+				scatters[i].squares += (y - m) / size * (y - m) / size
 			}
 		}
-		each[i].freedom = len(s.values) - 1
-		all.squares += each[i].squares
-		all.freedom += each[i].freedom
+		scatters[i].freedom = len(s.values) - 1
+		all.squares += scatters[i].squares
+		all.freedom += scatters[i].freedom
 		points = append(points, p)
 	}
 	pooled := 0.0
 	if all.freedom > 0 {
 		pooled = all.squares / float64(all.freedom)
 	}
-	const asMuchAs = 2 // weight of the pooled scatter, in degrees of freedom
+	const pooledWeight = 2 // weight of the pooled scatter, in degrees of freedom
 	for i := range points {
-		square := (each[i].squares + asMuchAs*pooled) / float64(each[i].freedom+asMuchAs)
+		square := (scatters[i].squares + pooledWeight*pooled) / float64(scatters[i].freedom+pooledWeight)
 		r := max(math.Sqrt(square), minRelativeScatter)
 		points[i].stdErr = r * points[i].size / math.Sqrt(float64(len(samples[i].values)))
 	}
@@ -113,9 +113,9 @@
 }
 
 // leastSquares fits a polynomial of a degree to the points, each weighted by its standard error.
-func leastSquares(points []weightedPoint, order int) (curve, error) {
-	n := order + 1
-	f := curve{degree: order, xScale: 1}
+func leastSquares(points []weightedPoint, degree int) (curve, error) {
+	n := degree + 1
+	f := curve{degree: degree, xScale: 1}
 	if len(points) < n {
 		return f, errors.New("fewer points than coefficients")
 	}
@@ -124,7 +124,7 @@
 	}
 	normal, right := mat.NewSymDense(n, nil), mat.NewVecDense(n, nil)
 	for _, p := range points {
-		v := powers(p.x/f.xScale, order)
+		v := powers(p.x/f.xScale, degree)
 		w := 1 / (p.stdErr * p.stdErr)
 		normal.SymRankOne(normal, w, v)
 		right.AddScaledVec(right, w*p.y, v)
@@ -170,81 +170,81 @@
 	if len(samples) < minPointsToFit {
 		return slopeFit{}, fmt.Errorf("%w: %d points with %d plays or more, %d are needed", errNotFitted, len(samples), minPlaysToFit, minPointsToFit)
 	}
-	points, freedom := weightPoints(samples)
+	points, degreesOfFreedom := weightPoints(samples)
 	if !slices.ContainsFunc(points, func(p weightedPoint) bool { return p.size > 0 }) { // all values are zero
 		return slopeFit{curve: curve{degree: 0, xScale: 1, cov: mat.NewSymDense(1, nil)}}, nil
 	}
 	var found slopeFit
-	for order := range forms {
-		f, err := leastSquares(points, order)
+	for degree := range forms {
+		f, err := leastSquares(points, degree)
 		if err != nil {
 			return slopeFit{}, fmt.Errorf("%w: %w", errNotFitted, err)
 		}
 		found = slopeFit{curve: f, reasons: found.reasons}
 		found.maxResidual = maxRelativeResidual(f, points)
-		miss, missErr, foretold := predictLast(points, order)
-		if foretold {
+		miss, missErr, predicted := predictLast(points, degree)
+		if predicted {
 			found.maxResidual = max(found.maxResidual, math.Abs(miss))
 		}
-		missed := foretold && math.Abs(miss) > maxPredictionError && missErr > minMissStdErrors
-		if order+1 == len(forms) || len(points) < order+3 { // a richer form would leave no point to test it with
+		missed := predicted && math.Abs(miss) > maxPredictionError && missErr > minMissStdErrors
+		if degree+1 == len(forms) || len(points) < degree+3 { // a richer form would leave no point to test it with
 			return found, nil
 		}
-		richer, err := leastSquares(points, order+1)
+		richer, err := leastSquares(points, degree+1)
 		if err != nil {
 			return found, nil
 		}
-		var against []string
+		var objections []string
 		// If the richer form too leaves more than scatter, it has to lower the sum of squares by as much
 		// more: a step in the values is not a trend.
-		left := max(1, richer.chiSquare/float64(len(points)-order-2))
-		if p := fTestPValue((f.chiSquare-richer.chiSquare)/left, freedom); maxRelativeResidual(f, points) > minTrendResidual && p < trendPValue {
-			against = append(against, fmt.Sprintf("the residuals of the %s form have a trend (p = %.1g)", forms[order], p))
+		unexplained := max(1, richer.chiSquare/float64(len(points)-degree-2))
+		if p := fTestPValue((f.chiSquare-richer.chiSquare)/unexplained, degreesOfFreedom); maxRelativeResidual(f, points) > minTrendResidual && p < trendPValue {
+			objections = append(objections, fmt.Sprintf("the residuals of the %s form have a trend (p = %.1g)", forms[degree], p))
 		}
-		if better, _, _ := predictLast(points, order+1); missed && math.Abs(better) < math.Abs(miss) {
-			against = append(against, fmt.Sprintf("the %s form fitted to the other points misses the last one by %.0f%%", forms[order], 100*math.Abs(miss)))
+		if richerMiss, _, _ := predictLast(points, degree+1); missed && math.Abs(richerMiss) < math.Abs(miss) {
+			objections = append(objections, fmt.Sprintf("the %s form fitted to the other points misses the last one by %.0f%%", forms[degree], 100*math.Abs(miss)))
 		}
 		switch {
-		case order == 1 && (len(against) > 0 && richer.coefs[2] <= 0 || missed && miss > 0):
+		case degree == 1 && (len(objections) > 0 && richer.coefs[2] <= 0 || missed && miss > 0):
 			// A parabola that bends down falls beyond its vertex. The line lies above the last measured
 			// point.
 			found.reasons = append(found.reasons, "grows more slowly than a line: beyond the measured range the line is an upper estimate")
 			return found, nil
-		case len(against) == 0 && missed:
-			found.reasons = append(found.reasons, fmt.Sprintf("no form predicts the last point from the others; the %s form misses it by %.0f%%", forms[order], 100*math.Abs(miss)))
+		case len(objections) == 0 && missed:
+			found.reasons = append(found.reasons, fmt.Sprintf("no form predicts the last point from the others; the %s form misses it by %.0f%%", forms[degree], 100*math.Abs(miss)))
 			return found, nil
-		case len(against) == 0:
+		case len(objections) == 0:
 			return found, nil
 		}
-		found.reasons = append(found.reasons, against...)
+		found.reasons = append(found.reasons, objections...)
 	}
 	return found, nil
 }
 
 // fTestPValue returns the probability that scatter alone lowers the sum of squares by this much when one
 // coefficient is added (an F test).
-func fTestPValue(gain float64, freedom int) float64 {
+func fTestPValue(gain float64, degreesOfFreedom int) float64 {
 	if gain <= 0 {
 		return 1
 	}
-	return distuv.F{D1: 1, D2: float64(max(freedom, 1))}.Survival(gain)
+	return distuv.F{D1: 1, D2: float64(max(degreesOfFreedom, 1))}.Survival(gain)
 }
 
 func maxRelativeResidual(f curve, points []weightedPoint) float64 {
-	worst := 0.0
+	largest := 0.0
 	for _, p := range points {
 		if p.size > 0 {
-			worst = max(worst, math.Abs(p.y-f.valueAt(p.x))/p.size)
+			largest = max(largest, math.Abs(p.y-f.valueAt(p.x))/p.size)
 		}
 	}
-	return worst
+	return largest
 }
 
 // predictLast fits a polynomial to all points but the last and predicts that one. It returns the relative
 // error, above 0 if the prediction is too high, and the error in standard errors.
-func predictLast(points []weightedPoint, order int) (share, errs float64, ok bool) {
+func predictLast(points []weightedPoint, degree int) (relativeError, stdErrors float64, ok bool) {
 	last := points[len(points)-1]
-	f, err := leastSquares(points[:len(points)-1], order)
+	f, err := leastSquares(points[:len(points)-1], degree)
 	if err != nil || last.size == 0 {
 		return 0, 0, false
 	}
--- a/internal/lab/scale/fit_test.go
+++ b/internal/lab/scale/fit_test.go
@@ -12,47 +12,47 @@
 )
 
 // randomSamples draws plays of a curve, with relative noise of at most the given share.
-func made(rng *rand.Rand, xs []float64, plays int, noise float64, y func(x float64) float64) []sample {
-	var all []sample
+func randomSamples(rng *rand.Rand, xs []float64, plays int, noise float64, y func(x float64) float64) []sample {
+	var samples []sample
 	for _, x := range xs {
 		s := sample{x: x}
 		for range plays {
 			s.values = append(s.values, y(x)*(1+noise*(2*rng.Float64()-1)))
 		}
-		all = append(all, s)
+		samples = append(samples, s)
 	}
-	return all
+	return samples
 }
 
 // axisPoints draws points in rising order.
-func axisPoints(t *rapid.T, least int) []float64 {
+func axisPoints(t *rapid.T, minCount int) []float64 {
 	xs := []float64{rapid.Float64Range(1, 1000).Draw(t, "first")}
-	for range rapid.IntRange(least-1, 6).Draw(t, "more") {
+	for range rapid.IntRange(minCount-1, 6).Draw(t, "more") {
 		xs = append(xs, xs[len(xs)-1]*rapid.Float64Range(1.5, 4).Draw(t, "step"))
 	}
 	return xs
 }
 
-func TestFitsMadeDataOfEachForm(t *testing.T) {
+func TestFitFindsEachForm(t *testing.T) {
 	const noise = 0.008
-	for order, form := range forms {
+	for degree, form := range forms {
 		t.Run(form, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-				xs := axisPoints(t, order+3)
+				xs := axisPoints(t, degree+3)
 				end := xs[len(xs)-1]
 				var c [3]float64
 				c[0] = rapid.Float64Range(1, 1e9).Draw(t, "intercept")
-				for i, sum := 1, c[0]; i <= order; i++ { // at the last point each term is as large as all lower ones, or larger
+				for i, sum := 1, c[0]; i <= degree; i++ { // at the last point each term is at least the sum of the lower ones
 					c[i] = sum * rapid.Float64Range(1, 50).Draw(t, "term") / math.Pow(end, float64(i))
 					sum += c[i] * math.Pow(end, float64(i))
 				}
 				y := func(x float64) float64 { return c[0] + c[1]*x + c[2]*x*x }
-				f, err := fitSamples(made(rng, xs, 3, noise, y))
+				f, err := fitSamples(randomSamples(rng, xs, 3, noise, y))
 				if err != nil {
 					t.Fatal(err)
 				}
-				if f.degree != order {
+				if f.degree != degree {
 					t.Fatalf("found %s, largest residual %v, reasons %v", forms[f.degree], f.maxResidual, f.reasons)
 				}
 				for _, x := range xs {
@@ -60,8 +60,8 @@
 						t.Errorf("at %v the relative error is %.3f", x, off)
 					}
 				}
-				if f.stdErrors[order] <= 0 || f.stdErrors[order] > math.Abs(c[order]) {
-					t.Errorf("the standard error of %v is %v", c[order], f.stdErrors[order])
+				if f.stdErrors[degree] <= 0 || f.stdErrors[degree] > math.Abs(c[degree]) {
+					t.Errorf("the standard error of %v is %v", c[degree], f.stdErrors[degree])
 				}
 			})
 		})
@@ -69,12 +69,12 @@
 }
 
 // Scatter alone is taken for a richer form only as often as the thresholds allow.
-func TestScatterIsNoForm(t *testing.T) {
+func TestScatterGetsNoRicherForm(t *testing.T) {
 	xs := []float64{1000, 4000, 13000, 29000, 100000}
 	const tries = 400
 	wrong := 0
 	for seed := range uint64(tries) {
-		f, err := fitSamples(made(rand.New(rand.NewPCG(seed, 2)), xs, 3, 0.3, func(float64) float64 { return 5 }))
+		f, err := fitSamples(randomSamples(rand.New(rand.NewPCG(seed, 2)), xs, 3, 0.3, func(float64) float64 { return 5 }))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,63 +88,65 @@
 }
 
 // The reported standard error is the scatter of the coefficient over many runs.
-func TestSpreadIsThatOfManyRuns(t *testing.T) {
+func TestStdErrorMatchesManyRuns(t *testing.T) {
 	xs := []float64{100, 400, 1000, 3000}
-	var slopes, spreads []float64
+	var slopes, stdErrors []float64
 	for seed := range uint64(300) {
-		f, err := fitSamples(made(rand.New(rand.NewPCG(seed, 3)), xs, 3, 0.1, func(x float64) float64 { return 50 + x }))
+		f, err := fitSamples(randomSamples(rand.New(rand.NewPCG(seed, 3)), xs, 3, 0.1, func(x float64) float64 { return 50 + x }))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if f.degree == 1 {
-			slopes, spreads = append(slopes, f.coefs[1]), append(spreads, f.stdErrors[1])
+			slopes, stdErrors = append(slopes, f.coefs[1]), append(stdErrors, f.stdErrors[1])
 		}
 	}
 	m, sum := mean(slopes), 0.0
 	for _, s := range slopes {
 		sum += (s - m) * (s - m)
 	}
-	real := math.Sqrt(sum / float64(len(slopes)-1))
+	scatter := math.Sqrt(sum / float64(len(slopes)-1))
 	if math.Abs(m-1) > 0.02 {
 		t.Errorf("slopes of 1 have the mean %v", m)
 	}
-	if got := mean(spreads); got < 0.6*real || got > 1.6*real {
-		t.Errorf("standard error %v, the slopes of many runs scatter by %v", got, real)
+	if got := mean(stdErrors); got < 0.6*scatter || got > 1.6*scatter {
+		t.Errorf("standard error %v, the slopes of many runs scatter by %v", got, scatter)
 	}
 }
 
 // A form that is too simple is rejected, with the reason.
-func TestWrongFormIsFoundOut(t *testing.T) {
+func TestTooSimpleFormIsRejected(t *testing.T) {
 	xs := []float64{1000, 4000, 10000, 40000}
 	rng := rand.New(rand.NewPCG(1, 4))
-	samples := made(rng, xs, 3, 0.01, func(x float64) float64 { return 10 + x*x/1000 })
+	samples := randomSamples(rng, xs, 3, 0.01, func(x float64) float64 { return 10 + x*x/1000 })
 	f, err := fitSamples(samples)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.degree != 2 || !slices.ContainsFunc(f.reasons, func(w string) bool { return strings.Contains(w, "linear form fitted to the other points misses the last one") }) {
+	if f.degree != 2 || !slices.ContainsFunc(f.reasons, func(w string) bool {
+		return strings.Contains(w, "linear form fitted to the other points misses the last one")
+	}) {
 		t.Errorf("found %s, reasons %v", forms[f.degree], f.reasons)
 	}
 	// The same with the form that is too simple itself.
 	points, _ := weightPoints(samples)
-	miss, errs, ok := predictLast(points, 1)
-	if !ok || -miss < 5*maxPredictionError || errs < 5*minMissStdErrors {
-		t.Errorf("the line misses the last point by %v, %v standard errors", miss, errs)
+	miss, stdErrors, ok := predictLast(points, 1)
+	if !ok || -miss < 5*maxPredictionError || stdErrors < 5*minMissStdErrors {
+		t.Errorf("the line misses the last point by %v, %v standard errors", miss, stdErrors)
 	}
 	// One outlying point does not change the form, and shows in the largest residual.
-	slipped := made(rng, xs, 3, 0.01, func(x float64) float64 { return 10 + x })
-	for i := range slipped[1].values {
-		slipped[1].values[i] *= 1.5
+	outlier := randomSamples(rng, xs, 3, 0.01, func(x float64) float64 { return 10 + x })
+	for i := range outlier[1].values {
+		outlier[1].values[i] *= 1.5
 	}
-	if f, err = fitSamples(slipped); err != nil || f.maxResidual < 0.15 {
+	if f, err = fitSamples(outlier); err != nil || f.maxResidual < 0.15 {
 		t.Errorf("largest residual %v, %v", f.maxResidual, err)
 	}
 }
 
 // What grows more slowly than a line gets no parabola, which would fall beyond its vertex.
-func TestSlowerThanALine(t *testing.T) {
+func TestSlowerThanLinearGrowth(t *testing.T) {
 	xs := []float64{1000, 4000, 10000, 40000, 160000}
-	f, err := fitSamples(made(rand.New(rand.NewPCG(1, 5)), xs, 3, 0.01, math.Sqrt))
+	f, err := fitSamples(randomSamples(rand.New(rand.NewPCG(1, 5)), xs, 3, 0.01, math.Sqrt))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +155,7 @@
 	}
 }
 
-func TestTooLittleToFit(t *testing.T) {
+func TestTooFewSamplesToFit(t *testing.T) {
 	three := []float64{1, 1, 1}
 	for name, samples := range map[string][]sample{
 		"two points": {{1, three}, {2, three}},
--- a/internal/lab/scale/formats_test.go
+++ b/internal/lab/scale/formats_test.go
@@ -12,12 +12,12 @@
 
 // TestPointsFileFormat pins the file that a run is resumed from: its first line and one line for each play.
 func TestPointsFileFormat(t *testing.T) {
-	var first runHeader
+	var header runHeader
 	var play Record
-	golden.Fill(&first)
+	golden.Fill(&header)
 	golden.Fill(&play)
 	dir := t.TempDir()
-	s, err := createStore(dir, first)
+	s, err := createStore(dir, header)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,13 +35,13 @@
 	if err := os.WriteFile(path, golden.Check(t, "points.jsonl", encoded), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, gotFirst, gotPlays, err := resumeStore(dir, first)
+	s, gotFirst, gotPlays, err := resumeStore(dir, header)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.close()
-	if !reflect.DeepEqual(gotFirst, first) || !reflect.DeepEqual(gotPlays, []Record{play}) {
-		t.Errorf("decoded %+v and %+v, want %+v and %+v", gotFirst, gotPlays, first, play)
+	if !reflect.DeepEqual(gotFirst, header) || !reflect.DeepEqual(gotPlays, []Record{play}) {
+		t.Errorf("decoded %+v and %+v, want %+v and %+v", gotFirst, gotPlays, header, play)
 	}
 }
 
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -49,30 +49,30 @@
 
 // Snapshot implements Machine.
 func (Linux) Snapshot(root int) (Snapshot, error) {
-	var l Snapshot
+	var snapshot Snapshot
 	raw, err := os.ReadFile("/proc/stat")
 	if err != nil {
-		return l, fmt.Errorf("machine: %w", err)
+		return snapshot, fmt.Errorf("machine: %w", err)
 	}
-	if l.CPU, err = parseCPUTicks(raw); err != nil {
-		return l, err
+	if snapshot.CPU, err = parseCPUTicks(raw); err != nil {
+		return snapshot, err
 	}
 	if raw, err = os.ReadFile("/proc/meminfo"); err != nil {
-		return l, fmt.Errorf("machine: %w", err)
+		return snapshot, fmt.Errorf("machine: %w", err)
 	}
-	if l.AvailableMemory, err = parseAvailableMemory(raw); err != nil {
-		return l, err
+	if snapshot.AvailableMemory, err = parseAvailableMemory(raw); err != nil {
+		return snapshot, err
 	}
 	dir, err := os.Open("/proc")
 	if err != nil {
-		return l, fmt.Errorf("machine: %w", err)
+		return snapshot, fmt.Errorf("machine: %w", err)
 	}
 	names, err := dir.Readdirnames(-1)
 	dir.Close()
 	if err != nil {
-		return l, fmt.Errorf("machine: %w", err)
+		return snapshot, fmt.Errorf("machine: %w", err)
 	}
-	all := map[int]procStat{}
+	stats := map[int]procStat{}
 	children := map[int][]int{}
 	for _, name := range names {
 		pid, err := strconv.Atoi(name)
@@ -85,24 +85,24 @@
 		}
 		s, err := parseStat(raw)
 		if err != nil {
-			return l, fmt.Errorf("process %d: %w", pid, err)
+			return snapshot, fmt.Errorf("process %d: %w", pid, err)
 		}
-		all[pid] = s
+		stats[pid] = s
 		children[s.parent] = append(children[s.parent], pid)
 	}
-	if _, ok := all[root]; !ok {
-		return l, fmt.Errorf("machine: no process %d", root)
+	if _, ok := stats[root]; !ok {
+		return snapshot, fmt.Errorf("machine: no process %d", root)
 	}
-	for open := []int{root}; len(open) > 0; {
-		pid := open[len(open)-1]
-		open = append(open[:len(open)-1], children[pid]...)
-		s := all[pid]
-		l.OwnTicks += s.cpuTicks
+	for todo := []int{root}; len(todo) > 0; {
+		pid := todo[len(todo)-1]
+		todo = append(todo[:len(todo)-1], children[pid]...)
+		s := stats[pid]
+		snapshot.OwnTicks += s.cpuTicks
 		if !s.zombie {
-			l.Processes = append(l.Processes, Process{PID: pid, StartTicks: s.startTicks, RSS: s.rssPages * int64(os.Getpagesize())})
+			snapshot.Processes = append(snapshot.Processes, Process{PID: pid, StartTicks: s.startTicks, RSS: s.rssPages * int64(os.Getpagesize())})
 		}
 	}
-	return l, nil
+	return snapshot, nil
 }
 
 // procStat is what /proc/PID/stat tells.
@@ -120,34 +120,34 @@
 	if i < 0 {
 		return s, errors.New("stat has no process name")
 	}
-	f := bytes.Fields(raw[i+1:]) // from the third field on, the state
-	if len(f) < 22 {
-		return s, fmt.Errorf("stat has only %d fields", len(f))
+	fields := bytes.Fields(raw[i+1:]) // from the third field on, the state
+	if len(fields) < 22 {
+		return s, fmt.Errorf("stat has only %d fields", len(fields))
 	}
-	s.zombie = f[0][0] == 'Z' || f[0][0] == 'X'
+	s.zombie = fields[0][0] == 'Z' || fields[0][0] == 'X'
 	var err error
-	num := func(i int) uint64 {
-		n, e := strconv.ParseInt(string(f[i]), 10, 64)
+	field := func(i int) uint64 {
+		n, e := strconv.ParseInt(string(fields[i]), 10, 64)
 		err = errors.Join(err, e)
 		return uint64(n)
 	}
-	s.parent = int(num(1))
-	s.cpuTicks = float64(num(11) + num(12) + num(13) + num(14)) // utime, stime, cutime, cstime
-	s.startTicks, s.rssPages = num(19), int64(num(21))
+	s.parent = int(field(1))
+	s.cpuTicks = float64(field(11) + field(12) + field(13) + field(14)) // utime, stime, cutime, cstime
+	s.startTicks, s.rssPages = field(19), int64(field(21))
 	return s, err
 }
 
 func parseCPUTicks(raw []byte) (CPUTicks, error) {
 	line, _, _ := bytes.Cut(raw, []byte("\n"))
-	f := bytes.Fields(line)
-	if len(f) < 9 || string(f[0]) != "cpu" {
+	fields := bytes.Fields(line)
+	if len(fields) < 9 || string(fields[0]) != "cpu" {
 		return CPUTicks{}, fmt.Errorf("machine: no cpu line in /proc/stat: %q", line)
 	}
 	var v [8]float64 // user, nice, system, idle, iowait, irq, softirq, steal; user includes the time of guests
 	var t CPUTicks
 	for i := range v {
 		var err error
-		if v[i], err = strconv.ParseFloat(string(f[i+1]), 64); err != nil {
+		if v[i], err = strconv.ParseFloat(string(fields[i+1]), 64); err != nil {
 			return t, fmt.Errorf("machine: /proc/stat: %w", err)
 		}
 		t.Total += v[i]
@@ -159,11 +159,11 @@
 func parseAvailableMemory(raw []byte) (int64, error) {
 	for line := range bytes.Lines(raw) {
 		if rest, ok := bytes.CutPrefix(line, []byte("MemAvailable:")); ok {
-			f := bytes.Fields(rest)
-			if len(f) == 0 {
+			fields := bytes.Fields(rest)
+			if len(fields) == 0 {
 				break
 			}
-			kb, err := strconv.ParseInt(string(f[0]), 10, 64)
+			kb, err := strconv.ParseInt(string(fields[0]), 10, 64)
 			return kb << 10, err
 		}
 	}
@@ -178,15 +178,15 @@
 }
 
 // cpuShares returns the shares of the time between two snapshots.
-func cpuShares(a, b Snapshot) CPUShares {
-	all := b.CPU.Total - a.CPU.Total
-	if all <= 0 {
+func cpuShares(before, after Snapshot) CPUShares {
+	total := after.CPU.Total - before.CPU.Total
+	if total <= 0 {
 		return CPUShares{Idle: 1}
 	}
-	part := func(x float64) float64 { return min(1, max(0, x/all)) }
-	s := CPUShares{Idle: part(b.CPU.Idle - a.CPU.Idle), Own: part(b.OwnTicks - a.OwnTicks)}
+	share := func(x float64) float64 { return min(1, max(0, x/total)) }
+	s := CPUShares{Idle: share(after.CPU.Idle - before.CPU.Idle), Own: share(after.OwnTicks - before.OwnTicks)}
 	// Interrupts count for nobody: most of them are due to the run's own packets.
-	s.Others = part(all - (b.CPU.Idle - a.CPU.Idle) - (b.CPU.Interrupts - a.CPU.Interrupts) - (b.OwnTicks - a.OwnTicks))
+	s.Others = share(total - (after.CPU.Idle - before.CPU.Idle) - (after.CPU.Interrupts - before.CPU.Interrupts) - (after.OwnTicks - before.OwnTicks))
 	return s
 }
 
--- a/internal/lab/scale/machine_test.go
+++ b/internal/lab/scale/machine_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestShares(t *testing.T) {
+func TestCPUShares(t *testing.T) {
 	a := Snapshot{CPU: CPUTicks{Total: 1000, Idle: 500, Interrupts: 10, Steal: 5}, OwnTicks: 100}
 	b := Snapshot{CPU: CPUTicks{Total: 2000, Idle: 1000, Interrupts: 60, Steal: 55}, OwnTicks: 350}
 	got := cpuShares(a, b) // 1000 ticks: 500 idle, 50 in interrupts, 250 own, and 200 of others, 50 of which are steal
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestParseMachine(t *testing.T) {
+func TestParseProcFiles(t *testing.T) {
 	c, err := parseCPUTicks([]byte("cpu  10 20 30 400 50 6 7 8 9 0\ncpu0 1 2 3\n"))
 	if want := (CPUTicks{Total: 531, Idle: 450, Interrupts: 13, Steal: 8}); err != nil || c != want {
 		t.Errorf("got %+v, %v, want %+v", c, err, want)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestLookSeesTheTree(t *testing.T) {
+func TestSnapshotHasDescendants(t *testing.T) {
 	cmd := exec.Command("/bin/sleep", "600")
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/play/formats_test.go
+++ b/internal/lab/scale/play/formats_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestEndNotePrefix(t *testing.T) {
+func TestLimitNotePrefix(t *testing.T) {
 	var r Reading
 	r.AddLimit("a cap of %d", 19)
 	if want := []string{"end: a cap of 19"}; !reflect.DeepEqual(r.Notes, want) {
--- a/internal/lab/scale/play/play.go
+++ b/internal/lab/scale/play/play.go
@@ -74,9 +74,9 @@
 
 // Limits returns the reasons of the limits that the play reached; usually there are none.
 func (r Reading) Limits() (reasons []string) {
-	for _, n := range r.Notes {
-		if why, ok := strings.CutPrefix(n, LimitNotePrefix); ok {
-			reasons = append(reasons, why)
+	for _, note := range r.Notes {
+		if reason, ok := strings.CutPrefix(note, LimitNotePrefix); ok {
+			reasons = append(reasons, reason)
 		}
 	}
 	return reasons
@@ -123,9 +123,9 @@
 // FillSettings checks the given settings against the axis' own and returns them with the defaults of the
 // others. The given map is not changed.
 func (a Axis) FillSettings(set map[string]float64) (map[string]float64, error) {
-	all := make(map[string]float64, len(a.Settings))
+	filled := make(map[string]float64, len(a.Settings))
 	for name, s := range a.Settings {
-		all[name] = s.Default
+		filled[name] = s.Default
 	}
 	for _, name := range slices.Sorted(maps.Keys(set)) {
 		s, ok := a.Settings[name]
@@ -136,9 +136,9 @@
 		if math.IsNaN(v) || cmp.Compare(v, s.Min) < 0 || cmp.Compare(v, s.Max) > 0 {
 			return nil, &SettingError{name, fmt.Sprintf("%v is out of range, must be from %v to %v", v, s.Min, s.Max)}
 		}
-		all[name] = v
+		filled[name] = v
 	}
-	return all, nil
+	return filled, nil
 }
 
 // SettingError says that an axis does not accept a setting.
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -77,8 +77,8 @@
 	}
 	if len(res.Expectations) > 0 {
 		b.WriteString("\n## Expected\n\n| expected | got | |\n| --- | --- | --- |\n")
-		for _, k := range res.Expectations {
-			fmt.Fprintf(&b, "| %s | %s | %s |\n", k.Expected, k.Got, map[bool]string{true: "met", false: "**not met**"}[k.Met])
+		for _, e := range res.Expectations {
+			fmt.Fprintf(&b, "| %s | %s | %s |\n", e.Expected, e.Got, map[bool]string{true: "met", false: "**not met**"}[e.Met])
 		}
 	}
 	res.writeLists(&b)
@@ -87,29 +87,29 @@
 
 // writeLists writes what is not a figure: the plays that were not fitted, the notes, and the counts.
 func (res *Result) writeLists(b *strings.Builder) {
-	var bad, notes []string
+	var notFitted, notes []string
 	counts := map[string]map[float64][]float64{}
-	for _, k := range res.Records {
-		at := fmt.Sprintf("at %s, play %d: ", formatNumber(k.X), k.Play)
-		if k.Failure != "" {
-			bad = append(bad, at+"failed: "+k.Failure)
+	for _, rec := range res.Records {
+		prefix := fmt.Sprintf("at %s, play %d: ", formatNumber(rec.X), rec.Play)
+		if rec.Failure != "" {
+			notFitted = append(notFitted, prefix+"failed: "+rec.Failure)
 		}
-		for _, why := range k.InvalidReasons() {
-			bad = append(bad, at+"invalid: "+why)
+		for _, reason := range rec.InvalidReasons() {
+			notFitted = append(notFitted, prefix+"invalid: "+reason)
 		}
-		for _, n := range k.Reading.Notes {
-			if n = "at " + formatNumber(k.X) + ": " + n; !slices.Contains(notes, n) {
+		for _, n := range rec.Reading.Notes {
+			if n = "at " + formatNumber(rec.X) + ": " + n; !slices.Contains(notes, n) {
 				notes = append(notes, n)
 			}
 		}
-		for name, v := range k.Reading.Counts {
+		for name, v := range rec.Reading.Counts {
 			if counts[name] == nil {
 				counts[name] = map[float64][]float64{}
 			}
-			counts[name][k.X] = append(counts[name][k.X], v)
+			counts[name][rec.X] = append(counts[name][rec.X], v)
 		}
 	}
-	list := func(title string, lines []string) {
+	writeList := func(title string, lines []string) {
 		if len(lines) == 0 {
 			return
 		}
@@ -118,8 +118,8 @@
 			fmt.Fprintf(b, "- %s\n", strings.ReplaceAll(l, "\n", " "))
 		}
 	}
-	list("Not fitted", bad)
-	list("Notes", notes)
+	writeList("Not fitted", notFitted)
+	writeList("Notes", notes)
 	if len(counts) == 0 {
 		return
 	}
@@ -215,23 +215,23 @@
 		return p, nil
 	}
 	first, last := dots[0].X, dots[len(dots)-1].X
-	logs := first > 0 && last/first > logScaleRatio && !slices.ContainsFunc(dots, func(d plotter.XY) bool { return d.Y <= 0 })
-	sc, err := plotter.NewScatter(dots)
+	logScale := first > 0 && last/first > logScaleRatio && !slices.ContainsFunc(dots, func(d plotter.XY) bool { return d.Y <= 0 })
+	scatter, err := plotter.NewScatter(dots)
 	if err != nil {
 		return nil, err
 	}
-	sc.GlyphStyle = draw.GlyphStyle{Color: dotColor, Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
+	scatter.GlyphStyle = draw.GlyphStyle{Color: dotColor, Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
 	if s := f.Slope; s != nil {
 		p.Title.Text += ", " + s.Form
 		var line plotter.XYs
 		const steps = 60
 		for i := range steps + 1 {
-			part := float64(i) / steps
-			x := s.From + part*(s.To-s.From)
-			if logs {
-				x = s.From * math.Pow(s.To/s.From, part)
+			share := float64(i) / steps
+			x := s.From + share*(s.To-s.From)
+			if logScale {
+				x = s.From * math.Pow(s.To/s.From, share)
 			}
-			if y := s.ValueAt(x); !logs || y > 0 {
+			if y := s.ValueAt(x); !logScale || y > 0 {
 				line = append(line, plotter.XY{X: x, Y: y})
 			}
 		}
@@ -244,8 +244,8 @@
 			p.Add(l)
 		}
 	}
-	p.Add(sc)
-	if !logs {
+	p.Add(scatter)
+	if !logScale {
 		p.Y.Min = min(0, p.Y.Min)
 		if p.Y.Max <= p.Y.Min {
 			p.Y.Max = p.Y.Min + 1
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -86,11 +86,11 @@
 		Name: f.Name, Description: f.Description, Axis: f.Axis.Name, AxisDescription: f.Axis.Description, XUnit: f.Axis.XUnit, Settings: f.Settings, Plays: f.Plays, Seed: f.Seed, FileHash: f.Hash,
 		Build: h.Build, StartedAt: h.StartedAt, Cores: runtime.NumCPU(), Records: sortedRecords(records),
 	}
-	for _, k := range res.Records {
-		res.PlaySeconds += k.TookSeconds
-		if k.Failure != "" {
+	for _, rec := range res.Records {
+		res.PlaySeconds += rec.TookSeconds
+		if rec.Failure != "" {
 			res.Failed++
-		} else if len(k.InvalidReasons()) > 0 {
+		} else if len(rec.InvalidReasons()) > 0 {
 			res.Invalid++
 		}
 	}
@@ -106,17 +106,17 @@
 				samples = append(samples, sample{x, ys})
 			}
 		}
-		if fd, err := fitSamples(samples); err != nil {
+		if fitted, err := fitSamples(samples); err != nil {
 			fit.Reasons = []string{err.Error()}
 		} else {
-			fewest := math.MaxInt
+			minPlays := math.MaxInt
 			for _, s := range samples {
-				fewest = min(fewest, len(s.values))
+				minPlays = min(minPlays, len(s.values))
 			}
-			fit.Reasons = fd.reasons
+			fit.Reasons = fitted.reasons
 			fit.Slope = &capacity.Slope{
-				ID: m.ID, Description: m.Description, XUnit: f.Axis.XUnit, Unit: m.Unit, Form: forms[fd.degree], Intercept: fd.coefs[0], LinearCoef: fd.coefs[1], QuadraticCoef: fd.coefs[2],
-				StdErr: fd.stdErrors[fd.degree], From: samples[0].x, To: samples[len(samples)-1].x, Points: len(samples), Repeats: fewest, MaxResidual: fd.maxResidual,
+				ID: m.ID, Description: m.Description, XUnit: f.Axis.XUnit, Unit: m.Unit, Form: forms[fitted.degree], Intercept: fitted.coefs[0], LinearCoef: fitted.coefs[1], QuadraticCoef: fitted.coefs[2],
+				StdErr: fitted.stdErrors[fitted.degree], From: samples[0].x, To: samples[len(samples)-1].x, Points: len(samples), Repeats: minPlays, MaxResidual: fitted.maxResidual,
 				Commit: h.Build.Commit,
 			}
 		}
@@ -135,8 +135,8 @@
 
 // fittedValues returns the values of a figure at one point, of the plays that are fitted.
 func (res *Result) fittedValues(id string, x float64) (ys []float64) {
-	for _, k := range res.Records {
-		if y, ok := k.Reading.Values[id]; ok && k.X == x && k.isFitted() {
+	for _, rec := range res.Records {
+		if y, ok := rec.Reading.Values[id]; ok && rec.X == x && rec.isFitted() {
 			ys = append(ys, y)
 		}
 	}
@@ -147,18 +147,18 @@
 	p := Point{X: x, Figures: map[string]Figure{}}
 	var reasons []string
 	ids := map[string]bool{}
-	for _, k := range res.Records {
-		if k.X != x {
+	for _, rec := range res.Records {
+		if rec.X != x {
 			continue
 		}
-		for _, why := range k.Reading.Limits() {
-			if !slices.Contains(reasons, why) {
-				reasons = append(reasons, why)
+		for _, reason := range rec.Reading.Limits() {
+			if !slices.Contains(reasons, reason) {
+				reasons = append(reasons, reason)
 			}
 		}
-		if k.isFitted() {
+		if rec.isFitted() {
 			p.Plays++
-			for id := range k.Reading.Values {
+			for id := range rec.Reading.Values {
 				ids[id] = true
 			}
 		}
@@ -177,30 +177,30 @@
 // exact figure does not depend on the load of the machine.
 func (res *Result) checkExpectation(e Expectation, x float64, plays int) {
 	e.X = &x
-	kept := ExpectationResult{Expected: e.String(), Met: true}
+	result := ExpectationResult{Expected: e.String(), Met: true}
 	n := 0
 	var got []float64
-	for _, k := range res.Records {
-		y, ok := k.Reading.Values[e.ID]
-		if k.X != x || !ok {
+	for _, rec := range res.Records {
+		y, ok := rec.Reading.Values[e.ID]
+		if rec.X != x || !ok {
 			continue
 		}
 		n++
 		got = append(got, y)
 		if e.Min != nil && y < *e.Min || e.Max != nil && y > *e.Max {
-			kept.Met = false
+			result.Met = false
 		}
 	}
 	switch {
 	case n < plays:
-		kept.Met, kept.Got = false, fmt.Sprintf("read in %d of %d plays", n, plays)
+		result.Met, result.Got = false, fmt.Sprintf("read in %d of %d plays", n, plays)
 	case slices.Min(got) == slices.Max(got):
-		kept.Got = formatNumber(got[0])
+		result.Got = formatNumber(got[0])
 	default:
-		kept.Got = formatNumber(slices.Min(got)) + " to " + formatNumber(slices.Max(got))
+		result.Got = formatNumber(slices.Min(got)) + " to " + formatNumber(slices.Max(got))
 	}
-	res.Expectations = append(res.Expectations, kept)
-	res.Passed = res.Passed && kept.Met
+	res.Expectations = append(res.Expectations, result)
+	res.Passed = res.Passed && result.Met
 }
 
 // Files returns the names of the result's files in its folder.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -100,16 +100,16 @@
 }
 
 func (r *run) open() (err error) {
-	var kept []Record
+	var records []Record
 	if r.opts.Resume {
-		if r.store, r.header, kept, err = resumeStore(r.opts.Dir, r.header); err != nil {
+		if r.store, r.header, records, err = resumeStore(r.opts.Dir, r.header); err != nil {
 			return err
 		}
 	} else if r.store, err = createStore(r.opts.Dir, r.header); err != nil {
 		return err
 	}
-	for _, k := range kept {
-		r.addRecord(k)
+	for _, rec := range records {
+		r.addRecord(rec)
 	}
 	if r.log, err = os.OpenFile(filepath.Join(r.opts.Dir, LogFile), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644); err != nil {
 		return errors.Join(fmt.Errorf("log of the plays: %w", err), r.store.close())
@@ -124,30 +124,30 @@
 }
 
 // addRecord adds a record or replaces the earlier one of the same play.
-func (r *run) addRecord(k Record) {
-	r.records = slices.DeleteFunc(r.records, func(o Record) bool { return o.X == k.X && o.Play == k.Play })
-	r.records = append(r.records, k)
+func (r *run) addRecord(rec Record) {
+	r.records = slices.DeleteFunc(r.records, func(other Record) bool { return other.X == rec.X && other.Play == rec.Play })
+	r.records = append(r.records, rec)
 }
 
 // playAll does the plays that are not done yet. It plays each point once before it plays any of them again,
 // so that a change in the machine's speed affects all points alike.
 func (r *run) playAll(ctx context.Context) error {
-	for n := range r.file.Plays {
+	for number := range r.file.Plays {
 		for i, x := range r.file.Points {
-			if !slices.ContainsFunc(r.records, func(k Record) bool { return k.X == x && k.Play == n && k.isDone() }) {
-				r.pending = append(r.pending, Record{X: x, Play: n, Seed: r.file.Seed + uint64(n*len(r.file.Points)+i)})
+			if !slices.ContainsFunc(r.records, func(rec Record) bool { return rec.X == x && rec.Play == number && rec.isDone() }) {
+				r.pending = append(r.pending, Record{X: x, Play: number, Seed: r.file.Seed + uint64(number*len(r.file.Points)+i)})
 			}
 		}
 	}
 	for len(r.pending) > 0 {
-		k, err := r.playOnce(ctx, r.pending[0])
+		rec, err := r.playOnce(ctx, r.pending[0])
 		if err != nil {
 			return err
 		}
-		if err := r.store.appendLine(k); err != nil {
+		if err := r.store.appendLine(rec); err != nil {
 			return err
 		}
-		r.addRecord(k)
+		r.addRecord(rec)
 		r.pending = r.pending[1:]
 	}
 	return nil
@@ -155,139 +155,139 @@
 
 // playOnce plays one point once. It returns an error if the run can't go on; a failure of the play alone goes
 // into the record.
-func (r *run) playOnce(ctx context.Context, k Record) (Record, error) {
+func (r *run) playOnce(ctx context.Context, rec Record) (Record, error) {
 	dir := filepath.Join(r.opts.Dir, playDir)
 	if err := errors.Join(os.RemoveAll(dir), os.Mkdir(dir, 0o755)); err != nil { // an earlier run may have been killed and left it
-		return k, fmt.Errorf("folder of a play: %w", err)
+		return rec, fmt.Errorf("folder of a play: %w", err)
 	}
 	dir, err := filepath.Abs(dir)
 	if err != nil {
-		return k, fmt.Errorf("folder of a play: %w", err)
+		return rec, fmt.Errorf("folder of a play: %w", err)
 	}
-	spec, err := json.Marshal(play.Spec{Axis: r.file.Axis.Name, X: k.X, Seed: k.Seed, Dir: dir, NodeProgram: r.opts.NodeProgram, LabProgram: r.opts.LabProgram, Settings: r.file.Settings})
+	spec, err := json.Marshal(play.Spec{Axis: r.file.Axis.Name, X: rec.X, Seed: rec.Seed, Dir: dir, NodeProgram: r.opts.NodeProgram, LabProgram: r.opts.LabProgram, Settings: r.file.Settings})
 	if err != nil {
-		return k, fmt.Errorf("encode the spec of a play: %w", err)
+		return rec, fmt.Errorf("encode the spec of a play: %w", err)
 	}
 	before, err := r.opts.Machine.Snapshot(os.Getpid())
 	if err != nil {
-		return k, err
+		return rec, err
 	}
-	w := playMonitor{record: &k, before: before, seen: map[Process]bool{}}
-	if w.observe(before); len(k.MachineReasons) > 0 { // short of memory before the play has started
-		return k, nil
+	monitor := playMonitor{record: &rec, before: before, seen: map[Process]bool{}}
+	if monitor.observe(before); len(rec.MachineReasons) > 0 { // short of memory before the play has started
+		return rec, nil
 	}
-	fmt.Fprintf(r.log, "--- %s at %v, play %d, seed %d\n", r.file.Axis.Name, formatNumber(k.X), k.Play, k.Seed)
+	fmt.Fprintf(r.log, "--- %s at %v, play %d, seed %d\n", r.file.Axis.Name, formatNumber(rec.X), rec.Play, rec.Seed)
 	var out cappedBuffer
-	tail := &tailWriter{out: r.log}
-	began := time.Now()
-	p, err := r.supervisor.Start(proc.Spec{Name: "play", Command: r.opts.Command, Env: r.opts.Env, Stdin: bytes.NewReader(spec), Stdout: &out, Output: tail})
+	stderr := &tailWriter{out: r.log}
+	startedAt := time.Now()
+	process, err := r.supervisor.Start(proc.Spec{Name: "play", Command: r.opts.Command, Env: r.opts.Env, Stdin: bytes.NewReader(spec), Stdout: &out, Output: stderr})
 	if err != nil {
-		return k, err
+		return rec, err
 	}
-	limit := time.NewTimer(r.file.PlayTimeout)
-	defer limit.Stop()
+	timeout := time.NewTimer(r.file.PlayTimeout)
+	defer timeout.Stop()
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
-	stop := "" // the reason to stop it early
-	for running := true; running && stop == ""; {
-		r.reportProgress(&k, time.Since(began))
+	stopReason := "" // the reason to stop it early
+	for running := true; running && stopReason == ""; {
+		r.reportProgress(&rec, time.Since(startedAt))
 		select {
-		case <-p.Done():
+		case <-process.Done():
 			running = false
 		case <-ctx.Done():
-			stop = "the run was canceled"
-		case <-limit.C:
-			stop = fmt.Sprintf("the play did not end within its limit of %v", r.file.PlayTimeout)
-			k.Failure = stop
+			stopReason = "the run was canceled"
+		case <-timeout.C:
+			stopReason = fmt.Sprintf("the play did not end within its limit of %v", r.file.PlayTimeout)
+			rec.Failure = stopReason
 		case <-ticker.C:
-			now, err := r.opts.Machine.Snapshot(os.Getpid())
+			snapshot, err := r.opts.Machine.Snapshot(os.Getpid())
 			if err != nil {
-				stop = err.Error()
-				k.Failure = stop
+				stopReason = err.Error()
+				rec.Failure = stopReason
 				break
 			}
-			if past := w.observe(now); past != "" {
-				stop = past
+			if exceeded := monitor.observe(snapshot); exceeded != "" {
+				stopReason = exceeded
 			}
 		}
 	}
-	if stop != "" {
-		r.opts.Log.Info("play stopped early", "axis", r.file.Axis.Name, "x", k.X, "play", k.Play, "reason", stop)
-		if err := p.Terminate(context.WithoutCancel(ctx), stopTimeout); err != nil {
-			return k, err
+	if stopReason != "" {
+		r.opts.Log.Info("play stopped early", "axis", r.file.Axis.Name, "x", rec.X, "play", rec.Play, "reason", stopReason)
+		if err := process.Terminate(context.WithoutCancel(ctx), stopTimeout); err != nil {
+			return rec, err
 		}
 	}
-	k.TookSeconds = time.Since(began).Seconds()
-	if left := w.killLeftProcesses(); left > 0 && stop == "" {
-		k.Failure = fmt.Sprintf("the play left %d processes running; they were killed", left)
+	rec.TookSeconds = time.Since(startedAt).Seconds()
+	if killed := monitor.killLeftProcesses(); killed > 0 && stopReason == "" {
+		rec.Failure = fmt.Sprintf("the play left %d processes running; they were killed", killed)
 	}
 	if err := ctx.Err(); err != nil {
-		return k, fmt.Errorf("the run was canceled in play %d at %v: %w", k.Play, formatNumber(k.X), context.Cause(ctx))
+		return rec, fmt.Errorf("the run was canceled in play %d at %v: %w", rec.Play, formatNumber(rec.X), context.Cause(ctx))
 	}
-	if stop != "" || k.Failure != "" {
-		return k, nil
+	if stopReason != "" || rec.Failure != "" {
+		return rec, nil
 	}
 	after, err := r.opts.Machine.Snapshot(os.Getpid())
 	if err != nil {
-		return k, err
+		return rec, err
 	}
-	w.judgeCPUShares(after)
-	if e := p.Wait(); e.Code != 0 {
-		k.Failure = strings.TrimSpace(fmt.Sprintf("the play's process ended %v: %s", e, tail))
-		return k, nil
+	monitor.judgeCPUShares(after)
+	if exit := process.Wait(); exit.Code != 0 {
+		rec.Failure = strings.TrimSpace(fmt.Sprintf("the play's process ended %v: %s", exit, stderr))
+		return rec, nil
 	}
 	dec := json.NewDecoder(bytes.NewReader(out.Bytes()))
 	dec.DisallowUnknownFields()
-	err = dec.Decode(&k.Reading)
+	err = dec.Decode(&rec.Reading)
 	if err == nil && out.truncated {
 		err = errors.New("the output is too long")
 	}
 	if err == nil {
-		err = checkReading(r.file.Axis, k.Reading)
+		err = checkReading(r.file.Axis, rec.Reading)
 	}
 	if err != nil {
-		k.Reading, k.Failure = play.Reading{}, fmt.Sprintf("reading: %v", err)
+		rec.Reading, rec.Failure = play.Reading{}, fmt.Sprintf("reading: %v", err)
 	}
-	return k, nil
+	return rec, nil
 }
 
 // reportProgress calls Options.Progress with the state of the run.
-func (r *run) reportProgress(k *Record, since time.Duration) {
-	all := len(r.file.Points) * r.file.Plays
-	p := Progress{Done: all - len(r.pending), Total: all, X: k.X, Play: k.Play, Elapsed: since, RSS: k.PeakRSS, Processes: k.PeakProcesses}
-	p.Remaining, p.RemainingKnown = r.remainingTime(since)
+func (r *run) reportProgress(rec *Record, elapsed time.Duration) {
+	total := len(r.file.Points) * r.file.Plays
+	p := Progress{Done: total - len(r.pending), Total: total, X: rec.X, Play: rec.Play, Elapsed: elapsed, RSS: rec.PeakRSS, Processes: rec.PeakProcesses}
+	p.Remaining, p.RemainingKnown = r.remainingTime(elapsed)
 	r.opts.Progress(p)
 }
 
 // remainingTime estimates the time that the rest of the run takes. A point takes as long as its earlier
 // plays; one without any takes as long as the next smaller point, scaled by the square root of x, because
 // much of a play's time does not depend on x.
-func (r *run) remainingTime(since time.Duration) (time.Duration, bool) {
-	took := map[float64][]float64{} // by point
-	for _, k := range r.records {
-		took[k.X] = append(took[k.X], k.TookSeconds)
-	}
-	left := 0.0
-	for i, t := range r.pending {
-		near := -1.0
-		for x := range took {
-			if x <= t.X {
-				near = max(near, x)
+func (r *run) remainingTime(elapsed time.Duration) (time.Duration, bool) {
+	secondsByPoint := map[float64][]float64{} // by point
+	for _, rec := range r.records {
+		secondsByPoint[rec.X] = append(secondsByPoint[rec.X], rec.TookSeconds)
+	}
+	remaining := 0.0
+	for i, next := range r.pending {
+		nearest := -1.0
+		for x := range secondsByPoint {
+			if x <= next.X {
+				nearest = max(nearest, x)
 			}
 		}
-		if near < 0 {
+		if nearest < 0 {
 			return 0, false
 		}
-		guess := mean(took[near])
-		if near > 0 {
-			guess *= math.Sqrt(t.X / near)
+		estimate := mean(secondsByPoint[nearest])
+		if nearest > 0 {
+			estimate *= math.Sqrt(next.X / nearest)
 		}
 		if i == 0 {
-			guess = max(0, guess-since.Seconds())
+			estimate = max(0, estimate-elapsed.Seconds())
 		}
-		left += guess
+		remaining += estimate
 	}
-	return time.Duration(left * float64(time.Second)), true
+	return time.Duration(remaining * float64(time.Second)), true
 }
 
 // playMonitor watches the resources of one play.
@@ -298,46 +298,46 @@
 }
 
 // observe takes in a snapshot, and returns which bound it exceeds, if any.
-func (w *playMonitor) observe(l Snapshot) (past string) {
-	k := w.record
-	k.PeakRSS, k.PeakProcesses = max(k.PeakRSS, l.RSS()), max(k.PeakProcesses, len(l.Processes))
-	if k.MinAvailableMemory == 0 || l.AvailableMemory < k.MinAvailableMemory {
-		k.MinAvailableMemory = l.AvailableMemory
+func (w *playMonitor) observe(s Snapshot) (exceeded string) {
+	rec := w.record
+	rec.PeakRSS, rec.PeakProcesses = max(rec.PeakRSS, s.RSS()), max(rec.PeakProcesses, len(s.Processes))
+	if rec.MinAvailableMemory == 0 || s.AvailableMemory < rec.MinAvailableMemory {
+		rec.MinAvailableMemory = s.AvailableMemory
 	}
-	for _, p := range l.Processes {
+	for _, p := range s.Processes {
 		if p.PID != os.Getpid() {
 			w.seen[Process{PID: p.PID, StartTicks: p.StartTicks}] = true
 		}
 	}
 	switch {
-	case l.RSS() > MaxMemory:
-		past = fmt.Sprintf("the processes of the run held more than %d GB", MaxMemory>>30)
-	case len(l.Processes) > MaxProcesses:
-		past = fmt.Sprintf("the run had more than %d processes", MaxProcesses)
-	case l.AvailableMemory < minAvailableMemory:
-		past = fmt.Sprintf("the machine had only %d MB of memory left", l.AvailableMemory>>20)
+	case s.RSS() > MaxMemory:
+		exceeded = fmt.Sprintf("the processes of the run held more than %d GB", MaxMemory>>30)
+	case len(s.Processes) > MaxProcesses:
+		exceeded = fmt.Sprintf("the run had more than %d processes", MaxProcesses)
+	case s.AvailableMemory < minAvailableMemory:
+		exceeded = fmt.Sprintf("the machine had only %d MB of memory left", s.AvailableMemory>>20)
 	}
-	if past != "" {
-		k.MachineReasons = append(k.MachineReasons, past)
+	if exceeded != "" {
+		rec.MachineReasons = append(rec.MachineReasons, exceeded)
 	}
-	return past
+	return exceeded
 }
 
 // judgeCPUShares checks the use of the cores during the whole play, given the snapshot after it.
 func (w *playMonitor) judgeCPUShares(after Snapshot) {
-	k := w.record
-	k.CPUShares = cpuShares(w.before, after)
-	all := after.CPU.Total - w.before.CPU.Total
-	if k.CPUShares.Others*all-othersTickError > maxOthersShare*all {
-		k.MachineReasons = append(k.MachineReasons, fmt.Sprintf("other processes took %.0f%% of the cores (at most %.0f%%)", 100*k.CPUShares.Others, 100*maxOthersShare))
+	rec := w.record
+	rec.CPUShares = cpuShares(w.before, after)
+	total := after.CPU.Total - w.before.CPU.Total
+	if rec.CPUShares.Others*total-othersTickError > maxOthersShare*total {
+		rec.MachineReasons = append(rec.MachineReasons, fmt.Sprintf("other processes took %.0f%% of the cores (at most %.0f%%)", 100*rec.CPUShares.Others, 100*maxOthersShare))
 	}
-	if k.CPUShares.Idle < minIdleShare {
-		k.MachineReasons = append(k.MachineReasons, fmt.Sprintf("the cores were only %.1f%% idle (at least %.0f%%)", 100*k.CPUShares.Idle, 100*minIdleShare))
+	if rec.CPUShares.Idle < minIdleShare {
+		rec.MachineReasons = append(rec.MachineReasons, fmt.Sprintf("the cores were only %.1f%% idle (at least %.0f%%)", 100*rec.CPUShares.Idle, 100*minIdleShare))
 	}
 }
 
 // killLeftProcesses kills the processes that the play has left running, and returns their number.
-func (w *playMonitor) killLeftProcesses() (n int) {
+func (w *playMonitor) killLeftProcesses() (killed int) {
 	for p := range w.seen {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID))
 		if err != nil {
@@ -347,10 +347,10 @@
 			continue
 		}
 		if syscall.Kill(p.PID, syscall.SIGKILL) == nil {
-			n++
+			killed++
 		}
 	}
-	return n
+	return killed
 }
 
 // cappedBuffer keeps the first bytes that a play writes, up to a bound.
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -27,7 +27,7 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // TestMain is also the process of a play, or of a whole run, when a test starts this binary as one.
 func TestMain(m *testing.M) {
@@ -53,14 +53,14 @@
 
 // Modes of the stub axis.
 const (
-	plain  = iota
-	spoils // the play itself reports that the machine fell short
-	ends   // reaches a limit at 20
-	fails  // fails at 4
-	hangs  // hangs at 4 until it is stopped; not if it has hung before
-	leaves // leaves a process running at 4
-	odd    // reads a figure that the axis does not declare
-	dies   // killed by a signal at 4, the first time
+	modePlain        = iota
+	modeInvalid      // the play itself reports that the machine fell short
+	modeLimit        // reaches a limit at 20
+	modeFail         // fails at 4
+	modeHang         // hangs at 4 until it is stopped; not if it has hung before
+	modeLeaveProcess // leaves a process running at 4
+	modeUndeclared   // reads a figure that the axis does not declare
+	modeKilled       // killed by a signal at 4, the first time
 )
 
 // stubAxes is an axis for tests. Its plays report their state by files in the folder that SCALE_TEST_MARKS
@@ -72,21 +72,21 @@
 		{ID: "stub.step", Description: "time of a thing", Unit: "s"},
 	},
 	Settings: map[string]play.Setting{
-		"mode": {Default: plain, Min: 0, Max: 9, Description: "what goes wrong"},
+		"mode": {Default: modePlain, Min: 0, Max: 9, Description: "what goes wrong"},
 		"step": {Default: 10, Min: 0, Max: 1e9, Description: "bytes of a thing"},
 	},
 	Play: playStub,
 }}
 
-func marks(name string) string { return filepath.Join(os.Getenv("SCALE_TEST_MARKS"), name) }
+func markPath(name string) string { return filepath.Join(os.Getenv("SCALE_TEST_MARKS"), name) }
 
 // mark creates a file atomically, and reports whether it existed before.
-func mark(name, text string) (before bool) {
-	if _, err := os.Stat(marks(name)); err == nil {
+func mark(name, text string) (existed bool) {
+	if _, err := os.Stat(markPath(name)); err == nil {
 		return true
 	}
-	part := marks(name + ".part")
-	if err := errors.Join(os.WriteFile(part, []byte(text), 0o600), os.Rename(part, marks(name))); err != nil {
+	temporary := markPath(name + ".part")
+	if err := errors.Join(os.WriteFile(temporary, []byte(text), 0o600), os.Rename(temporary, markPath(name))); err != nil {
 		panic(err)
 	}
 	return false
@@ -104,20 +104,20 @@
 	r.SetValue("stub.step", 1+0.001*float64(s.Seed%3))
 	r.SetCount("seed", float64(s.Seed))
 	switch mode := s.Settings["mode"]; {
-	case mode == spoils && s.Seed%2 == 0:
+	case mode == modeInvalid && s.Seed%2 == 0:
 		r.MarkInvalid("test reason")
-	case mode == ends && s.X == 20:
+	case mode == modeLimit && s.X == 20:
 		r.AddLimit("a cap of %d", 19)
-	case mode == odd && s.X == 4:
+	case mode == modeUndeclared && s.X == 4:
 		r.SetValue("stub.odd", 1)
-	case mode == fails && s.X == 4:
+	case mode == modeFail && s.X == 4:
 		return r, errors.New("test failure")
-	case mode == dies && s.X == 4:
+	case mode == modeKilled && s.X == 4:
 		if !mark("died", "") {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL)
 			select {}
 		}
-	case mode == hangs && s.X == 4:
+	case mode == modeHang && s.X == 4:
 		sup := proc.NewSupervisor()
 		defer sup.Close()
 		p, err := sup.Start(proc.Spec{Name: "sleeper", Command: []string{"/bin/sleep", "600"}})
@@ -128,14 +128,14 @@
 			<-ctx.Done()
 			return r, ctx.Err()
 		}
-	case mode == leaves && s.X == 4:
+	case mode == modeLeaveProcess && s.X == 4:
 		cmd := exec.Command("/bin/sleep", "600")
 		cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 		if err := cmd.Start(); err != nil {
 			return r, err
 		}
 		mark("left", strconv.Itoa(cmd.Process.Pid))
-		for !exists(marks("seen")) { // created once the run's monitor has seen the process
+		for !exists(markPath("seen")) { // created once the run's monitor has seen the process
 			select {
 			case <-ctx.Done():
 				return r, ctx.Err()
@@ -153,33 +153,33 @@
 
 // testMachine is this machine, but with the CPU times that a test asks for.
 type testMachine struct {
-	mu     sync.Mutex
-	looks  int
-	others float64 // share of the cores that other processes take
-	own    float64
-	more   []Process // added to the real processes; they do not exist
-	free   int64     // 0: enough
-	seen   func(Snapshot)
+	mu         sync.Mutex
+	snapshots  int
+	others     float64 // share of the cores that other processes take
+	own        float64
+	extra      []Process // added to the real processes; they do not exist
+	available  int64     // 0: enough
+	onSnapshot func(Snapshot)
 }
 
 func (m *testMachine) Snapshot(root int) (Snapshot, error) {
-	l, err := Linux{}.Snapshot(root)
+	s, err := Linux{}.Snapshot(root)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.looks++
-	all := 1000 * float64(m.looks)
-	l.CPU, l.OwnTicks = CPUTicks{Total: all, Idle: all * (1 - m.others - m.own)}, all*m.own
-	l.AvailableMemory = 4 << 30
-	if m.free != 0 && m.looks > 1 {
-		l.AvailableMemory = m.free
+	m.snapshots++
+	total := 1000 * float64(m.snapshots)
+	s.CPU, s.OwnTicks = CPUTicks{Total: total, Idle: total * (1 - m.others - m.own)}, total*m.own
+	s.AvailableMemory = 4 << 30
+	if m.available != 0 && m.snapshots > 1 {
+		s.AvailableMemory = m.available
 	}
-	if m.looks > 1 {
-		l.Processes = append(l.Processes, m.more...)
+	if m.snapshots > 1 {
+		s.Processes = append(s.Processes, m.extra...)
 	}
-	if m.seen != nil {
-		m.seen(l)
+	if m.onSnapshot != nil {
+		m.onSnapshot(s)
 	}
-	return l, err
+	return s, err
 }
 
 // childEnv returns the environment of this binary as a child. Without GORACE the race detector would delay
@@ -208,7 +208,7 @@
 	return strings.NewReplacer(change...).Replace(text)
 }
 
-func lookAt(t *testing.T, f RunFile, o Options) *Result {
+func mustRun(t *testing.T, f RunFile, o Options) *Result {
 	t.Helper()
 	res, err := Run(t.Context(), f, o)
 	if err != nil {
@@ -221,10 +221,10 @@
 }
 
 // waitGone waits for the end of processes.
-func gone(t *testing.T, pids ...int) {
+func waitGone(t *testing.T, pids ...int) {
 	t.Helper()
 	for _, pid := range pids {
-		for by := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+		for by := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 			raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 			if err != nil || strings.Contains(string(raw), ") Z ") {
 				break // or a zombie that its new parent has not waited for
@@ -237,14 +237,14 @@
 }
 
 // waitMark waits for a mark and returns the numbers in it.
-func marked(t *testing.T, name string) (numbers []int) {
+func waitMark(t *testing.T, name string) (numbers []int) {
 	t.Helper()
-	for by := time.Now().Add(patience); !exists(marks(name)); time.Sleep(time.Millisecond) {
+	for by := time.Now().Add(testTimeout); !exists(markPath(name)); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
 			t.Fatal("no mark: " + name)
 		}
 	}
-	raw, err := os.ReadFile(marks(name))
+	raw, err := os.ReadFile(markPath(name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,11 +268,11 @@
 }
 
 func TestRun(t *testing.T) {
-	f := stubFile(t, plain)
+	f := stubFile(t, modePlain)
 	o := stubOptions(t.TempDir(), &testMachine{})
-	var told []Progress
-	o.Progress = func(p Progress) { told = append(told, p) }
-	res := lookAt(t, f, o)
+	var progress []Progress
+	o.Progress = func(p Progress) { progress = append(progress, p) }
+	res := mustRun(t, f, o)
 	if !res.Passed || res.Failed+res.Invalid != 0 || len(res.Records) != 9 {
 		t.Fatalf("%+v", res)
 	}
@@ -284,17 +284,17 @@
 		t.Errorf("slope %+v", s)
 	}
 	seeds := map[uint64]bool{}
-	for _, k := range res.Records {
-		seeds[k.Seed] = true
-		if k.PeakRSS <= 0 || k.PeakProcesses < 1 || k.TookSeconds <= 0 {
-			t.Errorf("record %+v", k)
+	for _, rec := range res.Records {
+		seeds[rec.Seed] = true
+		if rec.PeakRSS <= 0 || rec.PeakProcesses < 1 || rec.TookSeconds <= 0 {
+			t.Errorf("record %+v", rec)
 		}
 	}
 	if len(seeds) != 9 {
 		t.Errorf("the plays had %d seeds", len(seeds))
 	}
-	if last := told[len(told)-1]; last.Done != 8 || last.Total != 9 || !last.RemainingKnown || told[0].Done != 0 || told[0].RemainingKnown {
-		t.Errorf("progress %+v first and %+v last", told[0], last)
+	if last := progress[len(progress)-1]; last.Done != 8 || last.Total != 9 || !last.RemainingKnown || progress[0].Done != 0 || progress[0].RemainingKnown {
+		t.Errorf("progress %+v first and %+v last", progress[0], last)
 	}
 	// A second run can't start in the same folder.
 	if _, err := Run(t.Context(), f, o); !errors.Is(err, os.ErrExist) {
@@ -318,10 +318,10 @@
 
 // Plays that the machine or the play itself reports as invalid are listed and not fitted, and a resumed run
 // plays them again.
-func TestSpoiltIsNotFitted(t *testing.T) {
+func TestInvalidPlaysAreNotFitted(t *testing.T) {
 	t.Run("by the play", func(t *testing.T) {
-		f := stubFile(t, spoils)
-		res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
+		f := stubFile(t, modeInvalid)
+		res := mustRun(t, f, stubOptions(t.TempDir(), &testMachine{}))
 		if res.Invalid != 4 || slopeOf(t, res, "stub.bytes") != nil { // seeds 1 to 9, the even ones are invalid
 			t.Errorf("%d invalid, slope %+v", res.Invalid, slopeOf(t, res, "stub.bytes"))
 		}
@@ -329,23 +329,23 @@
 	for name, m := range map[string]*testMachine{
 		"others":    {others: 0.3, own: 0.1},
 		"full":      {own: 0.99},
-		"memory":    {more: []Process{{PID: -1, RSS: MaxMemory}}},
-		"processes": {more: make([]Process, MaxProcesses)},
-		"short":     {free: minAvailableMemory / 2},
+		"memory":    {extra: []Process{{PID: -1, RSS: MaxMemory}}},
+		"processes": {extra: make([]Process, MaxProcesses)},
+		"short":     {available: minAvailableMemory / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := stubFile(t, hangs) // stopped when it exceeds a bound; otherwise it would hang
+			f := stubFile(t, modeHang) // stopped when it exceeds a bound; otherwise it would hang
 			if name == "others" || name == "full" {
-				f = stubFile(t, plain)
+				f = stubFile(t, modePlain)
 			}
 			o := stubOptions(t.TempDir(), m)
-			res := lookAt(t, f, o)
+			res := mustRun(t, f, o)
 			if res.Invalid == 0 || res.Failed != 0 || slopeOf(t, res, "stub.bytes") != nil {
 				t.Errorf("%d invalid, %d failed, slope %+v", res.Invalid, res.Failed, slopeOf(t, res, "stub.bytes"))
 			}
 			if name == "memory" || name == "processes" || name == "short" {
-				if exists(marks("hung")) {
-					gone(t, marked(t, "hung")...)
+				if exists(markPath("hung")) {
+					waitGone(t, waitMark(t, "hung")...)
 				}
 			}
 			page := res.markdown()
@@ -355,16 +355,16 @@
 			// Once the machine is quiet, a resumed run plays it again.
 			o.Resume, o.Machine = true, &testMachine{}
 			mark("hung", "")
-			if res = lookAt(t, f, o); res.Invalid != 0 || slopeOf(t, res, "stub.bytes") == nil {
+			if res = mustRun(t, f, o); res.Invalid != 0 || slopeOf(t, res, "stub.bytes") == nil {
 				t.Errorf("resumed: %d invalid, slope %+v", res.Invalid, slopeOf(t, res, "stub.bytes"))
 			}
 		})
 	}
 }
 
-func TestEndsAreListed(t *testing.T) {
-	f := stubFile(t, ends, "[1, 4, 20]", "[1, 2, 4, 20]")
-	res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
+func TestReachedLimitsAreListed(t *testing.T) {
+	f := stubFile(t, modeLimit, "[1, 4, 20]", "[1, 2, 4, 20]")
+	res := mustRun(t, f, stubOptions(t.TempDir(), &testMachine{}))
 	if len(res.Limits) != 1 || res.Limits[0].X != 20 || !slices.Equal(res.Limits[0].Reasons, []string{"a cap of 19"}) {
 		t.Errorf("limits %+v", res.Limits)
 	}
@@ -382,33 +382,33 @@
 		mode int
 		want string
 	}{
-		"fault":  {fails, "test failure"},
-		"figure": {odd, "stub.odd"},
-		"signal": {dies, "killed"},
-		"limit":  {hangs, "limit of 2s"},
+		"fault":  {modeFail, "test failure"},
+		"figure": {modeUndeclared, "stub.odd"},
+		"signal": {modeKilled, "killed"},
+		"limit":  {modeHang, "limit of 2s"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limit := "1m"
-			if c.mode == hangs {
+			if c.mode == modeHang {
 				limit = "2s"
 			}
 			f := stubFile(t, c.mode, "1m", limit)
 			o := stubOptions(t.TempDir(), &testMachine{})
-			res := lookAt(t, f, o)
+			res := mustRun(t, f, o)
 			if res.Passed || res.Failed == 0 || res.Failed > 3 || len(res.Records) != 9 {
 				t.Fatalf("%d failed of %d", res.Failed, len(res.Records))
 			}
-			for _, k := range res.Records {
-				if k.Failure != "" && (k.X != 4 || !strings.Contains(k.Failure, c.want) || len(k.Reading.Values) > 0) {
-					t.Errorf("record %+v", k)
+			for _, rec := range res.Records {
+				if rec.Failure != "" && (rec.X != 4 || !strings.Contains(rec.Failure, c.want) || len(rec.Reading.Values) > 0) {
+					t.Errorf("record %+v", rec)
 				}
 			}
-			if c.mode == hangs {
-				gone(t, marked(t, "hung")...)
+			if c.mode == modeHang {
+				waitGone(t, waitMark(t, "hung")...)
 			}
-			if c.mode == dies || c.mode == hangs { // fails only the first time
+			if c.mode == modeKilled || c.mode == modeHang { // fails only the first time
 				o.Resume = true
-				if res = lookAt(t, f, o); !res.Passed || res.Failed != 0 || slopeOf(t, res, "stub.bytes") == nil {
+				if res = mustRun(t, f, o); !res.Passed || res.Failed != 0 || slopeOf(t, res, "stub.bytes") == nil {
 					t.Errorf("resumed: %d failed", res.Failed)
 				}
 			}
@@ -416,57 +416,57 @@
 	}
 }
 
-func TestLeftProcessesAreEnded(t *testing.T) {
-	f := stubFile(t, leaves, "plays = 3", "plays = 1")
-	m := &testMachine{seen: func(l Snapshot) {
-		if !exists(marks("left")) || exists(marks("seen")) {
+func TestLeftProcessesAreKilled(t *testing.T) {
+	f := stubFile(t, modeLeaveProcess, "plays = 3", "plays = 1")
+	m := &testMachine{onSnapshot: func(s Snapshot) {
+		if !exists(markPath("left")) || exists(markPath("seen")) {
 			return
 		}
-		pid := marked(t, "left")[0]
-		if slices.ContainsFunc(l.Processes, func(p Process) bool { return p.PID == pid }) {
+		pid := waitMark(t, "left")[0]
+		if slices.ContainsFunc(s.Processes, func(p Process) bool { return p.PID == pid }) {
 			mark("seen", "")
 		}
 	}}
-	res := lookAt(t, f, stubOptions(t.TempDir(), m))
+	res := mustRun(t, f, stubOptions(t.TempDir(), m))
 	if res.Failed != 1 || !strings.Contains(res.Records[1].Failure, "left 1 processes running") {
 		t.Errorf("%+v", res.Records)
 	}
-	gone(t, marked(t, "left")...)
+	waitGone(t, waitMark(t, "left")...)
 }
 
 // A canceled run leaves no process running, and can be resumed.
-func TestEndedEarlyAndResumed(t *testing.T) {
-	f := stubFile(t, hangs)
+func TestCanceledRunIsResumed(t *testing.T) {
+	f := stubFile(t, modeHang)
 	o := stubOptions(t.TempDir(), &testMachine{})
 	ctx, cancel := context.WithCancel(t.Context())
 	o.Progress = func(p Progress) {
-		if p.X == 4 && exists(marks("hung")) {
+		if p.X == 4 && exists(markPath("hung")) {
 			cancel()
 		}
 	}
 	if _, err := Run(ctx, f, o); !errors.Is(err, context.Canceled) {
 		t.Fatalf("Run returned %v", err)
 	}
-	gone(t, marked(t, "hung")...)
+	waitGone(t, waitMark(t, "hung")...)
 	if exists(filepath.Join(o.Dir, playDir)) {
 		t.Error("the folder of a play was left")
 	}
-	resumed(t, f, o)
+	checkResumed(t, f, o)
 }
 
 // When a run is killed, its play and the play's processes end too, and it can be resumed.
-func TestKilledAndResumed(t *testing.T) {
-	f := stubFile(t, hangs)
+func TestKilledRunIsResumed(t *testing.T) {
+	f := stubFile(t, modeHang)
 	o := stubOptions(t.TempDir(), &testMachine{})
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = childEnv("SCALE_TEST=run", "SCALE_TEST_FILE="+stubText(hangs), "SCALE_TEST_DIR="+o.Dir)
+	cmd.Env = childEnv("SCALE_TEST=run", "SCALE_TEST_FILE="+stubText(modeHang), "SCALE_TEST_DIR="+o.Dir)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	pids := marked(t, "hung")
+	pids := waitMark(t, "hung")
 	cmd.Process.Kill()
 	cmd.Wait()
-	gone(t, pids...)
+	waitGone(t, pids...)
 	// It may also have been killed during a write.
 	file, err := os.OpenFile(filepath.Join(o.Dir, PointsFile), os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -476,18 +476,18 @@
 	if err := errors.Join(err, file.Close()); err != nil {
 		t.Fatal(err)
 	}
-	resumed(t, f, o)
+	checkResumed(t, f, o)
 }
 
 // checkResumed resumes a run that has recorded one play.
-func resumed(t *testing.T, f RunFile, o Options) {
+func checkResumed(t *testing.T, f RunFile, o Options) {
 	t.Helper()
 	before, err := os.ReadFile(filepath.Join(o.Dir, PointsFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept := before[:bytes.LastIndexByte(before, '\n')+1]
-	if n := bytes.Count(kept, []byte("\n")); n != 2 {
+	complete := before[:bytes.LastIndexByte(before, '\n')+1]
+	if n := bytes.Count(complete, []byte("\n")); n != 2 {
 		t.Fatalf("%d lines were kept:\n%s", n, before)
 	}
 	o.Resume = true
@@ -497,7 +497,7 @@
 			first = &p
 		}
 	}
-	res := lookAt(t, f, o)
+	res := mustRun(t, f, o)
 	if first == nil || first.Done != 1 || first.X != 4 {
 		t.Errorf("went on at %+v", first)
 	}
@@ -505,22 +505,22 @@
 		t.Errorf("%+v", res)
 	}
 	after, err := os.ReadFile(filepath.Join(o.Dir, PointsFile))
-	if err != nil || !bytes.HasPrefix(after, kept) || bytes.Count(after, []byte("\n")) != 10 {
+	if err != nil || !bytes.HasPrefix(after, complete) || bytes.Count(after, []byte("\n")) != 10 {
 		t.Errorf("%v, the points are now\n%s", err, after)
 	}
 }
 
-func TestResumeIsRefused(t *testing.T) {
-	f := stubFile(t, plain, "plays = 3", "plays = 1")
+func TestResumeErrors(t *testing.T) {
+	f := stubFile(t, modePlain, "plays = 3", "plays = 1")
 	o := stubOptions(t.TempDir(), &testMachine{})
-	lookAt(t, f, o)
+	mustRun(t, f, o)
 	path := filepath.Join(o.Dir, PointsFile)
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	o.Resume = true
-	refused := func(name, want string, f RunFile, o Options) {
+	mustRefuse := func(name, want string, f RunFile, o Options) {
 		t.Helper()
 		var r *ResumeError
 		if _, err := Run(t.Context(), f, o); !errors.As(err, &r) || !strings.Contains(err.Error(), want) {
@@ -529,46 +529,46 @@
 	}
 	other := o
 	other.Build = Build{"c0ffee", map[string]string{"a": "2"}}
-	refused("another build", "another build", f, other)
-	refused("another file", "another text", stubFile(t, ends, "plays = 3", "plays = 1"), o)
+	mustRefuse("another build", "another build", f, other)
+	mustRefuse("another file", "another text", stubFile(t, modeLimit, "plays = 3", "plays = 1"), o)
 	other = o
 	other.Dir = t.TempDir()
-	refused("nothing there", "holds no "+PointsFile, f, other)
-	spoilt := bytes.Replace(whole, []byte(`"x":4`), []byte(`"x":?`), 1)
-	if err := os.WriteFile(path, spoilt, 0o600); err != nil {
+	mustRefuse("nothing there", "holds no "+PointsFile, f, other)
+	corrupt := bytes.Replace(complete, []byte(`"x":4`), []byte(`"x":?`), 1)
+	if err := os.WriteFile(path, corrupt, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	refused("a line in the middle", "line 3 of "+PointsFile+" is invalid", f, o)
+	mustRefuse("a line in the middle", "line 3 of "+PointsFile+" is invalid", f, o)
 	// A run that was killed within its first line starts anew.
-	if err := os.WriteFile(path, whole[:20], 0o600); err != nil {
+	if err := os.WriteFile(path, complete[:20], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if res := lookAt(t, f, o); len(res.Records) != 3 {
+	if res := mustRun(t, f, o); len(res.Records) != 3 {
 		t.Errorf("%+v", res.Records)
 	}
 }
 
-func TestExpected(t *testing.T) {
+func TestExpectations(t *testing.T) {
 	const bound = "\n[[expect]]\nid = \"stub.bytes\"\nleast = 100\nmost = 200\n[[expect]]\nid = \"stub.bytes\"\nat = 20\nmost = 300\n"
-	f := stubFile(t, plain, "plays = 3", "plays = 1", "mode = 0", "mode = 0"+bound)
+	f := stubFile(t, modePlain, "plays = 3", "plays = 1", "mode = 0", "mode = 0"+bound)
 	// Bounds of bytes are checked on a busy machine too.
-	res := lookAt(t, f, stubOptions(t.TempDir(), &testMachine{others: 0.9}))
+	res := mustRun(t, f, stubOptions(t.TempDir(), &testMachine{others: 0.9}))
 	var got []bool
-	for _, k := range res.Expectations {
-		got = append(got, k.Met)
+	for _, e := range res.Expectations {
+		got = append(got, e.Met)
 	}
 	if res.Passed || !slices.Equal(got, []bool{true, true, false, true}) || res.Invalid != 3 {
 		t.Errorf("%+v", res.Expectations)
 	}
 	// A figure that was not read fails its bound.
-	f = stubFile(t, fails, "plays = 3", "plays = 1", "mode = 3", "mode = 3"+bound)
-	res = lookAt(t, f, stubOptions(t.TempDir(), &testMachine{}))
-	if k := res.Expectations[1]; k.Met || !strings.Contains(k.Got, "0 of 1") {
+	f = stubFile(t, modeFail, "plays = 3", "plays = 1", "mode = 3", "mode = 3"+bound)
+	res = mustRun(t, f, stubOptions(t.TempDir(), &testMachine{}))
+	if e := res.Expectations[1]; e.Met || !strings.Contains(e.Got, "0 of 1") {
 		t.Errorf("%+v", res.Expectations)
 	}
 }
 
-func TestPlayOneRefuses(t *testing.T) {
+func TestRunPlayErrors(t *testing.T) {
 	spec := func(s play.Spec) string {
 		raw, err := json.Marshal(s)
 		if err != nil {
@@ -590,7 +590,7 @@
 	}
 }
 
-func TestTimeLeft(t *testing.T) {
+func TestRemainingTime(t *testing.T) {
 	r := run{
 		records: []Record{{X: 0, TookSeconds: 1}, {X: 10, TookSeconds: 2}, {X: 10, Play: 1, TookSeconds: 4}},
 		pending: []Record{{X: 40}, {X: 0, Play: 1}, {X: 10, Play: 2}},
--- a/internal/lab/scale/store.go
+++ b/internal/lab/scale/store.go
@@ -104,15 +104,15 @@
 	if err != nil {
 		return nil, h, nil, fmt.Errorf("points file: %w", err)
 	}
-	whole := raw[:bytes.LastIndexByte(raw, '\n')+1]
-	var old runHeader
+	complete := raw[:bytes.LastIndexByte(raw, '\n')+1]
+	var saved runHeader
 	var records []Record
-	n := 0
-	for line := range bytes.Lines(whole) {
-		n++
+	lineCount := 0
+	for line := range bytes.Lines(complete) {
+		lineCount++
 		var err error
-		if n == 1 {
-			err = json.Unmarshal(line, &old)
+		if lineCount == 1 {
+			err = json.Unmarshal(line, &saved)
 		} else {
 			var r Record
 			if err = json.Unmarshal(line, &r); err == nil {
@@ -120,15 +120,15 @@
 			}
 		}
 		if err != nil {
-			return nil, h, nil, &ResumeError{fmt.Sprintf("line %d of %s is invalid: %v", n, PointsFile, err)}
+			return nil, h, nil, &ResumeError{fmt.Sprintf("line %d of %s is invalid: %v", lineCount, PointsFile, err)}
 		}
 	}
 	switch {
-	case n == 0: // the run ended before its first line was complete
-		old = h
-	case old.FileHash != h.FileHash:
+	case lineCount == 0: // the run ended before its first line was complete
+		saved = h
+	case saved.FileHash != h.FileHash:
 		return nil, h, nil, &ResumeError{"it was started with another text of the run file"}
-	case !old.Build.equal(h.Build):
+	case !saved.Build.equal(h.Build):
 		return nil, h, nil, &ResumeError{"it was started with another build of the programs; points of two builds can't be fitted together"}
 	}
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_APPEND, 0o644)
@@ -136,15 +136,15 @@
 		return nil, h, nil, fmt.Errorf("points file: %w", err)
 	}
 	s := &store{f}
-	if err := f.Truncate(int64(len(whole))); err != nil {
+	if err := f.Truncate(int64(len(complete))); err != nil {
 		return nil, h, nil, errors.Join(fmt.Errorf("points file: %w", err), f.Close())
 	}
-	if n == 0 {
+	if lineCount == 0 {
 		if err := s.appendLine(h); err != nil {
 			return nil, h, nil, errors.Join(err, f.Close())
 		}
 	}
-	return s, old, records, nil
+	return s, saved, records, nil
 }
 
 // appendLine appends one value and syncs the file.
