--- a/internal/lab/scale/hollow/alone.go
+++ b/internal/lab/scale/hollow/alone.go
@@ -8,48 +8,48 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// alone is the one hollow node of a play: what the process held before it is known, so that what it adds can be read, and its loop is
-// watched. Its maker owns it, until close; run begins its life.
-type alone struct {
+// soleNode is the only hollow node of a play. The memory of the process before it was made is known, so that
+// its own memory can be read, and a probe measures its loop. Its owner must call close.
+type soleNode struct {
 	*Node
-	loop      *stall
-	heap, rss float64 // of the process, before the node
-	began     time.Time
+	probe                 *loopProbe
+	heapBefore, rssBefore float64 // of the process, before the node was made
+	startedAt             time.Time
 }
 
-// newAlone makes the node of a spec whose files are written.
-func newAlone(s Spec, log *slog.Logger) (*alone, error) {
-	settle()
-	a := &alone{heap: heap()}
+// newSoleNode makes the node of a spec whose files have been written. It does not run until start.
+func newSoleNode(s Spec, log *slog.Logger) (*soleNode, error) {
+	freeMemory()
+	a := &soleNode{heapBefore: liveHeap()}
 	var err error
-	if a.rss, err = rss(own); err != nil {
+	if a.rssBefore, err = rss(ownPID); err != nil {
 		return nil, err
 	}
 	if a.Node, err = New(s, log); err != nil {
 		return nil, err
 	}
-	a.loop = watchLoop(a.Node.Node)
+	a.probe = startLoopProbe(a.Node.Node)
 	return a, nil
 }
 
-func (a *alone) run() {
-	a.began = time.Now()
+func (a *soleNode) start() {
+	a.startedAt = time.Now()
 	a.Run()
 }
 
-// read puts down the memory that the node has added to the process, under an id's rss and heap.
-func (a *alone) read(r *play.Reading, id string) error {
-	now, err := rss(own)
+// readMemory sets the figures ID.rss and ID.heap: the memory that the node has added to the process.
+func (a *soleNode) readMemory(r *play.Reading, id string) error {
+	now, err := rss(ownPID)
 	if err != nil {
 		return err
 	}
-	r.SetValue(id+".rss", now-a.rss)
-	r.SetValue(id+".heap", heap()-a.heap)
+	r.SetValue(id+".rss", now-a.rssBefore)
+	r.SetValue(id+".heap", liveHeap()-a.heapBefore)
 	return nil
 }
 
-// close ends the node, and joins what went wrong to an error.
-func (a *alone) close(err error) error {
-	a.loop.close()
+// close stops the node and joins its error to the given one.
+func (a *soleNode) close(err error) error {
+	a.probe.close()
 	return errors.Join(err, a.Close())
 }
--- a/internal/lab/scale/hollow/changes.go
+++ b/internal/lab/scale/hollow/changes.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	writersTime = 2 * time.Second // in which the writes' own time is read
-	lateWrites  = 0.95            // of those due, written in time; fewer spoil a play
+	writeCostTime   = 2 * time.Second // for reading the CPU time of the writes alone
+	minWrittenShare = 0.95            // of the changes due; with fewer the play is invalid
 )
 
 func changesAxis() play.Axis {
 	return play.Axis{
 		Name: "changes", XUnit: "change/s",
-		Description: "so many endpoints change each second, while hollow nodes follow the list on three replicas of the directory",
+		Description: "x endpoints change per second while hollow nodes follow the list on three replicas of the directory",
 		Measures: []play.Measure{
 			{ID: "node.change.bytes", Description: "bytes both ways of one node's watch, by the changes a second", Unit: "B/s", Exact: true},
 			{ID: "node.change.cpu", Description: "processor time of one hollow node, by the changes a second", Unit: "s/s"},
@@ -30,157 +30,158 @@
 		Settings: map[string]play.Setting{
 			"nodes":     {Default: 100, Min: 1, Max: 820, Description: "hollow nodes"},
 			"endpoints": endpointsSetting,
-			"keep_kb":   keepSetting,
-			"seconds":   {Default: 6, Min: 1, Max: 60, Description: "for how long endpoints change"},
+			"keep_kb":   cacheSetting,
+			"seconds":   {Default: 6, Min: 1, Max: 60, Description: "seconds for which endpoints change"},
 			"quick":     quickSetting,
 		},
 		Play: playChanges,
 	}
 }
 
-// pour writes changes at a rate, and returns how many were written and the last one's revision. They come one after the other from
-// several writers, so that one that takes its time does not keep up the next.
-func pour(ctx context.Context, svc *service, rate float64, lasts time.Duration, endpoints int) (written int, last int64, err error) {
+// writeAtRate writes changes at a rate for a time, and returns their number and the last one's revision. It
+// has several writers, so that one slow write does not delay the next.
+func writeAtRate(ctx context.Context, svc *service, rate float64, duration time.Duration, endpoints int) (written int, lastRevision int64, err error) {
 	const writers = 32
 	var mu sync.Mutex
-	var parts sync.WaitGroup
+	var writersDone sync.WaitGroup
 	due := make(chan int)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	for range writers {
-		parts.Go(func() {
+		writersDone.Go(func() {
 			for i := range due {
-				at, err := svc.write(ctx, []catalog.Endpoint{turned(i%endpoints, int64(i+1))}, false)
+				at, err := svc.write(ctx, []catalog.Endpoint{changedEndpoint(i%endpoints, int64(i+1))}, false)
 				if err != nil {
 					cancel(err)
 					continue
 				}
 				mu.Lock()
-				written, last = written+1, max(last, at)
+				written, lastRevision = written+1, max(lastRevision, at)
 				mu.Unlock()
 			}
 		})
 	}
-	began := time.Now()
-	for i := range int(rate * lasts.Seconds()) {
-		if !registry.Sleep(ctx, time.Until(began.Add(time.Duration(float64(i)/rate*float64(time.Second))))) || time.Since(began) >= lasts {
+	startedAt := time.Now()
+	for i := range int(rate * duration.Seconds()) {
+		if !registry.Sleep(ctx, time.Until(startedAt.Add(time.Duration(float64(i)/rate*float64(time.Second))))) || time.Since(startedAt) >= duration {
 			break
 		}
-		due <- i // a writer takes it, also once the context has ended
+		due <- i // some writer always receives it, even once the context has ended
 	}
 	close(due)
-	parts.Wait()
-	registry.Sleep(ctx, time.Until(began.Add(lasts)))
-	return written, last, context.Cause(ctx)
+	writersDone.Wait()
+	registry.Sleep(ctx, time.Until(startedAt.Add(duration)))
+	return written, lastRevision, context.Cause(ctx)
 }
 
 func playChanges(ctx context.Context, s play.Spec, log *slog.Logger) (r play.Reading, err error) {
 	nodes, endpoints, rate := int(s.Settings["nodes"]), int(s.Settings["endpoints"]), s.X
-	lasts := time.Duration(s.Settings["seconds"] * float64(time.Second))
-	alone := writersTime
+	duration := time.Duration(s.Settings["seconds"] * float64(time.Second))
+	writeCost := writeCostTime
 	if s.Settings["quick"] > 0 {
-		lasts, alone = time.Second, 0
+		duration, writeCost = time.Second, 0
 	}
-	svc, err := openService(ctx, s, replicas, false, listOf(endpoints))
+	svc, err := openService(ctx, s, replicaCount, false, endpointList(endpoints))
 	if err != nil {
 		return r, err
 	}
-	g := newGroup(s, svc, nodes, endpoints, log)
-	defer g.end(&err)
+	g := newNodeGroup(s, svc, nodes, endpoints, log)
+	defer g.shutdown(&err)
 
-	// What the writes take here, while nobody follows them.
-	writer := 0.0
-	if alone > 0 && rate > 0 {
-		before, err := cpu(own)
+	// The CPU time of the writes alone, while no node follows the list.
+	writerCPU := 0.0
+	if writeCost > 0 && rate > 0 {
+		before, err := cpuSeconds(ownPID)
 		if err != nil {
 			return r, err
 		}
-		if _, _, err := pour(ctx, svc, rate, alone, endpoints); err != nil {
+		if _, _, err := writeAtRate(ctx, svc, rate, writeCost, endpoints); err != nil {
 			return r, err
 		}
-		after, err := cpu(own)
+		after, err := cpuSeconds(ownPID)
 		if err != nil {
 			return r, err
 		}
-		writer = (after - before) / alone.Seconds()
-		r.SetCount("writer.cpu", writer)
+		writerCPU = (after - before) / writeCost.Seconds()
+		r.SetCount("writer.cpu", writerCPU)
 	}
 	specs, err := g.prepare(nodes)
 	if err == nil {
-		err = g.run(specs)
+		err = g.start(specs)
 	}
 	if err != nil {
 		return r, err
 	}
 	st, err := svc.status(ctx, svc.replicas[0])
 	if err == nil {
-		err = g.have(ctx, st.Revision, endpoints)
+		err = g.awaitList(ctx, st.Revision, endpoints)
 	}
 	if err != nil {
 		return r, err
 	}
 	if s.Settings["quick"] == 0 {
-		registry.Sleep(ctx, keptWait)
+		registry.Sleep(ctx, cacheWriteWait)
 	}
-	at := svc.places()
-	var bytes [2]traffic
-	var used [2]float64
-	var dir [2]uses
+	replicaAddrs := svc.allAddresses()
+	var watchTraffic [2]traffic
+	var cpuUsed [2]float64
+	var replicasUsed [2]replicaUse
 	var written int
-	var last int64
-	var took, behind time.Duration
+	var lastRevision int64
+	var took, lag time.Duration
 	for i := range 2 {
 		if i == 1 {
-			// The last one's bytes have arrived with it, so they belong to the same time.
-			began := time.Now()
-			if written, last, err = pour(ctx, svc, rate, lasts, endpoints); err != nil {
+			// The traffic is read once the last change has reached all nodes, and so covers the same changes
+			// as the CPU time.
+			startedAt := time.Now()
+			if written, lastRevision, err = writeAtRate(ctx, svc, rate, duration, endpoints); err != nil {
 				return r, err
 			}
-			took = time.Since(began)
-			if used[1], err = cpu(own); err != nil {
+			took = time.Since(startedAt)
+			if cpuUsed[1], err = cpuSeconds(ownPID); err != nil {
 				return r, err
 			}
-			if dir[1], err = svc.use(); err != nil {
+			if replicasUsed[1], err = svc.readUse(); err != nil {
 				return r, err
 			}
-			if _, err := g.told(ctx, last); err != nil {
+			if _, err := g.awaitRevision(ctx, lastRevision); err != nil {
 				return r, err
 			}
-			behind = time.Since(began) - took
+			lag = time.Since(startedAt) - took
 		}
-		if bytes[i], err = carried(at, g.svc.from()); err != nil {
+		if watchTraffic[i], err = readTraffic(replicaAddrs, g.service.ownAddr()); err != nil {
 			return r, err
 		}
 		if i == 0 {
-			if used[0], err = cpu(own); err != nil {
+			if cpuUsed[0], err = cpuSeconds(ownPID); err != nil {
 				return r, err
 			}
-			if dir[0], err = svc.use(); err != nil {
+			if replicasUsed[0], err = svc.readUse(); err != nil {
 				return r, err
 			}
 		}
 	}
-	n, sec := float64(nodes), took.Seconds()
+	nodeCount, seconds := float64(nodes), took.Seconds()
 	r.SetCount("written", float64(written))
-	r.SetCount("behind", behind.Seconds())
-	if due := float64(int(rate * lasts.Seconds())); float64(written) < due*lateWrites {
+	r.SetCount("behind", lag.Seconds())
+	if due := float64(int(rate * duration.Seconds())); float64(written) < due*minWrittenShare {
 		r.MarkInvalid("%d of %v changes were written in time", written, due)
 	}
-	if bytes[0].conns == nodes && bytes[1].conns == nodes {
-		d := bytes[1].sub(bytes[0])
-		r.SetValue("node.change.bytes", (d.in+d.out)/n/sec)
-		r.SetCount("node.change.sent", d.out/n/sec)
+	if watchTraffic[0].conns == nodes && watchTraffic[1].conns == nodes {
+		delta := watchTraffic[1].sub(watchTraffic[0])
+		r.SetValue("node.change.bytes", (delta.in+delta.out)/nodeCount/seconds)
+		r.SetCount("node.change.sent", delta.out/nodeCount/seconds)
 		if written > 0 {
-			r.SetCount("change.bytes", d.in/n/float64(written))
+			r.SetCount("change.bytes", delta.in/nodeCount/float64(written))
 		}
 	} else {
-		r.AddNote("%d hollow nodes had %d and then %d watches, so node.change.bytes is missing", nodes, bytes[0].conns, bytes[1].conns)
+		r.AddNote("%d hollow nodes had %d and then %d watches, so node.change.bytes is missing", nodes, watchTraffic[0].conns, watchTraffic[1].conns)
 	}
-	r.SetValue("node.change.cpu", ((used[1]-used[0])/sec-writer)/n)
-	busy := dir[1].since(dir[0])
-	r.SetValue("directory.change.cpu", slices.Max(busy)/sec)
-	for i := range busy {
-		r.SetCount(fmt.Sprintf("directory.%d.cpu", i), busy[i]/sec)
+	r.SetValue("node.change.cpu", ((cpuUsed[1]-cpuUsed[0])/seconds-writerCPU)/nodeCount)
+	replicaCPU := replicasUsed[1].cpuSince(replicasUsed[0])
+	r.SetValue("directory.change.cpu", slices.Max(replicaCPU)/seconds)
+	for i := range replicaCPU {
+		r.SetCount(fmt.Sprintf("directory.%d.cpu", i), replicaCPU[i]/seconds)
 	}
 	return r, nil
 }
--- a/internal/lab/scale/hollow/faults.go
+++ b/internal/lab/scale/hollow/faults.go
@@ -14,21 +14,22 @@
 	"starlingusher/internal/registry"
 )
 
-// fault is one that a play may have. begin starts it, and returns what ends it.
+// fault is a kind of fault. begin starts it and returns a function that ends it.
 type fault struct {
 	name  string
-	begin func(context.Context, *group) (end func() error, err error)
+	begin func(context.Context, *nodeGroup) (end func() error, err error)
 }
 
-var everyFault = []fault{
+var faultKinds = []fault{
 	{"kill", beginKill}, {"stop", beginStop}, {"cut_zone", beginCutZone}, {"cut_region", beginCutRegion}, {"restart", beginRestart},
 }
 
-// faults has those of a play that its settings say, one after the other, each with a change in it and one after it. Its verdict is
-// that all nodes, hollow and real, have the list again each time: else it is an error. The list has endpoints of ours, and more in all.
-func faults(ctx context.Context, g *group, s play.Spec, r *play.Reading, endpoints, more int) error {
-	lasts := time.Duration(s.Settings["fault_seconds"] * float64(time.Second))
-	for _, f := range everyFault {
+// playFaults plays the faults that the settings ask for, one after the other, with a change during and one
+// after each. It returns an error unless all nodes, hollow and real, then have the complete list. The list
+// has endpoints of endpointAt, and more in all.
+func playFaults(ctx context.Context, g *nodeGroup, s play.Spec, r *play.Reading, endpoints, total int) error {
+	duration := time.Duration(s.Settings["fault_seconds"] * float64(time.Second))
+	for _, f := range faultKinds {
 		if s.Settings[f.name] == 0 {
 			continue
 		}
@@ -36,84 +37,85 @@
 		if err != nil {
 			return fmt.Errorf("fault %s: %w", f.name, err)
 		}
-		began := time.Now()
-		_, err = g.svc.write(ctx, []catalog.Endpoint{endpoint(endpoints)}, false)
-		endpoints, more = endpoints+1, more+1
-		if err == nil && !registry.Sleep(ctx, lasts-time.Since(began)) {
+		startedAt := time.Now()
+		_, err = g.service.write(ctx, []catalog.Endpoint{endpointAt(endpoints)}, false)
+		endpoints, total = endpoints+1, total+1
+		if err == nil && !registry.Sleep(ctx, duration-time.Since(startedAt)) {
 			err = ctx.Err()
 		}
-		if err := errors.Join(err, end()); err != nil { // it ends in any case
+		if err := errors.Join(err, end()); err != nil { // end the fault even after an error
 			return fmt.Errorf("fault %s: %w", f.name, err)
 		}
-		over := time.Now()
-		revision, err := g.svc.write(ctx, []catalog.Endpoint{endpoint(endpoints)}, false)
-		endpoints, more = endpoints+1, more+1
+		endedAt := time.Now()
+		revision, err := g.service.write(ctx, []catalog.Endpoint{endpointAt(endpoints)}, false)
+		endpoints, total = endpoints+1, total+1
 		if err == nil {
-			err = g.have(ctx, revision, more)
+			err = g.awaitList(ctx, revision, total)
 		}
 		if err != nil {
 			return fmt.Errorf("after fault %s: %w", f.name, err)
 		}
-		r.SetCount("fault."+f.name+".back", time.Since(over).Seconds())
-		if err := awaitEvery(ctx, lookWide, "the replicas' votes", func() bool { return g.svc.voters(ctx) == len(g.svc.replicas) }); err != nil {
+		r.SetCount("fault."+f.name+".back", time.Since(endedAt).Seconds())
+		if err := awaitEvery(ctx, requestPollInterval, "votes of all replicas", func() bool { return g.service.voterCount(ctx) == len(g.service.replicas) }); err != nil {
 			return fmt.Errorf("after fault %s: %w", f.name, err)
 		}
 	}
 	return nil
 }
 
-// leads is the number of the replica that leads, once one does.
-func leads(ctx context.Context, g *group) (i int, err error) {
-	err = awaitEvery(ctx, lookWide, "a leader", func() bool {
-		i = g.svc.leader(ctx)
+// awaitLeader waits for a leader and returns its number.
+func awaitLeader(ctx context.Context, g *nodeGroup) (i int, err error) {
+	err = awaitEvery(ctx, requestPollInterval, "a leader", func() bool {
+		i = g.service.leaderIndex(ctx)
 		return i >= 0
 	})
 	return i, err
 }
 
-func beginKill(ctx context.Context, g *group) (func() error, error) {
-	i, err := leads(ctx, g)
+func beginKill(ctx context.Context, g *nodeGroup) (func() error, error) {
+	i, err := awaitLeader(ctx, g)
 	if err != nil {
 		return nil, err
 	}
-	return g.svc.replicas[i].Start, g.svc.replicas[i].Kill()
+	return g.service.replicas[i].Start, g.service.replicas[i].Kill()
 }
 
-func beginStop(ctx context.Context, g *group) (func() error, error) {
-	i, err := leads(ctx, g)
+func beginStop(ctx context.Context, g *nodeGroup) (func() error, error) {
+	i, err := awaitLeader(ctx, g)
 	if err != nil {
 		return nil, err
 	}
-	p := g.svc.replicas[(i+1)%len(g.svc.replicas)].Process()
-	return func() error { return p.Signal(syscall.SIGCONT) }, p.Signal(syscall.SIGSTOP)
+	process := g.service.replicas[(i+1)%len(g.service.replicas)].Process()
+	return func() error { return process.Signal(syscall.SIGCONT) }, process.Signal(syscall.SIGSTOP)
 }
 
-// beginCutZone cuts the first zone off.
-func beginCutZone(_ context.Context, g *group) (func() error, error) {
-	return cut(g.svc.links[0]...), nil
+// beginCutZone cuts the first zone off from the directory.
+func beginCutZone(_ context.Context, g *nodeGroup) (func() error, error) {
+	return cutLinks(g.service.links[0]...), nil
 }
 
-// beginCutRegion cuts a region off whose replica does not lead: its nodes reach that replica and no other, the others' don't reach
-// it, and neither do the other replicas.
-func beginCutRegion(ctx context.Context, g *group) (func() error, error) {
-	i, err := leads(ctx, g)
+// beginCutRegion cuts off a region whose replica is not the leader. Its nodes reach that replica only;
+// neither the nodes of the other regions nor the other replicas reach it.
+func beginCutRegion(ctx context.Context, g *nodeGroup) (func() error, error) {
+	i, err := awaitLeader(ctx, g)
 	if err != nil {
 		return nil, err
 	}
 	region := (i + 1) % regions
 	var links []*relay.Link
-	for z, row := range g.svc.links {
-		for of, l := range row {
-			if (regionOf(z) == region) != (of == region) {
+	for zone, row := range g.service.links {
+		for replicaOf, l := range row {
+			if (regionOf(zone) == region) != (replicaOf == region) {
 				links = append(links, l)
 			}
 		}
 	}
-	return cut(append(links, g.svc.replicas[region].Links[replica.Raft])...), nil
+	return cutLinks(append(links, g.service.replicas[region].Links[replica.Raft])...), nil
 }
 
-// cut cuts links both ways, and returns what mends them; what hung on them is reset then.
-func cut(links ...*relay.Link) func() error {
+// cutLinks cuts links in both directions, and returns a function that restores them and resets their
+// connections.
+func cutLinks(links ...*relay.Link) func() error {
 	for _, l := range links {
 		l.SetConditions(relay.Conditions{CutOutbound: true, CutReturn: true})
 	}
@@ -126,35 +128,35 @@
 	}
 }
 
-// beginRestart ends the nodes of the first zone, and has them start again.
-func beginRestart(_ context.Context, g *group) (func() error, error) {
-	var gone, stay []*Node
+// beginRestart stops the nodes of the first zone; the returned function starts them again.
+func beginRestart(_ context.Context, g *nodeGroup) (func() error, error) {
+	var stopped, running []*Node
 	for _, n := range g.hollow {
 		if n.Spec.zone() == 0 {
-			gone = append(gone, n)
+			stopped = append(stopped, n)
 		} else {
-			stay = append(stay, n)
+			running = append(running, n)
 		}
 	}
-	var real []*realNode
+	var stoppedReal []*realNode
 	var errs []error
 	for _, r := range g.real {
 		if r.spec.zone() == 0 {
-			real = append(real, r)
+			stoppedReal = append(stoppedReal, r)
 			errs = append(errs, r.kill())
 		}
 	}
-	g.hollow = stay
-	errs = append(errs, closeAll(gone))
+	g.hollow = running
+	errs = append(errs, closeAll(stopped))
 	return func() error {
 		var specs []Spec
-		for _, n := range gone {
+		for _, n := range stopped {
 			specs = append(specs, n.Spec)
 		}
 		var errs []error
-		for _, r := range real {
+		for _, r := range stoppedReal {
 			errs = append(errs, r.start())
 		}
-		return errors.Join(append(errs, g.run(specs))...)
+		return errors.Join(append(errs, g.start(specs))...)
 	}, errors.Join(errs...)
 }
--- a/internal/lab/scale/hollow/fleet.go
+++ b/internal/lab/scale/hollow/fleet.go
@@ -13,84 +13,86 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// group is the nodes of a play, hollow and real, on one service. Its maker owns it, until close.
-type group struct {
-	svc    *service
-	log    *slog.Logger
-	hollow []*Node
-	real   []*realNode
-	all    int // nodes in the whole play, for the pauses that go by it
-	keepKB int64
-	dir    string
-	load   *load // nil: none
-	number int   // of the next node
+// nodeGroup is the nodes of a play, hollow and real, and the directory that they follow. Its owner must call
+// shutdown.
+type nodeGroup struct {
+	service    *service
+	log        *slog.Logger
+	hollow     []*Node
+	real       []*realNode
+	nodeCount  int // in the whole play; nodes scale some pauses by it
+	cacheKB    int64
+	dir        string
+	load       *load // nil: none
+	nextNumber int   // number of the next node
 }
 
-func newGroup(s play.Spec, svc *service, all, endpoints int, log *slog.Logger) *group {
-	return &group{svc: svc, log: log, all: all, keepKB: keepFor(s, endpoints), dir: s.Dir}
+func newNodeGroup(s play.Spec, service *service, nodeCount, endpoints int, log *slog.Logger) *nodeGroup {
+	return &nodeGroup{service: service, log: log, nodeCount: nodeCount, cacheKB: cacheSizeFor(s, endpoints), dir: s.Dir}
 }
 
-const keptEntry = 170 // bytes of an endpoint in the kept list, at most
+const maxCacheEntry = 170 // upper bound of an endpoint's bytes in a list cache
 
-// keepFor is the room of the kept list: as the setting says, or what a list needs.
-func keepFor(s play.Spec, endpoints int) int64 {
+// cacheSizeFor returns the size of the list cache in KB: the setting keep_kb, or what the list needs.
+func cacheSizeFor(s play.Spec, endpoints int) int64 {
 	if kb := s.Settings["keep_kb"]; kb >= 0 {
 		return int64(kb)
 	}
-	return int64(endpoints)*keptEntry/1024 + 16
+	return int64(endpoints)*maxCacheEntry/1024 + 16
 }
 
-func (g *group) spec(kind string) Spec {
-	n := g.number
-	g.number++
-	s := Spec{Name: fmt.Sprintf("%s%d", kind, n), Number: n, Nodes: g.all, KeepKB: g.keepKB}
+func (g *nodeGroup) nextSpec(kind string) Spec {
+	n := g.nextNumber
+	g.nextNumber++
+	s := Spec{Name: fmt.Sprintf("%s%d", kind, n), Number: n, FleetSize: g.nodeCount, CacheKB: g.cacheKB}
 	s.Dir = filepath.Join(g.dir, s.Name)
-	s.Addresses = g.svc.addresses(s.zone())
+	s.Addresses = g.service.addresses(s.zone())
 	return s
 }
 
-// prepare makes so many further hollow nodes' files.
-func (g *group) prepare(n int) ([]Spec, error) {
-	var some []Spec
+// prepare writes the files of n more hollow nodes.
+func (g *nodeGroup) prepare(n int) ([]Spec, error) {
+	var specs []Spec
 	for range n {
-		s := g.spec("h")
+		s := g.nextSpec("h")
 		if err := s.Write(); err != nil {
 			return nil, err
 		}
-		some = append(some, s)
+		specs = append(specs, s)
 	}
-	return some, nil
+	return specs, nil
 }
 
-// run makes nodes of their files, and lets all of them live at once. Those that were made before an error live as well, until close.
-func (g *group) run(specs []Spec) (err error) {
-	var some []*Node
+// start makes nodes from their files and runs them all at once. After an error those made before it run too,
+// until closeHollow.
+func (g *nodeGroup) start(specs []Spec) (err error) {
+	var nodes []*Node
 	for _, s := range specs {
 		var n *Node
 		if n, err = New(s, g.log); err != nil {
 			break
 		}
-		some = append(some, n)
+		nodes = append(nodes, n)
 	}
-	for _, n := range some {
+	for _, n := range nodes {
 		n.Run()
 	}
-	g.hollow = append(g.hollow, some...)
+	g.hollow = append(g.hollow, nodes...)
 	return err
 }
 
-// startReal starts so many real nodes.
-func (g *group) startReal(program string, n int) error {
+// startReal starts n real nodes.
+func (g *nodeGroup) startReal(program string, n int) error {
 	for i := range n {
-		s := g.spec("r")
-		s.Listen, s.Admin = realAddress(g.svc, i, realPort), realAddress(g.svc, i, adminPort)
+		s := g.nextSpec("r")
+		s.Listen, s.Admin = realNodeAddr(g.service, i, clientPort), realNodeAddr(g.service, i, adminPort)
 		if g.load != nil {
 			var err error
 			if s.Settings, err = g.load.settings(i); err != nil {
 				return err
 			}
 		}
-		r, err := newReal(s, program, g.svc.sup)
+		r, err := newRealNode(s, program, g.service.supervisor)
 		if err != nil {
 			return err
 		}
@@ -102,84 +104,86 @@
 	return nil
 }
 
-// told waits until a revision is in force at all hollow nodes, and returns when the last one had it, to a millisecond.
-func (g *group) told(ctx context.Context, revision int64) (time.Time, error) {
-	left := slices.Clone(g.hollow)
+// awaitRevision waits until all hollow nodes have applied a revision, and returns that time, precise to
+// pollInterval.
+func (g *nodeGroup) awaitRevision(ctx context.Context, revision int64) (time.Time, error) {
+	missing := slices.Clone(g.hollow)
 	err := await(ctx, fmt.Sprintf("revision %d at all hollow nodes", revision), func() bool {
-		left = slices.DeleteFunc(left, func(n *Node) bool { at, _ := n.CurrentList(); return at >= revision })
-		return len(left) == 0
+		missing = slices.DeleteFunc(missing, func(n *Node) bool { at, _ := n.CurrentList(); return at >= revision })
+		return len(missing) == 0
 	})
 	if err != nil {
-		err = fmt.Errorf("%w: %d of %d have not", err, len(left), len(g.hollow))
+		err = fmt.Errorf("%w: missing at %d of %d nodes", err, len(missing), len(g.hollow))
 	}
 	return time.Now(), err
 }
 
-// toldReal waits until all real nodes have so many endpoints, and returns when the last one was seen to.
-func (g *group) toldReal(ctx context.Context, endpoints int) (time.Time, error) {
-	left := slices.Clone(g.real)
-	err := awaitEvery(ctx, lookWide, fmt.Sprintf("a list of %d endpoints at all real nodes", endpoints), func() bool {
-		left = slices.DeleteFunc(left, func(r *realNode) bool {
-			n, err := r.listed(ctx)
+// awaitRealNodes waits until all real nodes have this many endpoints, and returns the time when the last one
+// was seen to.
+func (g *nodeGroup) awaitRealNodes(ctx context.Context, endpoints int) (time.Time, error) {
+	missing := slices.Clone(g.real)
+	err := awaitEvery(ctx, requestPollInterval, fmt.Sprintf("a list of %d endpoints at all real nodes", endpoints), func() bool {
+		missing = slices.DeleteFunc(missing, func(r *realNode) bool {
+			n, err := r.endpointCount(ctx)
 			return err == nil && n == endpoints
 		})
-		return len(left) == 0
+		return len(missing) == 0
 	})
 	if err != nil {
-		err = fmt.Errorf("%w: %d of %d have not", err, len(left), len(g.real))
+		err = fmt.Errorf("%w: missing at %d of %d nodes", err, len(missing), len(g.real))
 	}
 	return time.Now(), err
 }
 
-// have waits until all nodes have a revision, with so many endpoints.
-func (g *group) have(ctx context.Context, revision int64, endpoints int) error {
-	if _, err := g.told(ctx, revision); err != nil {
+// awaitList waits until all nodes have applied a revision and have this many endpoints.
+func (g *nodeGroup) awaitList(ctx context.Context, revision int64, endpoints int) error {
+	if _, err := g.awaitRevision(ctx, revision); err != nil {
 		return err
 	}
 	for _, n := range g.hollow {
-		if _, have := n.CurrentList(); have != endpoints {
-			return fmt.Errorf("%s has %d endpoints at revision %d, the list has %d", n.Spec.Name, have, revision, endpoints)
+		if _, count := n.CurrentList(); count != endpoints {
+			return fmt.Errorf("%s has %d endpoints at revision %d, the list has %d", n.Spec.Name, count, revision, endpoints)
 		}
 	}
-	_, err := g.toldReal(ctx, endpoints)
+	_, err := g.awaitRealNodes(ctx, endpoints)
 	return err
 }
 
-// realUse is what the real nodes' processes have used, on the average.
-func (g *group) realUse() (held, used float64, err error) {
+// meanRealUse returns the mean resident memory and CPU time of the real nodes' processes.
+func (g *nodeGroup) meanRealUse() (resident, cpu float64, err error) {
 	for _, r := range g.real {
-		h, err := rss(r.p.PID())
+		h, err := rss(r.process.PID())
 		if err != nil {
 			return 0, 0, err
 		}
-		u, err := cpu(r.p.PID())
+		u, err := cpuSeconds(r.process.PID())
 		if err != nil {
 			return 0, 0, err
 		}
-		held, used = held+h, used+u
+		resident, cpu = resident+h, cpu+u
 	}
 	n := max(float64(len(g.real)), 1)
-	return held / n, used / n, nil
+	return resident / n, cpu / n, nil
 }
 
-// close ends all hollow nodes; the real ones end with the service.
-func (g *group) close() error {
+// closeHollow stops all hollow nodes; the real ones are stopped with the service.
+func (g *nodeGroup) closeHollow() error {
 	err := closeAll(g.hollow)
 	g.hollow = nil
 	return err
 }
 
-// end closes the group and its service, after which nothing of the play is left, and adds what that said to a play's error.
-func (g *group) end(err *error) {
+// shutdown stops all that the play has started, and joins the errors to *err.
+func (g *nodeGroup) shutdown(err *error) {
 	if g.load != nil {
 		g.load.close()
 	}
-	*err = errors.Join(*err, g.close())
-	g.svc.close()
+	*err = errors.Join(*err, g.closeHollow())
+	g.service.close()
 	for _, r := range g.real {
 		r.close()
 	}
 }
 
-// own is this process's number.
-var own = os.Getpid()
+// ownPID is the process ID of this process.
+var ownPID = os.Getpid()
--- a/internal/lab/scale/hollow/hollow.go
+++ b/internal/lab/scale/hollow/hollow.go
@@ -1,26 +1,27 @@
-// Package hollow plays the axes of a scale run that need many nodes: hollow nodes on real sockets, beside real ones, on real
-// replicas of the directory.
+// Package hollow plays the axes of a scale run that need many nodes: it runs hollow nodes on real sockets,
+// next to real nodes, against real replicas of the directory.
 //
-// A hollow node is a [node.Node] of this process, the same code by the same configuration files as the program coralyard, whose
-// listener no client comes to. This is the whole list of what is hollow about it:
+// A hollow node is the control side of a node without clients and calls: a [node.Node] in this process, with
+// the code and the configuration files of the program coralyard, and a listener that accepts no connection.
+// It differs from a real node in this, and nothing else:
 //
-//	clients      no connection is ever accepted, so no request is read, taken on, refused or answered
-//	events       none are held: the journal has records of endpoints alone, and the module's queues are empty
-//	calls        none go out, so nothing is probed, no endpoint is ever down, and the pool of connections is empty
+//	clients      no connection is ever accepted, so no message is read, accepted, refused or answered
+//	messages     none are held: the journal has records of endpoints only, and the module's queues are empty
+//	calls        none are made, so nothing is probed, no endpoint is ever down, and the connection pool is empty
 //	bodies       none
-//	notices      none are owed, so nothing is posted to the list service
-//	successor    no lock of the lasting folder and no door for another process to take over by
-//	operators    no address of their own
-//	process      one for all of them: the Go runtime, its processors, its heap and its collector are shared, and no memory
-//	             limit is set (coralyard sets one, and has processors of its own)
+//	notices      none are due, so nothing is posted to the list service
+//	successor    no lock on the state folder, and no handover socket for another process to take over by
+//	operators    no operators' address
+//	process      one for all of them: the Go runtime, its processors, its heap and its garbage collector are shared, and no
+//	             memory limit is set (coralyard sets one, and has its own processors)
 //
-// Nothing else is: the client of the list service with its track, its pauses and its connection, the kept list and its file, the
-// loop, the module with its destinations, endpoints, routes and limits, and the journal are the node's own. So each hollow node
-// takes beside them what a real one takes: two descriptors (the journal, the watch), a listener's place in memory, the module's
-// and the loop's channels, and some goroutines (the plays count them).
+// The rest is the node's own: the client of the list service with its cursor, its pauses and its connection,
+// the list cache and its file, the loop, the module with its destinations, endpoints, routes and limits, and
+// the journal. So a hollow node needs what a real node needs: two descriptors (the journal, the watch), the
+// memory of a listener, the channels of the module and the loop, and some goroutines (the plays count them).
 //
-// A view of the members (fleet/members) is part of neither: no node has one yet. A node that follows its own partitions alone is
-// made by the lines of its fleet file, which go into Spec.Fleet.
+// Neither has a view of the members (package fleet/members): no node has one yet. A node follows only its own
+// partitions if Spec.FleetTOML says so.
 package hollow
 
 import (
@@ -44,39 +45,40 @@
 )
 
 const (
-	regions     = 3
-	realSockets = 256
-	realMemory  = 256 // MB
-	journalMB   = 3
+	regions       = 3
+	nodeSockets   = 256
+	nodeMemoryMB  = 256 // in MB
+	nodeJournalMB = 3
 )
 
-// regionOf is the region of a zone, by their places.
+// regionOf returns the region of a zone, both by index.
 func regionOf(zone int) int { return zone * regions / len(zones) }
 
-// Spec is a node of a play, hollow or real: it makes the files that the platform and the operators would give it.
+// Spec describes a node of a play, hollow or real. Write makes the files that the platform and the operators
+// would provide.
 type Spec struct {
 	Name      string
-	Number    int             // of all nodes
-	Nodes     int             // in all
-	Dir       string          // its folder; made by Write
+	Number    int             // among all nodes, from 0
+	FleetSize int             // number of nodes in all
+	Dir       string          // made by Write
 	Addresses []string        // of the list service
-	KeepKB    int64           // of the lasting folder for the last list
-	Listen    string          // of clients; a hollow node has none
-	Admin     string          // of operators; empty: none
-	Fleet     string          // more lines of the fleet file
-	Settings  json.RawMessage // the platform's; nil: usual ones
+	CacheKB   int64           // size of the list cache
+	Listen    string          // address for clients; empty for a hollow node
+	Admin     string          // operators' address; empty: none
+	FleetTOML string          // more lines of the fleet file
+	Settings  json.RawMessage // the platform's; nil: platformSettings
 }
 
-func (s Spec) zone() int      { return s.Number % len(zones) }
-func (s Spec) state() string  { return filepath.Join(s.Dir, "state") }
-func (s Spec) config() string { return filepath.Join(s.Dir, "config.json") }
-func (s Spec) fleet() string  { return filepath.Join(s.Dir, "fleet.toml") }
+func (s Spec) zone() int          { return s.Number % len(zones) }
+func (s Spec) stateDir() string   { return filepath.Join(s.Dir, "state") }
+func (s Spec) configFile() string { return filepath.Join(s.Dir, "config.json") }
+func (s Spec) fleetFile() string  { return filepath.Join(s.Dir, "fleet.toml") }
 
 type object = map[string]any
 
 // Write makes the node's folders and files.
 func (s Spec) Write() error {
-	if err := os.MkdirAll(s.state(), 0o700); err != nil {
+	if err := os.MkdirAll(s.stateDir(), 0o700); err != nil {
 		return fmt.Errorf("folder of %s: %w", s.Name, err)
 	}
 	listen := s.Listen
@@ -85,12 +87,12 @@
 	}
 	var settings any = s.Settings
 	if s.Settings == nil {
-		settings = s.settings()
+		settings = s.platformSettings()
 	}
 	raw, err := json.Marshal(object{
 		"name": s.Name, "listen": listen, "discovery": s.Addresses[0], "admin_addr": s.Admin, "seed": fmt.Sprintf("%016x", s.Number+1),
 		"known":    object{"revision": 0, "complete": true, "members": []string{}},
-		"limits":   object{"cores": 1, "memory_mb": realMemory, "sockets": realSockets, "disk_mb": float64(journalMB) + 2*float64(s.KeepKB)/1024},
+		"limits":   object{"cores": 1, "memory_mb": nodeMemoryMB, "sockets": nodeSockets, "disk_mb": float64(nodeJournalMB) + 2*float64(s.CacheKB)/1024},
 		"settings": settings,
 	})
 	if err != nil {
@@ -100,14 +102,14 @@
 	for _, a := range s.Addresses {
 		quoted = append(quoted, fmt.Sprintf("%q", a))
 	}
-	fleet := fmt.Sprintf("[registry]\naddresses = [%s]\nkeep_kb = %d\n%s", strings.Join(quoted, ", "), s.KeepKB, s.Fleet)
-	return errors.Join(os.WriteFile(s.config(), raw, 0o600), os.WriteFile(s.fleet(), []byte(fleet), 0o600))
+	fleet := fmt.Sprintf("[registry]\naddresses = [%s]\nkeep_kb = %d\n%s", strings.Join(quoted, ", "), s.CacheKB, s.FleetTOML)
+	return errors.Join(os.WriteFile(s.configFile(), raw, 0o600), os.WriteFile(s.fleetFile(), []byte(fleet), 0o600))
 }
 
-// settings are the platform's, in its form and of usual sizes.
-func (s Spec) settings() object {
+// platformSettings returns typical settings in the platform's format.
+func (s Spec) platformSettings() object {
 	return object{
-		"fleetSize": s.Nodes, "myNumber": s.Number, "zone": zones[s.zone()], "failureDomains": zones, "flavors": []string{flavor},
+		"fleetSize": s.FleetSize, "myNumber": s.Number, "zone": zones[s.zone()], "failureDomains": zones, "flavors": []string{flavor},
 		"categories": []object{{
 			"name": "status", "aim": 1000.0, "deadline": 8000.0, "effect": "idempotent", "group": "all", "lateWorth": 0.2, "stream": false,
 			"window": 0.0, "worth": 1.0,
@@ -132,61 +134,62 @@
 
 // Load reads the files as coralyard does.
 func (s Spec) Load() (node.Config, error) {
-	cfg, err := node.LoadConfig(s.config(), s.state())
+	cfg, err := node.LoadConfig(s.configFile(), s.stateDir())
 	if err == nil {
-		cfg.Fleet, err = node.LoadFleet(s.fleet())
+		cfg.Fleet, err = node.LoadFleet(s.fleetFile())
 	}
 	return cfg, err
 }
 
-// Node is a hollow node. Its maker owns it: once Run was called, until Close.
+// Node is a hollow node. Once Run was called, its owner must call Close.
 type Node struct {
 	*node.Node
 	Spec Spec
 
-	ln     *silent
-	cancel context.CancelFunc
-	done   chan struct{}
-	err    error // once done is closed
+	listener *idleListener
+	cancel   context.CancelFunc
+	done     chan struct{}
+	err      error // valid once done is closed
 }
 
-// New makes a hollow node of the files that Spec.Write has made. It does nothing yet; errors alone are logged.
+// New makes a hollow node from the files that Spec.Write has made. It does nothing before Run. Only errors
+// are logged.
 func New(s Spec, log *slog.Logger) (*Node, error) {
 	cfg, err := s.Load()
 	if err != nil {
 		return nil, err
 	}
-	n, err := node.New(cfg, slog.New(errorsOf{log.Handler()}).With("node", s.Name))
+	n, err := node.New(cfg, slog.New(errorHandler{log.Handler()}).With("node", s.Name))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
-	return &Node{Node: n, Spec: s, ln: &silent{closed: make(chan struct{})}, done: make(chan struct{})}, nil
+	return &Node{Node: n, Spec: s, listener: &idleListener{closed: make(chan struct{})}, done: make(chan struct{})}, nil
 }
 
-// Run lets it live, until Close.
+// Run starts the node, which runs until Close.
 func (n *Node) Run() {
 	var ctx context.Context
 	ctx, n.cancel = context.WithCancel(context.Background())
 	go func() {
 		defer close(n.done)
-		n.err = n.Node.Run(ctx, n.ln)
+		n.err = n.Node.Run(ctx, n.listener)
 	}()
 }
 
-// leave asks it to end.
-func (n *Node) leave() { n.cancel() }
+// stop tells the node to stop and does not wait for it.
+func (n *Node) stop() { n.cancel() }
 
-// Close ends it, which takes the 3.2 s that a node takes to leave.
+// Close stops the node. It takes 3.2 s, the time that a node takes to shut down.
 func (n *Node) Close() error {
-	n.leave()
+	n.stop()
 	<-n.done
 	return n.err
 }
 
-// closeAll ends nodes that run, all at once.
+// closeAll stops running nodes, all at once.
 func closeAll(nodes []*Node) error {
 	for _, n := range nodes {
-		n.leave()
+		n.stop()
 	}
 	var errs []error
 	for _, n := range nodes {
@@ -195,30 +198,34 @@
 	return errors.Join(errs...)
 }
 
-// silent is a listener that nobody comes to.
-type silent struct {
+// idleListener is a listener that nobody connects to.
+type idleListener struct {
 	once   sync.Once
 	closed chan struct{}
 }
 
-func (l *silent) Accept() (net.Conn, error) {
+func (l *idleListener) Accept() (net.Conn, error) {
 	<-l.closed
 	return nil, net.ErrClosed
 }
 
-func (l *silent) Close() error {
+func (l *idleListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (l *silent) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (l *idleListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// errorsOf passes on what is logged as an error.
-type errorsOf struct{ slog.Handler }
+// errorHandler passes on records at error level and above.
+type errorHandler struct{ slog.Handler }
 
-func (h errorsOf) Enabled(ctx context.Context, l slog.Level) bool {
+func (h errorHandler) Enabled(ctx context.Context, l slog.Level) bool {
 	return l >= slog.LevelError && h.Handler.Enabled(ctx, l)
 }
 
-func (h errorsOf) WithAttrs(a []slog.Attr) slog.Handler { return errorsOf{h.Handler.WithAttrs(a)} }
-func (h errorsOf) WithGroup(name string) slog.Handler   { return errorsOf{h.Handler.WithGroup(name)} }
+func (h errorHandler) WithAttrs(a []slog.Attr) slog.Handler {
+	return errorHandler{h.Handler.WithAttrs(a)}
+}
+func (h errorHandler) WithGroup(name string) slog.Handler {
+	return errorHandler{h.Handler.WithGroup(name)}
+}
--- a/internal/lab/scale/hollow/list.go
+++ b/internal/lab/scale/hollow/list.go
@@ -17,67 +17,69 @@
 	"starlingusher/fleet/catalog"
 )
 
-// perDestination is how many endpoints a destination has, on the average.
-const perDestination = 1.7
+// endpointsPerDest is the mean number of endpoints of a destination.
+const endpointsPerDest = 1.7
 
-// firstCell is the first destination; those below are the load's.
-const firstCell = 100
+// firstDest is the first destination; lower numbers are those of the load's partners.
+const firstDest = 100
 
-// endpointsOf is how many endpoints so many destinations have.
-func endpointsOf(destinations int) int {
-	return int(math.Round(float64(destinations) * perDestination))
+// endpointCountOf returns the number of endpoints of this many destinations.
+func endpointCountOf(destinations int) int {
+	return int(math.Round(float64(destinations) * endpointsPerDest))
 }
 
-// endpoint is the endpoint of a number. Its address is one of the loopback network, at which nobody listens.
-func endpoint(n int) catalog.Endpoint {
+// endpointAt returns the nth endpoint. Nobody listens on its address, which is on the loopback network.
+func endpointAt(n int) catalog.Endpoint {
 	return catalog.Endpoint{
 		ID: fmt.Sprintf("s-%08x", n), Addr: fmt.Sprintf("127.9.%d.%d:6379", n/250%250, n%250), Locality: zones[n%len(zones)], Flavor: flavor,
-		Cell: firstCell + int(float64(n)/perDestination), Phase: catalog.Serving, Size: 1,
+		Cell: firstDest + int(float64(n)/endpointsPerDest), Phase: catalog.Serving, Size: 1,
 	}
 }
 
-// turned is an endpoint after a change of its time of start, which all who follow it are told and which leaves the list as long.
-func turned(n int, at int64) catalog.Endpoint {
-	e := endpoint(n)
-	e.UpSince = at
+// changedEndpoint returns the nth endpoint with another start time: a change that all followers are sent and
+// that does not change the list's length.
+func changedEndpoint(n int, upSince int64) catalog.Endpoint {
+	e := endpointAt(n)
+	e.UpSince = upSince
 	return e
 }
 
-func listOf(endpoints int) []catalog.Endpoint {
-	all := make([]catalog.Endpoint, endpoints)
-	for i := range all {
-		all[i] = endpoint(i)
+func endpointList(endpoints int) []catalog.Endpoint {
+	list := make([]catalog.Endpoint, endpoints)
+	for i := range list {
+		list[i] = endpointAt(i)
 	}
-	return all
+	return list
 }
 
-// source is a stand-in for a list service where none of ours goes on: it tells one list of any length, made as it is sent, and
-// changes of it. It is a plain discovery: no history, no watch is refused.
-type source struct {
+// standIn serves a list of any length, encoded while it is sent, and changes of it. It stands in for a list
+// service beyond the directory's cap. It is a plain discovery service: it has no history, and refuses no
+// watch.
+type standIn struct {
 	endpoints int
 	srv       *http.Server
 	ln        net.Listener
 	wg        sync.WaitGroup
 
 	mu      sync.Mutex
-	changes []catalog.Endpoint // revision 2 and on
-	news    chan struct{}
-	watches int // begun
+	changes []catalog.Endpoint // from revision 2 on
+	changed chan struct{}
+	watches int // number of watches so far
 }
 
 const firstRevision = 1
 
-func openSource(endpoints int) (*source, error) {
+func openStandIn(endpoints int) (*standIn, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("stand-in of the list service: %w", err)
 	}
-	return newSource(endpoints, ln), nil
+	return newStandIn(endpoints, ln), nil
 }
 
-// newSource serves at a listener, which it owns; without one it only makes its list.
-func newSource(endpoints int, ln net.Listener) *source {
-	s := &source{endpoints: endpoints, ln: ln, news: make(chan struct{})}
+// newStandIn serves on a listener, which it then owns; without one it can only encode its list.
+func newStandIn(endpoints int, ln net.Listener) *standIn {
+	s := &standIn{endpoints: endpoints, ln: ln, changed: make(chan struct{})}
 	if ln == nil {
 		return s
 	}
@@ -88,40 +90,40 @@
 	return s
 }
 
-func (s *source) address() string { return s.ln.Addr().String() }
+func (s *standIn) address() string { return s.ln.Addr().String() }
 
-// change tells all watches of one, and returns its revision.
-func (s *source) change(e catalog.Endpoint) int64 {
+// change sends a change to all watches, and returns its revision.
+func (s *standIn) change(e catalog.Endpoint) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changes = append(s.changes, e)
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 	return firstRevision + int64(len(s.changes))
 }
 
-// asked is how many watches have begun.
-func (s *source) asked() int {
+// watchCount returns the number of watches that have begun.
+func (s *standIn) watchCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.watches
 }
 
-func (s *source) since(after int64) ([]catalog.Endpoint, <-chan struct{}) {
+func (s *standIn) changesSince(after int64) ([]catalog.Endpoint, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.changes[min(max(int(after)-firstRevision, 0), len(s.changes)):], s.news
+	return s.changes[min(max(int(after)-firstRevision, 0), len(s.changes)):], s.changed
 }
 
-// writeList sends a whole list, as encoding/json would write it.
-func (s *source) writeList(w io.Writer) error {
+// writeList writes the complete list as encoding/json would.
+func (s *standIn) writeList(w io.Writer) error {
 	b := bufio.NewWriterSize(w, 64<<10)
 	fmt.Fprintf(b, `{"revision":%d,"complete":true,"members":[`, firstRevision)
 	for i := range s.endpoints {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		raw, err := json.Marshal(endpoint(i))
+		raw, err := json.Marshal(endpointAt(i))
 		if err != nil {
 			return err
 		}
@@ -131,26 +133,26 @@
 	return b.Flush()
 }
 
-// bytes is how long the whole list is.
-func (s *source) bytes() int64 {
-	var n counter
+// listSize returns the size of the complete list in bytes.
+func (s *standIn) listSize() int64 {
+	var n byteCounter
 	s.writeList(&n) // never fails
 	return int64(n)
 }
 
-type counter int64
+type byteCounter int64
 
-func (c *counter) Write(p []byte) (int, error) {
-	*c += counter(len(p))
+func (c *byteCounter) Write(p []byte) (int, error) {
+	*c += byteCounter(len(p))
 	return len(p), nil
 }
 
-const sourceBeat = 2 * time.Second
+const heartbeatInterval = 2 * time.Second
 
-func (s *source) watch(w http.ResponseWriter, req *http.Request) {
+func (s *standIn) watch(w http.ResponseWriter, req *http.Request) {
 	after, err := strconv.ParseInt(req.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		http.Error(w, "after is a number", http.StatusBadRequest)
+		http.Error(w, "after must be a number", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
@@ -163,10 +165,10 @@
 		}
 		after = firstRevision
 	}
-	beat := time.NewTicker(sourceBeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
-		changes, news := s.since(after)
+		changes, changed := s.changesSince(after)
 		for _, c := range changes {
 			after++
 			raw, err := json.Marshal(catalog.List{Revision: after, Members: []catalog.Endpoint{c}})
@@ -181,8 +183,8 @@
 			continue
 		}
 		select {
-		case <-news:
-		case <-beat.C:
+		case <-changed:
+		case <-heartbeat.C:
 			if _, err := io.WriteString(w, "\n"); err != nil || flush() != nil {
 				return
 			}
@@ -192,7 +194,7 @@
 	}
 }
 
-func (s *source) close() error {
+func (s *standIn) close() error {
 	err := s.srv.Close()
 	s.wg.Wait()
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, context.Canceled) {
--- a/internal/lab/scale/hollow/load.go
+++ b/internal/lab/scale/hollow/load.go
@@ -19,11 +19,12 @@
 
 const (
 	partnerHost = 239 // third byte of the partners' addresses
-	loadPartner = 10000
+	partnerPort = 10000
 )
 
-// loadText is the experiment that the load on real nodes is drawn from: a calm day for partners that have room.
-const loadText = `
+// loadExperiment is the experiment that the load on the real nodes is drawn from: calm, with partners that
+// have room.
+const loadExperiment = `
 name = "load"
 length = "10m"
 [fleet]
@@ -46,48 +47,49 @@
 limit = "none"
 `
 
-// load is the lab's clients on the real nodes, and partners for what they hand in. Its maker owns it, until close.
+// load is the lab's clients of the real nodes, and the partners that their messages go to. Its owner must
+// call close.
 type load struct {
 	plan     experiment.Plan
 	log      *observe.Log
 	clients  *standin.Clients
 	partners []*standin.Partner
-	list     []catalog.Endpoint // the partners' endpoints; their cells are below those of endpoint
+	list     []catalog.Endpoint // of the partners; their cells are below firstDest
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 }
 
-// openLoad makes the partners. The plan's settings are then the real nodes'.
-func openLoad(s play.Spec, svc *service, real int) (l *load, err error) {
-	f, err := experiment.Parse(fmt.Appendf(nil, loadText, s.Settings["load"]))
+// openLoad starts the partners. The real nodes then need the plan's settings.
+func openLoad(s play.Spec, service *service, real int) (l *load, err error) {
+	f, err := experiment.Parse(fmt.Appendf(nil, loadExperiment, s.Settings["load"]))
 	if err != nil {
 		return nil, err
 	}
 	l = &load{plan: f.DrawPlan(s.Seed, real), log: observe.NewLog()}
-	l.clients = standin.NewClients(&l.plan, func(n int) string { return realAddress(svc, n, realPort) }, func(int) bool { return true }, l.log)
-	for i, q := range l.plan.Partners {
-		p := standin.NewPartner(i, q.Config, q.Seed, 1, l.plan.Rules.ConnIdleTimeout, l.log, l.clients.RecordReached)
-		l.partners = append(l.partners, p)
-		for n, zone := range q.Zones {
-			at := net.JoinHostPort(svc.block.IP(partnerHost, i+1), strconv.Itoa(loadPartner+n))
-			e, err := p.AddEndpoint(fmt.Sprintf("p-%d-%d", i, n), zone, func(int) string { return at }) // one link for all nodes
+	l.clients = standin.NewClients(&l.plan, func(n int) string { return realNodeAddr(service, n, clientPort) }, func(int) bool { return true }, l.log)
+	for i, plan := range l.plan.Partners {
+		partner := standin.NewPartner(i, plan.Config, plan.Seed, 1, l.plan.Rules.ConnIdleTimeout, l.log, l.clients.RecordReached)
+		l.partners = append(l.partners, partner)
+		for number, zone := range plan.Zones {
+			addr := net.JoinHostPort(service.block.IP(partnerHost, i+1), strconv.Itoa(partnerPort+number))
+			e, err := partner.AddEndpoint(fmt.Sprintf("p-%d-%d", i, number), zone, func(int) string { return addr }) // one link for all nodes
 			if err != nil {
 				l.close()
 				return nil, err
 			}
 			l.list = append(l.list, catalog.Endpoint{
-				ID: e.ID, Addr: e.Addr(0), Locality: zones[zone], Flavor: l.plan.PartnerKinds[q.Kind], Cell: i, Phase: catalog.Serving, Size: q.TotalRate(),
+				ID: e.ID, Addr: e.Addr(0), Locality: zones[zone], Flavor: l.plan.PartnerKinds[plan.Kind], Cell: i, Phase: catalog.Serving, Size: plan.TotalRate(),
 			})
 		}
 	}
 	return l, nil
 }
 
-// settings are a real node's.
+// settings returns the settings of the nth real node.
 func (l *load) settings(n int) (json.RawMessage, error) { return l.plan.Settings(n) }
 
-// begin lets the clients come.
-func (l *load) begin() {
+// start starts the clients.
+func (l *load) start() {
 	var ctx context.Context
 	ctx, l.cancel = context.WithCancel(context.Background())
 	l.log.Start()
@@ -97,7 +99,7 @@
 	l.wg.Go(func() { l.clients.Run(ctx) })
 }
 
-// close ends the clients and the partners.
+// close stops the clients and the partners.
 func (l *load) close() {
 	if l.cancel != nil {
 		l.cancel()
@@ -108,19 +110,19 @@
 	}
 }
 
-// read tells what has become of the load so far.
-func (l *load) read(r *play.Reading) {
-	taken, asked := 0, 0
+// readCounts sets the counts of the load so far.
+func (l *load) readCounts(r *play.Reading) {
+	accepted, answered := 0, 0
 	for _, e := range l.log.Events() {
 		if e.Kind == history.Answered {
-			asked++
+			answered++
 			if e.State == history.Taken {
-				taken++
+				accepted++
 			}
 		}
 	}
-	r.SetCount("load.asked", float64(asked))
-	r.SetCount("load.taken", float64(taken))
+	r.SetCount("load.asked", float64(answered))
+	r.SetCount("load.taken", float64(accepted))
 	r.SetCount("load.delivered", float64(l.log.CountKind(history.Executed)))
 	r.SetCount("load.seconds", l.log.Now().Round(time.Millisecond).Seconds())
 }
--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	replicas   = 3
-	idleWindow = 6 * time.Second // three heartbeats of each watch
-	quickIdle  = 2 * time.Second // one
-	lastOnes   = 10              // changes for directory.change.last
-	burst      = 50              // changes by which hollow and real nodes are held against each other
-	burstRate  = 50              // a second
-	afterBurst = time.Second     // of work that a change leaves behind: the kept list is written each second
-	memoryCap  = 9 << 30         // bytes of this process, so that its collector doesn't take the machine's last ones
+	replicaCount    = 3
+	idleWindow      = 6 * time.Second // three heartbeats of each watch
+	quickIdleWindow = 2 * time.Second // one heartbeat
+	timedChanges    = 10              // changes timed for directory.change.last
+	burstChanges    = 50              // changes for comparing hollow with real nodes
+	burstRate       = 50              // changes a second
+	burstTail       = time.Second     // work of a change that comes later: the list cache is written once a second
+	memoryLimit     = 9 << 30         // bytes of this process; keeps its garbage collector from using up the machine's memory
 )
 
 func nodesAxis() play.Axis {
 	flag := func(about string) play.Setting { return play.Setting{Default: 0, Min: 0, Max: 1, Description: about} }
 	return play.Axis{
 		Name: "nodes", XUnit: "node",
-		Description: "so many hollow nodes, and eight real ones beside them, follow one list on three replicas of the directory",
+		Description: "x hollow nodes and eight real ones follow one list on three replicas of the directory",
 		Measures: []play.Measure{
 			{ID: "directory.nodes.rss", Description: "resident memory of the largest of three replicas, by the nodes that watch the three", Unit: "B"},
 			{ID: "directory.nodes.cpu", Description: "processor time of the busiest of three replicas while nothing changes, by the nodes that watch the three", Unit: "s/s"},
@@ -40,63 +40,63 @@
 		},
 		Settings: map[string]play.Setting{
 			"endpoints":     endpointsSetting,
-			"keep_kb":       keepSetting,
-			"real":          {Default: realNodes, Min: 0, Max: 200, Description: "coralyard processes beside the hollow nodes"},
-			"load":          {Default: 0, Min: 0, Max: 500, Description: "events a second that the lab's clients hand in to the real nodes; none while hollow and real nodes are held against each other"},
+			"keep_kb":       cacheSetting,
+			"real":          {Default: defaultRealNodes, Min: 0, Max: 200, Description: "number of coralyard processes in addition to the hollow nodes"},
+			"load":          {Default: 0, Min: 0, Max: 500, Description: "messages per second that the lab's clients submit to the real nodes; with a load, hollow and real nodes are not compared by the same changes"},
 			"quick":         quickSetting,
-			"kill":          flag("1: the leader of the directory is killed, and started again after fault_seconds"),
+			"kill":          flag("1: the leader of the directory is killed, and restarted after fault_seconds"),
 			"stop":          flag("1: a follower of the directory is stopped (SIGSTOP) for fault_seconds"),
 			"cut_zone":      flag("1: a zone is cut off from the directory for fault_seconds"),
-			"cut_region":    flag("1: a region with its replica is cut off from the others for fault_seconds; its nodes reach that replica"),
-			"restart":       flag("1: the nodes of a zone, a sixth of all, are ended and start again at once; the real ones by SIGKILL"),
-			"fault_seconds": {Default: 4, Min: 0.5, Max: 60, Description: "for how long a fault lasts"},
+			"cut_region":    flag("1: a region with its replica is cut off from the others for fault_seconds; its nodes still reach that replica"),
+			"restart":       flag("1: the nodes of a zone, a sixth of all, are stopped and all start again at once; the real ones are stopped by SIGKILL"),
+			"fault_seconds": {Default: 4, Min: 0.5, Max: 60, Description: "duration of a fault in seconds"},
 		},
 		Play: playNodes,
 	}
 }
 
-func playNodes(ctx context.Context, s play.Spec, log *slog.Logger) (r play.Reading, err error) {
-	if s.X < 1 {
-		return r, fmt.Errorf("%v nodes can't be played", s.X)
-	}
-	defer debug.SetMemoryLimit(debug.SetMemoryLimit(memoryCap))
-	hollow, real, endpoints := int(s.X), int(s.Settings["real"]), int(s.Settings["endpoints"])
-	quick := s.Settings["quick"] > 0
-	linked := s.Settings["cut_zone"] > 0 || s.Settings["cut_region"] > 0
-	svc, err := openService(ctx, s, replicas, linked, listOf(1)) // a short list first: what the long one adds is read apart
+func playNodes(ctx context.Context, spec play.Spec, log *slog.Logger) (r play.Reading, err error) {
+	if spec.X < 1 {
+		return r, fmt.Errorf("need at least 1 node, not %v", spec.X)
+	}
+	defer debug.SetMemoryLimit(debug.SetMemoryLimit(memoryLimit))
+	hollow, real, endpoints := int(spec.X), int(spec.Settings["real"]), int(spec.Settings["endpoints"])
+	quick := spec.Settings["quick"] > 0
+	linked := spec.Settings["cut_zone"] > 0 || spec.Settings["cut_region"] > 0
+	svc, err := openService(ctx, spec, replicaCount, linked, endpointList(1)) // a short list first, so that the long one's costs can be read apart
 	if err != nil {
 		return r, err
 	}
-	g := newGroup(s, svc, hollow+real, endpoints, log)
-	defer g.end(&err)
-	if s.Settings["load"] > 0 && real > 0 {
-		if g.load, err = openLoad(s, svc, real); err != nil {
+	group := newNodeGroup(spec, svc, hollow+real, endpoints, log)
+	defer group.shutdown(&err)
+	if spec.Settings["load"] > 0 && real > 0 {
+		if group.load, err = openLoad(spec, svc, real); err != nil {
 			return r, err
 		}
 	}
-	specs, err := g.prepare(hollow)
+	specs, err := group.prepare(hollow)
 	if err != nil {
 		return r, err
 	}
-	settle()
-	before, err := takeLook(g)
+	freeMemory()
+	before, err := readUsage(group)
 	if err != nil {
 		return r, err
 	}
-	if err := g.startReal(s.NodeProgram, real); err != nil {
+	if err := group.startReal(spec.NodeProgram, real); err != nil {
 		return r, err
 	}
-	if err := g.run(specs); err != nil {
+	if err := group.start(specs); err != nil {
 		return r, err
 	}
 	st, err := svc.status(ctx, svc.replicas[0])
 	if err != nil {
 		return r, err
 	}
-	if err := g.have(ctx, st.Revision, 1); err != nil {
+	if err := group.awaitList(ctx, st.Revision, 1); err != nil {
 		return r, err
 	}
-	short, err := takeLook(g)
+	short, err := readUsage(group)
 	if err != nil {
 		return r, err
 	}
@@ -104,41 +104,41 @@
 	r.SetCount("node.goroutines", float64(short.goroutines-before.goroutines)/nodes)
 	r.SetCount("node.descriptors", float64(short.descriptors-before.descriptors)/nodes)
 
-	// The whole list.
-	list := listOf(endpoints)
-	if g.load != nil {
-		list = append(list, g.load.list...)
+	// The complete list.
+	list := endpointList(endpoints)
+	if group.load != nil {
+		list = append(list, group.load.list...)
 	}
-	more := len(list)
-	raw, err := encode(list)
+	total := len(list)
+	raw, err := encodeMembers(list)
 	if err != nil {
 		return r, err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	revision, err := svc.send(ctx, raw, true)
 	if err != nil {
 		return r, err
 	}
 	raw, list = nil, nil
-	last, err := g.told(ctx, revision)
+	last, err := group.awaitRevision(ctx, revision)
 	if err != nil {
 		return r, err
 	}
-	r.SetCount("list.last", last.Sub(began).Seconds())
-	if err := g.have(ctx, revision, more); err != nil {
+	r.SetCount("list.last", last.Sub(startedAt).Seconds())
+	if err := group.awaitList(ctx, revision, total); err != nil {
 		return r, err
 	}
 	if !quick {
-		registry.Sleep(ctx, keptWait)
+		registry.Sleep(ctx, cacheWriteWait)
 	}
-	long, err := takeLook(g)
+	long, err := readUsage(group)
 	if err != nil {
 		return r, err
 	}
-	calibrate := func(what string, hollow, real float64) {
-		r.SetCount("calibration.hollow."+what, hollow)
-		if len(g.real) > 0 {
-			r.SetCount("calibration.real."+what, real)
+	calibrate := func(name string, hollow, real float64) {
+		r.SetCount("calibration.hollow."+name, hollow)
+		if len(group.real) > 0 {
+			r.SetCount("calibration.real."+name, real)
 		}
 	}
 	calibrate("list.cpu", (long.cpu-short.cpu)/nodes, long.realCPU-short.realCPU)
@@ -148,61 +148,62 @@
 	r.SetValue("node.idle.heap", (long.heap-before.heap)/nodes)
 	r.SetCount("process.rss", long.rss)
 
-	if g.load != nil {
-		g.load.begin()
-		defer func() { g.load.read(&r) }()
+	if group.load != nil {
+		group.load.start()
+		defer func() { group.load.readCounts(&r) }()
 	}
-	if err := idle(ctx, g, &r, quick, calibrate); err != nil {
+	if err := measureIdle(ctx, group, &r, quick, calibrate); err != nil {
 		return r, err
 	}
-	if err := lastTold(ctx, g, &r, quick, endpoints, more); err != nil {
+	if err := measurePropagation(ctx, group, &r, quick, endpoints, total); err != nil {
 		return r, err
 	}
-	if !quick && g.load == nil {
-		if err := bursts(ctx, g, &r, calibrate); err != nil {
+	if !quick && group.load == nil {
+		if err := compareBursts(ctx, group, &r, calibrate); err != nil {
 			return r, err
 		}
 	}
-	return r, faults(ctx, g, s, &r, endpoints, more)
+	return r, playFaults(ctx, group, spec, &r, endpoints, total)
 }
 
-// looked is what this process and the real nodes use.
-type looked struct {
+// usage is the use of resources by this process and by the real nodes.
+type usage struct {
 	heap, rss, cpu          float64
 	realRSS, realCPU        float64
 	goroutines, descriptors int
 }
 
-// takeLook looks at memory and time. The resident memory comes first: a collection would change it.
-func takeLook(g *group) (l looked, err error) {
-	if l.rss, err = rss(own); err != nil {
-		return l, err
+// readUsage reads the usage. It reads the resident memory first, as a garbage collection would change it.
+func readUsage(g *nodeGroup) (u usage, err error) {
+	if u.rss, err = rss(ownPID); err != nil {
+		return u, err
 	}
-	if l.cpu, err = cpu(own); err != nil {
-		return l, err
+	if u.cpu, err = cpuSeconds(ownPID); err != nil {
+		return u, err
 	}
-	if l.realRSS, l.realCPU, err = g.realUse(); err != nil {
-		return l, err
+	if u.realRSS, u.realCPU, err = g.meanRealUse(); err != nil {
+		return u, err
 	}
-	l.goroutines, l.descriptors = runtime.NumGoroutine(), descriptors()
-	l.heap = heap()
-	return l, nil
+	u.goroutines, u.descriptors = runtime.NumGoroutine(), countDescriptors()
+	u.heap = liveHeap()
+	return u, nil
 }
 
-// idle reads what all use while nothing changes.
-func idle(ctx context.Context, g *group, r *play.Reading, quick bool, calibrate func(string, float64, float64)) error {
+// measureIdle reads the costs while nothing changes.
+func measureIdle(ctx context.Context, g *nodeGroup, r *play.Reading, quick bool, calibrate func(string, float64, float64)) error {
 	window := idleWindow
 	if quick {
-		window = quickIdle
-	}
-	var carriedBefore, carriedAfter traffic
-	var used [2]float64
-	var real [2]float64
-	var dir [2]uses
-	at := g.svc.places()
-	// The whole list may have taken a full machine longer than a watch waits; those that it was cut for ask anew.
-	if err := awaitEvery(ctx, lookRare, "one watch of each node", func() bool {
-		t, err := carried(at, g.svc.from())
+		window = quickIdleWindow
+	}
+	var trafficBefore, trafficAfter traffic
+	var cpuUsed [2]float64
+	var realCPU [2]float64
+	var replicasUsed [2]replicaUse
+	replicaAddrs := g.service.allAddresses()
+	// On a saturated machine the complete list may take longer than a watch waits for it; watches that were
+	// cut off ask again.
+	if err := awaitEvery(ctx, descriptorPollInterval, "one watch of each node", func() bool {
+		t, err := readTraffic(replicaAddrs, g.service.ownAddr())
 		return err == nil && t.conns == len(g.hollow)
 	}); err != nil {
 		return err
@@ -210,111 +211,111 @@
 	for i := range 2 {
 		var err error
 		var t traffic
-		if t, err = carried(at, g.svc.from()); err != nil {
+		if t, err = readTraffic(replicaAddrs, g.service.ownAddr()); err != nil {
 			return err
 		}
 		if i == 0 {
-			carriedBefore = t
+			trafficBefore = t
 		} else {
-			carriedAfter = t
+			trafficAfter = t
 		}
-		if used[i], err = cpu(own); err != nil {
+		if cpuUsed[i], err = cpuSeconds(ownPID); err != nil {
 			return err
 		}
-		if _, real[i], err = g.realUse(); err != nil {
+		if _, realCPU[i], err = g.meanRealUse(); err != nil {
 			return err
 		}
-		if dir[i], err = g.svc.use(); err != nil {
+		if replicasUsed[i], err = g.service.readUse(); err != nil {
 			return err
 		}
 		if i == 0 && !registry.Sleep(ctx, window) {
 			return ctx.Err()
 		}
 	}
-	nodes, sec := float64(len(g.hollow)), window.Seconds()
-	if carriedBefore.conns == carriedAfter.conns && carriedAfter.conns == len(g.hollow) {
-		d := carriedAfter.sub(carriedBefore)
-		r.SetValue("node.watch.bytes", (d.in+d.out)/nodes/sec)
-		r.SetCount("node.watch.received", d.in/nodes/sec)
-		r.SetCount("node.watch.sent", d.out/nodes/sec)
+	nodes, seconds := float64(len(g.hollow)), window.Seconds()
+	if trafficBefore.conns == trafficAfter.conns && trafficAfter.conns == len(g.hollow) {
+		delta := trafficAfter.sub(trafficBefore)
+		r.SetValue("node.watch.bytes", (delta.in+delta.out)/nodes/seconds)
+		r.SetCount("node.watch.received", delta.in/nodes/seconds)
+		r.SetCount("node.watch.sent", delta.out/nodes/seconds)
 	} else {
-		r.AddNote("%d hollow nodes had %d and then %d watches, so node.watch.bytes is missing", len(g.hollow), carriedBefore.conns, carriedAfter.conns)
+		r.AddNote("%d hollow nodes had %d and then %d watches, so node.watch.bytes is missing", len(g.hollow), trafficBefore.conns, trafficAfter.conns)
 	}
-	r.SetValue("node.idle.cpu", (used[1]-used[0])/nodes/sec)
-	calibrate("idle.cpu", (used[1]-used[0])/nodes/sec, (real[1]-real[0])/sec)
-	busy := dir[1].since(dir[0])
-	r.SetValue("directory.nodes.cpu", slices.Max(busy)/sec)
-	r.SetValue("directory.nodes.rss", slices.Max(dir[1].rss))
-	for i := range busy {
-		r.SetCount(fmt.Sprintf("directory.%d.cpu", i), busy[i]/sec)
-		r.SetCount(fmt.Sprintf("directory.%d.rss", i), dir[1].rss[i])
+	r.SetValue("node.idle.cpu", (cpuUsed[1]-cpuUsed[0])/nodes/seconds)
+	calibrate("idle.cpu", (cpuUsed[1]-cpuUsed[0])/nodes/seconds, (realCPU[1]-realCPU[0])/seconds)
+	replicaCPU := replicasUsed[1].cpuSince(replicasUsed[0])
+	r.SetValue("directory.nodes.cpu", slices.Max(replicaCPU)/seconds)
+	r.SetValue("directory.nodes.rss", slices.Max(replicasUsed[1].rss))
+	for i := range replicaCPU {
+		r.SetCount(fmt.Sprintf("directory.%d.cpu", i), replicaCPU[i]/seconds)
+		r.SetCount(fmt.Sprintf("directory.%d.rss", i), replicasUsed[1].rss[i])
 	}
 	return nil
 }
 
-// lastTold reads how long changes take to all nodes: an endpoint comes and goes again.
-func lastTold(ctx context.Context, g *group, r *play.Reading, quick bool, endpoints, more int) error {
-	n := lastOnes
+// measurePropagation times changes until all nodes have them: an endpoint is added and removed in turn.
+func measurePropagation(ctx context.Context, g *nodeGroup, r *play.Reading, quick bool, endpoints, total int) error {
+	changes := timedChanges
 	if quick {
-		n = 2
+		changes = 2
 	}
 	var took, tookReal []float64
-	for i := range n {
-		e, want := endpoint(endpoints), more+1
+	for i := range changes {
+		e, want := endpointAt(endpoints), total+1
 		if i%2 == 1 {
-			e.Phase, want = catalog.Deleted, more
+			e.Phase, want = catalog.Deleted, total
 		}
-		began := time.Now()
-		revision, err := g.svc.write(ctx, []catalog.Endpoint{e}, false)
+		startedAt := time.Now()
+		revision, err := g.service.write(ctx, []catalog.Endpoint{e}, false)
 		if err != nil {
 			return err
 		}
-		last, err := g.told(ctx, revision)
+		last, err := g.awaitRevision(ctx, revision)
 		if err != nil {
 			return err
 		}
-		took = append(took, last.Sub(began).Seconds())
+		took = append(took, last.Sub(startedAt).Seconds())
 		if len(g.real) > 0 {
-			if last, err = g.toldReal(ctx, want); err != nil {
+			if last, err = g.awaitRealNodes(ctx, want); err != nil {
 				return err
 			}
-			tookReal = append(tookReal, last.Sub(began).Seconds())
+			tookReal = append(tookReal, last.Sub(startedAt).Seconds())
 		}
 	}
 	r.SetValue("directory.change.last", median(took))
 	r.SetCount("change.last.worst", slices.Max(took))
 	if len(tookReal) > 0 {
-		r.SetCount("change.last.real", median(tookReal)) // as the operators' address was seen to tell, after the hollow ones
+		r.SetCount("change.last.real", median(tookReal)) // as seen at the operators' address; polled after the hollow nodes
 	}
 	return nil
 }
 
-// bursts holds hollow and real nodes against each other by the same changes. The writes' own time is in the hollow ones', some
-// 0.1 ms each, which counts where there are few.
-func bursts(ctx context.Context, g *group, r *play.Reading, calibrate func(string, float64, float64)) error {
-	var used, real [2]float64
+// compareBursts compares the CPU time of hollow and real nodes for the same changes. That of the hollow nodes
+// includes the writes, some 0.1 ms each, which matters where there are few nodes.
+func compareBursts(ctx context.Context, g *nodeGroup, r *play.Reading, calibrate func(string, float64, float64)) error {
+	var cpuUsed, realCPU [2]float64
 	for i := range 2 {
 		var err error
-		if used[i], err = cpu(own); err != nil {
+		if cpuUsed[i], err = cpuSeconds(ownPID); err != nil {
 			return err
 		}
-		if _, real[i], err = g.realUse(); err != nil {
+		if _, realCPU[i], err = g.meanRealUse(); err != nil {
 			return err
 		}
 		if i == 1 {
 			break
 		}
-		began := time.Now()
-		for c := range burst {
-			if _, err := g.svc.write(ctx, []catalog.Endpoint{turned(0, int64(c+1))}, false); err != nil {
+		startedAt := time.Now()
+		for i := range burstChanges {
+			if _, err := g.service.write(ctx, []catalog.Endpoint{changedEndpoint(0, int64(i+1))}, false); err != nil {
 				return err
 			}
-			if !registry.Sleep(ctx, time.Until(began.Add(time.Duration(c+1)*time.Second/burstRate))) {
+			if !registry.Sleep(ctx, time.Until(startedAt.Add(time.Duration(i+1)*time.Second/burstRate))) {
 				return ctx.Err()
 			}
 		}
-		registry.Sleep(ctx, afterBurst)
+		registry.Sleep(ctx, burstTail)
 	}
-	calibrate("change.cpu", (used[1]-used[0])/float64(len(g.hollow))/burst, (real[1]-real[0])/burst)
+	calibrate("change.cpu", (cpuUsed[1]-cpuUsed[0])/float64(len(g.hollow))/burstChanges, (realCPU[1]-realCPU[0])/burstChanges)
 	return nil
 }
--- a/internal/lab/scale/hollow/owned.go
+++ b/internal/lab/scale/hollow/owned.go
@@ -26,17 +26,17 @@
 )
 
 const (
-	ownersEach = 3               // of a partition
-	fillEach   = 20_000          // endpoints of one write: 2.7 MB of the 16 that a write may have
-	mapLease   = 5 * time.Second // for which the record is held while the map is written
-	idleOwned  = 4 * time.Second // two heartbeats
-	trailWait  = 50 * time.Millisecond
+	ownersPerPartition = 3               // of a partition
+	fillBatch          = 20_000          // endpoints in one write: 2.7 MB of at most 16 MB
+	mapLeaseTTL        = 5 * time.Second // of the record while the map is written
+	ownedIdleWindow    = 4 * time.Second // two heartbeats
+	trailerWait        = 50 * time.Millisecond
 )
 
 func ownedAxis() play.Axis {
 	return play.Axis{
 		Name: "owned", XUnit: "destination owned",
-		Description: "one hollow node follows its share of the list of a whole fleet on a replica of the directory: so many destinations, by a map in which each has three owners. It is the node whose share is nearest to the point",
+		Description: "one hollow node follows its share of the list of a whole fleet on a replica of the directory: x destinations, by a map in which each has three owners. The node is the one whose share is nearest to the point",
 		Measures: []play.Measure{
 			{ID: "owned.destinations.heap", Description: "heap of a node's control side, by the destinations it owns (1.7 endpoints each)", Unit: "B"},
 			{ID: "owned.destinations.rss", Description: "resident memory that a node's control side adds to its process, by the destinations it owns", Unit: "B"},
@@ -49,87 +49,88 @@
 		},
 		Settings: map[string]play.Setting{
 			"nodes":   {Default: 820, Min: 24, Max: 2000, Description: "nodes in the map; the whole list has nodes/3 times the point's destinations"},
-			"keep_kb": keepSetting,
-			"changes": {Default: mostChanges, Min: 1, Max: 1000, Description: "changes of one endpoint each, first of the share and then of others; the figures are medians"},
+			"keep_kb": cacheSetting,
+			"changes": {Default: defaultChanges, Min: 1, Max: 1000, Description: "changes of one endpoint each, first in the share and then in others; the figures are medians"},
 			"quick":   quickSetting,
 		},
 		Play: playOwned,
 	}
 }
 
-// realm is a fleet's destinations and who owns them.
-type realm struct {
-	endpoints int // in all
-	owners    *ownership.Map
-	node      int // the one whose share is nearest to the point,
-	set       ownership.Set
-	owned     int   // its destinations,
-	mine      []int // its endpoints,
-	others    []int // and some that are not its own
+// ownershipLayout is the destinations of a fleet and their owners.
+type ownershipLayout struct {
+	endpointCount  int // of the whole fleet
+	ownerMap       *ownership.Map
+	node           int // the node whose share is nearest to the point
+	partitions     ownership.Set
+	destinations   int   // number of the node's destinations
+	ownEndpoints   []int // the node's endpoints, by number
+	otherEndpoints []int // some endpoints of other nodes, by number
 }
 
 func memberName(n int) string { return fmt.Sprintf("n%d", n) }
 
-// realmOf lays out a list of which one of so many nodes owns so many destinations on the average, and picks a node. Partitions are
-// few to a node, so shares differ by some parts in a hundred.
-func realmOf(x float64, nodes, others int) (*realm, error) {
-	destinations := int(math.Round(x * float64(nodes) / ownersEach))
+// layOutOwnership lays out a fleet whose nodes own x destinations on average, and picks the node whose share
+// is nearest to x. A node has few partitions, so shares differ by some percent.
+func layOutOwnership(x float64, nodes, others int) (*ownershipLayout, error) {
+	destinations := int(math.Round(x * float64(nodes) / ownersPerPartition))
 	if destinations < 1 {
-		return nil, fmt.Errorf("%v destinations can't be owned", x)
+		return nil, fmt.Errorf("need at least 1 destination, not %v per node", x)
 	}
 	var members []ownership.Member
 	for n := range nodes {
 		members = append(members, ownership.Member{Name: memberName(n), Zone: zones[n%len(zones)], Weight: 1})
 	}
-	r := &realm{endpoints: endpointsOf(destinations)}
+	layout := &ownershipLayout{endpointCount: endpointCountOf(destinations)}
 	var err error
-	if r.owners, err = ownership.Make(1, ownersEach, members, nil); err != nil {
+	if layout.ownerMap, err = ownership.Make(1, ownersPerPartition, members, nil); err != nil {
 		return nil, err
 	}
-	var held [ownership.PartitionCount]int
+	var destinationsOf [ownership.PartitionCount]int
 	for d := range destinations {
-		held[ownership.PartitionOf(firstCell+d)]++
+		destinationsOf[ownership.PartitionOf(firstDest+d)]++
 	}
-	best := math.Inf(1)
+	smallest := math.Inf(1)
 	for n := range nodes {
-		set, _ := r.owners.PartitionsOf(memberName(n))
+		set, _ := layout.ownerMap.PartitionsOf(memberName(n))
 		owned := 0
 		for p := range set.All() {
-			owned += held[p]
+			owned += destinationsOf[p]
 		}
-		if far := math.Abs(float64(owned) - x); owned > 0 && far < best {
-			best, r.node, r.set, r.owned = far, n, set, owned
+		if difference := math.Abs(float64(owned) - x); owned > 0 && difference < smallest {
+			smallest, layout.node, layout.partitions, layout.destinations = difference, n, set, owned
 		}
 	}
-	for i := range r.endpoints {
-		if r.set.Has(ownership.PartitionOf(endpoint(i).Cell)) {
-			r.mine = append(r.mine, i)
-		} else if len(r.others) < others {
-			r.others = append(r.others, i)
+	for i := range layout.endpointCount {
+		if layout.partitions.Has(ownership.PartitionOf(endpointAt(i).Cell)) {
+			layout.ownEndpoints = append(layout.ownEndpoints, i)
+		} else if len(layout.otherEndpoints) < others {
+			layout.otherEndpoints = append(layout.otherEndpoints, i)
 		}
 	}
-	if len(r.mine) == 0 || len(r.others) == 0 {
-		return nil, fmt.Errorf("of %d endpoints the node owns %d; a share is more than none and less than all", r.endpoints, len(r.mine))
+	if len(layout.ownEndpoints) == 0 || len(layout.otherEndpoints) == 0 {
+		return nil, fmt.Errorf("of %d endpoints the node owns %d; its share must be more than none and less than all", layout.endpointCount, len(layout.ownEndpoints))
 	}
-	return r, nil
+	return layout, nil
 }
 
-// openLarge starts one replica whose bound is raised, and writes a list of any length to it; it returns its revision.
-func openLarge(ctx context.Context, s play.Spec, endpoints int) (*service, int64, error) {
-	svc, err := openServiceOf(ctx, s, fmt.Sprintf("[list]\nmost = %d\n", max(endpoints, catalog.DefaultMaxEndpoints)), 1, false, listOf(1))
+// openLargeService starts one replica with a raised cap, writes a list of any length to it, and returns the
+// list's revision.
+func openLargeService(ctx context.Context, s play.Spec, endpoints int) (*service, int64, error) {
+	svc, err := openServiceWith(ctx, s, fmt.Sprintf("[list]\nmost = %d\n", max(endpoints, catalog.DefaultMaxEndpoints)), 1, false, endpointList(1))
 	if err != nil {
 		return nil, 0, err
 	}
 	var revision int64
-	for from := 0; from < endpoints && err == nil; from += fillEach {
-		var some []catalog.Endpoint
-		for i := from; i < min(from+fillEach, endpoints); i++ {
-			some = append(some, endpoint(i))
+	for from := 0; from < endpoints && err == nil; from += fillBatch {
+		var batch []catalog.Endpoint
+		for i := from; i < min(from+fillBatch, endpoints); i++ {
+			batch = append(batch, endpointAt(i))
 		}
-		revision, err = svc.write(ctx, some, false)
+		revision, err = svc.write(ctx, batch, false)
 	}
 	if err == nil {
-		err = svc.reached(ctx, revision)
+		err = svc.awaitReplicas(ctx, revision)
 	}
 	if err != nil {
 		svc.close()
@@ -138,7 +139,7 @@
 	return svc, revision, nil
 }
 
-// putMap makes a map the directory's, and returns its size in the record.
+// putMap writes a map of owners into the directory's record, and returns its size.
 func (s *service) putMap(ctx context.Context, m *ownership.Map) (int, error) {
 	raw, err := m.Encode()
 	if err != nil {
@@ -146,7 +147,7 @@
 	}
 	const path = "/records/" + ownership.RecordName
 	var w directory.WriteResult
-	ask := func(method string, body object) error {
+	request := func(method string, body object) error {
 		raw, err := json.Marshal(body)
 		if err == nil {
 			raw, _, err = s.operator(s.replicas...).Do(ctx, method, path, "", raw)
@@ -159,28 +160,28 @@
 		}
 		return err
 	}
-	if err := ask(http.MethodPut, object{"holder": "scale", "ttl_ms": mapLease.Milliseconds(), "value": raw}); err != nil {
+	if err := request(http.MethodPut, object{"holder": "scale", "ttl_ms": mapLeaseTTL.Milliseconds(), "value": raw}); err != nil {
 		return 0, err
 	}
-	return len(raw), ask(http.MethodDelete, object{"token": w.Token})
+	return len(raw), request(http.MethodDelete, object{"token": w.Token})
 }
 
-// partSize is how many endpoints a replica tells of some partitions.
-func (s *service) partSize(ctx context.Context, set ownership.Set) (int, error) {
+// partitionListSize returns the number of endpoints in a replica's list of some partitions.
+func (s *service) partitionListSize(ctx context.Context, set ownership.Set) (int, error) {
 	raw, h, err := s.operator(s.replicas...).Do(ctx, http.MethodGet, "/registry/instances?partitions="+set.String(), "", nil)
 	if err != nil {
 		return 0, err
 	}
 	if h.Get(directory.HeaderPartitions) == "" {
-		return 0, errors.New("the list was not parted")
+		return 0, errors.New("the response is not a partition list")
 	}
 	var l catalog.List
 	if err := json.Unmarshal(raw, &l); err != nil {
-		return 0, fmt.Errorf("list of some partitions: %w", err)
+		return 0, fmt.Errorf("decode a partition list: %w", err)
 	}
 	for _, m := range l.Members {
 		if !set.Has(ownership.PartitionOf(m.Cell)) {
-			return 0, fmt.Errorf("the list of %v has %s of another partition", set, m.ID)
+			return 0, fmt.Errorf("the list of partitions %v has endpoint %s of another partition", set, m.ID)
 		}
 	}
 	return len(l.Members), nil
@@ -188,18 +189,18 @@
 
 func playOwned(ctx context.Context, s play.Spec, log *slog.Logger) (r play.Reading, err error) {
 	changes := int(s.Settings["changes"])
-	of, err := realmOf(s.X, int(s.Settings["nodes"]), changes)
+	layout, err := layOutOwnership(s.X, int(s.Settings["nodes"]), changes)
 	if err != nil {
 		return r, err
 	}
-	laid := time.Now()
-	svc, _, err := openLarge(ctx, s, of.endpoints)
+	startedAt := time.Now()
+	svc, _, err := openLargeService(ctx, s, layout.endpointCount)
 	if err != nil {
 		return r, err
 	}
 	defer svc.close()
-	r.SetCount("filled", time.Since(laid).Seconds())
-	size, err := svc.putMap(ctx, of.owners)
+	r.SetCount("filled", time.Since(startedAt).Seconds())
+	size, err := svc.putMap(ctx, layout.ownerMap)
 	if err != nil {
 		return r, err
 	}
@@ -207,179 +208,180 @@
 	if err != nil {
 		return r, err
 	}
-	r.SetCount("endpoints", float64(len(of.mine)))
-	r.SetCount("endpoints.all", float64(of.endpoints))
-	r.SetCount("destinations", float64(of.owned))
-	r.SetCount("partitions", float64(of.set.Len()))
+	r.SetCount("endpoints", float64(len(layout.ownEndpoints)))
+	r.SetCount("endpoints.all", float64(layout.endpointCount))
+	r.SetCount("destinations", float64(layout.destinations))
+	r.SetCount("partitions", float64(layout.partitions.Len()))
 	r.SetCount("map.size", float64(size))
 
-	m, err := openMeter(svc.addresses(0)[0])
+	proxy, err := openMeteringProxy(svc.addresses(0)[0])
 	if err != nil {
 		return r, err
 	}
-	defer m.close()
+	defer proxy.close()
 	spec := Spec{
-		Name: "h0", Number: of.node, Nodes: int(s.Settings["nodes"]), Dir: filepath.Join(s.Dir, "h0"), Addresses: []string{m.address()},
-		KeepKB: keepFor(s, len(of.mine)), Fleet: fmt.Sprintf("[ownership]\nname = %q\nowners = %d\n", memberName(of.node), ownersEach),
+		Name: "h0", Number: layout.node, FleetSize: int(s.Settings["nodes"]), Dir: filepath.Join(s.Dir, "h0"), Addresses: []string{proxy.address()},
+		CacheKB: cacheSizeFor(s, len(layout.ownEndpoints)), FleetTOML: fmt.Sprintf("[ownership]\nname = %q\nowners = %d\n", memberName(layout.node), ownersPerPartition),
 	}
 	if err := spec.Write(); err != nil {
 		return r, err
 	}
-	n, err := newAlone(spec, log)
+	node, err := newSoleNode(spec, log)
 	if err != nil {
 		return r, err
 	}
-	loop := n.loop
-	asksList := func(path string) bool {
-		return strings.HasPrefix(path, "/registry/") && strings.HasSuffix(path, "&partitions="+of.set.String())
+	probe := node.probe
+	isListRequest := func(path string) bool {
+		return strings.HasPrefix(path, "/registry/") && strings.HasSuffix(path, "&partitions="+layout.partitions.String())
 	}
-	// The loop has had the map when the node asks for the list of its share, and not yet the list.
+	// When the node requests the list of its share, its loop has applied the map, and not yet the list.
 	var once sync.Once
 	var mapStep atomic.Int64
-	m.hook(func(path string) {
-		if asksList(path) {
+	proxy.setBeforeRequest(func(path string) {
+		if isListRequest(path) {
 			once.Do(func() {
-				loop.after(ctx, 1) // an error is the context's, and the play's own
-				worst, _ := loop.take()
+				probe.awaitAnswers(ctx, 1) // fails only if the context has ended, which the play notices itself
+				worst, _ := probe.takeWorst()
 				mapStep.Store(int64(worst))
 			})
 		}
 	})
-	n.run()
-	defer func() { err = n.close(err) }()
+	node.start()
+	defer func() { err = node.close(err) }()
 	err = await(ctx, "the first list of the share", func() bool {
-		at, have := n.CurrentList()
-		return at >= st.Revision && have == len(of.mine)
+		at, have := node.CurrentList()
+		return at >= st.Revision && have == len(layout.ownEndpoints)
 	})
 	if err != nil {
 		return r, err
 	}
-	r.SetCount("ready", time.Since(n.began).Seconds())
-	if err := loop.after(ctx, 1); err != nil {
+	r.SetCount("ready", time.Since(node.startedAt).Seconds())
+	if err := probe.awaitAnswers(ctx, 1); err != nil {
 		return r, err
 	}
-	worst, _ := loop.take()
+	worst, _ := probe.takeWorst()
 	r.SetValue("owned.list.step", worst.Seconds())
-	r.SetCount("map.step", time.Duration(mapStep.Load()).Seconds()) // with the file that it is kept in
-	registry.Sleep(ctx, trailWait)                                  // a chunk's last two bytes come after what they end
-	lists, asks := m.received(asksList)
-	if asks == 1 {
-		r.SetValue("owned.list.bytes", lists)
+	r.SetCount("map.step", time.Duration(mapStep.Load()).Seconds()) // includes writing the map's file
+	registry.Sleep(ctx, trailerWait)                                // the last two bytes of an HTTP chunk may come after its line
+	listBytes, requests := proxy.responseBytes(isListRequest)
+	if requests == 1 {
+		r.SetValue("owned.list.bytes", listBytes)
 	} else {
-		r.AddNote("the list was asked for %d times, so owned.list.bytes is missing", asks)
+		r.AddNote("the list was requested %d times, so owned.list.bytes is missing", requests)
 	}
-	maps, asks := m.received(func(path string) bool { return strings.HasPrefix(path, "/records/") })
-	if asks == 1 {
-		r.SetValue("owned.map.bytes", maps)
+	mapBytes, requests := proxy.responseBytes(func(path string) bool { return strings.HasPrefix(path, "/records/") })
+	if requests == 1 {
+		r.SetValue("owned.map.bytes", mapBytes)
 	} else {
-		r.AddNote("the map was asked for %d times, so owned.map.bytes is missing", asks)
+		r.AddNote("the map was requested %d times, so owned.map.bytes is missing", requests)
 	}
-	every := func(string) bool { return true }
-	all, _ := m.received(every) // also the list of the partition that it asks for before it has a map
-	r.SetCount("start.bytes", all)
+	anyPath := func(string) bool { return true }
+	startBytes, _ := proxy.responseBytes(anyPath) // also the list of the one partition that the node requests before it has a map
+	r.SetCount("start.bytes", startBytes)
 
-	var steps, lines []float64
-	var at int64 = firstTurn
-	change := func(which []int, i int) (int64, error) {
-		at++
-		return svc.write(ctx, []catalog.Endpoint{turned(which[i%len(which)], at)}, false)
+	var steps, changeBytes []float64
+	var upSince int64 = firstChangeTime
+	change := func(numbers []int, i int) (int64, error) {
+		upSince++
+		return svc.write(ctx, []catalog.Endpoint{changedEndpoint(numbers[i%len(numbers)], upSince)}, false)
 	}
-	known := func(revision int64) error {
-		return await(ctx, "a change", func() bool { has, _ := n.CurrentList(); return has >= revision })
+	awaitRevision := func(revision int64) error {
+		return await(ctx, "a change", func() bool { has, _ := node.CurrentList(); return has >= revision })
 	}
 	for i := range changes {
-		loop.take()
-		before, _ := m.received(asksList)
-		revision, err := change(of.mine, i)
+		probe.takeWorst()
+		before, _ := proxy.responseBytes(isListRequest)
+		revision, err := change(layout.ownEndpoints, i)
 		if err == nil {
-			err = known(revision)
+			err = awaitRevision(revision)
 		}
 		if err == nil {
-			err = loop.after(ctx, 1)
+			err = probe.awaitAnswers(ctx, 1)
 		}
 		if err != nil {
 			return r, err
 		}
-		after, _ := m.received(asksList)
-		worst, _ := loop.take()
-		steps, lines = append(steps, worst.Seconds()), append(lines, after-before)
+		after, _ := proxy.responseBytes(isListRequest)
+		worst, _ := probe.takeWorst()
+		steps, changeBytes = append(steps, worst.Seconds()), append(changeBytes, after-before)
 	}
 	r.SetValue("owned.change.step", median(steps))
-	r.SetValue("owned.change.bytes", median(lines)) // a heartbeat may come with one of them
+	r.SetValue("owned.change.bytes", median(changeBytes)) // the median, as a heartbeat may come with one of them
 	r.SetCount("owned.change.step.worst", slices.Max(steps))
 
-	// Changes of others' shares: the next heartbeat carries the revision on, and that is all.
-	before, _ := m.received(asksList)
+	// Changes of other shares cost only the next heartbeat, which carries the new revision.
+	before, _ := proxy.responseBytes(isListRequest)
 	var last int64
 	for i := range changes {
-		if last, err = change(of.others, i); err != nil {
+		if last, err = change(layout.otherEndpoints, i); err != nil {
 			return r, err
 		}
 	}
-	if err := known(last); err != nil {
+	if err := awaitRevision(last); err != nil {
 		return r, err
 	}
-	registry.Sleep(ctx, trailWait)
-	after, _ := m.received(asksList)
+	registry.Sleep(ctx, trailerWait)
+	after, _ := proxy.responseBytes(isListRequest)
 	r.SetCount("foreign.changes", float64(changes))
 	r.SetCount("foreign.bytes", after-before)
 
 	if s.Settings["quick"] == 0 {
-		idle, _ := m.received(every)
-		began := time.Now()
-		registry.Sleep(ctx, idleOwned)
-		still, _ := m.received(every)
-		r.SetCount("idle.bytes_s", (still-idle)/time.Since(began).Seconds())
-	}
-	loop.close()
-	empty, err := emptyStep(ctx, n.Node.Node)
+		idleBefore, _ := proxy.responseBytes(anyPath)
+		startedAt := time.Now()
+		registry.Sleep(ctx, ownedIdleWindow)
+		idleAfter, _ := proxy.responseBytes(anyPath)
+		r.SetCount("idle.bytes_s", (idleAfter-idleBefore)/time.Since(startedAt).Seconds())
+	}
+	probe.close()
+	empty, err := measureEmptyStep(ctx, node.Node.Node)
 	if err != nil {
 		return r, err
 	}
 	r.SetValue("owned.empty.step", empty)
-	registry.Sleep(ctx, keptWait)
-	use, err := svc.use()
+	registry.Sleep(ctx, cacheWriteWait)
+	use, err := svc.readUse()
 	if err != nil {
 		return r, err
 	}
 	r.SetCount("directory.rss", use.rss[0])
-	if err := n.read(&r, "owned.destinations"); err != nil {
+	if err := node.readMemory(&r, "owned.destinations"); err != nil {
 		return r, err
 	}
 
-	// The truth: the node's count, the directory's list of the share, and the list that the node has kept.
-	barrable, err := remembered(ctx, n.Node, of)
+	// Check the node's endpoint count, the directory's list of the share, and the node's list cache against
+	// the share.
+	known, err := countKnownEndpoints(ctx, node.Node, layout)
 	if err != nil {
 		return r, err
 	}
-	r.SetCount("remembered", float64(barrable))
-	if barrable < len(of.mine) {
-		r.AddNote("the journal remembers %d of the %d endpoints of the share: operators can't bar the others", barrable, len(of.mine))
+	r.SetCount("remembered", float64(known))
+	if known < len(layout.ownEndpoints) {
+		r.AddNote("the journal knows %d of the %d endpoints of the share: operators can't disable the others", known, len(layout.ownEndpoints))
 	}
-	told, err := svc.partSize(ctx, of.set)
-	if err == nil && told != len(of.mine) {
-		err = fmt.Errorf("the directory tells %d endpoints of a share of %d", told, len(of.mine))
+	listed, err := svc.partitionListSize(ctx, layout.partitions)
+	if err == nil && listed != len(layout.ownEndpoints) {
+		err = fmt.Errorf("the directory lists %d endpoints of a share of %d", listed, len(layout.ownEndpoints))
 	}
-	if err == nil && spec.KeepKB > 0 {
-		n.Close() // its error comes once more below
-		err = keptIs(filepath.Join(spec.state(), shareFolder), of)
+	if err == nil && spec.CacheKB > 0 {
+		node.Close() // its error is returned by the second call, in the deferred function
+		err = checkCachedList(filepath.Join(spec.stateDir(), shareDir), layout)
 	}
 	return r, err
 }
 
 const (
-	firstTurn   = 1000    // so that all changes' times have as many digits
-	shareFolder = "share" // of a node's state: where its list is, with [ownership]
+	firstChangeTime = 1000    // so that the times of all changes have the same number of digits
+	shareDir        = "share" // in a node's state folder: holds its list cache if it has [ownership]
 )
 
-// remembered is how many endpoints of its share a node's journal knows, so that operators can bar them. It also holds the node's
-// count against the share.
-func remembered(ctx context.Context, n *Node, of *realm) (known int, err error) {
-	if _, have := n.CurrentList(); have != len(of.mine) {
-		return 0, fmt.Errorf("the node has %d endpoints, its share %d", have, len(of.mine))
+// countKnownEndpoints returns how many endpoints of its share a node's journal knows, so that operators can
+// disable them. It also checks the node's endpoint count against the share.
+func countKnownEndpoints(ctx context.Context, n *Node, layout *ownershipLayout) (known int, err error) {
+	if _, have := n.CurrentList(); have != len(layout.ownEndpoints) {
+		return 0, fmt.Errorf("the node has %d endpoints, its share has %d", have, len(layout.ownEndpoints))
 	}
-	for _, i := range of.mine {
-		switch err := n.SetEndpointEnabled(ctx, endpoint(i).ID, true); { // lifts what is not barred: nothing comes of it
+	for _, i := range layout.ownEndpoints {
+		switch err := n.SetEndpointEnabled(ctx, endpointAt(i).ID, true); { // enables what is not disabled, which has no effect
 		case err == nil:
 			known++
 		case !errors.Is(err, node.ErrUnknownEndpoint):
@@ -389,58 +391,58 @@
 	return known, nil
 }
 
-// keptIs holds the list that a node has kept in a folder against its share. The node must have ended.
-func keptIs(dir string, of *realm) error {
-	k, err := registry.OpenListCache(dir, math.MaxInt64)
+// checkCachedList checks the list cache of a node that has stopped against its share.
+func checkCachedList(dir string, layout *ownershipLayout) error {
+	cache, err := registry.OpenListCache(dir, math.MaxInt64)
 	if err != nil {
 		return err
 	}
-	l, _, _, ok := k.List()
+	l, _, _, ok := cache.List()
 	if !ok {
-		return errors.New("the node has kept no list")
+		return errors.New("the node has no list cache")
 	}
-	have := map[string]bool{}
+	cached := map[string]bool{}
 	for _, m := range l.Members {
-		have[m.ID] = true
+		cached[m.ID] = true
 	}
-	for _, i := range of.mine {
-		if !have[endpoint(i).ID] {
-			return fmt.Errorf("endpoint %s of the node's share is not in its list", endpoint(i).ID)
+	for _, i := range layout.ownEndpoints {
+		if !cached[endpointAt(i).ID] {
+			return fmt.Errorf("endpoint %s of the node's share is not in its list cache", endpointAt(i).ID)
 		}
 	}
-	if len(have) != len(of.mine) {
-		return fmt.Errorf("the node's list has %d endpoints, its share %d", len(have), len(of.mine))
+	if len(cached) != len(layout.ownEndpoints) {
+		return fmt.Errorf("the node's list cache has %d endpoints, its share has %d", len(cached), len(layout.ownEndpoints))
 	}
 	return nil
 }
 
-// meter stands before a replica and counts what each ask is answered with: bytes of TCP's payload, heads and frames included. Its
-// maker owns it, until close.
-type meter struct {
-	ln net.Listener
-	to string
-	wg sync.WaitGroup
-
-	mu     sync.Mutex
-	closed bool
-	conns  map[net.Conn]bool
-	asks   []*ask
-	before func(path string)
+// meteringProxy is a proxy before a replica. It counts the bytes of each response: TCP payload, with HTTP
+// headers and framing. Its owner must call close.
+type meteringProxy struct {
+	ln     net.Listener
+	target string
+	wg     sync.WaitGroup
+
+	mu            sync.Mutex
+	closed        bool
+	conns         map[net.Conn]bool
+	requests      []*request
+	beforeRequest func(path string)
 }
 
-type ask struct {
-	path string
-	in   float64
+type request struct {
+	path          string
+	responseBytes float64
 }
 
-const meterBuffer = 16 << 10 // more than the head of an ask
+const proxyBuffer = 16 << 10 // larger than the header of a request
 
-func openMeter(to string) (*meter, error) {
+func openMeteringProxy(target string) (*meteringProxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("meter: %w", err)
+		return nil, fmt.Errorf("metering proxy: %w", err)
 	}
-	m := &meter{ln: ln, to: to, conns: map[net.Conn]bool{}}
+	m := &meteringProxy{ln: ln, target: target, conns: map[net.Conn]bool{}}
 	m.wg.Go(func() {
 		for {
 			nc, err := ln.Accept()
@@ -453,29 +455,30 @@
 	return m, nil
 }
 
-func (m *meter) address() string { return m.ln.Addr().String() }
+func (m *meteringProxy) address() string { return m.ln.Addr().String() }
 
-// hook has a function called before an ask is passed on, which waits for it.
-func (m *meter) hook(before func(path string)) {
+// setBeforeRequest sets a function that is called before a request is forwarded; the request waits for it.
+func (m *meteringProxy) setBeforeRequest(hook func(path string)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.before = before
+	m.beforeRequest = hook
 }
 
-// received is what all asks of some paths were answered with so far, and how many there were.
-func (m *meter) received(which func(path string) bool) (in float64, asks int) {
+// responseBytes returns the response bytes of all requests whose path matches so far, and the number of these
+// requests.
+func (m *meteringProxy) responseBytes(match func(path string) bool) (total float64, requests int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, a := range m.asks {
-		if which(a.path) {
-			in += a.in
-			asks++
+	for _, a := range m.requests {
+		if match(a.path) {
+			total += a.responseBytes
+			requests++
 		}
 	}
-	return in, asks
+	return total, requests
 }
 
-func (m *meter) take(nc net.Conn) bool {
+func (m *meteringProxy) addConn(nc net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -486,61 +489,61 @@
 	return true
 }
 
-func (m *meter) drop(nc net.Conn) {
+func (m *meteringProxy) dropConn(nc net.Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.conns, nc)
 	nc.Close()
 }
 
-// serve passes bytes on both ways until either end closes.
-func (m *meter) serve(client net.Conn) {
-	if !m.take(client) {
+// serve forwards bytes in both directions until either end closes.
+func (m *meteringProxy) serve(client net.Conn) {
+	if !m.addConn(client) {
 		return
 	}
-	defer m.drop(client)
-	replica, err := net.DialTimeout("tcp", m.to, changeWait)
-	if err != nil || !m.take(replica) {
+	defer m.dropConn(client)
+	replica, err := net.DialTimeout("tcp", m.target, changeWriteTimeout)
+	if err != nil || !m.addConn(replica) {
 		return
 	}
-	defer m.drop(replica)
-	var current *ask // under mu
-	var back sync.WaitGroup
-	back.Go(func() {
+	defer m.dropConn(replica)
+	var current *request // guarded by mu
+	var responsesDone sync.WaitGroup
+	responsesDone.Go(func() {
 		defer client.Close()
-		pass(client, replica, func(p []byte) {
+		copyObserved(client, replica, func(p []byte) {
 			m.mu.Lock()
 			defer m.mu.Unlock()
 			if current != nil {
-				current.in += float64(len(p))
+				current.responseBytes += float64(len(p))
 			}
 		})
 	})
-	pass(replica, client, func(p []byte) {
-		path, ok := asked(p)
+	copyObserved(replica, client, func(p []byte) {
+		path, ok := requestPath(p)
 		if !ok {
 			return
 		}
 		m.mu.Lock()
-		current = &ask{path: path}
-		m.asks = append(m.asks, current)
-		before := m.before
+		current = &request{path: path}
+		m.requests = append(m.requests, current)
+		hook := m.beforeRequest
 		m.mu.Unlock()
-		if before != nil {
-			before(path)
+		if hook != nil {
+			hook(path)
 		}
 	})
 	replica.Close()
-	back.Wait()
+	responsesDone.Wait()
 }
 
-// pass copies, and has each piece seen before it goes on.
-func pass(to, from net.Conn, see func([]byte)) {
-	buf := make([]byte, meterBuffer)
+// copyObserved copies, and calls observe with each piece before it is forwarded.
+func copyObserved(to, from net.Conn, observe func([]byte)) {
+	buf := make([]byte, proxyBuffer)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			see(buf[:n])
+			observe(buf[:n])
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -551,8 +554,8 @@
 	}
 }
 
-// asked reads the path of an ask, which a client sends in one piece.
-func asked(p []byte) (string, bool) {
+// requestPath returns the path of a request, which a client sends in one piece.
+func requestPath(p []byte) (string, bool) {
 	line, _, _ := bytes.Cut(p, []byte("\r\n"))
 	f := strings.Fields(string(line))
 	if len(f) != 3 || f[0] != http.MethodGet {
@@ -561,7 +564,7 @@
 	return f[1], true
 }
 
-func (m *meter) close() {
+func (m *meteringProxy) close() {
 	m.mu.Lock()
 	m.closed = true
 	m.ln.Close()
@@ -575,7 +578,7 @@
 func directoryAxis() play.Axis {
 	return play.Axis{
 		Name: "directory", XUnit: "destination",
-		Description: "one replica of the directory, its bound raised, holds the whole list of so many destinations, with 1.7 endpoints each, and its index by partition; nobody watches it",
+		Description: "one replica of the directory with a raised cap holds the complete list of x destinations with 1.7 endpoints each, and its index by partition; nobody watches it",
 		Measures: []play.Measure{
 			{ID: "directory.owned.rss", Description: "resident memory of a replica of the directory that tells lists by partition, by the destinations in its list", Unit: "B"},
 			{ID: "directory.owned.start", Description: "time from the start of a killed replica, which is alone and has its log and no snapshot, until it serves, by the destinations in its list", Unit: "s"},
@@ -585,16 +588,16 @@
 }
 
 func playDirectory(ctx context.Context, s play.Spec, _ *slog.Logger) (r play.Reading, err error) {
-	endpoints := endpointsOf(int(s.X))
-	began := time.Now()
-	svc, revision, err := openLarge(ctx, s, endpoints)
+	endpoints := endpointCountOf(int(s.X))
+	startedAt := time.Now()
+	svc, revision, err := openLargeService(ctx, s, endpoints)
 	if err != nil {
 		return r, err
 	}
 	defer svc.close()
 	r.SetCount("endpoints", float64(endpoints))
-	r.SetCount("filled", time.Since(began).Seconds())
-	use, err := svc.use()
+	r.SetCount("filled", time.Since(startedAt).Seconds())
+	use, err := svc.readUse()
 	if err != nil {
 		return r, err
 	}
@@ -602,53 +605,53 @@
 	if err := svc.replicas[0].Kill(); err != nil {
 		return r, err
 	}
-	began = time.Now()
+	startedAt = time.Now()
 	if err := svc.replicas[0].Start(); err != nil {
 		return r, err
 	}
-	if err := svc.reached(ctx, revision); err != nil {
+	if err := svc.awaitReplicas(ctx, revision); err != nil {
 		return r, err
 	}
-	r.SetValue("directory.owned.start", time.Since(began).Seconds())
-	if use, err = svc.use(); err != nil {
+	r.SetValue("directory.owned.start", time.Since(startedAt).Seconds())
+	if use, err = svc.readUse(); err != nil {
 		return r, err
 	}
 	r.SetCount("directory.owned.rss.again", use.rss[0])
-	var set ownership.Set // a third of all
-	told, mine := 0, 0
-	for p := 0; p < ownership.PartitionCount; p += ownersEach {
+	var set ownership.Set // a third of all partitions
+	listed, want := 0, 0
+	for p := 0; p < ownership.PartitionCount; p += ownersPerPartition {
 		set.Add(p)
 	}
 	for i := range endpoints {
-		if set.Has(ownership.PartitionOf(endpoint(i).Cell)) {
-			mine++
+		if set.Has(ownership.PartitionOf(endpointAt(i).Cell)) {
+			want++
 		}
 	}
-	for _, some := range split(set, askParts) {
-		n, err := svc.partSize(ctx, some)
+	for _, part := range splitPartitions(set, maxPartitionsPerRequest) {
+		n, err := svc.partitionListSize(ctx, part)
 		if err != nil {
 			return r, err
 		}
-		told += n
+		listed += n
 	}
-	if told != mine {
-		return r, fmt.Errorf("the replica tells %d endpoints of partitions that have %d", told, mine)
+	if listed != want {
+		return r, fmt.Errorf("the replica lists %d endpoints of partitions that have %d", listed, want)
 	}
 	return r, ctx.Err()
 }
 
-const askParts = 500 // partitions of one ask, whose head has 16 KB at most
+const maxPartitionsPerRequest = 500 // the header of a request may have 16 KB
 
-// split is a set in pieces of at most so many partitions.
-func split(set ownership.Set, most int) (all []ownership.Set) {
-	var one ownership.Set
+// splitPartitions splits a set into sets of at most this many partitions.
+func splitPartitions(set ownership.Set, maxSize int) (parts []ownership.Set) {
+	var part ownership.Set
 	for p := range set.All() {
-		if one.Add(p); one.Len() == most {
-			all, one = append(all, one), ownership.Set{}
+		if part.Add(p); part.Len() == maxSize {
+			parts, part = append(parts, part), ownership.Set{}
 		}
 	}
-	if one.Len() > 0 {
-		all = append(all, one)
+	if part.Len() > 0 {
+		parts = append(parts, part)
 	}
-	return all
+	return parts
 }
--- a/internal/lab/scale/hollow/read.go
+++ b/internal/lab/scale/hollow/read.go
@@ -17,22 +17,23 @@
 	"starlingusher/internal/node"
 )
 
-// heap is what is live in this process, in bytes.
-func heap() float64 {
+// liveHeap returns the live heap of this process in bytes.
+func liveHeap() float64 {
 	runtime.GC()
-	runtime.GC() // what the first one's finalizers and pools still held
+	runtime.GC() // frees what the first one's finalizers and pools still held
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// settle gives back what the play itself has used, before a figure that others are held against is read.
-func settle() {
+// freeMemory returns the play's own garbage to the system, before a memory reading that later ones are
+// compared with.
+func freeMemory() {
 	runtime.GC()
 	debug.FreeOSMemory()
 }
 
-// rss is what a process has resident, in bytes.
+// rss returns the resident memory of a process in bytes.
 func rss(pid int) (float64, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -49,28 +50,31 @@
 	return float64(pages * int64(os.Getpagesize())), nil
 }
 
-// cpu is the processor time that a process has used, in seconds.
-func cpu(pid int) (float64, error) {
+// cpuSeconds returns the CPU time that a process has used.
+func cpuSeconds(pid int) (float64, error) {
 	var t unix.Timespec
-	if err := unix.ClockGettime(int32(^pid<<3|2), &t); err != nil { // the kernel's clock of a process, to the nanosecond
-		return 0, fmt.Errorf("processor time of a process: %w", err)
+	if err := unix.ClockGettime(int32(^pid<<3|2), &t); err != nil { // the kernel's CPU clock of a process, with a resolution of 1 ns
+		return 0, fmt.Errorf("CPU time of a process: %w", err)
 	}
 	return float64(t.Nano()) / 1e9, nil
 }
 
-// traffic is what the present connections of this process have carried, by the kernel's count: bytes of TCP's payload, with
-// HTTP's heads and frames, without TCP's and IP's.
+// traffic is what the open connections of this process have carried, as counted by the kernel: bytes of TCP
+// payload, with HTTP headers and framing, without TCP and IP headers.
 type traffic struct {
 	in, out float64
 	conns   int
 }
 
-// sub is what was carried since an earlier look, as long as the connections are the same.
-func (t traffic) sub(was traffic) traffic { return traffic{t.in - was.in, t.out - was.out, t.conns} }
+// sub returns the traffic since an earlier reading, provided that the connections are the same.
+func (t traffic) sub(before traffic) traffic {
+	return traffic{t.in - before.in, t.out - before.out, t.conns}
+}
 
-// carried looks at all connections that lead to one of the addresses (HOST:PORT), but for those that come from an address (HOST) of
-// others than nodes. Of one that has ended nothing is left.
-func carried(to map[string]bool, others string) (traffic, error) {
+// readTraffic reads the traffic of all open connections to the given addresses (HOST:PORT), except those from
+// the source address others (HOST), which are not those of nodes. Connections that have ended are not
+// counted.
+func readTraffic(addresses map[string]bool, others string) (traffic, error) {
 	var t traffic
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
@@ -82,11 +86,11 @@
 			continue
 		}
 		peer, err := unix.Getpeername(fd)
-		if err != nil { // no connection, or none any more
+		if err != nil { // not a connection, or no longer one
 			continue
 		}
 		p, ok := peer.(*unix.SockaddrInet4)
-		if !ok || !to[netip.AddrPortFrom(netip.AddrFrom4(p.Addr), uint16(p.Port)).String()] {
+		if !ok || !addresses[netip.AddrPortFrom(netip.AddrFrom4(p.Addr), uint16(p.Port)).String()] {
 			continue
 		}
 		from, err := unix.Getsockname(fd)
@@ -104,7 +108,7 @@
 	return t, nil
 }
 
-func descriptors() int {
+func countDescriptors() int {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		return 0
@@ -112,80 +116,81 @@
 	return len(entries)
 }
 
-// stall reads from outside for how long a node's loop stands still: it asks the loop for an endpoint that was never listed, again
-// and again. What it reads is some 0.1 ms at best, which is how far apart its asks are.
-type stall struct {
+// loopProbe measures from outside for how long a node's loop is blocked: it asks the loop again and again for
+// an endpoint that was never listed. It can't tell less than some 0.1 ms, the distance between its requests.
+type loopProbe struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu    sync.Mutex
-	worst time.Duration
-	asks  int
+	mu      sync.Mutex
+	worst   time.Duration
+	answers int
 }
 
-const askPause = 50 * time.Microsecond
+const probePause = 50 * time.Microsecond
 
-// watchLoop begins to ask. The first ask ends when the loop begins, so it is not counted.
-func watchLoop(n *node.Node) *stall {
+// startLoopProbe starts a probe. The first request is answered when the loop starts, so it is not counted.
+func startLoopProbe(n *node.Node) *loopProbe {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &stall{cancel: cancel}
+	s := &loopProbe{cancel: cancel}
 	s.wg.Go(func() {
 		for ctx.Err() == nil {
-			began := time.Now()
-			n.SetEndpointEnabled(ctx, "never-listed", true) // ErrUnknown, which the loop says
-			took := time.Since(began)
+			startedAt := time.Now()
+			n.SetEndpointEnabled(ctx, "never-listed", true) // the loop answers node.ErrUnknownEndpoint
+			took := time.Since(startedAt)
 			if ctx.Err() != nil {
 				return
 			}
 			s.mu.Lock()
-			if s.asks > 0 {
+			if s.answers > 0 {
 				s.worst = max(s.worst, took)
 			}
-			s.asks++
+			s.answers++
 			s.mu.Unlock()
-			time.Sleep(askPause)
+			time.Sleep(probePause)
 		}
 	})
 	return s
 }
 
-// take is the longest since the last take, and how many asks have been answered in all.
-func (s *stall) take() (worst time.Duration, asks int) {
+// takeWorst returns the longest answer time since the last call, and the number of answers in all.
+func (s *loopProbe) takeWorst() (worst time.Duration, answers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	worst, s.worst = s.worst, 0
-	return worst, s.asks
+	return worst, s.answers
 }
 
-// after waits for so many more answers, so that an ask which was under way has been counted.
-func (s *stall) after(ctx context.Context, more int) error {
+// awaitAnswers waits for this many more answers, so that a request which was under way has been counted.
+func (s *loopProbe) awaitAnswers(ctx context.Context, more int) error {
 	s.mu.Lock()
-	until := s.asks + more
+	until := s.answers + more
 	s.mu.Unlock()
 	return await(ctx, "the loop", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.asks >= until
+		return s.answers >= until
 	})
 }
 
-func (s *stall) close() {
+func (s *loopProbe) close() {
 	s.cancel()
 	s.wg.Wait()
 }
 
-const emptySteps = 21 // of which the median is taken
+const emptyStepCount = 21 // the median of these is taken
 
-// emptyStep is what a step of the loop takes in which nothing is new, in seconds. The loop answers an ask for an unknown endpoint at
-// its step's beginning; a second ask then waits for the step's end.
-func emptyStep(ctx context.Context, n *node.Node) (float64, error) {
+// measureEmptyStep returns the time in seconds of a step of the loop in which nothing is new. The loop
+// answers a request for an unknown endpoint at the start of a step, so a second request waits for the end of
+// that step.
+func measureEmptyStep(ctx context.Context, n *node.Node) (float64, error) {
 	var took []float64
-	for range emptySteps {
-		n.SetEndpointEnabled(ctx, "never-listed", true) // ErrUnknown, as in watchLoop
-		began := time.Now()
+	for range emptyStepCount {
+		n.SetEndpointEnabled(ctx, "never-listed", true) // node.ErrUnknownEndpoint, as in startLoopProbe
+		startedAt := time.Now()
 		n.SetEndpointEnabled(ctx, "never-listed", true)
-		took = append(took, time.Since(began).Seconds())
-		time.Sleep(askPause)
+		took = append(took, time.Since(startedAt).Seconds())
+		time.Sleep(probePause)
 		if ctx.Err() != nil {
 			return 0, ctx.Err()
 		}
@@ -194,23 +199,23 @@
 }
 
 const (
-	longest  = 60 * time.Second // for what must come
-	look     = time.Millisecond
-	lookWide = 10 * time.Millisecond  // where a look is a request
-	lookRare = 200 * time.Millisecond // where it is at all descriptors
+	waitTimeout            = 60 * time.Second // for any awaited condition
+	pollInterval           = time.Millisecond
+	requestPollInterval    = 10 * time.Millisecond  // where a poll is a request
+	descriptorPollInterval = 200 * time.Millisecond // where a poll reads all descriptors
 )
 
-// await waits for what must come, to a millisecond.
-func await(ctx context.Context, what string, is func() bool) error {
-	return awaitEvery(ctx, look, what, is)
+// await waits for a condition, polling every millisecond.
+func await(ctx context.Context, what string, isDone func() bool) error {
+	return awaitEvery(ctx, pollInterval, what, isDone)
 }
 
-func awaitEvery(ctx context.Context, every time.Duration, what string, is func() bool) error {
-	ctx, cancel := context.WithTimeoutCause(ctx, longest, fmt.Errorf("%s has not come within %v", what, longest))
+func awaitEvery(ctx context.Context, every time.Duration, what string, isDone func() bool) error {
+	ctx, cancel := context.WithTimeoutCause(ctx, waitTimeout, fmt.Errorf("%s has not come within %v", what, waitTimeout))
 	defer cancel()
 	tick := time.NewTicker(every)
 	defer tick.Stop()
-	for !is() {
+	for !isDone() {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
--- a/internal/lab/scale/hollow/real.go
+++ b/internal/lab/scale/hollow/real.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	realNodes = 8
-	realPort  = 6379
-	adminPort = 9100
-	askTime   = 2 * time.Second
+	defaultRealNodes = 8
+	clientPort       = 6379
+	adminPort        = 9100
+	requestTimeout   = 2 * time.Second
 )
 
-// realNode is a coralyard process. Its supervisor ends it.
+// realNode is a coralyard process. Its supervisor stops it.
 type realNode struct {
-	spec    Spec
-	program string
-	sup     *proc.Supervisor
-	log     *os.File
-	p       *proc.Process
+	spec       Spec
+	program    string
+	supervisor *proc.Supervisor
+	log        *os.File
+	process    *proc.Process
 }
 
-// realAddress is an address of a real node, by its place among the real ones.
-func realAddress(svc *service, n, port int) string {
-	return fmt.Sprintf("%s:%d", svc.block.IP(realHost, n+1), port)
+// realNodeAddr returns an address of the nth real node.
+func realNodeAddr(service *service, n, port int) string {
+	return fmt.Sprintf("%s:%d", service.block.IP(realHost, n+1), port)
 }
 
-// newReal makes a real node's files. It does not start yet.
-func newReal(spec Spec, program string, sup *proc.Supervisor) (*realNode, error) {
+// newRealNode writes the files of a real node, which is not started yet.
+func newRealNode(spec Spec, program string, supervisor *proc.Supervisor) (*realNode, error) {
 	if err := spec.Write(); err != nil {
 		return nil, err
 	}
@@ -51,44 +51,44 @@
 	if err != nil {
 		return nil, fmt.Errorf("log of %s: %w", spec.Name, err)
 	}
-	return &realNode{spec: spec, program: program, sup: sup, log: log}, nil
+	return &realNode{spec: spec, program: program, supervisor: supervisor, log: log}, nil
 }
 
 func (r *realNode) start() error {
-	p, err := r.sup.Start(proc.Spec{
-		Name: r.spec.Name, Command: []string{r.program}, MaxDescriptors: realSockets, Output: r.log,
+	p, err := r.supervisor.Start(proc.Spec{
+		Name: r.spec.Name, Command: []string{r.program}, MaxDescriptors: nodeSockets, Output: r.log,
 		Env: []string{
 			"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=" + r.spec.Name, "ROUTER_LISTEN=" + r.spec.Listen, "ROUTER_DISCOVERY=" + r.spec.Addresses[0],
-			"ROUTER_STATE=" + r.spec.state(), "ROUTER_CONFIG=" + r.spec.config(), "ROUTER_FLEET=" + r.spec.fleet(),
+			"ROUTER_STATE=" + r.spec.stateDir(), "ROUTER_CONFIG=" + r.spec.configFile(), "ROUTER_FLEET=" + r.spec.fleetFile(),
 			"TMPDIR=" + filepath.Join(r.spec.Dir, "tmp"),
 		},
 	})
 	if err == nil {
-		r.p = p
+		r.process = p
 	}
 	return err
 }
 
-// kill ends it at once.
+// kill ends the process by SIGKILL and waits for its end.
 func (r *realNode) kill() error {
-	err := r.p.Signal(syscall.SIGKILL)
-	<-r.p.Done()
+	err := r.process.Signal(syscall.SIGKILL)
+	<-r.process.Done()
 	return err
 }
 
-// close lets go of its log; its process must have ended.
+// close closes the log file; the process must have ended.
 func (r *realNode) close() { r.log.Close() }
 
-// admin is a client of operators' addresses, which take one call a connection.
-var admin = &http.Client{Timeout: askTime, Transport: &http.Transport{DisableKeepAlives: true}}
+// adminClient is for operators' addresses, which serve one request per connection.
+var adminClient = &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// listed is how many endpoints are in force at the node, as it tells its operators.
-func (r *realNode) listed(ctx context.Context) (int, error) {
+// endpointCount returns the number of endpoints in the node's list, from its metrics.
+func (r *realNode) endpointCount(ctx context.Context) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.spec.Admin+"/-/metrics", nil)
 	if err != nil {
 		return 0, err
 	}
-	resp, err := admin.Do(req)
+	resp, err := adminClient.Do(req)
 	if err != nil {
 		return 0, err
 	}
@@ -100,17 +100,17 @@
 			return strconv.Atoi(n)
 		}
 	}
-	return 0, errors.Join(lines.Err(), fmt.Errorf("%s tells no size of its list", r.spec.Name))
+	return 0, errors.Join(lines.Err(), fmt.Errorf("%s has no app.pool_size in its metrics", r.spec.Name))
 }
 
-// answers tells whether it answers clients.
-func (r *realNode) answers() bool {
-	nc, err := net.DialTimeout("tcp", r.spec.Listen, askTime)
+// answersPing reports whether the node answers clients.
+func (r *realNode) answersPing() bool {
+	nc, err := net.DialTimeout("tcp", r.spec.Listen, requestTimeout)
 	if err != nil {
 		return false
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(askTime))
+	nc.SetDeadline(time.Now().Add(requestTimeout))
 	if _, err := io.WriteString(nc, "*1\r\n$4\r\nPING\r\n"); err != nil {
 		return false
 	}
--- a/internal/lab/scale/hollow/service.go
+++ b/internal/lab/scale/hollow/service.go
@@ -28,35 +28,35 @@
 // Parts of the play's block of loopback addresses, by the third byte; replicas have 253 and 254.
 const (
 	operatorHost = 252
-	zoneHost     = 240 // and a further one for each zone
+	zoneHost     = 240 // for the first zone, and one more for each further zone
 	realHost     = 1
 )
 
 const (
-	serviceWait = 20 * time.Second
-	listWait    = 20 * time.Second // for the answer to a write of a whole list
-	changeWait  = 3 * time.Second  // and to one of a few endpoints
-	tryAgain    = 50 * time.Millisecond
+	serviceTimeout     = 20 * time.Second
+	listWriteTimeout   = 20 * time.Second // for a write of a complete list
+	changeWriteTimeout = 3 * time.Second  // for a write of a few endpoints
+	retryPause         = 50 * time.Millisecond
 )
 
-// service is the directory of a play: replicas as processes of their own, and the way to write to them. Its maker owns it, until
-// close.
+// service is the directory of a play: replicas in their own processes, and the client that writes to them.
+// Its owner must call close.
 type service struct {
-	sup      *proc.Supervisor
-	block    *block.Block
-	replicas []*replica.Replica
-	client   *http.Client
-	links    [][]*relay.Link // of each zone to each replica; nil: all reach the replicas without
+	supervisor *proc.Supervisor
+	block      *block.Block
+	replicas   []*replica.Replica
+	client     *http.Client
+	links      [][]*relay.Link // of each zone to each replica; nil: connect to the replicas directly
 }
 
-// openService starts so many replicas, and returns when all of them vote and have the list.
+// openService starts replicas, and returns once all of them vote and have the list.
 func openService(ctx context.Context, s play.Spec, replicas int, linked bool, list []catalog.Endpoint) (*service, error) {
-	return openServiceOf(ctx, s, "", replicas, linked, list)
+	return openServiceWith(ctx, s, "", replicas, linked, list)
 }
 
-// openServiceOf is openService with replicas of further settings, in TOML.
-func openServiceOf(ctx context.Context, s play.Spec, settings string, replicas int, linked bool, list []catalog.Endpoint) (svc *service, err error) {
-	svc = &service{sup: proc.NewSupervisor()}
+// openServiceWith is openService with further settings of the replicas, in TOML.
+func openServiceWith(ctx context.Context, s play.Spec, settings string, replicas int, linked bool, list []catalog.Endpoint) (svc *service, err error) {
+	svc = &service{supervisor: proc.NewSupervisor()}
 	defer func() {
 		if err != nil {
 			svc.close()
@@ -65,10 +65,10 @@
 	if svc.block, err = block.Reserve(); err != nil {
 		return svc, err
 	}
-	// Writes come from an address of their own, so that carried does not count them among the nodes'.
-	dial := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(svc.from())}}
-	svc.client = &http.Client{Timeout: listWait, Transport: &http.Transport{DialContext: dial.DialContext, MaxIdleConnsPerHost: 64}}
-	o := replica.Options{Command: []string{s.LabProgram, "directory", "serve"}, Dir: filepath.Join(s.Dir, "directory"), Block: svc.block, Supervisor: svc.sup, Seed: s.Seed, Settings: settings}
+	// Writes come from an address of their own, so that readTraffic does not count them as nodes' traffic.
+	dial := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(svc.ownAddr())}}
+	svc.client = &http.Client{Timeout: listWriteTimeout, Transport: &http.Transport{DialContext: dial.DialContext, MaxIdleConnsPerHost: 64}}
+	o := replica.Options{Command: []string{s.LabProgram, "directory", "serve"}, Dir: filepath.Join(s.Dir, "directory"), Block: svc.block, Supervisor: svc.supervisor, Seed: s.Seed, Settings: settings}
 	if linked {
 		o.Conditions = &relay.Conditions{}
 	}
@@ -81,26 +81,26 @@
 		}
 	}
 	if linked {
-		if err := svc.link(s.Seed); err != nil {
+		if err := svc.openLinks(s.Seed); err != nil {
 			return svc, err
 		}
 	}
-	if err := awaitEvery(ctx, lookWide, "the directory", func() bool { return svc.voters(ctx) == replicas }); err != nil {
+	if err := awaitEvery(ctx, requestPollInterval, "the directory", func() bool { return svc.voterCount(ctx) == replicas }); err != nil {
 		return svc, err
 	}
 	revision, err := svc.write(ctx, list, true)
 	if err != nil {
 		return svc, err
 	}
-	return svc, svc.reached(ctx, revision)
+	return svc, svc.awaitReplicas(ctx, revision)
 }
 
-// link gives each zone its own links to the replicas.
-func (s *service) link(seed uint64) error {
-	for z := range zones {
+// openLinks gives each zone its own links to the replicas.
+func (s *service) openLinks(seed uint64) error {
+	for zone := range zones {
 		var row []*relay.Link
 		for i, r := range s.replicas {
-			l, err := relay.Listen(fmt.Sprintf("%s:%d", s.block.IP(zoneHost+z, i+1), 8600), seed+uint64(100*z+i), relay.DialTo(r.OwnAddr(replica.HTTP)), func(time.Duration) {})
+			l, err := relay.Listen(fmt.Sprintf("%s:%d", s.block.IP(zoneHost+zone, i+1), 8600), seed+uint64(100*zone+i), relay.DialTo(r.OwnAddr(replica.HTTP)), func(time.Duration) {})
 			if err != nil {
 				return err
 			}
@@ -111,27 +111,27 @@
 	return nil
 }
 
-// addresses are where the nodes of a zone reach the replicas.
+// addresses returns where the nodes of a zone reach the replicas.
 func (s *service) addresses(zone int) []string {
 	var all []string
 	for i, r := range s.replicas {
-		at := r.OwnAddr(replica.HTTP)
+		addr := r.OwnAddr(replica.HTTP)
 		if s.links != nil {
-			at = s.links[zone][i].Addr()
+			addr = s.links[zone][i].Addr()
 		}
-		all = append(all, at)
+		all = append(all, addr)
 	}
 	return all
 }
 
-// from is where writes and other asks of the play itself come from.
-func (s *service) from() string { return s.block.IP(operatorHost, 1) }
+// ownAddr returns the source address of the play's own requests.
+func (s *service) ownAddr() string { return s.block.IP(operatorHost, 1) }
 
-// places are all addresses that nodes reach replicas at.
-func (s *service) places() map[string]bool {
+// allAddresses returns all addresses at which nodes reach replicas.
+func (s *service) allAddresses() map[string]bool {
 	all := map[string]bool{}
-	for z := range zones {
-		for _, a := range s.addresses(z) {
+	for zone := range zones {
+		for _, a := range s.addresses(zone) {
 			all[a] = true
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 func (s *service) operator(replicas ...*replica.Replica) *directory.AdminClient {
-	op := &directory.AdminClient{By: "scale", RetryFor: serviceWait, HTTPClient: s.client}
+	op := &directory.AdminClient{By: "scale", RetryFor: serviceTimeout, HTTPClient: s.client}
 	for _, r := range replicas {
 		op.Addresses = append(op.Addresses, r.OwnAddr(replica.HTTP))
 	}
@@ -152,9 +152,9 @@
 	return op.Status(ctx)
 }
 
-// voters is how many replicas the leader counts, 0 while there is none.
-func (s *service) voters(ctx context.Context) int {
-	n := 0
+// voterCount returns the number of voters that the leader counts, 0 while there is no leader.
+func (s *service) voterCount(ctx context.Context) int {
+	voters := 0
 	for _, r := range s.replicas {
 		st, err := s.status(ctx, r)
 		if err != nil || st.Leader == "" {
@@ -165,15 +165,15 @@
 		}
 		for _, m := range st.Members {
 			if m.Votes {
-				n++
+				voters++
 			}
 		}
 	}
-	return n
+	return voters
 }
 
-// leader is the number of the replica that leads, -1 if none does.
-func (s *service) leader(ctx context.Context) int {
+// leaderIndex returns the index of the leader, -1 if there is none.
+func (s *service) leaderIndex(ctx context.Context) int {
 	for i, r := range s.replicas {
 		if st, err := s.status(ctx, r); err == nil && st.Leader == st.ID {
 			return i
@@ -182,9 +182,9 @@
 	return -1
 }
 
-// reached waits until all replicas have a revision.
-func (s *service) reached(ctx context.Context, revision int64) error {
-	return awaitEvery(ctx, lookWide, fmt.Sprintf("revision %d at all replicas", revision), func() bool {
+// awaitReplicas waits until all replicas have a revision.
+func (s *service) awaitReplicas(ctx context.Context, revision int64) error {
+	return awaitEvery(ctx, requestPollInterval, fmt.Sprintf("revision %d at all replicas", revision), func() bool {
 		for _, r := range s.replicas {
 			if st, err := s.status(ctx, r); err != nil || st.Revision < revision {
 				return false
@@ -194,39 +194,39 @@
 	})
 }
 
-// encode makes a write's body.
-func encode(members []catalog.Endpoint) ([]byte, error) {
+// encodeMembers encodes the body of a write.
+func encodeMembers(members []catalog.Endpoint) ([]byte, error) {
 	return json.Marshal(map[string]any{"members": append([]catalog.Endpoint{}, members...)})
 }
 
-// write writes endpoints, and says what revision that made. One whose outcome is not known is written again, which changes nothing
-// if it was done.
-func (s *service) write(ctx context.Context, members []catalog.Endpoint, whole bool) (int64, error) {
-	raw, err := encode(members)
+// write writes endpoints, and returns the revision that this made. A write with an unknown outcome is
+// repeated, which changes nothing if it was done.
+func (s *service) write(ctx context.Context, members []catalog.Endpoint, complete bool) (int64, error) {
+	raw, err := encodeMembers(members)
 	if err != nil {
 		return 0, err
 	}
-	return s.send(ctx, raw, whole)
+	return s.send(ctx, raw, complete)
 }
 
-// send is write with a body that was encoded before. A replica that does not answer, as one that is stopped, is left for the next:
-// an Operator sends nothing again whose outcome is not known.
-func (s *service) send(ctx context.Context, raw []byte, whole bool) (int64, error) {
-	method, answerIn := http.MethodPost, changeWait
-	if whole {
-		method, answerIn = http.MethodPut, listWait
+// send is write with an encoded body. If a replica does not answer, because it is stopped for example, the
+// next one is tried: directory.AdminClient never repeats a write whose outcome is unknown.
+func (s *service) send(ctx context.Context, body []byte, complete bool) (int64, error) {
+	method, timeout := http.MethodPost, changeWriteTimeout
+	if complete {
+		method, timeout = http.MethodPut, listWriteTimeout
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, longest, fmt.Errorf("a write was not done within %v", longest))
+	ctx, cancel := context.WithTimeoutCause(ctx, waitTimeout, fmt.Errorf("a write was not done within %v", waitTimeout))
 	defer cancel()
-	once := func(op *directory.AdminClient) ([]byte, error) {
-		ctx, cancel := context.WithTimeout(ctx, answerIn)
+	tryOnce := func(op *directory.AdminClient) ([]byte, error) {
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		answer, _, err := op.Do(ctx, method, "/registry/instances?confirm=1", "*", raw)
+		answer, _, err := op.Do(ctx, method, "/registry/instances?confirm=1", "*", body)
 		return answer, err
 	}
 	for try := 0; ; try++ {
 		first := try % len(s.replicas)
-		answer, err := once(s.operator(slices.Concat(s.replicas[first:], s.replicas[:first])...))
+		answer, err := tryOnce(s.operator(slices.Concat(s.replicas[first:], s.replicas[:first])...))
 		if err == nil {
 			var w directory.WriteResult
 			err = json.Unmarshal(answer, &w)
@@ -238,40 +238,40 @@
 		if !errors.Is(err, directory.ErrAmbiguous) && !errors.Is(err, directory.ErrRefused) {
 			return 0, err
 		}
-		registry.Sleep(ctx, tryAgain)
+		registry.Sleep(ctx, retryPause)
 	}
 }
 
-// uses are of each replica's process.
-type uses struct{ rss, cpu []float64 }
+// replicaUse is the use of resources by each replica's process.
+type replicaUse struct{ rss, cpu []float64 }
 
-func (s *service) use() (uses, error) {
-	var u uses
+func (s *service) readUse() (replicaUse, error) {
+	var u replicaUse
 	for _, r := range s.replicas {
-		held, err := rss(r.Process().PID())
+		resident, err := rss(r.Process().PID())
 		if err != nil {
 			return u, err
 		}
-		used, err := cpu(r.Process().PID())
+		used, err := cpuSeconds(r.Process().PID())
 		if err != nil {
 			return u, err
 		}
-		u.rss, u.cpu = append(u.rss, held), append(u.cpu, used)
+		u.rss, u.cpu = append(u.rss, resident), append(u.cpu, used)
 	}
 	return u, nil
 }
 
-// since is the processor time of each replica since an earlier look.
-func (u uses) since(was uses) []float64 {
-	d := make([]float64, len(u.cpu))
-	for i := range d {
-		d[i] = u.cpu[i] - was.cpu[i]
+// cpuSince returns the CPU time of each replica since an earlier reading.
+func (u replicaUse) cpuSince(before replicaUse) []float64 {
+	delta := make([]float64, len(u.cpu))
+	for i := range delta {
+		delta[i] = u.cpu[i] - before.cpu[i]
 	}
-	return d
+	return delta
 }
 
-// refused is how many asks the replicas have refused, by their own count.
-func (s *service) refused(ctx context.Context) (float64, error) {
+// refusedRequests returns how many requests the replicas have refused, from their own metrics.
+func (s *service) refusedRequests(ctx context.Context) (float64, error) {
 	total := 0.0
 	for _, r := range s.replicas {
 		raw, _, err := s.operator(r).Do(ctx, http.MethodGet, "/metrics", "", nil)
@@ -283,7 +283,7 @@
 			if v, ok := strings.CutPrefix(lines.Text(), `directory_asks_total{result="refused"} `); ok {
 				n, err := strconv.ParseFloat(v, 64)
 				if err != nil {
-					return 0, fmt.Errorf("figures of a replica: %w", err)
+					return 0, fmt.Errorf("metrics of a replica: %w", err)
 				}
 				total += n
 			}
@@ -292,9 +292,9 @@
 	return total, nil
 }
 
-// close ends the processes and all else, in whatever state the service is.
+// close stops the processes and the links, in whatever state the service is.
 func (s *service) close() {
-	s.sup.Close()
+	s.supervisor.Close()
 	for _, row := range s.links {
 		for _, l := range row {
 			l.Close()
