--- a/internal/lab/scale/burden/burden.go
+++ b/internal/lab/scale/burden/burden.go
@@ -1,5 +1,6 @@
-// Package burden measures what a delivery node's own work costs: events that it holds, destinations that are down, destinations that
-// it knows. The decision module is driven alone, on a clock of its own; the journal is that of a real coralyard process.
+// Package burden has the axes of a scale run that measure the costs of a node's own work: messages that it
+// holds, and destinations that are down. The decision module is driven alone, on a simulated clock; the
+// journal is that of a real coralyard process.
 package burden
 
 import (
@@ -13,14 +14,15 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// Axes are the axes of a node's own work.
-func Axes() []play.Axis { return []play.Axis{held(), down()} }
+// Axes returns the axes of a node's own work.
+func Axes() []play.Axis { return []play.Axis{heldAxis(), downAxis()} }
 
-// clockStart is where the module's clock starts, as on a node.
+// clockStart is the module's clock at the start, as on a node.
 const clockStart = 48 * time.Hour
 
-// settings are those of a module in a fleet, by the lab's defaults: one class that may be repeated, weights in calls a second.
-func settings(fleet, slots int, deadline time.Duration) choice.Settings {
+// moduleSettings returns the settings of a module in a fleet, with the lab's defaults: one class of
+// idempotent messages, and weights in calls a second.
+func moduleSettings(fleet, slots int, deadline time.Duration) choice.Settings {
 	return choice.Settings{
 		Classes:   []choice.Class{{SoftDeadline: time.Second, Deadline: deadline, Worth: 1, Effect: choice.Idempotent}},
 		Kinds:     []choice.Kind{{MaxBatch: 1}},
@@ -31,11 +33,11 @@
 	}
 }
 
-// endpointID is the name of a destination's only endpoint here.
+// endpointID returns the ID of a destination's only endpoint.
 func endpointID(dest int) string { return fmt.Sprintf("d%06d-e0", dest) }
 
-// oneEach lists so many destinations with an endpoint each that takes perSecond calls.
-func oneEach(destinations int, perSecond float64) choice.ListUpdate {
+// listUpdate lists this many destinations with one endpoint each, which takes perSecond calls a second.
+func listUpdate(destinations int, perSecond float64) choice.ListUpdate {
 	entries := make([]choice.Entry, destinations)
 	for i := range entries {
 		entries[i] = choice.Entry{Endpoint: endpointID(i), Dest: i, Weight: perSecond}
@@ -43,56 +45,56 @@
 	return choice.ListUpdate{Complete: true, Entries: entries}
 }
 
-// liveHeap is what is live, in bytes.
+// liveHeap returns the live heap in bytes.
 func liveHeap() float64 {
 	runtime.GC()
-	runtime.GC() // what the first one only marked as final
+	runtime.GC() // frees what the first one only marked, such as objects with finalizers
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// cpuClock reads the processor time of the calling thread, which the goroutine must be locked to. The collector's own threads are not
-// in it, its help by this one is.
-func cpuClock() (time.Duration, error) {
+// threadCPUTime returns the CPU time of the calling thread, to which the goroutine must be locked. It
+// includes the thread's assists for the garbage collector, but not the collector's own threads.
+func threadCPUTime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		return 0, fmt.Errorf("processor time: %w", err)
+		return 0, fmt.Errorf("CPU time of a thread: %w", err)
 	}
 	return time.Duration(t.Nano()), nil
 }
 
-// stepper is the decision module, or a test's double of it.
+// stepper is the decision module, or a test's fake.
 type stepper interface {
 	Step(now time.Duration, events []choice.Event) []choice.Action
 }
 
-// meter is a stepper whose steps' processor time adds up.
-type meter struct {
-	of    stepper
-	used  time.Duration
-	steps int
-	most  time.Duration // of one step
-	err   error
+// stepTimer is a stepper that adds up the CPU time of its steps.
+type stepTimer struct {
+	module  stepper
+	cpuTime time.Duration
+	steps   int
+	longest time.Duration // of one step
+	err     error
 }
 
-func (m *meter) Step(now time.Duration, events []choice.Event) []choice.Action {
-	before, err := cpuClock()
-	actions := m.of.Step(now, events)
-	after, err2 := cpuClock()
+func (m *stepTimer) Step(now time.Duration, events []choice.Event) []choice.Action {
+	before, err := threadCPUTime()
+	actions := m.module.Step(now, events)
+	after, err2 := threadCPUTime()
 	if m.err == nil && err != nil {
 		m.err = err
 	}
 	if m.err == nil && err2 != nil {
 		m.err = err2
 	}
-	m.used += after - before
-	m.most = max(m.most, after-before)
+	m.cpuTime += after - before
+	m.longest = max(m.longest, after-before)
 	m.steps++
 	return actions
 }
 
-func (m *meter) reset() { m.used, m.most, m.steps = 0, 0, 0 }
+func (m *stepTimer) reset() { m.cpuTime, m.longest, m.steps = 0, 0, 0 }
 
-// mean is the processor time of a step, in seconds.
-func (m *meter) mean() float64 { return m.used.Seconds() / float64(max(m.steps, 1)) }
+// meanSeconds returns the mean CPU time of a step in seconds.
+func (m *stepTimer) meanSeconds() float64 { return m.cpuTime.Seconds() / float64(max(m.steps, 1)) }
--- a/internal/lab/scale/burden/down.go
+++ b/internal/lab/scale/burden/down.go
@@ -14,15 +14,15 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// down is the axis of the destinations that are down.
-func down() play.Axis {
+// downAxis is the axis of the destinations that are down.
+func downAxis() play.Axis {
 	return play.Axis{
 		Name:  "down",
 		XUnit: "destination down",
-		Description: "Of the destinations that a node has traffic for, D are down: each call and probe there fails. The decision module alone, on a " +
-			"clock of its own: what it sends there once it knows, and the processor time of its steps. The module asks for no probe of its own " +
-			"accord today: what it sends are trials, with events that wait. A step walks the destinations that something waits for by their square " +
-			"where all their endpoints failed last (choice.go: release, next, lameHeld).",
+		Description: "Of the destinations that a node has traffic for, x are down: each call and probe there fails. The decision module alone, on a " +
+			"simulated clock: the calls and probes it makes there once it knows, and the CPU time of its steps. Today the module makes no probes " +
+			"unasked: what it sends are half-open calls with waiting messages. The cost of a step grows with the square of the destinations that " +
+			"have messages waiting and whose endpoints have all failed last (choice.go: startCalls, nextMessage, unresponsiveCalls).",
 		Measures: []play.Measure{
 			{ID: "node.down.probes", Description: "probes and calls to destinations that are down, once that is known, all together", Unit: "count/s", Exact: true},
 			{ID: "node.down.cpu", Description: "processor time of the decision module's steps, by the destinations that are down", Unit: "s/s"},
@@ -30,16 +30,17 @@
 			{ID: "node.down.heap", Description: "heap of the module, by the destinations that are down", Unit: "B"},
 		},
 		Settings: map[string]play.Setting{
-			"destinations": {Default: 2000, Min: 1, Max: 400000, Description: "that there is traffic for, evenly"},
-			"rate":         {Default: 232, Min: 0.01, Max: 10000, Description: "events a second"},
-			"deadline":     {Default: 15, Min: 1, Max: 86400, Description: "seconds that an event may take"},
-			"silent":       {Default: 0, Min: 0, Max: 1, Description: "share of those down that don't answer; the others refuse connections"},
-			"slots":        {Default: 64, Min: 1, Max: 10000, Description: "calls out at once"},
-			// 232 events a second over 2,000 destinations are a quarter of the half event a second that each gets from all nodes.
-			"fleet":   {Default: 4, Min: 1, Max: 100000, Description: "nodes altogether, as the module is told; what a destination takes is parted among them"},
-			"weight":  {Default: 2, Min: 0, Max: 10000, Description: "calls a second that a destination takes; 0: not known"},
-			"warm":    {Default: 20, Min: 0, Max: 3600, Description: "seconds before anything is counted"},
-			"seconds": {Default: 20, Min: 1, Max: 3600, Description: "seconds that are counted"},
+			"destinations": {Default: 2000, Min: 1, Max: 400000, Description: "destinations, which get the traffic evenly"},
+			"rate":         {Default: 232, Min: 0.01, Max: 10000, Description: "messages per second"},
+			"deadline":     {Default: 15, Min: 1, Max: 86400, Description: "deadline of a message in seconds"},
+			"silent":       {Default: 0, Min: 0, Max: 1, Description: "share of the down destinations that do not answer; the others refuse connections"},
+			"slots":        {Default: 64, Min: 1, Max: 10000, Description: "limit of calls in flight"},
+			// 232 messages a second over 2,000 destinations are a quarter of the half message a second that a
+			// destination gets from all nodes.
+			"fleet":   {Default: 4, Min: 1, Max: 100000, Description: "size of the fleet as the module sees it; a destination's capacity is divided among the nodes"},
+			"weight":  {Default: 2, Min: 0, Max: 10000, Description: "calls per second that a destination takes; 0: unknown"},
+			"warm":    {Default: 20, Min: 0, Max: 3600, Description: "seconds before the measurement"},
+			"seconds": {Default: 20, Min: 1, Max: 3600, Description: "seconds of the measurement"},
 		},
 		Play: playDown,
 	}
@@ -49,17 +50,17 @@
 	var r play.Reading
 	n, d := int(s.Settings["destinations"]), int(s.X)
 	if d > n {
-		return r, fmt.Errorf("%d destinations can't be down of %d", d, n)
+		return r, fmt.Errorf("%d of %d destinations can't be down", d, n)
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	seconds := func(name string) time.Duration { return time.Duration(s.Settings[name] * float64(time.Second)) }
 	before := liveHeap()
-	sender := choice.New(settings(int(s.Settings["fleet"]), int(s.Settings["slots"]), seconds("deadline")), s.Seed)
-	m := &meter{of: sender}
-	w := newWorld(m, n, d, s.Settings["silent"], s.Seed)
-	w.every, w.life = time.Duration(float64(time.Second)/s.Settings["rate"]), seconds("deadline")
-	w.step(oneEach(n, s.Settings["weight"]))
+	sender := choice.New(moduleSettings(int(s.Settings["fleet"]), int(s.Settings["slots"]), seconds("deadline")), s.Seed)
+	m := &stepTimer{module: sender}
+	w := newSimulation(m, n, d, s.Settings["silent"], s.Seed)
+	w.interval, w.messageTTL = time.Duration(float64(time.Second)/s.Settings["rate"]), seconds("deadline")
+	w.step(listUpdate(n, s.Settings["weight"]))
 	if err := w.run(ctx, seconds("warm")); err != nil {
 		return r, err
 	}
@@ -74,19 +75,19 @@
 	}
 	span := s.Settings["seconds"]
 	r.SetValue("node.down.probes", float64(w.count.probes+w.count.callsDown)/span)
-	r.SetValue("node.down.cpu", m.used.Seconds()/span)
-	r.SetValue("node.down.step", m.mean())
+	r.SetValue("node.down.cpu", m.cpuTime.Seconds()/span)
+	r.SetValue("node.down.step", m.meanSeconds())
 	r.SetCount("probes", float64(w.count.probes))
 	r.SetCount("calls_down", float64(w.count.callsDown))
 	r.SetCount("calls", float64(w.count.calls))
-	r.SetCount("arrived", float64(w.count.arrived))
+	r.SetCount("arrived", float64(w.count.arrivals))
 	r.SetCount("refused", float64(w.count.refused))
 	r.SetCount("delivered", float64(w.count.delivered))
 	r.SetCount("steps", float64(m.steps))
-	r.SetCount("step_longest_s", m.most.Seconds())
+	r.SetCount("step_longest_s", m.longest.Seconds())
 	r.SetCount("listed", float64(listed))
-	r.SetCount("avoided", float64(avoided)) // when the count began
-	w.queue, w.attempts, w.over = nil, nil, nil
+	r.SetCount("avoided", float64(avoided)) // at the start of the measurement
+	w.queue, w.attempts, w.pendingOutcomes = nil, nil, nil
 	r.SetValue("node.down.heap", liveHeap()-before)
 	runtime.KeepAlive(sender)
 	return r, nil
@@ -95,54 +96,54 @@
 const (
 	answerTime  = 40 * time.Millisecond   // of a destination that is up
 	refusalTime = time.Millisecond        // of a connection that is refused
-	probeTime   = 1500 * time.Millisecond // after which a probe that is not answered has failed
+	probeTime   = 1500 * time.Millisecond // after which an unanswered probe fails
 )
 
-// counts are what a world saw.
-type counts struct{ probes, calls, callsDown, arrived, refused, delivered int }
+// counts are what a simulation has seen.
+type counts struct{ probes, calls, callsDown, arrivals, refused, delivered int }
 
-// world is all that a module meets, on a clock of its own: events that come evenly for destinations drawn at random, and
-// destinations of which the first ones are down.
-type world struct {
-	module    stepper
-	rand      *rand.Rand
-	now       time.Duration
-	dests     int
-	down      map[string]bool // endpoints; true: it does not answer
-	every     time.Duration   // between events
-	life      time.Duration   // of an event
-	next      time.Duration   // event
-	wakeAt    time.Duration   // 0: none
-	queue     queue
-	ordered   int
-	attempts  map[string]int             // by event: sends so far
-	over      map[attempt]choice.Outcome // sends whose outcome is queued
-	lastEvent int
-	count     counts
+// simulation is the environment of a module, on a simulated clock: messages arrive at even intervals for
+// destinations drawn at random, and the first of the destinations are down.
+type simulation struct {
+	module          stepper
+	rand            *rand.Rand
+	now             time.Duration
+	dests           int
+	down            map[string]bool // endpoints; true: does not answer, false: refuses connections
+	interval        time.Duration   // between messages
+	messageTTL      time.Duration   // from a message's arrival to its deadline
+	nextArrival     time.Duration   // time of the next message
+	wakeAt          time.Duration   // 0: none
+	queue           eventQueue
+	queued          int
+	attempts        map[string]int                // number of sends so far, by message
+	pendingOutcomes map[attemptKey]choice.Outcome // of sends whose end is queued
+	lastMessage     int
+	count           counts
 }
 
-// attempt names one Send.
-type attempt struct {
-	id string
-	n  int
+// attemptKey identifies one Send.
+type attemptKey struct {
+	id     string
+	number int
 }
 
-func newWorld(module stepper, dests, down int, silent float64, seed uint64) *world {
-	w := &world{
+func newSimulation(module stepper, dests, down int, silent float64, seed uint64) *simulation {
+	w := &simulation{
 		module: module, rand: rand.New(rand.NewPCG(seed, 0xd0)), now: clockStart, dests: dests, down: map[string]bool{},
-		attempts: map[string]int{}, over: map[attempt]choice.Outcome{}, every: time.Second, life: time.Minute,
+		attempts: map[string]int{}, pendingOutcomes: map[attemptKey]choice.Outcome{}, interval: time.Second, messageTTL: time.Minute,
 	}
 	for i := range down {
 		w.down[endpointID(i)] = float64(i) < silent*float64(down)
 	}
-	w.next = w.now
+	w.nextArrival = w.now
 	return w
 }
 
-// run goes on for a time.
-func (w *world) run(ctx context.Context, span time.Duration) error {
+// run advances the simulation by a time.
+func (w *simulation) run(ctx context.Context, span time.Duration) error {
 	for end := w.now + span; ; {
-		at := w.next
+		at := w.nextArrival
 		if len(w.queue) > 0 {
 			at = min(at, w.queue[0].at)
 		}
@@ -159,11 +160,11 @@
 		w.now = max(w.now, at)
 		var events []choice.Event
 		for len(w.queue) > 0 && w.queue[0].at <= w.now {
-			events = append(events, w.take(heap.Pop(&w.queue).(due).event)...)
+			events = append(events, w.handleDue(heap.Pop(&w.queue).(dueEvent).event)...)
 		}
-		if w.next <= w.now {
-			events = append(events, w.arrival())
-			w.next += w.every
+		if w.nextArrival <= w.now {
+			events = append(events, w.newArrival())
+			w.nextArrival += w.interval
 		}
 		if w.wakeAt > 0 && w.wakeAt <= w.now {
 			w.wakeAt = 0
@@ -175,20 +176,21 @@
 	}
 }
 
-func (w *world) arrival() choice.Event {
-	w.lastEvent++
-	w.count.arrived++
-	return choice.MessageArrived{ID: strconv.Itoa(w.lastEvent), Tenant: -1, Dest: w.rand.IntN(w.dests), Deadline: w.now + w.life}
+func (w *simulation) newArrival() choice.Event {
+	w.lastMessage++
+	w.count.arrivals++
+	return choice.MessageArrived{ID: strconv.Itoa(w.lastMessage), Tenant: -1, Dest: w.rand.IntN(w.dests), Deadline: w.now + w.messageTTL}
 }
 
-// take is a queued event that has fallen due. A call that was called off has ended before.
-func (w *world) take(e choice.Event) []choice.Event {
+// handleDue returns the events of a queued event that is due: none for a call that was canceled, as it has
+// ended already.
+func (w *simulation) handleDue(e choice.Event) []choice.Event {
 	if e, ok := e.(choice.AttemptEnded); ok {
-		a := attempt{e.ID, e.Attempt}
-		if is, out := w.over[a]; !out || is != e.Outcome {
+		a := attemptKey{e.ID, e.Attempt}
+		if is, out := w.pendingOutcomes[a]; !out || is != e.Outcome {
 			return nil
 		}
-		delete(w.over, a)
+		delete(w.pendingOutcomes, a)
 		if e.Outcome == choice.Success {
 			w.count.delivered++
 			delete(w.attempts, e.ID)
@@ -197,8 +199,8 @@
 	return []choice.Event{e}
 }
 
-// step lets the module decide, and queues what becomes of it.
-func (w *world) step(events ...choice.Event) {
+// step runs a step of the module, and queues the effects of its actions.
+func (w *simulation) step(events ...choice.Event) {
 	for _, a := range w.module.Step(w.now, events) {
 		switch a := a.(type) {
 		case choice.Send:
@@ -206,8 +208,8 @@
 		case choice.Probe:
 			w.probe(a)
 		case choice.Cancel:
-			if _, out := w.over[attempt{a.ID, a.Attempt}]; out {
-				w.end(0, choice.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: choice.Canceled})
+			if _, out := w.pendingOutcomes[attemptKey{a.ID, a.Attempt}]; out {
+				w.queueOutcome(0, choice.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: choice.Canceled})
 			}
 		case choice.Refuse:
 			w.count.refused++
@@ -222,7 +224,7 @@
 	}
 }
 
-func (w *world) send(a choice.Send) {
+func (w *simulation) send(a choice.Send) {
 	n := w.attempts[a.ID]
 	w.attempts[a.ID] = n + 1
 	w.count.calls++
@@ -239,16 +241,16 @@
 		w.count.callsDown++
 	}
 	e.Took = took
-	w.end(took, e)
+	w.queueOutcome(took, e)
 }
 
-// end queues the one outcome of a Send.
-func (w *world) end(after time.Duration, e choice.AttemptEnded) {
-	w.over[attempt{e.ID, e.Attempt}] = e.Outcome
-	w.after(after, e)
+// queueOutcome queues the end of a Send. If it is called again, only the last outcome counts.
+func (w *simulation) queueOutcome(after time.Duration, e choice.AttemptEnded) {
+	w.pendingOutcomes[attemptKey{e.ID, e.Attempt}] = e.Outcome
+	w.queueEvent(after, e)
 }
 
-func (w *world) probe(a choice.Probe) {
+func (w *simulation) probe(a choice.Probe) {
 	w.count.probes++
 	silent, isDown := w.down[a.Endpoint]
 	p := choice.ProbeEnded{Endpoint: a.Endpoint, Outcome: choice.Success, Took: answerTime}
@@ -258,33 +260,33 @@
 	case isDown:
 		p.Outcome, p.Took = choice.Unreachable, refusalTime
 	}
-	w.after(p.Took, p)
+	w.queueEvent(p.Took, p)
 }
 
-func (w *world) after(d time.Duration, e choice.Event) {
-	w.ordered++
-	heap.Push(&w.queue, due{w.now + d, w.ordered, e})
+func (w *simulation) queueEvent(d time.Duration, e choice.Event) {
+	w.queued++
+	heap.Push(&w.queue, dueEvent{w.now + d, w.queued, e})
 }
 
-// due is an event to come, in order of time and then of making.
-type due struct {
+// dueEvent is a queued event; events are ordered by time, and then by their number.
+type dueEvent struct {
 	at    time.Duration
 	order int
 	event choice.Event
 }
 
-type queue []due
+type eventQueue []dueEvent
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(due)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(dueEvent)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
-	old[len(old)-1] = due{}
+	old[len(old)-1] = dueEvent{}
 	*q = old[:len(old)-1]
 	return x
 }
--- a/internal/lab/scale/burden/held.go
+++ b/internal/lab/scale/burden/held.go
@@ -12,15 +12,15 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// held is the axis of the events that a node holds because nobody takes them.
-func held() play.Axis {
+// heldAxis is the axis of the messages that a node holds because no partner takes them.
+func heldAxis() play.Axis {
 	return play.Axis{
 		Name:  "held",
 		XUnit: "event",
-		Description: "A node holds N events that no partner takes. The decision module alone: one event more in a step, a step in which nothing " +
-			"happens, and its memory. A real node: memory and file with N events handed in by clients, then a kill and the time until it is ready " +
-			"again. Each step walks all that is held twice (choice.go: expire and arm), and the destinations that something waits for by their " +
-			"square where all their endpoints failed last (release, next, lameHeld).",
+		Description: "A node holds x messages that no partner takes. The decision module alone: a step with one more message, a step in which nothing " +
+			"happens, and its memory. A real node: memory and file with x messages submitted by clients, then a kill and the time until it is " +
+			"ready again. Each step walks all held messages twice (choice.go: expireMessages and scheduleWake), and its cost grows with the square " +
+			"of the destinations that have messages waiting and whose endpoints have all failed last (startCalls, nextMessage, unresponsiveCalls).",
 		Measures: []play.Measure{
 			{ID: "module.held.step", Description: "processor time of a step that takes one event, by the events held", Unit: "s"},
 			{ID: "module.held.wake", Description: "processor time of a step in which nothing happens, by the events held", Unit: "s"},
@@ -32,18 +32,19 @@
 			{ID: "journal.stall", Description: "longest that one event handed in alone waited for its answer, by the events held", Unit: "s"},
 		},
 		Settings: map[string]play.Setting{
-			"destinations": {Default: 100, Min: 1, Max: 10000, Description: "that the events are for, evenly"},
-			"fleet":        {Default: 820, Min: 1, Max: 100000, Description: "nodes altogether, as the node is told"},
-			"journal_most": {Default: 200000, Min: 0, Max: 1e7, Description: "events from which on the real node is left out; 0 leaves it out"},
-			"body":         {Default: 200, Min: 0, Max: 60000, Description: "bytes of an event's body"},
-			"clients":      {Default: 256, Min: 1, Max: 300, Description: "connections that hand events in"},
-			"load_seconds": {Default: 120, Min: 1, Max: 3600, Description: "within which the real node must have taken all events"},
-			"max_open":     {Default: 0, Min: 0, Max: 1e9, Description: "events that the real node may hold; 0: as many as it takes"},
-			"disk_mb":      {Default: 0, Min: 0, Max: 1 << 20, Description: "of the real node's lasting folder; 0: as much as it takes"},
-			"memory_mb":    {Default: 8192, Min: 16, Max: 1 << 20, Description: "of the real node"},
-			"cores":        {Default: 1, Min: 0.1, Max: 64, Description: "of the real node from its second start on"},
-			// With one a step takes one event, as the loop is run for each that comes, and the load takes time by the square of the events.
-			"load_cores": {Default: 4, Min: 0.1, Max: 64, Description: "of the real node while it is filled"},
+			"destinations": {Default: 100, Min: 1, Max: 10000, Description: "destinations, among which the messages are spread evenly"},
+			"fleet":        {Default: 820, Min: 1, Max: 100000, Description: "size of the fleet as the node sees it"},
+			"journal_most": {Default: 200000, Min: 0, Max: 1e7, Description: "most messages for which the real node is played; 0: it is left out"},
+			"body":         {Default: 200, Min: 0, Max: 60000, Description: "bytes of a message's body"},
+			"clients":      {Default: 256, Min: 1, Max: 300, Description: "connections that submit messages"},
+			"load_seconds": {Default: 120, Min: 1, Max: 3600, Description: "seconds within which the real node must have accepted all messages"},
+			"max_open":     {Default: 0, Min: 0, Max: 1e9, Description: "messages that the real node may hold; 0: as many as the play needs"},
+			"disk_mb":      {Default: 0, Min: 0, Max: 1 << 20, Description: "size of the real node's state folder in MB; 0: as much as the play needs"},
+			"memory_mb":    {Default: 8192, Min: 16, Max: 1 << 20, Description: "memory limit of the real node in MB"},
+			"cores":        {Default: 1, Min: 0.1, Max: 64, Description: "cores of the real node from its second start on"},
+			// With one core the loop runs a step for each message that comes, and the time to fill the node
+			// grows with the square of the messages.
+			"load_cores": {Default: 4, Min: 0.1, Max: 64, Description: "cores of the real node while it is filled"},
 		},
 		Play: playHeld,
 	}
@@ -52,47 +53,49 @@
 func playHeld(ctx context.Context, s play.Spec, log *slog.Logger) (play.Reading, error) {
 	var r play.Reading
 	n, dests := int(s.X), int(s.Settings["destinations"])
-	if err := moduleHeld(ctx, &r, n, dests, int(s.Settings["fleet"]), s.Seed); err != nil {
+	if err := measureModule(ctx, &r, n, dests, int(s.Settings["fleet"]), s.Seed); err != nil {
 		return r, err
 	}
 	if most := s.Settings["journal_most"]; s.X > most {
 		if most > 0 {
-			r.AddNote("the real node is left out above %.0f events", most)
+			r.AddNote("the real node is left out above %.0f messages", most)
 		}
 		return r, nil
 	}
-	return r, journalHeld(ctx, &r, s, log)
+	return r, measureNode(ctx, &r, s, log)
 }
 
 const (
-	heldSteps   = 300             // that are timed,
-	heldLeast   = 20              // fewer once they have taken
-	heldTime    = 3 * time.Second // so long
-	loadBatch   = 1 << 14         // events in one step while the module is filled
-	never       = 1000 * time.Hour
-	messageLife = 24 * time.Hour // the longest that clients may ask for
+	timedSteps     = 300             // steps that are timed
+	minTimedSteps  = 20              // fewer, but at least this many, once they have taken timedStepsSpan
+	timedStepsSpan = 3 * time.Second // so long
+	fillBatch      = 1 << 14         // messages in one step while the module is filled
+	longRetryAfter = 1000 * time.Hour
+	messageTTL     = 24 * time.Hour // the longest that clients may ask for
 )
 
-// moduleHeld fills the module with n events and times its steps. Each destination has told to wait, so nothing goes out: what a step
-// takes is what it takes to hold.
+// measureModule fills the module with n messages and times its steps. Each destination has sent a
+// retry-after, so there are no calls: the steps cost what it costs to hold messages.
 //
-// Where it goes, by processor profiles of this play with 40,000 events of 100 destinations: 46% to arm (its loop over s.open, which reads
-// two fields of each message), 39% to expire (slices.DeleteFunc over s.open), in every step, also in one in which nothing happens. With
-// 1,000 destinations, all of whose endpoints failed last, 77% goes to release: next asks lameHeld, which walks s.active, for each of
-// s.active, so that the destinations that something waits for count by their square.
-func moduleHeld(ctx context.Context, r *play.Reading, n, dests, fleet int, seed uint64) error {
+// In CPU profiles of this play with 40,000 messages of 100 destinations, scheduleWake takes 46% (its loop
+// over Sender.open reads two fields of each message) and expireMessages 39% (slices.DeleteFunc over
+// Sender.open), in every step, even if nothing happens. With 1,000 destinations whose endpoints have all
+// failed last, startCalls takes 77%: nextMessage calls unresponsiveCalls, which walks Sender.activeDests, for
+// each of Sender.activeDests, so the cost grows with the square of the destinations that have messages
+// waiting.
+func measureModule(ctx context.Context, r *play.Reading, n, dests, fleet int, seed uint64) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	sender := choice.New(settings(fleet, 64, messageLife), seed)
-	f := filler{of: sender, now: clockStart}
-	f.step(oneEach(dests, 2))
-	for id := range min(n, dests) { // of each destination the first one hears of the wait
+	sender := choice.New(moduleSettings(fleet, 64, messageTTL), seed)
+	f := filler{module: sender, now: clockStart}
+	f.step(listUpdate(dests, 2))
+	for id := range min(n, dests) { // the first message of each destination gets the retry-after
 		f.step(f.arrival(id, id%dests))
 	}
 	before := liveHeap()
-	batch := make([]choice.Event, 0, loadBatch)
+	batch := make([]choice.Event, 0, fillBatch)
 	for id := dests; id < n; id++ {
-		if batch = append(batch, f.arrival(id, id%dests)); len(batch) == loadBatch || id == n-1 {
+		if batch = append(batch, f.arrival(id, id%dests)); len(batch) == fillBatch || id == n-1 {
 			f.step(batch...)
 			batch = batch[:0]
 			if ctx.Err() != nil {
@@ -104,36 +107,36 @@
 	after := liveHeap()
 	runtime.KeepAlive(batch)
 	if f.refused > 0 {
-		return fmt.Errorf("the module refused or ended %d of %d events", f.refused, n)
+		return fmt.Errorf("the module refused or ended %d of %d messages", f.refused, n)
 	}
-	if n > dests { // those of the first round were there before
+	if n > dests { // the first message of each destination came before the first reading
 		r.SetValue("module.held.heap", (after-before)*float64(n)/float64(n-dests))
 	}
 	r.SetCount("module_calls", float64(f.calls))
 
-	m := &meter{of: sender}
-	f.of = m
+	m := &stepTimer{module: sender}
+	f.module = m
 	var used, wakes time.Duration
 	var most time.Duration
 	steps := 0
-	for began := time.Now(); steps < heldSteps && (steps < heldLeast || time.Since(began) < heldTime); steps++ {
+	for began := time.Now(); steps < timedSteps && (steps < minTimedSteps || time.Since(began) < timedStepsSpan); steps++ {
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
 		id := n + steps
 		m.reset()
 		f.step(f.arrival(id, id%dests))
-		used, most = used+m.used, max(most, m.most)
+		used, most = used+m.cpuTime, max(most, m.longest)
 		m.reset()
 		f.step(choice.WakeDue{Tag: "sweep"})
-		wakes += m.used
-		f.step(choice.MessageAbandoned{ID: strconv.Itoa(id)}) // so that it goes on holding n
+		wakes += m.cpuTime
+		f.step(choice.MessageAbandoned{ID: strconv.Itoa(id)}) // so that the module goes on holding n messages
 	}
 	if m.err != nil {
 		return m.err
 	}
 	if f.refused > 0 {
-		return fmt.Errorf("the module refused or ended %d of %d timed events", f.refused, steps)
+		return fmt.Errorf("the module refused or ended %d of %d timed messages", f.refused, steps)
 	}
 	r.SetValue("module.held.step", used.Seconds()/float64(steps))
 	r.SetValue("module.held.wake", wakes.Seconds()/float64(steps))
@@ -142,27 +145,27 @@
 	return nil
 }
 
-// filler drives the module on a clock of its own. Whatever is called refuses and tells to wait.
+// filler drives the module on a simulated clock. Every call is rejected with a retry-after.
 type filler struct {
-	of             stepper
+	module         stepper
 	now            time.Duration
 	calls, refused int
 }
 
 func (f *filler) arrival(id, dest int) choice.Event {
-	return choice.MessageArrived{ID: strconv.Itoa(id), Tenant: -1, Dest: dest, Deadline: f.now + messageLife}
+	return choice.MessageArrived{ID: strconv.Itoa(id), Tenant: -1, Dest: dest, Deadline: f.now + messageTTL}
 }
 
 func (f *filler) step(events ...choice.Event) {
 	for len(events) > 0 {
 		f.now += time.Millisecond
-		actions := f.of.Step(f.now, events)
+		actions := f.module.Step(f.now, events)
 		events = nil
 		for _, a := range actions {
 			switch a := a.(type) {
 			case choice.Send:
 				f.calls++
-				events = append(events, choice.AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Outcome: choice.Rejected, Took: time.Millisecond, RetryAfter: never})
+				events = append(events, choice.AttemptEnded{ID: a.ID, Endpoint: a.Endpoint, Outcome: choice.Rejected, Took: time.Millisecond, RetryAfter: longRetryAfter})
 			case choice.Refuse, choice.Fail:
 				f.refused++
 			}
--- a/internal/lab/scale/burden/real.go
+++ b/internal/lab/scale/burden/real.go
@@ -25,21 +25,22 @@
 )
 
 const (
-	readyWithin  = 2 * time.Minute
-	readyPoll    = time.Millisecond
-	answerWithin = 30 * time.Second
-	settleTime   = 500 * time.Millisecond // before a node's memory is read
-	alone        = 100                    // events handed in one by one,
-	alonePause   = 5 * time.Millisecond   // so far apart
-	partnerWait  = 600                    // seconds that a partner tells to wait, the longest that a node heeds
-	perHeld      = 1000 + 24              // bytes that the journal sets aside for an event beside its body, id included, and some more
-	sockets      = 2048                   // a third of the half that clients get may stay idle; beyond that they are hung up on
+	readyTimeout           = 2 * time.Minute
+	readyPollInterval      = time.Millisecond
+	answerTimeout          = 30 * time.Second
+	settleTime             = 500 * time.Millisecond // before a node's memory is read
+	singleMessages         = 100                    // submitted one by one
+	singlePause            = 5 * time.Millisecond   // between these
+	partnerRetryAfter      = 600                    // seconds of the partners' retry-after, the longest that a node heeds
+	journalBytesPerMessage = 1000 + 24              // bytes that the journal reserves for a message in addition to its body, ID included, with some spare
+	nodeSockets            = 2048                   // half of these are for clients, and a third of that half may stay idle; the node closes idle connections beyond that
 )
 
-// journalHeld lets clients hand n events in to a real node whose partners take nothing, kills it and starts it again.
-func journalHeld(ctx context.Context, r *play.Reading, s play.Spec, log *slog.Logger) (err error) {
+// measureNode has clients submit n messages to a real node whose partners reject all calls, kills the node
+// and restarts it.
+func measureNode(ctx context.Context, r *play.Reading, s play.Spec, log *slog.Logger) (err error) {
 	n, dests := int(s.X), int(s.Settings["destinations"])
-	around, err := newSurroundings(dests)
+	around, err := newEnvironment(dests)
 	if err != nil {
 		return err
 	}
@@ -52,13 +53,13 @@
 	if _, err := node.start(ctx, s.Settings["load_cores"]); err != nil {
 		return err
 	}
-	c := handers{addr: node.addr, dests: dests, body: strings.Repeat("x", int(s.Settings["body"]))}
+	c := submitter{addr: node.addr, dests: dests, body: strings.Repeat("x", int(s.Settings["body"]))}
 	load, cancel := context.WithTimeout(ctx, time.Duration(s.Settings["load_seconds"]*float64(time.Second)))
 	defer cancel()
 	began := time.Now()
-	longest, err := c.handIn(load, n, int(s.Settings["clients"]))
+	longest, err := c.submitAll(load, n, int(s.Settings["clients"]))
 	took := time.Since(began).Seconds()
-	r.SetCount("journal_taken", float64(c.taken.Load()))
+	r.SetCount("journal_taken", float64(c.accepted.Load()))
 	r.SetCount("journal_load_s", took)
 	r.SetCount("journal_load_answer_longest_s", longest.Seconds())
 	if ctx.Err() != nil {
@@ -67,14 +68,14 @@
 	var refused refusedError
 	switch {
 	case errors.As(err, &refused):
-		r.AddLimit("%d events are held, and the next one is refused (%s): max_open %.0f, disk_mb %.0f (0: raised as needed)",
-			c.taken.Load(), refused.answer, s.Settings["max_open"], s.Settings["disk_mb"])
+		r.AddLimit("%d messages are held, and the next one is refused (%s): max_open %.0f, disk_mb %.0f (0: raised as needed)",
+			c.accepted.Load(), refused.answer, s.Settings["max_open"], s.Settings["disk_mb"])
 		return nil
 	case load.Err() != nil:
-		r.AddLimit("%d of %d events were taken in %.0f s", c.taken.Load(), n, took)
+		r.AddLimit("%d of %d messages were accepted in %.0f s", c.accepted.Load(), n, took)
 		return nil
-	case err != nil && node.ended():
-		r.AddLimit("the node ended %v at %d events", node.p.Wait(), c.taken.Load())
+	case err != nil && node.hasEnded():
+		r.AddLimit("the node ended %v at %d messages", node.process.Wait(), c.accepted.Load())
 		return nil
 	case err != nil:
 		return err
@@ -82,7 +83,7 @@
 	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
-	use, err := node.p.Usage()
+	use, err := node.process.Usage()
 	if err != nil {
 		return err
 	}
@@ -100,17 +101,17 @@
 	r.SetValue("journal.held.rss", float64(use.RSS))
 	r.SetValue("journal.held.file", float64(file.Size()))
 	r.SetValue("journal.start", ready.Seconds())
-	stall, mean, err := c.handInAlone(ctx, alone)
+	stall, mean, err := c.submitSingly(ctx, singleMessages)
 	if err != nil {
-		return fmt.Errorf("after the start: %w", err)
+		return fmt.Errorf("after the restart: %w", err)
 	}
 	r.SetValue("journal.stall", stall.Seconds())
 	r.SetCount("journal_answer_mean_s", mean.Seconds())
 	if err := node.kill(); err != nil {
 		return err
 	}
-	r.SetValue("journal.start.rss", float64(node.p.Wait().MaxRSS))
-	r.SetCount("journal_start_cpu_s", node.p.Wait().CPU.Seconds())
+	r.SetValue("journal.start.rss", float64(node.process.Wait().MaxRSS))
+	r.SetCount("journal_start_cpu_s", node.process.Wait().CPU.Seconds())
 	return nil
 }
 
@@ -125,8 +126,9 @@
 	}
 }
 
-// surroundings are all that the node meets but its clients, on one address: the list, the place for notices, and every partner.
-type surroundings struct {
+// environment is all that the node talks to except its clients, on one address: the list service, the
+// receiver of notices, and every partner.
+type environment struct {
 	list  catalog.List
 	addr  string
 	srv   *http.Server
@@ -134,36 +136,36 @@
 	calls atomic.Int64
 }
 
-func newSurroundings(dests int) (*surroundings, error) {
+func newEnvironment(dests int) (*environment, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("the node's surroundings: %w", err)
+		return nil, fmt.Errorf("the node's environment: %w", err)
 	}
-	a := &surroundings{addr: ln.Addr().String(), done: make(chan struct{}), list: catalog.List{Revision: 1, Complete: true}}
+	a := &environment{addr: ln.Addr().String(), done: make(chan struct{}), list: catalog.List{Revision: 1, Complete: true}}
 	for i := range dests {
 		a.list.Members = append(a.list.Members, catalog.Endpoint{
 			ID: endpointID(i), Addr: a.addr, Locality: "z0", Flavor: "hook", Cell: i, Phase: catalog.Serving, Size: 2,
 		})
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", a.watch)
+	mux.HandleFunc("GET /registry/instances", a.serveList)
 	mux.HandleFunc("POST /reports", func(_ http.ResponseWriter, req *http.Request) { io.Copy(io.Discard, req.Body) })
-	mux.HandleFunc("/", a.refuse)
+	mux.HandleFunc("/", a.rejectCall)
 	a.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 30 * time.Second}
-	go func() { // until close
+	go func() { // runs until close
 		defer close(a.done)
 		a.srv.Serve(ln)
 	}()
 	return a, nil
 }
 
-func (a *surroundings) close() {
+func (a *environment) close() {
 	a.srv.Close()
 	<-a.done
 }
 
-// watch tells the list once, and then that it is alive.
-func (a *surroundings) watch(w http.ResponseWriter, req *http.Request) {
+// serveList sends the list once, and then heartbeats.
+func (a *environment) serveList(w http.ResponseWriter, req *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	flush := http.NewResponseController(w)
 	if json.NewEncoder(w).Encode(a.list) != nil || flush.Flush() != nil {
@@ -183,28 +185,28 @@
 	}
 }
 
-// refuse is every partner: it tells to wait.
-func (a *surroundings) refuse(w http.ResponseWriter, req *http.Request) {
+// rejectCall answers as every partner: with a retry-after.
+func (a *environment) rejectCall(w http.ResponseWriter, req *http.Request) {
 	a.calls.Add(1)
 	io.Copy(io.Discard, req.Body)
-	w.Header().Set("Retry-After", strconv.Itoa(partnerWait))
+	w.Header().Set("Retry-After", strconv.Itoa(partnerRetryAfter))
 	w.WriteHeader(http.StatusTooManyRequests)
 }
 
 // realNode is a coralyard process and its folder.
 type realNode struct {
-	spec   play.Spec
-	addr   string
-	env    []string
-	out    *os.File
-	around *surroundings
-	sup    *proc.Supervisor
-	p      *proc.Process // the present or last one
+	spec        play.Spec
+	addr        string
+	env         []string
+	log         *os.File
+	environment *environment
+	supervisor  *proc.Supervisor
+	process     *proc.Process // the current or last one
 }
 
-// newRealNode makes the folder of a node whose process is yet to be started.
-func newRealNode(s play.Spec, around *surroundings, log *slog.Logger) (*realNode, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // an address that is free now
+// newRealNode makes the folder of a node. It does not start the process.
+func newRealNode(s play.Spec, around *environment, log *slog.Logger) (*realNode, error) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0") // find a free address
 	if err != nil {
 		return nil, fmt.Errorf("the node's address: %w", err)
 	}
@@ -223,28 +225,29 @@
 	}
 	log.Debug("real node", "addr", addr, "folder", s.Dir)
 	return &realNode{
-		spec: s, addr: addr, out: out, around: around, sup: proc.NewSupervisor(),
+		spec: s, addr: addr, log: out, environment: around, supervisor: proc.NewSupervisor(),
 		env: []string{"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=held", "ROUTER_LISTEN=" + addr, "ROUTER_DISCOVERY=" + around.addr,
 			"ROUTER_STATE=" + filepath.Join(s.Dir, "state"), "ROUTER_CONFIG=" + filepath.Join(s.Dir, "config.json"),
 			"TMPDIR=" + filepath.Join(s.Dir, "tmp")},
 	}, nil
 }
 
-// configure writes the configuration as the lab does, but for one class that lasts long and for the limits.
+// configure writes the configuration as the lab does, but with one class with a long deadline and with the
+// play's limits.
 func (n *realNode) configure(cores float64) error {
 	s := n.spec
 	maxOpen, diskMB := s.Settings["max_open"], s.Settings["disk_mb"]
-	if maxOpen == 0 { // the module lets one destination hold no more than what is left for all (admit)
+	if maxOpen == 0 { // the module lets one destination hold no more messages than there is room left for all (Sender.admit)
 		maxOpen = 2*s.X + 10000
 	}
-	if diskMB == 0 { // twice what is held must fit
-		diskMB = 64 + 2*(s.X+10000)*(s.Settings["body"]+perHeld)/(1<<20)
+	if diskMB == 0 { // the journal must have room for twice what is held
+		diskMB = 64 + 2*(s.X+10000)*(s.Settings["body"]+journalBytesPerMessage)/(1<<20)
 	}
 	type object = map[string]any
 	settings := object{
 		"fleetSize": int(s.Settings["fleet"]), "myNumber": 0, "zone": "z0", "failureDomains": []string{"z0"}, "flavors": []string{"hook"},
 		"discovery": "pushed", "weights": "nominal", "worthBy": "request", "overShareWorth": 1, "tick": 5.0,
-		"categories": []object{{"name": "c", "aim": 1000.0, "deadline": float64(messageLife / time.Millisecond), "effect": "idempotent",
+		"categories": []object{{"name": "c", "aim": 1000.0, "deadline": float64(messageTTL / time.Millisecond), "effect": "idempotent",
 			"group": "all", "lateWorth": 0.1, "window": 0.0, "worth": 1.0}},
 		"customers": []object{},
 		"domain":    object{"decay": "line", "kindBatch": []int{1}, "separateRoutes": []bool{false}, "workers": 64, "feeByZone": []float64{0}},
@@ -254,8 +257,8 @@
 			"stopSendingWithin": 1000.0, "warmWithin": 10000.0},
 	}
 	raw, err := json.Marshal(object{
-		"name": "held", "listen": n.addr, "discovery": n.around.addr, "seed": fmt.Sprintf("%016x", s.Seed), "known": n.around.list,
-		"limits":   object{"cores": cores, "memory_mb": int64(s.Settings["memory_mb"]), "sockets": sockets, "disk_mb": diskMB},
+		"name": "held", "listen": n.addr, "discovery": n.environment.addr, "seed": fmt.Sprintf("%016x", s.Seed), "known": n.environment.list,
+		"limits":   object{"cores": cores, "memory_mb": int64(s.Settings["memory_mb"]), "sockets": nodeSockets, "disk_mb": diskMB},
 		"settings": settings,
 	})
 	if err != nil {
@@ -268,46 +271,46 @@
 }
 
 func (n *realNode) close() error {
-	n.sup.Close()
-	return n.out.Close()
+	n.supervisor.Close()
+	return n.log.Close()
 }
 
-// start starts a process with so many cores and returns how long it took until that answered.
+// start starts a process with this many cores, and returns the time until it answered.
 func (n *realNode) start(ctx context.Context, cores float64) (time.Duration, error) {
 	if err := n.configure(cores); err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	began := time.Now()
-	p, err := n.sup.Start(proc.Spec{Name: "held", Command: []string{n.spec.NodeProgram}, Env: n.env, Output: n.out, MaxDescriptors: sockets})
+	p, err := n.supervisor.Start(proc.Spec{Name: "held", Command: []string{n.spec.NodeProgram}, Env: n.env, Output: n.log, MaxDescriptors: nodeSockets})
 	if err != nil {
 		return 0, err
 	}
-	n.p = p
-	for !n.answers() {
-		if n.ended() {
-			return 0, fmt.Errorf("the node ended %v before it was ready%s", p.Wait(), n.lastWords())
+	n.process = p
+	for !n.answersPing() {
+		if n.hasEnded() {
+			return 0, fmt.Errorf("the node ended %v before it was ready%s", p.Wait(), n.logTail())
 		}
-		if err := sleep(ctx, readyPoll); err != nil {
+		if err := sleep(ctx, readyPollInterval); err != nil {
 			return 0, fmt.Errorf("the node is not ready: %w", err)
 		}
 	}
 	return time.Since(began), nil
 }
 
-// lastWords is the end of the node's log.
-func (n *realNode) lastWords() string {
-	raw, err := os.ReadFile(n.out.Name())
+// logTail returns the end of the node's log.
+func (n *realNode) logTail() string {
+	raw, err := os.ReadFile(n.log.Name())
 	if err != nil || len(raw) == 0 {
 		return ""
 	}
 	return ": " + strings.TrimSpace(string(raw[max(len(raw)-400, 0):]))
 }
 
-func (n *realNode) ended() bool {
+func (n *realNode) hasEnded() bool {
 	select {
-	case <-n.p.Done():
+	case <-n.process.Done():
 		return true
 	default:
 		return false
@@ -315,14 +318,14 @@
 }
 
 func (n *realNode) kill() error {
-	if err := n.p.Signal(syscall.SIGKILL); err != nil {
+	if err := n.process.Signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	<-n.p.Done()
+	<-n.process.Done()
 	return nil
 }
 
-func (n *realNode) answers() bool {
+func (n *realNode) answersPing() bool {
 	nc, err := net.DialTimeout("tcp", n.addr, 100*time.Millisecond)
 	if err != nil {
 		return false
@@ -336,31 +339,32 @@
 	return err == nil && line == "+PONG\r\n"
 }
 
-// refusedError is a node's answer that it doesn't take an event.
+// refusedError is a node's answer that it does not accept a message.
 type refusedError struct{ answer string }
 
-func (e refusedError) Error() string { return "an event was not taken: " + e.answer }
+func (e refusedError) Error() string { return "a message was not accepted: " + e.answer }
 
-// handers hand events in, each under an id of its own.
-type handers struct {
-	addr  string
-	dests int
-	body  string
-	last  atomic.Int64 // number of the last event
-	taken atomic.Int64
+// submitter submits messages, each under its own ID.
+type submitter struct {
+	addr       string
+	dests      int
+	body       string
+	lastNumber atomic.Int64 // number of the last message
+	accepted   atomic.Int64
 }
 
-// handIn hands n events in over so many connections, and returns the longest wait for an answer. At the first that is refused all end.
-func (h *handers) handIn(ctx context.Context, n, conns int) (longest time.Duration, err error) {
+// submitAll submits n messages over several connections, and returns the longest wait for an answer. It stops
+// at the first refusal.
+func (h *submitter) submitAll(ctx context.Context, n, conns int) (longest time.Duration, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	end := h.last.Load() + int64(n)
+	end := h.lastNumber.Load() + int64(n)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for range min(conns, n) {
 		wg.Go(func() {
-			most, err := h.session(ctx, func() (int64, bool) {
-				i := h.last.Add(1)
+			most, err := h.submitOnConn(ctx, func() (int64, bool) {
+				i := h.lastNumber.Add(1)
 				return i, i <= end
 			})
 			mu.Lock()
@@ -372,16 +376,17 @@
 		})
 	}
 	wg.Wait()
-	h.last.Store(end)
+	h.lastNumber.Store(end)
 	if ctx.Err() != nil {
 		return longest, context.Cause(ctx)
 	}
 	return longest, nil
 }
 
-// session hands in what next numbers, on one connection, each once the one before is answered.
-func (h *handers) session(ctx context.Context, next func() (int64, bool)) (longest time.Duration, err error) {
-	d := net.Dialer{Timeout: answerWithin}
+// submitOnConn submits messages with the numbers from next on one connection, each once the one before is
+// answered.
+func (h *submitter) submitOnConn(ctx context.Context, next func() (int64, bool)) (longest time.Duration, err error) {
+	d := net.Dialer{Timeout: answerTimeout}
 	nc, err := d.DialContext(ctx, "tcp", h.addr)
 	if err != nil {
 		return 0, err
@@ -392,7 +397,7 @@
 	br := bufio.NewReader(nc)
 	for i, ok := next(); ok && ctx.Err() == nil; i, ok = next() {
 		began := time.Now()
-		if err := h.one(nc, br, i); err != nil {
+		if err := h.submitOne(nc, br, i); err != nil {
 			return longest, err
 		}
 		longest = max(longest, time.Since(began))
@@ -400,16 +405,16 @@
 	return longest, nil
 }
 
-// one hands in the event of a number and waits for its answer.
-func (h *handers) one(nc net.Conn, br *bufio.Reader, i int64) error {
+// submitOne submits the message with a number and waits for the answer.
+func (h *submitter) submitOne(nc net.Conn, br *bufio.Reader, i int64) error {
 	id := "e" + strconv.FormatInt(1_000_000_000+i, 10)
-	words := fmt.Sprintf("c=c,d=%d,dest=%d", messageLife/time.Millisecond, i%int64(h.dests))
+	words := fmt.Sprintf("c=c,d=%d,dest=%d", messageTTL/time.Millisecond, i%int64(h.dests))
 	var b strings.Builder
 	b.WriteString("*5\r\n")
 	for _, w := range []string{"ENQUEUE", strings.Repeat("0", 16), id, words, h.body} {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
-	if err := nc.SetDeadline(time.Now().Add(answerWithin)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
 		return err
 	}
 	if _, err := io.WriteString(nc, b.String()); err != nil {
@@ -422,22 +427,23 @@
 	if line != "+OK\r\n" {
 		return refusedError{strings.TrimSpace(line)}
 	}
-	h.taken.Add(1)
+	h.accepted.Add(1)
 	return nil
 }
 
-// handInAlone hands n events in one after the other, and returns the longest wait for an answer and the mean.
-func (h *handers) handInAlone(ctx context.Context, n int) (longest, mean time.Duration, err error) {
+// submitSingly submits n messages one after the other, and returns the longest and the mean wait for an
+// answer.
+func (h *submitter) submitSingly(ctx context.Context, n int) (longest, mean time.Duration, err error) {
 	began, done := time.Now(), 0
-	longest, err = h.session(ctx, func() (int64, bool) {
-		if done == n || (done > 0 && sleep(ctx, alonePause) != nil) {
+	longest, err = h.submitOnConn(ctx, func() (int64, bool) {
+		if done == n || (done > 0 && sleep(ctx, singlePause) != nil) {
 			return 0, false
 		}
 		done++
-		return h.last.Add(1), true
+		return h.lastNumber.Add(1), true
 	})
 	if err == nil && ctx.Err() != nil {
 		err = context.Cause(ctx)
 	}
-	return longest, (time.Since(began) - time.Duration(max(done-1, 0))*alonePause) / time.Duration(max(done, 1)), err
+	return longest, (time.Since(began) - time.Duration(max(done-1, 0))*singlePause) / time.Duration(max(done, 1)), err
 }
