--- a/internal/lab/scale/burden/burden.go
+++ b/internal/lab/scale/burden/burden.go
@@ -81,12 +81,12 @@
 func (m *stepTimer) Step(now time.Duration, events []choice.Event) []choice.Action {
 	before, err := threadCPUTime()
 	actions := m.module.Step(now, events)
-	after, err2 := threadCPUTime()
+	after, errAfter := threadCPUTime()
 	if m.err == nil && err != nil {
 		m.err = err
 	}
-	if m.err == nil && err2 != nil {
-		m.err = err2
+	if m.err == nil && errAfter != nil {
+		m.err = errAfter
 	}
 	m.cpuTime += after - before
 	m.longest = max(m.longest, after-before)
--- a/internal/lab/scale/burden/burden_test.go
+++ b/internal/lab/scale/burden/burden_test.go
@@ -174,15 +174,15 @@
 		delete(r.Counts, "step_longest_s") // depends on the machine
 		return r.Counts
 	}
-	one := counted(20, 1)
-	if again := counted(20, 1); !maps.Equal(one, again) {
-		t.Errorf("the same seed gives %v and %v", one, again)
+	first := counted(20, 1)
+	if again := counted(20, 1); !maps.Equal(first, again) {
+		t.Errorf("the same seed gives %v and %v", first, again)
 	}
-	if other := counted(20, 2); maps.Equal(one, other) {
-		t.Errorf("another seed gives the same counts %v", one)
+	if other := counted(20, 2); maps.Equal(first, other) {
+		t.Errorf("another seed gives the same counts %v", first)
 	}
-	if one["avoided"] == 0 || one["calls_down"] == 0 {
-		t.Errorf("no destination is known to be down, or none is called: %v", one)
+	if first["avoided"] == 0 || first["calls_down"] == 0 {
+		t.Errorf("no destination is known to be down, or none is called: %v", first)
 	}
 	healthy := counted(0, 1)
 	if healthy["calls_down"] != 0 || healthy["avoided"] != 0 || healthy["refused"] != 0 {
@@ -235,9 +235,9 @@
 
 	// Limits of today's program. If a node may hold 100 messages, a destination may have no more than the
 	// room left for all: with five destinations that is reached from 84 messages on. A disk of 256 KB less 16
-	// KB has room for twice the messages of 910 bytes each, and the five endpoints.
-	for name, end := range map[string]struct{ v, least, most float64 }{"max_open": {100, 80, 90}, "disk_mb": {0.25, 120, 140}} {
-		v := end.v
+	// KB must have room for twice the messages held, 910 bytes each, and for the five endpoints.
+	for name, limit := range map[string]struct{ v, least, most float64 }{"max_open": {100, 80, 90}, "disk_mb": {0.25, 120, 140}} {
+		v := limit.v
 		set := maps.Clone(sets)
 		set[name] = v
 		s := newSpec(t, a, 300, 1, set)
@@ -246,8 +246,8 @@
 		if len(r.Limits()) != 1 {
 			t.Errorf("%s %v: no limit reported: %v", name, v, r.Notes)
 		}
-		if taken := r.Counts["journal_taken"]; taken < end.least || taken > end.most {
-			t.Errorf("%s %v: %v messages were accepted, want %v to %v", name, v, taken, end.least, end.most)
+		if accepted := r.Counts["journal_taken"]; accepted < limit.least || accepted > limit.most {
+			t.Errorf("%s %v: %v messages were accepted, want %v to %v", name, v, accepted, limit.least, limit.most)
 		}
 		for id := range r.Values {
 			if strings.HasPrefix(id, "journal.") {
--- a/internal/lab/scale/burden/down.go
+++ b/internal/lab/scale/burden/down.go
@@ -48,47 +48,47 @@
 
 func playDown(ctx context.Context, s play.Spec, _ *slog.Logger) (play.Reading, error) {
 	var r play.Reading
-	n, d := int(s.Settings["destinations"]), int(s.X)
-	if d > n {
-		return r, fmt.Errorf("%d of %d destinations can't be down", d, n)
+	total, downCount := int(s.Settings["destinations"]), int(s.X)
+	if downCount > total {
+		return r, fmt.Errorf("%d of %d destinations can't be down", downCount, total)
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	seconds := func(name string) time.Duration { return time.Duration(s.Settings[name] * float64(time.Second)) }
-	before := liveHeap()
+	heapBefore := liveHeap()
 	sender := choice.New(moduleSettings(int(s.Settings["fleet"]), int(s.Settings["slots"]), seconds("deadline")), s.Seed)
-	m := &stepTimer{module: sender}
-	w := newSimulation(m, n, d, s.Settings["silent"], s.Seed)
-	w.interval, w.messageTTL = time.Duration(float64(time.Second)/s.Settings["rate"]), seconds("deadline")
-	w.step(listUpdate(n, s.Settings["weight"]))
-	if err := w.run(ctx, seconds("warm")); err != nil {
+	timer := &stepTimer{module: sender}
+	sim := newSimulation(timer, total, downCount, s.Settings["silent"], s.Seed)
+	sim.interval, sim.messageTTL = time.Duration(float64(time.Second)/s.Settings["rate"]), seconds("deadline")
+	sim.step(listUpdate(total, s.Settings["weight"]))
+	if err := sim.run(ctx, seconds("warm")); err != nil {
 		return r, err
 	}
 	listed, avoided := sender.EndpointCounts()
-	m.reset()
-	w.count = counts{}
-	if err := w.run(ctx, seconds("seconds")); err != nil {
+	timer.reset()
+	sim.count = counts{}
+	if err := sim.run(ctx, seconds("seconds")); err != nil {
 		return r, err
 	}
-	if m.err != nil {
-		return r, m.err
+	if timer.err != nil {
+		return r, timer.err
 	}
-	span := s.Settings["seconds"]
-	r.SetValue("node.down.probes", float64(w.count.probes+w.count.callsDown)/span)
-	r.SetValue("node.down.cpu", m.cpuTime.Seconds()/span)
-	r.SetValue("node.down.step", m.meanSeconds())
-	r.SetCount("probes", float64(w.count.probes))
-	r.SetCount("calls_down", float64(w.count.callsDown))
-	r.SetCount("calls", float64(w.count.calls))
-	r.SetCount("arrived", float64(w.count.arrivals))
-	r.SetCount("refused", float64(w.count.refused))
-	r.SetCount("delivered", float64(w.count.delivered))
-	r.SetCount("steps", float64(m.steps))
-	r.SetCount("step_longest_s", m.longest.Seconds())
+	measuredSeconds := s.Settings["seconds"]
+	r.SetValue("node.down.probes", float64(sim.count.probes+sim.count.callsDown)/measuredSeconds)
+	r.SetValue("node.down.cpu", timer.cpuTime.Seconds()/measuredSeconds)
+	r.SetValue("node.down.step", timer.meanSeconds())
+	r.SetCount("probes", float64(sim.count.probes))
+	r.SetCount("calls_down", float64(sim.count.callsDown))
+	r.SetCount("calls", float64(sim.count.calls))
+	r.SetCount("arrived", float64(sim.count.arrivals))
+	r.SetCount("refused", float64(sim.count.refused))
+	r.SetCount("delivered", float64(sim.count.delivered))
+	r.SetCount("steps", float64(timer.steps))
+	r.SetCount("step_longest_s", timer.longest.Seconds())
 	r.SetCount("listed", float64(listed))
 	r.SetCount("avoided", float64(avoided)) // at the start of the measurement
-	w.queue, w.attempts, w.pendingOutcomes = nil, nil, nil
-	r.SetValue("node.down.heap", liveHeap()-before)
+	sim.queue, sim.attempts, sim.pendingOutcomes = nil, nil, nil
+	r.SetValue("node.down.heap", liveHeap()-heapBefore)
 	runtime.KeepAlive(sender)
 	return r, nil
 }
@@ -141,8 +141,8 @@
 }
 
 // run advances the simulation by a time.
-func (w *simulation) run(ctx context.Context, span time.Duration) error {
-	for end := w.now + span; ; {
+func (w *simulation) run(ctx context.Context, duration time.Duration) error {
+	for end := w.now + duration; ; {
 		at := w.nextArrival
 		if len(w.queue) > 0 {
 			at = min(at, w.queue[0].at)
@@ -187,7 +187,7 @@
 func (w *simulation) handleDue(e choice.Event) []choice.Event {
 	if e, ok := e.(choice.AttemptEnded); ok {
 		a := attemptKey{e.ID, e.Attempt}
-		if is, out := w.pendingOutcomes[a]; !out || is != e.Outcome {
+		if outcome, out := w.pendingOutcomes[a]; !out || outcome != e.Outcome {
 			return nil
 		}
 		delete(w.pendingOutcomes, a)
@@ -225,10 +225,10 @@
 }
 
 func (w *simulation) send(a choice.Send) {
-	n := w.attempts[a.ID]
-	w.attempts[a.ID] = n + 1
+	number := w.attempts[a.ID]
+	w.attempts[a.ID] = number + 1
 	w.count.calls++
-	e := choice.AttemptEnded{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Outcome: choice.Success}
+	e := choice.AttemptEnded{ID: a.ID, Attempt: number, Endpoint: a.Endpoint, Outcome: choice.Success}
 	silent, isDown := w.down[a.Endpoint]
 	took := answerTime
 	switch {
--- a/internal/lab/scale/burden/held.go
+++ b/internal/lab/scale/burden/held.go
@@ -56,9 +56,9 @@
 	if err := measureModule(ctx, &r, n, dests, int(s.Settings["fleet"]), s.Seed); err != nil {
 		return r, err
 	}
-	if most := s.Settings["journal_most"]; s.X > most {
-		if most > 0 {
-			r.AddNote("the real node is left out above %.0f messages", most)
+	if maxMessages := s.Settings["journal_most"]; s.X > maxMessages {
+		if maxMessages > 0 {
+			r.AddNote("the real node is left out above %.0f messages", maxMessages)
 		}
 		return r, nil
 	}
@@ -92,7 +92,7 @@
 	for id := range min(n, dests) { // the first message of each destination gets the retry-after
 		f.step(f.arrival(id, id%dests))
 	}
-	before := liveHeap()
+	heapBefore := liveHeap()
 	batch := make([]choice.Event, 0, fillBatch)
 	for id := dests; id < n; id++ {
 		if batch = append(batch, f.arrival(id, id%dests)); len(batch) == fillBatch || id == n-1 {
@@ -104,43 +104,43 @@
 		}
 	}
 	clear(batch[:cap(batch)])
-	after := liveHeap()
+	heapAfter := liveHeap()
 	runtime.KeepAlive(batch)
 	if f.refused > 0 {
 		return fmt.Errorf("the module refused or ended %d of %d messages", f.refused, n)
 	}
 	if n > dests { // the first message of each destination came before the first reading
-		r.SetValue("module.held.heap", (after-before)*float64(n)/float64(n-dests))
+		r.SetValue("module.held.heap", (heapAfter-heapBefore)*float64(n)/float64(n-dests))
 	}
 	r.SetCount("module_calls", float64(f.calls))
 
-	m := &stepTimer{module: sender}
-	f.module = m
-	var used, wakes time.Duration
-	var most time.Duration
+	timer := &stepTimer{module: sender}
+	f.module = timer
+	var stepTime, wakeTime time.Duration
+	var longest time.Duration
 	steps := 0
-	for began := time.Now(); steps < timedSteps && (steps < minTimedSteps || time.Since(began) < timedStepsSpan); steps++ {
+	for startedAt := time.Now(); steps < timedSteps && (steps < minTimedSteps || time.Since(startedAt) < timedStepsSpan); steps++ {
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
 		id := n + steps
-		m.reset()
+		timer.reset()
 		f.step(f.arrival(id, id%dests))
-		used, most = used+m.cpuTime, max(most, m.longest)
-		m.reset()
+		stepTime, longest = stepTime+timer.cpuTime, max(longest, timer.longest)
+		timer.reset()
 		f.step(choice.WakeDue{Tag: "sweep"})
-		wakes += m.cpuTime
+		wakeTime += timer.cpuTime
 		f.step(choice.MessageAbandoned{ID: strconv.Itoa(id)}) // so that the module goes on holding n messages
 	}
-	if m.err != nil {
-		return m.err
+	if timer.err != nil {
+		return timer.err
 	}
 	if f.refused > 0 {
 		return fmt.Errorf("the module refused or ended %d of %d timed messages", f.refused, steps)
 	}
-	r.SetValue("module.held.step", used.Seconds()/float64(steps))
-	r.SetValue("module.held.wake", wakes.Seconds()/float64(steps))
-	r.SetCount("module_step_longest_s", most.Seconds())
+	r.SetValue("module.held.step", stepTime.Seconds()/float64(steps))
+	r.SetValue("module.held.wake", wakeTime.Seconds()/float64(steps))
+	r.SetCount("module_step_longest_s", longest.Seconds())
 	r.SetCount("module_steps", float64(steps))
 	return nil
 }
--- a/internal/lab/scale/burden/real.go
+++ b/internal/lab/scale/burden/real.go
@@ -40,12 +40,12 @@
 // and restarts it.
 func measureNode(ctx context.Context, r *play.Reading, s play.Spec, log *slog.Logger) (err error) {
 	n, dests := int(s.X), int(s.Settings["destinations"])
-	around, err := newEnvironment(dests)
+	env, err := newEnvironment(dests)
 	if err != nil {
 		return err
 	}
-	defer around.close()
-	node, err := newRealNode(s, around, log)
+	defer env.close()
+	node, err := newRealNode(s, env, log)
 	if err != nil {
 		return err
 	}
@@ -53,14 +53,14 @@
 	if _, err := node.start(ctx, s.Settings["load_cores"]); err != nil {
 		return err
 	}
-	c := submitter{addr: node.addr, dests: dests, body: strings.Repeat("x", int(s.Settings["body"]))}
-	load, cancel := context.WithTimeout(ctx, time.Duration(s.Settings["load_seconds"]*float64(time.Second)))
+	clients := submitter{addr: node.addr, dests: dests, body: strings.Repeat("x", int(s.Settings["body"]))}
+	loadCtx, cancel := context.WithTimeout(ctx, time.Duration(s.Settings["load_seconds"]*float64(time.Second)))
 	defer cancel()
-	began := time.Now()
-	longest, err := c.submitAll(load, n, int(s.Settings["clients"]))
-	took := time.Since(began).Seconds()
-	r.SetCount("journal_taken", float64(c.accepted.Load()))
-	r.SetCount("journal_load_s", took)
+	startedAt := time.Now()
+	longest, err := clients.submitAll(loadCtx, n, int(s.Settings["clients"]))
+	seconds := time.Since(startedAt).Seconds()
+	r.SetCount("journal_taken", float64(clients.accepted.Load()))
+	r.SetCount("journal_load_s", seconds)
 	r.SetCount("journal_load_answer_longest_s", longest.Seconds())
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -69,13 +69,13 @@
 	switch {
 	case errors.As(err, &refused):
 		r.AddLimit("%d messages are held, and the next one is refused (%s): max_open %.0f, disk_mb %.0f (0: raised as needed)",
-			c.accepted.Load(), refused.answer, s.Settings["max_open"], s.Settings["disk_mb"])
+			clients.accepted.Load(), refused.answer, s.Settings["max_open"], s.Settings["disk_mb"])
 		return nil
-	case load.Err() != nil:
-		r.AddLimit("%d of %d messages were accepted in %.0f s", c.accepted.Load(), n, took)
+	case loadCtx.Err() != nil:
+		r.AddLimit("%d of %d messages were accepted in %.0f s", clients.accepted.Load(), n, seconds)
 		return nil
 	case err != nil && node.hasEnded():
-		r.AddLimit("the node ended %v at %d messages", node.process.Wait(), c.accepted.Load())
+		r.AddLimit("the node ended %v at %d messages", node.process.Wait(), clients.accepted.Load())
 		return nil
 	case err != nil:
 		return err
@@ -101,7 +101,7 @@
 	r.SetValue("journal.held.rss", float64(use.RSS))
 	r.SetValue("journal.held.file", float64(file.Size()))
 	r.SetValue("journal.start", ready.Seconds())
-	stall, mean, err := c.submitSingly(ctx, singleMessages)
+	stall, mean, err := clients.submitSingly(ctx, singleMessages)
 	if err != nil {
 		return fmt.Errorf("after the restart: %w", err)
 	}
@@ -171,11 +171,11 @@
 	if json.NewEncoder(w).Encode(a.list) != nil || flush.Flush() != nil {
 		return
 	}
-	beat := time.NewTicker(2 * time.Second)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(2 * time.Second)
+	defer heartbeat.Stop()
 	for {
 		select {
-		case <-beat.C:
+		case <-heartbeat.C:
 			if _, err := io.WriteString(w, "\n"); err != nil || flush.Flush() != nil {
 				return
 			}
@@ -205,7 +205,7 @@
 }
 
 // newRealNode makes the folder of a node. It does not start the process.
-func newRealNode(s play.Spec, around *environment, log *slog.Logger) (*realNode, error) {
+func newRealNode(s play.Spec, env *environment, log *slog.Logger) (*realNode, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // find a free address
 	if err != nil {
 		return nil, fmt.Errorf("the node's address: %w", err)
@@ -219,14 +219,14 @@
 			return nil, fmt.Errorf("the node's folder: %w", err)
 		}
 	}
-	out, err := os.Create(filepath.Join(s.Dir, "log"))
+	logFile, err := os.Create(filepath.Join(s.Dir, "log"))
 	if err != nil {
 		return nil, fmt.Errorf("the node's log: %w", err)
 	}
 	log.Debug("real node", "addr", addr, "folder", s.Dir)
 	return &realNode{
-		spec: s, addr: addr, log: out, environment: around, supervisor: proc.NewSupervisor(),
-		env: []string{"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=held", "ROUTER_LISTEN=" + addr, "ROUTER_DISCOVERY=" + around.addr,
+		spec: s, addr: addr, log: logFile, environment: env, supervisor: proc.NewSupervisor(),
+		env: []string{"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=held", "ROUTER_LISTEN=" + addr, "ROUTER_DISCOVERY=" + env.addr,
 			"ROUTER_STATE=" + filepath.Join(s.Dir, "state"), "ROUTER_CONFIG=" + filepath.Join(s.Dir, "config.json"),
 			"TMPDIR=" + filepath.Join(s.Dir, "tmp")},
 	}, nil
@@ -282,7 +282,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	began := time.Now()
+	startedAt := time.Now()
 	p, err := n.supervisor.Start(proc.Spec{Name: "held", Command: []string{n.spec.NodeProgram}, Env: n.env, Output: n.log, MaxDescriptors: nodeSockets})
 	if err != nil {
 		return 0, err
@@ -296,7 +296,7 @@
 			return 0, fmt.Errorf("the node is not ready: %w", err)
 		}
 	}
-	return time.Since(began), nil
+	return time.Since(startedAt), nil
 }
 
 // logTail returns the end of the node's log.
@@ -363,12 +363,12 @@
 	var mu sync.Mutex
 	for range min(conns, n) {
 		wg.Go(func() {
-			most, err := h.submitOnConn(ctx, func() (int64, bool) {
+			longestHere, err := h.submitOnConn(ctx, func() (int64, bool) {
 				i := h.lastNumber.Add(1)
 				return i, i <= end
 			})
 			mu.Lock()
-			longest = max(longest, most)
+			longest = max(longest, longestHere)
 			mu.Unlock()
 			if err != nil {
 				cancel(err)
@@ -396,11 +396,11 @@
 	defer stop()
 	br := bufio.NewReader(nc)
 	for i, ok := next(); ok && ctx.Err() == nil; i, ok = next() {
-		began := time.Now()
+		startedAt := time.Now()
 		if err := h.submitOne(nc, br, i); err != nil {
 			return longest, err
 		}
-		longest = max(longest, time.Since(began))
+		longest = max(longest, time.Since(startedAt))
 	}
 	return longest, nil
 }
@@ -408,10 +408,10 @@
 // submitOne submits the message with a number and waits for the answer.
 func (h *submitter) submitOne(nc net.Conn, br *bufio.Reader, i int64) error {
 	id := "e" + strconv.FormatInt(1_000_000_000+i, 10)
-	words := fmt.Sprintf("c=c,d=%d,dest=%d", messageTTL/time.Millisecond, i%int64(h.dests))
+	args := fmt.Sprintf("c=c,d=%d,dest=%d", messageTTL/time.Millisecond, i%int64(h.dests))
 	var b strings.Builder
 	b.WriteString("*5\r\n")
-	for _, w := range []string{"ENQUEUE", strings.Repeat("0", 16), id, words, h.body} {
+	for _, w := range []string{"ENQUEUE", strings.Repeat("0", 16), id, args, h.body} {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
 	if err := nc.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
@@ -434,7 +434,7 @@
 // submitSingly submits n messages one after the other, and returns the longest and the mean wait for an
 // answer.
 func (h *submitter) submitSingly(ctx context.Context, n int) (longest, mean time.Duration, err error) {
-	began, done := time.Now(), 0
+	startedAt, done := time.Now(), 0
 	longest, err = h.submitOnConn(ctx, func() (int64, bool) {
 		if done == n || (done > 0 && sleep(ctx, singlePause) != nil) {
 			return 0, false
@@ -445,5 +445,5 @@
 	if err == nil && ctx.Err() != nil {
 		err = context.Cause(ctx)
 	}
-	return longest, (time.Since(began) - time.Duration(max(done-1, 0))*singlePause) / time.Duration(max(done, 1)), err
+	return longest, (time.Since(startedAt) - time.Duration(max(done-1, 0))*singlePause) / time.Duration(max(done, 1)), err
 }
