--- a/internal/lab/scale/burden/burden.go
+++ b/internal/lab/scale/burden/burden.go
@@ -78,23 +78,23 @@
 	err     error
 }
 
-func (m *stepTimer) Step(now time.Duration, events []choice.Event) []choice.Action {
+func (t *stepTimer) Step(now time.Duration, events []choice.Event) []choice.Action {
 	before, err := threadCPUTime()
-	actions := m.module.Step(now, events)
+	actions := t.module.Step(now, events)
 	after, errAfter := threadCPUTime()
-	if m.err == nil && err != nil {
-		m.err = err
+	if t.err == nil && err != nil {
+		t.err = err
 	}
-	if m.err == nil && errAfter != nil {
-		m.err = errAfter
+	if t.err == nil && errAfter != nil {
+		t.err = errAfter
 	}
-	m.cpuTime += after - before
-	m.longest = max(m.longest, after-before)
-	m.steps++
+	t.cpuTime += after - before
+	t.longest = max(t.longest, after-before)
+	t.steps++
 	return actions
 }
 
-func (m *stepTimer) reset() { m.cpuTime, m.longest, m.steps = 0, 0, 0 }
+func (t *stepTimer) reset() { t.cpuTime, t.longest, t.steps = 0, 0, 0 }
 
 // meanSeconds returns the mean CPU time of a step in seconds.
-func (m *stepTimer) meanSeconds() float64 { return m.cpuTime.Seconds() / float64(max(m.steps, 1)) }
+func (t *stepTimer) meanSeconds() float64 { return t.cpuTime.Seconds() / float64(max(t.steps, 1)) }
--- a/internal/lab/scale/burden/burden_test.go
+++ b/internal/lab/scale/burden/burden_test.go
@@ -80,7 +80,7 @@
 	outcomes map[string]int // number by kind
 }
 
-func (d *fakeModule) Step(now time.Duration, events []choice.Event) (actions []choice.Action) {
+func (m *fakeModule) Step(now time.Duration, events []choice.Event) (actions []choice.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case choice.MessageArrived:
@@ -88,25 +88,25 @@
 				choice.Send{ID: e.ID, Endpoint: endpointID(2), TimeoutAt: now + time.Second})
 		case choice.ProbeEnded:
 			if e.Outcome == choice.TimedOut {
-				d.outcomes["probe failed"]++
+				m.outcomes["probe failed"]++
 			}
 		case choice.AttemptEnded:
 			switch e.Outcome {
 			case choice.Unreachable:
-				d.outcomes["refused"]++
+				m.outcomes["refused"]++
 			case choice.TimedOut:
-				d.outcomes["silent"]++
+				m.outcomes["silent"]++
 				actions = append(actions, choice.Cancel{ID: e.ID, Attempt: e.Attempt}) // no effect: the call has ended
 			case choice.Success:
-				d.outcomes["passed"]++
+				m.outcomes["passed"]++
 			case choice.Canceled:
-				d.outcomes["undone"]++
+				m.outcomes["undone"]++
 			}
 		}
 	}
-	if now >= d.nextWake {
-		d.nextWake = now + time.Second
-		actions = append(actions, choice.Probe{Endpoint: endpointID(0)}, choice.Wake{At: d.nextWake})
+	if now >= m.nextWake {
+		m.nextWake = now + time.Second
+		actions = append(actions, choice.Probe{Endpoint: endpointID(0)}, choice.Wake{At: m.nextWake})
 	}
 	return actions
 }
@@ -117,27 +117,27 @@
 // destination have not timed out at the end. A probe takes 1.5 s, so the one sent after 8.5 s has not failed
 // yet.
 func TestCallsToDownDestinationsAreCounted(t *testing.T) {
-	d := &fakeModule{outcomes: map[string]int{}}
-	w := newSimulation(d, 3, 2, 0.5, 1)
-	w.interval, w.messageTTL = 500*time.Millisecond, time.Minute
-	d.nextWake = w.now
-	if err := w.run(t.Context(), 10*time.Second); err != nil {
+	module := &fakeModule{outcomes: map[string]int{}}
+	sim := newSimulation(module, 3, 2, 0.5, 1)
+	sim.interval, sim.messageTTL = 500*time.Millisecond, time.Minute
+	module.nextWake = sim.now
+	if err := sim.run(t.Context(), 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if want := (counts{probes: 10, calls: 40, callsDown: 20, arrivals: 20, delivered: 20}); w.count != want {
-		t.Errorf("counted %+v, want %+v", w.count, want)
+	if want := (counts{probes: 10, calls: 40, callsDown: 20, arrivals: 20, delivered: 20}); sim.count != want {
+		t.Errorf("counted %+v, want %+v", sim.count, want)
 	}
 	// The third destination answers in 40 ms, so the answer to the message of 9.5 s has come.
-	if want := map[string]int{"silent": 18, "passed": 20, "probe failed": 9}; !maps.Equal(d.outcomes, want) {
-		t.Errorf("outcomes %v, want %v", d.outcomes, want)
+	if want := map[string]int{"silent": 18, "passed": 20, "probe failed": 9}; !maps.Equal(module.outcomes, want) {
+		t.Errorf("outcomes %v, want %v", module.outcomes, want)
 	}
 }
 
 // A canceled call ends once, as canceled.
 func TestCanceledCallEndsOnce(t *testing.T) {
-	w := newSimulation(nil, 1, 0, 0, 1)
+	sim := newSimulation(nil, 1, 0, 0, 1)
 	var got []choice.Outcome
-	w.module = stepFunc(func(now time.Duration, events []choice.Event) []choice.Action {
+	sim.module = stepFunc(func(now time.Duration, events []choice.Event) []choice.Action {
 		for _, e := range events {
 			switch e := e.(type) {
 			case choice.MessageArrived:
@@ -148,8 +148,8 @@
 		}
 		return nil
 	})
-	w.interval = time.Hour
-	if err := w.run(t.Context(), time.Minute); err != nil {
+	sim.interval = time.Hour
+	if err := sim.run(t.Context(), time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	if !slices.Equal(got, []choice.Outcome{choice.Canceled}) {
--- a/internal/lab/scale/burden/down.go
+++ b/internal/lab/scale/burden/down.go
@@ -129,130 +129,130 @@
 }
 
 func newSimulation(module stepper, dests, down int, silent float64, seed uint64) *simulation {
-	w := &simulation{
+	s := &simulation{
 		module: module, rand: rand.New(rand.NewPCG(seed, 0xd0)), now: clockStart, dests: dests, down: map[string]bool{},
 		attempts: map[string]int{}, pendingOutcomes: map[attemptKey]choice.Outcome{}, interval: time.Second, messageTTL: time.Minute,
 	}
 	for i := range down {
-		w.down[endpointID(i)] = float64(i) < silent*float64(down)
+		s.down[endpointID(i)] = float64(i) < silent*float64(down)
 	}
-	w.nextArrival = w.now
-	return w
+	s.nextArrival = s.now
+	return s
 }
 
 // run advances the simulation by a time.
-func (w *simulation) run(ctx context.Context, duration time.Duration) error {
-	for end := w.now + duration; ; {
-		at := w.nextArrival
-		if len(w.queue) > 0 {
-			at = min(at, w.queue[0].at)
+func (s *simulation) run(ctx context.Context, duration time.Duration) error {
+	for end := s.now + duration; ; {
+		at := s.nextArrival
+		if len(s.queue) > 0 {
+			at = min(at, s.queue[0].at)
 		}
-		if w.wakeAt > 0 {
-			at = min(at, w.wakeAt)
+		if s.wakeAt > 0 {
+			at = min(at, s.wakeAt)
 		}
 		if at >= end {
-			w.now = end
+			s.now = end
 			return nil
 		}
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
 		}
-		w.now = max(w.now, at)
+		s.now = max(s.now, at)
 		var events []choice.Event
-		for len(w.queue) > 0 && w.queue[0].at <= w.now {
-			events = append(events, w.handleDue(heap.Pop(&w.queue).(dueEvent).event)...)
+		for len(s.queue) > 0 && s.queue[0].at <= s.now {
+			events = append(events, s.handleDue(heap.Pop(&s.queue).(dueEvent).event)...)
 		}
-		if w.nextArrival <= w.now {
-			events = append(events, w.newArrival())
-			w.nextArrival += w.interval
+		if s.nextArrival <= s.now {
+			events = append(events, s.newArrival())
+			s.nextArrival += s.interval
 		}
-		if w.wakeAt > 0 && w.wakeAt <= w.now {
-			w.wakeAt = 0
+		if s.wakeAt > 0 && s.wakeAt <= s.now {
+			s.wakeAt = 0
 			events = append(events, choice.WakeDue{Tag: "sweep"})
 		}
 		if len(events) > 0 {
-			w.step(events...)
+			s.step(events...)
 		}
 	}
 }
 
-func (w *simulation) newArrival() choice.Event {
-	w.lastMessage++
-	w.count.arrivals++
-	return choice.MessageArrived{ID: strconv.Itoa(w.lastMessage), Tenant: -1, Dest: w.rand.IntN(w.dests), Deadline: w.now + w.messageTTL}
+func (s *simulation) newArrival() choice.Event {
+	s.lastMessage++
+	s.count.arrivals++
+	return choice.MessageArrived{ID: strconv.Itoa(s.lastMessage), Tenant: -1, Dest: s.rand.IntN(s.dests), Deadline: s.now + s.messageTTL}
 }
 
 // handleDue returns the events of a queued event that is due: none for a call that was canceled, as it has
 // ended already.
-func (w *simulation) handleDue(e choice.Event) []choice.Event {
+func (s *simulation) handleDue(e choice.Event) []choice.Event {
 	if e, ok := e.(choice.AttemptEnded); ok {
 		a := attemptKey{e.ID, e.Attempt}
-		if outcome, out := w.pendingOutcomes[a]; !out || outcome != e.Outcome {
+		if outcome, pending := s.pendingOutcomes[a]; !pending || outcome != e.Outcome {
 			return nil
 		}
-		delete(w.pendingOutcomes, a)
+		delete(s.pendingOutcomes, a)
 		if e.Outcome == choice.Success {
-			w.count.delivered++
-			delete(w.attempts, e.ID)
+			s.count.delivered++
+			delete(s.attempts, e.ID)
 		}
 	}
 	return []choice.Event{e}
 }
 
 // step runs a step of the module, and queues the effects of its actions.
-func (w *simulation) step(events ...choice.Event) {
-	for _, a := range w.module.Step(w.now, events) {
+func (s *simulation) step(events ...choice.Event) {
+	for _, a := range s.module.Step(s.now, events) {
 		switch a := a.(type) {
 		case choice.Send:
-			w.send(a)
+			s.send(a)
 		case choice.Probe:
-			w.probe(a)
+			s.probe(a)
 		case choice.Cancel:
-			if _, out := w.pendingOutcomes[attemptKey{a.ID, a.Attempt}]; out {
-				w.queueOutcome(0, choice.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: choice.Canceled})
+			if _, out := s.pendingOutcomes[attemptKey{a.ID, a.Attempt}]; out {
+				s.queueOutcome(0, choice.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: choice.Canceled})
 			}
 		case choice.Refuse:
-			w.count.refused++
-			delete(w.attempts, a.ID)
+			s.count.refused++
+			delete(s.attempts, a.ID)
 		case choice.Fail:
-			delete(w.attempts, a.ID)
+			delete(s.attempts, a.ID)
 		case choice.Wake:
-			if w.wakeAt == 0 || a.At < w.wakeAt {
-				w.wakeAt = a.At
+			if s.wakeAt == 0 || a.At < s.wakeAt {
+				s.wakeAt = a.At
 			}
 		}
 	}
 }
 
-func (w *simulation) send(a choice.Send) {
-	number := w.attempts[a.ID]
-	w.attempts[a.ID] = number + 1
-	w.count.calls++
+func (s *simulation) send(a choice.Send) {
+	number := s.attempts[a.ID]
+	s.attempts[a.ID] = number + 1
+	s.count.calls++
 	e := choice.AttemptEnded{ID: a.ID, Attempt: number, Endpoint: a.Endpoint, Outcome: choice.Success}
-	silent, isDown := w.down[a.Endpoint]
+	silent, isDown := s.down[a.Endpoint]
 	took := answerTime
 	switch {
 	case silent:
-		e.Outcome, took = choice.TimedOut, max(a.TimeoutAt-w.now, 0)
+		e.Outcome, took = choice.TimedOut, max(a.TimeoutAt-s.now, 0)
 	case isDown:
 		e.Outcome, took = choice.Unreachable, refusalTime
 	}
 	if isDown {
-		w.count.callsDown++
+		s.count.callsDown++
 	}
 	e.Took = took
-	w.queueOutcome(took, e)
+	s.queueOutcome(took, e)
 }
 
 // queueOutcome queues the end of a Send. If it is called again, only the last outcome counts.
-func (w *simulation) queueOutcome(after time.Duration, e choice.AttemptEnded) {
-	w.pendingOutcomes[attemptKey{e.ID, e.Attempt}] = e.Outcome
-	w.queueEvent(after, e)
+func (s *simulation) queueOutcome(after time.Duration, e choice.AttemptEnded) {
+	s.pendingOutcomes[attemptKey{e.ID, e.Attempt}] = e.Outcome
+	s.queueEvent(after, e)
 }
 
-func (w *simulation) probe(a choice.Probe) {
-	w.count.probes++
-	silent, isDown := w.down[a.Endpoint]
+func (s *simulation) probe(a choice.Probe) {
+	s.count.probes++
+	silent, isDown := s.down[a.Endpoint]
 	p := choice.ProbeEnded{Endpoint: a.Endpoint, Outcome: choice.Success, Took: answerTime}
 	switch {
 	case silent:
@@ -260,12 +260,12 @@
 	case isDown:
 		p.Outcome, p.Took = choice.Unreachable, refusalTime
 	}
-	w.queueEvent(p.Took, p)
+	s.queueEvent(p.Took, p)
 }
 
-func (w *simulation) queueEvent(d time.Duration, e choice.Event) {
-	w.queued++
-	heap.Push(&w.queue, dueEvent{w.now + d, w.queued, e})
+func (s *simulation) queueEvent(d time.Duration, e choice.Event) {
+	s.queued++
+	heap.Push(&s.queue, dueEvent{s.now + d, s.queued, e})
 }
 
 // dueEvent is a queued event; events are ordered by time, and then by their number.
--- a/internal/lab/scale/burden/real.go
+++ b/internal/lab/scale/burden/real.go
@@ -31,7 +31,7 @@
 	settleTime             = 500 * time.Millisecond // before a node's memory is read
 	singleMessages         = 100                    // submitted one by one
 	singlePause            = 5 * time.Millisecond   // between these
-	partnerRetryAfter      = 600                    // seconds of the partners' retry-after, the longest that a node heeds
+	partnerRetryAfter      = 600                    // seconds of the partners' retry-after, the longest that a node honors
 	journalBytesPerMessage = 1000 + 24              // bytes that the journal reserves for a message in addition to its body, ID included, with some spare
 	nodeSockets            = 2048                   // half of these are for clients, and a third of that half may stay idle; the node closes idle connections beyond that
 )
@@ -141,34 +141,34 @@
 	if err != nil {
 		return nil, fmt.Errorf("the node's environment: %w", err)
 	}
-	a := &environment{addr: ln.Addr().String(), done: make(chan struct{}), list: catalog.List{Revision: 1, Complete: true}}
+	env := &environment{addr: ln.Addr().String(), done: make(chan struct{}), list: catalog.List{Revision: 1, Complete: true}}
 	for i := range dests {
-		a.list.Members = append(a.list.Members, catalog.Endpoint{
-			ID: endpointID(i), Addr: a.addr, Locality: "z0", Flavor: "hook", Cell: i, Phase: catalog.Serving, Size: 2,
+		env.list.Members = append(env.list.Members, catalog.Endpoint{
+			ID: endpointID(i), Addr: env.addr, Locality: "z0", Flavor: "hook", Cell: i, Phase: catalog.Serving, Size: 2,
 		})
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", a.serveList)
+	mux.HandleFunc("GET /registry/instances", env.serveList)
 	mux.HandleFunc("POST /reports", func(_ http.ResponseWriter, req *http.Request) { io.Copy(io.Discard, req.Body) })
-	mux.HandleFunc("/", a.rejectCall)
-	a.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 30 * time.Second}
+	mux.HandleFunc("/", env.rejectCall)
+	env.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 30 * time.Second}
 	go func() { // runs until close
-		defer close(a.done)
-		a.srv.Serve(ln)
+		defer close(env.done)
+		env.srv.Serve(ln)
 	}()
-	return a, nil
+	return env, nil
 }
 
-func (a *environment) close() {
-	a.srv.Close()
-	<-a.done
+func (e *environment) close() {
+	e.srv.Close()
+	<-e.done
 }
 
 // serveList sends the list once, and then heartbeats.
-func (a *environment) serveList(w http.ResponseWriter, req *http.Request) {
+func (e *environment) serveList(w http.ResponseWriter, req *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	flush := http.NewResponseController(w)
-	if json.NewEncoder(w).Encode(a.list) != nil || flush.Flush() != nil {
+	if json.NewEncoder(w).Encode(e.list) != nil || flush.Flush() != nil {
 		return
 	}
 	heartbeat := time.NewTicker(2 * time.Second)
@@ -186,8 +186,8 @@
 }
 
 // rejectCall answers as every partner: with a retry-after.
-func (a *environment) rejectCall(w http.ResponseWriter, req *http.Request) {
-	a.calls.Add(1)
+func (e *environment) rejectCall(w http.ResponseWriter, req *http.Request) {
+	e.calls.Add(1)
 	io.Copy(io.Discard, req.Body)
 	w.Header().Set("Retry-After", strconv.Itoa(partnerRetryAfter))
 	w.WriteHeader(http.StatusTooManyRequests)
@@ -355,16 +355,16 @@
 
 // submitAll submits n messages over several connections, and returns the longest wait for an answer. It stops
 // at the first refusal.
-func (h *submitter) submitAll(ctx context.Context, n, conns int) (longest time.Duration, err error) {
+func (s *submitter) submitAll(ctx context.Context, n, conns int) (longest time.Duration, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	end := h.lastNumber.Load() + int64(n)
+	end := s.lastNumber.Load() + int64(n)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for range min(conns, n) {
 		wg.Go(func() {
-			longestHere, err := h.submitOnConn(ctx, func() (int64, bool) {
-				i := h.lastNumber.Add(1)
+			longestHere, err := s.submitOnConn(ctx, func() (int64, bool) {
+				i := s.lastNumber.Add(1)
 				return i, i <= end
 			})
 			mu.Lock()
@@ -376,7 +376,7 @@
 		})
 	}
 	wg.Wait()
-	h.lastNumber.Store(end)
+	s.lastNumber.Store(end)
 	if ctx.Err() != nil {
 		return longest, context.Cause(ctx)
 	}
@@ -385,9 +385,9 @@
 
 // submitOnConn submits messages with the numbers from next on one connection, each once the one before is
 // answered.
-func (h *submitter) submitOnConn(ctx context.Context, next func() (int64, bool)) (longest time.Duration, err error) {
+func (s *submitter) submitOnConn(ctx context.Context, next func() (int64, bool)) (longest time.Duration, err error) {
 	d := net.Dialer{Timeout: answerTimeout}
-	nc, err := d.DialContext(ctx, "tcp", h.addr)
+	nc, err := d.DialContext(ctx, "tcp", s.addr)
 	if err != nil {
 		return 0, err
 	}
@@ -397,7 +397,7 @@
 	br := bufio.NewReader(nc)
 	for i, ok := next(); ok && ctx.Err() == nil; i, ok = next() {
 		startedAt := time.Now()
-		if err := h.submitOne(nc, br, i); err != nil {
+		if err := s.submitOne(nc, br, i); err != nil {
 			return longest, err
 		}
 		longest = max(longest, time.Since(startedAt))
@@ -406,12 +406,12 @@
 }
 
 // submitOne submits the message with a number and waits for the answer.
-func (h *submitter) submitOne(nc net.Conn, br *bufio.Reader, i int64) error {
+func (s *submitter) submitOne(nc net.Conn, br *bufio.Reader, i int64) error {
 	id := "e" + strconv.FormatInt(1_000_000_000+i, 10)
-	args := fmt.Sprintf("c=c,d=%d,dest=%d", messageTTL/time.Millisecond, i%int64(h.dests))
+	args := fmt.Sprintf("c=c,d=%d,dest=%d", messageTTL/time.Millisecond, i%int64(s.dests))
 	var b strings.Builder
 	b.WriteString("*5\r\n")
-	for _, w := range []string{"ENQUEUE", strings.Repeat("0", 16), id, args, h.body} {
+	for _, w := range []string{"ENQUEUE", strings.Repeat("0", 16), id, args, s.body} {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
 	}
 	if err := nc.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
@@ -427,20 +427,20 @@
 	if line != "+OK\r\n" {
 		return refusedError{strings.TrimSpace(line)}
 	}
-	h.accepted.Add(1)
+	s.accepted.Add(1)
 	return nil
 }
 
 // submitSingly submits n messages one after the other, and returns the longest and the mean wait for an
 // answer.
-func (h *submitter) submitSingly(ctx context.Context, n int) (longest, mean time.Duration, err error) {
+func (s *submitter) submitSingly(ctx context.Context, n int) (longest, mean time.Duration, err error) {
 	startedAt, done := time.Now(), 0
-	longest, err = h.submitOnConn(ctx, func() (int64, bool) {
+	longest, err = s.submitOnConn(ctx, func() (int64, bool) {
 		if done == n || (done > 0 && sleep(ctx, singlePause) != nil) {
 			return 0, false
 		}
 		done++
-		return h.lastNumber.Add(1), true
+		return s.lastNumber.Add(1), true
 	})
 	if err == nil && ctx.Err() != nil {
 		err = context.Cause(ctx)
--- a/internal/lab/scale/hollow/alone.go
+++ b/internal/lab/scale/hollow/alone.go
@@ -20,36 +20,36 @@
 // newSoleNode makes the node of a spec whose files have been written. It does not run until start.
 func newSoleNode(s Spec, log *slog.Logger) (*soleNode, error) {
 	freeMemory()
-	a := &soleNode{heapBefore: liveHeap()}
+	n := &soleNode{heapBefore: liveHeap()}
 	var err error
-	if a.rssBefore, err = rss(ownPID); err != nil {
+	if n.rssBefore, err = rss(ownPID); err != nil {
 		return nil, err
 	}
-	if a.Node, err = New(s, log); err != nil {
+	if n.Node, err = New(s, log); err != nil {
 		return nil, err
 	}
-	a.probe = startLoopProbe(a.Node.Node)
-	return a, nil
+	n.probe = startLoopProbe(n.Node.Node)
+	return n, nil
 }
 
-func (a *soleNode) start() {
-	a.startedAt = time.Now()
-	a.Run()
+func (n *soleNode) start() {
+	n.startedAt = time.Now()
+	n.Run()
 }
 
 // readMemory sets the figures ID.rss and ID.heap: the memory that the node has added to the process.
-func (a *soleNode) readMemory(r *play.Reading, id string) error {
+func (n *soleNode) readMemory(r *play.Reading, id string) error {
 	now, err := rss(ownPID)
 	if err != nil {
 		return err
 	}
-	r.SetValue(id+".rss", now-a.rssBefore)
-	r.SetValue(id+".heap", liveHeap()-a.heapBefore)
+	r.SetValue(id+".rss", now-n.rssBefore)
+	r.SetValue(id+".heap", liveHeap()-n.heapBefore)
 	return nil
 }
 
 // close stops the node and joins its error to the given one.
-func (a *soleNode) close(err error) error {
-	a.probe.close()
-	return errors.Join(err, a.Close())
+func (n *soleNode) close(err error) error {
+	n.probe.close()
+	return errors.Join(err, n.Close())
 }
--- a/internal/lab/scale/hollow/faults.go
+++ b/internal/lab/scale/hollow/faults.go
@@ -140,10 +140,10 @@
 	}
 	var stoppedReal []*realNode
 	var errs []error
-	for _, r := range g.real {
-		if r.spec.zone() == 0 {
-			stoppedReal = append(stoppedReal, r)
-			errs = append(errs, r.kill())
+	for _, node := range g.real {
+		if node.spec.zone() == 0 {
+			stoppedReal = append(stoppedReal, node)
+			errs = append(errs, node.kill())
 		}
 	}
 	g.hollow = running
@@ -154,8 +154,8 @@
 			specs = append(specs, n.Spec)
 		}
 		var errs []error
-		for _, r := range stoppedReal {
-			errs = append(errs, r.start())
+		for _, node := range stoppedReal {
+			errs = append(errs, node.start())
 		}
 		return errors.Join(append(errs, g.start(specs))...)
 	}, errors.Join(errs...)
--- a/internal/lab/scale/hollow/fleet.go
+++ b/internal/lab/scale/hollow/fleet.go
@@ -151,12 +151,12 @@
 
 // meanRealUse returns the mean resident memory and CPU time of the real nodes' processes.
 func (g *nodeGroup) meanRealUse() (resident, cpu float64, err error) {
-	for _, r := range g.real {
-		h, err := rss(r.process.PID())
+	for _, node := range g.real {
+		h, err := rss(node.process.PID())
 		if err != nil {
 			return 0, 0, err
 		}
-		u, err := cpuSeconds(r.process.PID())
+		u, err := cpuSeconds(node.process.PID())
 		if err != nil {
 			return 0, 0, err
 		}
@@ -180,8 +180,8 @@
 	}
 	*err = errors.Join(*err, g.closeHollow())
 	g.service.close()
-	for _, r := range g.real {
-		r.close()
+	for _, node := range g.real {
+		node.close()
 	}
 }
 
--- a/internal/lab/scale/hollow/owned.go
+++ b/internal/lab/scale/hollow/owned.go
@@ -442,34 +442,34 @@
 	if err != nil {
 		return nil, fmt.Errorf("metering proxy: %w", err)
 	}
-	m := &meteringProxy{ln: ln, target: target, conns: map[net.Conn]bool{}}
-	m.wg.Go(func() {
+	proxy := &meteringProxy{ln: ln, target: target, conns: map[net.Conn]bool{}}
+	proxy.wg.Go(func() {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			m.wg.Go(func() { m.serve(nc) })
+			proxy.wg.Go(func() { proxy.serve(nc) })
 		}
 	})
-	return m, nil
+	return proxy, nil
 }
 
-func (m *meteringProxy) address() string { return m.ln.Addr().String() }
+func (proxy *meteringProxy) address() string { return proxy.ln.Addr().String() }
 
 // setBeforeRequest sets a function that is called before a request is forwarded; the request waits for it.
-func (m *meteringProxy) setBeforeRequest(hook func(path string)) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.beforeRequest = hook
+func (proxy *meteringProxy) setBeforeRequest(hook func(path string)) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	proxy.beforeRequest = hook
 }
 
 // responseBytes returns the response bytes of all requests whose path matches so far, and the number of these
 // requests.
-func (m *meteringProxy) responseBytes(match func(path string) bool) (total float64, requests int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, a := range m.requests {
+func (proxy *meteringProxy) responseBytes(match func(path string) bool) (total float64, requests int) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	for _, a := range proxy.requests {
 		if match(a.path) {
 			total += a.responseBytes
 			requests++
@@ -478,42 +478,42 @@
 	return total, requests
 }
 
-func (m *meteringProxy) addConn(nc net.Conn) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.closed {
+func (proxy *meteringProxy) addConn(nc net.Conn) bool {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	if proxy.closed {
 		nc.Close()
 		return false
 	}
-	m.conns[nc] = true
+	proxy.conns[nc] = true
 	return true
 }
 
-func (m *meteringProxy) dropConn(nc net.Conn) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	delete(m.conns, nc)
+func (proxy *meteringProxy) dropConn(nc net.Conn) {
+	proxy.mu.Lock()
+	defer proxy.mu.Unlock()
+	delete(proxy.conns, nc)
 	nc.Close()
 }
 
 // serve forwards bytes in both directions until either end closes.
-func (m *meteringProxy) serve(client net.Conn) {
-	if !m.addConn(client) {
+func (proxy *meteringProxy) serve(client net.Conn) {
+	if !proxy.addConn(client) {
 		return
 	}
-	defer m.dropConn(client)
-	replica, err := net.DialTimeout("tcp", m.target, changeWriteTimeout)
-	if err != nil || !m.addConn(replica) {
+	defer proxy.dropConn(client)
+	replica, err := net.DialTimeout("tcp", proxy.target, changeWriteTimeout)
+	if err != nil || !proxy.addConn(replica) {
 		return
 	}
-	defer m.dropConn(replica)
+	defer proxy.dropConn(replica)
 	var current *request // guarded by mu
 	var responsesDone sync.WaitGroup
 	responsesDone.Go(func() {
 		defer client.Close()
 		copyObserved(client, replica, func(p []byte) {
-			m.mu.Lock()
-			defer m.mu.Unlock()
+			proxy.mu.Lock()
+			defer proxy.mu.Unlock()
 			if current != nil {
 				current.responseBytes += float64(len(p))
 			}
@@ -524,11 +524,11 @@
 		if !ok {
 			return
 		}
-		m.mu.Lock()
+		proxy.mu.Lock()
 		current = &request{path: path}
-		m.requests = append(m.requests, current)
-		hook := m.beforeRequest
-		m.mu.Unlock()
+		proxy.requests = append(proxy.requests, current)
+		hook := proxy.beforeRequest
+		proxy.mu.Unlock()
 		if hook != nil {
 			hook(path)
 		}
@@ -564,15 +564,15 @@
 	return f[1], true
 }
 
-func (m *meteringProxy) close() {
-	m.mu.Lock()
-	m.closed = true
-	m.ln.Close()
-	for nc := range m.conns {
+func (proxy *meteringProxy) close() {
+	proxy.mu.Lock()
+	proxy.closed = true
+	proxy.ln.Close()
+	for nc := range proxy.conns {
 		nc.Close()
 	}
-	m.mu.Unlock()
-	m.wg.Wait()
+	proxy.mu.Unlock()
+	proxy.wg.Wait()
 }
 
 func directoryAxis() play.Axis {
--- a/internal/lab/scale/hollow/read.go
+++ b/internal/lab/scale/hollow/read.go
@@ -132,8 +132,8 @@
 // startLoopProbe starts a probe. The first request is answered when the loop starts, so it is not counted.
 func startLoopProbe(n *node.Node) *loopProbe {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &loopProbe{cancel: cancel}
-	s.wg.Go(func() {
+	p := &loopProbe{cancel: cancel}
+	p.wg.Go(func() {
 		for ctx.Err() == nil {
 			startedAt := time.Now()
 			n.SetEndpointEnabled(ctx, "never-listed", true) // the loop answers node.ErrUnknownEndpoint
@@ -141,41 +141,41 @@
 			if ctx.Err() != nil {
 				return
 			}
-			s.mu.Lock()
-			if s.answers > 0 {
-				s.worst = max(s.worst, took)
+			p.mu.Lock()
+			if p.answers > 0 {
+				p.worst = max(p.worst, took)
 			}
-			s.answers++
-			s.mu.Unlock()
+			p.answers++
+			p.mu.Unlock()
 			time.Sleep(probePause)
 		}
 	})
-	return s
+	return p
 }
 
 // takeWorst returns the longest answer time since the last call, and the number of answers in all.
-func (s *loopProbe) takeWorst() (worst time.Duration, answers int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	worst, s.worst = s.worst, 0
-	return worst, s.answers
+func (p *loopProbe) takeWorst() (worst time.Duration, answers int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	worst, p.worst = p.worst, 0
+	return worst, p.answers
 }
 
 // awaitAnswers waits for this many more answers, so that a request which was under way has been counted.
-func (s *loopProbe) awaitAnswers(ctx context.Context, more int) error {
-	s.mu.Lock()
-	until := s.answers + more
-	s.mu.Unlock()
+func (p *loopProbe) awaitAnswers(ctx context.Context, more int) error {
+	p.mu.Lock()
+	until := p.answers + more
+	p.mu.Unlock()
 	return await(ctx, "the loop", func() bool {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		return s.answers >= until
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		return p.answers >= until
 	})
 }
 
-func (s *loopProbe) close() {
-	s.cancel()
-	s.wg.Wait()
+func (p *loopProbe) close() {
+	p.cancel()
+	p.wg.Wait()
 }
 
 const emptyStepCount = 21 // the median of these is taken
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -31,14 +31,14 @@
 // Process is one running process.
 type Process struct {
 	PID        int
-	StartTicks uint64 // ticks from boot to its start; tells it from a later process with the same PID
+	StartTicks uint64 // ticks from boot to its start; distinguishes it from a later process with the same PID
 	RSS        int64  // in bytes
 }
 
 // RSS returns the resident memory of all processes. It is an upper bound, as it counts a page that several
 // share for each of them.
-func (l Snapshot) RSS() (sum int64) {
-	for _, p := range l.Processes {
+func (s Snapshot) RSS() (sum int64) {
+	for _, p := range s.Processes {
 		sum += p.RSS
 	}
 	return sum
@@ -105,7 +105,7 @@
 	return snapshot, nil
 }
 
-// procStat is what /proc/PID/stat tells.
+// procStat holds fields of /proc/PID/stat.
 type procStat struct {
 	parent     int
 	cpuTicks   float64 // CPU time, with that of the children waited for
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -298,15 +298,15 @@
 }
 
 // observe takes in a snapshot, and returns which bound it exceeds, if any.
-func (w *playMonitor) observe(s Snapshot) (exceeded string) {
-	rec := w.record
+func (m *playMonitor) observe(s Snapshot) (exceeded string) {
+	rec := m.record
 	rec.PeakRSS, rec.PeakProcesses = max(rec.PeakRSS, s.RSS()), max(rec.PeakProcesses, len(s.Processes))
 	if rec.MinAvailableMemory == 0 || s.AvailableMemory < rec.MinAvailableMemory {
 		rec.MinAvailableMemory = s.AvailableMemory
 	}
 	for _, p := range s.Processes {
 		if p.PID != os.Getpid() {
-			w.seen[Process{PID: p.PID, StartTicks: p.StartTicks}] = true
+			m.seen[Process{PID: p.PID, StartTicks: p.StartTicks}] = true
 		}
 	}
 	switch {
@@ -324,10 +324,10 @@
 }
 
 // judgeCPUShares checks the use of the cores during the whole play, given the snapshot after it.
-func (w *playMonitor) judgeCPUShares(after Snapshot) {
-	rec := w.record
-	rec.CPUShares = cpuShares(w.before, after)
-	total := after.CPU.Total - w.before.CPU.Total
+func (m *playMonitor) judgeCPUShares(after Snapshot) {
+	rec := m.record
+	rec.CPUShares = cpuShares(m.before, after)
+	total := after.CPU.Total - m.before.CPU.Total
 	if rec.CPUShares.Others*total-othersTickError > maxOthersShare*total {
 		rec.MachineReasons = append(rec.MachineReasons, fmt.Sprintf("other processes took %.0f%% of the cores (at most %.0f%%)", 100*rec.CPUShares.Others, 100*maxOthersShare))
 	}
@@ -337,8 +337,8 @@
 }
 
 // killLeftProcesses kills the processes that the play has left running, and returns their number.
-func (w *playMonitor) killLeftProcesses() (killed int) {
-	for p := range w.seen {
+func (m *playMonitor) killLeftProcesses() (killed int) {
+	for p := range m.seen {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID))
 		if err != nil {
 			continue // the process has ended
@@ -359,13 +359,13 @@
 	truncated bool
 }
 
-func (l *cappedBuffer) Write(p []byte) (int, error) {
+func (b *cappedBuffer) Write(p []byte) (int, error) {
 	const most = 4 << 20
-	if l.Len()+len(p) > most {
-		l.truncated = true
+	if b.Len()+len(p) > most {
+		b.truncated = true
 		return len(p), nil
 	}
-	return l.Buffer.Write(p)
+	return b.Buffer.Write(p)
 }
 
 // tailWriter passes on what is written, and keeps the last bytes of it.
