--- a/internal/lab/scale/hollow/changes.go
+++ b/internal/lab/scale/hollow/changes.go
@@ -50,13 +50,13 @@
 	for range writers {
 		writersDone.Go(func() {
 			for i := range due {
-				at, err := svc.write(ctx, []catalog.Endpoint{changedEndpoint(i%endpoints, int64(i+1))}, false)
+				revision, err := svc.write(ctx, []catalog.Endpoint{changedEndpoint(i%endpoints, int64(i+1))}, false)
 				if err != nil {
 					cancel(err)
 					continue
 				}
 				mu.Lock()
-				written, lastRevision = written+1, max(lastRevision, at)
+				written, lastRevision = written+1, max(lastRevision, revision)
 				mu.Unlock()
 			}
 		})
--- a/internal/lab/scale/hollow/destinations.go
+++ b/internal/lab/scale/hollow/destinations.go
@@ -129,8 +129,8 @@
 	defer func() { err = node.close(err) }()
 	hasList := false
 	err = await(ctx, "the first list", func() bool {
-		at, _ := node.CurrentList()
-		hasList = at >= server.revision
+		applied, _ := node.CurrentList()
+		hasList = applied >= server.revision
 		return hasList || server.standIn != nil && server.standIn.watchCount() > minDroppedLists
 	})
 	if err != nil {
@@ -170,7 +170,7 @@
 		probe.takeWorst()
 		revision, err := server.change(ctx, changedEndpoint(i%endpoints, int64(i+1)))
 		if err == nil {
-			err = await(ctx, "a change", func() bool { at, _ := node.CurrentList(); return at >= revision })
+			err = await(ctx, "a change", func() bool { applied, _ := node.CurrentList(); return applied >= revision })
 		}
 		if err == nil {
 			err = probe.awaitAnswers(ctx, 1)
@@ -207,8 +207,8 @@
 	if err := node.readMemory(&r, "node.destinations"); err != nil {
 		return r, err
 	}
-	if _, have := node.CurrentList(); have != endpoints {
-		return r, fmt.Errorf("the node has %d endpoints, the list has %d", have, endpoints)
+	if _, count := node.CurrentList(); count != endpoints {
+		return r, fmt.Errorf("the node has %d endpoints, the list has %d", count, endpoints)
 	}
 	return r, ctx.Err()
 }
@@ -295,8 +295,8 @@
 		steps = append(steps, time.Since(startedAt).Seconds())
 	}
 	values["module.empty.step"] = median(steps)
-	if have, _ := module.EndpointCounts(); have != endpoints {
-		return values, fmt.Errorf("the module knows %d endpoints, the list has %d", have, endpoints)
+	if count, _ := module.EndpointCounts(); count != endpoints {
+		return values, fmt.Errorf("the module knows %d endpoints, the list has %d", count, endpoints)
 	}
 	return values, ctx.Err()
 }
--- a/internal/lab/scale/hollow/fleet.go
+++ b/internal/lab/scale/hollow/fleet.go
@@ -109,7 +109,7 @@
 func (g *nodeGroup) awaitRevision(ctx context.Context, revision int64) (time.Time, error) {
 	missing := slices.Clone(g.hollow)
 	err := await(ctx, fmt.Sprintf("revision %d at all hollow nodes", revision), func() bool {
-		missing = slices.DeleteFunc(missing, func(n *Node) bool { at, _ := n.CurrentList(); return at >= revision })
+		missing = slices.DeleteFunc(missing, func(n *Node) bool { applied, _ := n.CurrentList(); return applied >= revision })
 		return len(missing) == 0
 	})
 	if err != nil {
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -158,11 +158,11 @@
 // awaitNodeList waits until the node has applied a revision with this many endpoints.
 func awaitNodeList(t *testing.T, n *Node, revision int64, endpoints int) {
 	t.Helper()
-	if err := await(t.Context(), "the list", func() bool { at, _ := n.CurrentList(); return at >= revision }); err != nil {
+	if err := await(t.Context(), "the list", func() bool { applied, _ := n.CurrentList(); return applied >= revision }); err != nil {
 		t.Fatal(err)
 	}
-	if at, have := n.CurrentList(); at != revision || have != endpoints {
-		t.Fatalf("the node has %d endpoints at revision %d, want %d at %d", have, at, endpoints, revision)
+	if applied, count := n.CurrentList(); applied != revision || count != endpoints {
+		t.Fatalf("the node has %d endpoints at revision %d, want %d at %d", count, applied, endpoints, revision)
 	}
 }
 
@@ -213,8 +213,8 @@
 	restore := cutLinks(link)
 	mustPut(t, op, false, endpointAt(10))
 	revision2 := mustPut(t, op, false, endpointAt(11))
-	if at, have := n.CurrentList(); at != revision || have != 10 {
-		t.Errorf("while cut off the node has %d endpoints at revision %d, want 10 at %d", have, at, revision)
+	if applied, count := n.CurrentList(); applied != revision || count != 10 {
+		t.Errorf("while cut off the node has %d endpoints at revision %d, want 10 at %d", count, applied, revision)
 	}
 	if err := restore(); err != nil {
 		t.Fatal(err)
--- a/internal/lab/scale/hollow/owned.go
+++ b/internal/lab/scale/hollow/owned.go
@@ -249,8 +249,8 @@
 	node.start()
 	defer func() { err = node.close(err) }()
 	err = await(ctx, "the first list of the share", func() bool {
-		at, have := node.CurrentList()
-		return at >= st.Revision && have == len(layout.ownEndpoints)
+		applied, count := node.CurrentList()
+		return applied >= st.Revision && count == len(layout.ownEndpoints)
 	})
 	if err != nil {
 		return r, err
@@ -286,7 +286,7 @@
 		return svc.write(ctx, []catalog.Endpoint{changedEndpoint(numbers[i%len(numbers)], upSince)}, false)
 	}
 	awaitRevision := func(revision int64) error {
-		return await(ctx, "a change", func() bool { has, _ := node.CurrentList(); return has >= revision })
+		return await(ctx, "a change", func() bool { applied, _ := node.CurrentList(); return applied >= revision })
 	}
 	for i := range changes {
 		probe.takeWorst()
@@ -377,8 +377,8 @@
 // countKnownEndpoints returns how many endpoints of its share a node's journal knows, so that operators can
 // disable them. It also checks the node's endpoint count against the share.
 func countKnownEndpoints(ctx context.Context, n *Node, layout *ownershipLayout) (known int, err error) {
-	if _, have := n.CurrentList(); have != len(layout.ownEndpoints) {
-		return 0, fmt.Errorf("the node has %d endpoints, its share has %d", have, len(layout.ownEndpoints))
+	if _, count := n.CurrentList(); count != len(layout.ownEndpoints) {
+		return 0, fmt.Errorf("the node has %d endpoints, its share has %d", count, len(layout.ownEndpoints))
 	}
 	for _, i := range layout.ownEndpoints {
 		switch err := n.SetEndpointEnabled(ctx, endpointAt(i).ID, true); { // enables what is not disabled, which has no effect
--- a/internal/lab/scale/hollow/real.go
+++ b/internal/lab/scale/hollow/real.go
@@ -5,8 +5,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -102,18 +100,3 @@
 	}
 	return 0, errors.Join(lines.Err(), fmt.Errorf("%s has no app.pool_size in its metrics", r.spec.Name))
 }
-
-// answersPing reports whether the node answers clients.
-func (r *realNode) answersPing() bool {
-	nc, err := net.DialTimeout("tcp", r.spec.Listen, requestTimeout)
-	if err != nil {
-		return false
-	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(requestTimeout))
-	if _, err := io.WriteString(nc, "*1\r\n$4\r\nPING\r\n"); err != nil {
-		return false
-	}
-	line, err := bufio.NewReader(nc).ReadString('\n')
-	return err == nil && line == "+PONG\r\n"
-}
