--- a/internal/lab/scale/hollow/faults.go
+++ b/internal/lab/scale/hollow/faults.go
@@ -26,7 +26,7 @@
 
 // playFaults plays the faults that the settings ask for, one after the other, with a change during and one
 // after each. It returns an error unless all nodes, hollow and real, then have the complete list. The list
-// has endpoints of endpointAt, and more in all.
+// has total endpoints: those of endpointAt, numbered up to endpoints, and those of the load's partners.
 func playFaults(ctx context.Context, g *nodeGroup, s play.Spec, r *play.Reading, endpoints, total int) error {
 	duration := time.Duration(s.Settings["fault_seconds"] * float64(time.Second))
 	for _, f := range faultKinds {
