--- a/fleet/experiment/faults.go
+++ b/fleet/experiment/faults.go
@@ -1,10 +1,10 @@
 package experiment
 
 // target is a set of kinds of targets that a fault can have.
-type target uint8
+type targetSet uint8
 
 const (
-	atPartners target = 1 << iota
+	atPartners targetSet = 1 << iota
 	atNodes
 	atReplicas // replicas of the directory; with a step, one after the other
 )
@@ -12,7 +12,7 @@
 // FaultKind describes a kind of fault and what it targets.
 type FaultKind struct {
 	Description string
-	targets     target
+	targets     targetSet
 }
 
 // FaultKinds holds the kinds of faults by name.
--- a/internal/directory/code.go
+++ b/internal/directory/code.go
@@ -14,11 +14,11 @@
 
 // Stored data begins with a mark and a hash of its bytes, so that damage is detected.
 const (
-	commandMark     = "cmd1"
-	backupMark      = "bak1"
-	sealBytes       = 4 + 8
-	maxBackupBytes  = 1 << 30 // bytes; catalog.MaxEndpoints endpoints of about 170 bytes take a third of it
-	maxCommandBytes = 64 << 20
+	commandMark         = "cmd1"
+	backupMark          = "bak1"
+	checksumHeaderBytes = 4 + 8
+	maxBackupBytes      = 1 << 30 // bytes; catalog.MaxEndpoints endpoints of about 170 bytes take a third of it
+	maxCommandBytes     = 64 << 20
 )
 
 var errDamaged = errors.New("damaged")
@@ -33,22 +33,22 @@
 	return m
 }()
 
-func seal(mark string, v any) ([]byte, error) {
+func encodeWithChecksum(mark string, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]byte, 0, sealBytes+len(body))
+	out := make([]byte, 0, checksumHeaderBytes+len(body))
 	out = append(out, mark...)
 	out = binary.BigEndian.AppendUint64(out, xxhash.Sum64(body))
 	return append(out, body...), nil
 }
 
-func unseal(mark string, raw []byte, v any) error {
-	if len(raw) < sealBytes || string(raw[:4]) != mark {
+func decodeWithChecksum(mark string, raw []byte, v any) error {
+	if len(raw) < checksumHeaderBytes || string(raw[:4]) != mark {
 		return fmt.Errorf("%w: unknown file type", errDamaged)
 	}
-	body := raw[sealBytes:]
+	body := raw[checksumHeaderBytes:]
 	if binary.BigEndian.Uint64(raw[4:]) != xxhash.Sum64(body) {
 		return fmt.Errorf("%w: checksum mismatch", errDamaged)
 	}
@@ -59,7 +59,7 @@
 }
 
 // EncodeBackup encodes an image for a backup or a snapshot.
-func EncodeBackup(i catalog.Image) ([]byte, error) { return seal(backupMark, i) }
+func EncodeBackup(i catalog.Image) ([]byte, error) { return encodeWithChecksum(backupMark, i) }
 
 // DecodeBackup decodes a backup. It rejects damaged data and images that no state can have produced.
 func DecodeBackup(r io.Reader) (catalog.Image, error) {
@@ -71,7 +71,7 @@
 	if len(raw) > maxBackupBytes {
 		return i, fmt.Errorf("backup: larger than %d MB", maxBackupBytes>>20)
 	}
-	if err := unseal(backupMark, raw, &i); err != nil {
+	if err := decodeWithChecksum(backupMark, raw, &i); err != nil {
 		return i, fmt.Errorf("backup: %w", err)
 	}
 	if _, err := catalog.Load(i); err != nil {
@@ -82,5 +82,5 @@
 
 // isIntactCommand reports whether an encoded command is undamaged.
 func isIntactCommand(raw []byte) bool {
-	return len(raw) >= sealBytes && string(raw[:4]) == commandMark && binary.BigEndian.Uint64(raw[4:]) == xxhash.Sum64(raw[sealBytes:])
+	return len(raw) >= checksumHeaderBytes && string(raw[:4]) == commandMark && binary.BigEndian.Uint64(raw[4:]) == xxhash.Sum64(raw[checksumHeaderBytes:])
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -635,7 +635,7 @@
 			s.ListSince(0)
 		}
 		var c catalog.Command
-		if unseal(backupMark, raw, &c) == nil {
+		if decodeWithChecksum(backupMark, raw, &c) == nil {
 			s := catalog.New()
 			s.Apply(catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
 			s.Apply(c)
@@ -702,7 +702,7 @@
 }
 
 func rehash(raw []byte) []byte {
-	binary.BigEndian.PutUint64(raw[4:], xxhash.Sum64(raw[sealBytes:]))
+	binary.BigEndian.PutUint64(raw[4:], xxhash.Sum64(raw[checksumHeaderBytes:]))
 	return raw
 }
 
@@ -716,7 +716,7 @@
 		f.Fatal(err)
 	}
 	for i := range 40 {
-		raw, err := seal(commandMark, catalog.Command{SourceStatus: &catalog.SourceStatus{}})
+		raw, err := encodeWithChecksum(commandMark, catalog.Command{SourceStatus: &catalog.SourceStatus{}})
 		if err == nil {
 			err = s.StoreLog(&raft.Log{Index: uint64(i + 1), Term: 1, Type: raft.LogCommand, Data: raw})
 		}
--- a/internal/directory/formats_test.go
+++ b/internal/directory/formats_test.go
@@ -57,11 +57,11 @@
 func TestSealedFormats(t *testing.T) {
 	var command, commandBack catalog.Command
 	golden.Fill(&command)
-	raw, err := seal(commandMark, command)
+	raw, err := encodeWithChecksum(commandMark, command)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := unseal(commandMark, golden.Check(t, "command.bin", raw), &commandBack); err != nil || !reflect.DeepEqual(command, commandBack) {
+	if err := decodeWithChecksum(commandMark, golden.Check(t, "command.bin", raw), &commandBack); err != nil || !reflect.DeepEqual(command, commandBack) {
 		t.Errorf("decoded %+v, want %+v: %v", commandBack, command, err)
 	}
 	var image, imageBack catalog.Image
@@ -69,7 +69,7 @@
 	if raw, err = EncodeBackup(image); err != nil {
 		t.Fatal(err)
 	}
-	if err := unseal(backupMark, golden.Check(t, "backup.bin", raw), &imageBack); err != nil || !reflect.DeepEqual(image, imageBack) {
+	if err := decodeWithChecksum(backupMark, golden.Check(t, "backup.bin", raw), &imageBack); err != nil || !reflect.DeepEqual(image, imageBack) {
 		t.Errorf("decoded %+v, want %+v: %v", imageBack, image, err)
 	}
 }
--- a/internal/directory/lead.go
+++ b/internal/directory/lead.go
@@ -106,7 +106,7 @@
 		return catalog.Result{}, fmt.Errorf("%w: this replica has not started Raft yet", ErrRefused)
 	}
 	c.At = time.Now().UnixMilli()
-	raw, err := seal(commandMark, c)
+	raw, err := encodeWithChecksum(commandMark, c)
 	if err != nil {
 		return catalog.Result{}, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
--- a/internal/directory/ledger.go
+++ b/internal/directory/ledger.go
@@ -46,7 +46,7 @@
 // Apply applies a log entry.
 func (f *fsm) Apply(entry *raft.Log) any {
 	var c catalog.Command
-	if err := unseal(commandMark, entry.Data, &c); err != nil {
+	if err := decodeWithChecksum(commandMark, entry.Data, &c); err != nil {
 		err = fmt.Errorf("log entry %d: %w", entry.Index, err)
 		f.fail(err) // this replica can't continue; other replicas read their own logs
 		return catalog.Result{Err: err}
--- a/internal/directory/parts_test.go
+++ b/internal/directory/parts_test.go
@@ -569,7 +569,7 @@
 // applyCommand applies a command to a state machine as Raft does.
 func applyCommand(t testing.TB, f *fsm, c catalog.Command) catalog.Result {
 	t.Helper()
-	raw, err := seal(commandMark, c)
+	raw, err := encodeWithChecksum(commandMark, c)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/directory/start_test.go
+++ b/internal/directory/start_test.go
@@ -23,7 +23,7 @@
 	config := raft.Configuration{Servers: []raft.Server{{ID: "directory", Address: "alone"}}}
 	batch := []*raft.Log{{Index: 1, Term: 1, Type: raft.LogConfiguration, Data: raft.EncodeConfiguration(config)}}
 	add := func(c catalog.Command) {
-		raw, err := seal(commandMark, c)
+		raw, err := encodeWithChecksum(commandMark, c)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/directory/writes.go
+++ b/internal/directory/writes.go
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func parseMembers(raw []byte) ([]catalog.Endpoint, error) {
+func parseEndpoints(raw []byte) ([]catalog.Endpoint, error) {
 	var l struct {
 		Members  *[]catalog.Endpoint `json:"members"`
 		Revision int64               `json:"revision"` // allowed so that a list can be sent back as it was read
@@ -118,12 +118,12 @@
 }
 
 func parsePartial(_ *http.Request, raw []byte) (catalog.Write, error) {
-	members, err := parseMembers(raw)
+	members, err := parseEndpoints(raw)
 	return catalog.Write{Members: members}, err
 }
 
 func parseFull(_ *http.Request, raw []byte) (catalog.Write, error) {
-	members, err := parseMembers(raw)
+	members, err := parseEndpoints(raw)
 	return catalog.Write{Members: members, Replace: true}, err
 }
 
