--- a/fleet/experiment/faults.go
+++ b/fleet/experiment/faults.go
@@ -1,15 +1,16 @@
 package experiment
 
-// target is a set of kinds of targets that a fault can have.
+// targetSet is a set of the kinds of targets that a fault can have. It is empty for a fault of the whole run.
 type targetSet uint8
 
 const (
 	atPartners targetSet = 1 << iota
 	atNodes
-	atReplicas // replicas of the directory; with a step, one after the other
+	atReplicas // replicas of the directory; with Fault.StepInterval, one after the other
 )
 
-// FaultKind describes a kind of fault and what it targets.
+// FaultKind describes a kind of fault and what it targets. In a description, "size" is the setting of the fault
+// (Fault.Size).
 type FaultKind struct {
 	Description string
 	targets     targetSet
@@ -17,29 +18,29 @@
 
 // FaultKinds holds the kinds of faults by name.
 var FaultKinds = map[string]FaultKind{
-	"slow":         {"partners serve size times slower", atPartners},
-	"lossy":        {"partners lose the share size of their answers, after the messages ran", atPartners},
-	"failing":      {"partners answer the share size with an error", atPartners},
-	"shut":         {"partners refuse all calls", atPartners},
-	"silent":       {"partners accept calls and answer none; the share size of the messages runs", atPartners},
-	"down":         {"partners' connections are reset and new ones refused", atPartners},
-	"limit":        {"partners' rate limits are reduced to the share size", atPartners},
-	"replace":      {"partners' endpoints drain, one each step, are deleted after size seconds, and new ones are added", atPartners},
+	"slow":         {"partners take size times as long to serve a call", atPartners},
+	"lossy":        {"partners lose a share (size) of their answers, after the messages ran", atPartners},
+	"failing":      {"partners answer a share (size) of the calls with an error; the messages of half of these run", atPartners},
+	"shut":         {"partners reject all calls", atPartners},
+	"silent":       {"partners accept calls and answer none; the messages of a share (size) of the calls run", atPartners},
+	"down":         {"connections to partners are reset, and new ones are refused", atPartners},
+	"limit":        {"the rate limits of partners are reduced to a share (size)", atPartners},
+	"replace":      {"each partner's endpoints are replaced one after the other: a new one is added, the old one drains for size seconds (at least 1.5) and is deleted", atPartners},
 	"late-list":    {"discovery informs the nodes size seconds later than usual", atNodes},
-	"silent-list":  {"discovery sends the nodes nothing", atNodes},
-	"move":         {"nodes are told by SIGHUP to use another address of discovery", atNodes},
-	"burst":        {"size times the traffic", 0},
-	"kill":         {"nodes are killed, and start again at the fault's end", atNodes},
-	"restart":      {"nodes get SIGTERM, are killed 3.7 s later if need be, and start again", atNodes},
-	"stop":         {"nodes are stopped (SIGSTOP) until the fault's end", atNodes},
-	"cut":          {"nothing passes between nodes and partners", atNodes | atPartners},
-	"delay":        {"what passes between nodes and partners takes size milliseconds longer each way", atNodes | atPartners},
-	"loss":         {"the share size of what passes between nodes and partners is lost and sent again 200 ms later", atNodes | atPartners},
+	"silent-list":  {"discovery sends nothing to the nodes", atNodes},
+	"move":         {"nodes are told by SIGHUP to use another address for discovery", atNodes},
+	"burst":        {"the traffic is size times as high", 0},
+	"kill":         {"nodes are killed, and start again at the end of the fault", atNodes},
+	"restart":      {"nodes get SIGTERM, are killed if they still run 3.7 s later, and start again", atNodes},
+	"stop":         {"nodes are stopped (SIGSTOP) until the end of the fault", atNodes},
+	"cut":          {"no data passes between nodes and partners", atNodes | atPartners},
+	"delay":        {"data between nodes and partners takes size milliseconds longer in each direction", atNodes | atPartners},
+	"loss":         {"a share (size) of the data between nodes and partners is lost and sent again 200 ms later", atNodes | atPartners},
 	"reset":        {"the connections between nodes and partners are reset once", atNodes | atPartners},
-	"swallow":      {"calls reach the partners, and the share size of the answers is swallowed until the fault's end, then reset", atNodes | atPartners},
-	"rate":         {"at most size kilobytes a second pass on each connection between nodes and partners", atNodes | atPartners},
-	"replica-kill": {"replicas of the directory are killed, and start again at the fault's end", atReplicas},
-	"replica-cut":  {"nothing passes to and from replicas of the directory", atReplicas},
-	"replica-stop": {"replicas of the directory are stopped (SIGSTOP) until the fault's end", atReplicas},
-	"disk-full":    {"nodes can write nothing more to their state directories", atNodes},
+	"swallow":      {"calls reach the partners, but on a share (size) of the connections no answers come back; at the end of the fault the connections are reset", atNodes | atPartners},
+	"rate":         {"each connection between nodes and partners carries at most size kilobytes a second in each direction", atNodes | atPartners},
+	"replica-kill": {"replicas of the directory are killed, and start again at the end of the fault", atReplicas},
+	"replica-cut":  {"no data passes to or from replicas of the directory", atReplicas},
+	"replica-stop": {"replicas of the directory are stopped (SIGSTOP) until the end of the fault", atReplicas},
+	"disk-full":    {"nodes can write no more data to their state directories", atNodes},
 }
--- a/fleet/ownership/agree.go
+++ b/fleet/ownership/agree.go
@@ -7,8 +7,8 @@
 )
 
 // Publisher writes one new map into the directory's record so that each map number is used once, whatever
-// messages are lost. It acquires the record, reads it with a linearizable read, writes the map with the next
-// number under its fencing token, and releases the record. It is a pure state machine: the caller carries out
+// requests or answers are lost. It acquires the record (a lease with a fencing token), reads it with a linearizable read, writes the map with the next
+// number under its token, and releases the record. It is a pure state machine: the caller carries out
 // its actions one at a time and reports the result of each.
 //
 // Two rules make this safe. First, a map that is planned from a read made under a token is written under that
@@ -20,21 +20,22 @@
 	// Plan makes the map with the given number from the previous one (nil: there is none). It may refuse with
 	// an error, and it returns the previous map itself if nothing has to change. It is called again if
 	// another map was written meanwhile.
-	Plan func(number int64, before *Map) (*Map, error)
-	// AboveNumber is a number that the new map's number must exceed, in addition to the record's. It is meant
-	// for a record that was set back (a restored backup) or can't be decoded: only if it is set is an
-	// undecodable record replaced, by a first map. 0: none.
+	Plan func(number int64, previous *Map) (*Map, error)
+	// AboveNumber is a number that the new map's number must exceed, in addition to that of the map in the
+	// record. It is meant for a record that was reset to an older map (a restored backup) or can't be decoded.
+	// A record that can't be decoded is replaced only if AboveNumber is set; Plan then gets no previous map.
+	// 0: none.
 	AboveNumber int64
 
 	stage           stage
 	seq             int
 	token           int64
-	encoded         []byte // encoded map that was written and whose write is ambiguous; nil: none
+	encoded         []byte // encoded map that is being written, or whose write is ambiguous; nil: none
 	candidate       *Map   // the same map, decoded
-	ambiguousNumber int64  // number of an earlier map whose write is ambiguous; 0: none
+	ambiguousNumber int64  // number of a map of this publisher of which it can no longer be told whether it was written; 0: none
 	result          *Map
 	err             error // why there is no result
-	lastRefusal     error // why the last action was refused
+	lastRefusal     error // why the last refused Acquire or Update was refused; nil: not known
 }
 
 type stage int
@@ -48,16 +49,15 @@
 	ended
 )
 
-// Action is what the caller has to do next; its Answer repeats Seq. All actions but End are requests to the
+// Action is what the caller has to do next. Seq is its number, which its Answer must repeat. All actions but End are requests to the
 // directory.
 type Action struct {
 	Seq       int
 	Operation Operation
 	Token     int64  // of Update and Release
 	Value     []byte // of Update
-	// For End: the map that this publisher put in force (or that was in force when read, if nothing had to
-	// change). If Map is nil, Err tells why; it is ErrAmbiguous if a map may have been written, or may yet
-	// be.
+	// For End: the map that this publisher wrote, or the one that it read if nothing had to change. If Map is
+	// nil, Err tells why; it wraps ErrAmbiguous if a map may have been written, or may yet be.
 	Map *Map
 	Err error
 }
@@ -73,7 +73,7 @@
 	End                          // nothing more to do
 )
 
-// Answer is the result of an action.
+// Answer is the result of the action with the same Seq.
 type Answer struct {
 	Seq     int
 	Outcome Outcome
@@ -82,7 +82,7 @@
 	Err     error  // of Refused
 }
 
-// Outcome tells what is known of an action.
+// Outcome tells what is known about the effect of an action.
 type Outcome int
 
 const (
@@ -99,7 +99,8 @@
 // Begin returns the first action.
 func (p *Publisher) Begin() Action { return p.enter(acquiring) }
 
-// enter returns the action that begins a stage.
+// enter begins a stage and returns its action. Without a token there is nothing to release, and the publisher
+// ends.
 func (p *Publisher) enter(s stage) Action {
 	p.stage = s
 	p.seq++
@@ -160,17 +161,19 @@
 	return p.enter(ended), true // was releasing
 }
 
+// timeOut gives up because the caller has no time left.
 func (p *Publisher) timeOut() Action {
 	if p.candidate != nil {
 		p.ambiguousNumber = p.candidate.Number
 	}
-	err := errors.New("out of time")
+	err := errors.New("no time left")
 	if p.lastRefusal != nil {
 		err = fmt.Errorf("%w: %w", err, p.lastRefusal)
 	}
 	return p.abort(err)
 }
 
+// abort gives up with an error and releases the record.
 func (p *Publisher) abort(err error) Action {
 	p.err = err
 	if p.ambiguousNumber > 0 {
@@ -194,7 +197,9 @@
 		}
 	}
 	if p.candidate != nil && value != nil && (previous == nil || previous.Number >= p.candidate.Number) {
-		p.ambiguousNumber = p.candidate.Number // another map was written after it; otherwise it did not take effect and, its token being invalid, never will
+		// Another map was written since, so it can't be told whether the candidate was written before that one.
+		// In the other cases the candidate was not written, and never will be because its token is invalid.
+		p.ambiguousNumber = p.candidate.Number
 	}
 	if decodeErr != nil && p.AboveNumber == 0 {
 		return p.abort(fmt.Errorf("decode record %s: %w", RecordName, decodeErr))
--- a/fleet/tally/tally.go
+++ b/fleet/tally/tally.go
@@ -1,5 +1,5 @@
-// Package tally counts the service of a fleet in a history: worth served by class, tenant, node and interval,
-// refusals at partners, and the latencies of messages.
+// Package tally computes from a history how well a fleet served its clients: the worth served by class, tenant,
+// node and interval, what reached the partners, and the latencies of messages.
 package tally
 
 import (
@@ -11,11 +11,11 @@
 	"starlingusher/fleet/history"
 )
 
-// Interval is the length of the intervals that service is reported for.
+// Interval is the length of the time intervals of Report.Intervals.
 const Interval = 5 * time.Second
 
-// Class is what a message earns: Worth until SoftDeadline after it was first due, then linearly decreasing to
-// the share WorthAtDeadline of it at Deadline, then nothing.
+// Class tells what a delivered message of a class is worth: Worth until SoftDeadline after it was first due, then
+// linearly less, down to the share WorthAtDeadline of Worth shortly before Deadline, and nothing from Deadline on.
 type Class struct {
 	Name                   string
 	SoftDeadline, Deadline time.Duration
@@ -35,27 +35,28 @@
 	return c.Worth * (1 - (1-c.WorthAtDeadline)*lateShare)
 }
 
-// Config says what is counted.
+// Config describes the run whose history is counted. The events refer to classes, tenants and nodes by their
+// index, and to partners by their number below Partners.
 type Config struct {
 	Classes  []Class
 	Tenants  []string
 	Nodes    []string
 	Partners int
-	// Weight returns the factor on the worth of a message: 1 within its tenant's share, less above it; nil:
-	// always 1.
-	Weight func(c int) float64
+	// Weight returns the factor on the worth of the message with a number: 1 within its tenant's share, less
+	// above it; nil: always 1.
+	Weight func(messageNumber int) float64
 }
 
-// Line is the service of a part of the traffic.
+// Line tells how a part of the messages ended. Each message counts as Delivered, Refused, Failed or Unknown.
 type Line struct {
 	Name        string  `json:"name"`
 	Messages    int     `json:"messages"`
 	Delivered   int     `json:"delivered"`
-	Refused     int     `json:"refused"` // at the last submission, or returned and not submitted again
+	Refused     int     `json:"refused"` // at the last submission, or returned in a notice and not submitted again
 	Failed      int     `json:"failed"`
-	Unknown     int     `json:"unheard"` // no answer, or no end seen
-	WorthAsked  float64 `json:"worth_asked"`
-	WorthServed float64 `json:"worth_served"`
+	Unknown     int     `json:"unheard"`      // no answer to the last submission, or accepted and no end seen
+	WorthAsked  float64 `json:"worth_asked"`  // worth if all messages had been delivered in time
+	WorthServed float64 `json:"worth_served"` // worth of the delivered messages
 }
 
 // Share returns the worth served divided by the worth asked for, or 1 if none was asked for.
@@ -72,26 +73,26 @@
 	Calls       int            `json:"calls"`
 	Messages    int            `json:"messages"`
 	Connections int            `json:"connections"` // newly opened
-	CallEnds    map[string]int `json:"ends"`        // number of calls by their end, in the states of package history
+	CallEnds    map[string]int `json:"ends"`        // number of calls by the state of package history in which they ended
 }
 
-// Percentiles summarizes a set of recorded times.
+// Percentiles summarizes a set of recorded times. In JSON they are nanoseconds.
 type Percentiles struct {
 	Count int64         `json:"count"`
 	P50   time.Duration `json:"p50"`
 	P90   time.Duration `json:"p90"`
 	P99   time.Duration `json:"p99"`
 	Max   time.Duration `json:"max"`
-	HDR   string        `json:"hdr,omitempty"` // the whole histogram in microseconds, in the compressed format of HdrHistogram
+	HDR   string        `json:"hdr,omitempty"` // all recorded times in microseconds, in the compressed format of HdrHistogram
 }
 
-// Recorder records times from a microsecond to an hour with a precision of three digits.
+// Recorder records times from a microsecond to an hour with a precision of three significant digits.
 type Recorder struct{ h *hdrhistogram.Histogram }
 
 // NewRecorder returns an empty Recorder.
 func NewRecorder() Recorder { return Recorder{hdrhistogram.New(1, time.Hour.Microseconds(), 3)} }
 
-// Record adds a time; a time out of range is set to the nearest in range.
+// Record adds a time. A time out of range counts as the nearest one in range.
 func (r Recorder) Record(d time.Duration) {
 	_ = r.h.RecordValue(min(max(d.Microseconds(), 1), time.Hour.Microseconds())) // can't fail: the value is within range
 }
@@ -99,11 +100,11 @@
 // Percentiles returns the percentiles of the recorded times.
 func (r Recorder) Percentiles() Percentiles {
 	quantile := func(q float64) time.Duration { return time.Duration(r.h.ValueAtQuantile(q)) * time.Microsecond }
-	t := Percentiles{Count: r.h.TotalCount(), P50: quantile(50), P90: quantile(90), P99: quantile(99), Max: time.Duration(r.h.Max()) * time.Microsecond}
-	if whole, err := r.h.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil && t.Count > 0 {
-		t.HDR = string(whole)
+	p := Percentiles{Count: r.h.TotalCount(), P50: quantile(50), P90: quantile(90), P99: quantile(99), Max: time.Duration(r.h.Max()) * time.Microsecond}
+	if encoded, err := r.h.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err == nil && p.Count > 0 {
+		p.HDR = string(encoded)
 	}
-	return t
+	return p
 }
 
 // Report is the result of Count.
@@ -114,24 +115,25 @@
 	Nodes           []Line        `json:"nodes"`
 	Intervals       []Line        `json:"stretches"`
 	Partners        []PartnerLine `json:"partners"`
-	Submissions     int           `json:"handed_in"` // of all messages, resubmissions included
-	Attempts        int           `json:"tries"`     // messages in calls
-	Connections     int           `json:"connections"`
-	CallsAboveLimit int           `json:"calls_above_limit"`
-	RanTwice        int           `json:"ran_twice"` // messages that ran more than once, whatever their class
-	TimeToAnswer    Percentiles   `json:"time_to_answer"`
-	TimeToDelivery  Percentiles   `json:"time_to_delivery"`
+	Submissions     int           `json:"handed_in"`         // of all messages, resubmissions included
+	Attempts        int           `json:"tries"`             // messages in all calls
+	Connections     int           `json:"connections"`       // opened to partners
+	CallsAboveLimit int           `json:"calls_above_limit"` // calls that partners rejected because of their rate limits
+	RanTwice        int           `json:"ran_twice"`         // messages that ran more than once, whatever their class
+	TimeToAnswer    Percentiles   `json:"time_to_answer"`    // from each submission to its answer
+	TimeToDelivery  Percentiles   `json:"time_to_delivery"`  // from when a message was first due until its delivery
 }
 
 type message struct {
-	submitted history.Event
-	dueAt     time.Duration
-	state     string // the last known state
-	latency   time.Duration
-	done      bool
+	firstSubmission history.Event
+	dueAt           time.Duration // when the message was first due
+	state           string        // from the last submission on: the last answer or notice; empty: none
+	latency         time.Duration // from dueAt to the delivery
+	delivered       bool
 }
 
-// Count counts a history, which must be in order of time.
+// Count computes the report of a history, which must be in order of time. Only a message whose client was told
+// that it was accepted can count as delivered.
 func Count(config Config, events []history.Event) Report {
 	r := Report{
 		Classes: make([]Line, len(config.Classes)), Tenants: make([]Line, len(config.Tenants)), Nodes: make([]Line, len(config.Nodes)),
@@ -150,21 +152,22 @@
 		r.Partners[i] = PartnerLine{Partner: i, CallEnds: map[string]int{}}
 	}
 	toAnswer, toDelivery := NewRecorder(), NewRecorder()
-	messages, order := map[int]*message{}, []int{}
-	ids := map[string]int{}
+	messages, order := map[int]*message{}, []int{} // by number, and the numbers in order of their first submission
+	numbers := map[string]int{}                    // number of the message, by id
 	submittedAt := map[string]time.Duration{}
 	callIDs := map[uint64][]string{}
 	runs := map[int]int{}
-	accepted, earlyDelivery := map[string]bool{}, map[string]time.Duration{} // accepted ids; time of delivery, by id, if it was before the client's answer
+	accepted := map[string]bool{}               // ids that the client was told were accepted
+	earlyDelivery := map[string]time.Duration{} // time of the first delivery before the client's answer, by id
 	deliver := func(id string, at time.Duration) {
-		if !accepted[id] { // a message whose client never learned that it was accepted counts for nothing
+		if !accepted[id] { // counts only if the answer that it was accepted follows
 			if _, before := earlyDelivery[id]; !before {
 				earlyDelivery[id] = at
 			}
 			return
 		}
-		if m := messages[ids[id]]; m != nil && !m.done {
-			m.done, m.state, m.latency = true, history.Accepted, at-m.dueAt
+		if m := messages[numbers[id]]; m != nil && !m.delivered {
+			m.delivered, m.state, m.latency = true, history.Accepted, at-m.dueAt
 			toDelivery.Record(m.latency)
 		}
 	}
@@ -172,18 +175,18 @@
 		switch e.Kind {
 		case history.Submitted:
 			r.Submissions++
-			ids[e.ID], submittedAt[e.ID] = e.MessageNumber, e.At
+			numbers[e.ID], submittedAt[e.ID] = e.MessageNumber, e.At
 			m := messages[e.MessageNumber]
 			if m == nil {
-				m = &message{submitted: e, dueAt: e.FirstAt}
+				m = &message{firstSubmission: e, dueAt: e.FirstAt}
 				messages[e.MessageNumber] = m
 				order = append(order, e.MessageNumber)
 			}
-			if !m.done {
+			if !m.delivered {
 				m.state = ""
 			}
 		case history.Answered:
-			if m := messages[ids[e.ID]]; m != nil && !m.done {
+			if m := messages[numbers[e.ID]]; m != nil && !m.delivered {
 				m.state = e.State
 			}
 			if e.State == history.Taken {
@@ -196,7 +199,7 @@
 				toAnswer.Record(e.At - submittedAt[e.ID])
 			}
 		case history.NoticeReceived:
-			if m := messages[ids[e.ID]]; m != nil && !m.done {
+			if m := messages[numbers[e.ID]]; m != nil && !m.delivered {
 				m.state = e.State
 			}
 		case history.Connected:
@@ -227,30 +230,30 @@
 			}
 			delete(callIDs, e.Call)
 		case history.Executed:
-			if c := ids[e.ID]; c != 0 {
-				if runs[c]++; runs[c] == 2 {
+			if number := numbers[e.ID]; number != 0 {
+				if runs[number]++; runs[number] == 2 {
 					r.RanTwice++
 				}
 			}
 		}
 	}
 	r.All.Name = "all"
-	for _, c := range order {
-		m := messages[c]
-		class := config.Classes[m.submitted.Class]
+	for _, number := range order {
+		m := messages[number]
+		class := config.Classes[m.firstSubmission.Class]
 		weight := 1.0
 		if config.Weight != nil {
-			weight = config.Weight(c)
+			weight = config.Weight(number)
 		}
-		lines := []*Line{&r.All, &r.Classes[m.submitted.Class], &r.Tenants[m.submitted.Tenant], r.interval(m.dueAt)}
-		if n := m.submitted.Node; n >= 0 && n < len(r.Nodes) {
+		lines := []*Line{&r.All, &r.Classes[m.firstSubmission.Class], &r.Tenants[m.firstSubmission.Tenant], r.interval(m.dueAt)}
+		if n := m.firstSubmission.Node; n >= 0 && n < len(r.Nodes) {
 			lines = append(lines, &r.Nodes[n])
 		}
 		for _, l := range lines {
 			l.Messages++
 			l.WorthAsked += class.Worth * weight
 			switch {
-			case m.done:
+			case m.delivered:
 				l.Delivered++
 				l.WorthServed += class.WorthAfter(m.latency) * weight
 			case m.state == history.Refused || m.state == history.Returned:
@@ -266,7 +269,7 @@
 	return r
 }
 
-// interval returns the line of the interval that contains a time.
+// interval returns the line of the interval that contains a time, and adds missing lines.
 func (r *Report) interval(at time.Duration) *Line {
 	i := int(max(at, 0) / Interval)
 	for len(r.Intervals) <= i {
--- a/internal/registry/kept.go
+++ b/internal/registry/kept.go
@@ -16,19 +16,19 @@
 
 const cacheFileName = "list.json"
 
-// ListCache keeps the latest list in a persistent folder, for a process that starts while no service is
-// reachable. It is not safe for concurrent use.
+// ListCache keeps the latest list in a file, for a node that starts while no discovery service is reachable. It is not safe for concurrent use.
 type ListCache struct {
 	path     string
-	maxBytes int64 // size limit of the file; while it is being replaced there are two
+	maxBytes int64 // of the file; the folder holds two such files while one replaces the other
 
 	members     map[string]catalog.Endpoint
 	position    Position
 	confirmedAt time.Time
-	dirty       bool
+	dirty       bool // the list differs from the one in the file
 }
 
-// cacheFile is the format of the file.
+// cacheFile is the format of the file. HeardAt is when the service had last confirmed the list at the time of
+// writing, and From is the address of the server that sent it.
 type cacheFile struct {
 	HeardAt  time.Time          `json:"heard_at"`
 	History  int64              `json:"history"`
@@ -37,8 +37,8 @@
 	Members  []catalog.Endpoint `json:"members"`
 }
 
-// OpenListCache reads the cache in a folder. A missing file is no error. If the file is unreadable, the cache
-// is usable and empty, and the error says why. maxBytes limits the size of the file.
+// OpenListCache reads the cache in a folder. A missing file is not an error. If the file is unreadable, it
+// returns the reason and an empty cache that can be used. maxBytes limits the size of the file.
 func OpenListCache(dir string, maxBytes int64) (*ListCache, error) {
 	c := &ListCache{path: filepath.Join(dir, cacheFileName), maxBytes: maxBytes, members: map[string]catalog.Endpoint{}}
 	os.Remove(c.path + ".new") // left by a process that ended while writing
@@ -65,7 +65,8 @@
 	return c, nil
 }
 
-// List returns the cached list, its position, and when the service last confirmed it; false if there is none.
+// List returns the cached list sorted by ID, its position, and when the service last confirmed it, or false if
+// there is no list.
 func (c *ListCache) List() (catalog.List, Position, time.Time, bool) {
 	list := catalog.List{Revision: c.position.Revision, Complete: true, Members: []catalog.Endpoint{}}
 	for _, m := range c.members {
@@ -75,7 +76,7 @@
 	return list, c.position, c.confirmedAt, !c.confirmedAt.IsZero()
 }
 
-// Apply applies an update in memory. Flush writes it to the file.
+// Apply applies an update in memory; Flush writes the result to the file.
 func (c *ListCache) Apply(update Update, now time.Time) {
 	if update.Complete {
 		clear(c.members)
@@ -88,15 +89,17 @@
 	c.position, c.confirmedAt, c.dirty = update.Position(), now, true
 }
 
-// MarkConfirmed notes that the service still confirms the list.
+// MarkConfirmed records that the service has confirmed the list. The time reaches the file with the next change
+// of the list only.
 func (c *ListCache) MarkConfirmed(now time.Time) {
 	if !c.confirmedAt.IsZero() {
 		c.confirmedAt = now
 	}
 }
 
-// Flush writes the file if the list has changed. It replaces the file atomically. After a write error it
-// tries again at the next call, but not if the list is too large.
+// Flush replaces the file atomically if there was an update since the last write. After a write error the next
+// call tries again. A list that is too large is not written, and the file keeps the older one; only the next
+// update causes another attempt.
 func (c *ListCache) Flush() error {
 	if !c.dirty {
 		return nil
@@ -108,7 +111,7 @@
 	}
 	if int64(len(raw)) > c.maxBytes {
 		c.dirty = false
-		return fmt.Errorf("list cache: the list has %d bytes, the limit is %d; keeping the older file", len(raw), c.maxBytes)
+		return fmt.Errorf("list cache: the list takes %d bytes, the limit is %d; keeping the older file", len(raw), c.maxBytes)
 	}
 	newPath := c.path + ".new"
 	if err = os.WriteFile(newPath, raw, 0o600); err == nil {
