--- a/internal/lab/trial/check_test.go
+++ b/internal/lab/trial/check_test.go
@@ -10,12 +10,12 @@
 
 func milliseconds(count int) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// The tests of the checkers show that each finds the violations it is there for; one that never reports any
-// proves nothing.
+// These tests show that each checker finds the violations that it is there for: a checker that never reports
+// any would let every trial pass.
 func TestCheckLinearizable(t *testing.T) {
-	op := func(kind OperationKind, outcome Outcome, old, new, readValue int64, call, back int) Operation {
+	op := func(kind OperationKind, outcome Outcome, old, new, readValue int64, call, returned int) Operation {
 		return Operation{Kind: kind, EndpointID: "e", Old: old, New: new, ReadValue: readValue, Outcome: outcome, Call: milliseconds(call),
-			Return: milliseconds(back)}
+			Return: milliseconds(returned)}
 	}
 	for _, test := range []struct {
 		name  string
@@ -25,16 +25,16 @@
 		{"read after write", []Operation{op(Put, Done, 0, 1, 0, 0, 10), op(Read, Done, 0, 0, 1, 11, 12)}, true},
 		{"stale read", []Operation{op(Put, Done, 0, 1, 0, 0, 10), op(Read, Done, 0, 0, 0, 11, 12)}, false},
 		{"old value while a write is in flight", []Operation{op(Put, Done, 0, 1, 0, 0, 10), op(Read, Done, 0, 0, 0, 5, 6)}, true},
-		{"a lost write", []Operation{op(Put, Done, 0, 1, 0, 0, 1), op(CompareAndSwap, Done, 0, 2, 0, 2, 3)}, false},
+		{"a write that was lost", []Operation{op(Put, Done, 0, 1, 0, 0, 1), op(CompareAndSwap, Done, 0, 2, 0, 2, 3)}, false},
 		{"two conditional writes on one value", []Operation{op(CompareAndSwap, Done, 0, 1, 0, 0, 9), op(CompareAndSwap, Done, 0, 2, 0, 0, 9)}, false},
-		{"a conflict without a cause", []Operation{op(CompareAndSwap, Conflict, 0, 1, 0, 0, 9)}, false},
+		{"a conflict though the old value matched", []Operation{op(CompareAndSwap, Conflict, 0, 1, 0, 0, 9)}, false},
 		{"an ambiguous write that took effect late",
 			[]Operation{op(Put, Ambiguous, 0, 1, 0, 0, 1), op(Read, Done, 0, 0, 0, 2, 3), op(Read, Done, 0, 0, 1, 4, 5)}, true},
 		{"an ambiguous write that took effect and was undone",
 			[]Operation{op(Put, Ambiguous, 0, 1, 0, 0, 1), op(Read, Done, 0, 0, 1, 2, 3), op(Read, Done, 0, 0, 0, 4, 5)}, false},
 	} {
 		if violations := CheckLinearizable(test.ops, time.Minute); (len(violations) == 0) != test.valid {
-			t.Errorf("%s: %v", test.name, violations)
+			t.Errorf("%s: violations %v, want none: %v", test.name, violations, test.valid)
 		}
 	}
 }
@@ -66,18 +66,18 @@
 		name, wantText string
 		updates        []WatcherUpdate
 	}{
-		{"a change missed", "the list is", append([]WatcherUpdate{correct[0], correct[2]}, correct[3:]...)},
+		{"a change is missing", "the list is", append([]WatcherUpdate{correct[0], correct[2]}, correct[3:]...)},
 		{"an empty update in its place", "the list is", append([]WatcherUpdate{correct[0], update(1, 2, false), correct[2]}, correct[3:]...)},
-		{"a change invented", "the list is", append([]WatcherUpdate{correct[0], update(1, 2, false, endpoint("a", 9))}, correct[2:]...)},
+		{"a change that was not committed", "the list is", append([]WatcherUpdate{correct[0], update(1, 2, false, endpoint("a", 9))}, correct[2:]...)},
 		{"changes out of order", "after 3",
 			append([]WatcherUpdate{correct[0], update(1, 3, false, endpoint("a", 1), endpoint("b", 1)), correct[1]}, correct[3:]...)},
 		{"a revision that does not exist", "does not have", append(append([]WatcherUpdate{}, correct...), update(2, 4, false))},
 		{"back to the old history", "after 2", append(append([]WatcherUpdate{}, correct...), correct[2])},
-		{"a new history without its list", "without its list", []WatcherUpdate{correct[0], correct[1], correct[2], update(2, 3, false, endpoint("a", 5))}},
-		{"not to the end", "before the end", correct[:4]},
+		{"changes of a new history without its list", "without its list", []WatcherUpdate{correct[0], correct[1], correct[2], update(2, 3, false, endpoint("a", 5))}},
+		{"a watcher that stops before the last revision", "before the end", correct[:4]},
 	} {
 		if violations := CheckWatches(histories, [][]WatcherUpdate{test.updates}); len(violations) != 1 || !strings.Contains(violations[0], test.wantText) {
-			t.Errorf("%s: %v", test.name, violations)
+			t.Errorf("%s: violations %v, want one that contains %q", test.name, violations, test.wantText)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	conflictDone := append([]Operation{{Kind: CompareAndSwap, EndpointID: "a", New: 2, Outcome: Conflict}}, correct[0])
 	for name, ops := range map[string][]Operation{"lost write": lost, "conflict that took effect": conflictDone, "value that no client wrote": correct[:1]} {
 		if violations := CheckWrites(committed, ops); len(violations) != 1 {
-			t.Errorf("%s: %v", name, violations)
+			t.Errorf("%s: violations %v, want one", name, violations)
 		}
 	}
 }
@@ -106,9 +106,9 @@
 		t.Errorf("unexpected violations: %v", violations)
 	}
 	if violations := CheckLeases(append(correct, LeaseHolding{2, 4, milliseconds(19), milliseconds(30)})); len(violations) != 1 {
-		t.Errorf("two holders at once: %v", violations)
+		t.Errorf("two holders at once: violations %v, want one", violations)
 	}
 	if violations := CheckLeases(append(correct, LeaseHolding{2, 3, milliseconds(50), milliseconds(60)})); len(violations) != 1 {
-		t.Errorf("one token given twice: %v", violations)
+		t.Errorf("one token given twice: violations %v, want one", violations)
 	}
 }
--- a/internal/lab/trial/ownership_check.go
+++ b/internal/lab/trial/ownership_check.go
@@ -13,7 +13,7 @@
 	"starlingusher/fleet/ownership"
 )
 
-// OwnershipRule names a promise about the ownership of partitions.
+// OwnershipRule names a rule that the trial checks.
 type OwnershipRule string
 
 // The rules.
@@ -55,8 +55,8 @@
 	Return   time.Duration `json:"return"`
 }
 
-// CheckMapNumbers reports map numbers that belong to two maps, and maps whose number is not larger than that
-// of a map written before.
+// CheckMapNumbers reports map numbers under which two different maps were seen or written, and writes whose
+// number is not larger than that of a write that had returned before.
 func CheckMapNumbers(observations []MapObservation, writes []MapWrite) []Violation {
 	var violations []Violation
 	first := map[int64]MapObservation{}
@@ -96,17 +96,17 @@
 	return violations
 }
 
-// PublishedMap is a map that was written or may have been written.
+// PublishedMap is a map that a controller wrote or may have written.
 type PublishedMap struct {
 	Number       int64
 	Checksum     uint64                `json:"Sum"`   // of the encoded map
 	WrittenAfter time.Duration         `json:"Asked"` // no process can have the map before this time
-	CommittedBy  time.Duration         `json:"Known"` // the directory had the map by this time; never: not known
-	Owned        map[int]ownership.Set // by node; a node that is missing owns nothing
+	CommittedBy  time.Duration         `json:"Known"` // the directory had the map by this time at the latest; never: not known
+	Owned        map[int]ownership.Set // partitions by node; a node that is missing owns nothing
 }
 
-// Disturbance is a time in which a node, or all nodes (-1), could not receive or act as usual because of a
-// fault.
+// Disturbance is a time in which a node can't be held to the time limits, because of a fault or because the
+// machine held up the trial. Node -1 stands for all nodes.
 type Disturbance struct {
 	Node   int           `json:"node"`
 	From   time.Duration `json:"from"`
@@ -116,8 +116,8 @@
 
 func (d Disturbance) affects(node int) bool { return d.Node == node || d.Node < 0 }
 
-// undisturbedSince returns when the last disturbance of a node before a time had ended; false during a
-// disturbance.
+// undisturbedSince returns the end of a node's last disturbance before a time (0: there was none), or false if the
+// time is in a disturbance.
 func undisturbedSince(disturbances []Disturbance, node int, at time.Duration) (time.Duration, bool) {
 	lastEnd := time.Duration(0)
 	for _, disturbance := range disturbances {
@@ -132,7 +132,7 @@
 	return lastEnd, true
 }
 
-// Submission is a message that was submitted to a node, and the answer.
+// Submission is a message that was submitted to a node, with the node's answer.
 type Submission struct {
 	Node        int           `json:"node"`
 	Destination int           `json:"dest"`
@@ -150,16 +150,22 @@
 // acceptsNew tells whether the node accepted a message that it did not have before.
 func (s Submission) acceptsNew() bool { return s.Answer == history.Taken && !s.Repeat }
 
+// String describes the submission of a message that the node accepted.
 func (s Submission) String() string {
 	return fmt.Sprintf("node %d accepted %s for destination %d (partition %d) at %v", s.Node, s.ID, s.Destination,
 		ownership.PartitionOf(s.Destination), s.Return)
 }
 
-// CheckAccepts reports messages that a node accepted although no map allows it. A node moves through the maps
-// in the order of their numbers. It breaks RuleForwardOnly if no map from the lowest one on that explains
-// what it accepted before assigns the destination to it, and RuleTimelyRelease if all maps that do are older
-// than the one that it must have had within the limit. longest is the longest time after a map in which a
-// node still accepted messages for a destination that it lost by it.
+// CheckAccepts reports messages that a node accepted although its map can't have allowed it.
+//
+// A node must go through the maps in the order of their numbers. For each node the check keeps the lowest map
+// number that it can have reached, judged by the messages that it accepted so far. RuleForwardOnly is broken if
+// no map from that number on assigns the message's partition to the node. RuleTimelyRelease is broken if each
+// map that does is older than one that the directory had, and that the node could fetch undisturbed, for longer
+// than limit.
+//
+// longest is the longest time for which a node still accepted messages for a partition that it had lost,
+// counted from the map by which it lost the partition or from the end of its last disturbance.
 func CheckAccepts(
 	published []PublishedMap, submissions []Submission, disturbances []Disturbance, limit time.Duration,
 ) (violations []Violation, longest time.Duration) {
@@ -167,15 +173,15 @@
 		func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
 	submissions = slices.SortedStableFunc(slices.Values(submissions),
 		func(a, b Submission) int { return cmp.Compare(a.Return, b.Return) })
-	lowest := map[int]int64{} // by node: the lowest number that explains everything accepted so far
+	lowestNumber := map[int]int64{} // by node: the lowest map number that it can have reached
 	for _, submission := range submissions {
 		if !submission.acceptsNew() {
 			continue
 		}
 		partition := ownership.PartitionOf(submission.Destination)
-		required := int64(0) // the map that the node must have
+		required := int64(0) // number of the newest map that the node must have
 		since, undisturbed := undisturbedSince(disturbances, submission.Node, submission.Call)
-		newest := int64(0) // the newest map that assigns the destination to the node
+		newest := int64(0) // number of the newest map that assigns the partition to the node
 		for _, m := range published {
 			if undisturbed && m.CommittedBy != never && max(m.CommittedBy, since)+limit < submission.Call {
 				required = max(required, m.Number)
@@ -184,10 +190,10 @@
 				newest = m.Number
 			}
 		}
-		explaining := int64(0)
+		reached := int64(0) // number of the oldest such map from lowestNumber on
 		for _, m := range published {
-			if m.Number >= lowest[submission.Node] && m.WrittenAfter <= submission.Return && m.Owned[submission.Node].Has(partition) {
-				explaining = m.Number
+			if m.Number >= lowestNumber[submission.Node] && m.WrittenAfter <= submission.Return && m.Owned[submission.Node].Has(partition) {
+				reached = m.Number
 				break
 			}
 		}
@@ -195,16 +201,17 @@
 		case newest < required:
 			violations = append(violations,
 				Violation{RuleTimelyRelease,
-					fmt.Sprintf("%v, more than %v after it must have had map %d, which does not assign the partition to it",
+					fmt.Sprintf("%v, more than %v after it could fetch map %d, by which it does not own the partition",
 						submission, limit, required)})
-		case explaining == 0:
+		case reached == 0:
 			violations = append(violations,
 				Violation{RuleForwardOnly,
-					fmt.Sprintf("%v; no map from number %d on, the lowest that explains what it accepted before, assigns the partition to it", submission, lowest[submission.Node])})
+					fmt.Sprintf("%v; no map from number %d on assigns the partition to it, and after what it accepted before it can't have an older one",
+						submission, lowestNumber[submission.Node])})
 		default:
-			lowest[submission.Node] = explaining
+			lowestNumber[submission.Node] = reached
 		}
-		for _, m := range published { // measure from the first map after the newest one that assigns the destination to the node
+		for _, m := range published { // measured from the first map after the newest one that assigns the partition to the node
 			if m.Number > newest && m.CommittedBy != never {
 				if undisturbed {
 					longest = max(longest, submission.Return-max(m.CommittedBy, since))
@@ -216,18 +223,18 @@
 	return violations, longest
 }
 
-// WatchRequest is a watch of the list that a node requested, as recorded by the front between it and a
-// replica.
+// WatchRequest is a watch of the list that a node requested, recorded by the front (the proxy between the node
+// and a replica).
 type WatchRequest struct {
 	Node          int           `json:"node"`
 	Replica       int           `json:"replica"`
 	At            time.Duration `json:"at"`
 	AllPartitions bool          `json:"whole,omitempty"` // the request named no partitions
 	Partitions    ownership.Set `json:"-"`
-	OlderBuild    bool          `json:"older,omitempty"` // an older build answered, which does not know partitions
-	After         int64         `json:"after"`
-	AskedHistory  int64         `json:"asked_history,omitempty"`
-	History       int64         `json:"history"` // of the answer
+	OlderBuild    bool          `json:"older,omitempty"`         // an older build answered, which does not know partitions
+	After         int64         `json:"after"`                   // revision from which the node resumes; 0: it needs the whole list
+	AskedHistory  int64         `json:"asked_history,omitempty"` // history of After
+	History       int64         `json:"history"`                 // of the answer
 	Lines         []WatchLine   `json:"lines"`
 }
 
@@ -237,10 +244,11 @@
 	catalog.List
 }
 
-// CheckWatchRequests reports watch requests that do not fit the maps in the order of their numbers. The
-// requested set must contain everything that the node owns by its map, and nothing that it never owned. A
-// node that owns nothing, or has no map yet, may request any single partition in order to hear of new maps. A
-// request that a newer one overtook within the slack does not count as a step back.
+// CheckWatchRequests reports watch requests whose partitions match no map, or only maps older than the one that
+// the node had reached. The partitions must include all that the node owns by its map, and none that it never
+// owned. A node that owns nothing, or has no map yet, requests any single partition in order to learn of new
+// maps. A request for an older map that arrives within slack after one for a newer map is no violation: the two
+// may have crossed on their way.
 func CheckWatchRequests(published []PublishedMap, requests []WatchRequest, slack time.Duration) []Violation {
 	published = slices.SortedStableFunc(slices.Values(published),
 		func(a, b PublishedMap) int { return cmp.Compare(a.Number, b.Number) })
@@ -259,8 +267,9 @@
 			continue
 		}
 		previous := reached[request.Node]
+		// findMap returns the lowest map number from minNumber on that the request matches; 0 stands for no map.
 		findMap := func(minNumber int64) (int64, bool) {
-			if minNumber == 0 && request.Partitions.Len() == 1 { // the node has no map yet
+			if minNumber == 0 && request.Partitions.Len() == 1 { // the node may have no map yet
 				return 0, true
 			}
 			var everOwned ownership.Set
@@ -299,7 +308,7 @@
 	return violations
 }
 
-// summarize describes a set of partitions in a few words.
+// summarize returns the number of partitions in a set and the beginning of their list.
 func summarize(s ownership.Set) string {
 	text := s.String()
 	if len(text) > 40 {
@@ -308,10 +317,10 @@
 	return fmt.Sprintf("%d partitions (%s)", s.Len(), text)
 }
 
-// historySnapshots are the lists of a history at each of its revisions.
+// historySnapshots holds the list of a history at each of its revisions.
 type historySnapshots struct {
 	firstRevision int64
-	lists         []map[string]catalog.Endpoint
+	lists         []map[string]catalog.Endpoint // by revision minus firstRevision; endpoints by ID
 }
 
 func (h CommittedHistory) snapshots() historySnapshots {
@@ -324,7 +333,8 @@
 	return s
 }
 
-// filtered returns the part of a revision's list that is in a set of partitions.
+// filtered returns the endpoints of a revision's list that are in a set of partitions, or false if the history
+// does not have the revision.
 func (s historySnapshots) filtered(revision int64, partitions ownership.Set) (map[string]catalog.Endpoint, bool) {
 	if n := revision - s.firstRevision; n < 0 || n >= int64(len(s.lists)) {
 		return nil, false
@@ -338,15 +348,15 @@
 	return endpoints, true
 }
 
-// CheckFilteredWatches reports watch lines that do not lead to the list of the requested partitions.
-// histories is keyed by history number.
+// CheckFilteredWatches applies the lines of each watch in order, and reports those after which the node does not
+// have the list of the requested partitions at the line's revision. histories is keyed by history number.
 func CheckFilteredWatches(histories map[int64]CommittedHistory, requests []WatchRequest) []Violation {
 	snapshotsOf := map[int64]historySnapshots{}
 	for number, committed := range histories {
 		snapshotsOf[number] = committed.snapshots()
 	}
 	type position struct{ history, revision int64 }
-	delivered := map[int]position{} // by node: the furthest position that it was sent
+	delivered := map[int]position{} // by node: the newest position that it was sent
 	var violations []Violation
 	for _, request := range slices.SortedStableFunc(slices.Values(requests),
 		func(a, b WatchRequest) int { return cmp.Compare(a.At, b.At) }) {
@@ -370,7 +380,7 @@
 		if last := delivered[request.Node]; request.After > 0 {
 			// The node resumes, so it has what it was sent before.
 			if request.AskedHistory > last.history || request.AskedHistory == last.history && request.After > last.revision {
-				report("it resumes from revision %d of history %d, and was sent no more than revision %d of history %d",
+				report("it resumes from revision %d of history %d, but was sent no more than revision %d of history %d",
 					request.After, request.AskedHistory, last.revision, last.history)
 				continue
 			}
@@ -389,17 +399,17 @@
 				actual, complete = map[string]catalog.Endpoint{}, true
 			}
 			if !complete {
-				report("line %d has changes of a list that was never sent", i)
+				report("line %d has changes, but the complete list was never sent", i)
 				break
 			}
 			applyChanges(actual, line.Members)
 			expected, ok := snapshots.filtered(revision, request.Partitions)
 			if !ok {
-				report("line %d has revision %d, which the service does not have", i, revision)
+				report("line %d has revision %d, which the history does not have", i, revision)
 				break
 			}
 			if !maps.Equal(actual, expected) {
-				report("line %d, revision %d: the node was sent %s", i, revision, describeDifference(actual, expected))
+				report("line %d, revision %d: the lines so far give %s", i, revision, describeDifference(actual, expected))
 				break
 			}
 			if last := delivered[request.Node]; request.History > last.history || request.History == last.history &&
@@ -435,21 +445,21 @@
 
 // CheckConverged reports the answers of a pass over all nodes and destinations, after the faults and with the
 // last map at all nodes, in which an owner did not accept or another node did not refuse with a retry-after.
-// isListed tells which destinations were ever on the list.
+// isListed tells which destinations were ever on the list; an owner fails messages for the others as unknown.
 func CheckConverged(lastMap PublishedMap, nodes int, destinations []int, isListed func(int) bool, submissions []Submission) []Violation {
-	type place struct{ node, destination int }
-	answers := map[place]Submission{}
+	type pair struct{ node, destination int }
+	answers := map[pair]Submission{}
 	for _, submission := range submissions {
-		answers[place{submission.Node, submission.Destination}] = submission
+		answers[pair{submission.Node, submission.Destination}] = submission
 	}
 	var violations []Violation
 	for node := range nodes {
 		for _, destination := range destinations {
-			submission, ok := answers[place{node, destination}]
+			submission, ok := answers[pair{node, destination}]
 			submission.Node, submission.Destination = node, destination
 			if !ok || !submission.isCorrect(lastMap, isListed(destination)) {
 				violations = append(violations,
-					Violation{RuleOwnersOnly, fmt.Sprintf("node %d, destination %d (owner by map %d: %v, listed: %v): %s %v %s",
+					Violation{RuleOwnersOnly, fmt.Sprintf("node %d, destination %d (owner by map %d: %v, listed: %v): answer %s, retry-after %v, reason %q",
 						node, destination, lastMap.Number, lastMap.Owned[node].Has(ownership.PartitionOf(destination)),
 						isListed(destination), cmp.Or(submission.Answer, "no answer recorded"), submission.RetryAfter,
 						submission.Reason)})
@@ -459,7 +469,7 @@
 	return violations
 }
 
-// isCorrect tells whether the answer is the one that a map and the list demand.
+// isCorrect tells whether the answer is the one that the node must give by a map and the list.
 func (s Submission) isCorrect(m PublishedMap, listed bool) bool {
 	switch owns := m.Owned[s.Node].Has(ownership.PartitionOf(s.Destination)); {
 	case owns && listed:
@@ -470,16 +480,18 @@
 	return s.Answer == history.Refused && s.RetryAfter > 0
 }
 
+// unknownDestination is the reason that a node gives for a destination that it does not know.
 const unknownDestination = "unknown destination"
 
-// MessageEnd is an event at the end of a message: its run at a partner, the partner's answer, or a notice.
+// MessageEnd is an event near the end of a message: its run at a partner, the partner's answer, or a notice. The
+// answer and the notice end the message; the run alone does not.
 type MessageEnd struct {
 	ID   string        `json:"id"`
 	At   time.Duration `json:"at"`
 	Kind string        `json:"kind"`
 }
 
-// The kinds of ends. A message may run and be answered, run without an answer, or have a notice.
+// The kinds of MessageEnd.
 const (
 	RanAtPartner      = "ran"      // a partner received the message
 	AnsweredByPartner = "answered" // the partner answered the node
@@ -502,7 +514,8 @@
 	return count
 }
 
-// CountEndedAfterLoss counts the messages that ended after a map had taken their partition from the node.
+// CountEndedAfterLoss counts the messages that ended after a map had taken their partition from the node that
+// accepted them.
 func CountEndedAfterLoss(published []PublishedMap, submissions []Submission, ends []MessageEnd) int {
 	endedAt := map[string]time.Duration{}
 	for _, end := range ends {
@@ -523,9 +536,10 @@
 	return count
 }
 
-// CheckEnds reports accepted messages that did not end in time, and ends that the effect of the message
-// forbids. A node that was disturbed meanwhile has until the slack after the disturbance. Ends that are due
-// after checkedAt are not judged.
+// CheckEnds reports accepted messages that did not end within slack after their deadline, and at-most-once
+// messages that ran more than once, or ran and were returned. If the node was disturbed meanwhile, the message
+// may end up to slack after the disturbance. A message without an end is reported only if the end was due before
+// checkedAt.
 func CheckEnds(submissions []Submission, ends []MessageEnd, disturbances []Disturbance, slack, checkedAt time.Duration) []Violation {
 	endsByID := map[string][]MessageEnd{}
 	for _, end := range ends {
@@ -548,7 +562,7 @@
 		if submission.AtMostOnce && (runs > 1 || runs > 0 && returned) {
 			violations = append(violations,
 				Violation{RuleMessagesEnd,
-					fmt.Sprintf("%s at node %d must run at most once; it ran %d times, returned: %v", submission.ID,
+					fmt.Sprintf("%s at node %d must run at most once, and not at all if returned; it ran %d times, returned: %v", submission.ID,
 						submission.Node, runs, returned)})
 		}
 		if !submission.acceptsNew() {
@@ -577,9 +591,10 @@
 	return violations
 }
 
-// CheckAnswers reports answers that must never be given: "unknown" for a destination that was always on the
-// list, and a refusal or failure for a message that the same node had accepted and that has not ended.
-func CheckAnswers(submissions []Submission, ends []MessageEnd, alwaysListed func(dest int) bool) []Violation {
+// CheckAnswers reports answers that a node must never give: a failure of a new message, unless it says that the
+// destination is unknown and the destination was not always on the list; and a refusal or failure of the repeat
+// of a message that the node had accepted and that has not ended.
+func CheckAnswers(submissions []Submission, ends []MessageEnd, alwaysListed func(destination int) bool) []Violation {
 	endedAt := map[string]time.Duration{}
 	for _, end := range ends {
 		if at, ok := endedAt[end.ID]; end.Kind != RanAtPartner && (!ok || end.At < at) {
@@ -588,16 +603,16 @@
 	}
 	var violations []Violation
 	for _, submission := range submissions {
-		negative := submission.Answer == history.Failed || submission.Answer == history.Refused
+		refusedOrFailed := submission.Answer == history.Failed || submission.Answer == history.Refused
 		if submission.Answer == history.Failed && !submission.Repeat &&
 			(alwaysListed(submission.Destination) || submission.Reason != unknownDestination) {
 			violations = append(violations,
-				Violation{RuleAnswers, fmt.Sprintf("node %d, destination %d at %v: failed: %s", submission.Node,
+				Violation{RuleAnswers, fmt.Sprintf("node %d failed a message for destination %d at %v: %s", submission.Node,
 					submission.Destination, submission.Return, submission.Reason)})
 		}
-		if at, ended := endedAt[submission.ID]; submission.Repeat && negative && (!ended || at > submission.Return) {
+		if at, ended := endedAt[submission.ID]; submission.Repeat && refusedOrFailed && (!ended || at > submission.Return) {
 			violations = append(violations,
-				Violation{RuleAnswers, fmt.Sprintf("node %d had accepted %s, which has not ended, and rejected its repeat at %v: %s %v %s", submission.Node, submission.ID, submission.Return, submission.Answer, submission.RetryAfter, submission.Reason)})
+				Violation{RuleAnswers, fmt.Sprintf("node %d had accepted %s, which had not ended, and did not accept its repeat at %v: answer %s, retry-after %v, reason %q", submission.Node, submission.ID, submission.Return, submission.Answer, submission.RetryAfter, submission.Reason)})
 		}
 	}
 	return violations
--- a/internal/lab/trial/ownership_check_test.go
+++ b/internal/lab/trial/ownership_check_test.go
@@ -304,8 +304,8 @@
 		{"repeat accepted", submissions(1, true, history.Taken, ""), endedAt(2), ""},
 		{"ended before its repeat", submissions(1, true, history.Refused, ""), endedAt(1), ""},
 		{"no answer", submissions(1, true, history.ConnectionLost, ""), endedAt(2), ""},
-		{"repeat refused before the end", submissions(1, true, history.Refused, ""), endedAt(2), "rejected its repeat"},
-		{"repeat failed without an end", submissions(1, true, history.Failed, unknownDestination), nil, "rejected its repeat"},
+		{"repeat refused before the end", submissions(1, true, history.Refused, ""), endedAt(2), "did not accept its repeat"},
+		{"repeat failed without an end", submissions(1, true, history.Failed, unknownDestination), nil, "did not accept its repeat"},
 	} {
 		checkViolation(t, test.name, CheckAnswers(test.submissions, test.ends, func(destination int) bool { return destination < 900 }), RuleAnswers, test.wantText)
 	}
--- a/internal/lab/trial/ownership_partner.go
+++ b/internal/lab/trial/ownership_partner.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// partners serve all endpoints, each at its own address, and record the messages that run. The simulated
-// partners of the experiments have models, limits and links per node, which do not matter to the ownership of
-// destinations.
+// partners is one HTTP server for all endpoints of the trial, each at its own address. It records the messages
+// that run. The simulated partners of the experiments are not used: their service models, rate limits and links
+// per node do not matter to the ownership of destinations.
 type partners struct {
 	trial     *ownershipTrial
 	server    *http.Server
 	serving   sync.WaitGroup
-	addresses []string // by index of the endpoint
+	addresses []string // host:port, by index of the endpoint
 }
 
+// openPartners starts the server with addresses for count endpoints.
 func (t *ownershipTrial) openPartners(count int) (*partners, error) {
 	p := &partners{trial: t}
 	p.server = &http.Server{Handler: http.HandlerFunc(p.serve), ReadHeaderTimeout: 30 * time.Second, IdleTimeout: 10 * time.Second}
@@ -44,7 +45,7 @@
 	p.serving.Wait()
 }
 
-// serve receives a message, delays its answer if that was set for its ID, and confirms it.
+// serve records the run of a message, waits for the answer delay of its ID, and answers 200.
 func (p *partners) serve(w http.ResponseWriter, req *http.Request) {
 	if req.Method != http.MethodPost {
 		return // a health probe
