--- a/fleet/tally/tally.go
+++ b/fleet/tally/tally.go
@@ -157,8 +157,8 @@
 	submittedAt := map[string]time.Duration{}
 	callIDs := map[uint64][]string{}
 	runs := map[int]int{}
-	accepted := map[string]bool{}               // ids that the client was told were accepted
-	earlyDelivery := map[string]time.Duration{} // time of the first delivery before the client's answer, by id
+	// The ids that the client was told were accepted; the time of the first delivery before that answer, by id.
+	accepted, earlyDelivery := map[string]bool{}, map[string]time.Duration{}
 	deliver := func(id string, at time.Duration) {
 		if !accepted[id] { // counts only if the answer that it was accepted follows
 			if _, before := earlyDelivery[id]; !before {
--- a/internal/directory/code.go
+++ b/internal/directory/code.go
@@ -12,17 +12,19 @@
 	"starlingusher/fleet/catalog"
 )
 
-// Stored data begins with a mark and a hash of its bytes, so that damage is detected.
+// Commands in the log, backups and snapshots begin with a mark that tells their type and a checksum of the rest,
+// so that damage is detected.
 const (
 	commandMark         = "cmd1"
 	backupMark          = "bak1"
-	checksumHeaderBytes = 4 + 8
-	maxBackupBytes      = 1 << 30 // bytes; catalog.MaxEndpoints endpoints of about 170 bytes take a third of it
-	maxCommandBytes     = 64 << 20
+	checksumHeaderBytes = 4 + 8    // the mark and the checksum
+	maxBackupBytes      = 1 << 30  // bytes of an encoded backup; catalog.MaxEndpoints endpoints of about 170 bytes take a third of it
+	maxCommandBytes     = 64 << 20 // bytes of an encoded command
 )
 
 var errDamaged = errors.New("damaged")
 
+// decodeMode bounds the size and depth of the data that is decoded, and rejects duplicate keys.
 var decodeMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
 		MaxNestedLevels: 16, MaxArrayElements: 2 * catalog.MaxEndpoints, MaxMapPairs: 2 * catalog.MaxEndpoints, DupMapKey: cbor.DupMapKeyEnforcedAPF,
@@ -33,6 +35,7 @@
 	return m
 }()
 
+// encodeWithChecksum encodes a value as CBOR, after the mark and the checksum.
 func encodeWithChecksum(mark string, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
@@ -44,9 +47,10 @@
 	return append(out, body...), nil
 }
 
+// decodeWithChecksum decodes what encodeWithChecksum has encoded with the same mark. All errors are errDamaged.
 func decodeWithChecksum(mark string, raw []byte, v any) error {
 	if len(raw) < checksumHeaderBytes || string(raw[:4]) != mark {
-		return fmt.Errorf("%w: unknown file type", errDamaged)
+		return fmt.Errorf("%w: the data does not begin with the mark of its type", errDamaged)
 	}
 	body := raw[checksumHeaderBytes:]
 	if binary.BigEndian.Uint64(raw[4:]) != xxhash.Sum64(body) {
@@ -59,28 +63,28 @@
 }
 
 // EncodeBackup encodes an image for a backup or a snapshot.
-func EncodeBackup(i catalog.Image) ([]byte, error) { return encodeWithChecksum(backupMark, i) }
+func EncodeBackup(image catalog.Image) ([]byte, error) { return encodeWithChecksum(backupMark, image) }
 
 // DecodeBackup decodes a backup. It rejects damaged data and images that no state can have produced.
 func DecodeBackup(r io.Reader) (catalog.Image, error) {
-	var i catalog.Image
+	var image catalog.Image
 	raw, err := io.ReadAll(io.LimitReader(r, maxBackupBytes+1))
 	if err != nil {
-		return i, fmt.Errorf("backup: %w", err)
+		return image, fmt.Errorf("backup: %w", err)
 	}
 	if len(raw) > maxBackupBytes {
-		return i, fmt.Errorf("backup: larger than %d MB", maxBackupBytes>>20)
+		return image, fmt.Errorf("backup: larger than %d MB", maxBackupBytes>>20)
 	}
-	if err := decodeWithChecksum(backupMark, raw, &i); err != nil {
-		return i, fmt.Errorf("backup: %w", err)
+	if err := decodeWithChecksum(backupMark, raw, &image); err != nil {
+		return image, fmt.Errorf("backup: %w", err)
 	}
-	if _, err := catalog.Load(i); err != nil {
-		return i, fmt.Errorf("backup: %w", err)
+	if _, err := catalog.Load(image); err != nil {
+		return image, fmt.Errorf("backup: %w", err)
 	}
-	return i, nil
+	return image, nil
 }
 
-// isIntactCommand reports whether an encoded command is undamaged.
+// isIntactCommand reports whether the mark and the checksum of an encoded command are correct.
 func isIntactCommand(raw []byte) bool {
 	return len(raw) >= checksumHeaderBytes && string(raw[:4]) == commandMark && binary.BigEndian.Uint64(raw[4:]) == xxhash.Sum64(raw[checksumHeaderBytes:])
 }
--- a/internal/directory/writes.go
+++ b/internal/directory/writes.go
@@ -13,10 +13,11 @@
 	"starlingusher/fleet/catalog"
 )
 
-// writeParser converts a request into a write.
+// writeParser builds a write from a request and its body.
 type writeParser func(req *http.Request, raw []byte) (catalog.Write, error)
 
-// serveWrite serves the requests that change the list.
+// serveWrite returns a handler for requests that change the list. The write is based on the revision in the
+// If-Match header.
 func (s *Server) serveWrite(parse writeParser) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		raw, ok := readBody(w, req, maxBodyBytes)
@@ -29,7 +30,7 @@
 		}
 		match := req.Header.Get("If-Match")
 		if match == "" && req.PathValue("id") != "" && strings.HasPrefix(req.URL.Path, "/registry/registrations/") {
-			match = "*" // a registration concerns only the endpoint itself
+			match = "*" // a registration changes only its own endpoint, so it may be based on any revision
 		}
 		if match == "" {
 			writeError(w, http.StatusPreconditionRequired, errors.New(`the If-Match header is missing: base revision of the write, or "*"`))
@@ -57,12 +58,13 @@
 			return catalog.Command{Write: &write}, err
 		})
 		if write.TTL > 0 && len(write.Members) > 0 {
-			s.replica.noteRegistration(write.Members[0].ID)
+			s.replica.noteRegistration(write.Members[0].ID) // whatever the response; without effect at a follower
 		}
 	}
 }
 
-// parseIfMatch parses If-Match: "*", REVISION or HISTORY.REVISION, with or without quotes.
+// parseIfMatch parses the If-Match header: "*" (any revision), REVISION (of the current history) or
+// HISTORY.REVISION, with or without quotes.
 func parseIfMatch(match string) (catalog.Base, error) {
 	match = strings.Trim(strings.TrimSpace(match), `"`)
 	if match == "*" {
@@ -93,70 +95,77 @@
 	return nil
 }
 
+// parseEndpoints parses a body that holds a list of endpoints, and validates each endpoint.
 func parseEndpoints(raw []byte) ([]catalog.Endpoint, error) {
-	var l struct {
-		Members  *[]catalog.Endpoint `json:"members"`
-		Revision int64               `json:"revision"` // allowed so that a list can be sent back as it was read
-		Complete bool                `json:"complete"`
+	var list struct {
+		Members *[]catalog.Endpoint `json:"members"`
+		// Accepted and ignored, so that a list can be sent back as it was read.
+		Revision int64 `json:"revision"`
+		Complete bool  `json:"complete"`
 	}
-	if err := decodeStrict(raw, &l); err != nil {
+	if err := decodeStrict(raw, &list); err != nil {
 		return nil, err
 	}
-	if l.Members == nil {
+	if list.Members == nil {
 		return nil, errors.New(`body: "members" is missing`)
 	}
-	return *l.Members, validateAll(*l.Members)
+	return *list.Members, validateAll(*list.Members)
 }
 
 func validateAll(endpoints []catalog.Endpoint) error {
-	for _, m := range endpoints {
-		if err := m.Validate(); err != nil {
+	for _, e := range endpoints {
+		if err := e.Validate(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// parsePartial parses a write that adds, changes or deletes the endpoints in the body and leaves all others.
 func parsePartial(_ *http.Request, raw []byte) (catalog.Write, error) {
-	members, err := parseEndpoints(raw)
-	return catalog.Write{Members: members}, err
+	endpoints, err := parseEndpoints(raw)
+	return catalog.Write{Members: endpoints}, err
 }
 
+// parseFull parses a write that replaces the whole list.
 func parseFull(_ *http.Request, raw []byte) (catalog.Write, error) {
-	members, err := parseEndpoints(raw)
-	return catalog.Write{Members: members, Replace: true}, err
+	endpoints, err := parseEndpoints(raw)
+	return catalog.Write{Members: endpoints, Replace: true}, err
 }
 
+// parseEndpoint parses a write of the one endpoint in the path.
 func parseEndpoint(req *http.Request, raw []byte) (catalog.Write, error) {
-	var m catalog.Endpoint
-	if err := decodeStrict(raw, &m); err != nil {
+	var endpoint catalog.Endpoint
+	if err := decodeStrict(raw, &endpoint); err != nil {
 		return catalog.Write{}, err
 	}
-	if m.ID != req.PathValue("id") {
-		return catalog.Write{}, fmt.Errorf("the id is %.40q in the body and %.40q in the path", m.ID, req.PathValue("id"))
+	if endpoint.ID != req.PathValue("id") {
+		return catalog.Write{}, fmt.Errorf("the id is %.40q in the body and %.40q in the path", endpoint.ID, req.PathValue("id"))
 	}
-	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Validate()
+	return catalog.Write{Members: []catalog.Endpoint{endpoint}}, endpoint.Validate()
 }
 
 func parseDelete(req *http.Request, _ []byte) (catalog.Write, error) {
-	m := catalog.Endpoint{ID: req.PathValue("id"), Phase: catalog.Deleted}
-	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Validate()
+	endpoint := catalog.Endpoint{ID: req.PathValue("id"), Phase: catalog.Deleted}
+	return catalog.Write{Members: []catalog.Endpoint{endpoint}}, endpoint.Validate()
 }
 
-// parseDrain drains an endpoint as it is listed at this replica.
+// parseDrain parses a write that sets the phase of an endpoint to Draining. The other fields are those that
+// this replica has listed.
 func (s *Server) parseDrain(req *http.Request, _ []byte) (catalog.Write, error) {
-	var m catalog.Endpoint
+	var endpoint catalog.Endpoint
 	s.replica.fsm.view(func(st *catalog.State) {
-		e, _ := st.Entry(req.PathValue("id"))
-		m = e.Endpoint
+		entry, _ := st.Entry(req.PathValue("id"))
+		endpoint = entry.Endpoint
 	})
-	if m.ID == "" {
+	if endpoint.ID == "" {
 		return catalog.Write{}, fmt.Errorf("endpoint %.40q is not listed at this replica: %w", req.PathValue("id"), catalog.ErrNotFound)
 	}
-	m.Phase = catalog.Draining
-	return catalog.Write{Members: []catalog.Endpoint{m}}, nil
+	endpoint.Phase = catalog.Draining
+	return catalog.Write{Members: []catalog.Endpoint{endpoint}}, nil
 }
 
+// parseRegistration parses a write of a serving endpoint with a lease of ttl_ms milliseconds.
 func parseRegistration(req *http.Request, raw []byte) (catalog.Write, error) {
 	var reg struct {
 		Member catalog.Endpoint `json:"member"`
