--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -10,32 +10,32 @@
 // Comparison holds runs of two sides on the same seeds.
 type Comparison struct {
 	A, B  string
-	Pairs []Pair
+	Pairs []SeedPair
 }
 
-// Pair is one seed, played by both.
-type Pair struct {
+// Pair holds the results of both sides for one seed.
+type SeedPair struct {
 	Seed uint64
 	A, B *Result
 }
 
-// Difference is one figure on both sides.
+// Difference is one metric on both sides.
 type Difference struct {
 	Name    string  `json:"name"`
 	A       float64 `json:"a"` // mean
 	B       float64 `json:"b"`
-	Mean    float64 `json:"mean"` // of B less A, by pairs
-	Low     float64 `json:"low"`  // of the 95% interval of that mean
+	Mean    float64 `json:"mean"` // of B minus A, by pairs
+	Low     float64 `json:"low"`  // lower bound of the 95% confidence interval of the mean
 	High    float64 `json:"high"`
 	Verdict string  `json:"verdict"`
 }
 
-// Add adds a pair. Both sides must have played the same seed.
+// Add adds a pair. Both sides must have run with the same seed.
 func (c *Comparison) Add(a, b *Result) {
-	c.Pairs = append(c.Pairs, Pair{Seed: a.Seed, A: a, B: b})
+	c.Pairs = append(c.Pairs, SeedPair{Seed: a.Seed, A: a, B: b})
 }
 
-// Broken counts the runs in which not all was kept.
+// FailedRuns returns the number of runs that did not pass.
 func (c *Comparison) FailedRuns() int {
 	n := 0
 	for _, p := range c.Pairs {
@@ -48,9 +48,9 @@
 	return n
 }
 
-// Table gives the differences. With fewer than two pairs there is no interval.
+// Differences returns the difference of each metric. With fewer than two pairs there is no interval.
 func (c *Comparison) Differences() []Difference {
-	figures := []struct {
+	metrics := []struct {
 		name string
 		of   func(*Result) float64
 	}{
@@ -59,11 +59,11 @@
 			l, _ := r.Tally.WorstInterval()
 			return l.Share()
 		}},
-		{"refused, a message", func(r *Result) float64 { return part(r.Tally.All.Refused, r.Tally.All.Messages) }},
-		{"failed, a message", func(r *Result) float64 { return part(r.Tally.All.Failed, r.Tally.All.Messages) }},
-		{"tries, a message", func(r *Result) float64 { return part(r.Tally.Attempts, r.Tally.All.Messages) }},
-		{"new connections, a message", func(r *Result) float64 { return part(r.Tally.Connections, r.Tally.All.Messages) }},
-		{"calls above limits, a message", func(r *Result) float64 { return part(r.Tally.CallsAboveLimit, r.Tally.All.Messages) }},
+		{"refused, a message", func(r *Result) float64 { return ratio(r.Tally.All.Refused, r.Tally.All.Messages) }},
+		{"failed, a message", func(r *Result) float64 { return ratio(r.Tally.All.Failed, r.Tally.All.Messages) }},
+		{"tries, a message", func(r *Result) float64 { return ratio(r.Tally.Attempts, r.Tally.All.Messages) }},
+		{"new connections, a message", func(r *Result) float64 { return ratio(r.Tally.Connections, r.Tally.All.Messages) }},
+		{"calls above limits, a message", func(r *Result) float64 { return ratio(r.Tally.CallsAboveLimit, r.Tally.All.Messages) }},
 		{"median time to delivery, s", func(r *Result) float64 { return r.Tally.TimeToDelivery.P50.Seconds() }},
 		{"99th percentile of it, s", func(r *Result) float64 { return r.Tally.TimeToDelivery.P99.Seconds() }},
 		{"CPU of the nodes, s", func(r *Result) float64 {
@@ -84,7 +84,7 @@
 	}
 	if len(c.Pairs) > 0 {
 		for i, l := range c.Pairs[0].A.Tally.Classes {
-			figures = append(figures, struct {
+			metrics = append(metrics, struct {
 				name string
 				of   func(*Result) float64
 			}{"class " + l.Name + " served", func(r *Result) float64 {
@@ -96,21 +96,22 @@
 		}
 	}
 	var out []Difference
-	for _, f := range figures {
+	for _, f := range metrics {
 		var a, b, d []float64
 		for _, p := range c.Pairs {
 			x, y := f.of(p.A), f.of(p.B)
 			a, b, d = append(a, x), append(b, y), append(d, y-x)
 		}
-		out = append(out, paired(f.name, a, b, d))
+		out = append(out, pairedDifference(f.name, a, b, d))
 	}
 	return out
 }
 
-func part(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
+func ratio(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
-// paired is the mean of the differences with Student's interval.
-func paired(name string, a, b, d []float64) Difference {
+// pairedDifference returns the mean of the differences with the confidence interval of Student's
+// t-distribution.
+func pairedDifference(name string, a, b, d []float64) Difference {
 	out := Difference{Name: name, A: stat.Mean(a, nil), B: stat.Mean(b, nil), Verdict: "too few pairs"}
 	mean, sd := stat.MeanStdDev(d, nil)
 	out.Mean, out.Low, out.High = mean, mean, mean
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -16,27 +16,28 @@
 	"starlingusher/internal/lab/standin"
 )
 
-// onLinks are the faults that change the weather of links.
-var onLinks = []string{"cut", "delay", "loss", "swallow", "rate"}
+// linkFaultKinds are the faults that change the conditions of links.
+var linkFaultKinds = []string{"cut", "delay", "loss", "swallow", "rate"}
 
-// step is one beginning or end of a fault.
-type step struct {
+// timelineStep is the start or the end of a fault.
+type timelineStep struct {
 	at    time.Duration
 	fault *experiment.FaultPlan
 	ends  bool
 }
 
-// timeline carries out the plan's faults until the context ends. What a fault sets going by itself is counted in r.wg.
-func (r *run) timeline(ctx context.Context) {
-	var steps []step
+// runTimeline applies the plan's faults until the context ends. The goroutines that faults start are counted
+// in r.wg.
+func (r *run) runTimeline(ctx context.Context) {
+	var steps []timelineStep
 	for i := range r.plan.Faults {
-		x := &r.plan.Faults[i]
-		steps = append(steps, step{x.At, x, false})
-		if x.Until > 0 {
-			steps = append(steps, step{x.Until, x, true})
+		fault := &r.plan.Faults[i]
+		steps = append(steps, timelineStep{fault.At, fault, false})
+		if fault.Until > 0 {
+			steps = append(steps, timelineStep{fault.Until, fault, true})
 		}
 	}
-	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(steps, func(a, b timelineStep) int { return cmp.Compare(a.at, b.at) })
 	for _, s := range steps {
 		if !observe.SleepUntil(ctx, r.log.WallTime(s.at)) {
 			return
@@ -47,87 +48,87 @@
 			note = "ends: "
 		}
 		r.log.Add(history.Event{Kind: history.Fault, Node: -1, Partner: -1, Note: note + s.fault.String()})
-		r.opts.Log.Debug("fault", "at", s.at, "ends", s.ends, "what", s.fault.String())
-		r.carryOut(ctx, s.fault, s.ends)
+		r.opts.Log.Debug("fault starts or ends", "at", s.at, "ends", s.ends, "fault", s.fault.String())
+		r.applyFault(ctx, s.fault, s.ends)
 	}
 }
 
-// each does something to each node of a fault, all at once.
-func (r *run) each(x *experiment.FaultPlan, what string, do func(*node) error) {
-	for _, i := range x.Nodes {
+// forEachNode applies an action to all nodes of a fault at the same time.
+func (r *run) forEachNode(fault *experiment.FaultPlan, action string, do func(*node) error) {
+	for _, i := range fault.Nodes {
 		n := r.nodes[i]
-		r.wg.Go(func() { r.fail(fmt.Sprintf("%s of %s", what, n.name()), do(n)) })
+		r.wg.Go(func() { r.recordFailure(fmt.Sprintf("%s of %s", action, n.name()), do(n)) })
 	}
 }
 
-func (r *run) carryOut(ctx context.Context, x *experiment.FaultPlan, ends bool) {
-	if t, ok := partner.ParseFaultKind(x.Kind); ok {
-		for _, p := range x.Partners {
+func (r *run) applyFault(ctx context.Context, fault *experiment.FaultPlan, ends bool) {
+	if kind, ok := partner.ParseFaultKind(fault.Kind); ok {
+		for _, p := range fault.Partners {
 			if !ends {
-				r.partners[p].StartFault(t, x.Size, x.Until)
+				r.partners[p].StartFault(kind, fault.Size, fault.Until)
 			}
 		}
 		return
 	}
-	if slices.Contains(onLinks, x.Kind) {
-		r.linkFaults(x, ends)
+	if slices.Contains(linkFaultKinds, fault.Kind) {
+		r.applyLinkFault(fault, ends)
 		return
 	}
-	switch x.Kind {
+	switch fault.Kind {
 	case "replica-kill", "replica-cut", "replica-stop":
-		r.replicaFault(x, ends)
+		r.applyReplicaFault(fault, ends)
 	case "limit":
-		r.limit(x, ends)
+		r.applyLimit(fault, ends)
 	case "replace":
 		if !ends {
-			for _, p := range x.Partners {
-				r.wg.Go(func() { r.fail("replacing endpoints", r.replace(ctx, p, x)) })
+			for _, p := range fault.Partners {
+				r.wg.Go(func() { r.recordFailure("replacement of endpoints", r.replaceEndpoints(ctx, p, fault)) })
 			}
 		}
 	case "late-list", "silent-list":
-		for _, n := range x.Nodes {
-			a := r.platform.Agent(n)
+		for _, n := range fault.Nodes {
+			agent := r.platform.Agent(n)
 			switch {
-			case x.Kind == "silent-list":
-				a.SetSilent(!ends)
+			case fault.Kind == "silent-list":
+				agent.SetSilent(!ends)
 			case ends:
-				a.SetExtraDelay(0)
+				agent.SetExtraDelay(0)
 			default:
-				a.SetExtraDelay(time.Duration(x.Size * float64(time.Second)))
+				agent.SetExtraDelay(time.Duration(fault.Size * float64(time.Second)))
 			}
 		}
 	case "move":
 		if !ends {
 			r.mu.Lock()
-			r.moves++
-			port := discoverPort + r.moves
+			r.agentMoves++
+			port := discoveryPort + r.agentMoves
 			r.mu.Unlock()
-			r.each(x, "move", func(n *node) error { return n.move(port) })
+			r.forEachNode(fault, "move", func(n *node) error { return n.moveAgent(port) })
 		}
 	case "kill":
 		if ends {
-			r.each(x, "start", func(n *node) error { return n.revive(ctx) })
+			r.forEachNode(fault, "start", func(n *node) error { return n.startAfterKill(ctx) })
 		} else {
-			r.each(x, "kill", func(n *node) error { return n.kill(x.LoseState) })
+			r.forEachNode(fault, "kill", func(n *node) error { return n.kill(fault.LoseState) })
 		}
 	case "restart":
 		if !ends {
-			r.each(x, "restart", func(n *node) error { return n.restart(ctx) })
+			r.forEachNode(fault, "restart", func(n *node) error { return n.restart(ctx) })
 		}
 	case "stop":
 		sig, kind := syscall.SIGSTOP, history.Stopped
 		if ends {
 			sig, kind = syscall.SIGCONT, history.Resumed
 		}
-		r.each(x, x.Kind, func(n *node) error {
+		r.forEachNode(fault, fault.Kind, func(n *node) error {
 			_, err := n.signal(sig, kind)
 			return err
 		})
 	case "disk-full":
-		r.each(x, x.Kind, func(n *node) error { return n.diskFull(!ends) })
+		r.forEachNode(fault, fault.Kind, func(n *node) error { return n.setDiskFull(!ends) })
 	case "reset":
-		for _, n := range x.Nodes {
-			for _, p := range x.Partners {
+		for _, n := range fault.Nodes {
+			for _, p := range fault.Partners {
 				for _, e := range r.partners[p].Endpoints() {
 					e.Link(n).ResetConnections()
 				}
@@ -136,19 +137,20 @@
 	}
 }
 
-// limit holds partners' limits to a share of what they were. Of several at once all count.
-func (r *run) limit(x *experiment.FaultPlan, ends bool) {
-	for _, p := range x.Partners {
+// applyLimit reduces partners' limits to a share of their value. Several shares at the same time are
+// multiplied.
+func (r *run) applyLimit(fault *experiment.FaultPlan, ends bool) {
+	for _, p := range fault.Partners {
 		r.mu.Lock()
 		if ends {
-			if i := slices.Index(r.limits[p], x.Size); i >= 0 {
-				r.limits[p] = slices.Delete(r.limits[p], i, i+1)
+			if i := slices.Index(r.limitShares[p], fault.Size); i >= 0 {
+				r.limitShares[p] = slices.Delete(r.limitShares[p], i, i+1)
 			}
 		} else {
-			r.limits[p] = append(r.limits[p], x.Size)
+			r.limitShares[p] = append(r.limitShares[p], fault.Size)
 		}
 		share := 1.0
-		for _, s := range r.limits[p] {
+		for _, s := range r.limitShares[p] {
 			share *= s
 		}
 		r.mu.Unlock()
@@ -156,17 +158,17 @@
 	}
 }
 
-// replace replaces a partner's endpoints, one after the other: a new one comes, the old one drains, and is gone after
-// the fault's size in seconds.
-func (r *run) replace(ctx context.Context, number int, x *experiment.FaultPlan) error {
-	drain := time.Duration(max(x.Size, 1.5) * float64(time.Second))
-	for _, old := range r.partners[number].Endpoints() {
-		if err := r.addEndpoint(number, old.Zone, false); err != nil {
+// replaceEndpoints replaces a partner's endpoints one after the other: a new one is added, the old one
+// drains, and is deleted and later retired, each after the fault's size in seconds.
+func (r *run) replaceEndpoints(ctx context.Context, partnerNumber int, fault *experiment.FaultPlan) error {
+	drain := time.Duration(max(fault.Size, 1.5) * float64(time.Second))
+	for _, old := range r.partners[partnerNumber].Endpoints() {
+		if err := r.addEndpoint(partnerNumber, old.Zone, false); err != nil {
 			return err
 		}
 		member := standin.Member{
-			ID: old.ID, Locality: r.plan.Zones[old.Zone], Flavor: r.plan.PartnerKinds[r.plan.Partners[number].Kind], Cell: number,
-			Phase: history.Draining, Size: r.plan.Partners[number].TotalRate(),
+			ID: old.ID, Locality: r.plan.Zones[old.Zone], Flavor: r.plan.PartnerKinds[r.plan.Partners[partnerNumber].Kind], Cell: partnerNumber,
+			Phase: history.Draining, Size: r.plan.Partners[partnerNumber].TotalRate(),
 		}
 		r.platform.PutMember(member, nil, false)
 		if !observe.SleepUntil(ctx, time.Now().Add(drain)) {
@@ -182,55 +184,55 @@
 	return nil
 }
 
-// linkFaults begins or ends a fault on links.
-func (r *run) linkFaults(x *experiment.FaultPlan, ends bool) {
+// applyLinkFault starts or ends a fault on links.
+func (r *run) applyLinkFault(fault *experiment.FaultPlan, ends bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ends {
-		r.linkFault = slices.DeleteFunc(r.linkFault, func(y *experiment.FaultPlan) bool { return y == x })
+		r.activeLinkFaults = slices.DeleteFunc(r.activeLinkFaults, func(y *experiment.FaultPlan) bool { return y == fault })
 	} else {
-		r.linkFault = append(r.linkFault, x)
+		r.activeLinkFaults = append(r.activeLinkFaults, fault)
 	}
-	// A path that was cut comes back with its connections broken, unless the fault says otherwise; what swallowed
-	// answers has to break them.
-	breaks := ends && (x.Kind == "swallow" || x.Kind == "cut" && !x.Resume)
-	for _, p := range x.Partners {
+	// When a path that was cut is restored, its connections are reset unless the fault says otherwise.
+	// Connections whose answers were swallowed must be reset.
+	resetNeeded := ends && (fault.Kind == "swallow" || fault.Kind == "cut" && !fault.Resume)
+	for _, p := range fault.Partners {
 		for _, e := range r.partners[p].Endpoints() {
-			for _, n := range x.Nodes {
-				if breaks {
+			for _, n := range fault.Nodes {
+				if resetNeeded {
 					e.Link(n).ResetConnections()
 				}
-				e.Link(n).SetConditions(r.weather(n, p, e.Zone))
+				e.Link(n).SetConditions(r.linkConditions(n, p, e.Zone))
 			}
 		}
 	}
 }
 
-// weather is what a link has to be like now; the lock is held.
-func (r *run) weather(node, number, zone int) relay.Conditions {
-	w := relay.Conditions{Delay: r.plan.Network.CrossZone, Jitter: r.plan.Network.Jitter}
+// linkConditions returns the current conditions of a link. The caller holds the lock.
+func (r *run) linkConditions(node, partnerNumber, zone int) relay.Conditions {
+	conditions := relay.Conditions{Delay: r.plan.Network.CrossZone, Jitter: r.plan.Network.Jitter}
 	if r.plan.Nodes[node].Zone == zone {
-		w.Delay = r.plan.Network.SameZone
+		conditions.Delay = r.plan.Network.SameZone
 	}
-	for _, x := range r.linkFault {
-		if !slices.Contains(x.Nodes, node) || !slices.Contains(x.Partners, number) {
+	for _, fault := range r.activeLinkFaults {
+		if !slices.Contains(fault.Nodes, node) || !slices.Contains(fault.Partners, partnerNumber) {
 			continue
 		}
-		switch x.Kind {
+		switch fault.Kind {
 		case "cut":
-			w.CutOutbound = w.CutOutbound || x.Direction != "back"
-			w.CutReturn = w.CutReturn || x.Direction != "out"
+			conditions.CutOutbound = conditions.CutOutbound || fault.Direction != "back"
+			conditions.CutReturn = conditions.CutReturn || fault.Direction != "out"
 		case "delay":
-			w.Delay += time.Duration(x.Size * float64(time.Millisecond))
+			conditions.Delay += time.Duration(fault.Size * float64(time.Millisecond))
 		case "loss":
-			w.Loss = max(w.Loss, x.Size)
+			conditions.Loss = max(conditions.Loss, fault.Size)
 		case "swallow":
-			w.CutReturnShare = max(w.CutReturnShare, x.Size)
+			conditions.CutReturnShare = max(conditions.CutReturnShare, fault.Size)
 		case "rate":
-			if rate := x.Size * 1000; w.BytesPerSecond == 0 || rate < w.BytesPerSecond {
-				w.BytesPerSecond = rate
+			if rate := fault.Size * 1000; conditions.BytesPerSecond == 0 || rate < conditions.BytesPerSecond {
+				conditions.BytesPerSecond = rate
 			}
 		}
 	}
-	return w
+	return conditions
 }
--- a/internal/lab/formats_test.go
+++ b/internal/lab/formats_test.go
@@ -42,7 +42,7 @@
 
 // The configuration file that a node is started with.
 func TestNodeConfigFormat(t *testing.T) {
-	p := plan(t, base)
+	p := drawPlan(t, baseExperiment)
 	r := &run{plan: &p, opts: Options{Dir: t.TempDir()}, block: &block.Block{}}
 	r.platform = standin.NewPlatform(len(p.Nodes), 0, 0, 1, observe.NewLog(), func(int, string, string, time.Duration) {})
 	defer r.platform.Close()
@@ -51,8 +51,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.wait()
-	if err := n.config(); err != nil {
+	defer n.waitAndCloseLog()
+	if err := n.writeConfig(); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := os.ReadFile(filepath.Join(n.dir, "config.json"))
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -18,7 +18,7 @@
 	"starlingusher/fleet/judge"
 )
 
-// TestMain is a sender when a test starts this binary as a node.
+// TestMain runs a sender when a test starts this binary as a node.
 func TestMain(m *testing.M) {
 	if fault, ok := os.LookupEnv("LAB_TEST_SENDER"); ok {
 		if err := runSender(fault); err != nil {
@@ -30,7 +30,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-const base = `
+const baseExperiment = `
 name = "sender"
 length = "2500ms"
 settle = "2500ms"
@@ -76,7 +76,7 @@
 tells_wait = 1
 `
 
-func plan(t *testing.T, text string) experiment.Plan {
+func drawPlan(t *testing.T, text string) experiment.Plan {
 	t.Helper()
 	f, err := experiment.Parse([]byte(text))
 	if err != nil {
@@ -85,104 +85,105 @@
 	return f.DrawPlan(1, 0)
 }
 
-func sendWith(t *testing.T, fault string) Options {
+func senderOptions(t *testing.T, fault string) Options {
 	return Options{Command: []string{os.Args[0]}, Env: []string{"LAB_TEST_SENDER=" + fault}, Dir: t.TempDir()}
 }
 
-// Faults for the sender to meet.
+// Faults that the sender is run with.
 const (
-	lossy   = "[[fault]]\nkind = \"lossy\"\nat = \"500ms\"\nfor = \"1s\"\n"
-	shut    = "[[fault]]\nkind = \"shut\"\nat = \"500ms\"\nfor = \"1500ms\"\n"
-	cold    = "[[fault]]\nkind = \"down\"\nat = \"300ms\"\nfor = \"500ms\"\n"
-	replace = "[[fault]]\nkind = \"replace\"\nat = \"100ms\"\nsize = 1.5\n"
-	slow    = "[[fault]]\nkind = \"slow\"\nat = \"500ms\"\nfor = \"1s\"\nsize = 20\n"
+	lossyFault   = "[[fault]]\nkind = \"lossy\"\nat = \"500ms\"\nfor = \"1s\"\n"
+	shutFault    = "[[fault]]\nkind = \"shut\"\nat = \"500ms\"\nfor = \"1500ms\"\n"
+	downFault    = "[[fault]]\nkind = \"down\"\nat = \"300ms\"\nfor = \"500ms\"\n"
+	replaceFault = "[[fault]]\nkind = \"replace\"\nat = \"100ms\"\nsize = 1.5\n"
+	slowFault    = "[[fault]]\nkind = \"slow\"\nat = \"500ms\"\nfor = \"1s\"\nsize = 20\n"
 )
 
-// The judge finds what a faulty sender does, on sockets and from outside.
-func TestSeededBreaches(t *testing.T) {
-	silentWait := strings.Replace(base, "tells_wait = 1", "tells_wait = 0", 1)
+// The judge finds the violation of each rule by a faulty sender, from outside and over sockets.
+func TestJudgeFindsViolations(t *testing.T) {
+	silentWait := strings.Replace(baseExperiment, "tells_wait = 1", "tells_wait = 0", 1)
 	for _, test := range []struct {
 		fault judge.Rule
 		text  string
 	}{
-		{judge.OneFinalAnswer, base},
-		{judge.NothingAfterEnd, base},
-		{judge.OneAttemptAtATime, base},
-		{judge.AtMostOnce, base + lossy},
-		{judge.KeyWindow, base + lossy},
-		{judge.Drain, base + replace},
-		{judge.RetryAfter, base + shut},
-		{judge.SlowStart, base + cold},
-		{judge.MaxAttempts, silentWait + shut},
-		{judge.Slots, base + slow},
-		{judge.WrongPartner, base},
-		{judge.AnswerGiven, base},
-		{judge.Alive, base},
+		{judge.OneFinalAnswer, baseExperiment},
+		{judge.NothingAfterEnd, baseExperiment},
+		{judge.OneAttemptAtATime, baseExperiment},
+		{judge.AtMostOnce, baseExperiment + lossyFault},
+		{judge.KeyWindow, baseExperiment + lossyFault},
+		{judge.Drain, baseExperiment + replaceFault},
+		{judge.RetryAfter, baseExperiment + shutFault},
+		{judge.SlowStart, baseExperiment + downFault},
+		{judge.MaxAttempts, silentWait + shutFault},
+		{judge.Slots, baseExperiment + slowFault},
+		{judge.WrongPartner, baseExperiment},
+		{judge.AnswerGiven, baseExperiment},
+		{judge.Alive, baseExperiment},
 	} {
 		t.Run("fault "+string(test.fault), func(t *testing.T) {
 			t.Parallel()
-			res, err := RunPlan(context.Background(), plan(t, test.text), sendWith(t, string(test.fault)))
+			res, err := RunPlan(context.Background(), drawPlan(t, test.text), senderOptions(t, string(test.fault)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if res.EventCounts[string(history.Submitted)] < 30 {
-				t.Fatalf("hardly anything happened: %v", res.EventCounts)
+				t.Fatalf("too few messages were submitted: %v", res.EventCounts)
 			}
 			found := slices.ContainsFunc(res.Violations, func(b judge.Violation) bool { return b.Rule == test.fault })
 			if !found {
-				t.Errorf("the breach of %s was not found among %v", test.fault, res.Violations)
+				t.Errorf("no violation of %s found among %v", test.fault, res.Violations)
 			}
 		})
 	}
 }
 
-// In a sender without fault nothing is found. One play at a time: with many, the sender's own lateness makes faults.
-func TestNoBreaches(t *testing.T) {
-	for name, faults := range map[string]string{"lossy, replaced": lossy + replace, "shut": shut, "cold, slow": cold + slow} {
+// The judge finds nothing in a sender without a fault. One run at a time: with several, the sender's own
+// lateness causes violations.
+func TestNoViolations(t *testing.T) {
+	for name, faults := range map[string]string{"lossy, replaced": lossyFault + replaceFault, "shut": shutFault, "cold, slow": downFault + slowFault} {
 		t.Run(name, func(t *testing.T) {
-			res, err := RunPlan(context.Background(), plan(t, base+faults), sendWith(t, ""))
+			res, err := RunPlan(context.Background(), drawPlan(t, baseExperiment+faults), senderOptions(t, ""))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if len(res.InvalidReasons) > 0 {
-				t.Skipf("this machine is too busy for a verdict: %v", res.InvalidReasons)
+				t.Skipf("this machine is too busy for a valid run: %v", res.InvalidReasons)
 			}
 			if len(res.Violations) > 0 {
-				t.Errorf("found in a sender without fault: %v", res.Violations)
+				t.Errorf("violations found in a sender without a fault: %v", res.Violations)
 			}
 		})
 	}
 }
 
-// A run that is ended early, and a node that does not start, leave nothing behind and say why. That nothing is left of
-// goroutines is TestMain's to see; of processes, Play's.
-func TestEndedEarly(t *testing.T) {
+// A run that is canceled, and a node that does not start, leave nothing behind and report why. TestMain
+// checks that no goroutine is left; RunPlan ends all processes.
+func TestRunEndedEarly(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(context.Background())
-	opts := sendWith(t, "")
+	opts := senderOptions(t, "")
 	enough := errors.New("enough")
 	opts.Progress = func(p Progress) {
 		if p.Elapsed > 0 {
 			cancel(enough)
 		}
 	}
-	if _, err := RunPlan(ctx, plan(t, base), opts); !errors.Is(err, enough) {
+	if _, err := RunPlan(ctx, drawPlan(t, baseExperiment), opts); !errors.Is(err, enough) {
 		t.Errorf("got %v", err)
 	}
-	opts = sendWith(t, "")
+	opts = senderOptions(t, "")
 	opts.Command = []string{"/bin/false"}
-	if _, err := RunPlan(context.Background(), plan(t, base), opts); err == nil || !strings.Contains(err.Error(), "exit code 1") {
+	if _, err := RunPlan(context.Background(), drawPlan(t, baseExperiment), opts); err == nil || !strings.Contains(err.Error(), "exit code 1") {
 		t.Errorf("got %v", err)
 	}
 }
 
-// What a run has come to can be written, read and reported.
-func TestResults(t *testing.T) {
-	res, err := RunPlan(context.Background(), plan(t, strings.Replace(base, "2500ms", "1s", 1)), sendWith(t, "one-end"))
+// The results of a run can be written, read and reported.
+func TestWriteReadAndReportResults(t *testing.T) {
+	res, err := RunPlan(context.Background(), drawPlan(t, strings.Replace(baseExperiment, "2500ms", "1s", 1)), senderOptions(t, "one-end"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if res.Passed {
-		t.Error("a run with breaches was kept")
+		t.Error("a run with violations passed")
 	}
 	dir := t.TempDir()
 	if err := res.Write(dir); err != nil {
@@ -197,7 +198,7 @@
 		t.Fatal(err)
 	}
 	if len(events) != len(res.Events) || len(got.Violations) != len(res.Violations) || got.Tally.All != res.Tally.All {
-		t.Errorf("read %d events of %d, %d breaches of %d", len(events), len(res.Events), len(got.Violations), len(res.Violations))
+		t.Errorf("read %d events of %d, %d violations of %d", len(events), len(res.Events), len(got.Violations), len(res.Violations))
 	}
 	path, err := WriteReport(dir, got)
 	if err != nil {
@@ -207,7 +208,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"# sender, seed 1", "not kept", "one-end", "service.svg", "calls.svg", "| payout |"} {
+	for _, want := range []string{"# sender, seed 1", "not met", "one-end", "service.svg", "calls.svg", "| payout |"} {
 		if !strings.Contains(string(page), want) {
 			t.Errorf("the report lacks %q", want)
 		}
@@ -218,32 +219,32 @@
 		}
 	}
 	if _, err := ReadResult(t.TempDir()); err == nil || !strings.Contains(err.Error(), "--out") {
-		t.Errorf("no results: %v", err)
+		t.Errorf("reading a directory without results: %v", err)
 	}
 }
 
-func TestPaired(t *testing.T) {
-	same := paired("x", []float64{1, 2, 3}, []float64{1, 2, 3}, []float64{0, 0, 0})
-	more := paired("x", []float64{1, 2, 3}, []float64{2, 3.1, 3.9}, []float64{1, 1.1, 0.9})
-	noise := paired("x", []float64{1, 2, 3}, []float64{2, 1, 3}, []float64{1, -1, 0})
+func TestPairedDifference(t *testing.T) {
+	same := pairedDifference("x", []float64{1, 2, 3}, []float64{1, 2, 3}, []float64{0, 0, 0})
+	more := pairedDifference("x", []float64{1, 2, 3}, []float64{2, 3.1, 3.9}, []float64{1, 1.1, 0.9})
+	noise := pairedDifference("x", []float64{1, 2, 3}, []float64{2, 1, 3}, []float64{1, -1, 0})
 	if same.Verdict != "the same" || more.Verdict != "B is more" || !strings.Contains(noise.Verdict, "within the spread") {
 		t.Errorf("got %+v, %+v, %+v", same, more, noise)
 	}
-	// Student's t for two degrees of freedom is 4.303; the spread of the differences is 0.1.
+	// Student's t for two degrees of freedom is 4.303; the standard deviation of the differences is 0.1.
 	if want := 1 - 4.303*0.1/1.7321; more.Low < want-0.001 || more.Low > want+0.001 {
 		t.Errorf("the interval begins at %v, want %v", more.Low, want)
 	}
 }
 
-// A lab that was too late itself says so, and fails the run.
-func TestLateLab(t *testing.T) {
+// A run in which the lab itself was too late is invalid, and fails.
+func TestLateLabInvalidatesResult(t *testing.T) {
 	res := &Result{}
 	res.Lateness.P99 = 50 * time.Millisecond
-	f, err := experiment.Parse([]byte(base))
+	f, err := experiment.Parse([]byte(baseExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
-	res.judge(f.Expect)
+	res.checkExpectations(f.Expect)
 	if res.Passed || len(res.InvalidReasons) != 1 || !strings.Contains(res.InvalidReasons[0], "its own lateness") {
 		t.Errorf("got %+v", res)
 	}
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -21,32 +21,32 @@
 )
 
 const (
-	maxNodeLog   = 8 << 20
-	readyPoll    = 5 * time.Millisecond
-	termGrace    = 3700 * time.Millisecond
-	restartPause = 600 * time.Millisecond
+	maxNodeLogBytes   = 8 << 20
+	readyPollInterval = 5 * time.Millisecond
+	termGrace         = 3700 * time.Millisecond
+	restartPause      = 600 * time.Millisecond
 )
 
-// node is one delivery node: its folders, and the process that is it now.
+// node is one delivery node: its directory and its current process.
 type node struct {
-	r      *run
+	run    *run
 	number int
 	dir    string
-	out    *bounded
+	log    *limitedWriter
 	wg     sync.WaitGroup
 
-	mu     sync.Mutex
-	p      *proc.Process
-	asked  bool // its end was asked for
-	ready  bool
-	over   bool // the run is; nothing is started any more
-	full   bool // its disk
-	down   int  // faults that keep it down
-	paused bool // by SIGSTOP
-	use    ProcessUsage
+	mu               sync.Mutex
+	process          *proc.Process
+	exitRequested    bool // the lab has sent a signal that ends the process
+	ready            bool
+	runOver          bool // no process is started any more
+	diskIsFull       bool // its disk is full
+	activeDownFaults int  // faults that currently keep it down
+	paused           bool // by SIGSTOP
+	usage            ProcessUsage
 }
 
-// ProcessUse is what a node's processes have used.
+// ProcessUsage holds the resources that a node's processes have used.
 type ProcessUsage struct {
 	Node        string        `json:"node"`
 	Starts      int           `json:"starts"`
@@ -57,45 +57,45 @@
 }
 
 func newNode(r *run, number int) (*node, error) {
-	n := &node{r: r, number: number, dir: filepath.Join(r.opts.Dir, r.plan.Nodes[number].Name), use: ProcessUsage{Node: r.plan.Nodes[number].Name}}
+	n := &node{run: r, number: number, dir: filepath.Join(r.opts.Dir, r.plan.Nodes[number].Name), usage: ProcessUsage{Node: r.plan.Nodes[number].Name}}
 	for _, d := range []string{"state", "tmp"} {
 		if err := os.MkdirAll(filepath.Join(n.dir, d), 0o700); err != nil {
-			return nil, fmt.Errorf("folder of %s: %w", n.name(), err)
+			return nil, fmt.Errorf("create directory of %s: %w", n.name(), err)
 		}
 	}
 	f, err := os.Create(filepath.Join(n.dir, "log"))
 	if err != nil {
-		return nil, fmt.Errorf("log of %s: %w", n.name(), err)
+		return nil, fmt.Errorf("create log of %s: %w", n.name(), err)
 	}
-	n.out = &bounded{f: f, left: maxNodeLog}
+	n.log = &limitedWriter{file: f, remaining: maxNodeLogBytes}
 	return n, nil
 }
 
-func (n *node) name() string { return n.r.plan.Nodes[n.number].Name }
+func (n *node) name() string { return n.run.plan.Nodes[n.number].Name }
 
-func (n *node) event(k history.Kind, state, note string) {
-	n.r.log.Add(history.Event{Kind: k, Node: n.number, Partner: -1, State: state, Note: note})
+func (n *node) recordEvent(kind history.Kind, state, note string) {
+	n.run.log.Add(history.Event{Kind: kind, Node: n.number, Partner: -1, State: state, Note: note})
 }
 
-// config writes the platform's configuration file, whole or not at all.
-func (n *node) config() error {
-	p := n.r.plan.Nodes[n.number]
-	settings, err := n.r.plan.Settings(n.number)
+// writeConfig writes the platform's configuration file atomically.
+func (n *node) writeConfig() error {
+	p := n.run.plan.Nodes[n.number]
+	settings, err := n.run.plan.Settings(n.number)
 	if err != nil {
 		return err
 	}
-	agent := n.r.platform.Agent(n.number)
+	agent := n.run.platform.Agent(n.number)
 	raw, err := json.Marshal(map[string]any{
-		"name": p.Name, "listen": n.r.addr(n.number, clientPort), "discovery": agent.Addr(),
-		"seed": fmt.Sprintf("%016x", p.Seed+uint64(n.use.Starts)), "known": agent.FullList(), "settings": settings,
+		"name": p.Name, "listen": n.run.addr(n.number, clientPort), "discovery": agent.Addr(),
+		"seed": fmt.Sprintf("%016x", p.Seed+uint64(n.usage.Starts)), "known": agent.FullList(), "settings": settings,
 		"limits": map[string]any{"cores": p.Cores, "memory_mb": p.MemoryMB, "sockets": p.Sockets, "disk_mb": p.DiskMB},
 	})
 	if err != nil {
-		return fmt.Errorf("configuration of %s: %w", n.name(), err)
+		return fmt.Errorf("write configuration of %s: %w", n.name(), err)
 	}
 	path := filepath.Join(n.dir, "config.json")
 	if err := os.WriteFile(path+".new", raw, 0o600); err != nil {
-		return fmt.Errorf("configuration of %s: %w", n.name(), err)
+		return fmt.Errorf("write configuration of %s: %w", n.name(), err)
 	}
 	return os.Rename(path+".new", path)
 }
@@ -104,91 +104,91 @@
 func (n *node) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.over || n.down > 0 || n.running() {
-		return nil // another fault keeps it down, or has started it
+	if n.runOver || n.activeDownFaults > 0 || n.isRunning() {
+		return nil // another fault keeps it down, or has already started it
 	}
-	if err := n.config(); err != nil {
+	if err := n.writeConfig(); err != nil {
 		return err
 	}
-	p := n.r.plan.Nodes[n.number]
+	p := n.run.plan.Nodes[n.number]
 	env := append([]string{
-		"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=" + p.Name, "ROUTER_LISTEN=" + n.r.addr(n.number, clientPort),
-		"ROUTER_DISCOVERY=" + n.r.platform.Agent(n.number).Addr(), "ROUTER_STATE=" + filepath.Join(n.dir, "state"),
+		"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=" + p.Name, "ROUTER_LISTEN=" + n.run.addr(n.number, clientPort),
+		"ROUTER_DISCOVERY=" + n.run.platform.Agent(n.number).Addr(), "ROUTER_STATE=" + filepath.Join(n.dir, "state"),
 		"ROUTER_CONFIG=" + filepath.Join(n.dir, "config.json"), "TMPDIR=" + filepath.Join(n.dir, "tmp"),
-	}, n.r.opts.Env...)
-	if len(n.r.replicas) > 0 {
+	}, n.run.opts.Env...)
+	if len(n.run.replicas) > 0 {
 		env = append(env, "ROUTER_FLEET="+filepath.Join(n.dir, "fleet.toml"))
 	}
-	process, err := n.r.sup.Start(proc.Spec{
-		Name: p.Name, Command: n.r.opts.Command, Env: env, Output: n.out, MaxDescriptors: p.Sockets, DiskFull: n.full,
+	process, err := n.run.sup.Start(proc.Spec{
+		Name: p.Name, Command: n.run.opts.Command, Env: env, Output: n.log, MaxDescriptors: p.Sockets, DiskFull: n.diskIsFull,
 	})
 	if err != nil {
 		return err
 	}
-	n.p, n.asked, n.ready = process, false, false
-	n.use.Starts++
-	n.event(history.Started, "", strconv.Itoa(process.PID()))
-	n.wg.Go(func() { n.follow(process) })
+	n.process, n.exitRequested, n.ready = process, false, false
+	n.usage.Starts++
+	n.recordEvent(history.Started, "", strconv.Itoa(process.PID()))
+	n.wg.Go(func() { n.recordExit(process) })
 	return nil
 }
 
-// running tells that its process has not ended; the lock is held.
-func (n *node) running() bool {
-	if n.p == nil {
+// isRunning reports whether the process has not exited. The caller holds the lock.
+func (n *node) isRunning() bool {
+	if n.process == nil {
 		return false
 	}
 	select {
-	case <-n.p.Done():
+	case <-n.process.Done():
 		return false
 	default:
 		return true
 	}
 }
 
-// follow notes the end of a process.
-func (n *node) follow(p *proc.Process) {
+// recordExit waits for the end of a process and records it.
+func (n *node) recordExit(p *proc.Process) {
 	exit := p.Wait()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.use.CPU += exit.CPU
-	n.use.RSS = max(n.use.RSS, exit.MaxRSS)
-	if n.p == p {
+	n.usage.CPU += exit.CPU
+	n.usage.RSS = max(n.usage.RSS, exit.MaxRSS)
+	if n.process == p {
 		n.ready = false
 	}
-	if n.over {
+	if n.runOver {
 		return
 	}
 	state := history.ExitRequested
-	if !n.asked {
+	if !n.exitRequested {
 		state = history.Crashed
 	}
-	n.event(history.Exited, state, exit.String())
+	n.recordEvent(history.Exited, state, exit.String())
 }
 
 // awaitReady waits until the node answers PING.
 func (n *node) awaitReady(ctx context.Context) error {
 	n.mu.Lock()
-	p := n.p
+	p := n.process
 	n.mu.Unlock()
 	if p == nil {
 		return errors.New(n.name() + " was never started")
 	}
 	for {
-		if n.ping() {
+		if n.answersPing() {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			if n.p == p && !n.over {
+			if n.process == p && !n.runOver {
 				n.ready = true
-				n.event(history.Ready, "", "")
+				n.recordEvent(history.Ready, "", "")
 			}
 			return nil
 		}
-		t := time.NewTimer(readyPoll)
+		t := time.NewTimer(readyPollInterval)
 		select {
 		case <-t.C:
 		case <-p.Done():
 			t.Stop()
-			return fmt.Errorf("%s ended %v before it was ready; its log is %s", n.name(), p.Wait(), n.out.f.Name())
+			return fmt.Errorf("%s ended %v before it was ready; see its log %s", n.name(), p.Wait(), n.log.file.Name())
 		case <-ctx.Done():
 			t.Stop()
 			return fmt.Errorf("%s: %w", n.name(), context.Cause(ctx))
@@ -196,8 +196,8 @@
 	}
 }
 
-func (n *node) ping() bool {
-	nc, err := net.DialTimeout("tcp", n.r.addr(n.number, clientPort), 100*time.Millisecond)
+func (n *node) answersPing() bool {
+	nc, err := net.DialTimeout("tcp", n.run.addr(n.number, clientPort), 100*time.Millisecond)
 	if err != nil {
 		return false
 	}
@@ -210,72 +210,74 @@
 	return err == nil && line == "+PONG\r\n"
 }
 
-func (n *node) up() bool {
+func (n *node) isUp() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ready && !n.asked && !n.paused
+	return n.ready && !n.exitRequested && !n.paused
 }
 
-// signal sends a signal to the present process, and notes it.
+// signal sends a signal to the current process and records it.
 func (n *node) signal(sig syscall.Signal, kind history.Kind) (*proc.Process, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.p == nil || n.over {
+	if n.process == nil || n.runOver {
 		return nil, nil
 	}
 	if kind == history.TermSent || kind == history.Killed {
-		n.asked = true
+		n.exitRequested = true
 	}
 	n.paused = kind == history.Stopped
-	n.event(kind, "", "")
-	return n.p, n.p.Signal(sig)
+	n.recordEvent(kind, "", "")
+	return n.process, n.process.Signal(sig)
 }
 
-// revive ends what kill began.
-func (n *node) revive(ctx context.Context) error {
+// startAfterKill ends the effect of kill.
+func (n *node) startAfterKill(ctx context.Context) error {
 	n.mu.Lock()
-	n.down--
+	n.activeDownFaults--
 	n.mu.Unlock()
-	return n.again(ctx)
+	return n.startAndAwaitReady(ctx)
 }
 
-// kill ends the process at once, loses its folder if it has to, and keeps the node down until revive.
-func (n *node) kill(lose bool) error {
+// kill kills the process, removes its state directory if required, and keeps the node down until
+// startAfterKill.
+func (n *node) kill(loseState bool) error {
 	n.mu.Lock()
-	n.down++
+	n.activeDownFaults++
 	n.mu.Unlock()
 	p, err := n.signal(syscall.SIGKILL, history.Killed)
 	if err != nil || p == nil {
 		return err
 	}
 	<-p.Done()
-	if !lose {
+	if !loseState {
 		return nil
 	}
-	n.event(history.StateLost, "", "")
+	n.recordEvent(history.StateLost, "", "")
 	state := filepath.Join(n.dir, "state")
 	if err := os.RemoveAll(state); err != nil {
 		return err
 	}
-	n.r.clients.HandleStateLoss(n.number)
+	n.run.clients.HandleStateLoss(n.number)
 	return os.Mkdir(state, 0o700)
 }
 
-// again starts the node and waits until it serves. One that does not is noted as such.
-func (n *node) again(ctx context.Context) error {
+// startAndAwaitReady starts the node and waits until it serves. A node that does not become ready is recorded
+// as a limit exceeded.
+func (n *node) startAndAwaitReady(ctx context.Context) error {
 	if err := n.start(); err != nil {
 		return err
 	}
 	n.mu.Lock()
-	waits := n.running() && !n.ready
+	mustWait := n.isRunning() && !n.ready
 	n.mu.Unlock()
-	if !waits {
+	if !mustWait {
 		return nil
 	}
-	wait, cancel := context.WithTimeout(ctx, readyWithin)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := n.awaitReady(wait); err != nil && ctx.Err() == nil {
-		n.event(history.LimitExceeded, "", fmt.Sprintf("it was not ready within %v: %v", readyWithin, err))
+	if err := n.awaitReady(readyCtx); err != nil && ctx.Err() == nil {
+		n.recordEvent(history.LimitExceeded, "", fmt.Sprintf("it was not ready within %v: %v", readyTimeout, err))
 	}
 	return nil
 }
@@ -301,71 +303,71 @@
 	if !observe.SleepUntil(ctx, time.Now().Add(restartPause)) {
 		return nil
 	}
-	return n.again(ctx)
+	return n.startAndAwaitReady(ctx)
 }
 
-// move lets the agent go to another address and tells the node so.
-func (n *node) move(port int) error {
-	if err := n.r.platform.Agent(n.number).Listen(n.r.addr(n.number, port)); err != nil {
+// moveAgent moves the node's agent to another address and tells the node by SIGHUP.
+func (n *node) moveAgent(port int) error {
+	if err := n.run.platform.Agent(n.number).Listen(n.run.addr(n.number, port)); err != nil {
 		return err
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.config(); err != nil {
+	if err := n.writeConfig(); err != nil {
 		return err
 	}
-	if n.p == nil || !n.ready || n.asked {
+	if n.process == nil || !n.ready || n.exitRequested {
 		return nil // it reads the file when it starts
 	}
-	return n.p.Signal(syscall.SIGHUP)
+	return n.process.Signal(syscall.SIGHUP)
 }
 
-// diskFull fills the node's disk, or makes room again.
-func (n *node) diskFull(on bool) error {
+// setDiskFull fills the node's disk, or makes room again.
+func (n *node) setDiskFull(on bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.full = on
-	if n.over || !n.running() {
-		return nil // it has the limit from its next start on
+	n.diskIsFull = on
+	if n.runOver || !n.isRunning() {
+		return nil // the limit applies from its next start on
 	}
-	return n.p.SetDiskFull(on)
+	return n.process.SetDiskFull(on)
 }
 
-// sample looks at what the process uses.
-func (n *node) sample() {
+// sampleUsage measures what the process uses, and kills it if it is over a limit.
+func (n *node) sampleUsage() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.p == nil || n.over {
+	if n.process == nil || n.runOver {
 		return
 	}
-	p := n.r.plan.Nodes[n.number]
+	p := n.run.plan.Nodes[n.number]
 	disk := folderSize(filepath.Join(n.dir, "state"))
-	over := ""
-	if n.use.Disk = max(n.use.Disk, disk); float64(disk) > p.DiskMB*(1<<20) {
-		over = fmt.Sprintf("its lasting folder holds %d bytes, %v MB are allowed", disk, p.DiskMB)
+	exceeded := ""
+	if n.usage.Disk = max(n.usage.Disk, disk); float64(disk) > p.DiskMB*(1<<20) {
+		exceeded = fmt.Sprintf("its state directory holds %d bytes, %v MB are allowed", disk, p.DiskMB)
 	}
-	if u, err := n.p.Usage(); err == nil {
-		n.use.RSS, n.use.Descriptors = max(n.use.RSS, u.RSS), max(n.use.Descriptors, u.Descriptors)
+	if u, err := n.process.Usage(); err == nil {
+		n.usage.RSS, n.usage.Descriptors = max(n.usage.RSS, u.RSS), max(n.usage.Descriptors, u.Descriptors)
 		if u.RSS > int64(p.MemoryMB)<<20 {
-			over = fmt.Sprintf("it holds %d bytes of memory, %d MB are allowed", u.RSS, p.MemoryMB)
+			exceeded = fmt.Sprintf("it uses %d bytes of memory, %d MB are allowed", u.RSS, p.MemoryMB)
 		}
 	}
-	if over != "" && !n.asked {
-		n.asked = true
-		n.event(history.LimitExceeded, "", over)
-		n.p.Signal(syscall.SIGKILL)
+	if exceeded != "" && !n.exitRequested {
+		n.exitRequested = true
+		n.recordEvent(history.LimitExceeded, "", exceeded)
+		n.process.Signal(syscall.SIGKILL)
 	}
 }
 
-// abandon says that the run is over: what ends now ends with it.
-func (n *node) abandon() {
+// markRunOver marks the run as over: exits are no longer recorded, and nothing is started any more.
+func (n *node) markRunOver() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.over = true
+	n.runOver = true
 }
 
-// wait returns when nothing of the node is left.
-func (n *node) wait() {
+// waitAndCloseLog returns when all goroutines of the node have ended.
+func (n *node) waitAndCloseLog() {
 	n.wg.Wait()
-	n.out.f.Close()
+	n.log.file.Close()
 }
--- a/internal/lab/replicas.go
+++ b/internal/lab/replicas.go
@@ -20,13 +20,14 @@
 )
 
 const (
-	windowPort   = 8600 // of a node's window on the first replica, and on
-	writeTimeout = 3 * time.Second
-	writeAgain   = 50 * time.Millisecond
+	proxyPort          = 8600 // of a node's proxy in front of the first replica; the next ports are for the other replicas
+	writeTimeout       = 3 * time.Second
+	writeRetryInterval = 50 * time.Millisecond
 )
 
-// openDirectory starts the replicas, the nodes' windows on them, and what keeps their list as the platform has it.
-func (r *run) openDirectory(ctx context.Context) error {
+// startDirectory starts the replicas, the nodes' proxies in front of them, and the copying of the platform's
+// list to the directory.
+func (r *run) startDirectory(ctx context.Context) error {
 	if r.plan.Replicas == 0 {
 		return nil
 	}
@@ -38,11 +39,11 @@
 		}
 		command = []string{self, "--log-level", "info", "directory", "serve"}
 	}
-	calm := r.calm()
+	calm := r.replicaConditions()
 	var err error
 	r.replicas, err = replica.New(r.plan.Replicas, replica.Options{
 		Command: command, Dir: r.opts.Dir, Block: r.block, Supervisor: r.sup, Seed: r.plan.Seed, Conditions: &calm,
-		OutputFilter: func(f *os.File) io.Writer { return &bounded{f: f, left: maxNodeLog} },
+		OutputFilter: func(f *os.File) io.Writer { return &limitedWriter{file: f, remaining: maxNodeLogBytes} },
 	})
 	if err != nil {
 		return err
@@ -57,90 +58,91 @@
 		a.DelegateToDirectory()
 		var addresses []string
 		for i, d := range r.replicas {
-			w, err := standin.StartDirectoryProxy(a, r.addr(n, windowPort+i), d.AdvertisedAddr(replica.HTTP))
+			w, err := standin.StartDirectoryProxy(a, r.addr(n, proxyPort+i), d.AdvertisedAddr(replica.HTTP))
 			if err != nil {
 				return err
 			}
-			r.windows = append(r.windows, w)
-			addresses = append(addresses, fmt.Sprintf("%q", r.addr(n, windowPort+i)))
+			r.proxies = append(r.proxies, w)
+			addresses = append(addresses, fmt.Sprintf("%q", r.addr(n, proxyPort+i)))
 		}
 		text := "[registry]\naddresses = [" + strings.Join(addresses, ", ") + "]\nkeep_kb = 64\n"
 		if err := os.WriteFile(filepath.Join(r.opts.Dir, r.plan.Nodes[n].Name, "fleet.toml"), []byte(text), 0o600); err != nil {
 			return err
 		}
 	}
-	first := make(chan struct{})
+	firstWritten := make(chan struct{})
 	writing, stop := context.WithCancel(context.Background())
-	r.endWrites = stop
-	r.wg.Go(func() { r.keepList(writing, first) })
+	r.stopWrites = stop
+	r.wg.Go(func() { r.syncList(writing, firstWritten) })
 	select {
-	case <-first:
+	case <-firstWritten:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(readyWithin):
-		return fmt.Errorf("the directory took no list within %v; its logs are in %s", readyWithin, r.opts.Dir)
+	case <-time.After(readyTimeout):
+		return fmt.Errorf("the directory accepted no list within %v; its logs are in %s", readyTimeout, r.opts.Dir)
 	}
 }
 
-// calm is the weather between replicas, and between them and nodes.
-func (r *run) calm() relay.Conditions {
+// replicaConditions returns the conditions between replicas, and between replicas and nodes, while no fault
+// is active.
+func (r *run) replicaConditions() relay.Conditions {
 	return relay.Conditions{Delay: r.plan.Network.SameZone, Jitter: r.plan.Network.Jitter}
 }
 
-// keepList writes the list as the platform has it to the directory, again and again until it is there.
-func (r *run) keepList(ctx context.Context, first chan<- struct{}) {
+// syncList writes the platform's list to the directory after each change, and retries until it is written.
+func (r *run) syncList(ctx context.Context, firstWritten chan<- struct{}) {
 	var addresses []string
 	for _, d := range r.replicas {
 		addresses = append(addresses, d.AdvertisedAddr(replica.HTTP))
 	}
-	op := &directory.AdminClient{Addresses: addresses, By: "lab", HTTPClient: &http.Client{Timeout: writeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
+	client := &directory.AdminClient{Addresses: addresses, By: "lab", HTTPClient: &http.Client{Timeout: writeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for {
-		members, news := r.platform.Members()
-		_, err := op.Put(ctx, members, true, true, "*")
-		if err == nil && first != nil {
-			close(first)
-			first = nil
+		members, changed := r.platform.Members()
+		_, err := client.Put(ctx, members, true, true, "*")
+		if err == nil && firstWritten != nil {
+			close(firstWritten)
+			firstWritten = nil
 		}
-		if err != nil && first == nil {
-			r.opts.Log.Debug("the list is not written yet", "err", err)
+		if err != nil && firstWritten == nil {
+			r.opts.Log.Debug("writing the list to the directory failed; retrying", "err", err)
 		}
-		var again <-chan time.Time
+		var retry <-chan time.Time
 		if err != nil {
-			again = time.After(writeAgain)
+			retry = time.After(writeRetryInterval)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
-		case <-news:
+		case <-retry:
+		case <-changed:
 		}
 	}
 }
 
-// replicaFault begins or ends a fault of replicas.
-func (r *run) replicaFault(x *experiment.FaultPlan, ends bool) {
-	for _, i := range x.Replicas {
-		d := r.replicas[i]
-		r.log.Add(history.Event{Kind: history.Fault, Node: -1, Partner: -1, Note: fmt.Sprintf("%s of replica %d, ends: %v", x.Kind, i, ends)})
-		p := d.Process()
-		switch x.Kind {
+// applyReplicaFault starts or ends a fault of replicas.
+func (r *run) applyReplicaFault(fault *experiment.FaultPlan, ends bool) {
+	for _, i := range fault.Replicas {
+		target := r.replicas[i]
+		r.log.Add(history.Event{Kind: history.Fault, Node: -1, Partner: -1, Note: fmt.Sprintf("%s of replica %d, ends: %v", fault.Kind, i, ends)})
+		process := target.Process()
+		switch fault.Kind {
 		case "replica-kill":
 			if ends {
-				r.fail("start of a replica", d.Start())
+				r.recordFailure("start of a replica", target.Start())
 			} else {
-				r.fail("kill of a replica", d.Kill())
+				r.recordFailure("kill of a replica", target.Kill())
 			}
 		case "replica-stop":
 			sig := syscall.SIGSTOP
 			if ends {
 				sig = syscall.SIGCONT
 			}
-			r.fail("stop of a replica", p.Signal(sig))
+			r.recordFailure("stop of a replica", process.Signal(sig))
 		case "replica-cut":
-			for _, l := range d.Links {
-				w := r.calm()
-				w.CutOutbound, w.CutReturn = !ends && x.Direction != "back", !ends && x.Direction != "out"
+			for _, l := range target.Links {
+				w := r.replicaConditions()
+				w.CutOutbound, w.CutReturn = !ends && fault.Direction != "back", !ends && fault.Direction != "out"
 				l.SetConditions(w)
 				if ends {
 					l.ResetConnections()
@@ -150,9 +152,9 @@
 	}
 }
 
-// closeDirectory ends what openDirectory has made; the processes have ended.
+// closeDirectory closes what startDirectory has created. The processes must have exited.
 func (r *run) closeDirectory() {
-	for _, w := range r.windows {
+	for _, w := range r.proxies {
 		w.Close()
 	}
 	for _, d := range r.replicas {
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -28,28 +28,28 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// WriteReport writes a page of Markdown with SVG plots beside a run's results, and returns its path.
+// WriteReport writes a Markdown page with SVG plots next to the results of a run, and returns its path.
 func WriteReport(dir string, res *Result) (string, error) {
 	events, err := ReadEvents(dir)
 	if errors.Is(err, fs.ErrNotExist) {
-		events = nil // the page goes without what they tell
+		events = nil // the page is written without the parts that need events
 	} else if err != nil {
 		return "", err
 	}
 	var b strings.Builder
-	verdict := "All that was expected was kept."
+	verdict := "All expectations were met."
 	if !res.Passed {
-		verdict = "**Not all that was expected was kept.**"
+		verdict = "**Not all expectations were met.**"
 	}
 	fmt.Fprintf(&b, "# %s, seed %d\n\n%s\n\n%s\n\n", res.Experiment, res.Seed, res.About, verdict)
 	fmt.Fprintf(&b, "%d nodes, %d messages in %v, on %d cores. Began %s, took %v.\n\n", res.Nodes, res.Tally.All.Messages, res.Length, res.Cores,
 		res.StartedAt.UTC().Format(time.RFC3339), res.Elapsed.Round(time.Second))
-	b.WriteString("| expected | got | |\n| --- | --- | --- |\n")
+	b.WriteString("| expected | measured | |\n| --- | --- | --- |\n")
 	for _, e := range res.Expectations {
-		fmt.Fprintf(&b, "| %s | %s | %s |\n", e.Condition, e.Actual, map[bool]string{true: "kept", false: "**not kept**"}[e.Met])
+		fmt.Fprintf(&b, "| %s | %s | %s |\n", e.Condition, e.Actual, map[bool]string{true: "met", false: "**not met**"}[e.Met])
 	}
 	for _, s := range res.InvalidReasons {
-		fmt.Fprintf(&b, "\n**Spoilt:** %s\n", s)
+		fmt.Fprintf(&b, "\n**Invalid run:** %s\n", s)
 	}
 	if len(res.Faults) > 0 {
 		b.WriteString("\n## Timeline\n\n")
@@ -58,7 +58,7 @@
 		}
 	}
 	if len(res.Violations) > 0 {
-		b.WriteString("\n## Breaches\n\n")
+		b.WriteString("\n## Violations\n\n")
 		for _, x := range res.Violations {
 			fmt.Fprintf(&b, "- %s\n", x)
 		}
@@ -67,10 +67,10 @@
 	if err := servicePlot(filepath.Join(dir, "service.svg"), res); err != nil {
 		return "", err
 	}
-	b.WriteString("![worth served by five seconds](service.svg)\n\n")
-	lines(&b, "class", res.Tally.Classes)
-	lines(&b, "member", res.Tally.Tenants)
-	lines(&b, "node", res.Tally.Nodes)
+	b.WriteString("![worth served, by intervals of five seconds](service.svg)\n\n")
+	writeServiceTable(&b, "class", res.Tally.Classes)
+	writeServiceTable(&b, "member", res.Tally.Tenants)
+	writeServiceTable(&b, "node", res.Tally.Nodes)
 	fmt.Fprintf(&b, "Time to answer: median %v, 99th percentile %v. Time to delivery: median %v, 99th percentile %v, longest %v.\n",
 		res.Tally.TimeToAnswer.P50, res.Tally.TimeToAnswer.P99, res.Tally.TimeToDelivery.P50, res.Tally.TimeToDelivery.P99, res.Tally.TimeToDelivery.Max)
 	b.WriteString("\n## Partners\n\n")
@@ -78,50 +78,50 @@
 		if err := callsPlot(filepath.Join(dir, "calls.svg"), events); err != nil {
 			return "", err
 		}
-		b.WriteString("![ends of calls by second](calls.svg)\n\n")
+		b.WriteString("![ends of calls, by second](calls.svg)\n\n")
 	}
-	b.WriteString("| partner | connections | calls | messages | accepted | above its limit | other refusals | given up | errors |\n|" + strings.Repeat(" --- |", 9) + "\n")
+	b.WriteString("| partner | connections | calls | messages | accepted | above its limit | other rejections | abandoned | errors |\n|" + strings.Repeat(" --- |", 9) + "\n")
 	for _, p := range res.Tally.Partners {
 		e := p.CallEnds
 		fmt.Fprintf(&b, "| %d | %d | %d | %d | %d | %d | %d | %d | %d |\n", p.Partner, p.Connections, p.Calls, p.Messages, e[history.Accepted], e[history.AboveLimit],
 			e[history.Rejected]+e[history.QueueFull]+e[history.TooManyConns], e[history.Abandoned], e[history.Errored]+e[history.AnswerLost]+e[history.AnswerUnreadable])
 	}
-	b.WriteString("\n## Processes\n\n| node | starts | CPU | most memory, MB | most descriptors | most disk, KB |\n|" + strings.Repeat(" --- |", 6) + "\n")
+	b.WriteString("\n## Processes\n\n| node | starts | CPU | maximum memory, MB | maximum descriptors | maximum disk, KB |\n|" + strings.Repeat(" --- |", 6) + "\n")
 	for _, u := range res.Processes {
 		fmt.Fprintf(&b, "| %s | %d | %v | %.1f | %d | %d |\n", u.Node, u.Starts, u.CPU.Round(10*time.Millisecond), float64(u.RSS)/(1<<20), u.Descriptors,
 			u.Disk>>10)
 	}
-	b.WriteString("\n| the lab itself, late with | times | median | 99th percentile | most |\n|" + strings.Repeat(" --- |", 5) + "\n")
+	b.WriteString("\n| lateness of the lab itself | count | median | 99th percentile | maximum |\n|" + strings.Repeat(" --- |", 5) + "\n")
 	for _, part := range sortedKeys(res.LatenessByComponent) {
 		l := res.LatenessByComponent[part]
 		fmt.Fprintf(&b, "| %s | %d | %v | %v | %v |\n", part, l.Count, l.P50, l.P99, l.Max)
 	}
 	path := filepath.Join(dir, ReportFile)
 	if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
-		return "", fmt.Errorf("report: %w", err)
+		return "", fmt.Errorf("write report: %w", err)
 	}
 	return path, nil
 }
 
-func lines(b *strings.Builder, what string, all []tally.Line) {
-	fmt.Fprintf(b, "| %s | messages | worth served | delivered | refused | failed | unheard |\n|%s\n", what, strings.Repeat(" --- |", 7))
+func writeServiceTable(b *strings.Builder, keyColumn string, all []tally.Line) {
+	fmt.Fprintf(b, "| %s | messages | worth served | delivered | refused | failed | unknown |\n|%s\n", keyColumn, strings.Repeat(" --- |", 7))
 	for _, l := range all {
 		fmt.Fprintf(b, "| %s | %d | %.3f | %d | %d | %d | %d |\n", l.Name, l.Messages, l.Share(), l.Delivered, l.Refused, l.Failed, l.Unknown)
 	}
 	b.WriteString("\n")
 }
 
-func save(p *plot.Plot, path string) error {
+func savePlot(p *plot.Plot, path string) error {
 	if err := p.Save(plotWidth, plotHeight, path); err != nil {
-		return fmt.Errorf("plot: %w", err)
+		return fmt.Errorf("draw plot: %w", err)
 	}
 	return nil
 }
 
-// servicePlot draws the share of the worth that was served, by the time when messages came.
+// servicePlot draws the share of the worth that was served, by the time when the messages arrived.
 func servicePlot(path string, res *Result) error {
 	p := plot.New()
-	p.Title.Text = "Worth served by the time when messages came"
+	p.Title.Text = "Worth served, by the arrival time of the messages"
 	p.X.Label.Text, p.Y.Label.Text = "seconds", "share"
 	p.Y.Min, p.Y.Max = 0, 1
 	var points plotter.XYs
@@ -130,10 +130,10 @@
 	}
 	if len(points) > 0 {
 		if err := plotutil.AddLinePoints(p, "served", points); err != nil {
-			return fmt.Errorf("plot: %w", err)
+			return fmt.Errorf("draw plot: %w", err)
 		}
 	}
-	return save(p, path)
+	return savePlot(p, path)
 }
 
 // callsPlot draws how many calls ended in which way in each second.
@@ -153,7 +153,7 @@
 	}
 	p := plot.New()
 	p.Title.Text = "Ends of calls"
-	p.X.Label.Text, p.Y.Label.Text = "seconds", "calls a second"
+	p.X.Label.Text, p.Y.Label.Text = "seconds", "calls per second"
 	p.Y.Min = 0
 	p.Legend.Top = true
 	p.Legend.XOffs = -5 * vg.Millimeter
@@ -170,10 +170,10 @@
 	}
 	if len(all) > 0 {
 		if err := plotutil.AddLines(p, all...); err != nil {
-			return fmt.Errorf("plot: %w", err)
+			return fmt.Errorf("draw plot: %w", err)
 		}
 	}
-	return save(p, path)
+	return savePlot(p, path)
 }
 
 func total(m map[int]int) int {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -21,66 +21,67 @@
 	"starlingusher/internal/lab/standin"
 )
 
-// Names of the files in a results' folder.
+// Names of the files in a results directory.
 const (
 	ResultFile = "result.json"
 	EventsFile = "events.jsonl"
 )
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Experiment string        `json:"experiment"`
 	About      string        `json:"about,omitempty"`
 	Seed       uint64        `json:"seed"`
 	Command    []string      `json:"command"`
 	StartedAt  time.Time     `json:"began"`
-	Elapsed    time.Duration `json:"took"` // with starts and ends
+	Elapsed    time.Duration `json:"took"` // including the start and the end of the processes
 	Length     time.Duration `json:"length"`
 	Nodes      int           `json:"nodes"`
 	Cores      int           `json:"cores"` // of the machine
 
-	Passed       bool          `json:"kept"` // all expectations
+	Passed       bool          `json:"kept"` // the run is valid and all expectations were met
 	Expectations []Expectation `json:"expectations"`
-	// Spoilt says that the lab itself was too late or failed: what the run shows of the nodes is not to be trusted.
+	// InvalidReasons tells why the run proves nothing about the nodes: the lab itself was too late or has
+	// failed.
 	InvalidReasons      []string                                `json:"spoilt,omitempty"`
 	Violations          []judge.Violation                       `json:"breaches"`
 	Tally               tally.Report                            `json:"tally"`
-	Lateness            tally.Percentiles                       `json:"lateness"` // of the lab: its part that was latest
+	Lateness            tally.Percentiles                       `json:"lateness"` // of the component of the lab that was latest
 	LatenessByComponent map[observe.Component]tally.Percentiles `json:"lateness_by"`
 	Processes           []ProcessUsage                          `json:"processes"`
 	RudePeers           standin.RudePeerCounts                  `json:"rude_peers"`
 	Faults              []string                                `json:"faults"`
 	EventCounts         map[string]int                          `json:"events"`
-	PartnerLimits       map[string]float64                      `json:"limits"` // of partners, calls a second
+	PartnerLimits       map[string]float64                      `json:"limits"` // of partners, in calls per second
 
 	Events []history.Event `json:"-"`
 }
 
-// Expectation is one thing that was expected, and what came.
+// Expectation is one condition of the experiment and what was measured.
 type Expectation struct {
 	Condition string `json:"what"`
 	Actual    string `json:"got"`
 	Met       bool   `json:"kept"`
 }
 
-// result reads what was seen. All that wrote events must have ended.
-func (r *run) result(began time.Time) *Result {
+// buildResult evaluates the recorded events. Everything that records events must have ended.
+func (r *run) buildResult(startedAt time.Time) *Result {
 	events := r.log.Events()
 	res := &Result{
-		Experiment: r.plan.Name, About: r.plan.About, Seed: r.plan.Seed, Command: r.opts.Command, StartedAt: began, Elapsed: time.Since(began),
+		Experiment: r.plan.Name, About: r.plan.About, Seed: r.plan.Seed, Command: r.opts.Command, StartedAt: startedAt, Elapsed: time.Since(startedAt),
 		Length: r.plan.EndTime(), Nodes: len(r.plan.Nodes), Cores: runtime.NumCPU(), Violations: judge.FindViolations(r.plan.JudgeConfig(), events),
-		Tally: tally.Count(r.plan.TallyConfig(), events), LatenessByComponent: r.log.Lateness(), RudePeers: r.clients.RudePeerCounts(), InvalidReasons: r.failed, Events: events,
+		Tally: tally.Count(r.plan.TallyConfig(), events), LatenessByComponent: r.log.Lateness(), RudePeers: r.clients.RudePeerCounts(), InvalidReasons: r.labFailures, Events: events,
 		EventCounts: map[string]int{}, PartnerLimits: map[string]float64{},
 	}
 	res.Lateness = observe.WorstLateness(res.LatenessByComponent)
 	if res.Violations == nil {
-		res.Violations = []judge.Violation{} // a list in JSON, too
+		res.Violations = []judge.Violation{} // encodes as a list instead of null
 	}
 	for _, e := range events {
 		res.EventCounts[string(e.Kind)]++
 	}
 	for _, n := range r.nodes {
-		res.Processes = append(res.Processes, n.use)
+		res.Processes = append(res.Processes, n.usage)
 	}
 	for _, x := range r.plan.Faults {
 		res.Faults = append(res.Faults, fmt.Sprintf("%v: %v", x.At.Round(time.Millisecond), x))
@@ -88,63 +89,63 @@
 	for i, p := range r.plan.Partners {
 		res.PartnerLimits[fmt.Sprint(i)] = p.Config.Limit.PerSecond
 	}
-	res.judge(r.plan.Expect)
+	res.checkExpectations(r.plan.Expect)
 	return res
 }
 
-// judge holds a result to what was expected of it.
-func (res *Result) judge(x experiment.Expect) {
-	expect := func(kept bool, what, got string, args ...any) {
-		res.Expectations = append(res.Expectations, Expectation{what, fmt.Sprintf(got, args...), kept})
+// checkExpectations compares the result with the experiment's expectations.
+func (res *Result) checkExpectations(expected experiment.Expect) {
+	addExpectation := func(met bool, condition, format string, args ...any) {
+		res.Expectations = append(res.Expectations, Expectation{condition, fmt.Sprintf(format, args...), met})
 	}
-	broken := map[string]int{}
+	violationsByRule := map[string]int{}
 	for _, b := range res.Violations {
-		broken[string(b.Rule)]++
+		violationsByRule[string(b.Rule)]++
 	}
-	others := 0
-	for rule, n := range broken {
-		if !slices.Contains(x.BrokenRules, rule) {
-			others += n
+	unexpected := 0
+	for rule, n := range violationsByRule {
+		if !slices.Contains(expected.BrokenRules, rule) {
+			unexpected += n
 		}
 	}
-	if len(x.BrokenRules) == 0 {
-		expect(others == 0, "no rule broken", "%d breaches", others)
+	if len(expected.BrokenRules) == 0 {
+		addExpectation(unexpected == 0, "no rule broken", "%d breaches", unexpected)
 	} else {
-		for _, rule := range x.BrokenRules {
-			expect(broken[rule] > 0, fmt.Sprintf("rule %s broken", rule), "%d breaches", broken[rule])
+		for _, rule := range expected.BrokenRules {
+			addExpectation(violationsByRule[rule] > 0, fmt.Sprintf("rule %s broken", rule), "%d breaches", violationsByRule[rule])
 		}
-		expect(others == 0, "no other rule broken", "%d breaches", others)
+		addExpectation(unexpected == 0, "no other rule broken", "%d breaches", unexpected)
 	}
-	least := func(what string, want float64, l tally.Line) {
+	expectShare := func(what string, want float64, l tally.Line) {
 		if want > 0 {
-			expect(l.Share() >= want, fmt.Sprintf("%s served %.3g at least", what, want), "%.3f", l.Share())
+			addExpectation(l.Share() >= want, fmt.Sprintf("%s served %.3g at least", what, want), "%.3f", l.Share())
 		}
 	}
-	least("worth", x.MinServed.Low, res.Tally.All)
-	for _, name := range sortedKeys(x.MinServedByClass) {
+	expectShare("worth", expected.MinServed.Low, res.Tally.All)
+	for _, name := range sortedKeys(expected.MinServedByClass) {
 		if l, ok := tally.FindLine(res.Tally.Classes, name); ok {
-			least("class "+name, x.MinServedByClass[name].Low, l)
+			expectShare("class "+name, expected.MinServedByClass[name].Low, l)
 		}
 	}
 	if l, ok := res.Tally.WorstInterval(); ok {
-		least("worst five seconds", x.MinWorstInterval.Low, l)
+		expectShare("worst five seconds", expected.MinWorstInterval.Low, l)
 	}
-	if most := x.MaxAboveLimit; most != nil {
+	if most := expected.MaxAboveLimit; most != nil {
 		got := float64(res.Tally.CallsAboveLimit) / float64(max(res.Tally.All.Messages, 1))
-		expect(got <= most.High, fmt.Sprintf("calls above limits, a message, %.3g at most", most.High), "%.3f", got)
+		addExpectation(got <= most.High, fmt.Sprintf("calls above limits, a message, %.3g at most", most.High), "%.3f", got)
 	}
-	if want := int(x.MinDelivered.Low); want > 0 {
-		expect(res.Tally.All.Delivered >= want, fmt.Sprintf("%d messages delivered at least", want), "%d", res.Tally.All.Delivered)
+	if want := int(expected.MinDelivered.Low); want > 0 {
+		addExpectation(res.Tally.All.Delivered >= want, fmt.Sprintf("%d messages delivered at least", want), "%d", res.Tally.All.Delivered)
 	}
 	if res.RudePeers.Connected > 0 {
-		bad := res.RudePeers.Unanswered + res.RudePeers.Accepted
-		expect(bad == 0, "rude peers get an error or a close in time", "%d of %d did not", bad, res.RudePeers.Connected)
-	}
-	if most := x.MaxLateness.High; most > 0 {
-		kept := res.Lateness.P99 <= most
-		expect(kept, fmt.Sprintf("the lab itself at most %v late (99th percentile)", most), "%v", res.Lateness.P99)
-		if !kept {
-			res.InvalidReasons = append(res.InvalidReasons, fmt.Sprintf("the lab was %v late (99th percentile): its own lateness spoilt the run", res.Lateness.P99))
+		mistreated := res.RudePeers.Unanswered + res.RudePeers.Accepted
+		addExpectation(mistreated == 0, "rude peers get an error or a close in time", "%d of %d did not", mistreated, res.RudePeers.Connected)
+	}
+	if limit := expected.MaxLateness.High; limit > 0 {
+		onTime := res.Lateness.P99 <= limit
+		addExpectation(onTime, fmt.Sprintf("the lab itself at most %v late (99th percentile)", limit), "%v", res.Lateness.P99)
+		if !onTime {
+			res.InvalidReasons = append(res.InvalidReasons, fmt.Sprintf("the lab was %v late (99th percentile): its own lateness makes the run invalid", res.Lateness.P99))
 		}
 	}
 	res.Passed = len(res.InvalidReasons) == 0
@@ -153,34 +154,34 @@
 	}
 }
 
-// Write writes a result's files into a folder, which it makes if need be.
+// Write writes the result files into a directory, which it creates if needed.
 func (res *Result) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return fmt.Errorf("results: %w", err)
+		return fmt.Errorf("write results: %w", err)
 	}
 	f, err := os.Create(filepath.Join(dir, EventsFile))
 	if err != nil {
-		return fmt.Errorf("results: %w", err)
+		return fmt.Errorf("write results: %w", err)
 	}
 	if err := errors.Join(history.Write(f, res.Events), f.Close()); err != nil {
-		return fmt.Errorf("results: %w", err)
+		return fmt.Errorf("write results: %w", err)
 	}
 	raw, err := json.MarshalIndent(res, "", " ")
 	if err != nil {
-		return fmt.Errorf("results: %w", err)
+		return fmt.Errorf("write results: %w", err)
 	}
 	return os.WriteFile(filepath.Join(dir, ResultFile), append(raw, '\n'), 0o644)
 }
 
-// ReadResult reads what Write wrote, without its events.
+// ReadResult reads what Write wrote, without the events.
 func ReadResult(dir string) (*Result, error) {
 	path := filepath.Join(dir, ResultFile)
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("%s holds no %s: name the folder that `cottonrack lab run --out` wrote", dir, ResultFile)
+		return nil, fmt.Errorf("%s has no %s: name the directory that `cottonrack lab run --out` wrote", dir, ResultFile)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("results: %w", err)
+		return nil, fmt.Errorf("read results: %w", err)
 	}
 	var res Result
 	if err := json.Unmarshal(raw, &res); err != nil {
@@ -189,12 +190,12 @@
 	return &res, nil
 }
 
-// ReadEvents reads the events of a results' folder.
+// ReadEvents reads the events from a results directory.
 func ReadEvents(dir string) ([]history.Event, error) {
 	path := filepath.Join(dir, EventsFile)
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("events: %w", err)
+		return nil, fmt.Errorf("read events: %w", err)
 	}
 	defer f.Close()
 	events, err := history.Read(f)
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -1,5 +1,5 @@
-// Package lab plays experiments with real processes of the node on this machine: stand-ins for all that a node meets,
-// faults between them, and the judge over what was seen.
+// Package lab runs experiments with real node processes on this machine. Stand-ins play everything that a
+// node talks to, faults are injected between them and the nodes, and the judge checks what was observed.
 package lab
 
 import (
@@ -26,194 +26,196 @@
 )
 
 const (
-	clientPort   = 6379
-	discoverPort = 8500 // and the next ones after moves
-	linkPort     = 10000
-	readyWithin  = 30 * time.Second
-	sampleEvery  = 250 * time.Millisecond
-	maxNodes     = 5000 // of one /16 of loopback addresses
+	clientPort     = 6379
+	discoveryPort  = 8500 // the agents' first port; each move of an agent takes the next one
+	linkPort       = 10000
+	readyTimeout   = 30 * time.Second
+	sampleInterval = 250 * time.Millisecond
+	maxNodes       = 5000 // a node's address is taken from one /16 of loopback addresses
 )
 
-// Options say how a plan is played.
+// Options configure a run.
 type Options struct {
-	Command []string // one node's process; its environment tells it what it is
-	Env     []string // on top of what the protocol names
-	// Directory is the command of a directory's replica, to which `--config FILE` is added; by default this program's own.
+	Command []string // the command of one node process, which is configured through its environment
+	Env     []string // added to the environment variables of the protocol
+	// DirectoryCommand is the command of a directory replica, to which `--config FILE` is added. The default
+	// is this program's own.
 	DirectoryCommand []string
-	Dir              string // an empty folder for the nodes' folders and logs; it stays
+	Dir              string // an empty directory for the nodes' directories and logs; it is not removed
 	Progress         func(Progress)
 	Log              *slog.Logger
 }
 
-// Progress is how far a run has come.
+// Progress is the state of a run.
 type Progress struct {
 	Elapsed, End time.Duration
-	Submitted    int // messages, each try
+	Submitted    int // submissions of messages
 	Calls        int
 	Notices      int
-	ReadyNodes   int           // nodes
+	ReadyNodes   int
 	Lateness     time.Duration // 99th percentile so far
 	Starting     bool
 }
 
-// run is one plan being played.
+// run is the execution of one plan.
 type run struct {
 	plan  *experiment.Plan
 	opts  Options
 	log   *observe.Log
 	sup   *proc.Supervisor
-	block *block.Block // of all addresses
+	block *block.Block // all addresses of the run
 
 	platform *standin.Platform
 	clients  *standin.Clients
 	partners []*standin.Partner
 	nodes    []*node
-	replicas []*replica.Replica        // of the directory, if there is one
-	windows  []*standin.DirectoryProxy // the nodes' on them
-	wg       sync.WaitGroup            // what the timeline has set going
+	replicas []*replica.Replica        // of the directory; empty without one
+	proxies  []*standin.DirectoryProxy // of the nodes, in front of the replicas
+	wg       sync.WaitGroup            // goroutines that the timeline started
 
-	mu        sync.Mutex
-	endpoints int // so many were ever made
-	linkFault []*experiment.FaultPlan
-	limits    map[int][]float64
-	failed    []string // what the lab itself could not do
-	moves     int
-	endWrites context.CancelFunc // to the directory
+	mu               sync.Mutex
+	endpointsMade    int // how many were ever created
+	activeLinkFaults []*experiment.FaultPlan
+	limitShares      map[int][]float64
+	labFailures      []string // what the lab itself failed to do
+	agentMoves       int
+	stopWrites       context.CancelFunc // stops the writes to the directory
 }
 
-// Play plays a plan once. The context ends it early, with an error and nothing left behind.
+// RunPlan executes a plan once. Canceling the context ends the run early, with an error and without
+// leftovers.
 func RunPlan(ctx context.Context, plan experiment.Plan, opts Options) (*Result, error) {
 	if len(plan.Nodes) > maxNodes {
-		return nil, fmt.Errorf("%d nodes, the lab has addresses for %d", len(plan.Nodes), maxNodes)
+		return nil, fmt.Errorf("%d nodes: the lab has addresses for %d only", len(plan.Nodes), maxNodes)
 	}
-	r := &run{plan: &plan, opts: opts, log: observe.NewLog(), limits: map[int][]float64{}}
+	r := &run{plan: &plan, opts: opts, log: observe.NewLog(), limitShares: map[int][]float64{}}
 	if r.opts.Log == nil {
 		r.opts.Log = slog.New(slog.DiscardHandler)
 	}
 	began := time.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	err := r.play(ctx)
+	err := r.execute(ctx)
 	r.close()
 	if err != nil {
 		return nil, err
 	}
-	return r.result(began), nil
+	return r.buildResult(began), nil
 }
 
-func (r *run) play(ctx context.Context) error {
+func (r *run) execute(ctx context.Context) error {
 	var err error
 	if r.block, err = block.Reserve(); err != nil {
 		return err
 	}
 	r.sup = proc.NewSupervisor()
-	if err := r.build(); err != nil {
+	if err := r.setUp(); err != nil {
 		return err
 	}
-	if err := r.openDirectory(ctx); err != nil {
+	if err := r.startDirectory(ctx); err != nil {
 		return err
 	}
-	if err := r.startAll(ctx); err != nil {
+	if err := r.startNodes(ctx); err != nil {
 		return err
 	}
 	r.log.Start()
 	for _, p := range r.partners {
 		p.CatchUp()
 	}
-	r.opts.Log.Info("run begins", "experiment", r.plan.Name, "seed", r.plan.Seed, "nodes", len(r.plan.Nodes), "messages", len(r.plan.Arrivals),
+	r.opts.Log.Info("run started", "experiment", r.plan.Name, "seed", r.plan.Seed, "nodes", len(r.plan.Nodes), "messages", len(r.plan.Arrivals),
 		"partners", len(r.plan.Partners), "faults", len(r.plan.Faults))
-	running, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var parts sync.WaitGroup
-	parts.Go(func() { r.clients.Run(running) })
-	parts.Go(func() { r.timeline(running) })
-	parts.Go(func() { r.sample(running) })
-	parts.Go(func() { r.tell(running) })
-	ended := observe.SleepUntil(ctx, r.log.WallTime(r.plan.EndTime()))
-	if ended {
+	var components sync.WaitGroup
+	components.Go(func() { r.clients.Run(runCtx) })
+	components.Go(func() { r.runTimeline(runCtx) })
+	components.Go(func() { r.sampleUsage(runCtx) })
+	components.Go(func() { r.reportProgress(runCtx) })
+	completed := observe.SleepUntil(ctx, r.log.WallTime(r.plan.EndTime()))
+	if completed {
 		r.log.Add(history.Event{Kind: history.RunEnded, Node: -1, Partner: -1})
 	}
 	stop()
-	parts.Wait()
-	if !ended {
-		return fmt.Errorf("the run was ended after %v of %v: %w", r.log.Now().Round(time.Millisecond), r.plan.EndTime(), context.Cause(ctx))
+	components.Wait()
+	if !completed {
+		return fmt.Errorf("run ended early after %v of %v: %w", r.log.Now().Round(time.Millisecond), r.plan.EndTime(), context.Cause(ctx))
 	}
 	return nil
 }
 
-// ip is a node's own address: whatever it meets, it reaches there.
+// ip returns the node's own address, at which it reaches everything that it talks to.
 func (r *run) ip(node int) string { return r.block.IP(node/200, node%200+1) }
 
 func (r *run) addr(node, port int) string { return net.JoinHostPort(r.ip(node), strconv.Itoa(port)) }
 
-// build makes the stand-ins and the nodes' folders.
-func (r *run) build() error {
+// setUp creates the stand-ins and the nodes' directories.
+func (r *run) setUp() error {
 	p := r.plan
 	r.platform = standin.NewPlatform(len(p.Nodes), p.DiscoveryDelay.Low, p.DiscoveryDelay.High, p.Seed, r.log,
 		func(node int, id, state string, after time.Duration) { r.clients.HandleNotice(node, id, state, after) })
-	r.clients = standin.NewClients(p, func(n int) string { return r.addr(n, clientPort) }, func(n int) bool { return r.nodes[n].up() }, r.log)
-	for i, q := range p.Partners {
-		one := standin.NewPartner(i, q.Config, q.Seed, len(p.Nodes), p.Rules.ConnIdleTimeout, r.log, r.clients.RecordReached)
-		r.partners = append(r.partners, one)
-		for _, zone := range q.Zones {
+	r.clients = standin.NewClients(p, func(n int) string { return r.addr(n, clientPort) }, func(n int) bool { return r.nodes[n].isUp() }, r.log)
+	for i, partnerPlan := range p.Partners {
+		standIn := standin.NewPartner(i, partnerPlan.Config, partnerPlan.Seed, len(p.Nodes), p.Rules.ConnIdleTimeout, r.log, r.clients.RecordReached)
+		r.partners = append(r.partners, standIn)
+		for _, zone := range partnerPlan.Zones {
 			if err := r.addEndpoint(i, zone, true); err != nil {
 				return err
 			}
 		}
 	}
 	for n := range p.Nodes {
-		if err := r.platform.Agent(n).Listen(r.addr(n, discoverPort)); err != nil {
+		if err := r.platform.Agent(n).Listen(r.addr(n, discoveryPort)); err != nil {
 			return err
 		}
-		one, err := newNode(r, n)
+		created, err := newNode(r, n)
 		if err != nil {
 			return err
 		}
-		r.nodes = append(r.nodes, one)
+		r.nodes = append(r.nodes, created)
 	}
 	return nil
 }
 
-// addEndpoint brings a new endpoint of a partner into service and into discovery's list.
-func (r *run) addEndpoint(number, zone int, atOnce bool) error {
+// addEndpoint puts a new endpoint of a partner into service and adds it to the discovery list.
+func (r *run) addEndpoint(partnerNumber, zone int, atOnce bool) error {
 	r.mu.Lock()
-	e := r.endpoints
-	r.endpoints++
+	endpointNumber := r.endpointsMade
+	r.endpointsMade++
 	r.mu.Unlock()
-	id := fmt.Sprintf("s-%d-%d", number, e)
-	one, err := r.partners[number].AddEndpoint(id, zone, func(n int) string { return r.addr(n, linkPort+e) })
+	id := fmt.Sprintf("s-%d-%d", partnerNumber, endpointNumber)
+	endpoint, err := r.partners[partnerNumber].AddEndpoint(id, zone, func(n int) string { return r.addr(n, linkPort+endpointNumber) })
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	for n := range r.plan.Nodes {
-		one.Link(n).SetConditions(r.weather(n, number, zone))
+		endpoint.Link(n).SetConditions(r.linkConditions(n, partnerNumber, zone))
 	}
 	r.mu.Unlock()
-	up := int64(0)
+	upSinceMS := int64(0)
 	if !atOnce {
-		up = time.Now().UnixMilli()
+		upSinceMS = time.Now().UnixMilli()
 	}
-	q := r.plan.Partners[number]
+	partnerPlan := r.plan.Partners[partnerNumber]
 	r.platform.PutMember(standin.Member{
-		ID: id, Locality: r.plan.Zones[zone], Flavor: r.plan.PartnerKinds[q.Kind], Cell: number, Phase: history.Serving, Size: q.TotalRate(), UpSince: up,
-	}, one.Addr, atOnce)
+		ID: id, Locality: r.plan.Zones[zone], Flavor: r.plan.PartnerKinds[partnerPlan.Kind], Cell: partnerNumber, Phase: history.Serving, Size: partnerPlan.TotalRate(), UpSince: upSinceMS,
+	}, endpoint.Addr, atOnce)
 	return nil
 }
 
-// startAll starts the nodes, some at a time, and waits until they serve.
-func (r *run) startAll(ctx context.Context) error {
-	ctx, cancel := context.WithTimeoutCause(ctx, readyWithin, fmt.Errorf("the nodes were not ready within %v", readyWithin))
+// startNodes starts the nodes, a limited number at a time, and waits until all of them serve.
+func (r *run) startNodes(ctx context.Context) error {
+	ctx, cancel := context.WithTimeoutCause(ctx, readyTimeout, fmt.Errorf("nodes not ready within %v", readyTimeout))
 	defer cancel()
 	var wg sync.WaitGroup
-	room := make(chan struct{}, 4*runtime.NumCPU())
+	slots := make(chan struct{}, 4*runtime.NumCPU())
 	errs := make([]error, len(r.nodes))
 	ready := 0
 	var mu sync.Mutex
 	for i, n := range r.nodes {
 		wg.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			if errs[i] = n.start(); errs[i] == nil {
 				errs[i] = n.awaitReady(ctx)
 			}
@@ -225,7 +227,7 @@
 	}
 	wg.Wait()
 	if err := errors.Join(errs...); err != nil {
-		return fmt.Errorf("the fleet did not start: %w", err)
+		return fmt.Errorf("start the nodes: %w", err)
 	}
 	return nil
 }
@@ -236,8 +238,8 @@
 	}
 }
 
-// tell reports progress each second.
-func (r *run) tell(ctx context.Context) {
+// reportProgress reports progress every second.
+func (r *run) reportProgress(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -248,7 +250,7 @@
 		}
 		up := 0
 		for _, n := range r.nodes {
-			if n.up() {
+			if n.isUp() {
 				up++
 			}
 		}
@@ -259,9 +261,9 @@
 	}
 }
 
-// sample looks at what the nodes use, and ends those that use too much, as the platform does.
-func (r *run) sample(ctx context.Context) {
-	tick := time.NewTicker(sampleEvery)
+// sampleUsage measures what the nodes use, and kills those over their limits, as the platform does.
+func (r *run) sampleUsage(ctx context.Context) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -270,36 +272,36 @@
 			return
 		}
 		for _, n := range r.nodes {
-			n.sample()
+			n.sampleUsage()
 		}
 	}
 }
 
-func (r *run) fail(what string, err error) {
+func (r *run) recordFailure(action string, err error) {
 	if err == nil {
 		return
 	}
-	r.opts.Log.Error("the lab failed", "at", r.log.Now(), "what", what, "err", err)
+	r.opts.Log.Error("action of the lab failed", "at", r.log.Now(), "action", action, "err", err)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failed = append(r.failed, what+": "+err.Error())
+	r.labFailures = append(r.labFailures, action+": "+err.Error())
 }
 
-// close ends all that the run has made, in an order in which nothing new appears.
+// close ends everything that the run has created, in an order in which nothing new can appear.
 func (r *run) close() {
 	if r.sup != nil {
 		for _, n := range r.nodes {
-			n.abandon()
+			n.markRunOver()
 		}
 		r.sup.Close()
 	}
-	if r.endWrites != nil {
-		r.endWrites()
+	if r.stopWrites != nil {
+		r.stopWrites()
 	}
 	r.wg.Wait()
 	r.closeDirectory()
 	for _, n := range r.nodes {
-		n.wait()
+		n.waitAndCloseLog()
 	}
 	for _, p := range r.partners {
 		p.Close()
@@ -312,12 +314,12 @@
 	}
 }
 
-// folderSize is what a folder holds, each file in whole blocks of 512 bytes.
+// folderSize returns the size of the files in a directory, each rounded up to whole blocks of 512 bytes.
 func folderSize(dir string) int64 {
 	sum := int64(0)
 	filepath.WalkDir(dir, func(_ string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
-			return nil // it may go while we look
+			return nil // files may vanish during the walk
 		}
 		if info, err := d.Info(); err == nil {
 			sum += (info.Size() + 511) / 512 * 512
@@ -327,23 +329,23 @@
 	return sum
 }
 
-// bounded keeps the first bytes that are written to it in a file, and no more than its bound.
-type bounded struct {
-	mu   sync.Mutex
-	f    *os.File
-	left int
+// limitedWriter writes the first bytes to a file and drops everything beyond its limit.
+type limitedWriter struct {
+	mu        sync.Mutex
+	file      *os.File
+	remaining int
 }
 
-func (b *bounded) Write(p []byte) (int, error) {
+func (b *limitedWriter) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if n := min(len(p), b.left); n > 0 {
-		b.left -= n
-		if _, err := b.f.Write(p[:n]); err != nil {
-			b.left = 0
+	if n := min(len(p), b.remaining); n > 0 {
+		b.remaining -= n
+		if _, err := b.file.Write(p[:n]); err != nil {
+			b.remaining = 0
 		}
 	}
 	return len(p), nil
 }
 
-var _ io.Writer = (*bounded)(nil)
+var _ io.Writer = (*limitedWriter)(nil)
--- a/internal/lab/sender_test.go
+++ b/internal/lab/sender_test.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// sender is a small delivery node of the tests', for the judge to look at. It keeps the rules but for the one that
-// its fault names. It keeps no journal.
+// sender is a small delivery node for testing the judge. It keeps all rules but the one that its fault names.
+// It has no journal.
 type sender struct {
 	fault     string
 	discovery string
@@ -28,9 +28,9 @@
 	slots     chan struct{}
 	client    *http.Client
 
-	mu      sync.Mutex
-	members map[string]senderMember
-	waits   map[int]time.Time
+	mu               sync.Mutex
+	members          map[string]senderMember
+	retryAfterByDest map[int]time.Time
 }
 
 type senderMember struct {
@@ -49,11 +49,11 @@
 type senderMessage struct {
 	id, class, key string
 	dest           int
-	by             time.Time
+	deadline       time.Time
 	body           []byte
 }
 
-// runSender is the sender's process.
+// runSender is the main function of a sender process.
 func runSender(fault string) error {
 	raw, err := os.ReadFile(os.Getenv("ROUTER_CONFIG"))
 	if err != nil {
@@ -77,7 +77,7 @@
 	s := &sender{
 		fault: fault, discovery: cfg.Discovery, classes: map[string]string{}, windows: map[string]time.Duration{},
 		slots: make(chan struct{}, cfg.Settings.Domain.Workers), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
-		members: map[string]senderMember{}, waits: map[int]time.Time{},
+		members: map[string]senderMember{}, retryAfterByDest: map[int]time.Time{},
 	}
 	if fault == "slots" {
 		s.slots = make(chan struct{}, 1000)
@@ -85,9 +85,9 @@
 	for _, c := range cfg.Settings.Categories {
 		s.classes[c.Name], s.windows[c.Name] = c.Effect, time.Duration(c.Window*float64(time.Millisecond))
 	}
-	s.learn(cfg.Known)
+	s.updateMembers(cfg.Known)
 	if fault != "drain" {
-		go s.watch(cfg.Known.Revision)
+		go s.watchList(cfg.Known.Revision)
 	}
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -98,11 +98,11 @@
 		if err != nil {
 			return err
 		}
-		go s.serve(nc)
+		go s.serveClient(nc)
 	}
 }
 
-func (s *sender) learn(l senderList) {
+func (s *sender) updateMembers(l senderList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range l.Members {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (s *sender) watch(after int64) {
+func (s *sender) watchList(after int64) {
 	for ; ; time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get(fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", s.discovery, after))
 		if err != nil {
@@ -120,7 +120,7 @@
 		for lines.Scan() {
 			var l senderList
 			if json.Unmarshal(lines.Bytes(), &l) == nil {
-				s.learn(l)
+				s.updateMembers(l)
 				after = l.Revision
 			}
 		}
@@ -128,7 +128,7 @@
 	}
 }
 
-func (s *sender) serve(nc net.Conn) {
+func (s *sender) serveClient(nc net.Conn) {
 	defer nc.Close()
 	r := bufio.NewReader(nc)
 	for {
@@ -161,7 +161,7 @@
 					m.dest, _ = strconv.Atoi(v)
 				case "d":
 					ms, _ := strconv.Atoi(v)
-					m.by = time.Now().Add(time.Duration(ms) * time.Millisecond)
+					m.deadline = time.Now().Add(time.Duration(ms) * time.Millisecond)
 				}
 			}
 			switch s.fault {
@@ -178,15 +178,15 @@
 	}
 }
 
-func (s *sender) notice(m senderMessage, state string) {
+func (s *sender) sendNotice(m senderMessage, state string) {
 	raw, _ := json.Marshal(map[string]string{"id": m.id, "state": state})
 	if resp, err := http.Post("http://"+s.discovery+"/reports", "application/json", bytes.NewReader(append(raw, '\n'))); err == nil {
 		resp.Body.Close()
 	}
 }
 
-// endpoint picks one of the destination, and says when it may be called.
-func (s *sender) endpoint(dest int) (senderMember, time.Time) {
+// endpoint picks an endpoint of the destination and returns the time before which it must not be called.
+func (s *sender) pickEndpoint(dest int) (senderMember, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var in []senderMember
@@ -199,10 +199,10 @@
 		return senderMember{}, time.Time{}
 	}
 	slices.SortFunc(in, func(a, b senderMember) int { return strings.Compare(a.ID, b.ID) })
-	return in[0], s.waits[dest]
+	return in[0], s.retryAfterByDest[dest]
 }
 
-// deliver brings a message to its end.
+// deliver processes a message until it has its final answer.
 func (s *sender) deliver(m senderMessage) {
 	most := 6
 	switch s.fault {
@@ -213,14 +213,14 @@
 	case "attempts":
 		most = 9
 	case "over":
-		s.notice(m, "failed")
+		s.sendNotice(m, "failed")
 		time.Sleep(50 * time.Millisecond)
 	case "one-copy":
 		go s.call(m)
 	case "cold":
 		go func() {
 			for range 40 {
-				if e, _ := s.endpoint(m.dest); e.Addr != "" {
+				if e, _ := s.pickEndpoint(m.dest); e.Addr != "" {
 					if resp, err := s.client.Get("http://" + e.Addr + "/health/live"); err == nil {
 						resp.Body.Close()
 					}
@@ -243,32 +243,32 @@
 		if !mayHaveRun.IsZero() {
 			switch {
 			case s.classes[m.class] == "at_most_once" && s.fault != "once":
-				s.notice(m, "failed")
+				s.sendNotice(m, "failed")
 				return
 			case s.classes[m.class] == "deduplicated" && s.fault == "window":
 				pause = s.windows[m.class] + 200*time.Millisecond
 			case s.classes[m.class] == "deduplicated" && time.Since(mayHaveRun)+pause > s.windows[m.class]-100*time.Millisecond:
-				s.notice(m, "failed")
+				s.sendNotice(m, "failed")
 				return
 			}
 		}
 		time.Sleep(pause)
-		if time.Until(m.by) < 50*time.Millisecond {
+		if time.Until(m.deadline) < 50*time.Millisecond {
 			break
 		}
 	}
-	s.notice(m, "failed")
+	s.sendNotice(m, "failed")
 }
 
-// call makes one attempt: it tells whether the message is over, and whether it may have run.
+// call makes one attempt. It reports whether the message is done and whether it may have run.
 func (s *sender) call(m senderMessage) (done, mayHaveRun bool) {
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
 	var e senderMember
 	for {
 		var wait time.Time
-		e, wait = s.endpoint(m.dest)
-		if time.Until(m.by) < 10*time.Millisecond {
+		e, wait = s.pickEndpoint(m.dest)
+		if time.Until(m.deadline) < 10*time.Millisecond {
 			return false, false
 		}
 		if e.Addr != "" && (time.Now().After(wait) || s.fault == "wait") {
@@ -276,13 +276,13 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), m.by)
+	ctx, cancel := context.WithDeadline(context.Background(), m.deadline)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.Addr+"/v1/messages", bytes.NewReader(m.body))
 	if err != nil {
 		return false, false
 	}
-	req.GetBody = nil // it is not sent again by itself
+	req.GetBody = nil // keeps the HTTP client from sending it again
 	req.Header.Set("X-Trace-Id", m.id)
 	if m.key != "" {
 		req.Header.Set("Idempotency-Key", m.key)
@@ -292,7 +292,7 @@
 		var op *net.OpError
 		return false, !errors.As(err, &op) || op.Op != "dial"
 	}
-	io.Copy(io.Discard, resp.Body) // an end that leaves some of it unread may have crossed it, to who looks on
+	io.Copy(io.Discard, resp.Body) // to an observer, a connection closed with unread data looks as if it was closed before the answer arrived
 	resp.Body.Close()
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -300,7 +300,7 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		if sec, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 			s.mu.Lock()
-			s.waits[m.dest] = time.Now().Add(time.Duration(sec * float64(time.Second)))
+			s.retryAfterByDest[m.dest] = time.Now().Add(time.Duration(sec * float64(time.Second)))
 			s.mu.Unlock()
 		}
 		return false, false
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -21,23 +21,24 @@
 )
 
 const (
-	maxKept     = 64 // idle connections to a node
+	maxKept     = 64 // idle connections to one node
 	rudeWindow  = 3 * time.Second
 	rudeSlack   = 200 * time.Millisecond
 	dialTimeout = time.Second
 )
 
-// Clients hand a plan's messages in, in an open loop: when they come does not depend on what becomes of others.
+// Clients submit a plan's messages in an open loop: the time of a submission does not depend on the fate of
+// other messages.
 type Clients struct {
 	plan  *experiment.Plan
 	log   *observe.Log
-	addr  func(node int) string // where a node's clients connect
-	alive func(node int) bool   // whether it runs, as far as its clients can know
+	addr  func(node int) string // the address of a node's client port
+	alive func(node int) bool   // reports whether a node runs, as far as its clients can know
 	body  []byte
 
 	wg  sync.WaitGroup
 	mu  sync.Mutex
-	ctx context.Context // of the run, once it has begun
+	ctx context.Context // of the run; nil until it starts
 
 	rand  *rand.Rand
 	cases []caseState // by number, from 1
@@ -46,11 +47,11 @@
 	rude  RudePeerCounts
 }
 
-// RudeCount is how rude peers fared.
+// RudePeerCounts tells how nodes treated rude peers.
 type RudePeerCounts struct {
 	Connected  int `json:"came"`
-	Unanswered int `json:"unanswered"` // had neither an error line nor a close in time
-	Accepted   int `json:"taken_on"`   // had a message taken on
+	Unanswered int `json:"unanswered"` // got neither an error line nor a close in time
+	Accepted   int `json:"taken_on"`   // had a message accepted
 }
 
 type idleConns struct {
@@ -64,18 +65,18 @@
 	used bool
 }
 
-// caseState is one message over all its ids.
+// caseState is the state of one message over all its submissions, each of which has an id of its own.
 type caseState struct {
 	tries   int
-	id      string // the last one
+	id      string // of the last submission
 	node    int
-	taken   bool          // under it
-	over    bool          // delivered, failed, or given up
-	touched bool          // a partner has seen it,
-	first   time.Duration // then first
+	taken   bool          // by the node, under this id
+	over    bool          // delivered, failed, or given up by the client
+	touched bool          // a partner has received it
+	first   time.Duration // when that first happened
 }
 
-// NewClients makes the clients of a plan.
+// NewClients returns the clients of a plan.
 func NewClients(plan *experiment.Plan, addr func(int) string, alive func(int) bool, log *observe.Log) *Clients {
 	return &Clients{
 		plan: plan, log: log, addr: addr, alive: alive, body: []byte(strings.Repeat("x", plan.Load.BodyBytes)),
@@ -84,7 +85,7 @@
 	}
 }
 
-// Run hands in until the context ends and all clients have gone.
+// Run submits messages until the context ends, and returns when all clients have ended.
 func (c *Clients) Run(ctx context.Context) {
 	c.mu.Lock()
 	c.ctx = ctx
@@ -106,14 +107,14 @@
 	}
 }
 
-// Rude is how the rude peers have fared.
+// RudePeerCounts returns how the rude peers have been treated so far.
 func (c *Clients) RudePeerCounts() RudePeerCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rude
 }
 
-// Saw is told of the messages of a call that has reached a partner.
+// RecordReached records the messages of a call that has reached a partner.
 func (c *Clients) RecordReached(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +125,8 @@
 	}
 }
 
-// of is the state of the case that an id is the last one of; the lock is held.
+// caseOf returns the state of the message whose last submission has this id, or nil. The caller holds the
+// lock.
 func (c *Clients) of(id string) *caseState {
 	n := c.ids[id]
 	if n == 0 || c.cases[n].id != id {
@@ -133,7 +135,7 @@
 	return &c.cases[n]
 }
 
-// Heard is told of a node's notice: a message that was handed back may come again.
+// HandleNotice handles a node's notice: a message that was returned may be submitted again.
 func (c *Clients) HandleNotice(_ int, id, state string, after time.Duration) {
 	c.mu.Lock()
 	s := c.of(id)
@@ -153,8 +155,8 @@
 	}
 }
 
-// Lost is told that a node's folder has gone: what it held comes again to a node that runs, unless it may have run and
-// must not run twice.
+// HandleStateLoss handles the loss of a node's state directory. Messages that the node held are submitted to
+// another node that runs, unless they may have run and must not run twice.
 func (c *Clients) HandleStateLoss(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,7 +176,8 @@
 			if !observe.SleepUntil(ctx, time.Now().Add(wait)) {
 				return
 			}
-			// Not before: a call may still have been on its way when its node was lost.
+			// This is checked only after the wait: a call may still have been on its way when its node was
+			// lost.
 			c.mu.Lock()
 			s.over = s.touched && (class.Effect == judge.EffectAtMostOnce || class.Effect == judge.EffectDeduplicated && c.log.Now()-s.first > class.Window/2)
 			over := s.over
@@ -192,12 +195,12 @@
 	}
 }
 
-// draw draws a time; the lock is held.
+// draw draws a random duration. The caller holds the lock.
 func (c *Clients) draw(s experiment.DurationRange) time.Duration {
 	return s.Low + time.Duration(c.rand.Float64()*float64(s.High-s.Low))
 }
 
-// comeAgain hands a message in again after a wait, if its client has tries left.
+// retry submits a message again after a wait, if its client has retries left.
 func (c *Clients) comeAgain(ctx context.Context, n, node int, told time.Duration) {
 	c.mu.Lock()
 	s := &c.cases[n]
@@ -218,7 +221,7 @@
 	})
 }
 
-// handIn hands a message in once, under a new id.
+// submit submits a message once, under a new id.
 func (c *Clients) handIn(ctx context.Context, n, node int, again bool) {
 	a := c.plan.Arrivals[n-1]
 	class := c.plan.Classes[a.Class]
@@ -269,14 +272,15 @@
 	case history.Refused, history.Unsent:
 		c.comeAgain(ctx, n, node, wait)
 	case history.ClientTimedOut, history.ConnectionLost:
-		// It may be with the node, and may yet run: only what may be repeated comes again, under a new id.
+		// The node may have the message, and may still run it: only what may be repeated is submitted again,
+		// under a new id.
 		if class.Effect == judge.EffectIdempotent || class.Effect == judge.EffectDeduplicated && (!touched || since < class.Window/2) {
 			c.comeAgain(ctx, n, node, 0)
 		}
 	}
 }
 
-// command is a command as clients write it.
+// command encodes a command in the clients' protocol.
 func command(words ...string) []byte {
 	b := strconv.AppendInt([]byte{'*'}, int64(len(words)), 10)
 	for _, w := range words {
@@ -288,11 +292,11 @@
 	return append(b, "\r\n"...)
 }
 
-// ask sends a request and waits for its answer as long as clients do. One that crosses the close of an idle connection
-// is sent once more.
+// request sends a request and waits for the answer as long as clients do. A request that crosses the close of
+// an idle connection is sent again.
 func (c *Clients) ask(ctx context.Context, node int, request []byte) (state string, wait time.Duration) {
 	by := time.Now().Add(c.plan.Load.AnswerTimeout)
-	crossed := false // it has been written to a connection that ended: the node may have read it all the same
+	crossed := false // it was written to a connection that the node closed: the node may still have read it
 	for {
 		k, err := c.conn(ctx, node)
 		if err != nil && crossed {
@@ -316,7 +320,7 @@
 			return history.ClientTimedOut, 0
 		case used && ctx.Err() == nil:
 			crossed = crossed || wrote
-			continue // the node closed it between requests
+			continue // the node closed it between two requests
 		case !wrote && !crossed:
 			return history.Unsent, 0
 		}
@@ -341,7 +345,7 @@
 	case strings.HasPrefix(line, "+"), strings.HasPrefix(line, "$"):
 		return history.Taken, 0
 	case line == "-BUSY" || strings.HasPrefix(line, "-BUSY "):
-		ms, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")), 64) // none told: 0
+		ms, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")), 64) // 0 if there is none
 		return history.Refused, time.Duration(ms * float64(time.Millisecond))
 	}
 	return history.Failed, 0
@@ -376,7 +380,7 @@
 	pool.conns = append(pool.conns, k)
 }
 
-// rudePeers come and say nothing, nonsense, too much, or half a request.
+// runRudePeers starts clients that send nothing, garbage, too much or half a request.
 func (c *Clients) rudePeers(ctx context.Context) {
 	for _, r := range c.plan.RudePeers {
 		if !observe.SleepUntil(ctx, c.log.WallTime(r.At)) {
@@ -388,12 +392,12 @@
 
 func (c *Clients) beRude(ctx context.Context, r experiment.RudePeer) {
 	if !c.alive(r.Node) {
-		return // a node that does not run owes it nothing
+		return // a node that does not run owes it no answer
 	}
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", c.addr(r.Node))
 	if err != nil {
-		return // it has just gone
+		return // the node has just ended
 	}
 	defer nc.Close()
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
--- a/internal/lab/standin/formats_test.go
+++ b/internal/lab/standin/formats_test.go
@@ -36,7 +36,7 @@
 	golden.Check(t, "enqueue.txt", command("ENQUEUE", "0", "id", "c=order", "body"))
 }
 
-// Status codes, headers and bodies of the answers to a call, by its status and the number of its messages.
+// Status codes, headers and bodies of the answers to a call with three messages, by status and retry-after.
 func TestAnswerFormats(t *testing.T) {
 	var b bytes.Buffer
 	for _, status := range []partner.Status{partner.AboveLimit, partner.Rejected, partner.QueueFull, partner.TooManyConns, partner.Served, partner.Errored} {
--- a/internal/lab/standin/partner.go
+++ b/internal/lab/standin/partner.go
@@ -1,5 +1,5 @@
-// Package standin holds the lab's stand-ins for all that a node meets: partners' endpoints, the platform and clients.
-// They speak the protocol on sockets and write down what they see.
+// Package standin implements the lab's stand-ins for everything that a node talks to: partners' endpoints,
+// the platform and clients. They speak the protocol over sockets and record what they observe.
 package standin
 
 import (
@@ -24,10 +24,11 @@
 
 const maxBody = 64 << 10
 
-// numbers gives calls and connections theirs, over all partners of a process.
+// lastNumber is the number last given to a call or a connection, over all partners of a process.
 var numbers atomic.Uint64
 
-// Partner is one partner on sockets: its model, and an HTTP server for each of its endpoints. Nodes come over links.
+// Partner is one partner on sockets: its model, and an HTTP server for each of its endpoints. Nodes connect
+// through links.
 type Partner struct {
 	number int
 	log    *observe.Log
@@ -40,14 +41,14 @@
 	timer     *time.Timer
 	due       time.Duration
 	out       map[uint64]chan partner.Answer
-	pairs     map[uint64]*served // by connection
+	pairs     map[uint64]*served // by connection number
 	endpoints []*Endpoint
-	outages   int // spells of outage that are on
+	outages   int // faults that currently cause an outage
 	closed    bool
-	saw       func(ids []string) // is told of each call's messages; may be nil
+	saw       func(ids []string) // called with the messages of each call; may be nil
 }
 
-// Endpoint is one endpoint. It has a link for each node.
+// Endpoint is one endpoint of a partner. It has a link for each node.
 type Endpoint struct {
 	ID    string
 	Zone  int
@@ -59,7 +60,7 @@
 	done  chan struct{}
 }
 
-// served is a connection as an endpoint's server sees it.
+// serverConn is a connection as the server of an endpoint has it.
 type served struct {
 	net.Conn
 	pair     *relay.Connection
@@ -68,8 +69,8 @@
 	endpoint int
 }
 
-// NewPartner makes a partner without endpoints; it has one once Add was called. The saw function, if there is one, is
-// told of the messages of each call.
+// NewPartner creates a partner without endpoints; AddEndpoint adds them. The function onCall, unless nil, is
+// called with the messages of each call.
 func NewPartner(number int, model partner.Config, seed uint64, nodes int, idle time.Duration, log *observe.Log, saw func([]string)) *Partner {
 	p := &Partner{
 		number: number, log: log, model: model, nodes: nodes, idle: idle, saw: saw,
@@ -80,7 +81,7 @@
 	return p
 }
 
-// Add brings an endpoint into service, with a link at an address for each node.
+// AddEndpoint puts an endpoint into service, with a link for each node at the given addresses.
 func (p *Partner) AddEndpoint(id string, zone int, addr func(node int) string) (*Endpoint, error) {
 	p.mu.Lock()
 	index := len(p.endpoints)
@@ -95,7 +96,7 @@
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, connKey{}, nc) },
 		ConnState:   e.state,
 	}
-	go func() { // until close
+	go func() { // ends with close
 		defer close(e.done)
 		e.srv.Serve(e.ln)
 	}()
@@ -114,7 +115,7 @@
 
 type connKey struct{}
 
-// connect makes a connection of a node's link.
+// connect opens the server side of a connection on a node's link.
 func (e *Endpoint) connect(ctx context.Context, node int, pair *relay.Connection) (net.Conn, error) {
 	p := e.of
 	p.mu.Lock()
@@ -137,7 +138,7 @@
 	return here, nil
 }
 
-// state hears of the ends of connections.
+// handleConnState handles the end of a connection.
 func (e *Endpoint) state(nc net.Conn, s http.ConnState) {
 	if c, ok := nc.(*served); ok && (s == http.StateClosed || s == http.StateHijacked) {
 		e.of.closeConn(c)
@@ -153,13 +154,13 @@
 	}
 }
 
-// Addr is where a node reaches the endpoint.
+// Addr returns the address at which a node reaches the endpoint.
 func (e *Endpoint) Addr(node int) string { return e.links[node].Addr() }
 
-// Link is the link of a node.
+// Link returns the link of a node.
 func (e *Endpoint) Link(node int) *relay.Link { return e.links[node] }
 
-// Retire takes the endpoint out of service, as a machine that is gone: connections are reset and refused.
+// Retire takes the endpoint out of service like a machine that is gone: connections are reset and refused.
 func (e *Endpoint) Retire() { e.close() }
 
 func (e *Endpoint) close() {
@@ -171,14 +172,14 @@
 	<-e.done
 }
 
-// Endpoints are all endpoints that were ever added.
+// Endpoints returns all endpoints that were ever added.
 func (p *Partner) Endpoints() []*Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]*Endpoint(nil), p.endpoints...)
 }
 
-// Trouble begins a spell on all endpoints.
+// StartFault starts a fault on all endpoints.
 func (p *Partner) StartFault(what partner.FaultKind, size float64, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,21 +199,21 @@
 	p.step(partner.FaultStarted{Endpoint: -1, Kind: what, Size: size, Until: until})
 }
 
-// Wake lets the model catch up with the run's time, once that has begun.
+// CatchUp advances the model to the run's time, after the run has started.
 func (p *Partner) CatchUp() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.step(partner.Tick{})
 }
 
-// Limit sets its limit to a share of what it was.
+// SetLimitShare sets the partner's limit to a share of its original value.
 func (p *Partner) SetLimitShare(share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.step(partner.LimitChanged{Share: share})
 }
 
-// Close ends the partner and returns when nothing of it is left.
+// Close closes the partner and returns when all its goroutines have ended.
 func (p *Partner) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -236,13 +237,13 @@
 	p.step(partner.Tick{})
 }
 
-// step gives the model an event and carries out what it does; the lock is held.
+// step passes an event to the model and carries out the resulting actions. The caller holds the lock.
 func (p *Partner) step(ev partner.Event) {
 	for _, a := range p.state.Step(p.log.Now(), ev) {
 		switch a := a.(type) {
 		case partner.Answer:
 			if c := p.out[a.Call]; c != nil {
-				c <- a // it has room for one
+				c <- a // buffered for one answer
 				delete(p.out, a.Call)
 			}
 		case partner.Executed:
@@ -277,7 +278,7 @@
 	}
 }
 
-// item is a message in a batch.
+// item is a message of a batch.
 type item struct {
 	ID   string `json:"id"`
 	Key  string `json:"key"`
@@ -315,7 +316,7 @@
 	e.call(w, req, c, items)
 }
 
-// call passes a call to the model and gives its answer.
+// handleCall passes a call to the model and sends the model's answer.
 func (e *Endpoint) call(w http.ResponseWriter, req *http.Request, c *served, items []item) {
 	p := e.of
 	call := partner.CallReceived{Call: numbers.Add(1), Conn: c.number, Endpoint: e.index, Sender: c.node}
@@ -366,7 +367,7 @@
 	partner.Accepted: history.OutcomeAccepted, partner.Failed: history.OutcomeFailed, partner.Deferred: history.OutcomeDeferred,
 }
 
-// answer writes an answer, and notes the call's end when the node has been sent it.
+// sendAnswer writes an answer, and records the end of the call once the answer was sent to the node.
 func (e *Endpoint) answer(w http.ResponseWriter, c *served, items []item, a partner.Answer, end history.Event) {
 	p := e.of
 	end.State, end.RetryAfter = states[a.Status], a.RetryAfter
@@ -400,7 +401,7 @@
 			for i, it := range items {
 				list[i] = told{it.ID, end.Outcomes[i]}
 			}
-			body, _ = json.Marshal(list) // of strings
+			body, _ = json.Marshal(list) // strings always encode
 		}
 	case partner.Errored:
 		code = http.StatusInternalServerError
@@ -418,7 +419,8 @@
 	e.note(c, end)
 }
 
-// note notes a call's end once its answer has reached the node. One that never does has ended without it.
+// recordEnd records the end of a call when its answer has reached the node. A call whose answer never arrives
+// is recorded as abandoned.
 func (e *Endpoint) note(c *served, end history.Event) {
 	c.pair.OnDelivered(func(at time.Time, reached bool) {
 		if !reached {
@@ -429,7 +431,7 @@
 	})
 }
 
-// feed is a listener whose connections are given to it.
+// connQueue is a net.Listener that accepts the connections put into it.
 type feed struct {
 	conns chan net.Conn
 	done  chan struct{}
--- a/internal/lab/standin/platform.go
+++ b/internal/lab/standin/platform.go
@@ -22,11 +22,11 @@
 
 const (
 	heartbeat    = 2 * time.Second
-	countsAsTold = 6 * time.Second         // after a change, whether it arrived or not
-	oldAgent     = 1500 * time.Millisecond // for which an old address keeps its connections
+	countsAsTold = 6 * time.Second         // after this time a change counts as announced, whether it arrived or not
+	oldAgent     = 1500 * time.Millisecond // how long the connections to an agent's old address stay open
 )
 
-// Member and List are discovery's forms.
+// Member and List are the formats of discovery.
 type (
 	Member = catalog.Endpoint
 	List   = catalog.List
@@ -39,42 +39,43 @@
 	addr     func(node int) string
 }
 
-// Platform is discovery and what hears notices: an agent beside each node, which is told of changes late.
+// Platform stands in for discovery and receives notices. Each node has an agent that learns of changes with a
+// delay.
 type Platform struct {
 	log    *observe.Log
 	agents []*Agent
 
 	mu      sync.Mutex
 	changes []change
-	present map[string]change // as the platform itself has it
-	news    chan struct{}     // closed when that changes
+	present map[string]change // the platform's own state, by endpoint
+	news    chan struct{}     // closed when that state changes
 }
 
-// Agent is the platform on one node's machine.
+// Agent is the part of the platform on one node's machine.
 type Agent struct {
 	platform *Platform
 	node     int
 	delay    func() time.Duration
-	heard    func(id, state string, after time.Duration) // of notices
+	heard    func(id, state string, after time.Duration) // called for each notice
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 
 	mu      sync.Mutex
-	known   []change // in the order in which it was told
+	known   []change // in the order in which it learned of them
 	news    chan struct{}
-	extra   time.Duration // on top of the delay
+	extra   time.Duration // added to the delay
 	silent  bool
-	woken   chan struct{} // the silence has ended
+	woken   chan struct{} // closed when the silence ends
 	srv     *http.Server
 	addr    string
-	told    int64 // the last revision noted as told
+	told    int64 // the last revision recorded as announced
 	closers []*http.Server
-	quiet   bool              // a directory tells the node in its place
-	seen    map[string]string // phases that the directory has told
+	quiet   bool              // a directory announces changes to the node in place of the agent
+	seen    map[string]string // the phases that the directory has announced
 }
 
-// NewPlatform makes a platform for so many nodes. Each node's agent is told of a change after a delay drawn from the
-// seed; heard is called for each notice of a node.
+// NewPlatform creates a platform for the given number of nodes. Each node's agent learns of a change after a
+// delay drawn from the seed; onNotice is called for each notice of a node.
 func NewPlatform(nodes int, low, high time.Duration, seed uint64, log *observe.Log, heard func(node int, id, state string, after time.Duration)) *Platform {
 	p := &Platform{log: log, present: map[string]change{}, news: make(chan struct{})}
 	for n := range nodes {
@@ -91,10 +92,11 @@
 	return p
 }
 
-// Agent is the one of a node.
+// Agent returns the agent of a node.
 func (p *Platform) Agent(node int) *Agent { return p.agents[node] }
 
-// Put changes an endpoint of the list, or adds one. With atOnce all agents have it without delay, as at the start.
+// PutMember changes or adds an endpoint of the list. With atOnce all agents learn of it without delay, as at
+// the start of a run.
 func (p *Platform) PutMember(m Member, addr func(node int) string, atOnce bool) {
 	p.mu.Lock()
 	c := change{at: p.log.Now(), revision: int64(len(p.changes) + 1), member: m, addr: addr}
@@ -118,7 +120,7 @@
 	}
 }
 
-// Close ends all agents.
+// Close closes all agents.
 func (p *Platform) Close() {
 	for _, a := range p.agents {
 		a.close()
@@ -131,7 +133,7 @@
 	return slices.Clone(p.changes[min(i, len(p.changes)):])
 }
 
-// wake lets the agent look again.
+// wake makes the agent check for changes again.
 func (a *Agent) wake() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -149,7 +151,7 @@
 	}
 }
 
-// follow takes changes over from the platform, each after its delay and in their order.
+// followPlatform takes over changes from the platform in order, each after its delay.
 func (a *Agent) follow(ctx context.Context) {
 	drawn, late := int64(0), time.Duration(0)
 	for {
@@ -188,7 +190,8 @@
 	}
 }
 
-// force notes what counts as told by now, whether it has arrived or not, and returns how long it is until the next does.
+// announceOverdue records as announced each change that counts as such by now, whether it arrived or not. It
+// returns the time until the next change becomes overdue.
 func (a *Agent) force(changes []change) time.Duration {
 	now := a.platform.log.Now()
 	for _, c := range changes {
@@ -200,7 +203,7 @@
 	return time.Hour
 }
 
-// tell notes once that a change was told.
+// announce records once that a change was announced.
 func (a *Agent) tell(c change, at time.Duration) {
 	a.mu.Lock()
 	if a.quiet {
@@ -217,7 +220,7 @@
 	}
 }
 
-// Late sets what every change takes on top of its delay.
+// SetExtraDelay sets a time that is added to the delay of every change.
 func (a *Agent) SetExtraDelay(extra time.Duration) {
 	a.mu.Lock()
 	a.extra = extra
@@ -225,7 +228,7 @@
 	a.wake()
 }
 
-// Silent lets the agent hear and say nothing, or speak again.
+// SetSilent stops the agent from receiving changes and answering requests, or lets it resume.
 func (a *Agent) SetSilent(on bool) {
 	a.mu.Lock()
 	if a.silent && !on {
@@ -237,14 +240,14 @@
 	a.wake()
 }
 
-// Known is the whole list as the agent has it.
+// FullList returns the full list as the agent knows it.
 func (a *Agent) FullList() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.whole()
 }
 
-// whole is the list; the lock is held.
+// fullList returns the full list. The caller holds the lock.
 func (a *Agent) whole() List {
 	at := map[string]change{}
 	for _, c := range a.known {
@@ -266,7 +269,8 @@
 	return m
 }
 
-// since is what changed after a revision, or the whole list if that can't be told; the lock is held.
+// changesSince returns the changes after a revision, or the full list if the revision is unknown. The caller
+// holds the lock.
 func (a *Agent) since(after int64) List {
 	if after < 0 || after > int64(len(a.known)) {
 		return a.whole()
@@ -284,7 +288,7 @@
 	return l
 }
 
-// Listen opens the agent's address. An address it had before takes no more connections, and keeps those that it has
+// Listen opens the agent's address. A former address takes no more connections, and its open connections stay
 // for a while.
 func (a *Agent) Listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
@@ -305,14 +309,14 @@
 		a.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), oldAgent)
 			defer cancel()
-			old.Shutdown(ctx) // the listener at once
+			old.Shutdown(ctx) // closes the listener at once
 			old.Close()
 		})
 	}
 	return nil
 }
 
-// Addr is the agent's present address.
+// Addr returns the agent's current address.
 func (a *Agent) Addr() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -330,7 +334,7 @@
 	a.wg.Wait()
 }
 
-// speak waits until the agent may, or the request ends.
+// awaitSpeaking waits while the agent is silent. It returns false if the context ends first.
 func (a *Agent) speak(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
@@ -402,7 +406,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// take notes the notices of a body, all of them or, if one can't be read, none.
+// recordNotices records the notices of a request body: all of them, or none if one can't be read.
 func (a *Agent) take(raw []byte) bool {
 	type notice struct {
 		ID    string  `json:"id"`
@@ -428,14 +432,15 @@
 	return true
 }
 
-// Quiet lets a directory tell the node in the agent's place.
+// DelegateToDirectory lets a directory announce changes to the node in place of the agent.
 func (a *Agent) DelegateToDirectory() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.quiet = true
 }
 
-// Members is the list as the platform itself has it, with addresses as node 0 has them, and what is closed when it changes.
+// Members returns the platform's own list, with addresses as seen by node 0, and a channel that is closed
+// when the list changes.
 func (p *Platform) Members() ([]Member, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/standin/window.go
+++ b/internal/lab/standin/window.go
@@ -15,8 +15,9 @@
 	"starlingusher/fleet/history"
 )
 
-// Window is a replica of a directory as one node sees it: it passes the node's asks on, tells it the addresses at which
-// it reaches the endpoints, and notes what the node was told. A replica that is gone looks so through it.
+// DirectoryProxy is a replica of a directory as one node sees it. It forwards the node's requests, replaces
+// the addresses of endpoints with those at which the node reaches them, and records what was announced to the
+// node. If the replica is down, the proxy's answers break off too.
 type DirectoryProxy struct {
 	agent  *Agent
 	addr   string // of the replica
@@ -27,7 +28,8 @@
 	wg     sync.WaitGroup
 }
 
-// OpenWindow opens one at an address. Notices that the replica has taken are handed to the node's agent.
+// StartDirectoryProxy starts a proxy at an address. Notices that the replica has accepted are passed to the
+// node's agent.
 func StartDirectoryProxy(a *Agent, at, replica string) (*DirectoryProxy, error) {
 	ln, err := net.Listen("tcp", at)
 	if err != nil {
@@ -40,7 +42,7 @@
 	return w, nil
 }
 
-// Close ends it.
+// Close stops the proxy.
 func (w *DirectoryProxy) Close() {
 	w.end()
 	w.srv.Close()
@@ -48,7 +50,7 @@
 	w.client.CloseIdleConnections()
 }
 
-// ServeHTTP passes a request on.
+// ServeHTTP forwards a request.
 func (w *DirectoryProxy) ServeHTTP(out http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(req.Body, 4*maxBody))
 	if err != nil {
@@ -60,7 +62,7 @@
 	}
 	resp, err := w.client.Do(next)
 	if err != nil {
-		panic(http.ErrAbortHandler) // the node's connection breaks as its own would have
+		panic(http.ErrAbortHandler) // the node's connection breaks off, as one to the replica itself would
 	}
 	defer resp.Body.Close()
 	for name, v := range resp.Header {
@@ -95,7 +97,7 @@
 	}
 }
 
-// translate puts the node's own addresses into a list, and notes what it tells.
+// translateList replaces the addresses in a list with the node's own, and records what the list announces.
 func (a *Agent) translate(line []byte) []byte {
 	var l List
 	if json.Unmarshal(line, &l) != nil {
@@ -137,7 +139,8 @@
 	return raw
 }
 
-// sees notes that the node is told an endpoint's phase, if it is not what it was told last.
+// recordPhase records that an endpoint's phase is announced to the node, if it differs from the one announced
+// last.
 func (a *Agent) sees(id string, cell int, phase string, at time.Duration) {
 	a.mu.Lock()
 	if a.seen == nil {
