--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -13,7 +13,7 @@
 	Pairs []SeedPair
 }
 
-// Pair holds the results of both sides for one seed.
+// SeedPair holds the results of both sides for one seed.
 type SeedPair struct {
 	Seed uint64
 	A, B *Result
--- a/internal/lab/sender_test.go
+++ b/internal/lab/sender_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// endpoint picks an endpoint of the destination and returns the time before which it must not be called.
+// pickEndpoint picks an endpoint of the destination and returns the time before which it must not be called.
 func (s *sender) pickEndpoint(dest int) (senderMember, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -21,30 +21,30 @@
 )
 
 const (
-	maxKept     = 64 // idle connections to one node
-	rudeWindow  = 3 * time.Second
-	rudeSlack   = 200 * time.Millisecond
-	dialTimeout = time.Second
+	maxIdleConns    = 64 // idle connections to one node
+	rudePeerTimeout = 3 * time.Second
+	rudePeerSlack   = 200 * time.Millisecond
+	dialTimeout     = time.Second
 )
 
 // Clients submit a plan's messages in an open loop: the time of a submission does not depend on the fate of
 // other messages.
 type Clients struct {
-	plan  *experiment.Plan
-	log   *observe.Log
-	addr  func(node int) string // the address of a node's client port
-	alive func(node int) bool   // reports whether a node runs, as far as its clients can know
-	body  []byte
+	plan *experiment.Plan
+	log  *observe.Log
+	addr func(node int) string // the address of a node's client port
+	isUp func(node int) bool   // reports whether a node runs, as far as its clients can know
+	body []byte
 
 	wg  sync.WaitGroup
 	mu  sync.Mutex
 	ctx context.Context // of the run; nil until it starts
 
-	rand  *rand.Rand
-	cases []caseState // by number, from 1
-	ids   map[string]int
-	idle  []idleConns
-	rude  RudePeerCounts
+	rand           *rand.Rand
+	cases          []caseState // by number, from 1
+	caseNumbers    map[string]int
+	idle           []idleConns
+	rudePeerCounts RudePeerCounts
 }
 
 // RudePeerCounts tells how nodes treated rude peers.
@@ -61,26 +61,26 @@
 
 type clientConn struct {
 	net.Conn
-	br   *bufio.Reader
-	used bool
+	br     *bufio.Reader
+	reused bool
 }
 
 // caseState is the state of one message over all its submissions, each of which has an id of its own.
 type caseState struct {
-	tries   int
-	id      string // of the last submission
-	node    int
-	taken   bool          // by the node, under this id
-	over    bool          // delivered, failed, or given up by the client
-	touched bool          // a partner has received it
-	first   time.Duration // when that first happened
+	submissions    int
+	id             string // of the last submission
+	node           int
+	accepted       bool          // by the node, under this id
+	done           bool          // delivered, failed, or given up by the client
+	reachedPartner bool          // a partner has received it
+	firstReachedAt time.Duration // when that first happened
 }
 
 // NewClients returns the clients of a plan.
-func NewClients(plan *experiment.Plan, addr func(int) string, alive func(int) bool, log *observe.Log) *Clients {
+func NewClients(plan *experiment.Plan, addr func(int) string, isUp func(int) bool, log *observe.Log) *Clients {
 	return &Clients{
-		plan: plan, log: log, addr: addr, alive: alive, body: []byte(strings.Repeat("x", plan.Load.BodyBytes)),
-		rand: rand.New(rand.NewPCG(plan.Seed, 0xc11e)), cases: make([]caseState, len(plan.Arrivals)+1), ids: map[string]int{},
+		plan: plan, log: log, addr: addr, isUp: isUp, body: []byte(strings.Repeat("x", plan.Load.BodyBytes)),
+		rand: rand.New(rand.NewPCG(plan.Seed, 0xc11e)), cases: make([]caseState, len(plan.Arrivals)+1), caseNumbers: map[string]int{},
 		idle: make([]idleConns, len(plan.Nodes)),
 	}
 }
@@ -90,13 +90,13 @@
 	c.mu.Lock()
 	c.ctx = ctx
 	c.mu.Unlock()
-	c.wg.Go(func() { c.rudePeers(ctx) })
+	c.wg.Go(func() { c.runRudePeers(ctx) })
 	for i, a := range c.plan.Arrivals {
 		if !observe.SleepUntil(ctx, c.log.WallTime(a.At)) {
 			break
 		}
 		c.log.RecordLateness(observe.Clients, c.log.Now()-a.At)
-		c.wg.Go(func() { c.handIn(ctx, i+1, a.Node, false) })
+		c.wg.Go(func() { c.submit(ctx, i+1, a.Node, false) })
 	}
 	<-ctx.Done()
 	c.wg.Wait()
@@ -111,7 +111,7 @@
 func (c *Clients) RudePeerCounts() RudePeerCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rude
+	return c.rudePeerCounts
 }
 
 // RecordReached records the messages of a call that has reached a partner.
@@ -119,16 +119,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
-		if s := c.of(id); s != nil && !s.touched {
-			s.touched, s.first = true, c.log.Now()
+		if s := c.caseOf(id); s != nil && !s.reachedPartner {
+			s.reachedPartner, s.firstReachedAt = true, c.log.Now()
 		}
 	}
 }
 
 // caseOf returns the state of the message whose last submission has this id, or nil. The caller holds the
 // lock.
-func (c *Clients) of(id string) *caseState {
-	n := c.ids[id]
+func (c *Clients) caseOf(id string) *caseState {
+	n := c.caseNumbers[id]
 	if n == 0 || c.cases[n].id != id {
 		return nil
 	}
@@ -136,22 +136,22 @@
 }
 
 // HandleNotice handles a node's notice: a message that was returned may be submitted again.
-func (c *Clients) HandleNotice(_ int, id, state string, after time.Duration) {
+func (c *Clients) HandleNotice(_ int, id, state string, retryAfter time.Duration) {
 	c.mu.Lock()
-	s := c.of(id)
-	if s == nil || s.over || !s.taken {
+	s := c.caseOf(id)
+	if s == nil || s.done || !s.accepted {
 		c.mu.Unlock()
 		return
 	}
-	s.taken = false
-	n, node := c.ids[id], s.node
+	s.accepted = false
+	n, node := c.caseNumbers[id], s.node
 	if state != history.Returned {
-		s.over = true
+		s.done = true
 	}
 	ctx := c.ctx
 	c.mu.Unlock()
 	if state == history.Returned && ctx != nil {
-		c.comeAgain(ctx, n, node, after)
+		c.retry(ctx, n, node, retryAfter)
 	}
 }
 
@@ -166,10 +166,10 @@
 	ctx := c.ctx
 	for n := 1; n < len(c.cases); n++ {
 		s := &c.cases[n]
-		if s.id == "" || s.over || !s.taken || s.node != node {
+		if s.id == "" || s.done || !s.accepted || s.node != node {
 			continue
 		}
-		s.taken = false
+		s.accepted = false
 		class := c.plan.Classes[c.plan.Arrivals[n-1].Class]
 		wait := c.draw(c.plan.Load.ResubmitDelay)
 		c.wg.Go(func() {
@@ -179,15 +179,15 @@
 			// This is checked only after the wait: a call may still have been on its way when its node was
 			// lost.
 			c.mu.Lock()
-			s.over = s.touched && (class.Effect == judge.EffectAtMostOnce || class.Effect == judge.EffectDeduplicated && c.log.Now()-s.first > class.Window/2)
-			over := s.over
+			s.done = s.reachedPartner && (class.Effect == judge.EffectAtMostOnce || class.Effect == judge.EffectDeduplicated && c.log.Now()-s.firstReachedAt > class.Window/2)
+			done := s.done
 			c.mu.Unlock()
-			if over {
+			if done {
 				return
 			}
 			for i := range c.plan.Nodes {
-				if to := (node + 1 + i) % len(c.plan.Nodes); c.alive(to) {
-					c.handIn(ctx, n, to, true)
+				if to := (node + 1 + i) % len(c.plan.Nodes); c.isUp(to) {
+					c.submit(ctx, n, to, true)
 					return
 				}
 			}
@@ -196,92 +196,92 @@
 }
 
 // draw draws a random duration. The caller holds the lock.
-func (c *Clients) draw(s experiment.DurationRange) time.Duration {
-	return s.Low + time.Duration(c.rand.Float64()*float64(s.High-s.Low))
+func (c *Clients) draw(bounds experiment.DurationRange) time.Duration {
+	return bounds.Low + time.Duration(c.rand.Float64()*float64(bounds.High-bounds.Low))
 }
 
 // retry submits a message again after a wait, if its client has retries left.
-func (c *Clients) comeAgain(ctx context.Context, n, node int, told time.Duration) {
+func (c *Clients) retry(ctx context.Context, number, node int, retryAfter time.Duration) {
 	c.mu.Lock()
-	s := &c.cases[n]
-	if s.tries > c.plan.Load.MaxRetries {
-		s.over = true
+	s := &c.cases[number]
+	if s.submissions > c.plan.Load.MaxRetries {
+		s.done = true
 		c.mu.Unlock()
 		return
 	}
 	wait := c.draw(c.plan.Load.Backoff)
-	if told > 0 && c.rand.Float64() < c.plan.Load.HonorRetryAfter {
-		wait = min(told, c.plan.Rules.MaxRetryAfter)
+	if retryAfter > 0 && c.rand.Float64() < c.plan.Load.HonorRetryAfter {
+		wait = min(retryAfter, c.plan.Rules.MaxRetryAfter)
 	}
 	c.mu.Unlock()
 	c.wg.Go(func() {
 		if observe.SleepUntil(ctx, time.Now().Add(wait)) {
-			c.handIn(ctx, n, node, false)
+			c.submit(ctx, number, node, false)
 		}
 	})
 }
 
 // submit submits a message once, under a new id.
-func (c *Clients) handIn(ctx context.Context, n, node int, again bool) {
-	a := c.plan.Arrivals[n-1]
-	class := c.plan.Classes[a.Class]
-	left := a.At + class.Deadline - c.log.Now()
-	if left <= time.Millisecond {
+func (c *Clients) submit(ctx context.Context, number, node int, resubmitted bool) {
+	arrival := c.plan.Arrivals[number-1]
+	class := c.plan.Classes[arrival.Class]
+	remaining := arrival.At + class.Deadline - c.log.Now()
+	if remaining <= time.Millisecond {
 		return
 	}
 	c.mu.Lock()
-	s := &c.cases[n]
-	s.tries++
-	s.id, s.node, s.taken = c.plan.MessageID(n, s.tries), node, false
-	id, first := s.id, s.tries == 1
-	c.ids[id] = n
+	s := &c.cases[number]
+	s.submissions++
+	s.id, s.node, s.accepted = c.plan.MessageID(number, s.submissions), node, false
+	id, first := s.id, s.submissions == 1
+	c.caseNumbers[id] = number
 	c.mu.Unlock()
-	words := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", class.Name, c.plan.Tenants[a.Tenant].Name, left.Milliseconds(), a.Dest)
-	key := c.plan.IdempotencyKey(n)
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", class.Name, c.plan.Tenants[arrival.Tenant].Name, remaining.Milliseconds(), arrival.Dest)
+	key := c.plan.IdempotencyKey(number)
 	if key != "" {
-		words += ",k=" + key
+		fields += ",k=" + key
 	}
-	if again {
-		words += ",again=1"
+	if resubmitted {
+		fields += ",again=1"
 	}
 	e := history.Event{
-		Kind: history.Submitted, Node: node, Partner: -1, ID: id, MessageNumber: n, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest, Key: key,
-		ExpiresIn: left.Truncate(time.Millisecond), Resubmitted: again, FirstAt: a.At, At: c.log.Now(),
+		Kind: history.Submitted, Node: node, Partner: -1, ID: id, MessageNumber: number, Class: arrival.Class, Tenant: arrival.Tenant, Dest: arrival.Dest, Key: key,
+		ExpiresIn: remaining.Truncate(time.Millisecond), Resubmitted: resubmitted, FirstAt: arrival.At, At: c.log.Now(),
 	}
 	if !first {
 		e.FirstAt = e.At
 	}
 	c.log.Add(e)
-	state, wait := c.ask(ctx, node, command("ENQUEUE", strings.Repeat("0", 16), id, words, string(c.body)))
+	state, wait := c.request(ctx, node, encodeCommand("ENQUEUE", strings.Repeat("0", 16), id, fields, string(c.body)))
 	if ctx.Err() != nil {
 		return
 	}
 	c.log.Add(history.Event{Kind: history.Answered, Node: node, Partner: -1, ID: id, State: state, RetryAfter: wait})
 	c.mu.Lock()
-	mine := c.cases[n].id == id
-	touched, since := s.touched, c.log.Now()-s.first
-	if mine {
-		s.taken = state == history.Taken
-		s.over = state == history.Failed
+	current := c.cases[number].id == id
+	reached, since := s.reachedPartner, c.log.Now()-s.firstReachedAt
+	if current {
+		s.accepted = state == history.Taken
+		s.done = state == history.Failed
 	}
 	c.mu.Unlock()
-	if !mine {
+	if !current {
 		return
 	}
 	switch state {
 	case history.Refused, history.Unsent:
-		c.comeAgain(ctx, n, node, wait)
+		c.retry(ctx, number, node, wait)
 	case history.ClientTimedOut, history.ConnectionLost:
 		// The node may have the message, and may still run it: only what may be repeated is submitted again,
 		// under a new id.
-		if class.Effect == judge.EffectIdempotent || class.Effect == judge.EffectDeduplicated && (!touched || since < class.Window/2) {
-			c.comeAgain(ctx, n, node, 0)
+		if class.Effect == judge.EffectIdempotent || class.Effect == judge.EffectDeduplicated && (!reached || since < class.Window/2) {
+			c.retry(ctx, number, node, 0)
 		}
 	}
 }
 
-// command encodes a command in the clients' protocol.
-func command(words ...string) []byte {
+// encodeCommand encodes a command in the clients' protocol.
+func encodeCommand(words ...string) []byte {
 	b := strconv.AppendInt([]byte{'*'}, int64(len(words)), 10)
 	for _, w := range words {
 		b = append(b, "\r\n$"...)
@@ -294,42 +294,42 @@
 
 // request sends a request and waits for the answer as long as clients do. A request that crosses the close of
 // an idle connection is sent again.
-func (c *Clients) ask(ctx context.Context, node int, request []byte) (state string, wait time.Duration) {
-	by := time.Now().Add(c.plan.Load.AnswerTimeout)
-	crossed := false // it was written to a connection that the node closed: the node may still have read it
+func (c *Clients) request(ctx context.Context, node int, request []byte) (state string, wait time.Duration) {
+	deadline := time.Now().Add(c.plan.Load.AnswerTimeout)
+	maybeRead := false // it was written to a connection that the node closed: the node may still have read it
 	for {
-		k, err := c.conn(ctx, node)
-		if err != nil && crossed {
+		k, err := c.takeConn(ctx, node)
+		if err != nil && maybeRead {
 			return history.ConnectionLost, 0
 		}
 		if err != nil {
 			return history.Unsent, 0
 		}
 		stop := context.AfterFunc(ctx, func() { k.Close() })
-		line, wrote, err := k.ask(request, by)
-		used := k.used
+		line, wrote, err := k.request(request, deadline)
+		used := k.reused
 		stop()
 		if err == nil {
-			k.used = true
-			c.keep(node, k)
-			return answered(line)
+			k.reused = true
+			c.putConn(node, k)
+			return parseAnswer(line)
 		}
 		k.Close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return history.ClientTimedOut, 0
 		case used && ctx.Err() == nil:
-			crossed = crossed || wrote
+			maybeRead = maybeRead || wrote
 			continue // the node closed it between two requests
-		case !wrote && !crossed:
+		case !wrote && !maybeRead:
 			return history.Unsent, 0
 		}
 		return history.ConnectionLost, 0
 	}
 }
 
-func (k *clientConn) ask(request []byte, by time.Time) (line string, wrote bool, err error) {
-	if err := k.SetDeadline(by); err != nil {
+func (k *clientConn) request(request []byte, deadline time.Time) (line string, wrote bool, err error) {
+	if err := k.SetDeadline(deadline); err != nil {
 		return "", false, err
 	}
 	if _, err := k.Write(request); err != nil {
@@ -339,7 +339,7 @@
 	return line, true, err
 }
 
-func answered(line string) (string, time.Duration) {
+func parseAnswer(line string) (string, time.Duration) {
 	line = strings.TrimRight(line, "\r\n")
 	switch {
 	case strings.HasPrefix(line, "+"), strings.HasPrefix(line, "$"):
@@ -351,7 +351,7 @@
 	return history.Failed, 0
 }
 
-func (c *Clients) conn(ctx context.Context, node int) (*clientConn, error) {
+func (c *Clients) takeConn(ctx context.Context, node int) (*clientConn, error) {
 	pool := &c.idle[node]
 	pool.mu.Lock()
 	if n := len(pool.conns); n > 0 {
@@ -369,11 +369,11 @@
 	return &clientConn{Conn: nc, br: bufio.NewReader(nc)}, nil
 }
 
-func (c *Clients) keep(node int, k *clientConn) {
+func (c *Clients) putConn(node int, k *clientConn) {
 	pool := &c.idle[node]
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if len(pool.conns) >= maxKept {
+	if len(pool.conns) >= maxIdleConns {
 		k.Close()
 		return
 	}
@@ -381,21 +381,21 @@
 }
 
 // runRudePeers starts clients that send nothing, garbage, too much or half a request.
-func (c *Clients) rudePeers(ctx context.Context) {
+func (c *Clients) runRudePeers(ctx context.Context) {
 	for _, r := range c.plan.RudePeers {
 		if !observe.SleepUntil(ctx, c.log.WallTime(r.At)) {
 			return
 		}
-		c.wg.Go(func() { c.beRude(ctx, r) })
+		c.wg.Go(func() { c.runRudePeer(ctx, r) })
 	}
 }
 
-func (c *Clients) beRude(ctx context.Context, r experiment.RudePeer) {
-	if !c.alive(r.Node) {
+func (c *Clients) runRudePeer(ctx context.Context, peer experiment.RudePeer) {
+	if !c.isUp(peer.Node) {
 		return // a node that does not run owes it no answer
 	}
 	var d net.Dialer
-	nc, err := d.DialContext(ctx, "tcp", c.addr(r.Node))
+	nc, err := d.DialContext(ctx, "tcp", c.addr(peer.Node))
 	if err != nil {
 		return // the node has just ended
 	}
@@ -403,23 +403,23 @@
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
 	start := time.Now()
-	nc.SetDeadline(start.Add(rudeWindow + rudeSlack))
-	sayings := []string{
+	nc.SetDeadline(start.Add(rudePeerTimeout + rudePeerSlack))
+	inputs := []string{
 		"", "\x00\xff\x16\x03\x01nonsense\r\n", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n", "*99999\r\n",
 		"*1\r\n$999999999\r\n", "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$3\r\nabc\r\n$3\r\nc=x\r\n$0\r\n\r\n", strings.Repeat("A", 100_000),
 	}
-	io.WriteString(nc, sayings[r.Behavior%len(sayings)])
+	io.WriteString(nc, inputs[peer.Behavior%len(inputs)])
 	line, err := bufio.NewReader(nc).ReadString('\n')
-	if ctx.Err() != nil || !c.alive(r.Node) {
+	if ctx.Err() != nil || !c.isUp(peer.Node) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rude.Connected++
+	c.rudePeerCounts.Connected++
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.rude.Unanswered++
+		c.rudePeerCounts.Unanswered++
 	case strings.HasPrefix(line, "+"):
-		c.rude.Accepted++
+		c.rudePeerCounts.Accepted++
 	}
 }
--- a/internal/lab/standin/formats_test.go
+++ b/internal/lab/standin/formats_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestCommandFormat(t *testing.T) {
-	golden.Check(t, "enqueue.txt", command("ENQUEUE", "0", "id", "c=order", "body"))
+	golden.Check(t, "enqueue.txt", encodeCommand("ENQUEUE", "0", "id", "c=order", "body"))
 }
 
 // Status codes, headers and bodies of the answers to a call with three messages, by status and retry-after.
@@ -41,11 +41,11 @@
 	var b bytes.Buffer
 	for _, status := range []partner.Status{partner.AboveLimit, partner.Rejected, partner.QueueFull, partner.TooManyConns, partner.Served, partner.Errored} {
 		for _, retryAfter := range []time.Duration{0, 1500 * time.Millisecond} {
-			e := &Endpoint{of: &Partner{log: observe.NewLog()}}
+			e := &Endpoint{partner: &Partner{log: observe.NewLog()}}
 			w := httptest.NewRecorder()
 			answer := partner.Answer{Status: status, RetryAfter: retryAfter, Outcomes: []partner.Outcome{partner.Accepted, partner.Failed, partner.Deferred}}
-			e.answer(w, &served{pair: &relay.Connection{}}, []item{{ID: "a"}, {ID: "b"}, {ID: "c"}}, answer, history.Event{})
-			ended := e.of.log.Events()[0]
+			e.sendAnswer(w, &serverConn{relayed: &relay.Connection{}}, []item{{ID: "a"}, {ID: "b"}, {ID: "c"}}, answer, history.Event{})
+			ended := e.partner.log.Events()[0]
 			fmt.Fprintf(&b, "%s %v: %d %v %s %v\n", ended.State, retryAfter, w.Code, w.Header(), bytes.TrimSpace(w.Body.Bytes()), ended.Outcomes)
 		}
 	}
@@ -53,18 +53,18 @@
 }
 
 func TestNoticeFormat(t *testing.T) {
-	type heard struct {
+	type received struct {
 		id, state string
 		after     time.Duration
 	}
-	var got []heard
-	p := NewPlatform(1, 0, 0, 1, observe.NewLog(), func(_ int, id, state string, after time.Duration) { got = append(got, heard{id, state, after}) })
+	var got []received
+	p := NewPlatform(1, 0, 0, 1, observe.NewLog(), func(_ int, id, state string, after time.Duration) { got = append(got, received{id, state, after}) })
 	defer p.Close()
 	body := `{"id":"a","state":"failed"}` + "\n" + `{"id":"b","state":"returned","after_ms":1.5}` + "\n"
-	if !p.Agent(0).take([]byte(body)) {
+	if !p.Agent(0).recordNotices([]byte(body)) {
 		t.Fatal("notices were not read")
 	}
-	if want := []heard{{"a", history.Failed, 0}, {"b", history.Returned, 1500 * time.Microsecond}}; !reflect.DeepEqual(got, want) {
+	if want := []received{{"a", history.Failed, 0}, {"b", history.Returned, 1500 * time.Microsecond}}; !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
--- a/internal/lab/standin/partner.go
+++ b/internal/lab/standin/partner.go
@@ -25,57 +25,57 @@
 const maxBody = 64 << 10
 
 // lastNumber is the number last given to a call or a connection, over all partners of a process.
-var numbers atomic.Uint64
+var lastNumber atomic.Uint64
 
 // Partner is one partner on sockets: its model, and an HTTP server for each of its endpoints. Nodes connect
 // through links.
 type Partner struct {
-	number int
-	log    *observe.Log
-	model  partner.Config
-	nodes  int
-	idle   time.Duration
-
-	mu        sync.Mutex
-	state     *partner.Partner
-	timer     *time.Timer
-	due       time.Duration
-	out       map[uint64]chan partner.Answer
-	pairs     map[uint64]*served // by connection number
-	endpoints []*Endpoint
-	outages   int // faults that currently cause an outage
-	closed    bool
-	saw       func(ids []string) // called with the messages of each call; may be nil
+	number      int
+	log         *observe.Log
+	config      partner.Config
+	nodeCount   int
+	idleTimeout time.Duration
+
+	mu             sync.Mutex
+	modelState     *partner.Partner
+	timer          *time.Timer
+	nextTick       time.Duration
+	pendingAnswers map[uint64]chan partner.Answer
+	conns          map[uint64]*serverConn // by connection number
+	endpoints      []*Endpoint
+	outages        int // faults that currently cause an outage
+	closed         bool
+	onCall         func(ids []string) // called with the messages of each call; may be nil
 }
 
 // Endpoint is one endpoint of a partner. It has a link for each node.
 type Endpoint struct {
-	ID    string
-	Zone  int
-	of    *Partner
-	index int
-	links []*relay.Link
-	ln    *feed
-	srv   *http.Server
-	done  chan struct{}
+	ID       string
+	Zone     int
+	partner  *Partner
+	index    int
+	links    []*relay.Link
+	listener *connQueue
+	server   *http.Server
+	done     chan struct{}
 }
 
 // serverConn is a connection as the server of an endpoint has it.
-type served struct {
+type serverConn struct {
 	net.Conn
-	pair     *relay.Connection
-	node     int
-	number   uint64
-	endpoint int
+	relayed       *relay.Connection
+	node          int
+	number        uint64
+	endpointIndex int
 }
 
 // NewPartner creates a partner without endpoints; AddEndpoint adds them. The function onCall, unless nil, is
 // called with the messages of each call.
-func NewPartner(number int, model partner.Config, seed uint64, nodes int, idle time.Duration, log *observe.Log, saw func([]string)) *Partner {
+func NewPartner(number int, config partner.Config, seed uint64, nodeCount int, idleTimeout time.Duration, log *observe.Log, onCall func([]string)) *Partner {
 	p := &Partner{
-		number: number, log: log, model: model, nodes: nodes, idle: idle, saw: saw,
-		state: partner.New(model, rand.New(rand.NewPCG(seed, uint64(number)))),
-		out:   map[uint64]chan partner.Answer{}, pairs: map[uint64]*served{},
+		number: number, log: log, config: config, nodeCount: nodeCount, idleTimeout: idleTimeout, onCall: onCall,
+		modelState:     partner.New(config, rand.New(rand.NewPCG(seed, uint64(number)))),
+		pendingAnswers: map[uint64]chan partner.Answer{}, conns: map[uint64]*serverConn{},
 	}
 	p.timer = time.AfterFunc(time.Hour, p.tick)
 	return p
@@ -85,28 +85,28 @@
 func (p *Partner) AddEndpoint(id string, zone int, addr func(node int) string) (*Endpoint, error) {
 	p.mu.Lock()
 	index := len(p.endpoints)
-	if index >= p.model.Endpoints {
+	if index >= p.config.Endpoints {
 		p.step(partner.EndpointAdded{})
 	}
-	e := &Endpoint{ID: id, Zone: zone, of: p, index: index, ln: newFeed(), done: make(chan struct{})}
+	e := &Endpoint{ID: id, Zone: zone, partner: p, index: index, listener: newConnQueue(), done: make(chan struct{})}
 	p.endpoints = append(p.endpoints, e)
 	p.mu.Unlock()
-	e.srv = &http.Server{
-		Handler: http.HandlerFunc(e.serve), IdleTimeout: p.idle, ReadHeaderTimeout: 30 * time.Second,
+	e.server = &http.Server{
+		Handler: http.HandlerFunc(e.serve), IdleTimeout: p.idleTimeout, ReadHeaderTimeout: 30 * time.Second,
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, connKey{}, nc) },
-		ConnState:   e.state,
+		ConnState:   e.handleConnState,
 	}
 	go func() { // ends with close
 		defer close(e.done)
-		e.srv.Serve(e.ln)
+		e.server.Serve(e.listener)
 	}()
-	for n := range p.nodes {
+	for n := range p.nodeCount {
 		link, err := relay.Listen(addr(n), uint64(index)<<32|uint64(n), func(ctx context.Context, pair *relay.Connection) (net.Conn, error) {
 			return e.connect(ctx, n, pair)
 		}, func(by time.Duration) { p.log.RecordLateness(observe.Links, by) })
 		if err != nil {
 			e.close()
-			return nil, fmt.Errorf("endpoint %s: %w", id, err)
+			return nil, fmt.Errorf("listen for endpoint %s: %w", id, err)
 		}
 		e.links = append(e.links, link)
 	}
@@ -116,40 +116,40 @@
 type connKey struct{}
 
 // connect opens the server side of a connection on a node's link.
-func (e *Endpoint) connect(ctx context.Context, node int, pair *relay.Connection) (net.Conn, error) {
-	p := e.of
+func (e *Endpoint) connect(ctx context.Context, node int, relayed *relay.Connection) (net.Conn, error) {
+	p := e.partner
 	p.mu.Lock()
-	if p.closed || p.state.IsDown(e.index) {
+	if p.closed || p.modelState.IsDown(e.index) {
 		p.mu.Unlock()
 		p.log.Add(history.Event{Kind: history.ConnectFailed, Node: node, Partner: p.number, Endpoint: e.ID})
-		return nil, errors.New("the endpoint is down")
+		return nil, errors.New("endpoint is down")
 	}
-	here, there := pair.Pipe()
-	s := &served{Conn: there, pair: pair, node: node, number: numbers.Add(1), endpoint: e.index}
-	p.pairs[s.number] = s
+	linkEnd, serverEnd := relayed.Pipe()
+	s := &serverConn{Conn: serverEnd, relayed: relayed, node: node, number: lastNumber.Add(1), endpointIndex: e.index}
+	p.conns[s.number] = s
 	p.step(partner.ConnOpened{Conn: s.number, Endpoint: e.index})
 	p.log.Add(history.Event{Kind: history.Connected, Node: node, Partner: p.number, Endpoint: e.ID})
 	p.mu.Unlock()
-	if !e.ln.give(ctx, s) {
+	if !e.listener.put(ctx, s) {
 		p.closeConn(s)
-		here.Close()
+		linkEnd.Close()
 		return nil, net.ErrClosed
 	}
-	return here, nil
+	return linkEnd, nil
 }
 
 // handleConnState handles the end of a connection.
-func (e *Endpoint) state(nc net.Conn, s http.ConnState) {
-	if c, ok := nc.(*served); ok && (s == http.StateClosed || s == http.StateHijacked) {
-		e.of.closeConn(c)
+func (e *Endpoint) handleConnState(nc net.Conn, s http.ConnState) {
+	if c, ok := nc.(*serverConn); ok && (s == http.StateClosed || s == http.StateHijacked) {
+		e.partner.closeConn(c)
 	}
 }
 
-func (p *Partner) closeConn(s *served) {
+func (p *Partner) closeConn(s *serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.pairs[s.number] != nil {
-		delete(p.pairs, s.number)
+	if p.conns[s.number] != nil {
+		delete(p.conns, s.number)
 		p.step(partner.ConnClosed{Conn: s.number})
 	}
 }
@@ -167,8 +167,8 @@
 	for _, l := range e.links {
 		l.Close()
 	}
-	e.srv.Close()
-	e.ln.Close()
+	e.server.Close()
+	e.listener.Close()
 	<-e.done
 }
 
@@ -180,12 +180,12 @@
 }
 
 // StartFault starts a fault on all endpoints.
-func (p *Partner) StartFault(what partner.FaultKind, size float64, until time.Duration) {
+func (p *Partner) StartFault(kind partner.FaultKind, size float64, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if what != partner.Slow && what != partner.Lossy && (what != partner.Failing || size >= 0.5) {
+	if kind != partner.Slow && kind != partner.Lossy && (kind != partner.Failing || size >= 0.5) {
 		p.outages++
-		p.log.Add(history.Event{Kind: history.OutageBegan, Node: -1, Partner: p.number, Note: what.String()})
+		p.log.Add(history.Event{Kind: history.OutageBegan, Node: -1, Partner: p.number, Note: kind.String()})
 		if until > 0 {
 			time.AfterFunc(time.Until(p.log.WallTime(until)), func() {
 				p.mu.Lock()
@@ -196,7 +196,7 @@
 			})
 		}
 	}
-	p.step(partner.FaultStarted{Endpoint: -1, Kind: what, Size: size, Until: until})
+	p.step(partner.FaultStarted{Endpoint: -1, Kind: kind, Size: size, Until: until})
 }
 
 // CatchUp advances the model to the run's time, after the run has started.
@@ -231,28 +231,28 @@
 	if p.closed {
 		return
 	}
-	if now := p.log.Now(); now >= p.due {
-		p.log.RecordLateness(observe.Partners, now-p.due)
+	if now := p.log.Now(); now >= p.nextTick {
+		p.log.RecordLateness(observe.Partners, now-p.nextTick)
 	}
 	p.step(partner.Tick{})
 }
 
 // step passes an event to the model and carries out the resulting actions. The caller holds the lock.
 func (p *Partner) step(ev partner.Event) {
-	for _, a := range p.state.Step(p.log.Now(), ev) {
+	for _, a := range p.modelState.Step(p.log.Now(), ev) {
 		switch a := a.(type) {
 		case partner.Answer:
-			if c := p.out[a.Call]; c != nil {
+			if c := p.pendingAnswers[a.Call]; c != nil {
 				c <- a // buffered for one answer
-				delete(p.out, a.Call)
+				delete(p.pendingAnswers, a.Call)
 			}
 		case partner.Executed:
 			p.log.Add(history.Event{Kind: history.Executed, Node: -1, Partner: p.number, Call: a.Call, ID: a.ID})
 		case partner.ConnsReset:
-			for _, s := range p.pairs {
-				if s.endpoint == a.Endpoint {
-					delete(p.pairs, s.number)
-					s.pair.Reset()
+			for _, s := range p.conns {
+				if s.endpointIndex == a.Endpoint {
+					delete(p.conns, s.number)
+					s.relayed.Reset()
 				}
 			}
 			if a.Endpoint < len(p.endpoints) {
@@ -272,8 +272,8 @@
 			p.log.Add(history.Event{Kind: history.Collapsed, Node: -1, Partner: p.number, CallsBySender: a.CallsBySender})
 		}
 	}
-	if next, ok := p.state.NextTick(); ok && !p.closed {
-		p.due = next
+	if next, ok := p.modelState.NextTick(); ok && !p.closed {
+		p.nextTick = next
 		p.timer.Reset(time.Until(p.log.WallTime(next)))
 	}
 }
@@ -287,7 +287,7 @@
 
 // serve answers one request of a node.
 func (e *Endpoint) serve(w http.ResponseWriter, req *http.Request) {
-	c, _ := req.Context().Value(connKey{}).(*served)
+	c, _ := req.Context().Value(connKey{}).(*serverConn)
 	var items []item
 	switch {
 	case req.Method == http.MethodPost && req.URL.Path == "/v1/messages":
@@ -304,7 +304,7 @@
 			http.Error(w, "unreadable", http.StatusBadRequest)
 			return
 		}
-		if len(items) > max(e.of.model.MaxBatch, 1) {
+		if len(items) > max(e.partner.config.MaxBatch, 1) {
 			http.Error(w, "too many", http.StatusRequestEntityTooLarge)
 			return
 		}
@@ -313,43 +313,43 @@
 		http.NotFound(w, req)
 		return
 	}
-	e.call(w, req, c, items)
+	e.handleCall(w, req, c, items)
 }
 
 // handleCall passes a call to the model and sends the model's answer.
-func (e *Endpoint) call(w http.ResponseWriter, req *http.Request, c *served, items []item) {
-	p := e.of
-	call := partner.CallReceived{Call: numbers.Add(1), Conn: c.number, Endpoint: e.index, Sender: c.node}
+func (e *Endpoint) handleCall(w http.ResponseWriter, req *http.Request, c *serverConn, items []item) {
+	p := e.partner
+	call := partner.CallReceived{Call: lastNumber.Add(1), Conn: c.number, Endpoint: e.index, Sender: c.node}
 	ids := make([]string, len(items))
 	for i, it := range items {
 		ids[i] = it.ID
 		call.Items = append(call.Items, partner.Item{ID: it.ID, Key: it.Key})
 	}
-	if p.saw != nil {
-		p.saw(ids)
+	if p.onCall != nil {
+		p.onCall(ids)
 	}
-	answered := make(chan partner.Answer, 1)
+	answers := make(chan partner.Answer, 1)
 	p.mu.Lock()
-	if p.pairs[c.number] == nil { // it was reset before its call was read
+	if p.conns[c.number] == nil { // it was reset before its call was read
 		p.mu.Unlock()
 		return
 	}
 	p.log.Add(history.Event{
-		Kind: history.CallStarted, Node: c.node, Partner: p.number, Endpoint: e.ID, Call: call.Call, IDs: ids, FirstAt: p.log.RunTime(c.pair.RequestStartedAt()),
+		Kind: history.CallStarted, Node: c.node, Partner: p.number, Endpoint: e.ID, Call: call.Call, IDs: ids, FirstAt: p.log.RunTime(c.relayed.RequestStartedAt()),
 	})
-	p.out[call.Call] = answered
+	p.pendingAnswers[call.Call] = answers
 	p.step(call)
 	p.mu.Unlock()
 	end := history.Event{Kind: history.CallEnded, Node: c.node, Partner: p.number, Endpoint: e.ID, Call: call.Call}
 	select {
-	case a := <-answered:
-		e.answer(w, c, items, a, end)
+	case a := <-answers:
+		e.sendAnswer(w, c, items, a, end)
 	case <-req.Context().Done():
 		p.mu.Lock()
-		delete(p.out, call.Call)
+		delete(p.pendingAnswers, call.Call)
 		p.mu.Unlock()
 		end.State = history.Abandoned
-		if at := c.pair.ClientClosedAt(); !at.IsZero() {
+		if at := c.relayed.ClientClosedAt(); !at.IsZero() {
 			end.At = p.log.RunTime(at)
 		} else {
 			end.State = history.AnswerLost
@@ -358,28 +358,28 @@
 	}
 }
 
-var states = map[partner.Status]string{
+var statesByStatus = map[partner.Status]string{
 	partner.AboveLimit: history.AboveLimit, partner.Rejected: history.Rejected, partner.QueueFull: history.QueueFull, partner.TooManyConns: history.TooManyConns,
 	partner.Served: history.Accepted, partner.Errored: history.Errored, partner.AnswerLost: history.AnswerLost, partner.AnswerUnreadable: history.AnswerUnreadable,
 }
 
-var fates = map[partner.Outcome]string{
+var outcomeNames = map[partner.Outcome]string{
 	partner.Accepted: history.OutcomeAccepted, partner.Failed: history.OutcomeFailed, partner.Deferred: history.OutcomeDeferred,
 }
 
 // sendAnswer writes an answer, and records the end of the call once the answer was sent to the node.
-func (e *Endpoint) answer(w http.ResponseWriter, c *served, items []item, a partner.Answer, end history.Event) {
-	p := e.of
-	end.State, end.RetryAfter = states[a.Status], a.RetryAfter
+func (e *Endpoint) sendAnswer(w http.ResponseWriter, c *serverConn, items []item, a partner.Answer, end history.Event) {
+	p := e.partner
+	end.State, end.RetryAfter = statesByStatus[a.Status], a.RetryAfter
 	for _, f := range a.Outcomes {
-		end.Outcomes = append(end.Outcomes, fates[f])
+		end.Outcomes = append(end.Outcomes, outcomeNames[f])
 	}
 	code, body := http.StatusOK, []byte("ok\n")
 	switch a.Status {
 	case partner.AnswerLost:
 		end.At = p.log.Now()
 		p.log.Add(end)
-		c.pair.Reset()
+		c.relayed.Reset()
 		return
 	case partner.AnswerUnreadable:
 		body = []byte("HTP/9 what?\r\n\r\n")
@@ -389,17 +389,17 @@
 		}
 		defer nc.Close()
 		nc.Write(body)
-		e.note(c, end)
+		e.recordEnd(c, end)
 		return
 	case partner.Served:
 		if len(items) > 1 {
-			type told struct {
+			type itemAnswer struct {
 				ID    string `json:"id"`
 				State string `json:"state"`
 			}
-			list := make([]told, len(items))
+			list := make([]itemAnswer, len(items))
 			for i, it := range items {
-				list[i] = told{it.ID, end.Outcomes[i]}
+				list[i] = itemAnswer{it.ID, end.Outcomes[i]}
 			}
 			body, _ = json.Marshal(list) // strings always encode
 		}
@@ -416,31 +416,33 @@
 	w.WriteHeader(code)
 	w.Write(body)
 	http.NewResponseController(w).Flush()
-	e.note(c, end)
+	e.recordEnd(c, end)
 }
 
 // recordEnd records the end of a call when its answer has reached the node. A call whose answer never arrives
 // is recorded as abandoned.
-func (e *Endpoint) note(c *served, end history.Event) {
-	c.pair.OnDelivered(func(at time.Time, reached bool) {
+func (e *Endpoint) recordEnd(c *serverConn, end history.Event) {
+	c.relayed.OnDelivered(func(at time.Time, reached bool) {
 		if !reached {
 			end.State, end.Outcomes, end.RetryAfter = history.Abandoned, nil, 0
 		}
-		end.At = e.of.log.RunTime(at)
-		e.of.log.Add(end)
+		end.At = e.partner.log.RunTime(at)
+		e.partner.log.Add(end)
 	})
 }
 
 // connQueue is a net.Listener that accepts the connections put into it.
-type feed struct {
+type connQueue struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func newFeed() *feed { return &feed{conns: make(chan net.Conn), done: make(chan struct{})} }
+func newConnQueue() *connQueue {
+	return &connQueue{conns: make(chan net.Conn), done: make(chan struct{})}
+}
 
-func (f *feed) give(ctx context.Context, nc net.Conn) bool {
+func (f *connQueue) put(ctx context.Context, nc net.Conn) bool {
 	select {
 	case f.conns <- nc:
 		return true
@@ -451,7 +453,7 @@
 	return false
 }
 
-func (f *feed) Accept() (net.Conn, error) {
+func (f *connQueue) Accept() (net.Conn, error) {
 	select {
 	case nc := <-f.conns:
 		return nc, nil
@@ -460,9 +462,9 @@
 	}
 }
 
-func (f *feed) Close() error {
+func (f *connQueue) Close() error {
 	f.once.Do(func() { close(f.done) })
 	return nil
 }
 
-func (f *feed) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (f *connQueue) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
--- a/internal/lab/standin/platform.go
+++ b/internal/lab/standin/platform.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	heartbeat    = 2 * time.Second
-	countsAsTold = 6 * time.Second         // after this time a change counts as announced, whether it arrived or not
-	oldAgent     = 1500 * time.Millisecond // how long the connections to an agent's old address stay open
+	heartbeatInterval = 2 * time.Second
+	announcedAfter    = 6 * time.Second         // after this time a change counts as announced, whether it arrived or not
+	oldAddressGrace   = 1500 * time.Millisecond // how long the connections to an agent's old address stay open
 )
 
 // Member and List are the formats of discovery.
@@ -36,7 +36,7 @@
 	at       time.Duration
 	revision int64
 	member   Member // its Addr is filled in for each node
-	addr     func(node int) string
+	addrFor  func(node int) string
 }
 
 // Platform stands in for discovery and receives notices. Each node has an agent that learns of changes with a
@@ -47,8 +47,8 @@
 
 	mu      sync.Mutex
 	changes []change
-	present map[string]change // the platform's own state, by endpoint
-	news    chan struct{}     // closed when that state changes
+	current map[string]change // the platform's own state, by endpoint
+	changed chan struct{}     // closed when that state changes
 }
 
 // Agent is the part of the platform on one node's machine.
@@ -56,38 +56,38 @@
 	platform *Platform
 	node     int
 	delay    func() time.Duration
-	heard    func(id, state string, after time.Duration) // called for each notice
+	onNotice func(id, state string, after time.Duration) // called for each notice
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
 
-	mu      sync.Mutex
-	known   []change // in the order in which it learned of them
-	news    chan struct{}
-	extra   time.Duration // added to the delay
-	silent  bool
-	woken   chan struct{} // closed when the silence ends
-	srv     *http.Server
-	addr    string
-	told    int64 // the last revision recorded as announced
-	closers []*http.Server
-	quiet   bool              // a directory announces changes to the node in place of the agent
-	seen    map[string]string // the phases that the directory has announced
+	mu                 sync.Mutex
+	known              []change // in the order in which it learned of them
+	changed            chan struct{}
+	extraDelay         time.Duration // added to the delay
+	silent             bool
+	silenceEnded       chan struct{} // closed when the silence ends
+	server             *http.Server
+	addr               string
+	lastAnnounced      int64 // the last revision recorded as announced
+	servers            []*http.Server
+	directoryAnnounces bool              // a directory announces changes to the node in place of the agent
+	announcedPhases    map[string]string // the phases that the directory has announced
 }
 
 // NewPlatform creates a platform for the given number of nodes. Each node's agent learns of a change after a
 // delay drawn from the seed; onNotice is called for each notice of a node.
-func NewPlatform(nodes int, low, high time.Duration, seed uint64, log *observe.Log, heard func(node int, id, state string, after time.Duration)) *Platform {
-	p := &Platform{log: log, present: map[string]change{}, news: make(chan struct{})}
+func NewPlatform(nodes int, low, high time.Duration, seed uint64, log *observe.Log, onNotice func(node int, id, state string, after time.Duration)) *Platform {
+	p := &Platform{log: log, current: map[string]change{}, changed: make(chan struct{})}
 	for n := range nodes {
 		r := rand.New(rand.NewPCG(seed, uint64(n)))
 		ctx, cancel := context.WithCancel(context.Background())
 		a := &Agent{
-			platform: p, node: n, cancel: cancel, news: make(chan struct{}), woken: make(chan struct{}),
-			delay: func() time.Duration { return low + time.Duration(r.Float64()*float64(high-low)) },
-			heard: func(id, state string, after time.Duration) { heard(n, id, state, after) },
+			platform: p, node: n, cancel: cancel, changed: make(chan struct{}), silenceEnded: make(chan struct{}),
+			delay:    func() time.Duration { return low + time.Duration(r.Float64()*float64(high-low)) },
+			onNotice: func(id, state string, after time.Duration) { onNotice(n, id, state, after) },
 		}
 		p.agents = append(p.agents, a)
-		a.wg.Go(func() { a.follow(ctx) })
+		a.wg.Go(func() { a.followPlatform(ctx) })
 	}
 	return p
 }
@@ -99,22 +99,22 @@
 // the start of a run.
 func (p *Platform) PutMember(m Member, addr func(node int) string, atOnce bool) {
 	p.mu.Lock()
-	c := change{at: p.log.Now(), revision: int64(len(p.changes) + 1), member: m, addr: addr}
+	c := change{at: p.log.Now(), revision: int64(len(p.changes) + 1), member: m, addrFor: addr}
 	if addr == nil {
-		c.addr = p.present[m.ID].addr
+		c.addrFor = p.current[m.ID].addrFor
 	}
 	p.changes = append(p.changes, c)
 	if m.Phase == history.Deleted {
-		delete(p.present, m.ID)
+		delete(p.current, m.ID)
 	} else {
-		p.present[m.ID] = c
+		p.current[m.ID] = c
 	}
-	close(p.news)
-	p.news = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 	p.mu.Unlock()
 	for _, a := range p.agents {
 		if atOnce {
-			a.learn([]change{c})
+			a.takeOver([]change{c})
 		}
 		a.wake()
 	}
@@ -127,7 +127,7 @@
 	}
 }
 
-func (p *Platform) from(i int) []change {
+func (p *Platform) changesFrom(i int) []change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.changes[min(i, len(p.changes)):])
@@ -137,11 +137,11 @@
 func (a *Agent) wake() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func (a *Agent) learn(changes []change) {
+func (a *Agent) takeOver(changes []change) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, c := range changes {
@@ -152,36 +152,36 @@
 }
 
 // followPlatform takes over changes from the platform in order, each after its delay.
-func (a *Agent) follow(ctx context.Context) {
-	drawn, late := int64(0), time.Duration(0)
+func (a *Agent) followPlatform(ctx context.Context) {
+	drawnFor, delay := int64(0), time.Duration(0)
 	for {
 		a.mu.Lock()
-		have, news, silent, extra := len(a.known), a.news, a.silent, a.extra
+		knownCount, changed, silent, extra := len(a.known), a.changed, a.silent, a.extraDelay
 		a.mu.Unlock()
-		next := a.platform.from(have)
+		next := a.platform.changesFrom(knownCount)
 		wait := time.Hour
 		if len(next) > 0 {
 			c := next[0]
-			if drawn != c.revision {
-				drawn, late = c.revision, a.delay()
+			if drawnFor != c.revision {
+				drawnFor, delay = c.revision, a.delay()
 			}
-			due := c.at + late + extra
+			due := c.at + delay + extra
 			wait = time.Until(a.platform.log.WallTime(due))
 			if wait <= 0 && !silent {
-				a.learn(next[:1])
-				a.tell(c, a.platform.log.Now())
+				a.takeOver(next[:1])
+				a.announce(c, a.platform.log.Now())
 				a.wake()
 				continue
 			}
 			if silent {
 				wait = time.Hour
 			}
-			wait = min(wait, a.force(next))
+			wait = min(wait, a.announceOverdue(next))
 		}
 		t := time.NewTimer(max(wait, time.Millisecond))
 		select {
 		case <-t.C:
-		case <-news:
+		case <-changed:
 		case <-ctx.Done():
 			t.Stop()
 			return
@@ -192,28 +192,28 @@
 
 // announceOverdue records as announced each change that counts as such by now, whether it arrived or not. It
 // returns the time until the next change becomes overdue.
-func (a *Agent) force(changes []change) time.Duration {
+func (a *Agent) announceOverdue(changes []change) time.Duration {
 	now := a.platform.log.Now()
 	for _, c := range changes {
-		if by := c.at + countsAsTold; by > now {
-			return by - now
+		if overdueAt := c.at + announcedAfter; overdueAt > now {
+			return overdueAt - now
 		}
-		a.tell(c, c.at+countsAsTold)
+		a.announce(c, c.at+announcedAfter)
 	}
 	return time.Hour
 }
 
 // announce records once that a change was announced.
-func (a *Agent) tell(c change, at time.Duration) {
+func (a *Agent) announce(c change, at time.Duration) {
 	a.mu.Lock()
-	if a.quiet {
+	if a.directoryAnnounces {
 		a.mu.Unlock()
 		return
 	}
-	before := a.told >= c.revision
-	a.told = max(a.told, c.revision)
+	already := a.lastAnnounced >= c.revision
+	a.lastAnnounced = max(a.lastAnnounced, c.revision)
 	a.mu.Unlock()
-	if !before {
+	if !already {
 		a.platform.log.Add(history.Event{
 			Kind: history.ChangeAnnounced, Node: a.node, Partner: c.member.Cell, Endpoint: c.member.ID, State: c.member.Phase, At: max(at, 1),
 		})
@@ -223,7 +223,7 @@
 // SetExtraDelay sets a time that is added to the delay of every change.
 func (a *Agent) SetExtraDelay(extra time.Duration) {
 	a.mu.Lock()
-	a.extra = extra
+	a.extraDelay = extra
 	a.mu.Unlock()
 	a.wake()
 }
@@ -232,8 +232,8 @@
 func (a *Agent) SetSilent(on bool) {
 	a.mu.Lock()
 	if a.silent && !on {
-		close(a.woken)
-		a.woken = make(chan struct{})
+		close(a.silenceEnded)
+		a.silenceEnded = make(chan struct{})
 	}
 	a.silent = on
 	a.mu.Unlock()
@@ -244,11 +244,11 @@
 func (a *Agent) FullList() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.whole()
+	return a.fullList()
 }
 
 // fullList returns the full list. The caller holds the lock.
-func (a *Agent) whole() List {
+func (a *Agent) fullList() List {
 	at := map[string]change{}
 	for _, c := range a.known {
 		at[c.member.ID] = c
@@ -256,24 +256,24 @@
 	l := List{Revision: int64(len(a.known)), Complete: true, Members: []Member{}}
 	for _, c := range at {
 		if c.member.Phase != history.Deleted {
-			l.Members = append(l.Members, a.member(c))
+			l.Members = append(l.Members, a.localMember(c))
 		}
 	}
 	slices.SortFunc(l.Members, func(x, y Member) int { return cmp.Compare(x.ID, y.ID) })
 	return l
 }
 
-func (a *Agent) member(c change) Member {
+func (a *Agent) localMember(c change) Member {
 	m := c.member
-	m.Addr = c.addr(a.node)
+	m.Addr = c.addrFor(a.node)
 	return m
 }
 
 // changesSince returns the changes after a revision, or the full list if the revision is unknown. The caller
 // holds the lock.
-func (a *Agent) since(after int64) List {
+func (a *Agent) changesSince(after int64) List {
 	if after < 0 || after > int64(len(a.known)) {
-		return a.whole()
+		return a.fullList()
 	}
 	l := List{Revision: int64(len(a.known)), Members: []Member{}}
 	last := map[string]int{}
@@ -282,7 +282,7 @@
 	}
 	for i, c := range a.known[after:] {
 		if last[c.member.ID] == i {
-			l.Members = append(l.Members, a.member(c))
+			l.Members = append(l.Members, a.localMember(c))
 		}
 	}
 	return l
@@ -293,21 +293,21 @@
 func (a *Agent) Listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("discovery of node %d: %w", a.node, err)
+		return fmt.Errorf("listen for discovery of node %d: %w", a.node, err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /registry/instances", a.list)
-	mux.HandleFunc("POST /reports", a.reports)
+	mux.HandleFunc("GET /registry/instances", a.handleList)
+	mux.HandleFunc("POST /reports", a.handleReports)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 30 * time.Second}
 	a.mu.Lock()
-	old := a.srv
-	a.srv, a.addr = srv, ln.Addr().String()
-	a.closers = append(a.closers, srv)
+	old := a.server
+	a.server, a.addr = srv, ln.Addr().String()
+	a.servers = append(a.servers, srv)
 	a.mu.Unlock()
 	a.wg.Go(func() { srv.Serve(ln) })
 	if old != nil {
 		a.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), oldAgent)
+			ctx, cancel := context.WithTimeout(context.Background(), oldAddressGrace)
 			defer cancel()
 			old.Shutdown(ctx) // closes the listener at once
 			old.Close()
@@ -326,7 +326,7 @@
 func (a *Agent) close() {
 	a.cancel()
 	a.mu.Lock()
-	servers := a.closers
+	servers := a.servers
 	a.mu.Unlock()
 	for _, s := range servers {
 		s.Close()
@@ -335,24 +335,24 @@
 }
 
 // awaitSpeaking waits while the agent is silent. It returns false if the context ends first.
-func (a *Agent) speak(ctx context.Context) bool {
+func (a *Agent) awaitSpeaking(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
-		silent, woken := a.silent, a.woken
+		silent, ended := a.silent, a.silenceEnded
 		a.mu.Unlock()
 		if !silent {
 			return true
 		}
 		select {
-		case <-woken:
+		case <-ended:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-func (a *Agent) list(w http.ResponseWriter, req *http.Request) {
-	if !a.speak(req.Context()) {
+func (a *Agent) handleList(w http.ResponseWriter, req *http.Request) {
+	if !a.awaitSpeaking(req.Context()) {
 		return
 	}
 	enc := json.NewEncoder(w)
@@ -365,29 +365,29 @@
 	if err != nil {
 		after = -1
 	}
-	flush := http.NewResponseController(w)
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	controller := http.NewResponseController(w)
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	first := true
 	for {
-		if !a.speak(req.Context()) {
+		if !a.awaitSpeaking(req.Context()) {
 			return
 		}
 		a.mu.Lock()
-		l, news := a.since(after), a.news
+		l, changed := a.changesSince(after), a.changed
 		a.mu.Unlock()
 		if first || len(l.Members) > 0 {
-			if enc.Encode(l) != nil || flush.Flush() != nil {
+			if enc.Encode(l) != nil || controller.Flush() != nil {
 				return
 			}
 			after, first = l.Revision, false
 		}
 		select {
-		case <-news:
-		case <-beat.C:
-			if a.speak(req.Context()) {
+		case <-changed:
+		case <-heartbeat.C:
+			if a.awaitSpeaking(req.Context()) {
 				io.WriteString(w, "\n")
-				if flush.Flush() != nil {
+				if controller.Flush() != nil {
 					return
 				}
 			}
@@ -397,9 +397,9 @@
 	}
 }
 
-func (a *Agent) reports(w http.ResponseWriter, req *http.Request) {
+func (a *Agent) handleReports(w http.ResponseWriter, req *http.Request) {
 	raw, err := io.ReadAll(io.LimitReader(req.Body, 4*maxBody))
-	if err != nil || !a.take(raw) {
+	if err != nil || !a.recordNotices(raw) {
 		http.Error(w, "unreadable", http.StatusBadRequest)
 		return
 	}
@@ -407,7 +407,7 @@
 }
 
 // recordNotices records the notices of a request body: all of them, or none if one can't be read.
-func (a *Agent) take(raw []byte) bool {
+func (a *Agent) recordNotices(raw []byte) bool {
 	type notice struct {
 		ID    string  `json:"id"`
 		State string  `json:"state"`
@@ -427,7 +427,7 @@
 	for _, n := range all {
 		after := time.Duration(n.After * float64(time.Millisecond))
 		a.platform.log.Add(history.Event{Kind: history.NoticeReceived, Node: a.node, Partner: -1, ID: n.ID, State: n.State, RetryAfter: after})
-		a.heard(n.ID, n.State, after)
+		a.onNotice(n.ID, n.State, after)
 	}
 	return true
 }
@@ -436,7 +436,7 @@
 func (a *Agent) DelegateToDirectory() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.quiet = true
+	a.directoryAnnounces = true
 }
 
 // Members returns the platform's own list, with addresses as seen by node 0, and a channel that is closed
@@ -445,11 +445,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var all []Member
-	for _, c := range p.present {
+	for _, c := range p.current {
 		m := c.member
-		m.Addr = c.addr(0)
+		m.Addr = c.addrFor(0)
 		all = append(all, m)
 	}
 	slices.SortFunc(all, func(x, y Member) int { return cmp.Compare(x.ID, y.ID) })
-	return all, p.news
+	return all, p.changed
 }
--- a/internal/lab/standin/window.go
+++ b/internal/lab/standin/window.go
@@ -19,33 +19,33 @@
 // the addresses of endpoints with those at which the node reaches them, and records what was announced to the
 // node. If the replica is down, the proxy's answers break off too.
 type DirectoryProxy struct {
-	agent  *Agent
-	addr   string // of the replica
-	client *http.Client
-	srv    *http.Server
-	life   context.Context
-	end    context.CancelFunc
-	wg     sync.WaitGroup
+	agent       *Agent
+	replicaAddr string // of the replica
+	client      *http.Client
+	server      *http.Server
+	ctx         context.Context
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
 }
 
 // StartDirectoryProxy starts a proxy at an address. Notices that the replica has accepted are passed to the
 // node's agent.
-func StartDirectoryProxy(a *Agent, at, replica string) (*DirectoryProxy, error) {
-	ln, err := net.Listen("tcp", at)
+func StartDirectoryProxy(a *Agent, addr, replica string) (*DirectoryProxy, error) {
+	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("directory of node %d: %w", a.node, err)
+		return nil, fmt.Errorf("listen for directory of node %d: %w", a.node, err)
 	}
-	w := &DirectoryProxy{agent: a, addr: replica, client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
-	w.life, w.end = context.WithCancel(context.Background())
-	w.srv = &http.Server{Handler: w, ReadHeaderTimeout: 30 * time.Second, BaseContext: func(net.Listener) context.Context { return w.life }}
-	w.wg.Go(func() { w.srv.Serve(ln) })
+	w := &DirectoryProxy{agent: a, replicaAddr: replica, client: &http.Client{Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true}}}
+	w.ctx, w.cancel = context.WithCancel(context.Background())
+	w.server = &http.Server{Handler: w, ReadHeaderTimeout: 30 * time.Second, BaseContext: func(net.Listener) context.Context { return w.ctx }}
+	w.wg.Go(func() { w.server.Serve(ln) })
 	return w, nil
 }
 
 // Close stops the proxy.
 func (w *DirectoryProxy) Close() {
-	w.end()
-	w.srv.Close()
+	w.cancel()
+	w.server.Close()
 	w.wg.Wait()
 	w.client.CloseIdleConnections()
 }
@@ -56,7 +56,7 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	next, err := http.NewRequestWithContext(req.Context(), req.Method, "http://"+w.addr+req.URL.RequestURI(), bytes.NewReader(body))
+	next, err := http.NewRequestWithContext(req.Context(), req.Method, "http://"+w.replicaAddr+req.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -71,24 +71,24 @@
 		}
 	}
 	if req.Method == http.MethodPost && resp.StatusCode/100 == 2 {
-		w.agent.take(body)
+		w.agent.recordNotices(body)
 	}
 	out.WriteHeader(resp.StatusCode)
 	if resp.StatusCode != http.StatusOK || req.Method != http.MethodGet {
 		io.Copy(out, resp.Body)
 		return
 	}
-	flush := http.NewResponseController(out)
+	controller := http.NewResponseController(out)
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, 16<<20)
 	for lines.Scan() {
 		line := lines.Bytes()
 		if len(bytes.TrimSpace(line)) > 0 {
-			if line = w.agent.translate(line); line == nil {
+			if line = w.agent.translateList(line); line == nil {
 				panic(http.ErrAbortHandler)
 			}
 		}
-		if _, err := out.Write(append(bytes.Clone(line), '\n')); err != nil || flush.Flush() != nil {
+		if _, err := out.Write(append(bytes.Clone(line), '\n')); err != nil || controller.Flush() != nil {
 			return
 		}
 	}
@@ -98,38 +98,38 @@
 }
 
 // translateList replaces the addresses in a list with the node's own, and records what the list announces.
-func (a *Agent) translate(line []byte) []byte {
+func (a *Agent) translateList(line []byte) []byte {
 	var l List
 	if json.Unmarshal(line, &l) != nil {
 		return nil
 	}
 	now := a.platform.log.Now()
 	a.platform.mu.Lock()
-	at := map[string]func(int) string{}
+	addrByID := map[string]func(int) string{}
 	for _, c := range a.platform.changes {
-		at[c.member.ID] = c.addr
+		addrByID[c.member.ID] = c.addrFor
 	}
 	a.platform.mu.Unlock()
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for i := range l.Members {
 		m := &l.Members[i]
-		named[m.ID] = true
-		if addr := at[m.ID]; addr != nil {
+		listed[m.ID] = true
+		if addr := addrByID[m.ID]; addr != nil {
 			m.Addr = addr(a.node)
 		}
-		a.sees(m.ID, m.Cell, m.Phase, now)
+		a.recordPhase(m.ID, m.Cell, m.Phase, now)
 	}
 	if l.Complete {
 		a.mu.Lock()
 		var gone []string
-		for id := range a.seen {
-			if !named[id] {
+		for id := range a.announcedPhases {
+			if !listed[id] {
 				gone = append(gone, id)
 			}
 		}
 		a.mu.Unlock()
 		for _, id := range gone {
-			a.sees(id, -1, history.Deleted, now)
+			a.recordPhase(id, -1, history.Deleted, now)
 		}
 	}
 	raw, err := json.Marshal(l)
@@ -141,15 +141,15 @@
 
 // recordPhase records that an endpoint's phase is announced to the node, if it differs from the one announced
 // last.
-func (a *Agent) sees(id string, cell int, phase string, at time.Duration) {
+func (a *Agent) recordPhase(id string, partnerNumber int, phase string, at time.Duration) {
 	a.mu.Lock()
-	if a.seen == nil {
-		a.seen = map[string]string{}
+	if a.announcedPhases == nil {
+		a.announcedPhases = map[string]string{}
 	}
-	before := a.seen[id]
-	a.seen[id] = phase
+	before := a.announcedPhases[id]
+	a.announcedPhases[id] = phase
 	a.mu.Unlock()
 	if before != phase {
-		a.platform.log.Add(history.Event{Kind: history.ChangeAnnounced, Node: a.node, Partner: cell, Endpoint: id, State: phase, At: max(at, 1)})
+		a.platform.log.Add(history.Event{Kind: history.ChangeAnnounced, Node: a.node, Partner: partnerNumber, Endpoint: id, State: phase, At: max(at, 1)})
 	}
 }
