--- a/internal/lab/relay/relay.go
+++ b/internal/lab/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay stands on a link between two processes and gives it weather: delay, loss, cuts, silence, resets, a cap
-// on its rate. A TCP link passes connections on, a UDP link datagrams.
+// Package relay puts a proxy on the link between two processes and imposes network conditions on it: delay,
+// loss, cuts, swallowed answers, resets and a limited rate. A TCP link forwards connections, a UDP link
+// forwards datagrams.
 package relay
 
 import (
@@ -16,58 +17,60 @@
 	"golang.org/x/sys/unix"
 )
 
-// Weather is what a link does to what passes. The zero value passes all at once.
+// Conditions tells what a link does to the data that passes. The zero value forwards everything without
+// delay.
 type Conditions struct {
-	Delay          time.Duration // one way
-	Jitter         float64       // of the delay, evenly up to this share more
-	Loss           float64       // share of pieces: over TCP they come resendAfter later, over UDP never
-	BytesPerSecond float64       // bytes a second of each connection and way; 0: any
-	CutOutbound    bool          // nothing passes from the one who dials, new connections included
-	CutReturn      bool          // nothing passes back to it
-	CutReturnShare float64       // share of connections whose way back is cut
+	Delay          time.Duration // in each direction
+	Jitter         float64       // adds up to this share of the delay, uniformly distributed
+	Loss           float64       // share of chunks: over TCP they arrive resendDelay later, over UDP never
+	BytesPerSecond float64       // of each connection in each direction; 0: unlimited
+	CutOutbound    bool          // nothing passes from the client to the server, new connections included
+	CutReturn      bool          // nothing passes from the server to the client
+	CutReturnShare float64       // share of connections whose return direction is cut
 }
 
 const (
-	resendAfter = 200 * time.Millisecond // of TCP's first time-out
-	maxPiece    = 16 << 10
-	maxPieces   = 64 // on the way, of a connection's one direction
-	acceptQueue = 1024
+	resendDelay       = 200 * time.Millisecond // as with the first retransmission timeout of TCP
+	maxChunkBytes     = 16 << 10
+	maxChunksInFlight = 64 // in flight in one direction of a connection
+	acceptQueue       = 1024
 
-	tcpClose   = 7                    // TCP_CLOSE of the kernel's states
-	crossSlack = 5 * time.Millisecond // in which an end that left an answer unread may have crossed it
+	tcpStateClose = 7                    // state TCP_CLOSE of the kernel
+	closeSlack    = 5 * time.Millisecond // a reset this soon after an answer was written counts as sent before the answer arrived
 
 	fillerTimeout = 30 * time.Millisecond // of a dial that the full queue leaves without an answer
 )
 
-// fillerIP is where a filler comes from, which is how it is told from others.
+// fillerIP is the source address of fillers, by which they are recognized.
 var fillerIP = net.IPv4(127, 255, 255, 2)
 
-// Link listens at one address and passes each connection on to where dial leads. Close ends it and all that it holds.
+// Link listens at one address and forwards each connection to the server that dial connects to. Close ends
+// the link and all its connections.
 type Link struct {
-	addr string
-	dial func(context.Context, *Connection) (net.Conn, error)
-	late func(time.Duration) // is told how late each piece left; may be nil
+	addr   string
+	dial   func(context.Context, *Connection) (net.Conn, error)
+	onLate func(time.Duration) // called with the lateness of each chunk; may be nil
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu         sync.Mutex
-	ln         *net.TCPListener // nil while connections are refused
-	held       bool             // connections neither come up nor are refused
-	conditions Conditions
-	changed    chan struct{} // closed at each change of weather
-	pairs      map[*Connection]bool
-	filler     net.Conn // it keeps the accept queue full
-	rand       *rand.Rand
+	mu          sync.Mutex
+	listener    *net.TCPListener // nil while connections are refused
+	held        bool             // new connections are neither accepted nor refused
+	conditions  Conditions
+	changed     chan struct{} // closed at each change of the conditions
+	connections map[*Connection]bool
+	filler      net.Conn // keeps the accept queue full
+	rand        *rand.Rand
 }
 
-// Listen makes a link. Its address is host:port; where dial leads is asked for each connection. The seed is for jitter
+// Listen creates a link. The address is host:port. dial is called for each connection. The seed is for jitter
 // and loss.
-func Listen(addr string, seed uint64, dial func(context.Context, *Connection) (net.Conn, error), late func(time.Duration)) (*Link, error) {
+func Listen(addr string, seed uint64, dial func(context.Context, *Connection) (net.Conn, error), onLate func(time.Duration)) (*Link, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Link{
-		addr: addr, dial: dial, late: late, ctx: ctx, cancel: cancel, changed: make(chan struct{}), pairs: map[*Connection]bool{},
+		addr: addr, dial: dial, onLate: onLate, ctx: ctx, cancel: cancel, changed: make(chan struct{}), connections: map[*Connection]bool{},
 		rand: rand.New(rand.NewPCG(seed, 1)),
 	}
 	l.mu.Lock()
@@ -79,7 +82,7 @@
 	return l, nil
 }
 
-// To leads to a TCP address.
+// DialTo returns a dial function that connects to a TCP address.
 func DialTo(addr string) func(context.Context, *Connection) (net.Conn, error) {
 	return func(ctx context.Context, _ *Connection) (net.Conn, error) {
 		var d net.Dialer
@@ -87,18 +90,18 @@
 	}
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the link listens.
 func (l *Link) Addr() string { return l.addr }
 
-// listen opens the listener; the lock is held.
+// listen opens the listener. The caller holds the lock.
 func (l *Link) listen() error {
 	ln, err := net.Listen("tcp", l.addr)
 	if err != nil {
-		return fmt.Errorf("link: %w", err)
+		return fmt.Errorf("listen on link: %w", err)
 	}
-	l.ln = ln.(*net.TCPListener)
+	l.listener = ln.(*net.TCPListener)
 	l.addr = ln.Addr().String()
-	l.wg.Go(func() { l.accept(l.ln) })
+	l.wg.Go(func() { l.accept(l.listener) })
 	return nil
 }
 
@@ -123,7 +126,7 @@
 			nc.Close()
 			continue
 		}
-		l.wg.Go(func() { l.pass(nc.(*net.TCPConn)) })
+		l.wg.Go(func() { l.forward(nc.(*net.TCPConn)) })
 	}
 }
 
@@ -133,55 +136,58 @@
 	return l.changed, l.held
 }
 
-// Set changes the weather.
-func (l *Link) SetConditions(w Conditions) {
+// SetConditions changes the conditions.
+func (l *Link) SetConditions(conditions Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.conditions = w
-	cut := w.CutOutbound || w.CutReturn
-	if cut != l.held {
-		l.hold(cut)
+	l.conditions = conditions
+	anyCut := conditions.CutOutbound || conditions.CutReturn
+	if anyCut != l.held {
+		l.setHeld(anyCut)
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// hold lets new connections neither come up nor be refused, as on a path that is cut: the accept queue is kept full,
-// so that the kernel drops what asks for a connection, and those asking ask again a second later. The lock is held.
-func (l *Link) hold(on bool) {
-	l.held = on
-	if l.ln == nil {
+// setHeld makes the listener neither accept nor refuse new connections, as on a path that is cut. The accept
+// queue is kept full, so that the kernel drops connection requests, and clients repeat them a second later.
+// The caller holds the lock.
+func (l *Link) setHeld(held bool) {
+	l.held = held
+	if l.listener == nil {
 		return
 	}
-	raw, err := l.ln.SyscallConn()
+	raw, err := l.listener.SyscallConn()
 	if err != nil {
 		return
 	}
 	backlog := acceptQueue
-	if on {
+	if held {
 		backlog = 0
 	}
 	raw.Control(func(fd uintptr) {
-		if !on {
+		if !held {
 			resetQueued(int(fd))
 		}
 		syscall.Listen(int(fd), backlog)
 	})
-	if !on {
-		l.ln.SetDeadline(time.Time{})
-		l.dropFiller()
+	if !held {
+		l.listener.SetDeadline(time.Time{})
+		l.closeFiller()
 		return
 	}
-	l.ln.SetDeadline(time.Unix(1, 0))
-	// One fills a queue of no length. Without it the queue is full already: somebody else has slipped in.
+	l.listener.SetDeadline(time.Unix(1, 0))
+	// A queue of length zero is filled by one connection. If the dial fails, another connection is in the
+	// queue already.
 	d := net.Dialer{Timeout: fillerTimeout, LocalAddr: &net.TCPAddr{IP: fillerIP}}
-	if c, err := d.DialContext(l.ctx, "tcp", l.ln.Addr().String()); err == nil {
+	if c, err := d.DialContext(l.ctx, "tcp", l.listener.Addr().String()); err == nil {
 		l.filler = c
 	}
 }
 
-// resetQueued resets the connections that wait in a listener's queue. One may have slipped in just as the path was cut:
-// when its bytes came can't be told, and they must not pass as news once the path is whole.
+// resetQueued resets the connections that wait in a listener's accept queue. A connection may enter the queue
+// just when the path is cut. When its data arrived is unknown, and that data must not be forwarded once the
+// path is restored.
 func resetQueued(fd int) {
 	for {
 		nfd, _, err := syscall.Accept4(fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
@@ -193,355 +199,360 @@
 	}
 }
 
-// dropFiller ends it; the lock is held.
-func (l *Link) dropFiller() {
+// closeFiller closes the filler. The caller holds the lock.
+func (l *Link) closeFiller() {
 	if l.filler != nil {
 		l.filler.Close()
 		l.filler = nil
 	}
 }
 
-// Refuse closes the address, or opens it again. Open connections stay.
-func (l *Link) SetRefusing(on bool) error {
+// SetRefusing closes the address, or opens it again. Open connections stay.
+func (l *Link) SetRefusing(refusing bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case on && l.ln != nil:
-		l.ln.Close()
-		l.ln = nil
-	case !on && l.ln == nil && l.ctx.Err() == nil:
+	case refusing && l.listener != nil:
+		l.listener.Close()
+		l.listener = nil
+	case !refusing && l.listener == nil && l.ctx.Err() == nil:
 		if err := l.listen(); err != nil {
 			return err
 		}
 		if l.held {
-			l.hold(true)
+			l.setHeld(true)
 		}
 	}
 	return nil
 }
 
-// Reset breaks all open connections.
+// ResetConnections resets all open connections.
 func (l *Link) ResetConnections() {
-	for _, p := range l.open() {
-		p.Reset()
+	for _, c := range l.openConnections() {
+		c.Reset()
 	}
 }
 
-func (l *Link) open() []*Connection {
+func (l *Link) openConnections() []*Connection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make([]*Connection, 0, len(l.pairs))
-	for p := range l.pairs {
-		out = append(out, p)
+	out := make([]*Connection, 0, len(l.connections))
+	for c := range l.connections {
+		out = append(out, c)
 	}
 	return out
 }
 
-// Close ends the link and returns when nothing of it is left.
+// Close closes the link and returns when all its goroutines have ended.
 func (l *Link) Close() {
 	l.cancel()
 	l.mu.Lock()
-	if l.ln != nil {
-		l.ln.Close()
-		l.ln = nil
+	if l.listener != nil {
+		l.listener.Close()
+		l.listener = nil
 	}
-	l.dropFiller()
+	l.closeFiller()
 	l.mu.Unlock()
 	l.ResetConnections()
 	l.wg.Wait()
 }
 
-// piece is something on its way.
-type piece struct {
+// chunk is a piece of data in flight.
+type chunk struct {
 	data []byte
 	due  time.Time
-	end  bool // the sender has ended
+	end  bool // end of the stream
 }
 
-// Pair is one connection and its continuation.
+// Connection is a relayed connection: the client's connection to the link, and the one from the link to the
+// server.
 type Connection struct {
-	link    *Link
-	near    *net.TCPConn // of the one who dialed
-	far     net.Conn
-	swallow float64 // drawn once, against the weather's
-	gone    chan struct{}
-	once    sync.Once
-
-	mu        sync.Mutex
-	quiet     bool      // nothing has come from near since something last went back to it
-	began     time.Time // when something did
-	nearEnded time.Time
-	nearReset time.Time // the same, if it left something unread
-	back      int64     // bytes that far has written,
-	reached   int64     // and of those the ones that near was sent
-	waiting   []waiter
-}
-
-type waiter struct {
+	link          *Link
+	client        *net.TCPConn // the side that dialed
+	server        net.Conn
+	cutReturnDraw float64 // drawn once; the return direction is cut if it is below CutReturnShare
+	closed        chan struct{}
+	once          sync.Once
+
+	mu               sync.Mutex
+	awaitingRequest  bool      // nothing has arrived from the client since data was last sent to it
+	requestStartedAt time.Time // when the first data of the last request arrived
+	clientClosedAt   time.Time
+	clientResetAt    time.Time // when the client closed the connection with unread data
+	written          int64     // bytes that the server has written
+	sent             int64     // how many of these were sent to the client
+	waiters          []deliveryWaiter
+}
+
+type deliveryWaiter struct {
 	upTo int64
-	tell func(at time.Time, reached bool)
+	done func(at time.Time, reached bool)
 }
 
-func (l *Link) pass(near *net.TCPConn) {
-	p := &Connection{link: l, near: near, gone: make(chan struct{}), quiet: true}
-	near.SetNoDelay(true)
+func (l *Link) forward(client *net.TCPConn) {
+	c := &Connection{link: l, client: client, closed: make(chan struct{}), awaitingRequest: true}
+	client.SetNoDelay(true)
 	l.mu.Lock()
-	p.swallow = l.rand.Float64()
+	c.cutReturnDraw = l.rand.Float64()
 	if l.ctx.Err() != nil {
 		l.mu.Unlock()
-		near.Close()
+		client.Close()
 		return
 	}
-	l.pairs[p] = true
+	l.connections[c] = true
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.pairs, p)
+		delete(l.connections, c)
 		l.mu.Unlock()
 	}()
-	far, err := l.dial(l.ctx, p)
+	server, err := l.dial(l.ctx, c)
 	if err != nil {
-		p.Reset()
+		c.Reset()
 		return
 	}
-	p.mu.Lock()
-	p.far = far
-	p.mu.Unlock()
+	c.mu.Lock()
+	c.server = server
+	c.mu.Unlock()
 	select {
-	case <-p.gone: // it was reset meanwhile
-		far.Close()
+	case <-c.closed: // it was reset in the meantime
+		server.Close()
 		return
 	default:
 	}
-	out, back := make(chan piece, maxPieces), make(chan piece, maxPieces)
+	out, back := make(chan chunk, maxChunksInFlight), make(chan chunk, maxChunksInFlight)
 	var pumps sync.WaitGroup
-	pumps.Go(func() { p.read(near, out, p.heard, p.ended) })
-	pumps.Go(func() { p.write(far, out, func(w Conditions) bool { return w.CutOutbound }, nil) })
-	pumps.Go(func() { p.read(far, back, nil, nil) })
+	pumps.Go(func() { c.read(client, out, c.recordRequest, c.recordClientClose) })
+	pumps.Go(func() { c.write(server, out, func(w Conditions) bool { return w.CutOutbound }, nil) })
+	pumps.Go(func() { c.read(server, back, nil, nil) })
 	pumps.Go(func() {
-		p.write(near, back, func(w Conditions) bool { return w.CutReturn || p.swallow < w.CutReturnShare }, p.sent)
+		c.write(client, back, func(w Conditions) bool { return w.CutReturn || c.cutReturnDraw < w.CutReturnShare }, c.recordSent)
 	})
 	pumps.Wait()
-	p.end(false)
+	c.end(false)
 }
 
-// end closes both sides, near with a reset if hard.
-func (p *Connection) end(hard bool) {
-	p.once.Do(func() {
-		if hard {
-			p.near.SetLinger(0)
+// end closes both sides. With reset, the client sees a reset.
+func (c *Connection) end(reset bool) {
+	c.once.Do(func() {
+		if reset {
+			c.client.SetLinger(0)
 		}
-		close(p.gone)
-		p.near.Close()
-		p.mu.Lock()
-		if p.far != nil {
-			p.far.Close()
+		close(c.closed)
+		c.client.Close()
+		c.mu.Lock()
+		if c.server != nil {
+			c.server.Close()
 		}
-		waiting := p.waiting
-		p.waiting = nil
+		waiting := c.waiters
+		c.waiters = nil
 		at := time.Now()
-		if !p.nearEnded.IsZero() {
-			at = p.nearEnded
+		if !c.clientClosedAt.IsZero() {
+			at = c.clientClosedAt
 		}
-		p.mu.Unlock()
+		c.mu.Unlock()
 		for _, w := range waiting {
-			w.tell(at, false)
+			w.done(at, false)
 		}
 	})
 }
 
-// Reset breaks the connection; the one who dialed sees a reset.
-func (p *Connection) Reset() { p.end(true) }
+// Reset resets the connection for the client.
+func (c *Connection) Reset() { c.end(true) }
 
-// Began is when the first byte came of what was sent last by the one who dialed.
-func (p *Connection) RequestStartedAt() time.Time {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.began
+// RequestStartedAt returns when the first byte of the client's last request arrived.
+func (c *Connection) RequestStartedAt() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requestStartedAt
 }
 
-// NearEnded is when the one who dialed ended the connection, as the link saw it; the zero time if it has not.
-func (p *Connection) ClientClosedAt() time.Time {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.nearEnded
+// ClientClosedAt returns when the client closed the connection, as seen by the link. It returns the zero time
+// if the client has not.
+func (c *Connection) ClientClosedAt() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.clientClosedAt
 }
 
-// WhenReached calls tell once all that far has written so far was sent to near, or the connection has ended without it.
-func (p *Connection) OnDelivered(tell func(at time.Time, reached bool)) {
-	p.mu.Lock()
+// OnDelivered calls done once everything that the server has written so far was sent to the client, or the
+// connection has ended before that.
+func (c *Connection) OnDelivered(done func(at time.Time, delivered bool)) {
+	c.mu.Lock()
 	select {
-	case <-p.gone:
-		at := p.nearEnded
-		p.mu.Unlock()
+	case <-c.closed:
+		at := c.clientClosedAt
+		c.mu.Unlock()
 		if at.IsZero() {
 			at = time.Now()
 		}
-		tell(at, false)
+		done(at, false)
 		return
 	default:
 	}
-	if p.reached >= p.back {
-		p.mu.Unlock()
-		tell(time.Now(), true)
+	if c.sent >= c.written {
+		c.mu.Unlock()
+		done(time.Now(), true)
 		return
 	}
-	p.waiting = append(p.waiting, waiter{p.back, tell})
-	p.mu.Unlock()
+	c.waiters = append(c.waiters, deliveryWaiter{c.written, done})
+	c.mu.Unlock()
 }
 
-func (p *Connection) heard(int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.quiet {
-		p.quiet, p.began = false, time.Now()
+func (c *Connection) recordRequest(int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.awaitingRequest {
+		c.awaitingRequest, c.requestStartedAt = false, time.Now()
 	}
 }
 
-func (p *Connection) ended() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.nearEnded.IsZero() {
-		p.nearEnded = time.Now()
+func (c *Connection) recordClientClose() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.clientClosedAt.IsZero() {
+		c.clientClosedAt = time.Now()
 	}
 }
 
-// Pipe makes the far side of a pair whose other end is served in this process: here is for the link, there for the one
-// who serves. Only such a pair can tell WhenReached.
-func (p *Connection) Pipe() (here, there net.Conn) {
-	here, there = net.Pipe()
-	return here, &counted{there, p}
+// Pipe creates the server side of a connection that is served in this process: linkEnd is for the link,
+// serverEnd for the server. OnDelivered works only for such connections.
+func (c *Connection) Pipe() (linkEnd, serverEnd net.Conn) {
+	linkEnd, serverEnd = net.Pipe()
+	return linkEnd, &countingConn{serverEnd, c}
 }
 
-// counted counts what is written before it can be read.
-type counted struct {
+// countingConn counts bytes before they are written, so that they are counted before they can be read.
+type countingConn struct {
 	net.Conn
-	of *Connection
+	connection *Connection
 }
 
-func (c *counted) Write(b []byte) (int, error) {
-	c.of.mu.Lock()
-	c.of.back += int64(len(b))
-	c.of.mu.Unlock()
+func (c *countingConn) Write(b []byte) (int, error) {
+	c.connection.mu.Lock()
+	c.connection.written += int64(len(b))
+	c.connection.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-// crossed tells that near had ended before what was just written came to it, though this is not known here yet: its
-// kernel has answered with a reset. One that had read all and ended then leaves the connection half closed.
-func (p *Connection) crossed() bool {
-	raw, err := p.near.SyscallConn()
+// closedBeforeDelivery reports whether the client had closed the connection before the data just written
+// arrived, even if the link doesn't know this yet: the client's kernel has then answered with a reset. A
+// client that closes after it has read everything leaves the connection half closed.
+func (c *Connection) closedBeforeDelivery() bool {
+	raw, err := c.client.SyscallConn()
 	if err != nil {
 		return true
 	}
 	closed := false
 	err = raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		closed = err != nil || info.State == tcpClose
+		closed = err != nil || info.State == tcpStateClose
 	})
 	if err != nil || !closed {
 		return err != nil
 	}
-	p.ended()
+	c.recordClientClose()
 	return true
 }
 
-// sending notes that something is about to be written to near, and tells whether near is still there. What comes from
-// there next is a new request, and may come before the write has returned here.
-func (p *Connection) sending() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.quiet = true
-	return p.nearEnded.IsZero()
+// prepareSend records that data is about to be written to the client, and reports whether the client still
+// has the connection open. The next data from the client is a new request, and may arrive before the write
+// has returned.
+func (c *Connection) prepareSend() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.awaitingRequest = true
+	return c.clientClosedAt.IsZero()
 }
 
-// sent notes that so much has been written to near, and whether near was still there when that began: it may well end
-// as soon as it has read the last of it.
-func (p *Connection) sent(n int, reached bool) {
+// recordSent records that n bytes were written to the client, and whether the connection was still open when
+// the write began: the client may well close it as soon as it has read the last byte.
+func (c *Connection) recordSent(n int, delivered bool) {
 	now := time.Now()
-	p.mu.Lock()
-	if !reached {
-		now = p.nearEnded
+	c.mu.Lock()
+	if !delivered {
+		now = c.clientClosedAt
 	}
-	p.reached += int64(n)
-	var due []waiter
-	for len(p.waiting) > 0 && p.waiting[0].upTo <= p.reached {
-		due = append(due, p.waiting[0])
-		p.waiting = p.waiting[1:]
+	c.sent += int64(n)
+	var due []deliveryWaiter
+	for len(c.waiters) > 0 && c.waiters[0].upTo <= c.sent {
+		due = append(due, c.waiters[0])
+		c.waiters = c.waiters[1:]
 	}
-	p.mu.Unlock()
+	c.mu.Unlock()
 	for _, w := range due {
-		if !reached {
-			w.tell(now, false)
+		if !delivered {
+			w.done(now, false)
 			continue
 		}
-		p.link.wg.Add(1) // the pump that calls this is counted there
-		time.AfterFunc(crossSlack, func() {
-			defer p.link.wg.Done()
-			p.settle(w, now)
+		c.link.wg.Add(1) // this function's caller holds a count of the wait group, so it is above zero
+		time.AfterFunc(closeSlack, func() {
+			defer c.link.wg.Done()
+			c.settle(w, now)
 		})
 	}
 }
 
-// settle tells of something that was written to near a moment ago: if near has left it unread and ended meanwhile, the
-// two have crossed, and whoever wrote it can't hold near to it.
-func (p *Connection) settle(w waiter, at time.Time) {
-	p.mu.Lock()
-	reset := p.nearReset
-	p.mu.Unlock()
-	if !reset.IsZero() && reset.Sub(at) < crossSlack {
-		w.tell(reset, false)
+// settle decides whether data written a moment ago was delivered. If the client has meanwhile closed the
+// connection with the data unread, its close and the data have crossed, and it is not expected to know the data.
+func (c *Connection) settle(waiting deliveryWaiter, at time.Time) {
+	c.mu.Lock()
+	reset := c.clientResetAt
+	c.mu.Unlock()
+	if !reset.IsZero() && reset.Sub(at) < closeSlack {
+		waiting.done(reset, false)
 		return
 	}
-	w.tell(at, true)
+	waiting.done(at, true)
 }
 
-// read takes pieces from one side until it ends.
-func (p *Connection) read(from net.Conn, to chan<- piece, seen func(int), ended func()) {
+// read reads chunks from one side until its end.
+func (c *Connection) read(from net.Conn, to chan<- chunk, onData func(int), onEnd func()) {
 	defer close(to)
-	buf := make([]byte, maxPiece)
+	buf := make([]byte, maxChunkBytes)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if seen != nil {
-				seen(n)
+			if onData != nil {
+				onData(n)
 			}
 			data := append([]byte(nil), buf[:n]...)
-			if !p.put(to, piece{data: data, due: p.link.due(n)}) {
+			if !c.put(to, chunk{data: data, due: c.link.arrivalTime(n)}) {
 				return
 			}
 		}
 		if err != nil {
-			if ended != nil {
-				ended()
+			if onEnd != nil {
+				onEnd()
 				if errors.Is(err, syscall.ECONNRESET) {
-					p.mu.Lock()
-					p.nearReset = time.Now()
-					p.mu.Unlock()
+					c.mu.Lock()
+					c.clientResetAt = time.Now()
+					c.mu.Unlock()
 				}
 			}
-			p.put(to, piece{end: true, due: p.link.due(0)})
+			c.put(to, chunk{end: true, due: c.link.arrivalTime(0)})
 			return
 		}
 	}
 }
 
-func (p *Connection) put(to chan<- piece, x piece) bool {
+func (c *Connection) put(to chan<- chunk, item chunk) bool {
 	select {
-	case to <- x:
+	case to <- item:
 		return true
-	case <-p.gone:
+	case <-c.closed:
 		return false
 	}
 }
 
-// due draws when a piece arrives.
-func (l *Link) due(size int) time.Time {
+// arrivalTime draws the time at which a chunk arrives.
+func (l *Link) arrivalTime(size int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.conditions
 	d := time.Duration(float64(w.Delay) * (1 + w.Jitter*l.rand.Float64()))
 	if w.Loss > 0 && l.rand.Float64() < w.Loss {
-		d += resendAfter
+		d += resendDelay
 	}
 	if w.BytesPerSecond > 0 {
 		d += time.Duration(float64(size) / w.BytesPerSecond * float64(time.Second))
@@ -549,51 +560,51 @@
 	return time.Now().Add(d)
 }
 
-// write gives pieces to the other side in their order, each when it is due and nothing cuts its way.
-func (p *Connection) write(to io.Writer, from <-chan piece, cut func(Conditions) bool, sent func(n int, reached bool)) {
-	defer p.end(false)
+// write writes chunks to the other side in order, each when it is due and its direction is not cut.
+func (c *Connection) write(to io.Writer, from <-chan chunk, cut func(Conditions) bool, onSent func(n int, delivered bool)) {
+	defer c.end(false)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	for x := range from {
+	for next := range from {
 		waited := false
-		if d := time.Until(x.due); d > 0 {
+		if d := time.Until(next.due); d > 0 {
 			timer.Reset(d)
 			select {
 			case <-timer.C:
-			case <-p.gone:
+			case <-c.closed:
 				return
 			}
 			waited = true
 		}
 		for {
-			p.link.mu.Lock()
-			w, changed := p.link.conditions, p.link.changed
-			p.link.mu.Unlock()
+			c.link.mu.Lock()
+			w, changed := c.link.conditions, c.link.changed
+			c.link.mu.Unlock()
 			if !cut(w) {
 				break
 			}
 			waited = false
 			select {
 			case <-changed:
-			case <-p.gone:
+			case <-c.closed:
 				return
 			}
 		}
-		if waited && p.link.late != nil {
-			p.link.late(time.Since(x.due))
+		if waited && c.link.onLate != nil {
+			c.link.onLate(time.Since(next.due))
 		}
-		if x.end {
+		if next.end {
 			return
 		}
-		there := true
-		if sent != nil {
-			there = p.sending()
+		open := true
+		if onSent != nil {
+			open = c.prepareSend()
 		}
-		if _, err := to.Write(x.data); err != nil {
+		if _, err := to.Write(next.data); err != nil {
 			return
 		}
-		if sent != nil {
-			sent(len(x.data), there && !p.crossed())
+		if onSent != nil {
+			onSent(len(next.data), open && !c.closedBeforeDelivery())
 		}
 	}
 }
--- a/internal/lab/relay/relay_test.go
+++ b/internal/lab/relay/relay_test.go
@@ -14,10 +14,10 @@
 	"go.uber.org/goleak"
 )
 
-const patience = 30 * time.Second // for what must happen; nothing is asserted of how fast
+const testTimeout = 30 * time.Second // for events that must happen; the tests make no assertion about speed
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+// startEcho starts a server that answers each line with the same line.
+func startEcho(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +48,7 @@
 	return ln.Addr().String()
 }
 
-func link(t *testing.T, target string) *Link {
+func newLink(t *testing.T, target string) *Link {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0", 1, DialTo(target), nil)
 	if err != nil {
@@ -60,24 +60,24 @@
 
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
-	nc, err := net.DialTimeout("tcp", addr, patience)
+	nc, err := net.DialTimeout("tcp", addr, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	return nc
 }
 
-func says(t *testing.T, nc net.Conn, line string) {
+func sendAndExpectEcho(t *testing.T, nc net.Conn, line string) {
 	t.Helper()
 	if _, err := io.WriteString(nc, line+"\n"); err != nil {
 		t.Fatal(err)
 	}
-	hears(t, nc, line)
+	expectLine(t, nc, line)
 }
 
-func hears(t *testing.T, nc net.Conn, line string) {
+func expectLine(t *testing.T, nc net.Conn, line string) {
 	t.Helper()
 	got := make([]byte, len(line)+1)
 	if _, err := io.ReadFull(nc, got); err != nil || string(got) != line+"\n" {
@@ -87,72 +87,73 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestPassesAndDelays(t *testing.T) {
-	l := link(t, echo(t))
+func TestForwardAndDelay(t *testing.T) {
+	l := newLink(t, startEcho(t))
 	nc := dial(t, l.Addr())
-	says(t, nc, "one")
+	sendAndExpectEcho(t, nc, "one")
 	const delay = 30 * time.Millisecond
 	l.SetConditions(Conditions{Delay: delay, Jitter: 0.5})
 	began := time.Now()
-	says(t, nc, "two")
+	sendAndExpectEcho(t, nc, "two")
 	if took := time.Since(began); took < 2*delay {
-		t.Errorf("there and back in %v, each way takes %v", took, delay)
+		t.Errorf("round trip took %v with a delay of %v each way", took, delay)
 	}
 }
 
 func TestRate(t *testing.T) {
-	l := link(t, echo(t))
+	l := newLink(t, startEcho(t))
 	l.SetConditions(Conditions{BytesPerSecond: 1000})
 	nc := dial(t, l.Addr())
 	began := time.Now()
-	says(t, nc, string(make([]byte, 99)))
+	sendAndExpectEcho(t, nc, string(make([]byte, 99)))
 	if took := time.Since(began); took < 200*time.Millisecond {
-		t.Errorf("100 bytes there and back at 1000 bytes a second in %v", took)
+		t.Errorf("round trip of 100 bytes at 1000 bytes per second took %v", took)
 	}
 }
 
-// What a cut holds back arrives when the path is whole again, in its order; a new connection neither comes up nor is
-// refused meanwhile.
+// Data held back by a cut arrives in order once the path is restored. New connections are neither accepted
+// nor refused during the cut.
 func TestCut(t *testing.T) {
-	l := link(t, echo(t))
+	l := newLink(t, startEcho(t))
 	nc := dial(t, l.Addr())
-	says(t, nc, "before")
+	sendAndExpectEcho(t, nc, "before")
 	l.SetConditions(Conditions{CutOutbound: true, CutReturn: true})
 	io.WriteString(nc, "in the cut\nand more\n")
-	up := make(chan error, 1)
+	dialed := make(chan error, 1)
 	go func() {
-		late, err := net.DialTimeout("tcp", l.Addr(), patience)
+		late, err := net.DialTimeout("tcp", l.Addr(), testTimeout)
 		if err == nil {
-			late.SetDeadline(time.Now().Add(patience))
+			late.SetDeadline(time.Now().Add(testTimeout))
 			io.WriteString(late, "late\n")
 			_, err = io.ReadFull(late, make([]byte, 5))
 			late.Close()
 		}
-		up <- err
+		dialed <- err
 	}()
 	nc.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, err := nc.Read(make([]byte, 10)); n > 0 || err == nil {
-		t.Fatalf("%d bytes came through a cut, %v", n, err)
+		t.Fatalf("%d bytes arrived through a cut, %v", n, err)
 	}
 	select {
-	case err := <-up:
-		t.Fatalf("a connection came up and was answered over a cut, or was refused: %v", err)
+	case err := <-dialed:
+		t.Fatalf("a connection was answered during a cut, or was refused: %v", err)
 	default:
 	}
 	l.SetConditions(Conditions{})
-	nc.SetReadDeadline(time.Now().Add(patience))
-	hears(t, nc, "in the cut")
-	hears(t, nc, "and more")
-	if err := <-up; err != nil {
-		t.Errorf("the connection begun in the cut: %v", err)
+	nc.SetReadDeadline(time.Now().Add(testTimeout))
+	expectLine(t, nc, "in the cut")
+	expectLine(t, nc, "and more")
+	if err := <-dialed; err != nil {
+		t.Errorf("the connection dialed during the cut: %v", err)
 	}
 }
 
-// A connection that slipped into the queue as the path was cut is reset once it is whole, whatever was written to it.
-func TestCutResetsWhatSlippedIn(t *testing.T) {
-	l := link(t, echo(t))
+// A connection that entered the accept queue just when the path was cut is reset once the path is restored,
+// whatever was written to it.
+func TestCutResetsQueuedConnection(t *testing.T) {
+	l := newLink(t, startEcho(t))
 	l.mu.Lock()
-	l.ln.SetDeadline(time.Unix(1, 0)) // nothing is accepted, and no filler is there yet
+	l.listener.SetDeadline(time.Unix(1, 0)) // nothing is accepted, and there is no filler yet
 	l.held = true
 	l.conditions = Conditions{CutOutbound: true}
 	l.mu.Unlock()
@@ -162,23 +163,23 @@
 	if n, err := nc.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("%d bytes, %v; want a reset", n, err)
 	}
-	says(t, dial(t, l.Addr()), "after the cut")
+	sendAndExpectEcho(t, dial(t, l.Addr()), "after the cut")
 }
 
-// Cut on its way back, a call arrives and its answer does not.
-func TestOneWay(t *testing.T) {
+// With the return direction cut, a call arrives and its answer does not.
+func TestReturnDirectionCut(t *testing.T) {
 	for name, w := range map[string]Conditions{"cut": {CutReturn: true}, "swallowed": {CutReturnShare: 1}} {
 		t.Run(name, func(t *testing.T) {
-			came := make(chan string, 10)
-			up := make(chan *Connection, 1)
+			received := make(chan string, 10)
+			accepted := make(chan *Connection, 1)
 			l, err := Listen("127.0.0.1:0", 1, func(_ context.Context, p *Connection) (net.Conn, error) {
 				here, there := p.Pipe()
-				up <- p
+				accepted <- p
 				go func() {
 					line, _ := bufio.NewReader(there).ReadString('\n')
-					came <- line
+					received <- line
 					io.WriteString(there, "answer\n")
-					p.OnDelivered(func(_ time.Time, reached bool) { came <- fmt.Sprint(reached) })
+					p.OnDelivered(func(_ time.Time, reached bool) { received <- fmt.Sprint(reached) })
 				}()
 				return here, nil
 			}, nil)
@@ -187,30 +188,30 @@
 			}
 			defer l.Close()
 			nc := dial(t, l.Addr())
-			pair := <-up // accepted, so that the cut finds it open
+			pair := <-accepted // accepted, so that it is open when the path is cut
 			l.SetConditions(w)
 			io.WriteString(nc, "call\n")
-			if got := <-came; got != "call\n" {
+			if got := <-received; got != "call\n" {
 				t.Fatalf("got %q", got)
 			}
-			nc.Close() // the one who waits gives up
+			nc.Close() // the client gives up
 			for pair.ClientClosedAt().IsZero() {
 				time.Sleep(time.Millisecond)
 			}
 			if w.CutReturn {
 				l.SetConditions(Conditions{})
 			}
-			if got := <-came; got != "false" {
-				t.Errorf("the answer reached who had gone: %v", got)
+			if got := <-received; got != "false" {
+				t.Errorf("the answer was delivered to a client that had closed: %v", got)
 			}
 		})
 	}
 }
 
-func TestResetAndRefuse(t *testing.T) {
-	l := link(t, echo(t))
+func TestResetAndRefusedConnections(t *testing.T) {
+	l := newLink(t, startEcho(t))
 	nc := dial(t, l.Addr())
-	says(t, nc, "one")
+	sendAndExpectEcho(t, nc, "one")
 	l.ResetConnections()
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("after a reset: %v", err)
@@ -218,32 +219,32 @@
 	if err := l.SetRefusing(true); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := net.DialTimeout("tcp", l.Addr(), patience); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := net.DialTimeout("tcp", l.Addr(), testTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("while refused: %v", err)
 	}
 	if err := l.SetRefusing(false); err != nil {
 		t.Fatal(err)
 	}
-	says(t, dial(t, l.Addr()), "two")
+	sendAndExpectEcho(t, dial(t, l.Addr()), "two")
 }
 
-// The next request may come before the link's write of the answer has returned; it has a beginning of its own.
-func TestRequestThatOvertakesTheWrite(t *testing.T) {
-	p := &Connection{quiet: true}
-	p.heard(1)
+// The next request may arrive before the write of the answer has returned. It has a start time of its own.
+func TestRequestBeforeWriteReturns(t *testing.T) {
+	p := &Connection{awaitingRequest: true}
+	p.recordRequest(1)
 	first := p.RequestStartedAt()
-	p.sending() // the answer is being written, and near has it already
+	p.prepareSend() // the answer is being written, and the client has it already
 	for time.Now().Equal(first) {
 	}
-	p.heard(1)
-	p.sent(1, true)
+	p.recordRequest(1)
+	p.recordSent(1, true)
 	if p.RequestStartedAt().Equal(first) {
 		t.Error("the second request began with the first")
 	}
 }
 
-// An answer that crosses the end of the connection is told from one that was read before it.
-func TestCrossed(t *testing.T) {
+// An answer that arrives after the client has closed is told apart from one that was read before.
+func TestClosedBeforeDelivery(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -256,28 +257,28 @@
 			t.Fatal(err)
 		}
 		defer near.Close()
-		p := &Connection{near: near.(*net.TCPConn)}
+		p := &Connection{client: near.(*net.TCPConn)}
 		if reads {
 			io.WriteString(near, "answer\n")
-			hears(t, nc, "answer")
+			expectLine(t, nc, "answer")
 			nc.Close()
-			near.Read(make([]byte, 1)) // until its end is here
+			near.Read(make([]byte, 1)) // until the close has arrived
 		} else {
 			nc.Close()
 			near.Read(make([]byte, 1))
 			io.WriteString(near, "answer\n")
-			for by := time.Now().Add(patience); !p.crossed() && time.Now().Before(by); {
-				time.Sleep(time.Millisecond) // the kernel's answer may take a moment
+			for by := time.Now().Add(testTimeout); !p.closedBeforeDelivery() && time.Now().Before(by); {
+				time.Sleep(time.Millisecond) // the reset from the kernel may take a moment
 			}
 		}
-		if got := p.crossed(); got == reads {
-			t.Errorf("crossed: %v, though it was read: %v", got, reads)
+		if got := p.closedBeforeDelivery(); got == reads {
+			t.Errorf("closed before delivery: %v, answer read: %v", got, reads)
 		}
 	}
 }
 
-// An end that leaves an answer unread is told from one after it was read.
-func TestEndWithTheAnswerUnread(t *testing.T) {
+// A close that leaves an answer unread is told apart from a close after the answer was read.
+func TestCloseWithUnreadAnswer(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		pairs := make(chan *Connection, 1)
 		l, err := Listen("127.0.0.1:0", 1, func(_ context.Context, p *Connection) (net.Conn, error) {
@@ -295,32 +296,32 @@
 		nc := dial(t, l.Addr())
 		io.WriteString(nc, "call\n")
 		if reads {
-			hears(t, nc, "answer")
+			expectLine(t, nc, "answer")
 		} else {
 			raw, err := nc.(*net.TCPConn).SyscallConn()
 			if err != nil {
 				t.Fatal(err)
 			}
-			raw.Read(func(fd uintptr) bool { // until it lies there
+			raw.Read(func(fd uintptr) bool { // until data is there to read
 				n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 				return n > 0 || err != syscall.EAGAIN
 			})
 		}
 		p := <-pairs
 		nc.Close()
-		for by := time.Now().Add(patience); p.ClientClosedAt().IsZero(); time.Sleep(time.Millisecond) {
+		for by := time.Now().Add(testTimeout); p.ClientClosedAt().IsZero(); time.Sleep(time.Millisecond) {
 			if time.Now().After(by) {
-				t.Fatal("its end was not seen")
+				t.Fatal("the client's close was not observed")
 			}
 		}
-		l.Close() // and its goroutines with it
-		if got := p.nearReset.IsZero(); got != reads {
-			t.Errorf("read: %v, ended without reading: %v", reads, !got)
+		l.Close() // ends its goroutines too
+		if got := p.clientResetAt.IsZero(); got != reads {
+			t.Errorf("answer read: %v, closed without reading: %v", reads, !got)
 		}
 	}
 }
 
-// Such an end within the slack after the answer was written has crossed it; a later one has not.
+// A close with unread data counts as sent before the answer arrived only within closeSlack after the write.
 func TestSettle(t *testing.T) {
 	at := time.Now()
 	for name, c := range map[string]struct {
@@ -328,20 +329,20 @@
 		reached bool
 	}{
 		"no reset":   {time.Time{}, true},
-		"just after": {at.Add(crossSlack / 2), false},
-		"later":      {at.Add(2 * crossSlack), true},
+		"just after": {at.Add(closeSlack / 2), false},
+		"later":      {at.Add(2 * closeSlack), true},
 	} {
-		p := &Connection{nearReset: c.reset}
-		p.settle(waiter{tell: func(_ time.Time, reached bool) {
+		p := &Connection{clientResetAt: c.reset}
+		p.settle(deliveryWaiter{done: func(_ time.Time, reached bool) {
 			if reached != c.reached {
-				t.Errorf("%s: reached %v", name, reached)
+				t.Errorf("%s: delivered %v", name, reached)
 			}
 		}}, at)
 	}
 }
 
-// A call is told apart from the one before it on its connection, and its answer's arrival is seen.
-func TestPairWatchesCalls(t *testing.T) {
+// Each call on a connection has a start time of its own, and the arrival of its answer is observed.
+func TestCallTimes(t *testing.T) {
 	reached := make(chan time.Time, 1)
 	began := make(chan time.Time, 2)
 	l, err := Listen("127.0.0.1:0", 1, func(_ context.Context, p *Connection) (net.Conn, error) {
@@ -371,10 +372,10 @@
 	var last time.Time
 	for range 2 {
 		io.WriteString(nc, "call\n")
-		hears(t, nc, "answer")
+		expectLine(t, nc, "answer")
 		b, r := <-began, <-reached
 		if b.Before(last) || r.Before(b) {
-			t.Errorf("began %v, reached %v, the one before reached %v", b, r, last)
+			t.Errorf("request started at %v, answer delivered at %v, the previous one at %v", b, r, last)
 		}
 		last = r
 	}
@@ -400,13 +401,13 @@
 	round := func(text string) {
 		t.Helper()
 		io.WriteString(nc, text)
-		target.SetReadDeadline(time.Now().Add(patience))
+		target.SetReadDeadline(time.Now().Add(testTimeout))
 		n, from, err := target.ReadFrom(buf)
 		if err != nil || string(buf[:n]) != text {
 			t.Fatalf("got %q, %v", buf[:n], err)
 		}
 		target.WriteTo([]byte("back "+text), from)
-		nc.SetReadDeadline(time.Now().Add(patience))
+		nc.SetReadDeadline(time.Now().Add(testTimeout))
 		if n, err := nc.Read(buf); err != nil || string(buf[:n]) != "back "+text {
 			t.Fatalf("got %q, %v", buf[:n], err)
 		}
--- a/internal/lab/relay/udp.go
+++ b/internal/lab/relay/udp.go
@@ -13,19 +13,19 @@
 
 const (
 	maxDatagram = 64 << 10
-	maxPeers    = 4096 // senders that a UDP link knows at once
-	maxFlying   = 4096 // datagrams that it holds back at once; more are lost, as in any full queue
+	maxPeers    = 4096 // senders that a UDP link knows at the same time
+	maxDelayed  = 4096 // delayed datagrams at the same time; more are dropped, as in any full queue
 )
 
-// Datagrams is a link for UDP: what comes to its address goes on to the target, from a socket for each sender, and
-// what comes back there goes back to that sender. Close ends it.
+// DatagramLink is a UDP link. Datagrams that arrive at its address are forwarded to the target from a socket
+// for each sender, and answers to that socket go back to the sender.
 type DatagramLink struct {
-	conn   *net.UDPConn
-	target netip.AddrPort
-	done   chan struct{}
-	wg     sync.WaitGroup
-	flying chan struct{}
-	lost   atomic.Int64
+	conn     *net.UDPConn
+	target   netip.AddrPort
+	done     chan struct{}
+	wg       sync.WaitGroup
+	inFlight chan struct{}
+	dropped  atomic.Int64
 
 	mu         sync.Mutex
 	conditions Conditions
@@ -34,42 +34,42 @@
 	closed     bool
 }
 
-// ListenDatagrams makes a UDP link from an address to a target.
+// ListenDatagrams creates a UDP link from an address to a target.
 func ListenDatagrams(addr, target string, seed uint64) (*DatagramLink, error) {
 	to, err := netip.ParseAddrPort(target)
 	if err != nil {
-		return nil, fmt.Errorf("UDP link: %w", err)
+		return nil, fmt.Errorf("listen on UDP link: %w", err)
 	}
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return nil, fmt.Errorf("UDP link: %w", err)
+		return nil, fmt.Errorf("listen on UDP link: %w", err)
 	}
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
-		return nil, fmt.Errorf("UDP link: %w", err)
+		return nil, fmt.Errorf("listen on UDP link: %w", err)
 	}
 	d := &DatagramLink{
-		conn: conn, target: to, done: make(chan struct{}), flying: make(chan struct{}, maxFlying), rand: rand.New(rand.NewPCG(seed, 2)),
+		conn: conn, target: to, done: make(chan struct{}), inFlight: make(chan struct{}, maxDelayed), rand: rand.New(rand.NewPCG(seed, 2)),
 		peers: map[netip.AddrPort]*net.UDPConn{},
 	}
-	d.wg.Go(d.out)
+	d.wg.Go(d.forwardOutbound)
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the link listens.
 func (d *DatagramLink) Addr() string { return d.conn.LocalAddr().String() }
 
-// Lost counts the datagrams that were not sent on.
-func (d *DatagramLink) Dropped() int64 { return d.lost.Load() }
+// Dropped returns the number of datagrams that were not forwarded.
+func (d *DatagramLink) Dropped() int64 { return d.dropped.Load() }
 
-// Set changes the weather.
-func (d *DatagramLink) SetConditions(w Conditions) {
+// SetConditions changes the conditions.
+func (d *DatagramLink) SetConditions(conditions Conditions) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.conditions = w
+	d.conditions = conditions
 }
 
-// Close ends the link and returns when nothing of it is left.
+// Close closes the link and returns when all its goroutines have ended.
 func (d *DatagramLink) Close() {
 	d.mu.Lock()
 	d.closed = true
@@ -82,7 +82,7 @@
 	d.wg.Wait()
 }
 
-func (d *DatagramLink) out() {
+func (d *DatagramLink) forwardOutbound() {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
@@ -96,11 +96,11 @@
 		if peer == nil {
 			continue
 		}
-		d.carry(append([]byte(nil), buf[:n]...), func(w Conditions) bool { return w.CutOutbound }, func(b []byte) { peer.Write(b) })
+		d.forward(append([]byte(nil), buf[:n]...), func(w Conditions) bool { return w.CutOutbound }, func(b []byte) { peer.Write(b) })
 	}
 }
 
-// peer is the socket for a sender, made when it first speaks.
+// peer returns the socket for a sender, which is created for the sender's first datagram.
 func (d *DatagramLink) peer(from netip.AddrPort) *net.UDPConn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,37 +120,37 @@
 				return
 			}
 			if err != nil {
-				continue // an ICMP error: the target is not there now
+				continue // an ICMP error: the target is not running now
 			}
-			d.carry(append([]byte(nil), buf[:n]...), func(w Conditions) bool { return w.CutReturn }, func(b []byte) { d.conn.WriteToUDPAddrPort(b, from) })
+			d.forward(append([]byte(nil), buf[:n]...), func(w Conditions) bool { return w.CutReturn }, func(b []byte) { d.conn.WriteToUDPAddrPort(b, from) })
 		}
 	})
 	return c
 }
 
-// carry sends a datagram on after its delay, unless it is lost.
-func (d *DatagramLink) carry(data []byte, cut func(Conditions) bool, send func([]byte)) {
+// forward forwards a datagram after its delay, unless it is lost.
+func (d *DatagramLink) forward(data []byte, cut func(Conditions) bool, send func([]byte)) {
 	d.mu.Lock()
 	w := d.conditions
-	lost := cut(w) || (w.Loss > 0 && d.rand.Float64() < w.Loss)
+	drop := cut(w) || (w.Loss > 0 && d.rand.Float64() < w.Loss)
 	delay := time.Duration(float64(w.Delay) * (1 + w.Jitter*d.rand.Float64()))
 	d.mu.Unlock()
 	switch {
-	case lost:
-		d.lost.Add(1)
+	case drop:
+		d.dropped.Add(1)
 		return
 	case delay <= 0:
 		send(data)
 		return
 	}
 	select {
-	case d.flying <- struct{}{}:
+	case d.inFlight <- struct{}{}:
 	default:
-		d.lost.Add(1)
+		d.dropped.Add(1)
 		return
 	}
 	d.wg.Go(func() {
-		defer func() { <-d.flying }()
+		defer func() { <-d.inFlight }()
 		t := time.NewTimer(delay)
 		defer t.Stop()
 		select {
