--- a/internal/lab/block/block.go
+++ b/internal/lab/block/block.go
@@ -1,5 +1,5 @@
-// Package block hands out parts of the loopback network, so that several labs on one machine never meet, and no port that
-// is needed again is taken by a connection's own end.
+// Package block hands out blocks of loopback addresses, so that several labs on one machine never collide,
+// and no port that is needed again is taken as the local port of an outgoing connection.
 package block
 
 import (
@@ -15,7 +15,7 @@
 	lock   net.PacketConn
 }
 
-// Take finds one that is free.
+// Reserve reserves a free block.
 func Reserve() (*Block, error) {
 	for i := range 100 {
 		number := 20 + (os.Getpid()+i)%100
@@ -24,13 +24,13 @@
 			return &Block{number, pc}, nil
 		}
 	}
-	return nil, errors.New("no block of loopback addresses is free: are a hundred labs running?")
+	return nil, errors.New("no free block of loopback addresses: are a hundred labs running?")
 }
 
-// IP is one of its addresses, by the third and fourth byte.
+// IP returns the address with the given third and fourth byte.
 func (b *Block) IP(third, fourth int) string {
 	return fmt.Sprintf("127.%d.%d.%d", b.number, third, fourth)
 }
 
-// Close lets others have it.
+// Close releases the block.
 func (b *Block) Close() error { return b.lock.Close() }
--- a/internal/lab/observe/observe.go
+++ b/internal/lab/observe/observe.go
@@ -1,4 +1,5 @@
-// Package observe keeps what the lab's stand-ins see: events on one clock, and how late the lab itself was.
+// Package observe records what the lab's stand-ins observe: events on a common clock, and the lateness of the
+// lab itself.
 package observe
 
 import (
@@ -12,65 +13,65 @@
 	"starlingusher/fleet/tally"
 )
 
-// Part is a part of the lab that has something to do at a time.
+// Component is a part of the lab that has to act at given times.
 type Component string
 
-// The parts.
+// The components.
 const (
-	Clients  Component = "clients"  // handing in
-	Partners Component = "partners" // answering, by the model's time
-	Links    Component = "links"    // passing on, by their delay
+	Clients  Component = "clients"  // submissions
+	Partners Component = "partners" // answers, by the time of the model
+	Links    Component = "links"    // forwarding of data after its delay
 	Timeline Component = "timeline" // faults
 )
 
-// Log takes events from any goroutine.
+// Log records events. Its methods may be called from any goroutine.
 type Log struct {
 	start atomic.Pointer[time.Time]
 
-	mu     sync.Mutex
-	events [][]history.Event // in pieces: one slice that grows is copied whole, and all wait
-	late   map[Component]tally.Recorder
-	counts map[history.Kind]int
+	mu                  sync.Mutex
+	events              [][]history.Event // in blocks: a single growing slice would be copied as a whole while all callers wait
+	latenessByComponent map[Component]tally.Recorder
+	counts              map[history.Kind]int
 }
 
-const pieceSize = 4096 // events
+const blockSize = 4096 // events
 
-// notYet is how far off the start is while nobody knows when it will be.
-const notYet = 24 * time.Hour
+// beforeStart is how far in the future the start is while its time is unknown.
+const beforeStart = 24 * time.Hour
 
-// NewLog makes a log whose clock is far under zero until Begin.
+// NewLog returns a log whose clock is far below zero until Start.
 func NewLog() *Log {
-	l := &Log{late: map[Component]tally.Recorder{}, counts: map[history.Kind]int{}}
-	start := time.Now().Add(notYet)
+	l := &Log{latenessByComponent: map[Component]tally.Recorder{}, counts: map[history.Kind]int{}}
+	start := time.Now().Add(beforeStart)
 	l.start.Store(&start)
 	return l
 }
 
-// Begin lets the run's time begin now. What was seen before has times under zero.
+// Start sets the run's time to zero. Events recorded before get negative times.
 func (l *Log) Start() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	early := now.Sub(*l.start.Load())
+	shift := now.Sub(*l.start.Load())
 	for _, piece := range l.events {
 		for i := range piece {
-			piece[i].At -= early
+			piece[i].At -= shift
 		}
 	}
 	l.start.Store(&now)
-	clear(l.late)
+	clear(l.latenessByComponent)
 }
 
-// Now is the run's time.
+// Now returns the run's time.
 func (l *Log) Now() time.Duration { return time.Since(*l.start.Load()) }
 
-// At is the run's time at another one.
+// RunTime returns the run's time at a wall time.
 func (l *Log) RunTime(t time.Time) time.Duration { return t.Sub(*l.start.Load()) }
 
-// Wall is the time at a run's time.
+// WallTime returns the wall time at a time of the run.
 func (l *Log) WallTime(d time.Duration) time.Time { return l.start.Load().Add(d) }
 
-// SleepUntil waits until a time, and tells whether the context is still alive then.
+// SleepUntil sleeps until a wall time. It returns false if the context has ended.
 func SleepUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
@@ -86,7 +87,7 @@
 	}
 }
 
-// Add keeps an event. One without a time has the present.
+// Add records an event. An event without a time gets the current time.
 func (l *Log) Add(e history.Event) {
 	if e.At == 0 {
 		e.At = l.Now()
@@ -95,37 +96,37 @@
 	defer l.mu.Unlock()
 	last := len(l.events) - 1
 	if last < 0 || len(l.events[last]) == cap(l.events[last]) {
-		l.events = append(l.events, make([]history.Event, 0, pieceSize))
+		l.events = append(l.events, make([]history.Event, 0, blockSize))
 		last++
 	}
 	l.events[last] = append(l.events[last], e)
 	l.counts[e.Kind]++
 }
 
-// Late notes by how much a part of the lab was behind with something.
-func (l *Log) RecordLateness(part Component, by time.Duration) {
+// RecordLateness records how late a component of the lab was with an action.
+func (l *Log) RecordLateness(component Component, by time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r, ok := l.late[part]
+	r, ok := l.latenessByComponent[component]
 	if !ok {
 		r = tally.NewRecorder()
-		l.late[part] = r
+		l.latenessByComponent[component] = r
 	}
 	r.Record(by)
 }
 
-// Lateness is how late each part of the lab was so far.
+// Lateness returns how late each component of the lab was so far.
 func (l *Log) Lateness() map[Component]tally.Percentiles {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[Component]tally.Percentiles{}
-	for part, r := range l.late {
-		out[part] = r.Percentiles()
+	for component, r := range l.latenessByComponent {
+		out[component] = r.Percentiles()
 	}
 	return out
 }
 
-// Latest is the lateness of the part that was latest, by the 99th percentile.
+// WorstLateness returns the lateness of the component with the highest 99th percentile.
 func WorstLateness(all map[Component]tally.Percentiles) tally.Percentiles {
 	var worst tally.Percentiles
 	for _, t := range all {
@@ -136,14 +137,14 @@
 	return worst
 }
 
-// Count is how many events of a kind there are so far.
+// CountKind returns the number of events of a kind so far.
 func (l *Log) CountKind(k history.Kind) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts[k]
 }
 
-// Events are all events so far in the order of their times, up to the end of the run if that has come.
+// Events returns all events so far in order of time, up to the end of the run if that was recorded.
 func (l *Log) Events() []history.Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -1,5 +1,5 @@
-// Package proc starts processes, bounds them, signals them, and sees to it that none is left behind: they end with
-// their Supervisor, and with this process however it ends.
+// Package proc starts processes, limits their resources, signals them, and makes sure that none is left
+// behind: they end with their Supervisor, and with this process however it ends.
 package proc
 
 import (
@@ -19,26 +19,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// Spec says what to start.
+// Spec describes a process to start.
 type Spec struct {
 	Name           string
 	Command        []string
-	Env            []string // all of it
+	Env            []string // the complete environment
 	Dir            string
-	Stdin          io.Reader // its standard input; nil: none
-	Stdout         io.Writer // its standard output; nil: the Log has it too
-	Output         io.Writer // its standard output and error; nil: none
-	MaxDescriptors int       // descriptors at most; 0: as here
-	DiskFull       bool      // it can write to no file, as on a full disk, until DiskFull(false)
+	Stdin          io.Reader // nil: none
+	Stdout         io.Writer // nil: standard output goes to Output too
+	Output         io.Writer // for standard output and error; nil: discarded
+	MaxDescriptors int       // 0: as in this process
+	DiskFull       bool      // all writes to files fail, as on a full disk, until SetDiskFull(false)
 }
 
-// Exit is how a process ended.
+// Exit tells how a process ended.
 type Exit struct {
-	Code   int // -1 if by a signal
+	Code   int // -1 if it was ended by a signal
 	Signal syscall.Signal
 	At     time.Time
-	CPU    time.Duration // used in all
-	MaxRSS int64         // the most it held, in bytes
+	CPU    time.Duration // total
+	MaxRSS int64         // bytes
 }
 
 func (e Exit) String() string {
@@ -48,62 +48,63 @@
 	return "with exit code " + strconv.Itoa(e.Code)
 }
 
-// Process is one that was started.
+// Process is a process that was started.
 type Process struct {
 	spec Spec
 	cmd  *exec.Cmd
 	done chan struct{}
-	exit Exit // once done is closed
+	exit Exit // valid once done is closed
 }
 
 // Supervisor owns processes. Close ends them all.
 type Supervisor struct {
-	starts chan start
-	ended  chan struct{}
-	wg     sync.WaitGroup
+	startRequests chan startRequest
+	closed        chan struct{}
+	wg            sync.WaitGroup
 
-	mu   sync.Mutex
-	all  map[*Process]bool
-	over bool
+	mu       sync.Mutex
+	running  map[*Process]bool
+	isClosed bool
 }
 
-type start struct {
-	cmd  *exec.Cmd
-	done chan error
+type startRequest struct {
+	cmd    *exec.Cmd
+	result chan error
 }
 
-// ErrClosed is returned for a start after Close.
-var ErrClosed = errors.New("the supervisor has been closed")
+// ErrClosed is returned by Start after Close.
+var ErrClosed = errors.New("supervisor is closed")
 
-// NewSupervisor makes one. Its processes get SIGKILL from the kernel if this process dies without Close.
+// NewSupervisor returns a supervisor. The kernel sends its processes SIGKILL if this process dies without
+// Close.
 func NewSupervisor() *Supervisor {
-	s := &Supervisor{starts: make(chan start), ended: make(chan struct{}), all: map[*Process]bool{}}
-	go s.spawn()
+	s := &Supervisor{startRequests: make(chan startRequest), closed: make(chan struct{}), running: map[*Process]bool{}}
+	go s.startLoop()
 	return s
 }
 
-// spawn starts processes from one thread that lives as long as the supervisor: the kernel sends the signal of a
-// parent's death when the thread that started the child ends.
-func (s *Supervisor) spawn() {
+// startLoop starts processes from one thread that lives as long as the supervisor: the kernel sends the
+// parent-death signal when the thread that started the child ends.
+func (s *Supervisor) startLoop() {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for {
 		select {
-		case x := <-s.starts:
-			x.done <- x.cmd.Start()
-		case <-s.ended:
+		case request := <-s.startRequests:
+			request.result <- request.cmd.Start()
+		case <-s.closed:
 			return
 		}
 	}
 }
 
-// Start starts a process in a group of its own.
+// Start starts a process in a process group of its own.
 func (s *Supervisor) Start(spec Spec) (*Process, error) {
 	if len(spec.Command) == 0 {
 		return nil, errors.New("no command")
 	}
 	args := spec.Command
-	if spec.DiskFull { // from its first instruction on; the limit is a soft one, for DiskFull to lift
+	if spec.DiskFull { // applies from the first instruction on; a soft limit, so that SetDiskFull can lift it
 		args = append([]string{"/bin/sh", "-c", `ulimit -S -f 0; exec "$0" "$@"`}, args...)
 	}
 	cmd := exec.Command(args[0], args[1:]...)
@@ -112,29 +113,29 @@
 		cmd.Stdout = spec.Stdout
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	cmd.WaitDelay = 2 * time.Second // for its log, if something holds that open
+	cmd.WaitDelay = 2 * time.Second // for its output, if something keeps that open
 	p := &Process{spec: spec, cmd: cmd, done: make(chan struct{})}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.isClosed {
 		return nil, ErrClosed
 	}
-	x := start{cmd, make(chan error, 1)}
-	s.starts <- x
-	if err := <-x.done; err != nil {
-		return nil, fmt.Errorf("start of %s: %w", spec.Name, err)
+	request := startRequest{cmd, make(chan error, 1)}
+	s.startRequests <- request
+	if err := <-request.result; err != nil {
+		return nil, fmt.Errorf("start %s: %w", spec.Name, err)
 	}
 	if spec.MaxDescriptors > 0 {
 		n := uint64(spec.MaxDescriptors)
 		if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: n}, nil); err != nil {
 			cmd.Process.Kill()
 			cmd.Wait()
-			return nil, fmt.Errorf("descriptors of %s: %w", spec.Name, err)
+			return nil, fmt.Errorf("limit descriptors of %s: %w", spec.Name, err)
 		}
 	}
-	s.all[p] = true
+	s.running[p] = true
 	s.wg.Go(func() {
-		cmd.Wait() // its state tells more than the error
+		cmd.Wait() // the process state tells more than the error
 		p.exit = Exit{Code: cmd.ProcessState.ExitCode(), At: time.Now(), CPU: cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()}
 		if ws, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); ok && ws.Signaled() {
 			p.exit.Signal = ws.Signal()
@@ -143,52 +144,52 @@
 			p.exit.MaxRSS = ru.Maxrss << 10
 		}
 		s.mu.Lock()
-		delete(s.all, p)
+		delete(s.running, p)
 		s.mu.Unlock()
 		close(p.done)
 	})
 	return p, nil
 }
 
-// Close kills all that still runs, and returns when it has ended.
+// Close kills all processes that still run, and returns when they have ended.
 func (s *Supervisor) Close() {
 	s.mu.Lock()
-	if s.over {
+	if s.isClosed {
 		s.mu.Unlock()
 		s.wg.Wait()
 		return
 	}
-	s.over = true
-	for p := range s.all {
+	s.isClosed = true
+	for p := range s.running {
 		p.Signal(syscall.SIGKILL)
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
-	close(s.ended)
+	close(s.closed)
 }
 
-// PID is the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Exit is how it ended, once Done is closed.
+// Wait waits for the end of the process and returns how it ended.
 func (p *Process) Wait() Exit {
 	<-p.done
 	return p.exit
 }
 
-// Signal sends a signal. One to a process that has ended is no error.
+// Signal sends a signal. A process that has already ended is no error.
 func (p *Process) Signal(sig syscall.Signal) error {
 	if err := p.cmd.Process.Signal(sig); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		return fmt.Errorf("%v to %s: %w", sig, p.spec.Name, err)
+		return fmt.Errorf("send signal %v to %s: %w", sig, p.spec.Name, err)
 	}
 	return nil
 }
 
-// End sends SIGTERM, and SIGKILL if the process has not ended after the grace or when the context ends. It returns
-// when the process has ended.
+// Terminate sends SIGTERM, and SIGKILL if the process has not ended after the grace time or when the context
+// ends. It returns when the process has ended.
 func (p *Process) Terminate(ctx context.Context, grace time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -206,46 +207,46 @@
 	return err
 }
 
-// DiskFull lets every write of the process to a file fail, or no longer.
-func (p *Process) SetDiskFull(on bool) error {
+// SetDiskFull makes all the process's writes to files fail, or lets them succeed again.
+func (p *Process) SetDiskFull(full bool) error {
 	var old unix.Rlimit
 	if err := unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, nil, &old); err != nil {
-		return fmt.Errorf("disk of %s: %w", p.spec.Name, err)
+		return fmt.Errorf("limit disk of %s: %w", p.spec.Name, err)
 	}
 	limit := unix.Rlimit{Cur: old.Max, Max: old.Max}
-	if on {
+	if full {
 		limit.Cur = 0
 	}
 	if err := unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, &limit, nil); err != nil {
-		return fmt.Errorf("disk of %s: %w", p.spec.Name, err)
+		return fmt.Errorf("limit disk of %s: %w", p.spec.Name, err)
 	}
 	return nil
 }
 
-// Usage is what a process uses now.
+// Usage tells what a process currently uses.
 type Usage struct {
 	RSS         int64 // bytes
 	Descriptors int
 }
 
-// Usage reads it; of a process that has ended it is an error.
+// Usage reads the current usage. It returns an error if the process has ended.
 func (p *Process) Usage() (Usage, error) {
 	var u Usage
 	proc := "/proc/" + strconv.Itoa(p.PID())
 	raw, err := os.ReadFile(proc + "/statm")
 	if err != nil {
-		return u, fmt.Errorf("usage of %s: %w", p.spec.Name, err)
+		return u, fmt.Errorf("read usage of %s: %w", p.spec.Name, err)
 	}
 	if f := bytes.Fields(raw); len(f) > 1 {
 		pages, err := strconv.ParseInt(string(f[1]), 10, 64)
 		if err != nil {
-			return u, fmt.Errorf("usage of %s: %w", p.spec.Name, err)
+			return u, fmt.Errorf("read usage of %s: %w", p.spec.Name, err)
 		}
 		u.RSS = pages * int64(os.Getpagesize())
 	}
 	fds, err := os.ReadDir(proc + "/fd")
 	if err != nil {
-		return u, fmt.Errorf("usage of %s: %w", p.spec.Name, err)
+		return u, fmt.Errorf("read usage of %s: %w", p.spec.Name, err)
 	}
 	u.Descriptors = len(fds)
 	return u, nil
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -17,14 +17,14 @@
 	"go.uber.org/goleak"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
-// TestMain is the child itself when a test starts this binary as one.
+// TestMain runs a child process when a test starts this binary as one.
 func TestMain(m *testing.M) {
 	switch os.Getenv("PROC_TEST_CHILD") {
 	case "":
 		goleak.VerifyTestMain(m)
-	case "writer": // appends to a file until it can't, then says so, and goes on once it can
+	case "writer": // appends to a file and reports when that starts to fail and when it succeeds again
 		f, err := os.OpenFile(os.Getenv("PROC_TEST_FILE"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
 			os.Exit(3)
@@ -38,7 +38,7 @@
 			}
 			time.Sleep(time.Millisecond)
 		}
-	case "parent": // starts a sleeper and is killed
+	case "parent": // starts a child process and waits to be killed
 		s := NewSupervisor()
 		p, err := s.Start(Spec{Name: "sleeper", Command: []string{"/bin/sleep", "600"}})
 		if err != nil {
@@ -49,38 +49,38 @@
 	}
 }
 
-// lines hands on each line that is written.
-type lines struct {
-	mu   sync.Mutex
-	part bytes.Buffer
-	c    chan string
+// lineWriter passes on each line that is written to it.
+type lineWriter struct {
+	mu       sync.Mutex
+	partial  bytes.Buffer
+	received chan string
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *lineWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.part.Write(p)
+	l.partial.Write(p)
 	for {
-		line, err := l.part.ReadString('\n')
+		line, err := l.partial.ReadString('\n')
 		if err != nil {
-			l.part.Reset()
-			l.part.WriteString(line)
+			l.partial.Reset()
+			l.partial.WriteString(line)
 			return len(p), nil
 		}
-		l.c <- strings.TrimSpace(line)
+		l.received <- strings.TrimSpace(line)
 	}
 }
 
-func await(t *testing.T, what string, done <-chan struct{}) {
+func awaitDone(t *testing.T, what string, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Fatal("never: " + what)
+	case <-time.After(testTimeout):
+		t.Fatal("timeout: " + what)
 	}
 }
 
-func TestEndsAndSignals(t *testing.T) {
+func TestTerminateAndSignal(t *testing.T) {
 	s := NewSupervisor()
 	defer s.Close()
 	p, err := s.Start(Spec{Name: "sleeper", Command: []string{"/bin/sleep", "600"}, MaxDescriptors: 50})
@@ -90,27 +90,27 @@
 	if u, err := p.Usage(); err != nil || u.RSS <= 0 || u.Descriptors <= 0 {
 		t.Errorf("usage %+v, %v", u, err)
 	}
-	if err := p.Terminate(context.Background(), patience); err != nil {
+	if err := p.Terminate(context.Background(), testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if e := p.Wait(); e.Signal != syscall.SIGTERM {
 		t.Errorf("ended %v", e)
 	}
 	if err := p.Signal(syscall.SIGKILL); err != nil {
-		t.Errorf("a signal to a process that has ended: %v", err)
+		t.Errorf("signal to a process that has ended: %v", err)
 	}
-	// One that heeds no SIGTERM is killed.
-	deaf, err := s.Start(Spec{Name: "deaf", Command: []string{"/bin/sh", "-c", "trap '' TERM; echo; while :; do sleep 600; done"}, Output: io.Discard})
+	// A process that ignores SIGTERM is killed.
+	stubborn, err := s.Start(Spec{Name: "stubborn", Command: []string{"/bin/sh", "-c", "trap '' TERM; echo; while :; do sleep 600; done"}, Output: io.Discard})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := deaf.Terminate(ctx, patience); err != nil {
+	if err := stubborn.Terminate(ctx, testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.Start(Spec{Name: "none", Command: []string{"/nonexistent"}}); err == nil {
-		t.Error("what does not exist was started")
+		t.Error("a program that does not exist was started")
 	}
 	code, err := s.Start(Spec{Name: "three", Command: []string{"/bin/sh", "-c", "exit 3"}})
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestCloseEndsAll(t *testing.T) {
+func TestCloseEndsAllProcesses(t *testing.T) {
 	s := NewSupervisor()
 	var all []*Process
 	for range 5 {
@@ -133,36 +133,36 @@
 	}
 	s.Close()
 	for _, p := range all {
-		await(t, "the end of a process", p.Done())
+		awaitDone(t, "the end of a process", p.Done())
 	}
 	if _, err := s.Start(Spec{Name: "late", Command: []string{"/bin/sleep", "1"}}); err != ErrClosed {
-		t.Errorf("a start after the close: %v", err)
+		t.Errorf("start after close: %v", err)
 	}
-	s.Close() // again does nothing
+	s.Close() // a second Close has no effect
 }
 
-// A lab that is killed leaves nothing behind.
-func TestEndsWithItsParent(t *testing.T) {
+// A lab that is killed leaves no process behind.
+func TestProcessEndsWithParent(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "PROC_TEST_CHILD=parent")
-	out := &lines{c: make(chan string, 1)}
+	out := &lineWriter{received: make(chan string, 1)}
 	cmd.Stdout = out
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	var pid int
 	select {
-	case line := <-out.c:
+	case line := <-out.received:
 		fmt.Sscan(line, &pid)
-	case <-time.After(patience):
-		t.Fatal("it never started its child")
+	case <-time.After(testTimeout):
+		t.Fatal("it did not start its child")
 	}
 	cmd.Process.Kill()
 	cmd.Wait()
-	for by := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for by := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 		if err != nil || strings.Contains(string(raw), ") Z ") {
-			return // gone, or waiting for its new parent to notice
+			return // gone, or a zombie that its new parent has not reaped yet
 		}
 		if time.Now().After(by) {
 			t.Fatalf("process %d outlived its parent", pid)
@@ -175,7 +175,7 @@
 		t.Run(fmt.Sprint(fromStart), func(t *testing.T) {
 			s := NewSupervisor()
 			defer s.Close()
-			out := &lines{c: make(chan string, 10)}
+			out := &lineWriter{received: make(chan string, 10)}
 			p, err := s.Start(Spec{
 				Name: "writer", Command: []string{os.Args[0]}, Output: out, DiskFull: fromStart,
 				Env: []string{"PROC_TEST_CHILD=writer", "PROC_TEST_FILE=" + filepath.Join(t.TempDir(), "f")},
@@ -186,12 +186,12 @@
 			next := func(want string) {
 				t.Helper()
 				select {
-				case got := <-out.c:
+				case got := <-out.received:
 					if got != want {
 						t.Fatalf("got %q, want %q", got, want)
 					}
-				case <-time.After(patience):
-					t.Fatal("never: " + want)
+				case <-time.After(testTimeout):
+					t.Fatal("timeout: " + want)
 				}
 			}
 			if !fromStart {
--- a/internal/lab/replica/formats_test.go
+++ b/internal/lab/replica/formats_test.go
@@ -19,11 +19,11 @@
 	all := ""
 	for _, r := range replicas {
 		defer r.Close()
-		raw, err := os.ReadFile(r.config())
+		raw, err := os.ReadFile(r.configFile())
 		if err != nil {
 			t.Fatal(err)
 		}
-		all += strings.TrimPrefix(r.config(), dir) + "\n" + strings.ReplaceAll(string(raw), dir, "DIR") + "\n"
+		all += strings.TrimPrefix(r.configFile(), dir) + "\n" + strings.ReplaceAll(string(raw), dir, "DIR") + "\n"
 	}
 	golden.Check(t, "directory.toml", []byte(all))
 }
