--- a/cmd/cottonrack/capacity.go
+++ b/cmd/cottonrack/capacity.go
@@ -10,28 +10,28 @@
 )
 
 type capacityCmd struct {
-	Target string   `help:"The fleet: its size and what it may spend, a TOML file." default:"docs/capacity/target.toml"`
-	Slopes string   `help:"What scale runs have measured, a TOML file." default:"docs/capacity/slopes.toml"`
-	Only   []string `help:"Print these tables alone: target, node-control, node-own, directory, follower, operators, failures, order, roadmap, slopes, bounds." sep:","`
-	Order  bool     `help:"Print what ends first and what waits for what alone; as --only order,roadmap."`
-	Write  string   `help:"Bring the tables of this page up to date in place of printing them; its prose stays."`
+	Target string   `help:"TOML file with the size and the budgets of the fleet." default:"docs/capacity/target.toml"`
+	Slopes string   `help:"TOML file with the results of scale runs." default:"docs/capacity/slopes.toml"`
+	Only   []string `help:"Print only these tables: target, node-control, node-own, directory, follower, operators, failures, order, roadmap, slopes, bounds." sep:","`
+	Order  bool     `help:"Print only the limits in order and the order of work; same as --only order,roadmap."`
+	Write  string   `help:"Update the tables of this page instead of printing them; its text is not changed."`
 }
 
-// Help is the long text of --help.
+// Help returns the long text of --help.
 func (c *capacityCmd) Help() string {
-	return `Works out what a fleet costs, and at which share of it today's program ends and by what. Nothing is measured
+	return `Computes what a fleet costs, up to which share of it today's program can run it, and what limits it. Nothing is measured
 here: the slopes come from "cottonrack lab scale", the size from the target file. From the root of the repository:
 
     cottonrack capacity                              # all tables, in Markdown
-    cottonrack capacity --order                      # what ends first, what waits for what
-    cottonrack capacity --target mine.toml           # another fleet: copy docs/capacity/target.toml and change it
-    cottonrack capacity --write docs/CAPACITY.md     # after new slopes: the page's tables anew
+    cottonrack capacity --order                      # the limits in order, and the order of work
+    cottonrack capacity --target mine.toml           # another fleet, in a changed copy of docs/capacity/target.toml
+    cottonrack capacity --write docs/CAPACITY.md     # update the page's tables after new slopes
 
-How to read a line: "at the target" is the figure at the full size, "ends at" how much of it today's program carries
-with all else as the target has it, "known" how far to trust it. What no run has measured says missing.`
+How to read a line: "at the target" is the value at the full size, "ends at" the share that today's program can run
+with everything else as in the target, "known" how reliable it is. What no run has measured is marked "missing".`
 }
 
-// Run works it out, and prints it or writes the page.
+// Run computes the report, and prints it or updates the page.
 func (c *capacityCmd) Run(a *app) error {
 	t, err := parseFile(c.Target, capacity.ParseTarget)
 	if err != nil {
@@ -48,16 +48,16 @@
 	}
 	for _, name := range only {
 		if !slices.ContainsFunc(r.Sections(), func(s capacity.Section) bool { return s.Name == name }) {
-			return wrongUse{fmt.Errorf("--only: there is no table %q", name)}
+			return usageError{fmt.Errorf("--only: there is no table %q", name)}
 		}
 	}
 	switch {
 	case c.Write != "" && (len(only) > 0 || a.asJSON):
-		return wrongUse{errors.New("--write takes neither --only, --order nor --json")}
+		return usageError{errors.New("--write takes neither --only, --order nor --json")}
 	case c.Write != "":
-		return c.write(a, r)
+		return c.updatePage(a, r)
 	case a.asJSON && len(only) > 0:
-		return wrongUse{errors.New("--json takes neither --only nor --order")}
+		return usageError{errors.New("--json takes neither --only nor --order")}
 	case a.asJSON:
 		return printJSON(a.out, r)
 	}
@@ -72,18 +72,18 @@
 	return nil
 }
 
-// write brings a page up to date. It is whole at any time.
-func (c *capacityCmd) write(a *app, r capacity.Report) error {
+// updatePage replaces the tables of the page atomically.
+func (c *capacityCmd) updatePage(a *app, r capacity.Report) error {
 	before, err := os.ReadFile(c.Write)
 	if err != nil {
-		return wrongUse{err}
+		return usageError{err}
 	}
 	after, err := capacity.UpdatePage(before, r.Sections())
 	if err != nil {
-		return wrongUse{inFile(c.Write, err)}
+		return usageError{withFileName(c.Write, err)}
 	}
 	if string(after) == string(before) {
-		fmt.Fprintf(a.out, "%s was up to date\n", c.Write)
+		fmt.Fprintf(a.out, "%s is already up to date\n", c.Write)
 		return nil
 	}
 	next := c.Write + ".new"
@@ -93,32 +93,32 @@
 	if err := os.Rename(next, c.Write); err != nil {
 		return errors.Join(err, os.Remove(next))
 	}
-	fmt.Fprintf(a.out, "%s is up to date now\n", c.Write)
+	fmt.Fprintf(a.out, "%s has been updated\n", c.Write)
 	return nil
 }
 
-// parseFile reads a file; what is wrong with it is told with its name and lines, and is wrong use.
+// parseFile reads and parses a file. Errors name the file and its lines, and are usage errors.
 func parseFile[T any](path string, parse func([]byte) (T, error)) (T, error) {
 	var v T
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return v, wrongUse{err}
+		return v, usageError{err}
 	}
 	if v, err = parse(raw); err != nil {
-		return v, wrongUse{inFile(path, err)}
+		return v, usageError{withFileName(path, err)}
 	}
 	return v, nil
 }
 
-// inFile puts a file's name before each of the errors that are joined.
-func inFile(path string, err error) error {
+// withFileName puts the name of a file in front of each of the joined errors.
+func withFileName(path string, err error) error {
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	var all []error
 	for _, e := range joined.Unwrap() {
-		all = append(all, inFile(path, e))
+		all = append(all, withFileName(path, e))
 	}
 	return errors.Join(all...)
 }
--- a/cmd/cottonrack/capacity_test.go
+++ b/cmd/cottonrack/capacity_test.go
@@ -20,12 +20,12 @@
 	"starlingusher/internal/directory"
 )
 
-// The tests run in this folder.
-const root = "../.."
+// The tests run in the directory of the package.
+const repositoryRoot = "../.."
 
-func read(t *testing.T, name string) string {
+func readFile(t *testing.T, name string) string {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join(root, name))
+	raw, err := os.ReadFile(filepath.Join(repositoryRoot, name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,8 +39,9 @@
 	return code, o.String(), e.String()
 }
 
-// upToDate tells whether a page is what the program makes of it, by the command that the page names; the page is not changed.
-func upToDate(t *testing.T, page, target, slopes string) bool {
+// isUpToDate reports whether the program, with the command that the page names, leaves the page unchanged. It
+// works on a copy of the page.
+func isUpToDate(t *testing.T, page, target, slopes string) bool {
 	t.Helper()
 	dir := t.TempDir()
 	file := func(name, text string) string {
@@ -51,7 +52,7 @@
 		return name
 	}
 	p := file("page.md", page)
-	if code, _, e := cottonrack("capacity", "--target", file("target.toml", target), "--slopes", file("slopes.toml", slopes), "--write", p); code != exitDone {
+	if code, _, e := cottonrack("capacity", "--target", file("target.toml", target), "--slopes", file("slopes.toml", slopes), "--write", p); code != exitOK {
 		t.Fatalf("exit code %d: %s", code, e)
 	}
 	after, err := os.ReadFile(p)
@@ -62,17 +63,17 @@
 }
 
 func TestCapacityPageIsUpToDate(t *testing.T) {
-	page, target, slopes := read(t, "docs/CAPACITY.md"), read(t, "docs/capacity/target.toml"), read(t, "docs/capacity/slopes.toml")
-	if !upToDate(t, page, target, slopes) {
-		t.Fatal("the tables of docs/CAPACITY.md are not what the program prints: cottonrack capacity --write docs/CAPACITY.md, from the root")
+	page, target, slopes := readFile(t, "docs/CAPACITY.md"), readFile(t, "docs/capacity/target.toml"), readFile(t, "docs/capacity/slopes.toml")
+	if !isUpToDate(t, page, target, slopes) {
+		t.Fatal("the tables of docs/CAPACITY.md differ from what the program prints: run cottonrack capacity --write docs/CAPACITY.md in the root of the repository")
 	}
-	// The check finds what drifts: a figure of the page, the target, a slope.
-	drifted := strings.Replace(page, "646,000", "645,000", 1)
-	if drifted == page || upToDate(t, drifted, target, slopes) {
-		t.Error("a figure changed on the page is not found")
+	// The check detects changes of a figure on the page, of the target and of a slope.
+	changedPage := strings.Replace(page, "646,000", "645,000", 1)
+	if changedPage == page || isUpToDate(t, changedPage, target, slopes) {
+		t.Error("a changed figure on the page is not detected")
 	}
-	if other := strings.Replace(target, "nodes = 820", "nodes = 821", 1); other == target || upToDate(t, page, other, slopes) {
-		t.Error("another target is not found")
+	if other := strings.Replace(target, "nodes = 820", "nodes = 821", 1); other == target || isUpToDate(t, page, other, slopes) {
+		t.Error("another target is not detected")
 	}
 	all, err := capacity.ParseSlopes([]byte(slopes))
 	if err != nil {
@@ -84,28 +85,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if upToDate(t, page, target, string(more)) {
-		t.Error("another slope is not found")
+	if isUpToDate(t, page, target, string(more)) {
+		t.Error("another slope is not detected")
 	}
-	// What stands outside the tables stays.
-	if prose := strings.Replace(page, "# Capacities", "# Capacities of ours", 1); !upToDate(t, prose, target, slopes) {
-		t.Error("prose is not kept")
+	// Text outside the tables is left alone.
+	if prose := strings.Replace(page, "# Capacities", "# Capacities of ours", 1); !isUpToDate(t, prose, target, slopes) {
+		t.Error("text outside the tables is not kept")
 	}
 }
 
-// What is printed is what stands on the page.
-func TestCapacityPrintsThePagesTables(t *testing.T) {
-	files := []string{"capacity", "--target", root + "/docs/capacity/target.toml", "--slopes", root + "/docs/capacity/slopes.toml"}
+// The program prints the same tables as the page has.
+func TestCapacityPrintsTablesOfPage(t *testing.T) {
+	files := []string{"capacity", "--target", repositoryRoot + "/docs/capacity/target.toml", "--slopes", repositoryRoot + "/docs/capacity/slopes.toml"}
 	code, out, e := cottonrack(files...)
-	if code != exitDone {
+	if code != exitOK {
 		t.Fatalf("exit code %d: %s", code, e)
 	}
-	page := read(t, "docs/CAPACITY.md")
+	page := readFile(t, "docs/CAPACITY.md")
 	tables := regexp.MustCompile(`(?s)<!-- capacity:begin ([a-z-]+) -->\n(.*?)<!-- capacity:end -->`).FindAllStringSubmatch(page, -1)
 	if len(tables) < 10 {
 		t.Fatalf("the page has %d tables", len(tables))
 	}
-	help := regexp.MustCompile(`these tables alone: ([a-z, -]+)\.`).FindStringSubmatch(helpText(t))
+	help := regexp.MustCompile(`only these tables: ([a-z, -]+)\.`).FindStringSubmatch(helpText(t))
 	if help == nil {
 		t.Fatal("--help does not name the tables")
 	}
@@ -117,17 +118,17 @@
 			t.Errorf("--help does not name the table %s", m[1])
 		}
 		code, one, e := cottonrack(append(files, "--only", m[1])...)
-		if code != exitDone || !strings.HasSuffix(one, "\n\n"+m[2]+"\n") || strings.Count(one, "## ") != 1 {
+		if code != exitOK || !strings.HasSuffix(one, "\n\n"+m[2]+"\n") || strings.Count(one, "## ") != 1 {
 			t.Errorf("--only %s: exit code %d, %s%s", m[1], code, one, e)
 		}
 	}
 	code, out, e = cottonrack(append(files, "--order")...)
-	if code != exitDone || strings.Count(out, "## ") != 2 || !strings.Contains(out, "## What waits for what") {
+	if code != exitOK || strings.Count(out, "## ") != 2 || !strings.Contains(out, "## What waits for what") {
 		t.Errorf("--order: exit code %d, %s%s", code, out, e)
 	}
 	code, out, e = cottonrack(append([]string{"--json"}, files...)...)
 	var r capacity.Report
-	if code != exitDone {
+	if code != exitOK {
 		t.Fatalf("--json: exit code %d: %s", code, e)
 	}
 	if err := json.Unmarshal([]byte(out), &r); err != nil || len(r.Lines) < 50 || len(r.Steps) == 0 || r.Target.Fleet.Nodes != 820 {
@@ -135,7 +136,7 @@
 	}
 }
 
-// helpText is --help with the line breaks taken out.
+// helpText returns the output of --help without line breaks.
 func helpText(t *testing.T) string {
 	t.Helper()
 	code, out, _ := cottonrack("capacity", "--help")
@@ -145,9 +146,9 @@
 	return strings.Join(strings.Fields(out), " ")
 }
 
-func TestCapacityWrongUse(t *testing.T) {
+func TestCapacityUsageErrors(t *testing.T) {
 	dir := t.TempDir()
-	target, slopes := root+"/docs/capacity/target.toml", root+"/docs/capacity/slopes.toml"
+	target, slopes := repositoryRoot+"/docs/capacity/target.toml", repositoryRoot+"/docs/capacity/slopes.toml"
 	file := func(name, text string) string {
 		name = filepath.Join(dir, name)
 		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -155,7 +156,7 @@
 		}
 		return name
 	}
-	badTarget := file("t.toml", strings.Replace(strings.Replace(read(t, "docs/capacity/target.toml"), "nodes = 820", "nodes = 0", 1), "zones = 6", "zones = -6", 1))
+	badTarget := file("t.toml", strings.Replace(strings.Replace(readFile(t, "docs/capacity/target.toml"), "nodes = 820", "nodes = 0", 1), "zones = 6", "zones = -6", 1))
 	badSlopes := file("s.toml", "[[slope]]\nid = \"a\"\nwot = \"b\"\n")
 	badPage := file("p.md", "# A page\n<!-- capacity:begin none -->\n<!-- capacity:end -->\n")
 	for _, c := range []struct {
@@ -172,12 +173,12 @@
 		{[]string{"--taget", target}, []string{"--taget"}},
 	} {
 		code, _, e := cottonrack(append([]string{"capacity"}, c.args...)...)
-		if code != exitWrongUse {
+		if code != exitUsage {
 			t.Errorf("%v: exit code %d", c.args, code)
 		}
 		for _, want := range c.want {
 			if !regexp.MustCompile(want).MatchString(e) {
-				t.Errorf("%v: %s; wanted %s", c.args, e, want)
+				t.Errorf("%v: got %s; want %s", c.args, e, want)
 			}
 		}
 	}
@@ -186,11 +187,11 @@
 	}
 }
 
-// constantOf is the value of a constant in a source file.
-func constantOf(t *testing.T, name, place string) (float64, bool) {
+// constantValue returns the value of a constant in a source file.
+func constantValue(t *testing.T, name, place string) (float64, bool) {
 	t.Helper()
 	fset := token.NewFileSet()
-	f, err := parser.ParseFile(fset, filepath.Join(root, place), nil, 0)
+	f, err := parser.ParseFile(fset, filepath.Join(repositoryRoot, place), nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,8 +216,8 @@
 	return 0, false
 }
 
-// The bounds that lines end at are those of the code.
-func TestCapacityFactsAreTheCodes(t *testing.T) {
+// The bounds at which lines end are those in the code.
+func TestCapacityBoundsMatchCode(t *testing.T) {
 	for _, f := range capacity.Bounds() {
 		var got float64
 		switch f.Name {
@@ -226,37 +227,37 @@
 			got = catalog.MaxChanges
 		case "Watch.Most":
 			got = float64(directory.Defaults().Watch.MaxOpen)
-		case "keep_kb": // a setting without a default; the page's example is what is deployed
-			if strings.Contains(read(t, f.Place), "keep_kb = 256 ") {
+		case "keep_kb": // a setting without a default; the deployed value is in the page's example
+			if strings.Contains(readFile(t, f.Place), "keep_kb = 256 ") {
 				got = 256 << 10
 			}
 		case "defaultDiskMB":
-			n, _ := constantOf(t, f.Name, f.Place)
+			n, _ := constantValue(t, f.Name, f.Place)
 			got = n * (1 << 20)
 		case "loop":
 			var all string
-			names, err := filepath.Glob(root + "/internal/node/*.go")
+			names, err := filepath.Glob(repositoryRoot + "/internal/node/*.go")
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, name := range names {
 				if !strings.HasSuffix(name, "_test.go") {
-					all += read(t, strings.TrimPrefix(name, root))
+					all += readFile(t, strings.TrimPrefix(name, repositoryRoot))
 				}
 			}
 			got = float64(strings.Count(all, "n.loop("))
 		default:
-			got, _ = constantOf(t, f.Name, f.Place)
+			got, _ = constantValue(t, f.Name, f.Place)
 		}
 		if got != f.Value {
-			t.Errorf("%s in %s is %v, and taken to be %v", f.Name, f.Place, got, f.Value)
+			t.Errorf("%s in %s is %v, and the bounds say %v", f.Name, f.Place, got, f.Value)
 		}
 	}
 }
 
-// What carries a line today is there.
-func TestCapacityPlacesAreThere(t *testing.T) {
-	target, err := capacity.ParseTarget([]byte(read(t, "docs/capacity/target.toml")))
+// The files that are said to carry a line today exist.
+func TestCapacityPlacesExist(t *testing.T) {
+	target, err := capacity.ParseTarget([]byte(readFile(t, "docs/capacity/target.toml")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -265,7 +266,7 @@
 			continue
 		}
 		for place := range strings.SplitSeq(l.Mechanism, ", ") {
-			if _, err := os.Stat(filepath.Join(root, place)); err != nil {
+			if _, err := os.Stat(filepath.Join(repositoryRoot, place)); err != nil {
 				t.Errorf("%s is carried by %s: %v", l.ID, place, err)
 			}
 		}
--- a/cmd/cottonrack/directory.go
+++ b/cmd/cottonrack/directory.go
@@ -21,46 +21,46 @@
 )
 
 type directoryCmd struct {
-	Serve   serveCmd   `cmd:"" help:"Run a replica of the list service: one alone, or one of 3 or 5."`
-	Status  statusCmd  `cmd:"" help:"Show what each replica says of itself."`
+	Serve   serveCmd   `cmd:"" help:"Run a replica of the directory: a single one, or one of 3 or 5."`
+	Status  statusCmd  `cmd:"" help:"Show the status of each replica."`
 	List    listCmd    `cmd:"" help:"Show the endpoints."`
-	Watch   watchCmd   `cmd:"" help:"Show the list and what changes, until Ctrl-C."`
-	Apply   applyCmd   `cmd:"" help:"Write a file of endpoints: all of it or nothing."`
-	Drain   drainCmd   `cmd:"" help:"Let an endpoint drain."`
-	Confirm confirmCmd `cmd:"" help:"Let a write that is held back happen, or drop it."`
+	Watch   watchCmd   `cmd:"" help:"Show the list and its changes, until Ctrl-C."`
+	Apply   applyCmd   `cmd:"" help:"Write the endpoints of a file, atomically."`
+	Drain   drainCmd   `cmd:"" help:"Drain an endpoint."`
+	Confirm confirmCmd `cmd:"" help:"Confirm or drop a write that is held back."`
 	History historyCmd `cmd:"" help:"Show who changed what, and when."`
-	Backup  backupCmd  `cmd:"" help:"Save the list, its history and the records in a file."`
-	Restore restoreCmd `cmd:"" help:"Let the service go on from a backup, as a new history."`
-	Member  memberCmd  `cmd:"" help:"Let replicas join, or take them out."`
+	Backup  backupCmd  `cmd:"" help:"Save the list, its history and the records to a file."`
+	Restore restoreCmd `cmd:"" help:"Restore a backup, as a new history."`
+	Member  memberCmd  `cmd:"" help:"Add or remove replicas."`
 }
 
-// asking is what all commands that ask the service have in common.
-type asking struct {
-	At   []string      `help:"Addresses of replicas, HOST:PORT." default:"127.0.0.1:8600" env:"COTTONRACK_DIRECTORY"`
-	Wait time.Duration `help:"How long to wait for a replica that can serve." default:"5s"`
-	Why  string        `help:"Why, for the history."`
+// directoryClientFlags are the flags of all commands that send requests to the directory.
+type directoryClientFlags struct {
+	Addresses []string      `name:"at" help:"Addresses of replicas, HOST:PORT." default:"127.0.0.1:8600" env:"COTTONRACK_DIRECTORY"`
+	RetryFor  time.Duration `name:"wait" help:"How long to wait for a replica that can serve." default:"5s"`
+	Reason    string        `name:"why" help:"Reason, for the history."`
 }
 
-func (c asking) operator() *directory.AdminClient {
+func (c directoryClientFlags) adminClient() *directory.AdminClient {
 	by := "unknown"
 	if u, err := user.Current(); err == nil {
 		by = u.Username
 	}
-	return &directory.AdminClient{Addresses: c.At, By: by, Reason: c.Why, RetryFor: c.Wait}
+	return &directory.AdminClient{Addresses: c.Addresses, By: by, Reason: c.Reason, RetryFor: c.RetryFor}
 }
 
 type serveCmd struct {
-	Config string `help:"The replica's settings, a TOML file; without it one replica alone at 127.0.0.1:8600." type:"path"`
-	Data   string `help:"Its folder, in place of the file's." type:"path"`
+	Config string `help:"TOML file with the replica's settings; the default is a single replica at 127.0.0.1:8600." type:"path"`
+	Data   string `help:"The replica's data directory, instead of the one in the settings." type:"path"`
 }
 
-// Run serves until it is told to end.
+// Run serves until the context ends.
 func (c *serveCmd) Run(a *app) error {
 	cfg := directory.Defaults()
 	if c.Config != "" {
 		var err error
 		if cfg, err = directory.LoadConfig(c.Config); err != nil {
-			return wrongUse{err}
+			return usageError{err}
 		}
 	}
 	if c.Data != "" {
@@ -83,9 +83,9 @@
 	return errors.Join(err, s.Close(), r.Close())
 }
 
-type statusCmd struct{ asking }
+type statusCmd struct{ directoryClientFlags }
 
-// Run asks each replica.
+// Run asks each replica for its status.
 func (c *statusCmd) Run(a *app) error {
 	type row struct {
 		Address string            `json:"address"`
@@ -93,19 +93,19 @@
 		Error   string            `json:"error,omitempty"`
 	}
 	var rows []row
-	bad := 0
-	for _, at := range c.At {
-		o := c.operator()
-		o.Addresses, o.RetryFor = []string{at}, 0
+	failed := 0
+	for _, address := range c.Addresses {
+		o := c.adminClient()
+		o.Addresses, o.RetryFor = []string{address}, 0
 		ctx, cancel := context.WithTimeout(a.ctx, 3*time.Second)
 		st, err := o.Status(ctx)
 		cancel()
 		if err != nil {
-			bad++
-			rows = append(rows, row{Address: at, Error: err.Error()})
+			failed++
+			rows = append(rows, row{Address: address, Error: err.Error()})
 			continue
 		}
-		rows = append(rows, row{Address: at, Status: &st})
+		rows = append(rows, row{Address: address, Status: &st})
 	}
 	if a.asJSON {
 		if err := printJSON(a.out, rows); err != nil {
@@ -120,7 +120,7 @@
 				continue
 			}
 			s := r.Status
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%v\n", r.Address, s.ID, s.State, dash(s.Leader), s.History, s.Revision, s.Endpoints, s.Watches,
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%v\n", r.Address, s.ID, s.State, dashIfEmpty(s.Leader), s.History, s.Revision, s.Endpoints, s.Watches,
 				time.Duration(s.AgeMS)*time.Millisecond)
 		}
 		w.Flush()
@@ -129,62 +129,62 @@
 				continue
 			}
 			if h := r.Status.Held; h != nil {
-				fmt.Fprintf(a.out, "held back: number %d, by %s, would take %d of %d serving endpoints away; cottonrack directory confirm %d\n",
-					h.Number, dash(h.By), h.Removed, h.ServingTotal, h.Number)
+				fmt.Fprintf(a.out, "held back: number %d, by %s, would remove %d of %d serving endpoints; to confirm: cottonrack directory confirm %d\n",
+					h.Number, dashIfEmpty(h.By), h.Removed, h.ServingTotal, h.Number)
 			}
 			if r.Status.SourceSilentSinceMS > 0 {
-				fmt.Fprintf(a.out, "the list's source, %s, has said nothing since %s: the list can't be vouched for\n", r.Status.Follows, clock(r.Status.SourceSilentSinceMS))
+				fmt.Fprintf(a.out, "no heartbeat from the list's source, %s, since %s: the list is not vouched for\n", r.Status.Follows, formatTime(r.Status.SourceSilentSinceMS))
 			}
 			for _, m := range r.Status.Members {
 				if !m.Votes {
-					fmt.Fprintf(a.out, "replica %s (%s) has no vote; it is invited, and has not joined or not caught up\n", m.ID, m.HTTP)
+					fmt.Fprintf(a.out, "replica %s (%s) has no vote: it was invited, and has not joined or not caught up\n", m.ID, m.HTTP)
 				}
 			}
-			break // they agree, or will
+			break // the replicas agree, or will
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d replicas did not answer", bad, len(rows))
+	if failed > 0 {
+		return fmt.Errorf("%d of %d replicas did not answer", failed, len(rows))
 	}
 	return nil
 }
 
-func dash(s string) string {
+func dashIfEmpty(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-func clock(ms int64) string { return time.UnixMilli(ms).Format("2006-01-02 15:04:05") }
+func formatTime(ms int64) string { return time.UnixMilli(ms).Format("2006-01-02 15:04:05") }
 
 type listCmd struct {
-	asking
-	Fresh bool `help:"Hold every write that was acknowledged before; needs a leader. Without it, what some replica has."`
-	Cell  int  `help:"Of this partner alone." default:"-1"`
+	directoryClientFlags
+	Fresh bool `help:"Include every write acknowledged so far; needs a leader. Without it, the list of any replica."`
+	Cell  int  `help:"Only endpoints of this partner." default:"-1"`
 }
 
-// Run shows the list.
+// Run prints the list.
 func (c *listCmd) Run(a *app) error {
-	l, _, header, err := c.operator().List(a.ctx, c.Fresh)
+	l, _, header, err := c.adminClient().List(a.ctx, c.Fresh)
 	if err != nil {
 		return err
 	}
 	if c.Cell >= 0 {
-		var some []catalog.Endpoint
+		var selected []catalog.Endpoint
 		for _, m := range l.Members {
 			if m.Cell == c.Cell {
-				some = append(some, m)
+				selected = append(selected, m)
 			}
 		}
-		l.Members, l.Complete = some, false
+		l.Members, l.Complete = selected, false
 	}
 	if a.asJSON {
 		return printJSON(a.out, l)
 	}
-	fmt.Fprintf(a.out, "revision %d of history %s, %s ms since its replica heard of a leader\n", l.Revision, header.Get(directory.HeaderHistory), header.Get(directory.HeaderAge))
+	fmt.Fprintf(a.out, "revision %d of history %s, %s ms since the replica last heard from a leader\n", l.Revision, header.Get(directory.HeaderHistory), header.Get(directory.HeaderAge))
 	if header.Get(directory.HeaderVouched) == "no" {
-		fmt.Fprintln(a.out, "NOT VOUCHED FOR: the source of the list has gone silent")
+		fmt.Fprintln(a.out, "NOT VOUCHED FOR: the source of the list is silent")
 	}
 	return printEndpoints(a, l.Members)
 }
@@ -198,21 +198,21 @@
 	return w.Flush()
 }
 
-type watchCmd struct{ asking }
+type watchCmd struct{ directoryClientFlags }
 
-// Run shows changes until it is told to end.
+// Run prints changes until the context ends.
 func (c *watchCmd) Run(a *app) error {
-	if len(c.At) == 0 {
-		return wrongUse{errors.New("--at names no replica")}
+	if len(c.Addresses) == 0 {
+		return usageError{errors.New("--at names no replica")}
 	}
-	w := registry.Watcher{Addresses: c.At, FleetSize: 1, Client: http.DefaultClient, Log: a.log, Cursor: registry.NewCursor(registry.Position{})}
+	w := registry.Watcher{Addresses: c.Addresses, FleetSize: 1, Client: http.DefaultClient, Log: a.log, Cursor: registry.NewCursor(registry.Position{})}
 	w.Watch(a.ctx, func(n registry.Update) error {
 		if a.asJSON {
 			return json.NewEncoder(a.out).Encode(n.List)
 		}
 		what := "changes"
 		if n.Complete {
-			what = "the whole list"
+			what = "the full list"
 		}
 		fmt.Fprintf(a.out, "%s  revision %d of history %d, from %s: %s\n", time.Now().Format("15:04:05.000"), n.Revision, n.History, n.Server, what)
 		return printEndpoints(a, n.Members)
@@ -221,19 +221,19 @@
 }
 
 type applyCmd struct {
-	asking
-	File    string `arg:"" help:"JSON with members, as list --json prints it."`
-	Partial bool   `help:"The file holds changes; what it does not name stays. Phase DELETED takes one away."`
-	RestsOn string `help:"Revision or HISTORY.REVISION that the file was made from, or * for any; by default the file's own revision, else the present one."`
-	Confirm bool   `help:"Do it also if a large share of the endpoints goes."`
-	DryRun  bool   `help:"Show what would change, and write nothing."`
+	directoryClientFlags
+	File         string `arg:"" help:"JSON with members, in the format of list --json."`
+	Partial      bool   `help:"The file holds changes only; other endpoints stay. Phase DELETED removes an endpoint."`
+	BaseRevision string `name:"rests-on" help:"Revision or HISTORY.REVISION that the file is based on, or * for any; the default is the file's revision, or else the current one."`
+	Confirm      bool   `help:"Write also if a large share of the endpoints is removed."`
+	DryRun       bool   `help:"Show what would change, and write nothing."`
 }
 
-// Run shows what changes, and writes it.
+// Run prints what changes, and writes it.
 func (c *applyCmd) Run(a *app) error {
 	raw, err := os.ReadFile(c.File)
 	if err != nil {
-		return wrongUse{err}
+		return usageError{err}
 	}
 	var file struct {
 		Revision int64               `json:"revision"`
@@ -243,17 +243,17 @@
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&file); err != nil {
-		return wrongUse{fmt.Errorf("%s: line %d: %w", c.File, lineOf(err, raw, d.InputOffset()), err)}
+		return usageError{fmt.Errorf("%s: line %d: %w", c.File, errorLine(err, raw, d.InputOffset()), err)}
 	}
 	if file.Members == nil {
-		return wrongUse{fmt.Errorf(`%s: "members" is missing`, c.File)}
+		return usageError{fmt.Errorf(`%s: "members" is missing`, c.File)}
 	}
 	for i, m := range *file.Members {
 		if err := m.Validate(); err != nil {
-			return wrongUse{fmt.Errorf("%s: member %d: %w", c.File, i+1, err)}
+			return usageError{fmt.Errorf("%s: member %d: %w", c.File, i+1, err)}
 		}
 	}
-	o := c.operator()
+	o := c.adminClient()
 	now, match, _, err := o.List(a.ctx, true)
 	var no *directory.ResponseError
 	switch {
@@ -265,8 +265,8 @@
 	if file.Revision > 0 {
 		match = fmt.Sprint(file.Revision)
 	}
-	if c.RestsOn != "" {
-		match = c.RestsOn
+	if c.BaseRevision != "" {
+		match = c.BaseRevision
 	}
 	changes := directory.Diff(now.Members, *file.Members, !c.Partial)
 	if !a.asJSON {
@@ -282,34 +282,34 @@
 		return nil
 	}
 	w, err := o.Put(a.ctx, *file.Members, !c.Partial, c.Confirm, match)
-	return a.written(w, err)
+	return a.reportWrite(w, err)
 }
 
-// lineOf is the line at which JSON could not be read; at is how far it was.
-func lineOf(err error, raw []byte, at int64) int {
+// errorLine returns the line of a JSON decoding error; offset is how far the decoder had read.
+func errorLine(err error, raw []byte, offset int64) int {
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
-		at = syntax.Offset
-	case errors.As(err, &kind):
-		at = kind.Offset
+		offset = syntax.Offset
+	case errors.As(err, &wrongType):
+		offset = wrongType.Offset
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		at = int64(len(bytes.TrimRight(raw, "\n")))
+		offset = int64(len(bytes.TrimRight(raw, "\n")))
 	}
-	return 1 + bytes.Count(raw[:min(max(at, 0), int64(len(raw)))], []byte("\n"))
+	return 1 + bytes.Count(raw[:min(max(offset, 0), int64(len(raw)))], []byte("\n"))
 }
 
-// written tells what came of a write.
-func (a *app) written(w directory.WriteResult, err error) error {
+// reportWrite reports the result of a write.
+func (a *app) reportWrite(w directory.WriteResult, err error) error {
 	var no *directory.ResponseError
 	switch {
 	case errors.Is(err, catalog.ErrHeld) && errors.As(err, &no):
-		return fmt.Errorf("%w; cottonrack directory confirm %d", err, no.Held)
+		return fmt.Errorf("%w; to confirm: cottonrack directory confirm %d", err, no.Held)
 	case errors.Is(err, catalog.ErrConflict):
 		return fmt.Errorf("nothing was written: %w; read the list again", err)
 	case errors.Is(err, directory.ErrAmbiguous):
-		return fmt.Errorf("it may or may not have been written: %w; look at the list, and write again with the same --rests-on", err)
+		return fmt.Errorf("the write may or may not have happened: %w; check the list, and write again with the same --rests-on", err)
 	case err != nil:
 		return fmt.Errorf("nothing was written: %w", err)
 	}
@@ -321,31 +321,31 @@
 }
 
 type drainCmd struct {
-	asking
+	directoryClientFlags
 	ID string `arg:"" help:"The endpoint."`
 }
 
-// Run drains it.
-func (c *drainCmd) Run(a *app) error { return a.written(c.operator().Drain(a.ctx, c.ID)) }
+// Run drains the endpoint.
+func (c *drainCmd) Run(a *app) error { return a.reportWrite(c.adminClient().Drain(a.ctx, c.ID)) }
 
 type confirmCmd struct {
-	asking
-	Number int64 `arg:"" help:"Its number, as status shows it."`
-	Drop   bool  `help:"Drop it in place."`
+	directoryClientFlags
+	Number int64 `arg:"" help:"Number of the write, as shown by status."`
+	Drop   bool  `help:"Drop the write instead."`
 }
 
-// Run confirms it.
-func (c *confirmCmd) Run(a *app) error { return c.operator().Confirm(a.ctx, c.Number, c.Drop) }
+// Run confirms the write, or drops it.
+func (c *confirmCmd) Run(a *app) error { return c.adminClient().Confirm(a.ctx, c.Number, c.Drop) }
 
 type historyCmd struct {
-	asking
-	After int64 `help:"Changes after this revision; without it the last ones." default:"-1"`
-	Limit int   `help:"So many at most." default:"50"`
+	directoryClientFlags
+	After int64 `help:"Show changes after this revision; the default is the last changes." default:"-1"`
+	Limit int   `help:"Maximum number of changes." default:"50"`
 }
 
-// Run shows the changes.
+// Run prints the changes.
 func (c *historyCmd) Run(a *app) error {
-	h, err := c.operator().History(a.ctx, c.After, c.Limit)
+	h, err := c.adminClient().History(a.ctx, c.After, c.Limit)
 	if err != nil {
 		return err
 	}
@@ -364,33 +364,33 @@
 			count[m.Phase]++
 			ids = append(ids, m.ID)
 		}
-		what := fmt.Sprintf("%d serve, %d drain, %d go", count[catalog.Serving], count[catalog.Draining], count[catalog.Deleted])
+		what := fmt.Sprintf("%d serving, %d draining, %d deleted", count[catalog.Serving], count[catalog.Draining], count[catalog.Deleted])
 		if len(ids) <= 3 {
 			what = ""
 			for _, m := range ch.Members {
 				what += m.ID + " " + m.Phase + " "
 			}
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", ch.Revision, clock(ch.At), dash(ch.By), strings.TrimSpace(what), ch.Reason)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", ch.Revision, formatTime(ch.At), dashIfEmpty(ch.By), strings.TrimSpace(what), ch.Reason)
 	}
 	return w.Flush()
 }
 
 type backupCmd struct {
-	asking
-	File string `arg:"" help:"The file, which must not exist."`
-	Any  bool   `help:"Take what some replica has; for when there is no leader."`
+	directoryClientFlags
+	File           string `arg:"" help:"The file, which must not exist yet."`
+	FromAnyReplica bool   `name:"any" help:"Save the state of any replica; for when there is no leader."`
 }
 
 // Run saves a backup.
 func (c *backupCmd) Run(a *app) error {
-	raw, image, err := c.operator().Backup(a.ctx, !c.Any)
+	raw, image, err := c.adminClient().Backup(a.ctx, !c.FromAnyReplica)
 	if err != nil {
 		return err
 	}
 	f, err := os.OpenFile(c.File, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return wrongUse{err}
+		return usageError{err}
 	}
 	_, err = f.Write(raw)
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
@@ -406,43 +406,43 @@
 }
 
 type restoreCmd struct {
-	asking
-	File string `arg:"" help:"A backup." type:"existingfile"`
+	directoryClientFlags
+	File string `arg:"" help:"The backup." type:"existingfile"`
 }
 
-// Run restores it.
+// Run restores the backup.
 func (c *restoreCmd) Run(a *app) error {
 	raw, err := os.ReadFile(c.File)
 	if err != nil {
-		return wrongUse{err}
+		return usageError{err}
 	}
 	if _, err := directory.DecodeBackup(bytes.NewReader(raw)); err != nil {
-		return wrongUse{fmt.Errorf("%s: %w", c.File, err)}
+		return usageError{fmt.Errorf("%s: %w", c.File, err)}
 	}
-	return a.written(c.operator().Restore(a.ctx, raw))
+	return a.reportWrite(c.adminClient().Restore(a.ctx, raw))
 }
 
 type memberCmd struct {
 	Add    memberAddCmd    `cmd:"" help:"Invite a replica; it joins when it is started with the others as its peers."`
-	Remove memberRemoveCmd `cmd:"" help:"Take a replica out, also one that is gone for good."`
+	Remove memberRemoveCmd `cmd:"" help:"Remove a replica, also one that is gone for good."`
 }
 
 type memberAddCmd struct {
-	asking
-	ID   string `arg:"" help:"Its id."`
-	HTTP string `required:"" help:"Its address for nodes and operators."`
-	Raft string `required:"" help:"Its address for other replicas."`
+	directoryClientFlags
+	ID   string `arg:"" help:"ID of the replica."`
+	HTTP string `required:"" help:"The replica's address for nodes and operators."`
+	Raft string `required:"" help:"The replica's address for other replicas."`
 }
 
-// Run invites it.
+// Run invites the replica.
 func (c *memberAddCmd) Run(a *app) error {
-	return c.operator().AddReplica(a.ctx, catalog.Replica{ID: c.ID, HTTP: c.HTTP, Raft: c.Raft})
+	return c.adminClient().AddReplica(a.ctx, catalog.Replica{ID: c.ID, HTTP: c.HTTP, Raft: c.Raft})
 }
 
 type memberRemoveCmd struct {
-	asking
-	ID string `arg:"" help:"Its id."`
+	directoryClientFlags
+	ID string `arg:"" help:"ID of the replica."`
 }
 
-// Run takes it out.
-func (c *memberRemoveCmd) Run(a *app) error { return c.operator().RemoveReplica(a.ctx, c.ID) }
+// Run removes the replica.
+func (c *memberRemoveCmd) Run(a *app) error { return c.adminClient().RemoveReplica(a.ctx, c.ID) }
--- a/cmd/cottonrack/formats_test.go
+++ b/cmd/cottonrack/formats_test.go
@@ -14,9 +14,9 @@
 	"starlingusher/internal/settings"
 )
 
-// Commands, arguments and flags with their defaults, enums and environment names; not the help texts.
+// Commands, arguments and flags with their defaults, enums and environment variables, but without help texts.
 func TestCommandLine(t *testing.T) {
-	parser, err := kong.New(&program{}, kong.Name("cottonrack"))
+	parser, err := kong.New(&commandLine{}, kong.Name("cottonrack"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 }
 
 func TestPlannedMapFormat(t *testing.T) {
-	var value, got planned
+	var value, got mapChange
 	golden.Fill(&value)
 	value.MembersBefore = 0 // is not encoded
 	raw, err := json.MarshalIndent(value, "", " ")
--- a/cmd/cottonrack/main.go
+++ b/cmd/cottonrack/main.go
@@ -1,4 +1,5 @@
-// Command cottonrack is the operators' program: what runs a fleet of delivery nodes, and the lab that proves it.
+// Command cottonrack is the operators' program. It runs and administers the services around a fleet of
+// delivery nodes, and tests the fleet in the lab.
 package main
 
 import (
@@ -17,32 +18,32 @@
 
 // The exit codes.
 const (
-	exitDone     = 0
-	exitNotKept  = 1 // a rule or an expectation was not kept, or the work failed
-	exitWrongUse = 2
+	exitOK     = 0
+	exitFailed = 1 // a rule or an expectation was violated, or the command failed
+	exitUsage  = 2
 )
 
-// errNotKept says that the work was done and its result is a no. What was not kept has been printed.
-var errNotKept = errors.New("not kept")
+// errNotPassed reports that a command completed and its verdict is negative. The details have been printed.
+var errNotPassed = errors.New("not passed")
 
-// wrongUse is an error that the caller can mend by calling again.
-type wrongUse struct{ error }
+// usageError is an error that the caller can avoid by calling the program differently.
+type usageError struct{ error }
 
-func (w wrongUse) Unwrap() error { return w.error }
+func (w usageError) Unwrap() error { return w.error }
 
-type program struct {
+type commandLine struct {
 	JSON      bool   `name:"json" help:"Print the result as JSON."`
-	LogFormat string `enum:"text,json" default:"text" help:"Form of the log lines on standard error: text or json."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"warn" help:"Least level of the log: debug, info, warn or error."`
+	LogFormat string `enum:"text,json" default:"text" help:"Format of the log on standard error: text or json."`
+	LogLevel  string `enum:"debug,info,warn,error" default:"warn" help:"Minimum log level: debug, info, warn or error."`
 
-	Directory directoryCmd `cmd:"" help:"Run the list service, and look after it."`
-	Ownership ownershipCmd `cmd:"" help:"Part destinations among nodes, by a numbered map."`
-	Lab       labCmd       `cmd:"" help:"Play experiments with real nodes on this machine, judge them, and compare builds."`
-	Capacity  capacityCmd  `cmd:"" help:"Work out what a fleet costs, and where today's program ends."`
+	Directory directoryCmd `cmd:"" help:"Run and administer the directory, which serves the list of endpoints."`
+	Ownership ownershipCmd `cmd:"" help:"Assign destinations to nodes by a numbered map of owners."`
+	Lab       labCmd       `cmd:"" help:"Run experiments with real nodes on this machine, check them against the rules, and compare builds."`
+	Capacity  capacityCmd  `cmd:"" help:"Compute what a fleet costs, and up to which size today's program can run it."`
 	Version   versionCmd   `cmd:"" help:"Print the program's version."`
 }
 
-// app is what a command gets beside its flags.
+// app is the context of a command, beside its flags.
 type app struct {
 	ctx    context.Context
 	out    io.Writer
@@ -58,60 +59,60 @@
 	os.Exit(code)
 }
 
-// run is the program but for its exit.
+// run runs the program and returns its exit code.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
-	var p program
+	var p commandLine
 	exited := -1
 	parser, err := kong.New(&p, kong.Name("cottonrack"), kong.Writers(out, errOut), kong.Exit(func(code int) { exited = code }),
-		kong.Description(`Runs fleets of delivery nodes through failures, and proves that they get through them.
+		kong.Description(`Runs fleets of delivery nodes through failures, and checks that they get through them.
 
-A first look, from the root of the repository:
+To get started, from the root of the repository:
 
     cottonrack lab run experiments/smoke.toml --out /tmp/smoke
     cottonrack lab report /tmp/smoke
     cottonrack directory serve --data /tmp/directory
 
-Exit codes: 0 done, 1 a rule or an expectation was not kept, 2 wrong use.`),
+Exit codes: 0 done, 1 a rule or an expectation was violated or the command failed, 2 wrong use.`),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.UsageOnError())
 	if err != nil {
 		fmt.Fprintln(errOut, "cottonrack:", err)
-		return exitWrongUse
+		return exitUsage
 	}
 	k, err := parser.Parse(args)
 	if exited >= 0 {
-		return exited // help was asked for
+		return exited // help was printed
 	}
 	if err != nil {
 		fmt.Fprintf(errOut, "cottonrack: %v\nTry `cottonrack --help`.\n", err)
-		return exitWrongUse
+		return exitUsage
 	}
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(p.LogLevel)); err != nil {
 		fmt.Fprintln(errOut, "cottonrack:", err)
-		return exitWrongUse
+		return exitUsage
 	}
 	var handler slog.Handler = slog.NewTextHandler(errOut, &slog.HandlerOptions{Level: level})
 	if p.LogFormat == "json" {
 		handler = slog.NewJSONHandler(errOut, &slog.HandlerOptions{Level: level})
 	}
 	err = k.Run(&app{ctx: ctx, out: out, err: errOut, log: slog.New(handler), asJSON: p.JSON})
-	var wrong wrongUse
+	var wrong usageError
 	switch {
 	case err == nil:
-		return exitDone
-	case errors.Is(err, errNotKept):
-		return exitNotKept
+		return exitOK
+	case errors.Is(err, errNotPassed):
+		return exitFailed
 	case errors.As(err, &wrong):
 		fmt.Fprintln(errOut, "cottonrack:", err)
-		return exitWrongUse
+		return exitUsage
 	}
 	fmt.Fprintln(errOut, "cottonrack:", err)
-	return exitNotKept
+	return exitFailed
 }
 
 type versionCmd struct{}
 
-// Run prints what the build knows of itself.
+// Run prints the build information.
 func (versionCmd) Run(a *app) error {
 	version, revision, when := "unknown", "", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/cottonrack/ownership.go
+++ b/cmd/cottonrack/ownership.go
@@ -21,13 +21,13 @@
 )
 
 type ownershipCmd struct {
-	Plan  ownershipPlanCmd  `cmd:"" help:"Show what a file of members would move; nothing is written."`
-	Apply ownershipApplyCmd `cmd:"" help:"Make the map of a file of members, and let it be in force."`
-	Show  ownershipShowCmd  `cmd:"" help:"Show the map in force: its number, members, and the parts of each."`
-	Where ownershipWhereCmd `cmd:"" help:"Show a destination's partition and owners."`
+	Plan  ownershipPlanCmd  `cmd:"" help:"Show what would move with a file of members; nothing is written."`
+	Apply ownershipApplyCmd `cmd:"" help:"Make the map for a file of members, and put it into force."`
+	Show  ownershipShowCmd  `cmd:"" help:"Show the map in force: its number, its members, and the assignments of each."`
+	Where ownershipWhereCmd `cmd:"" help:"Show the partition and the owners of a destination."`
 }
 
-// memberFile is the form of MEMBERS.toml.
+// memberFile is the format of MEMBERS.toml.
 type memberFile struct {
 	Copies  int `toml:"copies"`
 	Members []struct {
@@ -37,15 +37,15 @@
 	} `toml:"member"`
 }
 
-// wanted is who shall be members, from a file.
-type wanted struct {
-	Members string `arg:"" help:"TOML: copies = 3, and for each node [[member]] with name, zone and weight (1 if left out)."`
+// memberFileArg is the file that lists the intended members.
+type memberFileArg struct {
+	Members string `arg:"" name:"members" help:"TOML file: copies = 3, and for each node [[member]] with name, zone and weight (default 1)."`
 }
 
-func (w wanted) load() (copies int, members []ownership.Member, err error) {
+func (w memberFileArg) load() (copies int, members []ownership.Member, err error) {
 	f := memberFile{Copies: 3}
 	if err := settings.Load(w.Members, &f); err != nil {
-		return 0, nil, wrongUse{err}
+		return 0, nil, usageError{err}
 	}
 	for _, m := range f.Members {
 		weight := 1.0
@@ -54,26 +54,26 @@
 		}
 		members = append(members, ownership.Member{Name: m.Name, Zone: m.Zone, Weight: weight})
 	}
-	if err := ownership.CheckMembers(f.Copies, members); err != nil { // before anybody is asked
-		return 0, nil, wrongUse{fmt.Errorf("%s: %w", w.Members, err)}
+	if err := ownership.CheckMembers(f.Copies, members); err != nil { // before any request is sent
+		return 0, nil, usageError{fmt.Errorf("%s: %w", w.Members, err)}
 	}
 	return f.Copies, members, nil
 }
 
-// readMap reads the map of a file, as show --save and nodes write it.
-func readMap(path string) (*ownership.Map, error) {
+// readMapFile reads a map from a file, as written by show --save and by nodes.
+func readMapFile(path string) (*ownership.Map, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, wrongUse{err}
+		return nil, usageError{err}
 	}
 	m, err := ownership.Decode(raw)
 	if err != nil {
-		return nil, wrongUse{fmt.Errorf("%s: %w", path, err)}
+		return nil, usageError{fmt.Errorf("%s: %w", path, err)}
 	}
 	return m, nil
 }
 
-// saveMap writes one to a new file.
+// saveMap writes a map to a new file.
 func saveMap(path string, m *ownership.Map) error {
 	raw, err := m.Encode()
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
-		return wrongUse{err}
+		return usageError{err}
 	}
 	_, err = f.Write(raw)
 	if err = errors.Join(err, f.Close()); err != nil {
@@ -90,13 +90,14 @@
 	return err
 }
 
-// fetchMap reads the newest map, nil if there is none: as of now if fresh, else as some replica has it.
-func (c asking) fetchMap(ctx context.Context, fresh bool) (*ownership.Map, error) {
+// fetchMap fetches the newest map, or nil if there is none. With fresh it is the newest for sure, else the
+// newest that some replica has.
+func (c directoryClientFlags) fetchMap(ctx context.Context, fresh bool) (*ownership.Map, error) {
 	path := "/records/" + ownership.RecordName
 	if fresh {
 		path += "?fresh=1"
 	}
-	raw, _, err := c.operator().Do(ctx, http.MethodGet, path, "", nil)
+	raw, _, err := c.adminClient().Do(ctx, http.MethodGet, path, "", nil)
 	if errors.Is(err, catalog.ErrNotFound) {
 		return nil, nil
 	}
@@ -105,20 +106,20 @@
 	}
 	var r catalog.Record
 	if err := json.Unmarshal(raw, &r); err != nil {
-		return nil, fmt.Errorf("record %s: %w", ownership.RecordName, err)
+		return nil, fmt.Errorf("decode record %s: %w", ownership.RecordName, err)
 	}
 	if r.Value == nil {
 		return nil, nil
 	}
 	m, err := ownership.Decode(r.Value)
 	if err != nil {
-		return nil, fmt.Errorf("record %s can't be read: %w", ownership.RecordName, err)
+		return nil, fmt.Errorf("decode map in record %s: %w", ownership.RecordName, err)
 	}
 	return m, nil
 }
 
-// planned is a change as it is shown.
-type planned struct {
+// mapChange is a change of the map as it is printed.
+type mapChange struct {
 	Number  int64 `json:"number"`
 	Before  int64 `json:"before"` // 0: none
 	Copies  int   `json:"copies"`
@@ -128,17 +129,17 @@
 	Written bool `json:"written"`
 }
 
-// planMap makes the next map, or is the one before if nothing is to change.
-func planMap(number int64, copies int, members []ownership.Member, before *ownership.Map) (*ownership.Map, planned, error) {
+// planMap makes the next map. It returns the current map if nothing changes.
+func planMap(number int64, copies int, members []ownership.Member, before *ownership.Map) (*ownership.Map, mapChange, error) {
 	m, err := ownership.Make(number, copies, members, before)
 	if err != nil {
-		return nil, planned{}, err
+		return nil, mapChange{}, err
 	}
 	raw, err := m.Encode()
 	if err != nil {
-		return nil, planned{}, err
+		return nil, mapChange{}, err
 	}
-	p := planned{Number: number, Copies: copies, Members: len(members), Bytes: len(raw), Change: ownership.Diff(before, m)}
+	p := mapChange{Number: number, Copies: copies, Members: len(members), Bytes: len(raw), Change: ownership.Diff(before, m)}
 	if before != nil {
 		p.Before = before.Number
 		same := *m
@@ -151,7 +152,7 @@
 	return m, p, nil
 }
 
-func (p planned) print(a *app) error {
+func (p mapChange) print(a *app) error {
 	if a.asJSON {
 		return printJSON(a.out, p)
 	}
@@ -160,7 +161,7 @@
 	} else {
 		fmt.Fprintf(a.out, "map %d after %d: %d members, %d owners of a partition\n", p.Number, p.Before, p.Members, p.Copies)
 	}
-	some := func(what string, names []string) {
+	printNames := func(what string, names []string) {
 		if len(names) > 0 {
 			more := ""
 			if len(names) > 10 {
@@ -170,43 +171,43 @@
 		}
 	}
 	if p.Before != 0 {
-		some("come", p.Added)
-		some("go", p.Removed)
-		fmt.Fprintf(a.out, "%d of %d parts move; %d of %d partitions keep no owner\n", p.Moved, p.Assignments, p.NoOwnerKept, ownership.PartitionCount)
+		printNames("come", p.Added)
+		printNames("go", p.Removed)
+		fmt.Fprintf(a.out, "%d of %d assignments move; %d of %d partitions keep no owner\n", p.Moved, p.Assignments, p.NoOwnerKept, ownership.PartitionCount)
 	}
-	_, err := fmt.Fprintf(a.out, "%s owns most: %d parts\n", p.MaxLoadMember, p.MaxLoad)
+	_, err := fmt.Fprintf(a.out, "%s has the most assignments: %d\n", p.MaxLoadMember, p.MaxLoad)
 	return err
 }
 
-// guarded tells how a change that is too large may be done all the same.
-func (p planned) guarded() error {
+// confirmHint adds to the error of a change that is too large how to make it anyway.
+func (p mapChange) confirmHint() error {
 	if err := p.CheckSize(); err != nil {
-		return fmt.Errorf("%w; --confirm if that is meant", err)
+		return fmt.Errorf("%w; --confirm if that is intended", err)
 	}
 	return nil
 }
 
 type ownershipPlanCmd struct {
-	wanted
-	asking
-	Offline bool   `help:"Ask no directory."`
-	From    string `help:"The map before, a file as show --save writes it; with --offline alone there is none."`
-	Save    string `help:"Write the map that would be into this file, which must not exist."`
+	memberFileArg
+	directoryClientFlags
+	Offline  bool   `help:"Send no request to a directory."`
+	FromFile string `name:"from" help:"File with the current map, as written by show --save; without it, --offline assumes that there is none."`
+	Save     string `help:"Write the planned map to this file, which must not exist yet."`
 }
 
-// Run shows it.
+// Run prints the planned change.
 func (c *ownershipPlanCmd) Run(a *app) error {
 	copies, members, err := c.load()
 	if err != nil {
 		return err
 	}
-	if c.From != "" && !c.Offline {
-		return wrongUse{errors.New("--from is for --offline; without it the directory has the map before")}
+	if c.FromFile != "" && !c.Offline {
+		return usageError{errors.New("--from is for --offline; without --offline the directory has the current map")}
 	}
 	var before *ownership.Map
 	switch {
-	case c.From != "":
-		before, err = readMap(c.From)
+	case c.FromFile != "":
+		before, err = readMapFile(c.FromFile)
 	case !c.Offline:
 		before, err = c.fetchMap(a.ctx, true)
 	}
@@ -240,36 +241,37 @@
 }
 
 type ownershipApplyCmd struct {
-	wanted
-	asking
-	Confirm bool  `help:"Do it also if more than half of the members go, or more than half of all parts move."`
-	Above   int64 `help:"Take a number above this one: after a restored backup, one that no node has; also if the record can't be read, and then the map is made as the first."`
+	memberFileArg
+	directoryClientFlags
+	Confirm     bool  `help:"Apply also if more than half of the members are removed, or more than half of all assignments move."`
+	AboveNumber int64 `name:"above" help:"Take a map number above this one. After a restored backup, use a number that no node has. If the record can't be read, the map is made as the first one."`
 }
 
-// applyLease is for how long the record is held at most by one who does not come back, and how long another waits for it.
+// applyLease is how long the record stays locked at most if its holder disappears, and how long others wait
+// for it.
 const applyLease = 5 * time.Second
 
-// Run writes it.
+// Run publishes the map.
 func (c *ownershipApplyCmd) Run(a *app) error {
 	copies, members, err := c.load()
 	if err != nil {
 		return err
 	}
-	if c.Above < 0 {
-		return wrongUse{errors.New("--above is a number that was given")}
+	if c.AboveNumber < 0 {
+		return usageError{errors.New("--above must not be negative")}
 	}
-	var p planned
-	agreement := ownership.Publisher{AboveNumber: c.Above, Plan: func(number int64, before *ownership.Map) (*ownership.Map, error) {
+	var p mapChange
+	publisher := ownership.Publisher{AboveNumber: c.AboveNumber, Plan: func(number int64, before *ownership.Map) (*ownership.Map, error) {
 		m, change, err := planMap(number, copies, members, before)
 		if p = change; err != nil || m == before || c.Confirm {
 			return m, err
 		}
-		return m, p.guarded()
+		return m, p.confirmHint()
 	}}
-	m, err := c.agree(a.ctx, &agreement)
+	m, err := c.publishMap(a.ctx, &publisher)
 	switch {
 	case errors.Is(err, ownership.ErrAmbiguous):
-		return fmt.Errorf("%w; look with show, and apply again", err)
+		return fmt.Errorf("%w; check with show, and apply again", err)
 	case err != nil:
 		return fmt.Errorf("nothing was written: %w", err)
 	}
@@ -281,14 +283,15 @@
 	return err
 }
 
-// agree carries an agreement out, until it ends, the context does, or nobody can serve for the time to wait.
-func (c asking) agree(ctx context.Context, agreement *ownership.Publisher) (*ownership.Map, error) {
-	o := c.operator()
-	o.RetryFor = 0 // the agreement's steps are tried again one by one
+// publishMap runs a publisher until it ends, the context ends, or no replica can serve during the time to
+// wait.
+func (c directoryClientFlags) publishMap(ctx context.Context, publisher *ownership.Publisher) (*ownership.Map, error) {
+	o := c.adminClient()
+	o.RetryFor = 0 // the publisher retries its operations one by one
 	holder := fmt.Sprintf("%s.%d.%x", o.By, os.Getpid(), rand.Uint32())
 	const path = "/records/" + ownership.RecordName
-	// What is under way is waited for: an answer that was not taken is one that is not known.
-	ask := func(method, path string, body, into any) error {
+	// Requests in flight are not canceled: the result of a canceled one would be unknown.
+	request := func(method, path string, body, into any) error {
 		raw, err := json.Marshal(body)
 		if err != nil {
 			return err
@@ -303,79 +306,79 @@
 		}
 		return nil
 	}
-	begun := time.Now()
-	var held time.Time
-	for next := agreement.Begin(); ; {
-		ans := ownership.Answer{Seq: next.Seq, Outcome: ownership.Done}
+	startedAt := time.Now()
+	var leaseRequestedAt time.Time
+	for next := publisher.Begin(); ; {
+		answer := ownership.Answer{Seq: next.Seq, Outcome: ownership.Done}
 		var w directory.WriteResult
 		var err error
 		switch next.Operation {
 		case ownership.Acquire:
-			held = time.Now()
-			err = ask(http.MethodPut, path, map[string]any{"holder": holder, "ttl_ms": applyLease.Milliseconds()}, &w)
-			ans.Token = w.Token
+			leaseRequestedAt = time.Now()
+			err = request(http.MethodPut, path, map[string]any{"holder": holder, "ttl_ms": applyLease.Milliseconds()}, &w)
+			answer.Token = w.Token
 		case ownership.Read:
 			var r catalog.Record
-			err = ask(http.MethodGet, path+"?fresh=1", nil, &r)
-			ans.Value = r.Value
+			err = request(http.MethodGet, path+"?fresh=1", nil, &r)
+			answer.Value = r.Value
 		case ownership.Update:
-			if time.Since(held) >= applyLease { // this process was stopped meanwhile
-				ans.Outcome = ownership.LeaseLost
+			if time.Since(leaseRequestedAt) >= applyLease { // this process was stopped in the meantime
+				answer.Outcome = ownership.LeaseLost
 				break
 			}
-			err = ask(http.MethodPost, path, map[string]any{"token": next.Token, "value": next.Value}, &w)
+			err = request(http.MethodPost, path, map[string]any{"token": next.Token, "value": next.Value}, &w)
 		case ownership.Release:
-			err = ask(http.MethodDelete, path, map[string]any{"token": next.Token}, &w)
+			err = request(http.MethodDelete, path, map[string]any{"token": next.Token}, &w)
 		case ownership.End:
 			return next.Map, next.Err
 		}
 		switch {
 		case err == nil:
 		case errors.Is(err, directory.ErrAmbiguous):
-			ans.Outcome = ownership.Ambiguous
+			answer.Outcome = ownership.Ambiguous
 		case errors.Is(err, catalog.ErrInvalid):
-			ans.Outcome, ans.Err = ownership.Refused, fmt.Errorf("%w: %w", ownership.ErrInvalid, err)
+			answer.Outcome, answer.Err = ownership.Refused, fmt.Errorf("%w: %w", ownership.ErrInvalid, err)
 		default:
-			ans.Outcome, ans.Err = ownership.Refused, err
+			answer.Outcome, answer.Err = ownership.Refused, err
 		}
-		limit := c.Wait
-		if errors.Is(err, catalog.ErrNotHolder) { // somebody writes, or has died
+		limit := c.RetryFor
+		if errors.Is(err, catalog.ErrNotHolder) { // another holder is writing, or has died
 			limit += applyLease
 		}
-		if ans.Outcome != ownership.Done && (time.Since(begun) > limit || !registry.Sleep(ctx, 100*time.Millisecond)) {
-			ans.Outcome = ownership.TimedOut
+		if answer.Outcome != ownership.Done && (time.Since(startedAt) > limit || !registry.Sleep(ctx, 100*time.Millisecond)) {
+			answer.Outcome = ownership.TimedOut
 		}
 		var ok bool
-		if next, ok = agreement.Step(ans); !ok {
-			return nil, errors.New("an answer that nobody asked for") // there is one action at a time
+		if next, ok = publisher.Step(answer); !ok {
+			return nil, errors.New("answer without a request") // there is one operation at a time
 		}
 	}
 }
 
-// mapSource is where show and where read the map from.
+// mapSource tells where show and where read the map from.
 type mapSource struct {
-	asking
-	Fresh bool   `help:"The newest for sure; needs a leader. Without it, what some replica has."`
-	From  string `help:"Of this file in place of the directory, as show --save and nodes write it."`
+	directoryClientFlags
+	Fresh    bool   `help:"Read the newest map for sure; needs a leader. Without it, the map of any replica."`
+	FromFile string `name:"from" help:"Read the map from this file, as written by show --save and by nodes, instead of the directory."`
 }
 
 func (c mapSource) read(ctx context.Context) (*ownership.Map, error) {
-	if c.From != "" {
-		return readMap(c.From)
+	if c.FromFile != "" {
+		return readMapFile(c.FromFile)
 	}
 	m, err := c.fetchMap(ctx, c.Fresh)
 	if err == nil && m == nil {
-		err = errors.New("there is no map; cottonrack ownership apply makes the first")
+		err = errors.New("there is no map; cottonrack ownership apply makes the first one")
 	}
 	return m, err
 }
 
 type ownershipShowCmd struct {
 	mapSource
-	Save string `help:"Write the map into this file as well, which must not exist."`
+	Save string `help:"Also write the map to this file, which must not exist yet."`
 }
 
-// Run shows it.
+// Run prints the map.
 func (c *ownershipShowCmd) Run(a *app) error {
 	m, err := c.read(a.ctx)
 	if err != nil {
@@ -389,7 +392,7 @@
 	type row struct {
 		ownership.Member
 		Parts      int     `json:"parts"`
-		Share      float64 `json:"share"` // fair, in parts
+		Share      float64 `json:"share"` // fair share, in assignments
 		Partitions string  `json:"partitions"`
 	}
 	var rows []row
@@ -414,11 +417,11 @@
 	fmt.Fprintf(a.out, "map %d: %d members in %d zones, %d partitions of %d owners each\n\n", m.Number, len(rows), len(zones), ownership.PartitionCount, min(m.OwnersPerPartition, len(rows)))
 	slices.Sort(names)
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "ZONE\tMEMBERS\tPARTS")
+	fmt.Fprintln(w, "ZONE\tMEMBERS\tASSIGNMENTS")
 	for _, name := range names {
 		fmt.Fprintf(w, "%s\t%d\t%d\n", name, zones[name].members, zones[name].parts)
 	}
-	fmt.Fprintln(w, "\t\t\nMEMBER\tZONE\tWEIGHT\tPARTS\tFAIR SHARE")
+	fmt.Fprintln(w, "\t\t\nMEMBER\tZONE\tWEIGHT\tASSIGNMENTS\tFAIR SHARE")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%s\t%g\t%d\t%.1f\n", r.Name, r.Zone, r.Weight, r.Parts, r.Share)
 	}
@@ -427,10 +430,10 @@
 
 type ownershipWhereCmd struct {
 	mapSource
-	Dest int `arg:"" help:"The destination's number."`
+	Dest int `arg:"" help:"Number of the destination."`
 }
 
-// Run shows it.
+// Run prints the partition and its owners.
 func (c *ownershipWhereCmd) Run(a *app) error {
 	m, err := c.read(a.ctx)
 	if err != nil {
--- a/cmd/cottonrack/ownership_test.go
+++ b/cmd/cottonrack/ownership_test.go
@@ -18,73 +18,74 @@
 	"starlingusher/fleet/ownership"
 )
 
-// lossy is a directory's record over the catalog's own state, most of whose requests come to something else than an answer.
-type lossy struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	state *catalog.State
-	given map[int64][]byte
-	bad   []string
-	lost  map[string]int // answers that were lost of what was done, by method
+// lossyDirectory serves the record from a catalog state. Three in ten of its requests fail: some don't arrive, some
+// are refused, and some answers are lost.
+type lossyDirectory struct {
+	mu            sync.Mutex
+	rng           *rand.Rand
+	state         *catalog.State
+	publishedMaps map[int64][]byte
+	problems      []string
+	lostAnswers   map[string]int // lost answers of operations that were carried out, by method
 }
 
-func (l *lossy) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (l *lossyDirectory) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	cut := func() {
+	dropConnection := func() {
 		if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
 			c.Close()
 		}
 	}
-	refuse := func(code int, why error) {
+	refuse := func(code int, reason error) {
 		w.WriteHeader(code)
-		json.NewEncoder(w).Encode(map[string]any{"error": why.Error(), "outcome": "refused"})
+		json.NewEncoder(w).Encode(map[string]any{"error": reason.Error(), "outcome": "refused"})
 	}
 	fate := l.rng.IntN(10)
 	switch fate {
 	case 0:
-		cut() // it never came
+		dropConnection() // the request does not arrive
 		return
 	case 1:
 		refuse(http.StatusServiceUnavailable, errors.New("no leader"))
 		return
 	}
-	var ask struct {
+	var request struct {
 		Holder string
 		Token  int64
 		Value  []byte
 	}
-	json.NewDecoder(req.Body).Decode(&ask)
-	hold := catalog.RecordOp{Name: ownership.RecordName, Holder: ask.Holder, Token: ask.Token, TTL: 5000, Value: ask.Value}
+	json.NewDecoder(req.Body).Decode(&request)
+	operation := catalog.RecordOp{Name: ownership.RecordName, Holder: request.Holder, Token: request.Token, TTL: 5000, Value: request.Value}
 	var r catalog.Result
 	var out any
 	switch req.Method {
 	case http.MethodGet:
 		out, _ = l.state.Record(ownership.RecordName)
 	case http.MethodPut:
-		r = l.state.Apply(catalog.Command{Acquire: &hold})
-		if r.Err != nil && l.rng.IntN(3) == 0 { // time passes, and its holder has not come back
+		r = l.state.Apply(catalog.Command{Acquire: &operation})
+		if r.Err != nil && l.rng.IntN(3) == 0 { // the lease expires, and its holder has not come back
 			l.state.Apply(catalog.Command{Expire: &catalog.Expiry{Records: []catalog.RecordOp{{Name: ownership.RecordName, Token: r.Token}}}})
 		}
 	case http.MethodPost:
-		if r = l.state.Apply(catalog.Command{Update: &hold}); r.Err == nil {
-			m, err := ownership.Decode(ask.Value)
+		if r = l.state.Apply(catalog.Command{Update: &operation}); r.Err == nil {
+			m, err := ownership.Decode(request.Value)
 			if err != nil {
-				l.bad = append(l.bad, err.Error())
+				l.problems = append(l.problems, err.Error())
 				break
 			}
-			if old, ok := l.given[m.Number]; ok && !bytes.Equal(old, ask.Value) {
-				l.bad = append(l.bad, fmt.Sprintf("number %d was given twice", m.Number))
+			if old, ok := l.publishedMaps[m.Number]; ok && !bytes.Equal(old, request.Value) {
+				l.problems = append(l.problems, fmt.Sprintf("number %d was given twice", m.Number))
 			}
-			l.given[m.Number] = ask.Value
+			l.publishedMaps[m.Number] = request.Value
 		}
 	case http.MethodDelete:
-		r = l.state.Apply(catalog.Command{Release: &hold})
+		r = l.state.Apply(catalog.Command{Release: &operation})
 	}
 	switch {
 	case fate == 2 && r.Err == nil:
-		l.lost[req.Method]++
-		cut() // done, and nobody is told
+		l.lostAnswers[req.Method]++
+		dropConnection() // carried out, and the answer is lost
 	case r.Err != nil:
 		refuse(http.StatusConflict, r.Err)
 	case out != nil:
@@ -94,10 +95,10 @@
 	}
 }
 
-// TestAgreeThroughLosses lets two operators write maps at once while requests and answers are lost.
-func TestAgreeThroughLosses(t *testing.T) {
+// Two operators publish maps at the same time while requests and answers are lost.
+func TestPublishMapWithLostAnswers(t *testing.T) {
 	seed := uint64(time.Now().UnixNano())
-	l := &lossy{rng: rand.New(rand.NewPCG(seed, 1)), state: catalog.New(), given: map[int64][]byte{}, lost: map[string]int{}}
+	l := &lossyDirectory{rng: rand.New(rand.NewPCG(seed, 1)), state: catalog.New(), publishedMaps: map[int64][]byte{}, lostAnswers: map[string]int{}}
 	l.state.Apply(catalog.Command{At: 1, Bootstrap: &catalog.Bootstrap{}})
 	server := httptest.NewServer(l)
 	defer server.Close()
@@ -113,8 +114,8 @@
 		all.Go(func() {
 			for round := range 12 {
 				name := fmt.Sprintf("n%d.%d", i, round)
-				c := asking{At: []string{strings.TrimPrefix(server.URL, "http://")}, Wait: time.Minute}
-				m, err := c.agree(context.Background(), &ownership.Publisher{Plan: func(number int64, before *ownership.Map) (*ownership.Map, error) {
+				c := directoryClientFlags{Addresses: []string{strings.TrimPrefix(server.URL, "http://")}, RetryFor: time.Minute}
+				m, err := c.publishMap(context.Background(), &ownership.Publisher{Plan: func(number int64, before *ownership.Map) (*ownership.Map, error) {
 					return ownership.Make(number, 1, []ownership.Member{{Name: name, Zone: "z", Weight: 1}}, before)
 				}})
 				results <- result{name, m, err}
@@ -125,21 +126,21 @@
 	close(results)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	by := map[string]int{}
-	for number, raw := range l.given {
+	mapsByMember := map[string]int{}
+	for number, raw := range l.publishedMaps {
 		m, err := ownership.Decode(raw)
 		if err != nil || m.Number != number {
 			t.Fatal(seed, err)
 		}
-		by[m.Members[0].Name]++
+		mapsByMember[m.Members[0].Name]++
 	}
 	for r := range results {
-		if r.err != nil || r.m == nil || r.m.Members[0].Name != r.name || l.given[r.m.Number] == nil || by[r.name] == 0 {
-			t.Errorf("seed %d: %s: %+v, %v; it was written %d times", seed, r.name, r.m, r.err, by[r.name])
+		if r.err != nil || r.m == nil || r.m.Members[0].Name != r.name || l.publishedMaps[r.m.Number] == nil || mapsByMember[r.name] == 0 {
+			t.Errorf("seed %d: %s: %+v, %v; it was written %d times", seed, r.name, r.m, r.err, mapsByMember[r.name])
 		}
 	}
-	if len(l.bad) > 0 {
-		t.Errorf("seed %d: %v", seed, l.bad)
+	if len(l.problems) > 0 {
+		t.Errorf("seed %d: %v", seed, l.problems)
 	}
-	t.Logf("seed %d: %d numbers, answers lost: %v", seed, len(l.given), l.lost)
+	t.Logf("seed %d: %d numbers, answers lost: %v", seed, len(l.publishedMaps), l.lostAnswers)
 }
--- a/cmd/cottonrack/scale.go
+++ b/cmd/cottonrack/scale.go
@@ -25,50 +25,50 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// axes are all axes that a scale run can play.
+// axes returns all axes that a scale run can measure.
 func axes() []play.Axis { return slices.Concat(hollow.Axes(), burden.Axes()) }
 
 type labScaleCmd struct {
-	File   string `arg:"" optional:"" help:"The scale run, a TOML file (docs/scale.md)."`
-	Axes   bool   `help:"List the axes, what is read of each, and their settings; nothing is played."`
-	Out    string `help:"Folder for the points as they come and the results; by default a new one under the system's, removed when the file expects something and all of it was kept."`
-	Resume bool   `help:"Go on with the run in --out that was cut short: the same file, the same build."`
-	Slopes string `help:"Put the slopes into this file, in place of those of the same id, and the table, page and plots into --pages."`
-	Pages  string `help:"Folder of the tables that --slopes refers to." default:"docs/scale"`
-	Node   string `help:"The node's program." default:"bin/coralyard" type:"path"`
-	Commit string `help:"What both programs were built from, where they don't know it themselves (-buildvcs=false)."`
+	File   string `arg:"" optional:"" help:"TOML file of the scale run (docs/scale.md)."`
+	Axes   bool   `help:"List the axes with their measured values and settings; nothing is run."`
+	Out    string `help:"Directory for the points as they are measured and for the results; the default is a temporary one, which is removed if the file has expectations and all are met."`
+	Resume bool   `help:"Continue the interrupted run in --out, with the same file and the same build."`
+	Slopes string `help:"Write the slopes to this file, replacing those with the same ids, and the table, page and plots to --pages."`
+	Pages  string `help:"Directory of the tables that --slopes refers to." default:"docs/scale"`
+	Node   string `help:"Path of the node program." default:"bin/coralyard" type:"path"`
+	Commit string `help:"Commit that both programs were built from, if they don't know it themselves (-buildvcs=false)."`
 }
 
-// Run plays the file, and writes its results.
+// Run executes the scale run, and writes its results.
 func (c *labScaleCmd) Run(a *app) error {
 	if c.Axes {
 		return a.listAxes()
 	}
 	if c.File == "" {
-		return wrongUse{errors.New("name a file, as experiments/scale/destinations.toml")}
+		return usageError{errors.New("name a file, for example experiments/scale/destinations.toml")}
 	}
 	raw, err := os.ReadFile(c.File)
 	if err != nil {
-		return wrongUse{err}
+		return usageError{err}
 	}
 	f, err := scale.Parse(raw, axes())
 	if err != nil {
-		return wrongUse{inFile(c.File, err)}
+		return usageError{withFileName(c.File, err)}
 	}
 	if c.Resume && c.Out == "" {
-		return wrongUse{errors.New("--resume needs the --out of the run that was cut short")}
+		return usageError{errors.New("--resume needs the --out of the interrupted run")}
 	}
 	opts, err := c.options(a)
 	if err != nil {
 		return err
 	}
 	if c.Slopes != "" && opts.Build.Commit == "" {
-		return wrongUse{errors.New("--slopes tells of which build a slope is, and this one doesn't know: build with -buildvcs=true, or name it with --commit")}
+		return usageError{errors.New("--slopes records the commit of the build, and this build doesn't know it: build with -buildvcs=true, or name it with --commit")}
 	}
-	passing := false
+	temporary := false
 	if c.Resume {
 		opts.Dir = c.Out
-	} else if opts.Dir, passing, err = resultsFolder(c.Out); err != nil {
+	} else if opts.Dir, temporary, err = createResultsDir(c.Out); err != nil {
 		return err
 	}
 	show, done := a.scaleProgress(f)
@@ -78,9 +78,9 @@
 	var refused *scale.ResumeError
 	switch {
 	case errors.As(err, &refused):
-		return wrongUse{err}
+		return usageError{err}
 	case err != nil:
-		return fmt.Errorf("%s: %w; what was played is kept, go on with --resume --out %s", f.Name, err, opts.Dir)
+		return fmt.Errorf("%s: %w; the points so far are kept, continue with --resume --out %s", f.Name, err, opts.Dir)
 	}
 	if err := res.Write(opts.Dir); err != nil {
 		return err
@@ -99,17 +99,17 @@
 	if err != nil {
 		return err
 	}
-	if passing && len(res.Expectations) > 0 && res.Passed {
+	if temporary && len(res.Expectations) > 0 && res.Passed {
 		return os.RemoveAll(opts.Dir)
 	}
 	fmt.Fprintf(a.err, "results: %s\n", opts.Dir)
 	if !res.Passed {
-		return errNotKept
+		return errNotPassed
 	}
 	return nil
 }
 
-// options are a run's programs and what is known of their build.
+// options returns the programs of a run and what is known of their build.
 func (c *labScaleCmd) options(a *app) (scale.Options, error) {
 	o := scale.Options{Resume: c.Resume, Env: os.Environ(), Log: a.log}
 	node, err := exec.LookPath(c.Node)
@@ -117,30 +117,31 @@
 		node, err = filepath.Abs(node)
 	}
 	if err != nil {
-		return o, wrongUse{fmt.Errorf("the node's program: %w; build it (README.md) or name it with --node", err)}
+		return o, usageError{fmt.Errorf("node program: %w; build it (README.md) or name it with --node", err)}
 	}
 	self, err := os.Executable()
 	if err != nil {
 		return o, err
 	}
 	o.NodeProgram, o.LabProgram, o.Command = node, self, []string{self, "--log-level", "info", "lab", "scale-play"}
-	o.Build = scale.Build{Commit: commit(), Programs: map[string]string{}}
+	o.Build = scale.Build{Commit: buildCommit(), Programs: map[string]string{}}
 	switch {
 	case o.Build.Commit == "":
 		o.Build.Commit = c.Commit
 	case c.Commit != "" && c.Commit != o.Build.Commit:
-		return o, wrongUse{fmt.Errorf("--commit: this program was built from %s", o.Build.Commit)}
+		return o, usageError{fmt.Errorf("--commit: this program was built from %s", o.Build.Commit)}
 	}
 	for name, file := range map[string]string{"coralyard": node, "cottonrack": self} {
-		if o.Build.Programs[name], err = fileSum(file); err != nil {
+		if o.Build.Programs[name], err = fileHash(file); err != nil {
 			return o, err
 		}
 	}
 	return o, nil
 }
 
-// commit is what this program was built from; "+" behind it says that the tree had changes.
-func commit() string {
+// buildCommit returns the commit that this program was built from, with a trailing "+" if the tree had
+// changes.
+func buildCommit() string {
 	var revision, changed string
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
@@ -155,7 +156,7 @@
 	return revision + changed
 }
 
-func fileSum(file string) (string, error) {
+func fileHash(file string) (string, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return "", err
@@ -168,12 +169,13 @@
 	return hex.EncodeToString(h.Sum(nil)), nil
 }
 
-// scaleProgress shows how far a run is: one line that changes on a terminal, a plain line with each play and each ten seconds elsewhere.
+// scaleProgress shows the progress of a run: one updated line on a terminal; elsewhere a separate line for
+// each measurement and every ten seconds.
 func (a *app) scaleProgress(f scale.RunFile) (show func(scale.Progress), done func()) {
 	line := func(p scale.Progress) string {
-		left := "time left not known yet"
+		left := "time left unknown"
 		if p.RemainingKnown {
-			left = fmt.Sprintf("some %v left", p.Remaining.Round(time.Second))
+			left = fmt.Sprintf("about %v left", p.Remaining.Round(time.Second))
 		}
 		return fmt.Sprintf("%s: play %d of %d, %v %g for %v, %d MB in %d processes, %s", f.Name, p.Done+1, p.Total, f.Axis.XUnit, p.X, p.Elapsed.Round(time.Second),
 			p.RSS>>20, p.Processes, left)
@@ -191,14 +193,14 @@
 }
 
 func printScale(w io.Writer, res *scale.Result) error {
-	verdict := "kept"
+	verdict := "passed"
 	if !res.Passed {
-		verdict = "NOT KEPT"
+		verdict = "FAILED"
 	}
 	if len(res.Expectations) == 0 && res.Passed {
-		verdict = "played"
+		verdict = "measured"
 	}
-	fmt.Fprintf(w, "%s: %s. %d points of %s, %d plays each; %d spoilt by the machine, %d failed\n", res.Name, verdict, len(res.Points), res.Axis, res.Plays, res.Invalid, res.Failed)
+	fmt.Fprintf(w, "%s: %s. %d points of %s, %d plays each; %d made invalid by the machine, %d failed\n", res.Name, verdict, len(res.Points), res.Axis, res.Plays, res.Invalid, res.Failed)
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "figure\tunit\tform\tat 0\tslope\tsquare\tspread\tfrom\tto\tworst")
 	for _, f := range res.Fits {
@@ -220,18 +222,18 @@
 			fmt.Fprintf(w, "  failed at %g, play %d: %s\n", k.X, k.Play, k.Failure)
 		}
 		for _, why := range k.InvalidReasons() {
-			fmt.Fprintf(w, "  spoilt at %g, play %d: %s\n", k.X, k.Play, why)
+			fmt.Fprintf(w, "  invalid at %g, play %d: %s\n", k.X, k.Play, why)
 		}
 	}
 	for _, k := range res.Expectations {
 		if !k.Met {
-			fmt.Fprintf(w, "  not kept: %s; got %s\n", k.Expected, k.Got)
+			fmt.Fprintf(w, "  not met: %s; measured %s\n", k.Expected, k.Got)
 		}
 	}
 	return nil
 }
 
-// listAxes tells what a file may name.
+// listAxes prints what a file may name.
 func (a *app) listAxes() error {
 	if a.asJSON {
 		type axis struct {
@@ -270,5 +272,5 @@
 
 type labScalePlayCmd struct{}
 
-// Run plays one play, as its run asks for on the standard input.
+// Run executes one measurement, which its run describes on standard input.
 func (labScalePlayCmd) Run(a *app) error { return scale.RunPlay(a.ctx, os.Stdin, a.out, axes(), a.log) }
