--- a/fleet/judge/judge.go
+++ b/fleet/judge/judge.go
@@ -21,7 +21,7 @@
 	NothingAfterEnd   Rule = "over"     // a message is not sent after its final answer
 	OneAttemptAtATime Rule = "one-copy" // no two attempts of a message are in flight at once
 	AtMostOnce        Rule = "once"     // a message that must not run twice is not sent, returned or run again once it may have run
-	KeyWindow         Rule = "window"   // keyed messages are repeated within their deduplication window or not at all
+	KeyWindow         Rule = "window"   // deduplicated messages are repeated within their window or not at all
 	Drain             Rule = "drain"    // no new calls to an endpoint that drains or is deleted, one second after the change was announced
 	RetryAfter        Rule = "wait"     // a partner that told a retry-after gets no calls until it has passed
 	SlowStart         Rule = "cold"     // no partner in slow start collapses by calls from nodes that saw its outage
