--- a/fleet/judge/judge_test.go
+++ b/fleet/judge/judge_test.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	ms     = time.Millisecond
+	ms           = time.Millisecond
 	idempotent   = 0
-	deduplicated  = 1
-	atMostOnce = 2
+	deduplicated = 1
+	atMostOnce   = 2
 )
 
 func testConfig() Config {
