--- a/cmd/cottonrack/directory.go
+++ b/cmd/cottonrack/directory.go
@@ -210,11 +210,11 @@
 		if a.asJSON {
 			return json.NewEncoder(a.out).Encode(n.List)
 		}
-		what := "changes"
+		content := "changes"
 		if n.Complete {
-			what = "the full list"
+			content = "the full list"
 		}
-		fmt.Fprintf(a.out, "%s  revision %d of history %d, from %s: %s\n", time.Now().Format("15:04:05.000"), n.Revision, n.History, n.Server, what)
+		fmt.Fprintf(a.out, "%s  revision %d of history %d, from %s: %s\n", time.Now().Format("15:04:05.000"), n.Revision, n.History, n.Server, content)
 		return printEndpoints(a, n.Members)
 	})
 	return nil
@@ -364,14 +364,14 @@
 			count[m.Phase]++
 			ids = append(ids, m.ID)
 		}
-		what := fmt.Sprintf("%d serving, %d draining, %d deleted", count[catalog.Serving], count[catalog.Draining], count[catalog.Deleted])
+		summary := fmt.Sprintf("%d serving, %d draining, %d deleted", count[catalog.Serving], count[catalog.Draining], count[catalog.Deleted])
 		if len(ids) <= 3 {
-			what = ""
+			summary = ""
 			for _, m := range ch.Members {
-				what += m.ID + " " + m.Phase + " "
+				summary += m.ID + " " + m.Phase + " "
 			}
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", ch.Revision, formatTime(ch.At), dashIfEmpty(ch.By), strings.TrimSpace(what), ch.Reason)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", ch.Revision, formatTime(ch.At), dashIfEmpty(ch.By), strings.TrimSpace(summary), ch.Reason)
 	}
 	return w.Flush()
 }
--- a/cmd/cottonrack/lab.go
+++ b/cmd/cottonrack/lab.go
@@ -277,9 +277,9 @@
 		p.Settle, len(p.Nodes), len(p.Arrivals), len(p.RudePeers))
 	t := tabwriter.NewWriter(a.out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "partner\tkind\ttraffic\tlimit/s\tendpoints\tworkers\tservice time\tbatch")
-	for i, q := range p.Partners {
-		fmt.Fprintf(t, "%d\t%s\t%.3f\t%.1f\t%d\t%d\t%v\t%d\n", i, p.PartnerKinds[q.Kind], q.Weight, q.Config.Limit.PerSecond, q.Config.Endpoints, q.Config.Workers,
-			q.Config.ServiceTime.Round(time.Millisecond), q.Config.MaxBatch)
+	for i, partnerPlan := range p.Partners {
+		fmt.Fprintf(t, "%d\t%s\t%.3f\t%.1f\t%d\t%d\t%v\t%d\n", i, p.PartnerKinds[partnerPlan.Kind], partnerPlan.Weight, partnerPlan.Config.Limit.PerSecond, partnerPlan.Config.Endpoints, partnerPlan.Config.Workers,
+			partnerPlan.Config.ServiceTime.Round(time.Millisecond), partnerPlan.Config.MaxBatch)
 	}
 	fmt.Fprintln(t, "\nnode\tzone\ttraffic\tslots\tmax open")
 	for _, n := range p.Nodes {
@@ -352,10 +352,10 @@
 		f       experiment.File
 		command []string
 	}
-	for i, what := range []string{c.A, c.B} {
-		file, node := c.File, what
-		if isFile(what) {
-			file, node = what, c.NodeProgram
+	for i, argument := range []string{c.A, c.B} {
+		file, node := c.File, argument
+		if isFile(argument) {
+			file, node = argument, c.NodeProgram
 		}
 		var err error
 		if sides[i].f, err = readExperiment(file); err != nil {
@@ -366,7 +366,7 @@
 		}
 	}
 	seed := seedOrRandom(c.Seed)
-	cmp := lab.Comparison{A: c.A, B: c.B}
+	comparison := lab.Comparison{A: c.A, B: c.B}
 	for i := range c.Runs {
 		var pair [2]*lab.Result
 		for k := range pair {
@@ -375,15 +375,15 @@
 			if err != nil {
 				if a.ctx.Err() != nil && i >= 2 {
 					fmt.Fprintln(a.err, "ended early; the pairs so far:")
-					return errors.Join(a.printComparison(&cmp), context.Cause(a.ctx))
+					return errors.Join(a.printComparison(&comparison), context.Cause(a.ctx))
 				}
 				return err
 			}
 			pair[side] = res
 		}
-		cmp.Add(pair[0], pair[1])
+		comparison.Add(pair[0], pair[1])
 	}
-	return a.printComparison(&cmp)
+	return a.printComparison(&comparison)
 }
 
 func (a *app) printComparison(c *lab.Comparison) error {
--- a/cmd/cottonrack/ownership.go
+++ b/cmd/cottonrack/ownership.go
@@ -161,18 +161,18 @@
 	} else {
 		fmt.Fprintf(a.out, "map %d after %d: %d members, %d owners of a partition\n", p.Number, p.Before, p.Members, p.Copies)
 	}
-	printNames := func(what string, names []string) {
+	printNames := func(label string, names []string) {
 		if len(names) > 0 {
 			more := ""
 			if len(names) > 10 {
 				more = " and others"
 			}
-			fmt.Fprintf(a.out, "%d %s: %v%s\n", len(names), what, names[:min(10, len(names))], more)
+			fmt.Fprintf(a.out, "%d %s: %v%s\n", len(names), label, names[:min(10, len(names))], more)
 		}
 	}
 	if p.Before != 0 {
-		printNames("come", p.Added)
-		printNames("go", p.Removed)
+		printNames("join", p.Added)
+		printNames("leave", p.Removed)
 		fmt.Fprintf(a.out, "%d of %d assignments move; %d of %d partitions keep no owner\n", p.Moved, p.Assignments, p.NoOwnerKept, ownership.PartitionCount)
 	}
 	_, err := fmt.Fprintf(a.out, "%s has the most assignments: %d\n", p.MaxLoadMember, p.MaxLoad)
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -59,21 +59,21 @@
 			l, _ := r.Tally.WorstInterval()
 			return l.Share()
 		}},
-		{"refused, a message", func(r *Result) float64 { return ratio(r.Tally.All.Refused, r.Tally.All.Messages) }},
-		{"failed, a message", func(r *Result) float64 { return ratio(r.Tally.All.Failed, r.Tally.All.Messages) }},
-		{"tries, a message", func(r *Result) float64 { return ratio(r.Tally.Attempts, r.Tally.All.Messages) }},
-		{"new connections, a message", func(r *Result) float64 { return ratio(r.Tally.Connections, r.Tally.All.Messages) }},
-		{"calls above limits, a message", func(r *Result) float64 { return ratio(r.Tally.CallsAboveLimit, r.Tally.All.Messages) }},
+		{"refused per message", func(r *Result) float64 { return ratio(r.Tally.All.Refused, r.Tally.All.Messages) }},
+		{"failed per message", func(r *Result) float64 { return ratio(r.Tally.All.Failed, r.Tally.All.Messages) }},
+		{"attempts per message", func(r *Result) float64 { return ratio(r.Tally.Attempts, r.Tally.All.Messages) }},
+		{"new connections per message", func(r *Result) float64 { return ratio(r.Tally.Connections, r.Tally.All.Messages) }},
+		{"calls above limits per message", func(r *Result) float64 { return ratio(r.Tally.CallsAboveLimit, r.Tally.All.Messages) }},
 		{"median time to delivery, s", func(r *Result) float64 { return r.Tally.TimeToDelivery.P50.Seconds() }},
-		{"99th percentile of it, s", func(r *Result) float64 { return r.Tally.TimeToDelivery.P99.Seconds() }},
-		{"CPU of the nodes, s", func(r *Result) float64 {
+		{"99th percentile of the time to delivery, s", func(r *Result) float64 { return r.Tally.TimeToDelivery.P99.Seconds() }},
+		{"CPU time of the nodes, s", func(r *Result) float64 {
 			sum := 0.0
 			for _, u := range r.Processes {
 				sum += u.CPU.Seconds()
 			}
 			return sum
 		}},
-		{"most memory of a node, MB", func(r *Result) float64 {
+		{"maximum memory of a node, MB", func(r *Result) float64 {
 			most := 0.0
 			for _, u := range r.Processes {
 				most = max(most, float64(u.RSS)/(1<<20))
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -38,18 +38,18 @@
 		}
 	}
 	slices.SortStableFunc(steps, func(a, b timelineStep) int { return cmp.Compare(a.at, b.at) })
-	for _, s := range steps {
-		if !observe.SleepUntil(ctx, r.log.WallTime(s.at)) {
+	for _, next := range steps {
+		if !observe.SleepUntil(ctx, r.log.WallTime(next.at)) {
 			return
 		}
-		r.log.RecordLateness(observe.Timeline, r.log.Now()-s.at)
+		r.log.RecordLateness(observe.Timeline, r.log.Now()-next.at)
 		note := "begins: "
-		if s.ends {
+		if next.ends {
 			note = "ends: "
 		}
-		r.log.Add(history.Event{Kind: history.Fault, Node: -1, Partner: -1, Note: note + s.fault.String()})
-		r.opts.Log.Debug("fault starts or ends", "at", s.at, "ends", s.ends, "fault", s.fault.String())
-		r.applyFault(ctx, s.fault, s.ends)
+		r.log.Add(history.Event{Kind: history.Fault, Node: -1, Partner: -1, Note: note + next.fault.String()})
+		r.opts.Log.Debug("fault starts or ends", "at", next.at, "ends", next.ends, "fault", next.fault.String())
+		r.applyFault(ctx, next.fault, next.ends)
 	}
 }
 
@@ -149,12 +149,12 @@
 		} else {
 			r.limitShares[p] = append(r.limitShares[p], fault.Size)
 		}
-		share := 1.0
+		total := 1.0
 		for _, s := range r.limitShares[p] {
-			share *= s
+			total *= s
 		}
 		r.mu.Unlock()
-		r.partners[p].SetLimitShare(share)
+		r.partners[p].SetLimitShare(total)
 	}
 }
 
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -341,7 +341,7 @@
 		return
 	}
 	p := n.run.plan.Nodes[n.number]
-	disk := folderSize(filepath.Join(n.dir, "state"))
+	disk := directorySize(filepath.Join(n.dir, "state"))
 	exceeded := ""
 	if n.usage.Disk = max(n.usage.Disk, disk); float64(disk) > p.DiskMB*(1<<20) {
 		exceeded = fmt.Sprintf("its state directory holds %d bytes, %v MB are allowed", disk, p.DiskMB)
--- a/internal/lab/proc/proc_test.go
+++ b/internal/lab/proc/proc_test.go
@@ -71,12 +71,12 @@
 	}
 }
 
-func awaitDone(t *testing.T, what string, done <-chan struct{}) {
+func awaitDone(t *testing.T, event string, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		t.Fatal("timeout: " + what)
+		t.Fatal("timeout: " + event)
 	}
 }
 
--- a/internal/lab/replicas.go
+++ b/internal/lab/replicas.go
@@ -39,30 +39,30 @@
 		}
 		command = []string{self, "--log-level", "info", "directory", "serve"}
 	}
-	calm := r.replicaConditions()
+	conditions := r.replicaConditions()
 	var err error
 	r.replicas, err = replica.New(r.plan.Replicas, replica.Options{
-		Command: command, Dir: r.opts.Dir, Block: r.block, Supervisor: r.sup, Seed: r.plan.Seed, Conditions: &calm,
+		Command: command, Dir: r.opts.Dir, Block: r.block, Supervisor: r.sup, Seed: r.plan.Seed, Conditions: &conditions,
 		OutputFilter: func(f *os.File) io.Writer { return &limitedWriter{file: f, remaining: maxNodeLogBytes} },
 	})
 	if err != nil {
 		return err
 	}
-	for _, d := range r.replicas {
-		if err := d.Start(); err != nil {
+	for _, target := range r.replicas {
+		if err := target.Start(); err != nil {
 			return err
 		}
 	}
 	for n := range r.plan.Nodes {
-		a := r.platform.Agent(n)
-		a.DelegateToDirectory()
+		agent := r.platform.Agent(n)
+		agent.DelegateToDirectory()
 		var addresses []string
-		for i, d := range r.replicas {
-			w, err := standin.StartDirectoryProxy(a, r.addr(n, proxyPort+i), d.AdvertisedAddr(replica.HTTP))
+		for i, target := range r.replicas {
+			proxy, err := standin.StartDirectoryProxy(agent, r.addr(n, proxyPort+i), target.AdvertisedAddr(replica.HTTP))
 			if err != nil {
 				return err
 			}
-			r.proxies = append(r.proxies, w)
+			r.proxies = append(r.proxies, proxy)
 			addresses = append(addresses, fmt.Sprintf("%q", r.addr(n, proxyPort+i)))
 		}
 		text := "[registry]\naddresses = [" + strings.Join(addresses, ", ") + "]\nkeep_kb = 64\n"
@@ -93,8 +93,8 @@
 // syncList writes the platform's list to the directory after each change, and retries until it is written.
 func (r *run) syncList(ctx context.Context, firstWritten chan<- struct{}) {
 	var addresses []string
-	for _, d := range r.replicas {
-		addresses = append(addresses, d.AdvertisedAddr(replica.HTTP))
+	for _, target := range r.replicas {
+		addresses = append(addresses, target.AdvertisedAddr(replica.HTTP))
 	}
 	client := &directory.AdminClient{Addresses: addresses, By: "lab", HTTPClient: &http.Client{Timeout: writeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	for {
@@ -140,12 +140,12 @@
 			}
 			r.recordFailure("stop of a replica", process.Signal(sig))
 		case "replica-cut":
-			for _, l := range target.Links {
+			for _, link := range target.Links {
 				w := r.replicaConditions()
 				w.CutOutbound, w.CutReturn = !ends && fault.Direction != "back", !ends && fault.Direction != "out"
-				l.SetConditions(w)
+				link.SetConditions(w)
 				if ends {
-					l.ResetConnections()
+					link.ResetConnections()
 				}
 			}
 		}
@@ -154,10 +154,10 @@
 
 // closeDirectory closes what startDirectory has created. The processes must have exited.
 func (r *run) closeDirectory() {
-	for _, w := range r.proxies {
-		w.Close()
+	for _, proxy := range r.proxies {
+		proxy.Close()
 	}
-	for _, d := range r.replicas {
-		d.Close()
+	for _, target := range r.replicas {
+		target.Close()
 	}
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -92,9 +92,9 @@
 			u.Disk>>10)
 	}
 	b.WriteString("\n| lateness of the lab itself | count | median | 99th percentile | maximum |\n|" + strings.Repeat(" --- |", 5) + "\n")
-	for _, part := range sortedKeys(res.LatenessByComponent) {
-		l := res.LatenessByComponent[part]
-		fmt.Fprintf(&b, "| %s | %d | %v | %v | %v |\n", part, l.Count, l.P50, l.P99, l.Max)
+	for _, component := range sortedKeys(res.LatenessByComponent) {
+		l := res.LatenessByComponent[component]
+		fmt.Fprintf(&b, "| %s | %d | %v | %v | %v |\n", component, l.Count, l.P50, l.P99, l.Max)
 	}
 	path := filepath.Join(dir, ReportFile)
 	if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -86,8 +86,8 @@
 	for _, x := range r.plan.Faults {
 		res.Faults = append(res.Faults, fmt.Sprintf("%v: %v", x.At.Round(time.Millisecond), x))
 	}
-	for i, p := range r.plan.Partners {
-		res.PartnerLimits[fmt.Sprint(i)] = p.Config.Limit.PerSecond
+	for i, partnerPlan := range r.plan.Partners {
+		res.PartnerLimits[fmt.Sprint(i)] = partnerPlan.Config.Limit.PerSecond
 	}
 	res.checkExpectations(r.plan.Expect)
 	return res
@@ -109,16 +109,16 @@
 		}
 	}
 	if len(expected.BrokenRules) == 0 {
-		addExpectation(unexpected == 0, "no rule broken", "%d breaches", unexpected)
+		addExpectation(unexpected == 0, "no rule broken", "%d violations", unexpected)
 	} else {
 		for _, rule := range expected.BrokenRules {
-			addExpectation(violationsByRule[rule] > 0, fmt.Sprintf("rule %s broken", rule), "%d breaches", violationsByRule[rule])
+			addExpectation(violationsByRule[rule] > 0, fmt.Sprintf("rule %s broken", rule), "%d violations", violationsByRule[rule])
 		}
-		addExpectation(unexpected == 0, "no other rule broken", "%d breaches", unexpected)
+		addExpectation(unexpected == 0, "no other rule broken", "%d violations", unexpected)
 	}
-	expectShare := func(what string, want float64, l tally.Line) {
+	expectShare := func(name string, want float64, l tally.Line) {
 		if want > 0 {
-			addExpectation(l.Share() >= want, fmt.Sprintf("%s served %.3g at least", what, want), "%.3f", l.Share())
+			addExpectation(l.Share() >= want, fmt.Sprintf("%s served: at least %.3g", name, want), "%.3f", l.Share())
 		}
 	}
 	expectShare("worth", expected.MinServed.Low, res.Tally.All)
@@ -132,10 +132,10 @@
 	}
 	if most := expected.MaxAboveLimit; most != nil {
 		got := float64(res.Tally.CallsAboveLimit) / float64(max(res.Tally.All.Messages, 1))
-		addExpectation(got <= most.High, fmt.Sprintf("calls above limits, a message, %.3g at most", most.High), "%.3f", got)
+		addExpectation(got <= most.High, fmt.Sprintf("calls above limits per message: at most %.3g", most.High), "%.3f", got)
 	}
 	if want := int(expected.MinDelivered.Low); want > 0 {
-		addExpectation(res.Tally.All.Delivered >= want, fmt.Sprintf("%d messages delivered at least", want), "%d", res.Tally.All.Delivered)
+		addExpectation(res.Tally.All.Delivered >= want, fmt.Sprintf("at least %d messages delivered", want), "%d", res.Tally.All.Delivered)
 	}
 	if res.RudePeers.Connected > 0 {
 		mistreated := res.RudePeers.Unanswered + res.RudePeers.Accepted
@@ -143,7 +143,7 @@
 	}
 	if limit := expected.MaxLateness.High; limit > 0 {
 		onTime := res.Lateness.P99 <= limit
-		addExpectation(onTime, fmt.Sprintf("the lab itself at most %v late (99th percentile)", limit), "%v", res.Lateness.P99)
+		addExpectation(onTime, fmt.Sprintf("lateness of the lab: at most %v (99th percentile)", limit), "%v", res.Lateness.P99)
 		if !onTime {
 			res.InvalidReasons = append(res.InvalidReasons, fmt.Sprintf("the lab was %v late (99th percentile): its own lateness makes the run invalid", res.Lateness.P99))
 		}
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -92,7 +92,7 @@
 	if r.opts.Log == nil {
 		r.opts.Log = slog.New(slog.DiscardHandler)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	err := r.execute(ctx)
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.buildResult(began), nil
+	return r.buildResult(startedAt), nil
 }
 
 func (r *run) execute(ctx context.Context) error {
@@ -150,12 +150,12 @@
 
 // setUp creates the stand-ins and the nodes' directories.
 func (r *run) setUp() error {
-	p := r.plan
-	r.platform = standin.NewPlatform(len(p.Nodes), p.DiscoveryDelay.Low, p.DiscoveryDelay.High, p.Seed, r.log,
+	plan := r.plan
+	r.platform = standin.NewPlatform(len(plan.Nodes), plan.DiscoveryDelay.Low, plan.DiscoveryDelay.High, plan.Seed, r.log,
 		func(node int, id, state string, after time.Duration) { r.clients.HandleNotice(node, id, state, after) })
-	r.clients = standin.NewClients(p, func(n int) string { return r.addr(n, clientPort) }, func(n int) bool { return r.nodes[n].isUp() }, r.log)
-	for i, partnerPlan := range p.Partners {
-		standIn := standin.NewPartner(i, partnerPlan.Config, partnerPlan.Seed, len(p.Nodes), p.Rules.ConnIdleTimeout, r.log, r.clients.RecordReached)
+	r.clients = standin.NewClients(plan, func(n int) string { return r.addr(n, clientPort) }, func(n int) bool { return r.nodes[n].isUp() }, r.log)
+	for i, partnerPlan := range plan.Partners {
+		standIn := standin.NewPartner(i, partnerPlan.Config, partnerPlan.Seed, len(plan.Nodes), plan.Rules.ConnIdleTimeout, r.log, r.clients.RecordReached)
 		r.partners = append(r.partners, standIn)
 		for _, zone := range partnerPlan.Zones {
 			if err := r.addEndpoint(i, zone, true); err != nil {
@@ -163,7 +163,7 @@
 			}
 		}
 	}
-	for n := range p.Nodes {
+	for n := range plan.Nodes {
 		if err := r.platform.Agent(n).Listen(r.addr(n, discoveryPort)); err != nil {
 			return err
 		}
@@ -315,7 +315,7 @@
 }
 
 // folderSize returns the size of the files in a directory, each rounded up to whole blocks of 512 bytes.
-func folderSize(dir string) int64 {
+func directorySize(dir string) int64 {
 	sum := int64(0)
 	filepath.WalkDir(dir, func(_ string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -61,7 +61,7 @@
 
 type clientConn struct {
 	net.Conn
-	br     *bufio.Reader
+	reader *bufio.Reader
 	reused bool
 }
 
@@ -335,7 +335,7 @@
 	if _, err := k.Write(request); err != nil {
 		return "", false, err
 	}
-	line, err = k.br.ReadString('\n')
+	line, err = k.reader.ReadString('\n')
 	return line, true, err
 }
 
@@ -366,7 +366,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: nc, br: bufio.NewReader(nc)}, nil
+	return &clientConn{Conn: nc, reader: bufio.NewReader(nc)}, nil
 }
 
 func (c *Clients) putConn(node int, k *clientConn) {
--- a/internal/lab/standin/partner.go
+++ b/internal/lab/standin/partner.go
@@ -264,7 +264,7 @@
 			if a.Endpoint < len(p.endpoints) {
 				for n, l := range p.endpoints[a.Endpoint].links {
 					if err := l.SetRefusing(false); err != nil {
-						p.log.Add(history.Event{Kind: history.Fault, Node: n, Partner: p.number, Note: "the lab can't open an address again: " + err.Error()})
+						p.log.Add(history.Event{Kind: history.Fault, Node: n, Partner: p.number, Note: "the lab can't reopen an address: " + err.Error()})
 					}
 				}
 			}
--- a/internal/lab/standin/window.go
+++ b/internal/lab/standin/window.go
@@ -121,14 +121,14 @@
 	}
 	if l.Complete {
 		a.mu.Lock()
-		var gone []string
+		var missing []string
 		for id := range a.announcedPhases {
 			if !listed[id] {
-				gone = append(gone, id)
+				missing = append(missing, id)
 			}
 		}
 		a.mu.Unlock()
-		for _, id := range gone {
+		for _, id := range missing {
 			a.recordPhase(id, -1, history.Deleted, now)
 		}
 	}
@@ -146,10 +146,10 @@
 	if a.announcedPhases == nil {
 		a.announcedPhases = map[string]string{}
 	}
-	before := a.announcedPhases[id]
+	last := a.announcedPhases[id]
 	a.announcedPhases[id] = phase
 	a.mu.Unlock()
-	if before != phase {
+	if last != phase {
 		a.platform.log.Add(history.Event{Kind: history.ChangeAnnounced, Node: a.node, Partner: partnerNumber, Endpoint: id, State: phase, At: max(at, 1)})
 	}
 }
