--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -62,7 +62,7 @@
 type clientConn struct {
 	net.Conn
 	reader *bufio.Reader
-	reused bool
+	used   bool
 }
 
 // caseState is the state of one message over all its submissions, each of which has an id of its own.
@@ -91,18 +91,18 @@
 	c.ctx = ctx
 	c.mu.Unlock()
 	c.wg.Go(func() { c.runRudePeers(ctx) })
-	for i, a := range c.plan.Arrivals {
-		if !observe.SleepUntil(ctx, c.log.WallTime(a.At)) {
+	for i, arrival := range c.plan.Arrivals {
+		if !observe.SleepUntil(ctx, c.log.WallTime(arrival.At)) {
 			break
 		}
-		c.log.RecordLateness(observe.Clients, c.log.Now()-a.At)
-		c.wg.Go(func() { c.submit(ctx, i+1, a.Node, false) })
+		c.log.RecordLateness(observe.Clients, c.log.Now()-arrival.At)
+		c.wg.Go(func() { c.submit(ctx, i+1, arrival.Node, false) })
 	}
 	<-ctx.Done()
 	c.wg.Wait()
 	for i := range c.idle {
-		for _, k := range c.idle[i].conns {
-			k.Close()
+		for _, conn := range c.idle[i].conns {
+			conn.Close()
 		}
 	}
 }
@@ -252,25 +252,25 @@
 		e.FirstAt = e.At
 	}
 	c.log.Add(e)
-	state, wait := c.request(ctx, node, encodeCommand("ENQUEUE", strings.Repeat("0", 16), id, fields, string(c.body)))
+	state, retryAfter := c.request(ctx, node, encodeCommand("ENQUEUE", strings.Repeat("0", 16), id, fields, string(c.body)))
 	if ctx.Err() != nil {
 		return
 	}
-	c.log.Add(history.Event{Kind: history.Answered, Node: node, Partner: -1, ID: id, State: state, RetryAfter: wait})
+	c.log.Add(history.Event{Kind: history.Answered, Node: node, Partner: -1, ID: id, State: state, RetryAfter: retryAfter})
 	c.mu.Lock()
-	current := c.cases[number].id == id
+	isCurrent := c.cases[number].id == id
 	reached, since := s.reachedPartner, c.log.Now()-s.firstReachedAt
-	if current {
+	if isCurrent {
 		s.accepted = state == history.Taken
 		s.done = state == history.Failed
 	}
 	c.mu.Unlock()
-	if !current {
+	if !isCurrent {
 		return
 	}
 	switch state {
 	case history.Refused, history.Unsent:
-		c.retry(ctx, number, node, wait)
+		c.retry(ctx, number, node, retryAfter)
 	case history.ClientTimedOut, history.ConnectionLost:
 		// The node may have the message, and may still run it: only what may be repeated is submitted again,
 		// under a new id.
@@ -294,27 +294,27 @@
 
 // request sends a request and waits for the answer as long as clients do. A request that crosses the close of
 // an idle connection is sent again.
-func (c *Clients) request(ctx context.Context, node int, request []byte) (state string, wait time.Duration) {
+func (c *Clients) request(ctx context.Context, node int, request []byte) (state string, retryAfter time.Duration) {
 	deadline := time.Now().Add(c.plan.Load.AnswerTimeout)
 	maybeRead := false // it was written to a connection that the node closed: the node may still have read it
 	for {
-		k, err := c.takeConn(ctx, node)
+		conn, err := c.takeConn(ctx, node)
 		if err != nil && maybeRead {
 			return history.ConnectionLost, 0
 		}
 		if err != nil {
 			return history.Unsent, 0
 		}
-		stop := context.AfterFunc(ctx, func() { k.Close() })
-		line, wrote, err := k.request(request, deadline)
-		used := k.reused
+		stop := context.AfterFunc(ctx, func() { conn.Close() })
+		line, wrote, err := conn.request(request, deadline)
+		used := conn.used
 		stop()
 		if err == nil {
-			k.reused = true
-			c.putConn(node, k)
+			conn.used = true
+			c.putConn(node, conn)
 			return parseAnswer(line)
 		}
-		k.Close()
+		conn.Close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return history.ClientTimedOut, 0
@@ -355,10 +355,10 @@
 	pool := &c.idle[node]
 	pool.mu.Lock()
 	if n := len(pool.conns); n > 0 {
-		k := pool.conns[n-1]
+		conn := pool.conns[n-1]
 		pool.conns = pool.conns[:n-1]
 		pool.mu.Unlock()
-		return k, nil
+		return conn, nil
 	}
 	pool.mu.Unlock()
 	d := net.Dialer{Timeout: dialTimeout}
@@ -369,15 +369,15 @@
 	return &clientConn{Conn: nc, reader: bufio.NewReader(nc)}, nil
 }
 
-func (c *Clients) putConn(node int, k *clientConn) {
+func (c *Clients) putConn(node int, conn *clientConn) {
 	pool := &c.idle[node]
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if len(pool.conns) >= maxIdleConns {
-		k.Close()
+		conn.Close()
 		return
 	}
-	pool.conns = append(pool.conns, k)
+	pool.conns = append(pool.conns, conn)
 }
 
 // runRudePeers starts clients that send nothing, garbage, too much or half a request.
--- a/internal/lab/standin/partner.go
+++ b/internal/lab/standin/partner.go
@@ -101,8 +101,8 @@
 		e.server.Serve(e.listener)
 	}()
 	for n := range p.nodeCount {
-		link, err := relay.Listen(addr(n), uint64(index)<<32|uint64(n), func(ctx context.Context, pair *relay.Connection) (net.Conn, error) {
-			return e.connect(ctx, n, pair)
+		link, err := relay.Listen(addr(n), uint64(index)<<32|uint64(n), func(ctx context.Context, relayed *relay.Connection) (net.Conn, error) {
+			return e.connect(ctx, n, relayed)
 		}, func(by time.Duration) { p.log.RecordLateness(observe.Links, by) })
 		if err != nil {
 			e.close()
@@ -371,8 +371,8 @@
 func (e *Endpoint) sendAnswer(w http.ResponseWriter, c *serverConn, items []item, a partner.Answer, end history.Event) {
 	p := e.partner
 	end.State, end.RetryAfter = statesByStatus[a.Status], a.RetryAfter
-	for _, f := range a.Outcomes {
-		end.Outcomes = append(end.Outcomes, outcomeNames[f])
+	for _, outcome := range a.Outcomes {
+		end.Outcomes = append(end.Outcomes, outcomeNames[outcome])
 	}
 	code, body := http.StatusOK, []byte("ok\n")
 	switch a.Status {
@@ -422,8 +422,8 @@
 // recordEnd records the end of a call when its answer has reached the node. A call whose answer never arrives
 // is recorded as abandoned.
 func (e *Endpoint) recordEnd(c *serverConn, end history.Event) {
-	c.relayed.OnDelivered(func(at time.Time, reached bool) {
-		if !reached {
+	c.relayed.OnDelivered(func(at time.Time, delivered bool) {
+		if !delivered {
 			end.State, end.Outcomes, end.RetryAfter = history.Abandoned, nil, 0
 		}
 		end.At = e.partner.log.RunTime(at)
@@ -442,29 +442,29 @@
 	return &connQueue{conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-func (f *connQueue) put(ctx context.Context, nc net.Conn) bool {
+func (q *connQueue) put(ctx context.Context, nc net.Conn) bool {
 	select {
-	case f.conns <- nc:
+	case q.conns <- nc:
 		return true
-	case <-f.done:
+	case <-q.done:
 	case <-ctx.Done():
 	}
 	nc.Close()
 	return false
 }
 
-func (f *connQueue) Accept() (net.Conn, error) {
+func (q *connQueue) Accept() (net.Conn, error) {
 	select {
-	case nc := <-f.conns:
+	case nc := <-q.conns:
 		return nc, nil
-	case <-f.done:
+	case <-q.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (f *connQueue) Close() error {
-	f.once.Do(func() { close(f.done) })
+func (q *connQueue) Close() error {
+	q.once.Do(func() { close(q.done) })
 	return nil
 }
 
-func (f *connQueue) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
+func (q *connQueue) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
--- a/internal/lab/standin/platform.go
+++ b/internal/lab/standin/platform.go
@@ -249,12 +249,12 @@
 
 // fullList returns the full list. The caller holds the lock.
 func (a *Agent) fullList() List {
-	at := map[string]change{}
+	latest := map[string]change{}
 	for _, c := range a.known {
-		at[c.member.ID] = c
+		latest[c.member.ID] = c
 	}
 	l := List{Revision: int64(len(a.known)), Complete: true, Members: []Member{}}
-	for _, c := range at {
+	for _, c := range latest {
 		if c.member.Phase != history.Deleted {
 			l.Members = append(l.Members, a.localMember(c))
 		}
@@ -271,16 +271,16 @@
 
 // changesSince returns the changes after a revision, or the full list if the revision is unknown. The caller
 // holds the lock.
-func (a *Agent) changesSince(after int64) List {
-	if after < 0 || after > int64(len(a.known)) {
+func (a *Agent) changesSince(revision int64) List {
+	if revision < 0 || revision > int64(len(a.known)) {
 		return a.fullList()
 	}
 	l := List{Revision: int64(len(a.known)), Members: []Member{}}
 	last := map[string]int{}
-	for i, c := range a.known[after:] {
+	for i, c := range a.known[revision:] {
 		last[c.member.ID] = i
 	}
-	for i, c := range a.known[after:] {
+	for i, c := range a.known[revision:] {
 		if last[c.member.ID] == i {
 			l.Members = append(l.Members, a.localMember(c))
 		}
@@ -335,7 +335,7 @@
 }
 
 // awaitSpeaking waits while the agent is silent. It returns false if the context ends first.
-func (a *Agent) awaitSpeaking(ctx context.Context) bool {
+func (a *Agent) waitWhileSilent(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
 		silent, ended := a.silent, a.silenceEnded
@@ -352,7 +352,7 @@
 }
 
 func (a *Agent) handleList(w http.ResponseWriter, req *http.Request) {
-	if !a.awaitSpeaking(req.Context()) {
+	if !a.waitWhileSilent(req.Context()) {
 		return
 	}
 	enc := json.NewEncoder(w)
@@ -370,7 +370,7 @@
 	defer heartbeat.Stop()
 	first := true
 	for {
-		if !a.awaitSpeaking(req.Context()) {
+		if !a.waitWhileSilent(req.Context()) {
 			return
 		}
 		a.mu.Lock()
@@ -385,7 +385,7 @@
 		select {
 		case <-changed:
 		case <-heartbeat.C:
-			if a.awaitSpeaking(req.Context()) {
+			if a.waitWhileSilent(req.Context()) {
 				io.WriteString(w, "\n")
 				if controller.Flush() != nil {
 					return
