--- a/internal/lab/standin/platform.go
+++ b/internal/lab/standin/platform.go
@@ -334,7 +334,7 @@
 	a.wg.Wait()
 }
 
-// awaitSpeaking waits while the agent is silent. It returns false if the context ends first.
+// waitWhileSilent waits until the agent is not silent. It returns false if the context ends first.
 func (a *Agent) waitWhileSilent(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
