--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -33,73 +33,76 @@
 	zoneCount                = 6
 	regionCount              = 3
 	ownersPerPartition       = 3
-	steadyDestinations       = 40  // whose first endpoint is never changed
-	intermittentDestinations = 8   // which have endpoints at times
-	unlistedDestinations     = 8   // which never have any
-	firstUnlisted            = 900 // and the first of those
-	changingEndpoints        = 14  // endpoints that come, go and move
+	steadyDestinations       = 40  // always have the endpoint that they start with
+	intermittentDestinations = 8   // have endpoints at times
+	unlistedDestinations     = 8   // never have an endpoint
+	firstUnlisted            = 900 // the number of the first unlisted destination
+	changingEndpoints        = 14  // endpoints that are added, removed and moved
 	controllerCount          = 2
 
-	// heardWithin is the bound for a node that is not disturbed to have a new map, and to act by it: the target's 8 s. It is a promise
-	// that a busy machine must not break, so what the machine holds up is not judged; see lateBy.
+	// mapAdoptionLimit is the time in which an undisturbed node must have a new map and act by it: the
+	// target's 8 s. A slow machine must not cause a violation of it, so times in which the machine stalled
+	// the trial are not judged; see stallThreshold.
 	mapAdoptionLimit       = 8 * time.Second
-	watchCrossingSlack     = 2 * time.Second // in which an older ask may cross a newer one
+	watchCrossingSlack     = 2 * time.Second // in which an older watch request may arrive after a newer one
 	messageEndSlack        = 4 * time.Second
-	stallThreshold         = 500 * time.Millisecond // the machine is no judge's witness while the trial's own clock is so late
+	stallThreshold         = 500 * time.Millisecond // the checks do not judge a time in which the trial's own timer was later than this
 	stallCheckInterval     = 10 * time.Millisecond
 	pollInterval           = 30 * time.Millisecond
-	meanSubmitInterval     = 25 * time.Millisecond // between two messages for a node, on the average
-	meanListChangeInterval = 60 * time.Millisecond // between two changes of the list, on the average
+	meanSubmitInterval     = 25 * time.Millisecond // between two messages for one node
+	meanListChangeInterval = 60 * time.Millisecond // between two changes of the list
 	convergenceTimeout     = 25 * time.Second
 )
 
-// The seeded breaches.
+// The violations that a trial can inject.
 const (
-	InjectLateAccept      = "accept" // a node goes on accepting what it lost
-	InjectDuplicateNumber = "number" // a number is given twice
-	InjectDroppedChange   = "change" // a change is left out of a filtered watch
+	InjectLateAccept      = "accept" // one node seems to accept messages for partitions that it has lost
+	InjectDuplicateNumber = "number" // a map number is used twice
+	InjectDroppedChange   = "change" // a change is dropped from a filtered watch
 )
 
-// Breaches are the seeded breaches, with the rule by which each must be found.
-var InjectedViolations = map[string]OwnershipRule{InjectLateAccept: RuleTimelyRelease, InjectDuplicateNumber: RuleUniqueMaps, InjectDroppedChange: RuleFilteredLists}
+// InjectedViolations maps each injected violation to the rule that must find it.
+var InjectedViolations = map[string]OwnershipRule{InjectLateAccept: RuleTimelyRelease, InjectDuplicateNumber: RuleUniqueMaps,
+	InjectDroppedChange: RuleFilteredLists}
 
-// OwnershipOptions say how a trial of ownership is run.
+// OwnershipOptions configure a trial of ownership.
 type OwnershipOptions struct {
-	Directory  []string // command of a replica; `--config FILE` is put behind it
-	Node       []string // command of a delivery node; its environment tells it what it is
-	Dir        string   // an empty folder; it stays
+	Directory  []string // of a replica; `--config FILE` is appended
+	Node       []string // of a delivery node, which is configured by its environment
+	Dir        string   // must be empty; it is not removed
 	Seed       uint64
-	Duration   time.Duration // of the faults
-	FaultKinds []string      // kinds of faults; none: all
-	Inject     string        // a seeded breach, or none
+	Duration   time.Duration // how long faults are injected
+	FaultKinds []string      // names of the faults to inject; empty: all
+	Inject     string        // the violation to inject, one of the Inject constants; empty: none
 	Log        *slog.Logger
 }
 
-// OwnershipResult is what a trial has found.
+// OwnershipResult is the outcome of a trial.
 type OwnershipResult struct {
 	Seed            uint64         `json:"seed"`
 	Faults          []string       `json:"faults"`
-	MapChanges      map[string]int `json:"changes"` // of the map, by where their controller ended, and how
-	LastMapNumber   int64          `json:"maps"`    // number of the last one
-	Submissions     map[string]int `json:"handed"`  // messages, by answer
-	WatchRequests   int            `json:"asks"`    // watches that nodes asked for
-	WatchLines      int            `json:"lines"`   // that they were told
-	AcceptedRepeats int            `json:"again"`   // messages handed in once more while they were held, and taken for such
-	// Outlived counts the messages that ended after their node had been told a map by which it does not own them any more.
+	MapChanges      map[string]int `json:"changes"` // changes of the map, by their interruption; "given up" for those that failed
+	LastMapNumber   int64          `json:"maps"`    // number of the last map
+	Submissions     map[string]int `json:"handed"`  // messages by answer
+	WatchRequests   int            `json:"asks"`    // watches that nodes requested
+	WatchLines      int            `json:"lines"`   // updates sent on these watches
+	AcceptedRepeats int            `json:"again"`   // repeats of a message in progress that the node recognized and accepted
+	// EndedAfterLoss counts the messages that ended after a map had taken their partition from the node.
 	EndedAfterLoss           int `json:"outlived"`
-	AcceptedWithoutDirectory int `json:"gone_on"` // times in which a node was seen to accept without a directory
-	// Over is the longest time after a new map, or the end of what kept a node from it, in which the node still accepted what it had lost.
+	AcceptedWithoutDirectory int `json:"gone_on"` // how often a node was seen to accept messages without a directory
+	// LongestLateAccept is the longest time for which a node still accepted messages for a partition that it
+	// had lost, counted from the new map, or from the end of the disturbance that kept the node from it.
 	LongestLateAccept time.Duration `json:"over"`
-	// Quiet is how long after the last map all nodes acted by it.
+	// ConvergenceTime is the time from the last map until all nodes acted by it.
 	ConvergenceTime  time.Duration `json:"quiet"`
-	HostStalls       int           `json:"late"`      // times in which the machine held the trial itself up, which are not judged
-	LongestHostStall time.Duration `json:"late_most"` // the longest
+	HostStalls       int           `json:"late"`      // how often the machine stalled the trial itself; these times are not judged
+	LongestHostStall time.Duration `json:"late_most"` // the longest of these stalls
 	Injected         string        `json:"breach,omitempty"`
-	InjectedFound    bool          `json:"found,omitempty"` // the seeded breach, by its rule
+	InjectedFound    bool          `json:"found,omitempty"` // the rule of the injected violation was reported as broken
 	Violations       []Violation   `json:"breaches"`
 }
 
-// Kept tells that all was kept; with a seeded breach, that the checker found it.
+// Passed tells whether no violation was found, or, with an injected violation, whether that was found.
 func (r *OwnershipResult) Passed() bool {
 	if r.Injected != "" {
 		return r.InjectedFound
@@ -107,7 +110,7 @@
 	return len(r.Violations) == 0
 }
 
-// ownershipTrial is a trial's replicas with nodes, fronts, partners and controllers around them.
+// ownershipTrial is a trial with nodes, fronts, partners and controllers around the replicas.
 type ownershipTrial struct {
 	*trial
 	ownershipOptions OwnershipOptions
@@ -115,41 +118,43 @@
 	nodes            []*deliveryNode
 	partners         *partners
 	pollClient       *http.Client
-	olderBuilds      [replicaCount]atomic.Bool // fronts play an older build of that replica
+	olderBuilds      [replicaCount]atomic.Bool // fronts answer as an older build of that replica would
 	lastMessage      atomic.Int64
 	killedNodes      chan killedNode
 
-	// What was seen, and what is to be done; under the trial's lock.
-	observations   []MapObservation
-	mapWrites      []MapWrite
-	maps           []*PublishedMap
-	submissions    []Submission
-	watchRequests  []*WatchRequest
-	messageEnds    []MessageEnd
-	disturbances   []*Disturbance
-	answerDelays   map[string]time.Duration // by message, that a partner holds its answer
-	result         OwnershipResult
-	dropNextChange bool         // the next change that comes to a node by a filtered watch
-	killOnFetch    map[int]bool // nodes that are killed when they next fetch the map; true: after it has been sent to them
-	lateAcceptor   int          // the node that goes on accepting what it lost; -1: none
+	// What was recorded, and what is to be injected; guarded by mu.
+	mapObservations []MapObservation
+	mapWrites       []MapWrite
+	published       []*PublishedMap
+	submissions     []Submission
+	watchRequests   []*WatchRequest
+	messageEnds     []MessageEnd
+	disturbances    []*Disturbance
+	answerDelays    map[string]time.Duration // by message: for how long the partner delays its answer
+	result          OwnershipResult
+	dropNextChange  bool         // drop the next change that a node is sent on a filtered watch
+	killOnFetch     map[int]bool // nodes to kill when they next fetch the map; true: after the map was sent to them
+	lateAcceptor    int          // the node whose refusals are recorded as acceptances of what it lost; -1: none
 }
 
 type killedNode struct {
 	node           int
-	endDisturbance func() // ends its disturbance
+	endDisturbance func()
 }
 
 // RunOwnership runs a trial of ownership.
-func RunOwnership(ctx context.Context, o OwnershipOptions) (*OwnershipResult, error) {
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+func RunOwnership(ctx context.Context, options OwnershipOptions) (*OwnershipResult, error) {
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
-	base := Options{Command: o.Directory, Dir: o.Dir, Seed: o.Seed, Duration: o.Duration, Log: o.Log}
+	base := Options{Command: options.Directory, Dir: options.Dir, Seed: options.Seed, Duration: options.Duration, Log: options.Log}
 	t := &ownershipTrial{
-		trial: &trial{options: base, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(o.Seed, 1))}, ownershipOptions: o, killedNodes: make(chan killedNode, nodeCount),
+		trial:            &trial{options: base, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(options.Seed, 1))},
+		ownershipOptions: options, killedNodes: make(chan killedNode, nodeCount),
 		pollClient:   &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
 		answerDelays: map[string]time.Duration{}, killOnFetch: map[int]bool{}, lateAcceptor: -1,
-		result: OwnershipResult{Seed: o.Seed, Injected: o.Inject, MapChanges: map[string]int{}, Submissions: map[string]int{}, Faults: []string{}, Violations: []Violation{}},
+		result: OwnershipResult{Seed: options.Seed, Injected: options.Inject, MapChanges: map[string]int{},
+			Submissions: map[string]int{}, Faults: []string{}, Violations: []Violation{}},
 	}
 	for z := range zoneCount {
 		t.zones = append(t.zones, fmt.Sprint("z", z))
@@ -163,21 +168,22 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := &t.result
-	for _, b := range r.Violations {
-		r.InjectedFound = r.InjectedFound || o.Inject != "" && b.Rule == InjectedViolations[o.Inject]
+	result := &t.result
+	for _, violation := range result.Violations {
+		result.InjectedFound = result.InjectedFound || options.Inject != "" && violation.Rule == InjectedViolations[options.Inject]
 	}
-	if len(r.Violations) == 0 || r.InjectedFound {
-		return r, nil
+	if len(result.Violations) == 0 || result.InjectedFound {
+		return result, nil
 	}
-	for _, n := range t.nodes { // where each one stands may tell why
-		n.process().Signal(syscall.SIGQUIT)
+	for _, node := range t.nodes { // the dump of each node's goroutines may tell the cause
+		node.process().Signal(syscall.SIGQUIT)
 	}
-	raw, err := json.Marshal(map[string]any{"sights": t.observations, "writes": t.mapWrites, "eras": t.maps, "handed": t.submissions, "asks": t.watchRequests, "ends": t.messageEnds, "disturbed": t.disturbances})
+	raw, err := json.Marshal(map[string]any{"sights": t.mapObservations, "writes": t.mapWrites, "eras": t.published,
+		"handed": t.submissions, "asks": t.watchRequests, "ends": t.messageEnds, "disturbed": t.disturbances})
 	if err != nil {
 		return nil, err
 	}
-	return r, os.WriteFile(filepath.Join(o.Dir, "seen.json"), raw, 0o600)
+	return result, os.WriteFile(filepath.Join(options.Dir, "seen.json"), raw, 0o600)
 }
 
 func (t *ownershipTrial) build() error {
@@ -211,13 +217,13 @@
 	t.trial.close()
 }
 
-// members are all nodes as members of a map.
+// members returns all nodes as members of a map.
 func (t *ownershipTrial) members() []ownership.Member {
-	var all []ownership.Member
+	var members []ownership.Member
 	for i := range nodeCount {
-		all = append(all, ownership.Member{Name: nodeName(i), Zone: t.zones[i%zoneCount], Weight: 1})
+		members = append(members, ownership.Member{Name: nodeName(i), Zone: t.zones[i%zoneCount], Weight: 1})
 	}
-	return all
+	return members
 }
 
 func regionOf(node int) int { return node % zoneCount * regionCount / zoneCount }
@@ -228,30 +234,30 @@
 			return err
 		}
 	}
-	if err := await(ctx, "a service of three", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+	if err := await(ctx, "a service with three voters", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 		return err
 	}
 	t.startedAt = time.Now()
 	if err := t.startNodes(ctx); err != nil {
 		return err
 	}
-	var background, chaos sync.WaitGroup
-	watching, unwatch := context.WithCancel(ctx)
-	defer background.Wait()
-	defer unwatch()
+	var observers, load sync.WaitGroup
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	defer observers.Wait()
+	defer stopWatching()
 	for _, r := range t.replicas {
-		background.Go(func() { t.pollMap(watching, r) })
+		observers.Go(func() { t.pollMap(watchCtx, r) })
 	}
-	background.Go(func() { t.detectStalls(watching) })
-	faulty, calmDown := context.WithCancel(ctx)
-	defer chaos.Wait()
-	defer calmDown()
+	observers.Go(func() { t.detectStalls(watchCtx) })
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer load.Wait()
+	defer stopLoad()
 	for _, n := range t.nodes {
-		chaos.Go(func() { t.submitMessages(faulty, n) })
+		load.Go(func() { t.submitMessages(loadCtx, n) })
 	}
-	chaos.Go(func() { t.changeList(faulty) })
+	load.Go(func() { t.changeList(loadCtx) })
 	for i := range controllerCount {
-		chaos.Go(func() { t.newController(i).run(faulty) })
+		load.Go(func() { t.newController(i).run(loadCtx) })
 	}
 	if t.ownershipOptions.Inject == InjectDroppedChange {
 		t.mu.Lock()
@@ -259,12 +265,12 @@
 		t.mu.Unlock()
 	}
 	err := t.injectFaults(ctx)
-	calmDown()
-	chaos.Wait()
+	stopLoad()
+	load.Wait()
 	if err != nil {
 		return err
 	}
-	t.ownershipOptions.Log.Info("faults over", "at", t.elapsed())
+	t.ownershipOptions.Log.Info("end of the faults", "at", t.elapsed())
 	if err := t.restoreAll(ctx); err != nil {
 		return err
 	}
@@ -272,21 +278,22 @@
 	return t.converge(ctx)
 }
 
-// begin writes the first list and the first map, and starts the nodes.
+// startNodes writes the first list and the first map, and starts the nodes.
 func (t *ownershipTrial) startNodes(ctx context.Context) error {
 	var members []catalog.Endpoint
-	for d := range steadyDestinations {
-		members = append(members, t.destinationEndpoint(fmt.Sprint("s", d), d, d))
+	for destination := range steadyDestinations {
+		members = append(members, t.destinationEndpoint(fmt.Sprint("s", destination), destination, destination))
 	}
-	op := t.newClient(99)
-	op.RetryFor = settleTimeout
-	if _, err := op.Put(ctx, members, true, true, "*"); err != nil {
-		return fmt.Errorf("the first list: %w", err)
+	admin := t.newClient(99)
+	admin.RetryFor = settleTimeout
+	if _, err := admin.Put(ctx, members, true, true, "*"); err != nil {
+		return fmt.Errorf("write the first list: %w", err)
 	}
-	first := t.newController(controllerCount)
-	first.admin.RetryFor = settleTimeout
-	if _, err := first.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member { return t.members() }); err != nil {
-		return fmt.Errorf("the first map: %w", err)
+	firstController := t.newController(controllerCount)
+	firstController.admin.RetryFor = settleTimeout
+	if _, err := firstController.publishMap(ctx, uninterrupted,
+		func([]ownership.Member) []ownership.Member { return t.members() }); err != nil {
+		return fmt.Errorf("publish the first map: %w", err)
 	}
 	errs := make([]error, len(t.nodes))
 	var starts sync.WaitGroup
@@ -298,41 +305,43 @@
 		return err
 	}
 	for _, n := range t.nodes {
-		var why string
-		ready := func() (ok bool) { ok, why = n.ready(ctx); return ok }
-		if err := await(ctx, n.name+" ready", ready); err != nil {
-			return fmt.Errorf("%w: %s", err, why)
+		var reason string
+		ready := func() (ok bool) { ok, reason = n.ready(ctx); return ok }
+		if err := await(ctx, n.name+" to be ready", ready); err != nil {
+			return fmt.Errorf("%w: %s", err, reason)
 		}
 	}
 	return nil
 }
 
-func (t *ownershipTrial) destinationEndpoint(id string, dest, address int) catalog.Endpoint {
-	return catalog.Endpoint{ID: id, Addr: t.partners.addresses[address], Locality: t.zones[address%zoneCount], Flavor: "hook", Cell: dest, Phase: catalog.Serving, Size: 1}
+func (t *ownershipTrial) destinationEndpoint(id string, destination, address int) catalog.Endpoint {
+	return catalog.Endpoint{ID: id, Addr: t.partners.addresses[address], Locality: t.zones[address%zoneCount], Flavor: "hook",
+		Cell: destination, Phase: catalog.Serving, Size: 1}
 }
 
-// changesList changes the list until the context ends.
+// changeList changes the list at random until the context ends.
 func (t *ownershipTrial) changeList(ctx context.Context) {
-	r := rand.New(rand.NewPCG(t.options.Seed, 4000))
-	op := t.newClient(400)
-	for registry.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(meanListChangeInterval))) {
-		i := r.IntN(changingEndpoints)
-		e := t.destinationEndpoint(fmt.Sprint("c", i), r.IntN(steadyDestinations+intermittentDestinations), steadyDestinations+i)
-		e.Size = float64(1 + r.IntN(4))
-		switch r.IntN(6) {
+	random := rand.New(rand.NewPCG(t.options.Seed, 4000))
+	admin := t.newClient(400)
+	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(meanListChangeInterval))) {
+		i := random.IntN(changingEndpoints)
+		endpoint := t.destinationEndpoint(fmt.Sprint("c", i), random.IntN(steadyDestinations+intermittentDestinations),
+			steadyDestinations+i)
+		endpoint.Size = float64(1 + random.IntN(4))
+		switch random.IntN(6) {
 		case 0:
-			e.Phase = catalog.Draining
+			endpoint.Phase = catalog.Draining
 		case 1:
-			e.Phase = catalog.Deleted
+			endpoint.Phase = catalog.Deleted
 		}
-		op.Addresses = t.shuffledAddresses(r.Uint64())
-		if _, err := op.Put(context.WithoutCancel(ctx), []catalog.Endpoint{e}, false, true, "*"); err != nil {
-			t.ownershipOptions.Log.Debug("a change of the list", "err", err) // its outcome stands in the history
+		admin.Addresses = t.shuffledAddresses(random.Uint64())
+		if _, err := admin.Put(context.WithoutCancel(ctx), []catalog.Endpoint{endpoint}, false, true, "*"); err != nil {
+			t.ownershipOptions.Log.Debug("list change failed", "err", err) // the history of the list tells the outcome
 		}
 	}
 }
 
-// looks reads the map at one replica again and again.
+// pollMap reads the map from one replica again and again, until the context ends.
 func (t *ownershipTrial) pollMap(ctx context.Context, r *replica.Replica) {
 	for registry.Sleep(ctx, pollInterval) {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.OwnAddr(replica.HTTP)+mapPath, nil)
@@ -343,17 +352,17 @@
 		if err != nil {
 			continue
 		}
-		var a recordAnswer
-		err = json.NewDecoder(resp.Body).Decode(&a)
+		var answer recordAnswer
+		err = json.NewDecoder(resp.Body).Decode(&answer)
 		resp.Body.Close()
 		if err == nil && resp.StatusCode == http.StatusOK {
-			t.recordObservation(r.ID, a.Value)
+			t.recordObservation(r.ID, answer.Value)
 		}
 	}
 }
 
-// saw notes that somebody has a map.
-func (t *ownershipTrial) recordObservation(by string, value []byte) {
+// recordObservation records that a process has a map.
+func (t *ownershipTrial) recordObservation(observer string, value []byte) {
 	if len(value) == 0 {
 		return
 	}
@@ -361,62 +370,64 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.result.Violations = append(t.result.Violations, Violation{RuleUniqueMaps, fmt.Sprintf("%s has a map that can't be read: %v", by, err)})
+		t.result.Violations = append(t.result.Violations,
+			Violation{RuleUniqueMaps, fmt.Sprintf("%s has a map that does not decode: %v", observer, err)})
 		return
 	}
-	now, s := t.elapsed(), checksum(value)
-	for _, e := range t.maps {
-		if e.Number == m.Number && e.Checksum == s {
-			e.CommittedBy = min(e.CommittedBy, now)
+	at, sum := t.elapsed(), checksum(value)
+	for _, published := range t.published {
+		if published.Number == m.Number && published.Checksum == sum {
+			published.CommittedBy = min(published.CommittedBy, at)
 		}
 	}
-	for _, before := range slices.Backward(t.observations) {
-		if before.Observer == by {
-			if before.Number == m.Number && before.Checksum == s {
+	for _, previous := range slices.Backward(t.mapObservations) {
+		if previous.Observer == observer {
+			if previous.Number == m.Number && previous.Checksum == sum {
 				return
 			}
 			break
 		}
 	}
-	t.observations = append(t.observations, MapObservation{now, by, m.Number, s})
+	t.mapObservations = append(t.mapObservations, MapObservation{at, observer, m.Number, sum})
 }
 
-// begun notes that a map is about to be written.
-func (t *ownershipTrial) recordMapIntent(m *ownership.Map, w MapWrite) *PublishedMap {
-	e := &PublishedMap{Number: w.Number, Checksum: w.Checksum, WrittenAfter: w.Call, CommittedBy: never, Owned: map[int]ownership.Set{}}
+// recordMapIntent records that a map is about to be written.
+func (t *ownershipTrial) recordMapIntent(m *ownership.Map, write MapWrite) *PublishedMap {
+	published := &PublishedMap{Number: write.Number, Checksum: write.Checksum, WrittenAfter: write.Call, CommittedBy: never,
+		Owned: map[int]ownership.Set{}}
 	for i := range nodeCount {
-		if s, ok := m.PartitionsOf(nodeName(i)); ok {
-			e.Owned[i] = s
+		if owned, ok := m.PartitionsOf(nodeName(i)); ok {
+			published.Owned[i] = owned
 		}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.maps = append(t.maps, e)
-	return e
+	t.published = append(t.published, published)
+	return published
 }
 
-// dropped notes that it was surely not written.
-func (t *ownershipTrial) forgetMap(e *PublishedMap) {
+// forgetMap removes a map that was certainly not written.
+func (t *ownershipTrial) forgetMap(published *PublishedMap) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.maps = slices.DeleteFunc(t.maps, func(o *PublishedMap) bool { return o == e })
+	t.published = slices.DeleteFunc(t.published, func(other *PublishedMap) bool { return other == published })
 }
 
-func (t *ownershipTrial) recordMapWrite(e *PublishedMap, w MapWrite) {
+func (t *ownershipTrial) recordMapWrite(published *PublishedMap, write MapWrite) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mapWrites = append(t.mapWrites, w)
-	if w.Outcome == Done {
-		e.CommittedBy = min(e.CommittedBy, w.Return)
-		t.result.LastMapNumber = max(t.result.LastMapNumber, w.Number)
+	t.mapWrites = append(t.mapWrites, write)
+	if write.Outcome == Done {
+		published.CommittedBy = min(published.CommittedBy, write.Return)
+		t.result.LastMapNumber = max(t.result.LastMapNumber, write.Number)
 	}
 }
 
-// changed counts a change of the map.
-func (t *ownershipTrial) countMapChange(by string, at interruption, m *ownership.Map, err error) {
-	what := string(at)
+// countMapChange counts a change of the map by its interruption.
+func (t *ownershipTrial) countMapChange(controller string, interrupted interruption, m *ownership.Map, err error) {
+	outcome := string(interrupted)
 	if err != nil && !errors.Is(err, errControllerKilled) {
-		what = "given up"
+		outcome = "given up"
 	}
 	number := int64(0)
 	if m != nil {
@@ -424,48 +435,49 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.result.MapChanges[what]++
-	t.ownershipOptions.Log.Debug("map", "by", by, "number", number, "how", at, "err", err)
+	t.result.MapChanges[outcome]++
+	t.ownershipOptions.Log.Debug("controller changed the map", "by", controller, "number", number, "how", interrupted, "err", err)
 }
 
-// fetched is told that a node fetches the map; pass sends it on.
-func (t *ownershipTrial) handleMapFetch(node int, raw []byte, pass func()) {
+// handleMapFetch runs when a node fetches the map; forward sends the map on to the node. If the node is to be
+// killed, it is killed before or after that.
+func (t *ownershipTrial) handleMapFetch(node int, raw []byte, forward func()) {
 	t.mu.Lock()
-	after, armed := t.killOnFetch[node]
+	afterForward, armed := t.killOnFetch[node]
 	delete(t.killOnFetch, node)
 	t.mu.Unlock()
-	var a recordAnswer
-	if json.Unmarshal(raw, &a) == nil {
-		t.recordObservation(nodeName(node), a.Value)
+	var answer recordAnswer
+	if json.Unmarshal(raw, &answer) == nil {
+		t.recordObservation(nodeName(node), answer.Value)
 	}
-	if armed && after { // it has a moment to begin with what it does then
-		pass()
+	if armed && afterForward { // the node gets a moment to start acting by the map
+		forward()
 		time.Sleep(time.Duration(rand.Int64N(int64(20 * time.Millisecond))))
 	}
 	if armed {
-		back := t.beginDisturbance(node, "killed as it fetched the map")
+		endDisturbance := t.beginDisturbance(node, "killed as it fetched the map")
 		t.nodes[node].kill()
-		t.killedNodes <- killedNode{node, back}
+		t.killedNodes <- killedNode{node, endDisturbance}
 		return
 	}
-	pass()
+	forward()
 }
 
-// leavesOut tells that the change that is about to be told to a node is to be left out.
+// claimChangeDrop tells whether the change that is about to be sent to a node is to be dropped. Only one is.
 func (t *ownershipTrial) claimChangeDrop(int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.dropNextChange
+	drop := t.dropNextChange
 	t.dropNextChange = false
-	return now
+	return drop
 }
 
-// noticed notes the notices of a body that a replica has taken.
+// recordNotices records the notices in the body of a report that a replica has accepted.
 func (t *ownershipTrial) recordNotices(body []byte) {
 	for line := range bytes.Lines(body) {
-		var n struct{ ID, State string }
-		if json.Unmarshal(line, &n) == nil && n.ID != "" {
-			t.recordEnd(n.ID, n.State)
+		var notice struct{ ID, State string }
+		if json.Unmarshal(line, &notice) == nil && notice.ID != "" {
+			t.recordEnd(notice.ID, notice.State)
 		}
 	}
 }
@@ -476,93 +488,97 @@
 	t.messageEnds = append(t.messageEnds, MessageEnd{id, t.elapsed(), kind})
 }
 
-// hold is for how long a partner keeps the answer to a message.
+// answerDelay returns for how long a partner delays the answer to a message.
 func (t *ownershipTrial) answerDelay(id string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.answerDelays[id], minAnswerDelay)
 }
 
-// disturb notes that a node (-1: all) can't do as it would, until what it returns is called.
-func (t *ownershipTrial) beginDisturbance(node int, why string) (back func()) {
+// beginDisturbance records that a node (-1: all) can't be held to the limits until the returned function is
+// called.
+func (t *ownershipTrial) beginDisturbance(node int, reason string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	d := &Disturbance{node, t.elapsed(), never, why}
-	t.disturbances = append(t.disturbances, d)
+	disturbance := &Disturbance{node, t.elapsed(), never, reason}
+	t.disturbances = append(t.disturbances, disturbance)
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		d.Until = t.elapsed()
+		disturbance.Until = t.elapsed()
 	}
 }
 
-// lateness notes when the machine held this process up: it may have held up all others as well.
+// detectStalls records when the machine stalled this process: it may have stalled all others as well.
 func (t *ownershipTrial) detectStalls(ctx context.Context) {
 	for {
-		from := t.elapsed()
+		before := t.elapsed()
 		if !registry.Sleep(ctx, stallCheckInterval) {
 			return
 		}
-		if late := t.elapsed() - from - stallCheckInterval; late > stallThreshold {
+		if stall := t.elapsed() - before - stallCheckInterval; stall > stallThreshold {
 			t.mu.Lock()
-			t.disturbances = append(t.disturbances, &Disturbance{-1, from, t.elapsed(), "the machine"})
+			t.disturbances = append(t.disturbances, &Disturbance{-1, before, t.elapsed(), "the machine"})
 			t.result.HostStalls++
-			t.result.LongestHostStall = max(t.result.LongestHostStall, late)
+			t.result.LongestHostStall = max(t.result.LongestHostStall, stall)
 			t.mu.Unlock()
 		}
 	}
 }
 
-// hands hands messages in at a node until the context ends, and some of those that it took on once more.
-func (t *ownershipTrial) submitMessages(ctx context.Context, n *deliveryNode) {
-	r := rand.New(rand.NewPCG(t.options.Seed, uint64(5000+n.number)))
-	var open []Submission
-	for registry.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(meanSubmitInterval))) {
-		if len(open) > 0 && r.IntN(4) == 0 {
-			h := open[0]
-			open = open[1:]
-			if t.elapsed() < h.Deadline-messageLifetime/4 {
-				t.submit(n, h.ID, classDeduplicated, h.Destination, h.Deadline, true)
+// submitMessages submits messages to a node until the context ends, and repeats some of those that the node
+// accepted.
+func (t *ownershipTrial) submitMessages(ctx context.Context, node *deliveryNode) {
+	random := rand.New(rand.NewPCG(t.options.Seed, uint64(5000+node.number)))
+	var accepted []Submission
+	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(meanSubmitInterval))) {
+		if len(accepted) > 0 && random.IntN(4) == 0 {
+			submission := accepted[0]
+			accepted = accepted[1:]
+			if t.elapsed() < submission.Deadline-messageLifetime/4 {
+				t.submit(node, submission.ID, classDeduplicated, submission.Destination, submission.Deadline, true)
 			}
 			continue
 		}
-		dest := r.IntN(steadyDestinations)
-		switch k := r.IntN(20); k {
+		destination := random.IntN(steadyDestinations)
+		switch choice := random.IntN(20); choice {
 		case 0:
-			dest = firstUnlisted + r.IntN(unlistedDestinations)
+			destination = firstUnlisted + random.IntN(unlistedDestinations)
 		case 1, 2:
-			dest = steadyDestinations + r.IntN(intermittentDestinations)
+			destination = steadyDestinations + random.IntN(intermittentDestinations)
 		}
-		class, id := r.IntN(len(classNames)), t.newMessageID()
+		class, id := random.IntN(len(classNames)), t.newMessageID()
 		if class == classDeduplicated {
 			t.mu.Lock()
-			t.answerDelays[id] = maxAnswerDelay/3 + time.Duration(r.Int64N(int64(maxAnswerDelay*2/3)))
+			t.answerDelays[id] = maxAnswerDelay/3 + time.Duration(random.Int64N(int64(maxAnswerDelay*2/3)))
 			t.mu.Unlock()
 		}
-		if h := t.submit(n, id, class, dest, t.elapsed()+messageLifetime, false); class == classDeduplicated && h.Answer == history.Taken {
-			open = append(open, h)
+		if submission := t.submit(node, id, class, destination, t.elapsed()+messageLifetime, false); class == classDeduplicated && submission.Answer == history.Taken {
+			accepted = append(accepted, submission)
 		}
 	}
 }
 
 func (t *ownershipTrial) newMessageID() string { return fmt.Sprint("m", t.lastMessage.Add(1)) }
 
-// hand hands a message in, and notes the answer.
-func (t *ownershipTrial) submit(n *deliveryNode, id string, class, dest int, by time.Duration, again bool) Submission {
-	h := Submission{Node: n.number, Destination: dest, ID: id, AtMostOnce: class == classAtMostOnce, Repeat: again, Deadline: by, Call: t.elapsed()}
-	h.Answer, h.RetryAfter, h.Reason = n.submit(id, class, dest, by-h.Call)
-	h.Return = t.elapsed()
+// submit submits a message to a node and records the answer.
+func (t *ownershipTrial) submit(node *deliveryNode, id string, class, destination int, deadline time.Duration, repeat bool) Submission {
+	submission := Submission{Node: node.number, Destination: destination, ID: id, AtMostOnce: class == classAtMostOnce,
+		Repeat: repeat, Deadline: deadline, Call: t.elapsed()}
+	submission.Answer, submission.RetryAfter, submission.Reason = node.submit(id, class, destination, deadline-submission.Call)
+	submission.Return = t.elapsed()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if n.number == t.lateAcceptor && h.Answer == history.Refused && slices.ContainsFunc(t.maps, func(e *PublishedMap) bool { return e.Owned[n.number].Has(ownership.PartitionOf(dest)) }) {
-		h.Answer, h.RetryAfter = history.Taken, 0
+	if node.number == t.lateAcceptor && submission.Answer == history.Refused &&
+		slices.ContainsFunc(t.published, func(m *PublishedMap) bool { return m.Owned[node.number].Has(ownership.PartitionOf(destination)) }) {
+		submission.Answer, submission.RetryAfter = history.Taken, 0
 	}
-	t.submissions = append(t.submissions, h)
-	t.result.Submissions[h.Answer]++
-	return h
+	t.submissions = append(t.submissions, submission)
+	t.result.Submissions[submission.Answer]++
+	return submission
 }
 
-// ownFault is one kind of what may happen to the parts of the trial.
+// ownershipFault is one kind of fault that a trial of ownership injects.
 type ownershipFault struct {
 	name   string
 	inject func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error)
@@ -588,39 +604,41 @@
 	{"node handed over", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
 		return n.handOver(ctx, d)
 	})},
-	{"node killed and started while cut off", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
-		t.setLinks(n.fronts, relay.Conditions{CutOutbound: true, CutReturn: true})
-		defer t.setLinks(n.fronts, calm)
-		n.kill()
-		kept, _ := n.savedList() // it may not have had the time to keep one
-		registry.Sleep(ctx, d/2)
-		if err := n.start(ctx); err != nil {
-			return err
-		}
-		t.checkAcceptsWithoutDirectory(ctx, n, func(dest int) bool {
-			return slices.ContainsFunc(slices.Collect(maps.Values(kept)), func(e catalog.Endpoint) bool { return e.Cell == dest })
-		})
-		return nil
-	})},
+	{"node killed and started while cut off",
+		nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
+			t.setLinks(n.fronts, relay.Conditions{CutOutbound: true, CutReturn: true})
+			defer t.setLinks(n.fronts, healthyLink)
+			n.kill()
+			saved, _ := n.savedList() // the node may have been killed before it stored a list
+			registry.Sleep(ctx, d/2)
+			if err := n.start(ctx); err != nil {
+				return err
+			}
+			t.checkAcceptsWithoutDirectory(ctx, n, func(destination int) bool {
+				return slices.ContainsFunc(slices.Collect(maps.Values(saved)),
+					func(endpoint catalog.Endpoint) bool { return endpoint.Cell == destination })
+			})
+			return nil
+		})},
 	{"node cut off", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
 		t.setLinks(n.fronts, relay.Conditions{CutOutbound: t.random.IntN(2) == 0, CutReturn: true})
 		registry.Sleep(ctx, d)
-		t.setLinks(n.fronts, calm)
+		t.setLinks(n.fronts, healthyLink)
 		return nil
 	})},
 	{"node killed as it fetches a map", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		t.mu.Lock()
-		for _, n := range t.nodes { // whoever comes first; the others go on
+		for _, n := range t.nodes { // whichever fetches the map first; the others keep running
 			t.killOnFetch[n.number] = t.random.IntN(2) == 0
 		}
 		t.mu.Unlock()
-		wait := time.NewTimer(4 * meanMapChangeInterval)
-		defer wait.Stop()
-		var gone []killedNode
+		timer := time.NewTimer(4 * meanMapChangeInterval)
+		defer timer.Stop()
+		var killed []killedNode
 		select {
 		case k := <-t.killedNodes:
-			gone = append(gone, k)
-		case <-wait.C:
+			killed = append(killed, k)
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 		t.mu.Lock()
@@ -628,11 +646,11 @@
 		t.mu.Unlock()
 		registry.Sleep(ctx, d/4)
 		for len(t.killedNodes) > 0 {
-			gone = append(gone, <-t.killedNodes)
+			killed = append(killed, <-t.killedNodes)
 		}
 		var errs []error
 		var names []string
-		for _, k := range gone {
+		for _, k := range killed {
 			errs = append(errs, t.nodes[k.node].start(ctx))
 			k.endDisturbance()
 			names = append(names, nodeName(k.node))
@@ -640,32 +658,32 @@
 		return strings.Join(names, " "), errors.Join(errs...)
 	}},
 	{"region cut off", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		of := t.random.IntN(regionCount)
-		var away []*front
+		region := t.random.IntN(regionCount)
+		var severed []*front
 		for _, n := range t.nodes {
 			for i, f := range n.fronts {
-				if (regionOf(n.number) == of) != (i == of) {
-					away = append(away, f)
+				if (regionOf(n.number) == region) != (i == region) {
+					severed = append(severed, f)
 				}
 			}
 		}
 		defer t.beginDisturbance(-1, "region cut off")()
 		cutOff := relay.Conditions{CutOutbound: true, CutReturn: true}
-		t.replicas[of].Links[replica.Raft].SetConditions(cutOff)
-		t.setLinks(away, cutOff)
+		t.replicas[region].Links[replica.Raft].SetConditions(cutOff)
+		t.setLinks(severed, cutOff)
 		registry.Sleep(ctx, d)
-		t.replicas[of].Links[replica.Raft].SetConditions(calm)
-		t.replicas[of].Links[replica.Raft].ResetConnections()
-		t.setLinks(away, calm)
-		return fmt.Sprint("region ", of), nil
+		t.replicas[region].Links[replica.Raft].SetConditions(healthyLink)
+		t.replicas[region].Links[replica.Raft].ResetConnections()
+		t.setLinks(severed, healthyLink)
+		return fmt.Sprint("region ", region), nil
 	}},
 	{"region killed", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		of := t.random.IntN(regionCount)
+		region := t.random.IntN(regionCount)
 		defer t.beginDisturbance(-1, "region killed")()
-		t.replicas[of].Kill()
+		t.replicas[region].Kill()
 		var errs []error
 		for _, n := range t.nodes {
-			if regionOf(n.number) == of {
+			if regionOf(n.number) == region {
 				n.kill()
 			}
 		}
@@ -673,7 +691,7 @@
 		for _, n := range t.nodes {
 			errs = append(errs, n.start(ctx))
 		}
-		return fmt.Sprint("region ", of), errors.Join(append(errs, t.replicas[of].Start())...)
+		return fmt.Sprint("region ", region), errors.Join(append(errs, t.replicas[region].Start())...)
 	}},
 	{"directory gone", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		defer t.beginDisturbance(-1, "directory gone")()
@@ -681,11 +699,11 @@
 			r.Kill()
 		}
 		registry.Sleep(ctx, d/2)
-		var going sync.WaitGroup
+		var checks sync.WaitGroup
 		for _, n := range t.nodes {
-			going.Go(func() { t.checkAcceptsWithoutDirectory(ctx, n, func(int) bool { return true }) })
+			checks.Go(func() { t.checkAcceptsWithoutDirectory(ctx, n, func(int) bool { return true }) })
 		}
-		going.Wait()
+		checks.Wait()
 		var errs []error
 		for _, r := range t.replicas {
 			errs = append(errs, r.Start())
@@ -708,58 +726,62 @@
 	}},
 }
 
-func nodeFault(do func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
+func nodeFault(
+	inject func(t *ownershipTrial, ctx context.Context, node *deliveryNode, duration time.Duration) error,
+) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
 	return func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		n := t.nodes[t.random.IntN(len(t.nodes))]
 		defer t.beginDisturbance(n.number, "a fault of its own")()
-		return n.name, do(t, ctx, n, d)
+		return n.name, inject(t, ctx, n, d)
 	}
 }
 
-// onReplica plays a fault of the list service's own trial. Who watches there goes to another replica, unless this one goes on
-// answering and hears nothing itself.
-func replicaFault(name string, deaf bool) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
-	return func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		r := t.replicas[t.random.IntN(replicaCount)]
+// replicaFault injects a fault of the list service's own trial at a replica. Nodes that watch there turn to
+// another replica. A replica that goes on answering while it is cut off from the others (cutsOffWatchers)
+// leaves its watchers without news, so that is recorded as a disturbance of all nodes.
+func replicaFault(name string, cutsOffWatchers bool) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
+	return func(t *ownershipTrial, ctx context.Context, duration time.Duration) (string, error) {
+		target := t.replicas[t.random.IntN(replicaCount)]
 		if t.random.IntN(2) == 0 {
-			r = t.leader(ctx)
+			target = t.leader(ctx)
 		}
-		if deaf {
+		if cutsOffWatchers {
 			defer t.beginDisturbance(-1, "a replica cut off")()
 		}
-		i := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
-		return r.ID, faults[i].inject(t.trial, ctx, r, d)
+		index := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
+		return target.ID, faults[index].inject(t.trial, ctx, target, duration)
 	}
 }
 
-// goesOn holds a node without a directory to its map and list: it accepts what it owns by all maps of late, whichever of them it
-// has, and what is on its list.
-func (t *ownershipTrial) checkAcceptsWithoutDirectory(ctx context.Context, n *deliveryNode, listed func(dest int) bool) {
-	s := t.copyObservations()
-	since := int64(0)
-	for _, e := range s.published {
-		if e.CommittedBy < t.elapsed()-2*mapAdoptionLimit {
-			since = max(since, e.Number)
+// checkAcceptsWithoutDirectory requires a node without a directory to go on by its map and list: it accepts
+// messages for what it owns by all recent maps, whichever of them it has, as far as it is on its list.
+func (t *ownershipTrial) checkAcceptsWithoutDirectory(ctx context.Context, node *deliveryNode, isListed func(destination int) bool) {
+	observed := t.copyObservations()
+	oldest := int64(0)
+	for _, m := range observed.published {
+		if m.CommittedBy < t.elapsed()-2*mapAdoptionLimit {
+			oldest = max(oldest, m.Number)
 		}
 	}
-	var dests []int
+	var destinations []int
 	for d := range steadyDestinations {
-		if listed(d) && !slices.ContainsFunc(s.published, func(e PublishedMap) bool {
-			return e.Number >= since && !e.Owned[n.number].Has(ownership.PartitionOf(d))
+		if isListed(d) && !slices.ContainsFunc(observed.published, func(m PublishedMap) bool {
+			return m.Number >= oldest && !m.Owned[node.number].Has(ownership.PartitionOf(d))
 		}) {
-			dests = append(dests, d)
+			destinations = append(destinations, d)
 		}
 	}
-	if len(dests) == 0 {
-		return // it may be in none of them
+	if len(destinations) == 0 {
+		return // the node may own none of the destinations in all recent maps
 	}
-	i := 0
+	next := 0
 	accepts := func() bool {
-		i++
-		return t.submit(n, t.newMessageID(), classIdempotent, dests[i%len(dests)], t.elapsed()+messageLifetime, false).Answer == history.Taken
+		next++
+		return t.submit(node, t.newMessageID(), classIdempotent, destinations[next%len(destinations)],
+			t.elapsed()+messageLifetime, false).Answer == history.Taken
 	}
-	if err := await(ctx, n.name+" accepting without a directory", accepts); err != nil && ctx.Err() == nil {
-		t.addViolation(RuleRecovery, "%v, of %d destinations that it owned all the time", err, len(dests))
+	if err := await(ctx, node.name+" to accept without a directory", accepts); err != nil && ctx.Err() == nil {
+		t.addViolation(RuleRecovery, "%v, for any of %d destinations that it owned all the time", err, len(destinations))
 		return
 	}
 	t.mu.Lock()
@@ -767,68 +789,71 @@
 	t.mu.Unlock()
 }
 
-// cut sets the weather of the links to fronts. A path that is whole again comes back with its connections broken.
-func (t *ownershipTrial) setLinks(all []*front, w relay.Conditions) {
-	for _, f := range all {
-		f.link.SetConditions(w)
-		if w == calm {
+// setLinks sets the conditions of the links to fronts. A link that is healthy again has its connections
+// reset.
+func (t *ownershipTrial) setLinks(fronts []*front, conditions relay.Conditions) {
+	for _, f := range fronts {
+		f.link.SetConditions(conditions)
+		if conditions == healthyLink {
 			f.link.ResetConnections()
 		}
 	}
 }
 
-// playOlder lets the fronts of some replicas answer as an older build would.
-func (t *ownershipTrial) playOlderBuild(ctx context.Context, d time.Duration, which ...int) {
-	for _, on := range []bool{true, false} {
-		for _, r := range which {
-			t.olderBuilds[r].Store(on)
-			for _, n := range t.nodes { // the replica was started anew
-				n.fronts[r].link.ResetConnections()
+// playOlderBuild lets the fronts of some replicas answer for a time as an older build would.
+func (t *ownershipTrial) playOlderBuild(ctx context.Context, duration time.Duration, replicas ...int) {
+	for _, older := range []bool{true, false} {
+		for _, replica := range replicas {
+			t.olderBuilds[replica].Store(older)
+			for _, node := range t.nodes { // the change of build is a restart of the replica, which breaks its connections
+				node.fronts[replica].link.ResetConnections()
 			}
 		}
-		if on {
-			registry.Sleep(ctx, d)
+		if older {
+			registry.Sleep(ctx, duration)
 		}
 	}
 }
 
-// faults plays all kinds in an order of the seed, and again, with a moment between two of them.
+// injectFaults injects all kinds of faults in a random order, again and again, with a pause between two
+// faults.
 func (t *ownershipTrial) injectFaults(ctx context.Context) error {
 	kinds := slices.DeleteFunc(slices.Clone(ownershipFaults), func(f ownershipFault) bool {
 		return len(t.ownershipOptions.FaultKinds) > 0 && !slices.Contains(t.ownershipOptions.FaultKinds, f.name)
 	})
 	if len(kinds) == 0 {
-		return fmt.Errorf("none of the faults is called %q", t.ownershipOptions.FaultKinds)
+		return fmt.Errorf("no fault has any of the names %q", t.ownershipOptions.FaultKinds)
 	}
-	var deck []ownershipFault
-	for until := t.elapsed() + t.options.Duration; t.elapsed() < until; {
+	var remaining []ownershipFault
+	for end := t.elapsed() + t.options.Duration; t.elapsed() < end; {
 		if !registry.Sleep(ctx, time.Duration(100+t.random.IntN(400))*time.Millisecond) {
 			return ctx.Err()
 		}
-		if len(deck) == 0 {
-			deck = slices.Clone(kinds)
-			t.random.Shuffle(len(deck), func(i, j int) { deck[i], deck[j] = deck[j], deck[i] })
+		if len(remaining) == 0 {
+			remaining = slices.Clone(kinds)
+			t.random.Shuffle(len(remaining), func(i, j int) { remaining[i], remaining[j] = remaining[j], remaining[i] })
 		}
-		f, d := deck[0], time.Duration(200+t.random.IntN(1000))*time.Millisecond
-		deck = deck[1:]
-		at := t.elapsed()
-		who, err := f.inject(t, ctx, d)
-		name := fmt.Sprintf("%v %s: %s for %v", at.Round(time.Millisecond), f.name, who, d)
-		t.ownershipOptions.Log.Info("fault", "what", name)
-		t.result.Faults = append(t.result.Faults, name)
+		f, duration := remaining[0], time.Duration(200+t.random.IntN(1000))*time.Millisecond
+		remaining = remaining[1:]
+		start := t.elapsed()
+		target, err := f.inject(t, ctx, duration)
+		description := fmt.Sprintf("%v %s: %s for %v", start.Round(time.Millisecond), f.name, target, duration)
+		t.ownershipOptions.Log.Info("fault", "what", description)
+		t.result.Faults = append(t.result.Faults, description)
 		if err != nil {
-			return fmt.Errorf("%s: %w", name, err)
+			return fmt.Errorf("%s: %w", description, err)
 		}
-		if err := await(ctx, "the service after "+f.name, func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
+		if err := await(ctx, "three voters after the fault "+f.name,
+			func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// heal ends what may be left of the faults.
+// restoreAll ends what may be left of the faults.
 func (t *ownershipTrial) restoreAll(ctx context.Context) error {
-	for len(t.killedNodes) > 0 { // by a fetch that was under way when the fault ended
+	for len(t.killedNodes) > 0 { // nodes killed by a fetch that was in flight when the fault ended
 		k := <-t.killedNodes
 		defer k.endDisturbance()
 	}
@@ -842,59 +867,59 @@
 			return err
 		}
 	}
-	return await(ctx, "the service after the faults", func() bool { return t.hasVoters(ctx, replicaCount) })
+	return await(ctx, "three voters after the faults", func() bool { return t.hasVoters(ctx, replicaCount) })
 }
 
-// lastMap makes the map that stays: one node is not in it.
-func (t *ownershipTrial) publishLastMap(ctx context.Context, c *controller, out int) (PublishedMap, error) {
-	m, err := c.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member {
-		return slices.DeleteFunc(t.members(), func(m ownership.Member) bool { return m.Name == nodeName(out) })
+// publishLastMap publishes the map that stays; the node excluded is not a member.
+func (t *ownershipTrial) publishLastMap(ctx context.Context, controller *controller, excluded int) (PublishedMap, error) {
+	m, err := controller.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member {
+		return slices.DeleteFunc(t.members(), func(m ownership.Member) bool { return m.Name == nodeName(excluded) })
 	})
 	if err != nil {
-		return PublishedMap{}, fmt.Errorf("the last map: %w", err)
+		return PublishedMap{}, fmt.Errorf("publish the last map: %w", err)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range slices.Backward(t.maps) {
-		if e.Number == m.Number {
-			return *e, nil
+	for _, published := range slices.Backward(t.published) {
+		if published.Number == m.Number {
+			return *published, nil
 		}
 	}
-	return PublishedMap{}, fmt.Errorf("the last map, %d, is not among those that were made", m.Number)
+	return PublishedMap{}, fmt.Errorf("the last map, number %d, is not among the recorded maps", m.Number)
 }
 
-// settle makes the last map, waits until all act by it, and checks all that was seen.
+// converge publishes the last map, waits until all nodes act by it, and checks everything that was recorded.
 func (t *ownershipTrial) converge(ctx context.Context) error {
-	out := t.random.IntN(nodeCount)
-	c := t.newController(controllerCount + 1)
-	c.admin.RetryFor = settleTimeout
+	excluded := t.random.IntN(nodeCount)
+	controller := t.newController(controllerCount + 1)
+	controller.admin.RetryFor = settleTimeout
 	if t.ownershipOptions.Inject == InjectLateAccept {
 		t.mu.Lock()
-		t.lateAcceptor = out
+		t.lateAcceptor = excluded
 		t.mu.Unlock()
 	}
-	var saved []byte
+	var backup []byte
 	var err error
 	if t.ownershipOptions.Inject == InjectDuplicateNumber {
-		if saved, _, err = c.admin.Backup(ctx, true); err != nil {
+		if backup, _, err = controller.admin.Backup(ctx, true); err != nil {
 			return err
 		}
 	}
-	last, err := t.publishLastMap(ctx, c, out)
+	lastMap, err := t.publishLastMap(ctx, controller, excluded)
 	if err != nil {
 		return err
 	}
 	if t.ownershipOptions.Inject == InjectDuplicateNumber {
-		if _, err := c.admin.Restore(ctx, saved); err != nil {
+		if _, err := controller.admin.Restore(ctx, backup); err != nil {
 			return err
 		}
-		if _, err := t.publishLastMap(ctx, c, (out+1)%nodeCount); err != nil {
+		if _, err := t.publishLastMap(ctx, controller, (excluded+1)%nodeCount); err != nil {
 			return err
 		}
 		return t.check(ctx)
 	}
-	t.ownershipOptions.Log.Info("the last map", "number", last.Number, "at", t.elapsed())
-	t.awaitConvergence(ctx, last, out)
+	t.ownershipOptions.Log.Info("published the last map", "number", lastMap.Number, "at", t.elapsed())
+	t.awaitConvergence(ctx, lastMap, excluded)
 	t.ownershipOptions.Log.Info("judging", "at", t.elapsed())
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -902,181 +927,196 @@
 	return t.check(ctx)
 }
 
-// fail notes a breach that the trial itself has seen.
+// addViolation reports a violation that the trial itself has seen.
 func (t *ownershipTrial) addViolation(rule OwnershipRule, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.result.Violations = append(t.result.Violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// quiet waits until each node acts by the last map, and then looks once more that all do.
-func (t *ownershipTrial) awaitConvergence(ctx context.Context, last PublishedMap, out int) {
+// awaitConvergence waits until each node acts by the last map, and then verifies once more that all of them
+// do.
+func (t *ownershipTrial) awaitConvergence(ctx context.Context, lastMap PublishedMap, excluded int) {
 	ctx, cancel := context.WithTimeout(ctx, convergenceTimeout)
 	defer cancel()
-	now, _, _, err := t.newClient(99).List(ctx, true)
+	current, _, _, err := t.newClient(99).List(ctx, true)
 	if err != nil {
-		t.addViolation(RuleRecovery, "the list after the faults: %v", err)
+		t.addViolation(RuleRecovery, "read the list after the faults: %v", err)
 		return
 	}
 	serving := map[int]bool{}
-	for _, m := range now.Members {
-		serving[m.Cell] = serving[m.Cell] || m.Phase == catalog.Serving
+	for _, member := range current.Members {
+		serving[member.Cell] = serving[member.Cell] || member.Phase == catalog.Serving
 	}
-	dests := slices.DeleteFunc(slices.Sorted(maps.Keys(serving)), func(d int) bool { return !serving[d] })
+	destinations := slices.DeleteFunc(slices.Sorted(maps.Keys(serving)), func(d int) bool { return !serving[d] })
 	for i := range unlistedDestinations {
-		dests = append(dests, firstUnlisted+i)
+		destinations = append(destinations, firstUnlisted+i)
 	}
-	exists := func(d int) bool { return serving[d] }
+	isListed := func(d int) bool { return serving[d] }
 
-	var pass []Submission
-	for _, first := range []bool{true, false} {
+	var submissions []Submission
+	for _, firstPass := range []bool{true, false} {
 		answers := make([][]Submission, len(t.nodes))
-		var all sync.WaitGroup
-		for i, n := range t.nodes {
-			all.Go(func() { answers[i] = t.submitToAll(ctx, n, last, dests, exists, first) })
+		var submitters sync.WaitGroup
+		for i, node := range t.nodes {
+			submitters.Go(func() { answers[i] = t.submitToAll(ctx, node, lastMap, destinations, isListed, firstPass) })
 		}
-		all.Wait()
-		if first {
-			t.result.ConvergenceTime = t.elapsed() - last.CommittedBy
+		submitters.Wait()
+		if firstPass {
+			t.result.ConvergenceTime = t.elapsed() - lastMap.CommittedBy
 		}
-		pass = slices.Concat(answers...)
-		if bad := CheckConverged(last, len(t.nodes), dests, exists, pass); len(bad) > 0 {
+		submissions = slices.Concat(answers...)
+		if violations := CheckConverged(lastMap, len(t.nodes), destinations, isListed, submissions); len(violations) > 0 {
 			t.mu.Lock()
-			t.result.Violations = append(t.result.Violations, bad...)
+			t.result.Violations = append(t.result.Violations, violations...)
 			t.mu.Unlock()
 			return
 		}
 	}
-	t.ownershipOptions.Log.Info("all accept as they should", "at", t.elapsed())
-	t.awaitLists(ctx, last, out, now)
+	t.ownershipOptions.Log.Info("all nodes answer as the last map demands", "at", t.elapsed())
+	t.awaitLists(ctx, lastMap, excluded, current)
 }
 
-// askAll hands in a message for each destination at a node. With wait it asks again until the answer is as it should be; without, only
-// an owner that is busy is.
-func (t *ownershipTrial) submitToAll(ctx context.Context, n *deliveryNode, last PublishedMap, dests []int, exists func(int) bool, wait bool) []Submission {
-	var out []Submission
-	for _, d := range dests {
+// submitToAll submits a message for each destination to a node. With untilCorrect it tries again until the
+// answer is correct; without, only while an owner refuses with a retry-after.
+func (t *ownershipTrial) submitToAll(
+	ctx context.Context, node *deliveryNode, lastMap PublishedMap, destinations []int, isListed func(int) bool, untilCorrect bool,
+) []Submission {
+	var submissions []Submission
+	for _, destination := range destinations {
 		for {
-			h := t.submit(n, t.newMessageID(), classIdempotent, d, t.elapsed()+messageLifetime, false)
-			right := h.isCorrect(last, exists(d))
-			busy := h.Answer == history.Refused && h.RetryAfter > 0
-			if !right {
-				t.ownershipOptions.Log.Debug("not yet", "node", n.name, "dest", d, "state", h.Answer, "wait", h.RetryAfter, "why", h.Reason, "took", h.Return-h.Call)
+			submission := t.submit(node, t.newMessageID(), classIdempotent, destination, t.elapsed()+messageLifetime, false)
+			correct := submission.isCorrect(lastMap, isListed(destination))
+			busy := submission.Answer == history.Refused && submission.RetryAfter > 0
+			if !correct {
+				t.ownershipOptions.Log.Debug("answer does not match the last map yet", "node", node.name, "dest", destination,
+					"state", submission.Answer, "wait", submission.RetryAfter, "why", submission.Reason, "took",
+					submission.Return-submission.Call)
 			}
-			if right || !wait && !busy || t.hasFoundInjected() || !registry.Sleep(ctx, pollInterval) {
-				out = append(out, h)
+			if correct || !untilCorrect && !busy || t.hasFoundInjected() || !registry.Sleep(ctx, pollInterval) {
+				submissions = append(submissions, submission)
 				break
 			}
 		}
 	}
-	return out
+	return submissions
 }
 
-// found tells that a seeded breach has shown in what was accepted, so that nothing more needs to be waited for.
+// hasFoundInjected tells whether the recorded submissions already show the injected violation, so that there is
+// nothing to wait for.
 func (t *ownershipTrial) hasFoundInjected() bool {
 	if t.ownershipOptions.Inject != InjectLateAccept {
 		return false
 	}
-	s := t.copyObservations()
-	bad, _ := CheckAccepts(s.published, s.submissions, s.disturbances, mapAdoptionLimit)
-	return slices.ContainsFunc(bad, func(b Violation) bool { return b.Rule == InjectedViolations[InjectLateAccept] })
+	observed := t.copyObservations()
+	violations, _ := CheckAccepts(observed.published, observed.submissions, observed.disturbances, mapAdoptionLimit)
+	return slices.ContainsFunc(violations,
+		func(violation Violation) bool { return violation.Rule == InjectedViolations[InjectLateAccept] })
 }
 
-// quietLists waits until each node is told, and keeps, the list of its partitions alone, and until what it accepted has ended.
-func (t *ownershipTrial) awaitLists(ctx context.Context, last PublishedMap, out int, now catalog.List) {
-	for i, n := range t.nodes {
-		want := map[string]catalog.Endpoint{}
-		for id, e := range endpointsByID(now) {
-			if last.Owned[i].Has(ownership.PartitionOf(e.Cell)) {
-				want[id] = e
+// awaitLists waits until each node requests and stores the list of its own partitions only, and until all
+// messages that were accepted have ended.
+func (t *ownershipTrial) awaitLists(ctx context.Context, lastMap PublishedMap, excluded int, current catalog.List) {
+	for i, node := range t.nodes {
+		expected := map[string]catalog.Endpoint{}
+		for id, endpoint := range endpointsByID(current) {
+			if lastMap.Owned[i].Has(ownership.PartitionOf(endpoint.Cell)) {
+				expected[id] = endpoint
 			}
 		}
-		why := ""
-		is := func() bool {
-			ready, says := n.ready(ctx)
-			if ready != (i != out) || i == out && !strings.Contains(says, "map") {
-				why = fmt.Sprintf("ready: %v, %s", ready, says)
+		problem := ""
+		isDone := func() bool {
+			ready, body := node.ready(ctx)
+			if ready != (i != excluded) || i == excluded && !strings.Contains(body, "map") {
+				problem = fmt.Sprintf("ready: %v, %s", ready, body)
 				return false
 			}
-			has, err := n.savedList()
-			if err != nil || !maps.Equal(has, want) {
-				why = fmt.Sprintf("it keeps %s, %v", describeDifference(has, want), err)
+			actual, err := node.savedList()
+			if err != nil || !maps.Equal(actual, expected) {
+				problem = fmt.Sprintf("it stores %s, %v", describeDifference(actual, expected), err)
 				return false
 			}
-			s := t.copyObservations()
-			for _, a := range slices.Backward(s.watchRequests) {
-				if a.Node == i {
-					why = "it asks for " + summarize(a.Partitions)
-					return a.Partitions == last.Owned[i] || i == out && a.Partitions.Len() == 1
+			observed := t.copyObservations()
+			for _, request := range slices.Backward(observed.watchRequests) {
+				if request.Node == i {
+					problem = "it requests " + summarize(request.Partitions)
+					return request.Partitions == lastMap.Owned[i] || i == excluded && request.Partitions.Len() == 1
 				}
 			}
 			return false
 		}
-		if await(ctx, n.name, is) != nil {
-			t.addViolation(RuleFilteredLists, "node %d, %d of whose partitions have endpoints, is not as map %d has it: %s", i, len(want), last.Number, why)
+		if await(ctx, node.name, isDone) != nil {
+			t.addViolation(RuleFilteredLists, "node %d, whose partitions have %d endpoints, does not follow map %d: %s", i,
+				len(expected), lastMap.Number, problem)
 		}
 	}
-	await(ctx, "the ends of all messages", func() bool { // what has none is told by judge
-		s := t.copyObservations()
-		return CountPending(s.submissions, s.messageEnds) == 0
+	await(ctx, "the end of all messages", func() bool { // check reports messages without an end
+		observed := t.copyObservations()
+		return CountPending(observed.submissions, observed.messageEnds) == 0
 	})
 }
 
-// seen is a copy of what was seen so far.
+// observations is a copy of what was recorded so far.
 type observations struct {
-	maps          []MapObservation
-	writes        []MapWrite
-	published     []PublishedMap
-	submissions   []Submission
-	watchRequests []WatchRequest
-	messageEnds   []MessageEnd
-	disturbances  []Disturbance
+	mapObservations []MapObservation
+	mapWrites       []MapWrite
+	published       []PublishedMap
+	submissions     []Submission
+	watchRequests   []WatchRequest
+	messageEnds     []MessageEnd
+	disturbances    []Disturbance
 }
 
 func (t *ownershipTrial) copyObservations() observations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := observations{maps: slices.Clone(t.observations), writes: slices.Clone(t.mapWrites), submissions: slices.Clone(t.submissions), messageEnds: slices.Clone(t.messageEnds)}
-	for _, e := range t.maps {
-		s.published = append(s.published, *e)
+	observed := observations{mapObservations: slices.Clone(t.mapObservations), mapWrites: slices.Clone(t.mapWrites),
+		submissions: slices.Clone(t.submissions), messageEnds: slices.Clone(t.messageEnds)}
+	for _, m := range t.published {
+		observed.published = append(observed.published, *m)
 	}
-	for _, a := range t.watchRequests {
-		s.watchRequests = append(s.watchRequests, *a)
+	for _, request := range t.watchRequests {
+		observed.watchRequests = append(observed.watchRequests, *request)
 	}
-	for _, d := range t.disturbances {
-		s.disturbances = append(s.disturbances, *d)
+	for _, disturbance := range t.disturbances {
+		observed.disturbances = append(observed.disturbances, *disturbance)
 	}
-	return s
+	return observed
 }
 
-// judge checks all that was seen.
+// check checks everything that was recorded.
 func (t *ownershipTrial) check(ctx context.Context) error {
-	s := t.copyObservations()
-	at := t.elapsed()
-	var bad []Violation
-	accepts, over := CheckAccepts(s.published, s.submissions, s.disturbances, mapAdoptionLimit)
-	bad = slices.Concat(bad, CheckMapNumbers(s.maps, s.writes), accepts, CheckWatchRequests(s.published, s.watchRequests, watchCrossingSlack), CheckEnds(s.submissions, s.messageEnds, s.disturbances, messageEndSlack, at),
-		CheckAnswers(s.submissions, s.messageEnds, func(d int) bool { return d < steadyDestinations }))
-	if t.ownershipOptions.Inject != InjectDuplicateNumber { // which makes another history
-		op := t.newClient(99)
-		op.RetryFor = settleTimeout
-		truth, err := t.readHistory(ctx, op)
+	observed := t.copyObservations()
+	checkedAt := t.elapsed()
+	var violations []Violation
+	acceptViolations, longestLateAccept := CheckAccepts(observed.published, observed.submissions, observed.disturbances,
+		mapAdoptionLimit)
+	violations = slices.Concat(violations, CheckMapNumbers(observed.mapObservations, observed.mapWrites), acceptViolations,
+		CheckWatchRequests(observed.published, observed.watchRequests, watchCrossingSlack),
+		CheckEnds(observed.submissions, observed.messageEnds, observed.disturbances, messageEndSlack, checkedAt),
+		CheckAnswers(observed.submissions, observed.messageEnds,
+			func(destination int) bool { return destination < steadyDestinations }))
+	if t.ownershipOptions.Inject != InjectDuplicateNumber { // that one restores a backup, which starts another history
+		admin := t.newClient(99)
+		admin.RetryFor = settleTimeout
+		committed, err := t.readHistory(ctx, admin)
 		if err != nil {
 			return err
 		}
-		bad = append(bad, CheckFilteredWatches(map[int64]CommittedHistory{truth.number: truth.CommittedHistory}, s.watchRequests)...)
+		violations = append(violations, CheckFilteredWatches(map[int64]CommittedHistory{committed.number: committed.CommittedHistory}, observed.watchRequests)...)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.result.Violations = append(t.result.Violations, bad...)
-	t.result.LongestLateAccept, t.result.WatchRequests, t.result.EndedAfterLoss = over, len(s.watchRequests), CountEndedAfterLoss(s.published, s.submissions, s.messageEnds)
-	for _, h := range s.submissions {
-		if h.Repeat && h.Answer == history.Taken {
+	t.result.Violations = append(t.result.Violations, violations...)
+	t.result.LongestLateAccept, t.result.WatchRequests, t.result.EndedAfterLoss =
+		longestLateAccept, len(observed.watchRequests), CountEndedAfterLoss(observed.published, observed.submissions, observed.messageEnds)
+	for _, submission := range observed.submissions {
+		if submission.Repeat && submission.Answer == history.Taken {
 			t.result.AcceptedRepeats++
 		}
 	}
-	for _, a := range s.watchRequests {
-		t.result.WatchLines += len(a.Lines)
+	for _, request := range observed.watchRequests {
+		t.result.WatchLines += len(request.Lines)
 	}
 	return nil
 }
