--- a/cmd/cottonrack/lab.go
+++ b/cmd/cottonrack/lab.go
@@ -217,9 +217,9 @@
 }
 
 func printResult(w io.Writer, res *lab.Result) {
-	verdict := "passed"
+	verdict := "kept"
 	if !res.Passed {
-		verdict = "FAILED"
+		verdict = "NOT KEPT"
 	}
 	all := res.Tally.All
 	fmt.Fprintf(w, "%s seed %d: %s. %d nodes, %d messages, worth served %.3f; %d delivered, %d refused, %d failed, %d unknown\n", res.Experiment, res.Seed,
--- a/cmd/cottonrack/labownership.go
+++ b/cmd/cottonrack/labownership.go
@@ -94,14 +94,14 @@
 }
 
 func printOwnership(a *app, r *trial.OwnershipResult) {
-	verdict := "passed"
+	verdict := "kept"
 	switch {
 	case r.Injected != "" && r.InjectedFound:
 		verdict = "the injected violation, " + r.Injected + ", was found"
 	case r.Injected != "":
 		verdict = "THE INJECTED VIOLATION, " + r.Injected + ", WAS NOT FOUND"
 	case len(r.Violations) > 0:
-		verdict = "FAILED"
+		verdict = "NOT KEPT"
 	}
 	fmt.Fprintf(a.out, "seed %d: %s; %d faults, %d maps, %d watches with %d lines; a former owner went on accepting for at most %v, all nodes followed the last map within %v\n",
 		r.Seed, verdict, len(r.Faults), r.LastMapNumber, r.WatchRequests, r.WatchLines, r.LongestLateAccept.Round(time.Millisecond), r.ConvergenceTime.Round(time.Millisecond))
--- a/cmd/cottonrack/ownership.go
+++ b/cmd/cottonrack/ownership.go
@@ -171,8 +171,8 @@
 		}
 	}
 	if p.Before != 0 {
-		printNames("join", p.Added)
-		printNames("leave", p.Removed)
+		printNames("come", p.Added)
+		printNames("go", p.Removed)
 		fmt.Fprintf(a.out, "%d of %d assignments move; %d of %d partitions keep no owner\n", p.Moved, p.Assignments, p.NoOwnerKept, ownership.PartitionCount)
 	}
 	_, err := fmt.Fprintf(a.out, "%s has the most assignments: %d\n", p.MaxLoadMember, p.MaxLoad)
--- a/cmd/cottonrack/scale.go
+++ b/cmd/cottonrack/scale.go
@@ -193,12 +193,12 @@
 }
 
 func printScale(w io.Writer, res *scale.Result) error {
-	verdict := "passed"
+	verdict := "kept"
 	if !res.Passed {
-		verdict = "FAILED"
+		verdict = "NOT KEPT"
 	}
 	if len(res.Expectations) == 0 && res.Passed {
-		verdict = "measured"
+		verdict = "played"
 	}
 	fmt.Fprintf(w, "%s: %s. %d points of %s, %d plays each; %d made invalid by the machine, %d failed\n", res.Name, verdict, len(res.Points), res.Axis, res.Plays, res.Invalid, res.Failed)
 	t := tabwriter.NewWriter(w, 2, 0, 2, ' ', 0)
--- a/cmd/cottonrack/trial.go
+++ b/cmd/cottonrack/trial.go
@@ -74,9 +74,9 @@
 }
 
 func printTrial(a *app, r *trial.Result) {
-	verdict := "passed"
+	verdict := "kept"
 	if len(r.Violations) > 0 {
-		verdict = "FAILED"
+		verdict = "NOT KEPT"
 	}
 	fmt.Fprintf(a.out, "seed %d: %s; %d faults, %d revisions in %d histories, %d watch lines, %d leases, no write for at most %v, refused within %v\n", r.Seed, verdict,
 		len(r.Faults), r.Revisions, r.Histories, r.WatchLines, r.LeaseHoldings, r.LongestWriteGap.Round(time.Millisecond), r.LongestRefusal.Round(time.Millisecond))
