--- a/cmd/cottonrack/capacity_test.go
+++ b/cmd/cottonrack/capacity_test.go
@@ -221,11 +221,11 @@
 	for _, f := range capacity.Bounds() {
 		var got float64
 		switch f.Name {
-		case "UsualMembers":
+		case "DefaultMaxEndpoints":
 			got = catalog.DefaultMaxEndpoints
 		case "MaxChanges":
 			got = catalog.MaxChanges
-		case "Watch.Most":
+		case "Watch.MaxOpen":
 			got = float64(directory.Defaults().Watch.MaxOpen)
 		case "keep_kb": // a setting without a default; the deployed value is in the page's example
 			if strings.Contains(readFile(t, f.Place), "keep_kb = 256 ") {
