--- a/choice/choice.go
+++ b/choice/choice.go
@@ -13,87 +13,90 @@
 )
 
 const (
-	// Gate. The bounds of the response time ratio are the best of the paper, BBC 60-80.
+	// Gate. It closes when the response time ratio (average over baseline) exceeds the upper bound and opens
+	// below the lower one. These are the best bounds of the paper (its variant BBC 60-80).
 	gateUpperRatio, gateLowerRatio = 80, 60
-	// A slow destination's messages expire before the ratio reaches its bounds, so shares of the deadline are
-	// bounds too.
+	// The messages of a slow destination expire before the ratio reaches its bounds. So the average response
+	// time is also bounded by these shares of the deadline.
 	gateCloseDeadlineShare, gateOpenDeadlineShare = 0.5, 1.0 / 3
-	// A message that was never sent counts as this share of the deadline, just above the bound. It may be the
-	// only sample that a gate gets; counted with all its time, a single one kept the gate closed for long.
+	// A message that expired unsent is sampled with at most this share of the deadline, just above the bound
+	// for closing. It may be the only sample that a gate gets; sampled with its full age, a single one kept
+	// the gate closed for long.
 	unsentDeadlineShare = 0.6
-	smoothingWeight     = 0.2               // weight of a sample when samples come often
-	smoothingSpan       = 2 * time.Second   // after a pause of this length a sample weighs more
+	smoothingWeight     = 0.2               // least weight of a sample in the average
+	smoothingSpan       = 2 * time.Second   // time constant of the average: after a pause of this length a sample weighs more
 	baselineGrowthSpan  = 120 * time.Second // the baseline grows by a factor of e in this time
-	// A failed attempt counts as at least so many soft deadlines. It must not close the gate alone, because
-	// holding messages through an outage is better than refusing them. The time they are then held closes it
-	// when it grows too long.
+	// A failed attempt is sampled with at least so many soft deadlines. It must not close the gate alone,
+	// because holding messages through an outage is better than refusing them. Once they are held too long,
+	// their response times close it.
 	failureSoftDeadlines = 1.0
 	minResponseTime      = 5 * time.Millisecond   // lower bound that keeps ratios finite
 	gateTrialInterval    = 500 * time.Millisecond // pause between trial messages of a closed, idle gate
 
 	// Circuit breaker of a route.
-	failureShareWeight   = 0.05                    // weight of a call in the share of failures over all routes
-	chanceRunProbability = 0.02                    // a run of failures less likely than this, given that share, is no chance
-	shutRetryAfter       = 2200 * time.Millisecond // a retry-after longer than the span of any limit means that the endpoint is shut
-	halfOpenFirstPause   = 250 * time.Millisecond  // first pause before a half-open call,
-	halfOpenMaxPause     = 1000 * time.Millisecond // and the longest, a fraction of the outages that matter
-	outageFailures       = 3                       // failures in a row that are an outage where failures are rare,
-	outageSpan           = 2 * time.Second         // one less if no call succeeded for this time,
-	rareArrivals         = 0.5                     // or if fewer messages than this come within it
-	// The load limit of a returning destination counts the calls of senders that know of the outage. A tenth
-	// less than all of it leaves room for chance.
+	failureShareWeight   = 0.05                    // weight of one call in the smoothed share of failures over all routes
+	chanceRunProbability = 0.02                    // a run of failures less likely than this at that share of failures is not put down to chance
+	shutRetryAfter       = 2200 * time.Millisecond // a longer retry-after exceeds the span of any limit, so the endpoint is shut
+	halfOpenFirstPause   = 250 * time.Millisecond  // backoff before the first half-open call,
+	halfOpenMaxPause     = 1000 * time.Millisecond // and its maximum, a fraction of the outages that matter
+	outageFailures       = 3                       // failures in a row that count as an outage where failures are rare,
+	outageSpan           = 2 * time.Second         // one fewer if no call has succeeded for this time,
+	rareArrivals         = 0.5                     // or if fewer messages than this arrive within it
+	// Share of an even part of the slow start budget that each sender may use. Only the calls of senders that
+	// know of the outage count against the budget; a tenth less than all of it leaves room for chance.
 	evenBudgetShare = 0.9
-	// A sender takes less than its own demand: a busy destination may be asked for more than it can do.
+	// Share of its own demand that a sender may use of the budget. It is less than 1 because the demand on a
+	// busy destination may exceed its capacity.
 	ownDemandShare    = 0.4
-	roughWeightFactor = 1.5 // a rough weight may be too high by this factor
-	// Calls above the budget of a destination in slow start, up to so many times the square root of the
-	// budget and so many more, are put down to chance.
+	roughWeightFactor = 1.5 // an endpoint's weight may be too high by this factor if Settings.RoughWeights is set
+	// The fleet may exceed the slow start budget by chance: by so many standard deviations (the square root
+	// of the budget), and so many calls more.
 	chanceDeviations, chanceExtraCalls = 2, 2
 
 	// Connections.
-	rareCallIdleTimes  = 2.0              // with a mean gap of so many idle times between calls, two in five calls come before the connection is closed
-	fullTableSpan      = 30 * time.Second // idle connections are closed for this time after a sign of a full connection table
-	tableRoomPerSecond = 2.0              // calls that are tried above the number known to fit, for each second since
+	rareCallIdleTimes  = 2.0              // with a mean gap of so many idle timeouts between calls, two in five calls come before the connection is closed
+	fullTableSpan      = 30 * time.Second // idle connections are closed early for this time after a sign of a full connection table
+	tableRoomPerSecond = 2.0              // calls tried beyond the number known to fit, for each second since the table was full
 	brokenConnSpan     = 10 * time.Second // reused connections are not trusted for this time after one broke under a call
 
 	// Slots.
-	slowFactor     = 5                      // a call out for so many typical times makes its destination slow,
-	slowMin        = 700 * time.Millisecond // but not before this time, to ignore noise
-	lostFactor     = 10                     // after so many typical times an answer may be lost and not only late,
+	slowFactor     = 5                      // a call that is out for so many typical times makes its destination slow,
+	slowMin        = 700 * time.Millisecond // but not before this time, which ignores noise
+	lostFactor     = 10                     // a call that is out for so many typical times may have lost its answer instead of being late,
 	lostMin        = 350 * time.Millisecond // but not before this time
-	slotTimeSpan   = 2 * time.Second        // time constant of the decay of used slot time
-	slotTimeCharge = 10 * time.Millisecond  // slot time booked when a call starts, so that calls of the same moment alternate between destinations
-	slowSlotShare  = 0.4                    // share of the slots that all slow destinations together may hold
+	slotTimeSpan   = 2 * time.Second        // time constant of the decay of a destination's recent slot time
+	slotTimeCharge = 10 * time.Millisecond  // slot time charged when a call starts, so that calls of the same moment alternate between destinations
+	slowSlotShare  = 0.4                    // share of the slots that all slow or unresponsive destinations together may hold
 
-	// Pacing. Rate shares are in multiples of this sender's share of the traffic.
-	rateShareDecreaseFactor         = 0.6  // factor on the rate share at a rejection, once more for each in a row
+	// Pacing. A rate share is a part of a route's limit, in multiples of this sender's share of the traffic.
+	rateShareDecreaseFactor         = 0.6  // factor on the rate share at a rejection, applied once more for each further rejection in a row
 	minRateShare                    = 0.05 // lower bound of a decrease
-	rateShareIncrease               = 0.03 // increase in the time of one call at the own share, while calls succeed,
-	rateShareIncreaseAfterRejection = 0.1  // and the increase of its logarithm after a rejection, less than the next one decreases it
-	initialRateShare                = 2.0  // above the own share at first, because sparse traffic is uneven,
-	maxRateShare                    = 4.0  // and at most this; maxBurstCalls may go at once
+	rateShareIncrease               = 0.03 // additive increase per call that could be made at a rate share of 1, while calls succeed,
+	rateShareIncreaseAfterRejection = 0.1  // and the exponent of its growth per such call after a rejection: less than the next rejection decreases it
+	initialRateShare                = 2.0  // starts above 1, because sparse traffic is uneven,
+	maxRateShare                    = 4.0  // and stays at most this; maxBurstCalls calls may go at once
 	maxBurstCalls                   = 3.0
-	maxBatchRateShare               = 0.9                    // where waiting messages share calls, keeping to the own share costs little
-	trafficSpan                     = 30 * time.Second       // the share of the traffic is taken from first submissions within this time,
-	trafficPriorSeconds             = 3.0                    // after as many seconds of an even share before the start
-	firstSubmissionMaxAge           = 300 * time.Millisecond // a message younger than this is a first submission
-	arrivalsSpan                    = 10 * time.Second       // this sender's own demand is the arrivals within this time
-	burstSeconds                    = 0.25                   // seconds of the rate that may go at once
+	maxBatchRateShare               = 0.9                    // bound of the rate share where calls are batches: waiting messages share a call, so a low rate costs little
+	trafficSpan                     = 30 * time.Second       // time constant over which first submissions count for the share of the traffic,
+	trafficPriorSeconds             = 3.0                    // and an even share counts as if it had been seen for so many seconds before
+	firstSubmissionMaxAge           = 300 * time.Millisecond // a younger message counts as a first submission
+	arrivalsSpan                    = 10 * time.Second       // time constant of the arrivals at this sender, which are its own demand
+	burstSeconds                    = 0.25                   // seconds' worth of the rate that may be sent at once
 	firstRejectionPause             = 120 * time.Millisecond // first pause after a rejection without a retry-after
 
 	// Attempts.
-	timeoutFactor           = 6                      // timeout in typical times, where a repeat is allowed,
-	timeoutGrowth           = 1.5                    // growing with each failure in a row, so that a slow call succeeds in the end
-	minTimeoutSoftDeadlines = 0.5                    // at least this share of the soft deadline: a repeat still fits in it,
+	timeoutFactor           = 6                      // timeout in typical times, for messages that may be sent again,
+	timeoutGrowth           = 1.5                    // multiplied by this for each failure in a row, so that a slow call succeeds in the end
+	minTimeoutSoftDeadlines = 0.5                    // at least this share of the soft deadline, which leaves time for another attempt,
 	maxTimeoutSoftDeadlines = 2.0                    // and at most so many soft deadlines
-	retryPause              = 100 * time.Millisecond // pause of a message after a failure, doubled each time
-	responseTimePower       = 2                      // the probability of an endpoint falls with this power of its response time
+	retryPause              = 100 * time.Millisecond // pause of a message after a failed attempt, doubled for each further one
+	responseTimePower       = 2                      // the probability that an endpoint is picked falls with this power of its response time
 	minWakeInterval         = 10 * time.Millisecond  // minimum time between wakes,
-	pollInterval            = 30 * time.Millisecond  // and the time between them while something waits
-	answerMargin            = 15 * time.Millisecond  // final answers are given this long before the deadline
+	pollInterval            = 30 * time.Millisecond  // and the time between them while a message waits
+	answerMargin            = 15 * time.Millisecond  // a message gets its final answer so long before its deadline
 
-	// Stopping. A call that is cut off may have run. A message that may be repeated is sent only if so many
-	// typical times are left, one that may not only if there are more. The others are held for the next
+	// Stopping. A call that is cut off may have run. So a message is sent only if so many typical times are
+	// left before the process ends: more for one that may not be repeated. The others are left to the next
 	// process.
 	stopFactor, stopFactorAtMostOnce = 2, 6
 	stopMarginMin                    = 300 * time.Millisecond
@@ -103,7 +106,7 @@
 	forgetAfter = 2 * time.Minute
 )
 
-// New returns the sender of a delivery node that has just started.
+// New returns the Sender of a delivery node that has just started. The seed determines its random choices.
 func New(cfg Settings, seed uint64) *Sender {
 	source := rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)
 	s := &Sender{
@@ -120,14 +123,14 @@
 	return s
 }
 
-// Step handles the events of a moment and returns the actions to take, in order.
+// Step handles the events since the last step and returns the actions to take, in order.
 func (s *Sender) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = now, nil
 	if s.firstSubmissionsAt == 0 {
-		s.firstSubmissionsAt = now // the clock may start at any value
+		s.firstSubmissionsAt = now // the clock may start at any time
 	}
-	// List changes and disabled endpoints come first: a drain takes effect in the step that reports it,
-	// whatever comes before it in the batch.
+	// List changes and disabled endpoints come first: a drain takes effect in the step that reports it, even
+	// if other events come before it in the batch.
 	for _, e := range events {
 		switch e := e.(type) {
 		case ListUpdate:
@@ -151,7 +154,7 @@
 				s.endMessage(m, nil)
 			}
 		case WakeDue:
-			s.wakeAt = 0 // a rounded clock may wake the sender a little early
+			s.wakeAt = 0 // the clock's resolution may wake the sender a little early
 		case Stopping:
 			s.stopAt = e.By
 		}
@@ -167,8 +170,8 @@
 	return s.actions
 }
 
-// scheduleWake asks to be woken when a message's time is up, and soon while one waits for a slot, a pause or
-// the rate. The outcome of a call wakes the sender by itself; a sender without messages asks for no wake.
+// scheduleWake asks for a wake when the time of a message is up, and soon if one waits for a slot, the end of
+// a pause or the rate. The outcome of a call runs a step anyway; a sender without messages asks for no wake.
 func (s *Sender) scheduleWake() {
 	due := time.Duration(math.MaxInt64)
 	if s.watchAt > 0 {
@@ -215,7 +218,7 @@
 			d.kind = entry.Kind
 			if e.route = d.sharedRoute; s.separateRoutes(d) {
 				e.route = newRoute()
-				e.route.waitUntil = s.removedWaits[e.id] // the only state that outlives the removal of a route
+				e.route.waitUntil = s.removedWaits[e.id] // the only state that is kept when a separate route is removed
 			}
 			if s.maxBatch(d) > 1 {
 				e.route.maxRateShare, e.route.rateShare = maxBatchRateShare, min(e.route.rateShare, maxBatchRateShare)
@@ -230,9 +233,9 @@
 	s.forgetUnused()
 }
 
-// setDisabled disables an endpoint or enables it again. It was restarted meanwhile and starts slowly, while
-// the other endpoints of its route do not: so it has a budget of its own besides the route's, for its part of
-// the route's capacity.
+// setDisabled disables an endpoint or enables it again. An endpoint that is enabled again has been restarted
+// meanwhile and needs a slow start, while the other endpoints of its route do not. So it has a slow start
+// budget of its own besides the route's, for its part of the route's capacity.
 func (s *Sender) setDisabled(b EndpointDisabled) {
 	e := s.endpoints[b.Endpoint]
 	switch {
@@ -269,7 +272,7 @@
 	s.holdMessage(m, e.Key)
 }
 
-// registerMessage records a new message and its demand on the destination.
+// registerMessage records a message that arrived or was resumed, and its demand on the destination.
 func (s *Sender) registerMessage(e MessageArrived) (*message, *destination) {
 	d := s.destination(e.Dest)
 	d.arrivals, d.arrivalsAt = d.arrivalRate(s.now)*seconds(arrivalsSpan)+1, s.now
@@ -315,9 +318,9 @@
 	}
 }
 
-// dropSavedTokens gives up what the slow start budget allowed while no message waited. Saved up over a large
-// fleet it would be one call at the same moment from each sender that knows of the outage. The next call
-// comes at a random moment of the rate.
+// dropSavedTokens drops the slow start tokens that were saved while no message waited. Otherwise all senders
+// of a large fleet that know of the outage could each make a call at the same moment. The next call comes at
+// a random moment instead, at the same rate.
 func (s *Sender) dropSavedTokens(d *destination) {
 	for i, e := range d.endpoints {
 		if r := e.route; (i == 0 || r != d.endpoints[0].route) && r.recovering() && s.fleetExceedsBudget(r) {
@@ -327,16 +330,17 @@
 	}
 }
 
-// fleetExceedsBudget reports whether the fleet has more senders than a destination in slow start may get
-// calls, chance included. One extra call of each sender is too much then.
+// fleetExceedsBudget reports whether the fleet has more senders than the calls that a destination in slow
+// start may get, allowing for chance. One more call from each sender would then be too much.
 func (s *Sender) fleetExceedsBudget(r *route) bool {
 	budget := s.cfg.CollapseMultiple * s.cfg.SlowStartShare * s.capacity(r) * seconds(s.cfg.CollapseSpan)
 	return budget > 0 && float64(s.cfg.FleetSize) > budget+chanceDeviations*math.Sqrt(budget)+chanceExtraCalls
 }
 
-// handleResumed takes back a message from before a restart. It was admitted then, so the gate is not asked. A
-// message that may have run and must not be repeated ends here. A known earlier failure may belong to an
-// outage whose end this process did not see, so the routes there get a slow start.
+// handleResumed takes back a message that was accepted before a restart; the gate is not asked again. A
+// message that may have run and must not be repeated ends here. If an attempt is known to have failed, that
+// may be part of an outage whose end this process did not see: the routes of the destination get a slow
+// start.
 func (s *Sender) handleResumed(e MessageResumed) {
 	if s.messages[e.ID] != nil {
 		return
@@ -357,7 +361,8 @@
 	s.holdMessage(m, e.Key)
 }
 
-// withinTenantShare counts a request against its tenant's allowance, of which each sender has an equal part.
+// withinTenantAllowance counts a message against its tenant's allowance and reports whether it is within.
+// Each sender has an equal part of the allowance.
 func (s *Sender) withinTenantAllowance(i int) bool {
 	if i < 0 || i >= len(s.tenants) || s.cfg.Tenants[i].PerSecond <= 0 {
 		return true
@@ -372,9 +377,9 @@
 	return true
 }
 
-// admit asks the gate, on arrival. It departs from the paper in two points: the bounds in shares of the
-// deadline, and a share of the room for held messages, because one backlog must not turn away the messages of
-// all others.
+// admit reports whether an arriving message is admitted by its gate. It differs from the paper in two points.
+// The gate also has bounds in shares of the deadline. And a destination with more waiting messages than there
+// is room left for others is refused more, so that one backlog does not take the room of all destinations.
 func (s *Sender) admit(d *destination, m *message) bool {
 	if s.cfg.MaxOpen > 0 && len(d.waiting) > s.cfg.MaxOpen-len(s.openMessages) {
 		return false
@@ -383,18 +388,20 @@
 	if g.updateOpen(g.average, seconds(m.class.Deadline)) {
 		return true
 	}
-	// Closed: with no message held and no call out, a single trial message lets the ratio fall. Overdue calls
-	// don't count: one unanswered payout, which stays out for all its time, kept the gate closed as long.
-	awaited := slices.ContainsFunc(d.calls, func(c *call) bool { return !s.overdue(c) })
+	// Closed: while no message is held and no call is out, a single trial message lets the ratio fall.
+	// Overdue calls don't count: one unanswered AtMostOnce message (a payout), which stays out until its
+	// deadline, kept the gate closed as long.
+	callOut := slices.ContainsFunc(d.calls, func(c *call) bool { return !s.overdue(c) })
 	held := slices.ContainsFunc(d.waiting, func(o *message) bool { return o.gate == g })
-	if !held && !awaited && s.now-g.lastTrialAt >= gateTrialInterval {
+	if !held && !callOut && s.now-g.lastTrialAt >= gateTrialInterval {
 		g.lastTrialAt = s.now
 		return true
 	}
 	return false
 }
 
-// updateOpen moves the gate between its bounds and reports whether it is open.
+// updateOpen opens or closes the gate for an average response time, in seconds, and reports whether it is
+// open. deadline is that of the class in seconds, 0 for none.
 func (g *gate) updateOpen(current, deadline float64) bool {
 	base := max(g.baseline, seconds(minResponseTime))
 	upper, lower := gateUpperRatio*base, gateLowerRatio*base
@@ -412,7 +419,8 @@
 	return !g.closed
 }
 
-// addSample adds a response time to the average, and keeps the lowest average as the baseline.
+// addSample adds a response time in seconds to the average. The baseline is the lowest average; it grows
+// slowly over time.
 func (g *gate) addSample(now time.Duration, sec float64) {
 	if !g.sampled {
 		g.sampled, g.average, g.baseline, g.updatedAt = true, sec, sec, now
@@ -425,26 +433,26 @@
 	g.updatedAt = now
 }
 
-// retryAfter is the wait that a refused client is told, about as long as the backlog lasts.
+// retryAfter is the wait that a refused client is told: about as long as the backlog lasts.
 func (s *Sender) retryAfter(g *gate) time.Duration {
-	after := s.cfg.MaxRetryAfter
+	wait := s.cfg.MaxRetryAfter
 	if g.sampled && !g.closed {
-		after = min(after, duration(g.average))
+		wait = min(wait, duration(g.average))
 	}
-	return after
+	return wait
 }
 
-// RetryAfterIfFull is the wait for a client whose message is refused before the gate because there is no
-// room.
+// RetryAfterIfFull returns the retry-after for a client whose message the node refuses for lack of room,
+// without passing it to the sender.
 func (s *Sender) RetryAfterIfFull(class, dest int) time.Duration {
 	return s.retryAfter(s.gate(s.destination(dest), class))
 }
 
-// KnowsDestination reports whether a destination is on the list, or was a short time ago.
+// KnowsDestination reports whether the list has a destination, or had it until recently (see forgetAfter).
 func (s *Sender) KnowsDestination(dest int) bool { return s.dests[dest] != nil }
 
-// IndicatesOutage reports whether an outcome is a sign of an outage that the next process should know of with
-// its message. A rejection over a limit is none, nor is a canceled call, nor a reused connection that broke.
+// IndicatesOutage reports whether an outcome is a sign of an outage, which the journal must tell the next
+// process. A rejection over a limit is none, nor is a canceled call or a reused connection that broke.
 func (s *Sender) IndicatesOutage(dest int, e AttemptEnded) bool {
 	switch e.Outcome {
 	case Success, Stale, Canceled:
@@ -459,7 +467,8 @@
 	return true
 }
 
-// endMessage ends a message; a is nil when it has ended without an action of this sender.
+// endMessage ends a message with the action a, or with none if a is nil: delivered, refused on arrival or
+// abandoned.
 func (s *Sender) endMessage(m *message, a Action) {
 	if m.ended {
 		return
@@ -473,7 +482,8 @@
 	}
 }
 
-// canRefuse reports whether a refusal is true when it says that a new submission is harmless.
+// canRefuse reports whether a message may end with a Refuse, which promises that a new submission has no
+// second effect.
 func (s *Sender) canRefuse(m *message) bool {
 	if m.class.Effect == Idempotent || (m.attemptsOut == 0 && !m.mayHaveRun) {
 		return true
@@ -481,14 +491,14 @@
 	return m.class.Effect == Deduplicated && m.mayHaveRun && m.class.DedupEverywhere && s.now <= s.dedupWindowEnd(m)
 }
 
-// dedupWindowEnd is the last moment at which the destination is certain to drop a repeat.
+// dedupWindowEnd is the last time at which the destination is certain to drop a repeat.
 func (s *Sender) dedupWindowEnd(m *message) time.Duration {
 	return m.mayHaveRunSince + m.class.DedupWindow - answerMargin - 2*s.cfg.Tick
 }
 
-// latestStart is the time until which an attempt may begin: while the message has time left, and for a repeat
-// of a Deduplicated message early enough to reach the endpoint within the window. After it the message is
-// given up, while it can still be refused.
+// latestStart is the latest time at which an attempt may begin: while the message has time left, and for a
+// repeat of a Deduplicated message early enough to reach the endpoint within the window. After it the message
+// is given up, while it can still be refused.
 func (s *Sender) latestStart(m *message) time.Duration {
 	by := m.deadline - answerMargin - 2*s.cfg.Tick
 	if m.mayHaveRun && m.class.Effect == Deduplicated {
@@ -497,7 +507,7 @@
 	return by
 }
 
-// giveUp ends a message as its effect allows.
+// giveUp ends a message that can't be delivered: with a Refuse if that is safe, else with a Fail.
 func (s *Sender) giveUp(m *message) {
 	if s.canRefuse(m) {
 		s.endMessage(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
@@ -506,13 +516,13 @@
 	}
 }
 
-// expireMessages ends every open message in time, and removes the ended ones.
+// expireMessages gives up the open messages whose time is up, and removes ended ones from openMessages.
 func (s *Sender) expireMessages() {
 	s.openMessages = slices.DeleteFunc(s.openMessages, func(m *message) bool {
 		switch {
 		case m.ended:
 		case s.now >= m.deadline-answerMargin-s.cfg.Tick && m.attemptsOut == 0, s.now >= m.deadline:
-			// If messages of a class are never sent, this is the only sample of their gate; without it the
+			// If no message of a class is ever sent, this is the only sample for their gate; without it the
 			// gate would stay open.
 			if m.attempts == 0 && !m.dest.unavailable() {
 				m.gate.addSample(s.now, min(seconds(s.now-m.arrivedAt), unsentDeadlineShare*seconds(m.class.Deadline)))
@@ -536,8 +546,9 @@
 	if c.outcomesLeft--; c.outcomesLeft == 0 {
 		s.finishCall(c)
 	}
-	// A reused connection that breaks under a call is a sign about the connection and not about the
-	// destination; so is a call without an answer when calls sent later have succeeded.
+	// When a reused connection breaks under a call, that says something about the connection only, and
+	// nothing about the destination. The same holds for a call without an answer when calls sent later have
+	// succeeded.
 	reusedConnBroke := e.ReusedConn && e.Outcome == ConnectionBroken
 	if reusedConnBroke {
 		s.distrustReusedUntil = s.now + brokenConnSpan
@@ -545,33 +556,33 @@
 	connectionOnly := reusedConnBroke || (e.Outcome == TimedOut || e.Outcome == Canceled) && s.lost(c)
 	s.recordReport(c.endpoint.route, e.Report)
 	s.recordOutcome(c, e, connectionOnly)
-	if e.RetryAfter > 0 { // the answer to a batch may have a retry-after whatever the outcome of this message
+	if e.RetryAfter > 0 { // the retry-after of a batch's answer holds whatever the outcome of this message
 		c.endpoint.route.waitUntil = max(c.endpoint.route.waitUntil, s.now+e.RetryAfter)
 	}
 	s.carryOverWait(c.endpoint)
 	m.attemptsOut--
-	ran := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnectionBroken || e.Outcome == Canceled
-	if ran && m.class.Effect != Idempotent && (!m.mayHaveRun || c.sentAt < m.mayHaveRunSince) {
+	mayHaveRun := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnectionBroken || e.Outcome == Canceled
+	if mayHaveRun && m.class.Effect != Idempotent && (!m.mayHaveRun || c.sentAt < m.mayHaveRunSince) {
 		m.mayHaveRun, m.mayHaveRunSince, m.mayHaveRunZone = true, c.sentAt, c.endpoint.zone
 	}
-	if ran && e.Outcome != ServerError && m.key != "" {
+	if mayHaveRun && e.Outcome != ServerError && m.key != "" {
 		s.pauseKey(m.key)
 	}
 	if m.ended {
 		s.trimKeyQueue(m.key)
-		return // it ended meanwhile; its key and its place in the key's queue still needed the outcome
+		return // it ended while the attempt was out; its key and its turn in the key's queue waited for the outcome
 	}
 	s.sampleOutcome(m, c, e.Outcome, connectionOnly)
 	switch {
-	case e.Ambiguous: // a repeat might come after the message's end, a refusal might be untrue
+	case e.Ambiguous: // another attempt might come too late, and a refusal might be untrue
 		s.endMessage(m, Fail{ID: m.id})
 	case e.Final || e.Outcome == Success:
 		s.endMessage(m, nil)
-	case m.attemptsOut > 0: // another copy is out and may still succeed
-	case s.now >= m.deadline-answerMargin, ran && m.class.Effect == AtMostOnce, s.attemptsExhausted(m):
+	case m.attemptsOut > 0: // another attempt is out and may still succeed
+	case s.now >= m.deadline-answerMargin, mayHaveRun && m.class.Effect == AtMostOnce, s.attemptsExhausted(m):
 		s.giveUp(m)
 	default:
-		if !reusedConnBroke && (ran || e.Outcome == Unreachable) {
+		if !reusedConnBroke && (mayHaveRun || e.Outcome == Unreachable) {
 			m.notBefore = s.now + retryPause<<min(m.attempts, 16)
 		}
 		s.enqueue(m)
@@ -582,12 +593,12 @@
 	return s.cfg.MaxAttempts > 0 && m.attempts >= s.cfg.MaxAttempts
 }
 
-// sampleOutcome is the only place that turns outcomes into gate samples. An attempt that did not deliver
-// counts as slow; with fast errors taken as they are, the ratio would look healthy while all calls fail. A
-// rejection over a limit affects the pacing and is no sample: the wait that follows is part of the final one.
-// For a message held through an outage only the time since the return counts, or the time of the call if that
-// is longer. The time before says nothing about a new message, and the old backlog kept the gate closed for
-// messages that could be delivered in time.
+// sampleOutcome adds the outcome of an attempt to the samples of its gate; only expireMessages adds others. A
+// failed attempt counts as slow: if fast errors counted as they are, the ratio would look healthy while all
+// calls fail. A rejection over a limit affects only the pacing; the wait that follows is part of the final
+// sample. For a message held through an outage only the time since the return counts, or the time of the call
+// if that is longer. The time before says nothing about a new message, and the old backlog kept the gate
+// closed for messages that could be delivered in time.
 func (s *Sender) sampleOutcome(m *message, c *call, o Outcome, connectionOnly bool) {
 	if connectionOnly {
 		return
@@ -608,7 +619,7 @@
 	m.gate.addSample(s.now, sec)
 }
 
-// unavailable reports whether no endpoint is ready with its breaker closed.
+// unavailable reports whether the destination has no endpoint that is ready and whose breaker is closed.
 func (d *destination) unavailable() bool {
 	for _, e := range d.endpoints {
 		if e.ready && !e.route.breakerOpen {
@@ -618,8 +629,8 @@
 	return true
 }
 
-// recordReport stores what an endpoint reports about its limit; invalid values are skipped. The remaining
-// share changes all the time: without a report none is assumed.
+// recordReport stores the load report of an endpoint. Invalid limits are skipped. The remaining share of the
+// limit changes all the time, so none is assumed without a report.
 func (s *Sender) recordReport(r *route, rep Report) {
 	r.limitLeft = 0
 	if rep.HasLimit && rep.Limit >= 0 && !math.IsInf(rep.Limit, 0) {
@@ -630,8 +641,8 @@
 	}
 }
 
-// recordOutcome updates the health of an endpoint and its route from an outcome. With connectionOnly the
-// outcome says something about its connection only.
+// recordOutcome updates the health of an endpoint and its route from the outcome of a call. With
+// connectionOnly the outcome says something about the connection only.
 func (s *Sender) recordOutcome(c *call, e AttemptEnded, connectionOnly bool) {
 	ep, r, took := c.endpoint, c.endpoint.route, max(seconds(e.Took), seconds(minResponseTime))
 	if c.halfOpen {
@@ -646,23 +657,23 @@
 		ep.typicalTime = smooth(ep.typicalTime, took)
 		ep.responseTime = smooth(ep.responseTime, took)
 		if r.failures > 0 && r.nothingRan && !r.breakerOpen && !s.cfg.FullTableRejects {
-			s.tableFullUntil[ep.dest.kind] = s.now + fullTableSpan // a failed connect followed by a success: a full connection table
+			s.tableFullUntil[ep.dest.kind] = s.now + fullTableSpan // a failed connect and then a success: the sign of a full connection table
 		}
 		s.recordSuccess(r)
 	case e.Outcome == Stale:
 	case e.Outcome == Rejected && e.ConnClosed && !e.ReusedConn && e.RetryAfter == 0 && !r.breakerOpen:
 		s.recordFullTable(ep)
 	case e.Outcome == Rejected:
-		// Rejections in a row double the pause, whether over a limit or shut. They are no outage by
-		// themselves: a large fleet gets three in a row at any busy limit.
+		// Rejections in a row double the pause, whether over a limit or because the endpoint is shut. By
+		// themselves they are no outage: a large fleet gets three in a row at any busy limit.
 		if s.now-r.waitUntil > r.rejectionPause {
 			r.rejectionPause = firstRejectionPause
-		} else if s.now >= r.waitUntil { // not from the call that brought the wait
+		} else if s.now >= r.waitUntil { // else the call was sent before the current wait began
 			r.rejectionPause *= 2
 		}
 		r.waitUntil = max(r.waitUntil, s.now+max(e.RetryAfter, r.rejectionPause))
 		ep.responseTime = smooth(ep.responseTime, 2*max(ep.responseTime, took))
-		// Rejected although there is no limit: a full queue, as of a destination that hangs.
+		// Rejected although the endpoint reports no limit: its queue is full, as when a destination hangs.
 		queueFull := r.limitReported && r.limit == 0
 		if isShut := e.RetryAfter > shutRetryAfter; isShut || queueFull || r.breakerOpen {
 			s.recordFailure(ep, isShut, true)
@@ -677,17 +688,17 @@
 	}
 }
 
-// recordFailedCall records a call that failed.
+// recordFailedCall records a call that failed after took seconds as slow, and as a sign of an outage.
 func (s *Sender) recordFailedCall(ep *endpoint, took float64, nothingRan bool) {
 	ep.responseTime = smooth(ep.responseTime, max(2*ep.responseTime, took, seconds(slowMin)))
 	s.recordFailure(ep, false, nothingRan)
 }
 
-// closeIdleConnections closes idle connections that get in the way of other senders: the connection table of
-// an endpoint may be small, it counts idle connections, and a large fleet fills it. Connections are closed
-// where the next call would hardly come before the idle timeout; calls come at random, most of them sooner
-// than the mean gap. They are also closed at a kind of destination where connects failed recently; there it
-// costs handshakes while the sign lasts.
+// closeIdleConnections closes idle connections that would keep other senders out: the connection table of an
+// endpoint may be small, it counts idle connections, and a large fleet fills it. Connections are closed where
+// the next call is unlikely to come before the idle timeout; calls come at random, most of them sooner than
+// the mean gap. They are also closed at a kind of destination where connects failed recently, which costs
+// handshakes for as long as tableFullUntil lasts.
 func (s *Sender) closeIdleConnections(ep *endpoint) {
 	unused := s.cfg.IdleConnTimeout > 0 && ep.callGap > rareCallIdleTimes*seconds(s.cfg.IdleConnTimeout)
 	switch {
@@ -700,14 +711,14 @@
 }
 
 // recordFullTable handles a new connection that was rejected and closed: the endpoint's connection table is
-// full, while calls on the connections that it holds are still served. That is neither its limit nor an
-// outage. Taken for a limit, it cut the rate to a quarter and stopped the calls that had a connection. As
-// many calls as are out there fit, and slowly more are tried; lost calls, which hold a connection each, are
-// canceled. This protects against any peer that sheds connections instead of calls. It could do harm at one
-// that closes connections for everything above its limit: only the number of connections would reduce the
-// rate there.
+// full, while calls on the connections that it holds are still served. That is neither a limit nor an outage:
+// treated as a limit, it cut the rate to a quarter and stopped the calls that had a connection. The calls
+// that are out there now are known to fit, and slowly more are tried; lost calls, which hold a connection
+// each, are canceled. This works for any peer that rejects connections instead of calls. It could do harm at
+// one that closes connections for everything above its limit: there only the number of connections would
+// reduce the rate.
 func (s *Sender) recordFullTable(ep *endpoint) {
-	if ep.callsOut == 0 { // no call of this sender is there: others have to leave first
+	if ep.callsOut == 0 { // this sender holds no connection there, so connections of others have to close first
 		ep.avoidUntil = s.now + firstRejectionPause + time.Duration(s.rng.Int64N(int64(firstRejectionPause)))
 	}
 	ep.tableRoom, ep.tableFullAt = float64(max(ep.callsOut, 1)), s.now
@@ -718,12 +729,12 @@
 	}
 }
 
-// decreaseShare lowers the rate share at a rejection: below the own share immediately, and further with each
-// rejection in a row. Where rejected calls use up the limit, a fleet that does not slow down gets nothing.
-// The next call comes at a random moment of the new rate, so that the senders do not all come at once.
+// decreaseRateShare lowers the rate share at a rejection: at once below 1, and further with each rejection in
+// a row. Where rejected calls use up the limit, a fleet that does not slow down gets nothing through. The
+// next call comes at a random moment of the new rate, so that the senders do not all call at once.
 func (s *Sender) decreaseRateShare(c *call) {
 	r := c.endpoint.route
-	if c.sentAt < r.decreasedAt { // it was sent before the last decrease and is no new sign
+	if c.sentAt < r.decreasedAt { // sent before the last decrease, so its rejection is no new sign
 		return
 	}
 	s.increaseRateShare(r)
@@ -741,13 +752,13 @@
 	return old + smoothingWeight*(min(sample, 20*old)-old)
 }
 
-// recordFailure records a sign of an outage of any kind: refused connections, errors, silence, endpoints that
-// are shut. An open breaker lets single half-open calls through, with growing pauses, and the slow start
+// recordFailure records a sign of an outage of any kind: refused connections, errors, timeouts, endpoints
+// that are shut. An open breaker lets single half-open calls through, with growing pauses, and the slow start
 // budget holds until the destination certainly has its full capacity again. One failure is no outage; a run
-// of them is, if it is longer than the share of failures over all routes explains. So a lossy path of this
-// node does not look like an outage of all destinations. Only calls that follow a success on their route
-// count in that share, or an outage would raise the bar for itself. The runs of separate routes of one
-// destination are added up, because an outage mostly affects all of them and each has few calls.
+// of failures is one if it is longer than the share of failures over all routes explains. So a lossy path of
+// this node does not look like an outage of all destinations. Only calls that follow a success on their route
+// count in that share; otherwise an outage would raise its own threshold. The runs of all separate routes of
+// a destination are added up, because an outage mostly affects all of them and each has few calls.
 func (s *Sender) recordFailure(ep *endpoint, certain, nothingRan bool) {
 	r := ep.route
 	r.nothingRan, r.rateShareAt = nothingRan, s.now
@@ -757,13 +768,13 @@
 			r.firstFailureAt = s.now
 			s.failureShare += failureShareWeight * (1 - s.failureShare)
 		}
-		least := float64(outageFailures)
+		minFailures := float64(outageFailures)
 		if s.now-r.firstFailureAt >= outageSpan || ep.dest.arrivalRate(s.now)*seconds(outageSpan) < rareArrivals {
-			least--
+			minFailures--
 		}
-		run := max(least, math.Log(chanceRunProbability)/math.Log(min(max(s.failureShare, 0.01), 0.7)))
-		if least < outageFailures && !nothingRan && s.fleetExceedsBudget(r) {
-			run = 1 // a second try of each sender is too much for the destination when it returns
+		requiredFailures := max(minFailures, math.Log(chanceRunProbability)/math.Log(min(max(s.failureShare, 0.01), 0.7)))
+		if minFailures < outageFailures && !nothingRan && s.fleetExceedsBudget(r) {
+			requiredFailures = 1 // a second attempt from each sender would be too much for the destination when it returns
 		}
 		failures := r.failures
 		for _, other := range ep.dest.endpoints {
@@ -771,7 +782,7 @@
 				failures += other.route.failures
 			}
 		}
-		if certain || float64(failures) >= run {
+		if certain || float64(failures) >= requiredFailures {
 			s.openBreaker(r)
 		}
 	} else if s.now >= r.halfOpenAt {
@@ -780,8 +791,9 @@
 	}
 }
 
-// openBreaker starts an outage. The tokens start at a random value below one call; otherwise the senders of a
-// large fleet, most of which hold a single message, would all try at the same age of the outage.
+// openBreaker opens the breaker of a route, and starts an outage unless one is known. The tokens start at a
+// random value below one call; otherwise the senders of a large fleet, most of which hold a single message,
+// would all make their first call at the same time after the start of the outage.
 func (s *Sender) openBreaker(r *route) {
 	if !r.recovering() {
 		r.outageAt, r.outageDemand = s.now, 1
@@ -791,8 +803,8 @@
 	r.halfOpenAt = s.now + r.halfOpenBackoff
 }
 
-// recordSuccess records a delivered call: the end of an outage, a step of the slow start, or normal
-// operation.
+// recordSuccess records a successful call on a route: it ends an outage, goes on with the slow start, or
+// confirms normal operation.
 func (s *Sender) recordSuccess(r *route) {
 	if !r.breakerOpen && r.failures == 0 {
 		s.failureShare *= 1 - failureShareWeight
@@ -816,8 +828,8 @@
 // recovering reports whether the route has an outage or is in slow start after one.
 func (r *route) recovering() bool { return r.breakerOpen || r.slowStartAt > 0 }
 
-// capacity is a cautious estimate of the calls a second that the route takes from all senders at its full
-// capacity.
+// capacity is a cautious estimate of the calls a second that the route takes from all senders together at its
+// full capacity.
 func (s *Sender) capacity(r *route) float64 {
 	switch {
 	case r.limit > 0:
@@ -830,38 +842,39 @@
 	return max(r.peakRate, 1)
 }
 
-// pace is the number of calls a second that this sender may send on the route, and whether there is such a
-// bound. Of the slow start budget a sender takes what its own demand since the start of the outage requires:
-// over all senders this adds up to the demand on the destination, which it can handle at full capacity. In a
-// large fleet senders learn of an outage one by one, each from a message of its own: without the demand span
-// before it, their rates would add up to several times the budget. An even share would starve the few senders
-// of a large fleet that hold messages, and waste the rest.
+// pace returns the calls a second that this sender may make on the route, and whether that is bounded at all.
+// Of the slow start budget a sender uses what its own demand since the start of the outage requires: over all
+// senders this adds up to the demand on the destination, which it can handle at full capacity. In a large
+// fleet the senders learn of an outage one by one, each from a message of its own. Their rates would add up
+// to several times the budget if the demand were not averaged over arrivalsSpan before the outage as well. An
+// even share would starve the few senders of a large fleet that hold messages, and waste the rest.
 func (s *Sender) pace(r *route) (rate float64, bound bool) {
 	if r.recovering() && s.cfg.CollapseSpan > 0 && s.cfg.CollapseMultiple > 0 {
 		share := s.cfg.SlowStartShare
 		if r.slowStartAt > 0 && s.cfg.SlowStartDuration > 0 {
 			share += (1 - share) * min(1, seconds(s.now-r.slowStartAt)/seconds(s.cfg.SlowStartDuration))
 		}
-		even := s.capacity(r) / float64(s.cfg.FleetSize)
-		own := r.outageDemand / max(seconds(s.now-r.outageAt), seconds(s.cfg.CollapseSpan))
+		evenPart := s.capacity(r) / float64(s.cfg.FleetSize)
+		ownDemand := r.outageDemand / max(seconds(s.now-r.outageAt), seconds(s.cfg.CollapseSpan))
 		if s.fleetExceedsBudget(r) {
-			own = r.outageDemand / (seconds(s.now-r.outageAt) + seconds(arrivalsSpan))
+			ownDemand = r.outageDemand / (seconds(s.now-r.outageAt) + seconds(arrivalsSpan))
 		}
-		allotted := max(evenBudgetShare*even, ownDemandShare*min(own, s.capacity(r)))
+		allotted := max(evenBudgetShare*evenPart, ownDemandShare*min(ownDemand, s.capacity(r)))
 		rate, bound = s.cfg.CollapseMultiple*share*allotted, true
 	}
 	limit := s.rateLimit(r)
-	own := min(1, r.rateShare*s.trafficShare()) * limit
+	paced := min(1, r.rateShare*s.trafficShare()) * limit
 	switch {
 	case limit == 0:
 		return rate, bound
-	case bound: // a destination in slow start rejects over its limit, which rejected calls use up
-		return min(rate, own), true
+	case bound: // a destination in slow start rejects calls over its limit, and rejected calls use up that limit
+		return min(rate, paced), true
 	}
-	return own, true
+	return paced, true
 }
 
-// rateLimit is the known number of calls a second that the route takes from all senders, 0 for no limit.
+// rateLimit is the known number of calls a second that the route takes from all senders together, 0 for no
+// limit.
 func (s *Sender) rateLimit(r *route) float64 {
 	if !r.limitReported && r.weight > 0 {
 		return r.weight
@@ -869,16 +882,17 @@
 	return r.limit
 }
 
-// arrivalRate is the recent number of messages a second for the destination at this sender.
+// arrivalRate is the recent number of messages a second for the destination at this sender, as an
+// exponentially decaying average.
 func (d *destination) arrivalRate(now time.Duration) float64 {
 	return d.arrivals * math.Exp(-seconds(now-d.arrivalsAt)/seconds(arrivalsSpan)) / seconds(arrivalsSpan)
 }
 
-// increaseShare gives back a rate share that was decreased. While calls succeed it grows by the same step for
-// all, in the time of one call at the own share: growth in proportion to the rate share, or with each call,
-// drove the shares of a fleet apart until half of it starved. After a rejection it grows by less in that time
-// than the next rejection decreases it: a fleet whose shares recover between its rare calls keeps a limit
-// overbooked for good.
+// increaseRateShare raises a rate share that was decreased. While calls succeed it grows by the same step for
+// all senders in the time of one call at a rate share of 1. Growth in proportion to the rate share, or with
+// each call, drove the shares of a fleet apart until half of it starved. After a rejection it grows by less
+// in that time than the next rejection decreases it: a fleet whose shares recover between its rare calls
+// keeps exceeding a limit for good.
 func (s *Sender) increaseRateShare(r *route) {
 	calls := s.trafficShare() * s.rateLimit(r) * min(seconds(s.now-r.rateShareAt), seconds(arrivalsSpan))
 	if r.rejections > 0 {
@@ -889,8 +903,8 @@
 	r.rateShare, r.rateShareAt = min(r.rateShare, r.maxRateShare), s.now
 }
 
-// trafficShare is this sender's share of the fleet's traffic: the first submissions here, out of those that
-// the tenants' allowances let expect over all senders.
+// trafficShare is this sender's share of the fleet's traffic: the rate of first submissions here over the sum
+// of the tenants' allowances, which is what all senders together are expected to get.
 func (s *Sender) trafficShare() float64 {
 	even, total := 1/float64(s.cfg.FleetSize), 0.0
 	for _, t := range s.cfg.Tenants {
@@ -904,8 +918,8 @@
 	return min(1, (s.firstSubmissions*fade/total+even*trafficPriorSeconds)/(observed+trafficPriorSeconds))
 }
 
-// refillTokens brings the token bucket up to the current time. During recovery no tokens are saved for a
-// burst.
+// refillTokens brings the token bucket of a route up to the current time; one token is one call. During an
+// outage and the slow start no tokens are saved for a burst.
 func (s *Sender) refillTokens(r *route) {
 	if !r.recovering() {
 		s.increaseRateShare(r)
@@ -926,7 +940,7 @@
 	r.tokensAt = s.now
 }
 
-// patience is how long a call may be out before that is far longer than typical, in seconds.
+// slowAfter is the number of seconds after which a call that is still out has taken far longer than typical.
 func (c *call) slowAfter() float64 { return max(slowFactor*c.endpoint.typicalTime, seconds(slowMin)) }
 
 // overdue reports whether a call has been out for so long that an answer is unlikely.
@@ -935,16 +949,17 @@
 }
 
 // lost reports whether a call is overdue although one sent later to the same endpoint succeeded in the
-// typical time. Its connection or its answer is gone, and its silence says nothing about the destination.
-// Without this, single calls lost on the way, mainly payouts, which stay out for all their time, made every
-// busy destination look slow and then opened its breaker. It also protects against answers that are dropped
-// or held back one by one. It could do harm where an endpoint serves some calls fast and lets others hang
-// forever: those hold slots beyond the slow share until none is free, and cancelStuckCalls takes them first.
+// typical time. Its connection or its answer is gone, and the missing answer says nothing about the
+// destination. Without this, single calls lost on the way made every busy destination look slow and then
+// opened its breaker: mainly those of AtMostOnce messages (payouts), which stay out until their deadline. It
+// also protects against answers that are dropped or held back one by one. It could do harm where an endpoint
+// serves some calls fast and lets others hang forever: those hold slots beyond slowSlotShare until none is
+// free, and cancelStuckCalls cancels them first.
 func (s *Sender) lost(c *call) bool { return c.sentAt < c.endpoint.lastPromptCallAt && s.overdue(c) }
 
-// slow reports whether the oldest call of a destination, of those not lost, has been out far longer than
-// typical. Before any timeout has passed, a silent and a very slow destination look like this. Its share of
-// the slots is then limited.
+// slow reports whether the oldest call of a destination, apart from lost ones, has been out far longer than
+// typical. Before any timeout has passed, a silent destination and a very slow one both look like this. The
+// slots that it may hold are then limited.
 func (s *Sender) slow(d *destination) bool {
 	for _, c := range d.calls {
 		if !s.lost(c) {
@@ -954,15 +969,15 @@
 	return false
 }
 
-// updateSlotTime brings the recent slot time of the destination up to the current time.
+// updateSlotTime brings the destination's recent slot time up to the current time.
 func (d *destination) updateSlotTime(now time.Duration) {
 	fade := math.Exp(-seconds(now-d.slotTimeAt) / seconds(slotTimeSpan))
 	d.slotTime = d.slotTime*fade + float64(len(d.calls))*seconds(slotTimeSpan)*(1-fade)
 	d.slotTimeAt = now
 }
 
-// unresponsive reports whether a destination is slow, or the last call failed on each of its routes. When
-// slots were few, first attempts at silent destinations held all of them.
+// unresponsive reports whether a destination is slow or the last call failed on each of its routes. Before
+// this check, when slots were few, first attempts at silent destinations held all of them.
 func (s *Sender) unresponsive(d *destination) bool {
 	for _, e := range d.endpoints {
 		if e.ready && e.route.failures == 0 {
@@ -972,7 +987,7 @@
 	return true
 }
 
-// unresponsiveCalls counts the slots that unresponsive destinations hold.
+// unresponsiveCalls counts the slots that unresponsive destinations hold, apart from lost calls.
 func (s *Sender) unresponsiveCalls() int {
 	n := 0
 	for _, d := range s.activeDests {
@@ -988,12 +1003,13 @@
 	return n
 }
 
-// cancelStuckCalls cancels calls that are out far longer than typical while no slot is free: silence, whether
-// of a few destinations or of a lossy path, must not stop delivery to all the others. A call whose messages
-// may be repeated goes first and immediately. One that may not be repeated ends as failed. If it is lost it
-// is canceled when others wait for its slot: hardly one in thirty of these is answered after all, and each
-// holds a slot for all its time. If it is not lost, it is canceled only while slow destinations hold more
-// than their share of the slots. Canceled work may be wasted; a full node would lose far more.
+// cancelStuckCalls cancels a call that is out far longer than typical when no slot is free: destinations that
+// don't answer, or a lossy path, must not stop delivery to all the others. A call whose messages may be
+// repeated is canceled first and at once. A message that may not be repeated ends as failed. So its call, if
+// it is lost, is canceled only when a message waits for a slot: hardly one in thirty of these calls is
+// answered after all, and each holds a slot until its deadline. If the call is not lost, it is canceled only
+// while slow destinations hold more than their share of the slots. Canceled work may be wasted, but a node
+// without free slots would lose far more.
 func (s *Sender) cancelStuckCalls() {
 	if !s.cfg.MayCancel || s.cfg.Slots <= 0 || s.callsOut < s.cfg.Slots {
 		return
@@ -1050,8 +1066,8 @@
 	}
 }
 
-// startCalls fills free slots. The waiting destination with the least recent slot time comes first, so that
-// one whose calls last long does not get as many slots as a fast one.
+// startCalls fills free slots. The destination with the least recent slot time comes first, so that one with
+// long calls does not get as many slots as a fast one.
 func (s *Sender) startCalls() {
 	s.activeDests = slices.DeleteFunc(s.activeDests, func(d *destination) bool {
 		d.updateSlotTime(s.now)
@@ -1080,16 +1096,16 @@
 	}
 }
 
-// nextMessage finds the message that a destination would send now, and its endpoint. The order is that of
-// arrival, unless the queue is so long that waiting costs worth: then the message that loses most by waiting
-// as long as the oldest has waited goes first.
+// nextMessage returns the message that a destination would send now, and its endpoint. Messages are sent in
+// the order of arrival, unless the queue is so long that waiting costs worth: then the message goes first
+// that would lose most by waiting as long as the oldest one has.
 func (s *Sender) nextMessage(d *destination) (*message, *endpoint) {
 	if s.unresponsive(d) && s.cfg.Slots > 0 && float64(s.unresponsiveCalls()) >= max(1, slowSlotShare*float64(s.cfg.Slots)) {
 		return nil, nil
 	}
-	open := false
+	anyAvailable := false
 	for i, e := range d.endpoints {
-		if i == 0 || e.route != d.endpoints[0].route { // one route for all, or one for each
+		if i == 0 || e.route != d.endpoints[0].route { // all endpoints share one route, or each has its own
 			s.refillTokens(e.route)
 		}
 		if e.slowStart != nil && s.now-e.slowStart.slowStartAt > s.cfg.SlowStartDuration {
@@ -1097,17 +1113,17 @@
 		} else if e.slowStart != nil {
 			s.refillTokens(e.slowStart)
 		}
-		open = open || s.endpointAvailable(e)
+		anyAvailable = anyAvailable || s.endpointAvailable(e)
 	}
-	if !open {
+	if !anyAvailable {
 		return nil, nil
 	}
-	horizon := s.now - d.waiting[0].arrivedAt
+	oldestWait := s.now - d.waiting[0].arrivedAt
 	var best *message
 	var bestEp *endpoint
 	maxLoss := -1.0
 	for _, m := range d.waiting {
-		if loss := s.worthLost(m, horizon); loss > maxLoss {
+		if loss := s.worthLost(m, oldestWait); loss > maxLoss {
 			if ep := s.pickEndpoint(m); ep != nil {
 				best, bestEp, maxLoss = m, ep, loss
 			}
@@ -1116,7 +1132,7 @@
 	return best, bestEp
 }
 
-// worthLost is the worth that a message loses by waiting for a given time.
+// worthLost is the worth that a message loses if its delivery is delayed by wait.
 func (s *Sender) worthLost(m *message, wait time.Duration) float64 {
 	typicalTime := time.Duration(0)
 	if e := m.dest.endpoints; len(e) > 0 {
@@ -1125,7 +1141,7 @@
 	return s.worthAt(m, s.now+typicalTime) - s.worthAt(m, s.now+typicalTime+wait)
 }
 
-// worthAt is the worth of a delivery at a given time.
+// worthAt is the worth of a message that is delivered at a given time.
 func (s *Sender) worthAt(m *message, at time.Duration) float64 {
 	age, late := at-m.submittedAt, m.class.LateWorth
 	switch {
@@ -1140,7 +1156,7 @@
 }
 
 // pickEndpoint picks a random endpoint among those that maySend accepts, with a probability that falls with
-// the smoothed response time.
+// the smoothed response time. It returns nil if there is none.
 func (s *Sender) pickEndpoint(m *message) *endpoint {
 	total := 0.0
 	var candidates []*endpoint
@@ -1163,8 +1179,8 @@
 	return candidates[len(candidates)-1]
 }
 
-// endpointAvailable is the part of maySend that depends on the endpoint alone: drain, wait, health, budget
-// and rate.
+// endpointAvailable is the part of maySend that depends on the endpoint alone: whether it is ready, its
+// waits, connection table, circuit breaker and tokens.
 func (s *Sender) endpointAvailable(e *endpoint) bool {
 	r := e.route
 	if !e.ready || s.now < r.waitUntil || r.tokens < 1 || s.now < e.avoidUntil {
@@ -1180,7 +1196,7 @@
 	return !r.breakerOpen || (!r.halfOpenCallOut && s.now >= r.halfOpenAt)
 }
 
-// maySend is the one check before every send; no code path avoids it.
+// maySend reports whether a message may be sent to an endpoint now. Every send passes this check.
 func (s *Sender) maySend(m *message, e *endpoint) bool {
 	if m.ended || m.attemptsOut > 0 || s.now < m.notBefore || s.attemptsExhausted(m) || !s.endpointAvailable(e) {
 		return false
@@ -1193,8 +1209,8 @@
 	}
 	switch m.class.Effect {
 	case AtMostOnce:
-		// With an open breaker an AtMostOnce message risks an ambiguous end, unless failures there prove that
-		// nothing ran; with most of its time gone it has less to lose.
+		// With an open breaker an AtMostOnce message risks an ambiguous outcome, unless the last failure
+		// there proved that nothing ran. With most of its time gone it has less to lose.
 		mostTimeSpent := s.now-m.arrivedAt > (m.deadline-m.arrivedAt)/2
 		if m.mayHaveRun || (e.route.breakerOpen && !e.route.nothingRan && !mostTimeSpent) {
 			return false
@@ -1206,7 +1222,7 @@
 	}
 	if m.key != "" {
 		s.trimKeyQueue(m.key)
-		// The message that had its turn before may try again without a pause.
+		// A message that has had an attempt may be sent again without waiting for the pause of its key.
 		queue := s.keyQueues[m.key]
 		if (s.now < s.keyPauses[m.key] && m.attempts == 0) || (len(queue) > 0 && queue[0] != m) {
 			return false
@@ -1215,7 +1231,7 @@
 	return true
 }
 
-// stopMargin is how long before the end of the process a message may still be sent.
+// stopMargin is the time before the end of the process from which on a message is not sent any more.
 func (s *Sender) stopMargin(m *message, e *endpoint) time.Duration {
 	if m.class.Effect == AtMostOnce {
 		return max(duration(stopFactorAtMostOnce*e.typicalTime), stopMarginMinAtMostOnce)
@@ -1223,16 +1239,16 @@
 	return max(duration(stopFactor*e.typicalTime), stopMarginMin)
 }
 
-// startCall sends a message and, where the kind allows it, more of the destination's waiting messages in the
-// same call.
+// startCall sends a message, together with more of the destination's waiting messages if its kind allows
+// batches.
 func (s *Sender) startCall(d *destination, m *message, e *endpoint) {
 	r := e.route
 	c := &call{endpoint: e, sentAt: s.now, halfOpen: r.breakerOpen, repeatable: m.class.Effect != AtMostOnce}
 	s.callsMade++
 	r.halfOpenCallOut = r.halfOpenCallOut || c.halfOpen
-	// A call on a socket is given up whole. Where silence is likely, messages that may be repeated are not
-	// tied to the long timeout of those that may not. Elsewhere twice the calls would only take slots from
-	// others.
+	// A call times out or is canceled as a whole. Where that is likely, messages that may be repeated are not
+	// tied to the long timeout of those that may not. Elsewhere separate calls would be twice as many, and
+	// only take slots from others.
 	mayMix := !r.recovering() && !s.unresponsive(d)
 	group := []*message{m}
 	for _, o := range d.waiting {
@@ -1251,8 +1267,8 @@
 		o.attemptsOut++
 		c.outcomesLeft++
 		c.repeatable = c.repeatable && o.class.Effect != AtMostOnce
-		// A message that may not be repeated is lost when a reused connection turns out broken; a handshake
-		// costs less than that, and less than another attempt of a message that has had one.
+		// An AtMostOnce message is lost when a reused connection turns out to be broken. A handshake costs
+		// less than that, and less than another attempt of a message that has already had one.
 		newConn := s.now < s.distrustReusedUntil && (o.class.Effect == AtMostOnce || o.attempts > 1)
 		s.emit(Send{
 			ID: o.id, Endpoint: e.id, Call: s.callsMade, TimeoutAt: s.timeoutAt(o, e), StartBy: s.latestStart(o),
@@ -1273,11 +1289,11 @@
 	d.slotTime += seconds(slotTimeCharge)
 }
 
-// resultBy is the clock time after which an answer about the message no longer counts.
+// resultBy is the time after which an answer about the message no longer counts.
 func (m *message) resultBy() time.Duration { return m.deadline - answerMargin/2 }
 
-// timeoutAt is the clock time at which an attempt is abandoned. An AtMostOnce message cannot be tried again,
-// so it gets all its time.
+// timeoutAt is the time at which an attempt is abandoned. An AtMostOnce message can't be sent again, so its
+// attempt may take all the time that is left.
 func (s *Sender) timeoutAt(m *message, e *endpoint) time.Duration {
 	last := m.resultBy()
 	if m.class.Effect == AtMostOnce {
@@ -1292,7 +1308,7 @@
 	return min(last, s.now+duration(t))
 }
 
-// handleProbeEnd records the result of a probe like that of a call.
+// handleProbeEnd records the result of a probe like that of a half-open call.
 func (s *Sender) handleProbeEnd(e ProbeEnded) {
 	if ep := s.endpoints[e.Endpoint]; ep != nil {
 		s.recordReport(ep.route, e.Report)
--- a/choice/saved_test.go
+++ b/choice/saved_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// handOver returns the sender as another process restores it.
+// handOver saves the sender and returns it as a successor restores it, through JSON.
 func handOver(t testing.TB, s *Sender, cfg Settings) *Sender {
 	t.Helper()
 	saved, err := s.Save()
@@ -30,9 +30,10 @@
 	return restored
 }
 
-// A sender that is handed over every few steps, with calls out, acts like one that never was.
+// A sender that is handed over every seven steps, with attempts out, acts like one that never is. Wakes are
+// not compared.
 func TestHandedOverSenderActsTheSame(t *testing.T) {
-	acts := func(w *scenario) []string {
+	actionsOf := func(w *scenario) []string {
 		if len(w.sends) < 50 && w.cfg.MaxOpen > 10 {
 			t.Errorf("only %d sends: the scenario tests little", len(w.sends))
 		}
@@ -40,16 +41,16 @@
 	}
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			out := 0
+			attemptsOut := 0
 			handedOver := interruptedScenario(t, seed, 1500, func(n int, w *scenario) {
 				toggleDisabled(n, w)
 				if n%7 == 3 {
 					w.sender = handOver(t, w.sender, w.cfg)
-					out += len(w.sender.attemptsOut)
+					attemptsOut += len(w.sender.attemptsOut)
 				}
 			})
-			want, got := acts(interruptedScenario(t, seed, 1500, toggleDisabled)), acts(handedOver)
-			if len(got) == 0 || (out == 0 && handedOver.cfg.MaxOpen > 10) {
+			want, got := actionsOf(interruptedScenario(t, seed, 1500, toggleDisabled)), actionsOf(handedOver)
+			if len(got) == 0 || (attemptsOut == 0 && handedOver.cfg.MaxOpen > 10) {
 				t.Fatal("the scenario tests nothing")
 			}
 			for i := range min(len(want), len(got)) {
@@ -64,8 +65,8 @@
 	}
 }
 
-// A route saved by a build that did not count rate shares in multiples of the traffic share must get a usable
-// rate share.
+// A route that was saved by a build which did not count rate shares in multiples of the traffic share must
+// get a usable rate share.
 func TestRouteOfAnOldBuildGetsARateShare(t *testing.T) {
 	if r := (SavedRoute{RateShare: 0.01}).route(); r.rateShare != initialRateShare || r.maxRateShare != maxRateShare {
 		t.Errorf("the rate share is %v, its upper bound %v", r.rateShare, r.maxRateShare)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire converts the simulator's JSON lines to the events of package choice, and its actions to lines.
-// It makes no decisions and has no defaults: a field that a line leaves out stays zero.
+// Package wire converts between the JSON lines of the simulator and package choice: lines to events, actions
+// to lines. It makes no decisions and has no defaults: a field that a line leaves out stays zero.
 package wire
 
 import (
@@ -11,35 +11,35 @@
 	"starlingusher/choice"
 )
 
-// Line is any line of a batch; Type determines which fields are used.
+// Line is any line from the simulator. Type determines which of its fields are used.
 type Line struct {
 	Type      string             `json:"event_type"`
-	SimTime   float64            `json:"simTime"`
-	Node      string             `json:"node"`
+	SimTime   float64            `json:"simTime"` // milliseconds
+	Node      string             `json:"node"`    // ID of the simulated node that the line is for
 	Seed      json.Number        `json:"nonce64"`
 	Settings  json.RawMessage    `json:"conf"`
-	List      int                `json:"slot"`
+	List      int                `json:"slot"` // number of a list, which a Manifest brings and an Announce names
 	Records   []Record           `json:"records"`
-	ListForm  string             `json:"form"`
+	ListForm  string             `json:"form"` // of an Announce: whole, patch (changes only), stale_copy, or broken (no list)
 	MessageID string             `json:"handle"`
 	Class     int                `json:"cls"`
 	Tenant    int                `json:"owner"`
 	Key       string             `json:"nameKey"`
-	Deadline  float64            `json:"dropDead"`
-	Hint      float64            `json:"predicted"`
+	Deadline  float64            `json:"dropDead"`  // clock time in milliseconds
+	Hint      float64            `json:"predicted"` // milliseconds; used if Options has hintValid
 	Dest      int                `json:"farEnd"`
-	Options   int                `json:"opts"`
-	Attempt   int                `json:"go"`
+	Options   int                `json:"opts"` // bits
+	Attempt   int                `json:"go"`   // number of the attempt of its message, from 0
 	Endpoint  string             `json:"endpoint"`
 	Outcome   string             `json:"rc"`
-	Duration  float64            `json:"duration"`
-	Final     bool               `json:"closed"`
-	Detail    float64            `json:"note"`
-	Report    map[string]float64 `json:"feedback"`
+	Duration  float64            `json:"duration"` // milliseconds
+	Final     bool               `json:"closed"`   // the message has ended
+	Detail    float64            `json:"note"`     // no_room: retry-after in milliseconds; stale_send: not 0 if there was no slot
+	Report    map[string]float64 `json:"feedback"` // load report: x0 is the share left of the limit, x1 the limit in calls a second
 	Tag       string             `json:"tag"`
 }
 
-// Record is one entry of a list.
+// Record is one entry of a list of endpoints.
 type Record struct {
 	Endpoint string  `json:"endpoint"`
 	Zone     int     `json:"rackZone"`
@@ -49,16 +49,17 @@
 	Weight   float64 `json:"heft"`
 }
 
-const hintValid = 1 // bit of opts: the hint is valid
+const hintValid = 1 // bit of Line.Options: Hint is set
 
-// Duration converts milliseconds of the protocol to a duration; the simulator counts whole microseconds.
+// Duration converts the protocol's milliseconds to a duration, rounded to whole microseconds as the simulator
+// counts them.
 func Duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// ParseLine reads one line of a batch.
+// ParseLine parses a line from the simulator.
 func ParseLine(text []byte) (Line, error) {
 	var l Line
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -79,7 +80,7 @@
 	"healthy": choice.Ready, "cordoned": choice.Draining, "deregistered": choice.Gone,
 }
 
-// Entries converts the records of a list.
+// Entries converts the records of a list for package choice.
 func Entries(records []Record) ([]choice.Entry, error) {
 	list := make([]choice.Entry, 0, len(records))
 	for _, r := range records {
@@ -94,8 +95,8 @@
 	return list, nil
 }
 
-// ParseEvent converts a line addressed to one instance. It returns nil for lines without an event for package
-// choice. An Announce needs the entries of its list, which the caller keeps.
+// ParseEvent converts a line for one node to an event. It returns nil, nil for lines that package choice
+// needs no event for. lists has the entries of the lists that an Announce may name, by their number.
 func ParseEvent(l Line, lists map[int][]choice.Entry) (choice.Event, error) {
 	switch l.Type {
 	case "Announce":
@@ -157,7 +158,7 @@
 	return r
 }
 
-// EncodeAction converts an action of the instance named node to its line.
+// EncodeAction converts an action of a simulated node to its line.
 func EncodeAction(node string, a choice.Action) ([]byte, error) {
 	line := map[string]any{"node": node}
 	switch a := a.(type) {
@@ -186,7 +187,7 @@
 	return json.Marshal(line)
 }
 
-// BrokenLine reports a crash of the decision module.
+// BrokenLine returns the line that reports a crash of package choice in a simulated node.
 func BrokenLine(node, text string) []byte {
 	b, err := json.Marshal(map[string]string{"event_type": "Broken", "node": node, "text": text})
 	if err != nil {
@@ -195,5 +196,5 @@
 	return b
 }
 
-// DoneLine ends a reply.
+// DoneLine ends the reply to a batch.
 const DoneLine = `{"event_type":"Done"}`
