--- a/cmd/coralyard/ownership_test.go
+++ b/cmd/coralyard/ownership_test.go
@@ -25,7 +25,8 @@
 	"starlingusher/internal/directory"
 )
 
-// freeAddrs returns n different free addresses, with ports that no outgoing connection is given meanwhile.
+// freeAddrs returns n free addresses. Their ports are below the range from which outgoing connections get
+// theirs, so that none takes one of them before it is used.
 func freeAddrs(t *testing.T, n int) (addrs []string) {
 	t.Helper()
 	for tries := 0; len(addrs) < n; tries++ {
@@ -40,13 +41,14 @@
 	return addrs
 }
 
-// startReplicas starts three replicas of the directory.
-func startReplicas(t *testing.T, at []string) (addrs []string, stop []func()) {
+// startReplicas starts three replicas of the directory, each with two of listenAddrs: for HTTP and for Raft.
+// It returns their HTTP addresses and a function for each that stops it.
+func startReplicas(t *testing.T, listenAddrs []string) (addrs []string, stop []func()) {
 	t.Helper()
 	var all []directory.Config
 	for i := range 3 {
 		c := directory.Defaults()
-		c.ID, c.HTTP, c.Raft, c.Data = fmt.Sprint("d", i), at[2*i], at[2*i+1], t.TempDir()
+		c.ID, c.HTTP, c.Raft, c.Data = fmt.Sprint("d", i), listenAddrs[2*i], listenAddrs[2*i+1], t.TempDir()
 		all = append(all, c)
 		addrs = append(addrs, c.HTTP)
 	}
@@ -64,28 +66,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		end := sync.OnceFunc(func() {
+		stopReplica := sync.OnceFunc(func() {
 			if err := errors.Join(s.Close(), r.Close()); err != nil {
 				t.Error(err)
 			}
 		})
-		stop = append(stop, end)
-		t.Cleanup(end)
+		stop = append(stop, stopReplica)
+		t.Cleanup(stopReplica)
 	}
 	return addrs, stop
 }
 
-// writeMap writes a map to the directory as its writer does: it acquires the record, writes with the token,
-// and releases it.
+// writeMap writes a map of owners to the directory as a controller does: it acquires the record, writes with
+// the token, and releases the record.
 func writeMap(t *testing.T, op *directory.AdminClient, m *ownership.Map) {
 	t.Helper()
 	value, err := m.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	do := func(method string, ask map[string]any) (token int64) {
+	do := func(method string, fields map[string]any) (token int64) {
 		t.Helper()
-		body, err := json.Marshal(ask)
+		body, err := json.Marshal(fields)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -93,29 +95,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var said struct{ Token int64 }
-		if err := json.Unmarshal(raw, &said); err != nil {
+		var response struct{ Token int64 }
+		if err := json.Unmarshal(raw, &response); err != nil {
 			t.Fatal(err)
 		}
-		return said.Token
+		return response.Token
 	}
 	token := do(http.MethodPut, map[string]any{"holder": "test", "ttl_ms": 5000})
 	do(http.MethodPost, map[string]any{"token": token, "value": value})
 	do(http.MethodDelete, map[string]any{"token": token})
 }
 
-// ownerProcess is a process of a node with [ownership].
+// ownerProcess is a node process with an [ownership] section in its fleet file.
 type ownerProcess struct {
 	*exec.Cmd
-	name, listen, admin, config, fleet, state string
-	admins                                    []string // one for each process
+	name, listenAddr, adminAddr, configFile, fleetFile, stateDir string
+	nextAdminAddrs                                               []string // for the processes that are still to be started
 }
 
 func (o *ownerProcess) start(t *testing.T) {
 	t.Helper()
-	o.admin, o.admins = o.admins[0], o.admins[1:]
+	o.adminAddr, o.nextAdminAddrs = o.nextAdminAddrs[0], o.nextAdminAddrs[1:]
 	o.Cmd = exec.Command(os.Args[0])
-	o.Env = append(os.Environ(), "CORALYARD_TEST_CHILD=1", "ROUTER_STATE="+o.state, "ROUTER_CONFIG="+o.config, "ROUTER_ADMIN_ADDR="+o.admin, "ROUTER_FLEET="+o.fleet)
+	o.Env = append(os.Environ(), "CORALYARD_TEST_CHILD=1", "ROUTER_STATE="+o.stateDir, "ROUTER_CONFIG="+o.configFile, "ROUTER_ADMIN_ADDR="+o.adminAddr, "ROUTER_FLEET="+o.fleetFile)
 	o.Stderr = os.Stderr
 	if err := o.Start(); err != nil {
 		t.Fatal(err)
@@ -127,9 +129,9 @@
 	})
 }
 
-// get returns the answer of the operators' address, "" while there is none.
+// get returns the body of the answer at a path of the operators' address, or "" if there is no answer.
 func (o *ownerProcess) get(path string) string {
-	resp, err := http.Get("http://" + o.admin + path)
+	resp, err := http.Get("http://" + o.adminAddr + path)
 	if err != nil {
 		return ""
 	}
@@ -143,10 +145,10 @@
 	eventually(t, o.name+" says "+want, func() bool { return strings.Contains(o.get(path), want) })
 }
 
-// submit submits a message and returns the first word of the answer.
+// submit hands the node a message and returns the first word of its reply.
 func (o *ownerProcess) submit(t *testing.T, id string, dest int) string {
 	t.Helper()
-	nc, err := net.Dial("tcp", o.listen)
+	nc, err := net.Dial("tcp", o.listenAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,20 +162,21 @@
 	return strings.Fields(line)[0]
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !is(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
 
-// Two nodes and three replicas: each destination is accepted by its owner and refused by the other node,
-// across new maps, a stopped replica, a kill, a handover and a signal.
+// Two nodes and three replicas of the directory: each destination's messages are accepted by its owner and
+// refused by the other node. That holds across new maps, a stopped replica, a killed node, a handover and a
+// reload.
 func TestOwners(t *testing.T) {
-	at := freeAddrs(t, 14)
-	addrs, stop := startReplicas(t, at)
+	listenAddrs := freeAddrs(t, 14)
+	addrs, stop := startReplicas(t, listenAddrs)
 	op := &directory.AdminClient{Addresses: addrs, RetryFor: testTimeout}
 	delivered := make(chan string, 100)
 	partner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -191,11 +194,11 @@
 	})
 	makeMap := func(number int64, before *ownership.Map, names ...string) *ownership.Map {
 		t.Helper()
-		var of []ownership.Member
+		var mapMembers []ownership.Member
 		for i, n := range names {
-			of = append(of, ownership.Member{Name: n, Zone: fmt.Sprint("z", i), Weight: 1})
+			mapMembers = append(mapMembers, ownership.Member{Name: n, Zone: fmt.Sprint("z", i), Weight: 1})
 		}
-		m, err := ownership.Make(number, 1, of, before)
+		m, err := ownership.Make(number, 1, mapMembers, before)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -205,10 +208,10 @@
 	var nodes []*ownerProcess
 	for i, name := range []string{"n1", "n2"} {
 		dir := t.TempDir()
-		o := &ownerProcess{name: name, listen: at[6+i], admins: at[8+3*i:][:3], state: t.TempDir(), config: filepath.Join(dir, "config.json"), fleet: filepath.Join(dir, "fleet.toml")}
-		writeConfig(t, o.config, o.listen, "127.0.0.1:9")
+		o := &ownerProcess{name: name, listenAddr: listenAddrs[6+i], nextAdminAddrs: listenAddrs[8+3*i:][:3], stateDir: t.TempDir(), configFile: filepath.Join(dir, "config.json"), fleetFile: filepath.Join(dir, "fleet.toml")}
+		writeConfig(t, o.configFile, o.listenAddr, "127.0.0.1:9")
 		text := fmt.Sprintf("[registry]\naddresses = [\"%s\"]\nkeep_kb = 64\n[ownership]\nname = %q\n", strings.Join(addrs, "\", \""), name)
-		if err := os.WriteFile(o.fleet, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(o.fleetFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		o.start(t)
@@ -227,21 +230,22 @@
 				o.await(t, "/-/ready", "not in the map of owners")
 				continue
 			}
-			mine := 0
+			ownDests := 0
 			for d := range dests {
 				if own.Has(ownership.PartitionOf(d)) {
-					mine++
+					ownDests++
 				}
 			}
 			o.await(t, "/-/ready", "ready")
 			o.await(t, "/-/metrics", fmt.Sprintf("app.partitions_owned:%d|g", own.Len()))
-			// Lists of gained partitions have come; lost partitions may linger.
+			// The lists of gained partitions must have arrived. Lists of lost partitions may still be
+			// followed.
 			eventually(t, "its list", func() bool {
 				var listed int
 				for line := range strings.Lines(o.get("/-/metrics")) {
 					fmt.Sscanf(line, "app.pool_size:%d|g", &listed)
 				}
-				return listed >= mine
+				return listed >= ownDests
 			})
 		}
 		for d := range dests {
@@ -267,7 +271,7 @@
 	check(first)
 	second := makeMap(2, first, "n1")
 	check(second)
-	eventually(t, "three votes", func() bool { // replicas get their votes one after the other
+	eventually(t, "three votes", func() bool { // replicas become voters one after the other
 		st, err := op.Status(t.Context())
 		votes := 0
 		for _, m := range st.Members {
@@ -282,17 +286,17 @@
 	third := makeMap(3, second, "n1", "n2")
 	check(third)
 
-	one := nodes[0]
-	if err := one.Process.Kill(); err != nil {
+	restarted := nodes[0]
+	if err := restarted.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	one.Wait()
-	one.start(t)
+	restarted.Wait()
+	restarted.start(t)
 	check(third)
-	// A new process starts beside the old one, which stops.
-	old := *one
-	one.start(t)
-	one.await(t, "/-/ready", "ready")
+	// A handover: a new process starts beside the old one, which is then stopped.
+	old := *restarted
+	restarted.start(t)
+	restarted.await(t, "/-/ready", "ready")
 	if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -300,15 +304,15 @@
 		t.Error(err)
 	}
 	check(third)
-	// A reload with another owner name, which is ignored.
-	raw, err := os.ReadFile(one.fleet)
+	// A reload with another owner name, which must be ignored.
+	raw, err := os.ReadFile(restarted.fleetFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(one.fleet, []byte(strings.Replace(string(raw), "n1", "n3", 1)), 0o600); err != nil {
+	if err := os.WriteFile(restarted.fleetFile, []byte(strings.Replace(string(raw), "n1", "n3", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := one.Process.Signal(syscall.SIGHUP); err != nil {
+	if err := restarted.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	check(makeMap(4, third, "n1", "n2"))
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	adminHeaderTimeout  = 2 * time.Second // for a whole request header
-	adminTimeout        = 3 * time.Second
+	adminHeaderTimeout  = 2 * time.Second        // to read a request's header
+	adminTimeout        = 3 * time.Second        // to read a whole request, and to write its answer
 	adminMaxHeaderSize  = 8 << 10                // bytes
-	adminCommandTimeout = 800 * time.Millisecond // answers are due within 1 s
+	adminCommandTimeout = 800 * time.Millisecond // an operator's command must be answered within 1 s
 )
 
-// Admin serves the operators' address, one request on each connection. It exists before its node and outlives
-// it.
+// Admin serves the operators' address with one request on each connection. It starts before its node and
+// stops after it.
 type Admin struct {
 	server   *http.Server
-	listener net.Listener // nil without an operators' address
+	listener net.Listener // nil if there is no operators' address
 	node     atomic.Pointer[Node]
-	metrics  *metrics // of the process, for each node that it runs
+	metrics  *metrics // of the process, used by each node that it runs
 }
 
 // ListenAdmin opens the operators' address, if the configuration names one, and serves it until Close.
@@ -45,7 +45,7 @@
 	a.server = &http.Server{
 		Handler: a.handler(), MaxHeaderBytes: adminMaxHeaderSize,
 		ReadHeaderTimeout: adminHeaderTimeout, ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug), // connections that come and go are not worth a log line
+		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug), // errors of single connections are routine
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
 			return context.WithValue(ctx, operatorConnKey{}, nc)
 		},
@@ -59,13 +59,13 @@
 	return a, nil
 }
 
-// SetNode sets the node that the answers are about from now on. The node must not run yet.
+// SetNode sets the node that further requests are answered for. It must be called before the node runs.
 func (a *Admin) SetNode(n *Node) {
 	n.metrics = a.metrics
 	a.node.Store(n)
 }
 
-// Close closes the address and all its connections, even during a request.
+// Close closes the address and all its connections, even while requests are being answered.
 func (a *Admin) Close() error {
 	if a.server == nil {
 		return nil
@@ -98,7 +98,7 @@
 		if c, ok := req.Context().Value(operatorConnKey{}).(*operatorConn); ok {
 			c.markRequestReceived()
 		}
-		// ServeMux would redirect, which neither confirms nor refuses.
+		// ServeMux would redirect such a path, which neither confirms nor refuses a command.
 		if p := req.URL.Path; p != path.Clean(p) {
 			http.NotFound(w, req)
 			return
@@ -107,8 +107,8 @@
 	})
 }
 
-// setEndpointEnabled passes an operator's command for an endpoint to the node. A success status means that
-// the command is in effect and outlasts a restart.
+// setEndpointEnabled passes an operator's command for an endpoint to the node. Success in the answer means
+// that the command is in effect and outlasts a restart.
 func (a *Admin) setEndpointEnabled(w http.ResponseWriter, req *http.Request, enable bool) {
 	n := a.node.Load()
 	if n == nil {
@@ -131,21 +131,21 @@
 
 type operatorConnKey struct{}
 
-// cappedListener limits the number of connections. At the limit it closes the connection that has been open
-// longest without a whole request, so that clients that only hold connections can't shut others out.
+// cappedListener limits the number of open connections. At the limit it closes the one that has been open
+// longest without a complete request, so that clients that only hold connections can't shut others out.
 type cappedListener struct {
 	net.Listener
 	maxConns int
 
 	mu         sync.Mutex
 	conns      map[*operatorConn]bool
-	incomplete queue.List // connections without a whole request yet, oldest first
+	incomplete queue.List // connections that have not sent a complete request, oldest first
 }
 
 type operatorConn struct {
 	net.Conn
 	listener *cappedListener
-	element  *queue.Element // in incomplete
+	element  *queue.Element // its element of incomplete; nil once its request is complete
 }
 
 func (l *cappedListener) Accept() (net.Conn, error) {
@@ -174,18 +174,18 @@
 		if !full {
 			return c, nil
 		}
-		nc.Close() // all other connections are being answered
+		nc.Close() // the request of every other connection is complete and being answered
 	}
 }
 
-// markRequestReceived records that the whole request has arrived.
+// markRequestReceived records that the connection has sent a complete request.
 func (c *operatorConn) markRequestReceived() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.removeFromIncomplete()
 }
 
-// removeFromIncomplete removes the connection from the incomplete ones. The lock must be held.
+// removeFromIncomplete removes the connection from incomplete. The lock must be held.
 func (c *operatorConn) removeFromIncomplete() {
 	if c.element != nil {
 		c.listener.incomplete.Remove(c.element)
@@ -193,7 +193,7 @@
 	}
 }
 
-// release gives the connection's slot back. The lock must be held.
+// release removes the connection from those that count against the limit. The lock must be held.
 func (c *operatorConn) release() {
 	c.removeFromIncomplete()
 	delete(c.listener.conns, c)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -23,88 +23,88 @@
 	"starlingusher/choice"
 )
 
-// Calls do not use net/http's Transport. It treats a request with an Idempotency-Key as replayable and sends
-// it again when a reused connection breaks. It dials beside a call that may find an idle connection first,
-// and does not tell how much of a request was written. Here a request is written once, on one connection, by
-// one Write.
+// Calls do not use the Transport of net/http. It treats a request with an Idempotency-Key as replayable and
+// sends it again when a reused connection breaks. It dials for a call that may then get an idle connection
+// first. And it does not tell how much of a request was written. Here each request is written once, on one
+// connection, with one Write.
 
 const (
 	maxAnswerHead     = 32 << 10
 	maxAnswerBody     = maxBody
 	answerTimeout     = 500 * time.Millisecond // from an answer's first byte to its last
-	idleMargin        = 400 * time.Millisecond // an endpoint's idle timer may be ahead of ours by the time that an answer travels
+	idleMargin        = 400 * time.Millisecond // an endpoint's idle timer may run ahead of ours by the time that an answer travels
 	loadHeader        = "Endpoint-Load-Metrics"
 	maxInterimAnswers = 8 // 1xx answers before the final one
 	maxRetryAfter     = 10 * time.Minute
-	finalReads        = 3   // reads of what has come, once the call's time is up
-	maxReportedLeft   = 2   // in a load report: bound of the share left, which may be noisy,
-	maxReportedLimit  = 1e6 // and of a limit
+	finalReads        = 3   // reads of data that has already arrived, once a call is abandoned
+	maxReportedLeft   = 2   // bound of the share left of the limit in a load report; it is noisy and may exceed 1
+	maxReportedLimit  = 1e6 // bound of the limit in a load report, in calls a second
 )
 
-// item is a message in a call, encoded as in a batch.
+// item is one message of a call, in the encoding of a batch.
 type item struct {
 	ID   string `json:"id"`
 	Key  string `json:"key,omitempty"`
 	Body []byte `json:"body"`
 }
 
-// maxEncodedSize is the most that an item takes in the body of a batch, where each byte of a string may need
-// an escape.
+// maxEncodedSize returns the most bytes that an item can take in the body of a batch, where each byte of a
+// string may need an escape.
 func (i item) maxEncodedSize() int {
 	return 6*(len(i.ID)+len(i.Key)) + base64.StdEncoding.EncodedLen(len(i.Body)) + 64
 }
 
-// call is one call to be made, with an attempt for each of its messages.
+// call is a call to be made, with one attempt for each of its items.
 type call struct {
 	items     []item
 	endpoint  *endpoint
-	deadline  time.Time
-	startBy   time.Time // unless zero, the first byte goes out before this or not at all
-	resultBy  time.Time // the first of its messages is over then, and a later answer can't tell what is final
+	deadline  time.Time // the call is abandoned then
+	startBy   time.Time // the first byte is not sent after this, unless it is zero
+	resultBy  time.Time // the first of its messages ends then; an answer after it can't tell which messages are final
 	newConn   bool      // don't use a keep-alive connection
-	onWritten func()    // unless nil, is called once the last byte is written
+	onWritten func()    // unless nil, it is called once the last byte is written
 }
 
-// itemResult is how a call ended for one of its messages.
+// itemResult is how a call ended for one of its items.
 type itemResult struct {
 	outcome   choice.Outcome
-	final     bool
-	ambiguous bool // whether it is final can't be told
+	final     bool // the message has ended, delivered or not: no further attempt can change that
+	ambiguous bool // the answer was final, but may have come too late to count
 }
 
-// callResult is how a call ended.
+// callResult is how a call ended. Without perItem it holds for all items.
 type callResult struct {
 	outcome     choice.Outcome
-	perItem     []itemResult // in the order of the items, if a batch's answer tells them apart
-	retryAfter  time.Duration
-	noSlot      bool
-	final       bool
-	ambiguous   bool // as in an itemResult
+	perItem     []itemResult  // in the order of the items, if the answer to a batch has a state for each
+	retryAfter  time.Duration // the wait that the answer asks for, 0 for none
+	noSlot      bool          // the endpoint had no slot for the call
+	final       bool          // as in itemResult
+	ambiguous   bool          // as in itemResult
 	report      choice.Report
-	reusedConn  bool      // it went out on a keep-alive connection
+	reusedConn  bool      // the call was made on a keep-alive connection
 	connClosed  bool      // the endpoint closes the connection after its answer
-	firstLineAt time.Time // when the first line was read, if one was
+	firstLineAt time.Time // when the first line of the answer was read; zero if none was
 }
 
-// pool makes calls, and keeps connections between them.
+// pool makes calls and keeps connections open between them.
 type pool struct {
 	dialer      func(ctx context.Context, network, addr string) (net.Conn, error)
 	idleTimeout time.Duration
-	maxIdle     int
+	maxIdle     int // maximum number of idle connections, to all endpoints
 
 	mu        sync.Mutex
-	idle      map[string][]*conn // by endpoint, the one used last at the end
-	idleCount int
+	idle      map[string][]*conn // by endpoint ID; the most recently used one is last
+	idleCount int                // of connections in idle
 }
 
 // conn is a connection to an endpoint.
 type conn struct {
 	net.Conn
 	addr         string
-	limit        *io.LimitedReader
+	limit        *io.LimitedReader // bounds what br reads from the connection
 	br           *bufio.Reader
-	idleWatchErr chan error  // receives the error that ended the idle watch
-	abandoned    atomic.Bool // its call is abandoned
+	idleWatchErr chan error  // receives the error that ended the watch of the idle connection
+	abandoned    atomic.Bool // its call is over: the deadline has passed or it was canceled
 }
 
 func newPool(dialTimeout, connIdle time.Duration, maxIdle int) *pool {
@@ -125,8 +125,9 @@
 	return r.perItem[i]
 }
 
-// markAmbiguous is for an answer that was read whole only after a message of its call was over. The platform
-// may count it as too late for all of them; or it came in time, and this process is late.
+// markAmbiguous changes the result of an answer that was read completely only after resultBy, when the first
+// message of the call had ended. The platform may count the answer as too late for all of them. Or it came in
+// time, and only this process is late.
 func (r *callResult) markAmbiguous() {
 	r.final, r.ambiguous = false, r.final
 	for i, f := range r.perItem {
@@ -136,7 +137,7 @@
 	}
 }
 
-// do makes one call. It returns when its slot is free again: at the answer, or with the connection closed.
+// do makes a call. It returns when its slot is free again: with the answer, or with the connection closed.
 func (p *pool) do(ctx context.Context, c call) callResult {
 	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
@@ -148,25 +149,25 @@
 		return callResult{outcome: choice.Stale}
 	}
 	k := p.takeIdle(c.endpoint)
-	if k != nil && c.newConn { // the new one replaces it: an endpoint accepts only so many
+	if k != nil && c.newConn { // the new connection replaces the idle one, because an endpoint accepts only so many
 		k.Close()
 		k = nil
 	}
-	kept := k != nil
-	if !kept {
+	reused := k != nil
+	if !reused {
 		if k, err = p.dial(ctx, c.endpoint.addr, c.startBy); err != nil {
 			return callResult{outcome: choice.Unreachable}
 		}
 	}
-	// A dial takes up to a second, and more while the path is cut. A wait, a drain or a deadline that comes
-	// up meanwhile forbids the first byte. So does a call that was canceled as the connection came up.
+	// A dial takes up to a second, and more while the network path is down. A wait, a drain or a deadline may
+	// come up meanwhile, or the call may be canceled; then the first byte must not be sent.
 	if ctx.Err() != nil || !c.mayBegin() {
 		p.putIdle(c.endpoint, k)
 		return callResult{outcome: choice.Stale}
 	}
 	stop := context.AfterFunc(ctx, k.abandon)
 	res, reuse := k.exchange(ctx, request, c)
-	res.reusedConn = kept
+	res.reusedConn = reused
 	if stop() && reuse {
 		p.putIdle(c.endpoint, k)
 	} else {
@@ -175,7 +176,7 @@
 	return res
 }
 
-// mayBegin reports whether the first byte may go out now.
+// mayBegin reports whether the first byte may be sent now.
 func (c call) mayBegin() bool {
 	now := time.Now()
 	return !c.endpoint.closedAt(now) && (c.startBy.IsZero() || now.Before(c.startBy))
@@ -183,7 +184,7 @@
 
 func encodeRequest(c call) ([]byte, error) {
 	path, header := "/v1/messages", http.Header{
-		"X-Expires-In": {strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 1), 10) + "m"},
+		"X-Expires-In": {strconv.FormatInt(max(time.Until(c.deadline).Milliseconds(), 1), 10) + "m"}, // "m" means milliseconds
 		"User-Agent":   {"coralyard"},
 	}
 	one := c.items[0]
@@ -233,9 +234,9 @@
 	return k
 }
 
-// Read tries again when its call is abandoned. A deadline that passed while the process did not run says
-// nothing of an answer that has come meanwhile. Neither does a cancellation by the module, which knows only
-// of what was read.
+// Read tries again when it is interrupted because the call was abandoned, to read an answer that has already
+// arrived: the deadline may have passed while the process was stopped, and package choice, which may cancel
+// the call, knows only of answers that were read.
 func (k *conn) Read(p []byte) (int, error) {
 	n, err := k.Conn.Read(p)
 	for try := 0; try < finalReads && n == 0 && k.abandoned.Load() && errors.Is(err, os.ErrDeadlineExceeded); try++ {
@@ -247,7 +248,7 @@
 	return n, err
 }
 
-// abandon ends a call whose time is up or that is canceled, without waiting for anything more.
+// abandon interrupts a call whose deadline has passed or that was canceled.
 func (k *conn) abandon() {
 	k.abandoned.Store(true)
 	k.SetDeadline(time.Unix(1, 0))
@@ -257,7 +258,7 @@
 // call.
 func (k *conn) exchange(ctx context.Context, request []byte, c call) (res callResult, reuse bool) {
 	if n, err := k.Write(request); err != nil && n < len(request) {
-		return callResult{outcome: choice.Unreachable}, false // without the last byte the endpoint has not begun the call
+		return callResult{outcome: choice.Unreachable}, false // without the last byte the endpoint can't have begun the call
 	}
 	if c.onWritten != nil {
 		c.onWritten()
@@ -278,10 +279,10 @@
 	return callResult{outcome: choice.ConnectionBroken}, false
 }
 
-// readAnswer reads one answer and reports whether the connection can be used for another call. A status of
-// 200 to a call with one message counts from its first line on: the message is delivered, whatever the rest.
-// Any other answer, also to a batch, proves something only if it is complete, within bounds of size and time.
-// Bytes after an answer end the connection, but do not invalidate the answer.
+// readAnswer reads an answer and reports whether the connection can be used for another call. A status of 200
+// to a call with one message counts as soon as the first line is read: the message is delivered, whatever
+// follows. Any other answer, and any to a batch, counts only if it is complete and within the bounds of size
+// and time. If bytes follow an answer, the connection is closed, but the answer counts.
 func (k *conn) readAnswer(items []item) (callResult, bool, error) {
 	for range maxInterimAnswers {
 		k.limit.N = maxAnswerHead + maxAnswerBody
@@ -291,7 +292,7 @@
 		if err := k.SetReadDeadline(time.Now().Add(answerTimeout)); err != nil {
 			return callResult{}, false, fmt.Errorf("answer: %w", err)
 		}
-		if k.abandoned.Load() { // read what has come, without waiting
+		if k.abandoned.Load() { // read only what has arrived, without waiting
 			k.SetReadDeadline(time.Unix(1, 0))
 		}
 		code, err := k.readStatus()
@@ -317,7 +318,8 @@
 	return callResult{}, false, errors.New("answer: only interim responses (1xx)")
 }
 
-// readStatus peeks at the first line as soon as it is there.
+// readStatus returns the status code of the answer as soon as its first line has arrived, and consumes
+// nothing.
 func (k *conn) readStatus() (int, error) {
 	for n := k.br.Buffered(); ; n = max(n+1, k.br.Buffered()) {
 		peeked, err := k.br.Peek(n)
@@ -341,7 +343,7 @@
 	return n, nil
 }
 
-// readRest reads an answer whose first line is known to be there.
+// readRest reads an answer whose first line has arrived.
 func (k *conn) readRest(items []item) (callResult, bool, error) {
 	resp, err := http.ReadResponse(k.br, nil)
 	if err != nil {
@@ -356,9 +358,9 @@
 	body := io.LimitReader(resp.Body, maxAnswerBody+1)
 	if len(items) > 1 && res.outcome == choice.Success {
 		res.perItem, err = parseBatchAnswer(body, items)
-		res.retryAfter = retryAfter(resp) // meant for the deferred items, but it applies to all calls
+		res.retryAfter = retryAfter(resp) // meant for the deferred items, but it applies to all further calls
 	}
-	if err == nil { // the rest of the body
+	if err == nil { // read the rest of the body
 		_, err = io.Copy(io.Discard, body)
 	}
 	if err == nil && body.(*io.LimitedReader).N == 0 {
@@ -372,8 +374,8 @@
 	"expired": {outcome: choice.Stale, final: true}, "no_more": {outcome: choice.Stale},
 }
 
-// parseBatchAnswer reads the answer to a batch. An item that it does not name, or names with an unknown
-// state, may have run. An answer that names an item twice is invalid.
+// parseBatchAnswer parses the answer to a batch. An item without a state, or with an unknown one, may have
+// run. An answer with two states for an item is invalid.
 func parseBatchAnswer(body io.Reader, items []item) ([]itemResult, error) {
 	raw, err := io.ReadAll(body)
 	if err != nil {
@@ -390,17 +392,17 @@
 		}
 		state[a.ID] = a.State
 	}
-	each := make([]itemResult, len(items))
+	results := make([]itemResult, len(items))
 	for i, item := range items {
 		var ok bool
-		if each[i], ok = batchStates[state[item.ID]]; !ok {
-			each[i] = itemResult{outcome: choice.ServerError}
+		if results[i], ok = batchStates[state[item.ID]]; !ok {
+			results[i] = itemResult{outcome: choice.ServerError}
 		}
 	}
-	return each, nil
+	return results, nil
 }
 
-// parseOutcome maps an answer to a result by the protocol's table.
+// parseOutcome maps an answer to a result as the table in the protocol does.
 func parseOutcome(resp *http.Response) callResult {
 	res := callResult{report: loadReport(resp.Header.Values(loadHeader))}
 	switch resp.StatusCode {
@@ -417,13 +419,13 @@
 		res.outcome = choice.Stale
 	case http.StatusGone:
 		res.outcome, res.final = choice.Stale, true
-	default: // 500, and statuses that the protocol does not define: it may have run
+	default: // 500 and statuses that the protocol does not define: the call may have run
 		res.outcome = choice.ServerError
 	}
 	return res
 }
 
-// retryAfter returns the wait that an answer asks for, 0 for none.
+// retryAfter returns the wait that an answer asks for, at most maxRetryAfter, or 0 for none.
 func retryAfter(resp *http.Response) time.Duration {
 	sec, err := parseDecimal(resp.Header.Get("Retry-After"), math.MaxFloat64)
 	if err != nil {
@@ -432,8 +434,8 @@
 	return time.Duration(min(sec, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// loadReport parses a report like "x0=0.4,x1=25". One that is invalid in any part counts as none, since the
-// module trusts the limit.
+// loadReport parses a load report like "x0=0.4,x1=25": x0 is the share left of the limit, x1 the limit in
+// calls a second. A report with any invalid part counts as none, because package choice trusts the limit.
 func loadReport(values []string) choice.Report {
 	var r choice.Report
 	if len(values) != 1 {
@@ -459,7 +461,7 @@
 	return r
 }
 
-// takeIdle returns the usable keep-alive connection that was used last, or nil.
+// takeIdle returns the most recently used idle connection to the endpoint that still works, or nil.
 func (p *pool) takeIdle(e *endpoint) *conn {
 	for {
 		p.mu.Lock()
@@ -471,8 +473,8 @@
 		k := idle[len(idle)-1]
 		p.removeIdle(e.id, len(idle)-1)
 		p.mu.Unlock()
-		// The idle watch is interrupted in its read. If the endpoint had closed the connection or sent
-		// anything, the read would not end with this timeout, and a request would be answered by a reset.
+		// This interrupts the read of the idle watch. If the endpoint had closed the connection or sent
+		// anything, the read would have ended with another error, and a request would be answered by a reset.
 		k.SetReadDeadline(time.Unix(1, 0))
 		err := <-k.idleWatchErr
 		var timeout net.Error
@@ -483,7 +485,7 @@
 	}
 }
 
-// removeIdle removes the i-th idle connection of an endpoint; the caller holds the lock.
+// removeIdle removes the i-th idle connection to an endpoint from the pool. The lock must be held.
 func (p *pool) removeIdle(id string, i int) {
 	p.idleCount--
 	if p.idle[id] = slices.Delete(p.idle[id], i, i+1); len(p.idle[id]) == 0 {
@@ -491,14 +493,13 @@
 	}
 }
 
-// putIdle keeps a connection for the next call, and watches it. The connection is closed when the endpoint
-// closes it or sends something unrequested, or when it has been idle for nearly as long as the endpoint
-// allows.
+// putIdle keeps a connection for the next call and watches it. The watch closes it when the endpoint closes
+// it or sends something unrequested, or when it has been idle for nearly as long as the endpoint allows.
 func (p *pool) putIdle(e *endpoint, k *conn) {
 	k.idleWatchErr = make(chan error, 1)
 	k.limit.N = 1
 	p.mu.Lock()
-	// An endpoint is marked closed before its idle connections are closed, so that none is kept after that.
+	// An endpoint is marked closed before its idle connections are closed, so none is kept after that.
 	if p.idleCount >= p.maxIdle || e.closed.Load() || k.SetReadDeadline(time.Now().Add(p.idleTimeout)) != nil {
 		p.mu.Unlock()
 		k.Close()
@@ -519,7 +520,7 @@
 	}()
 }
 
-// closeIdle closes all idle connections of an endpoint but the keep used last.
+// closeIdle closes the idle connections to an endpoint, all but the keep most recently used ones.
 func (p *pool) closeIdle(id string, keep int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -529,7 +530,7 @@
 	}
 }
 
-// retire closes all idle connections and keeps none from now on.
+// retire closes all idle connections and keeps none from now on, as a predecessor does after a handover.
 func (p *pool) retire() {
 	p.mu.Lock()
 	p.maxIdle = 0
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -19,14 +19,14 @@
 	"starlingusher/choice"
 )
 
-const testTimeout = 30 * time.Second // for what must happen; no test asserts speed
+const testTimeout = 30 * time.Second // bound for events that must happen; no test asserts speed
 
-// fakeEndpoint is an endpoint on a loopback socket. serve answers each request; if it returns false the
+// fakeEndpoint is an endpoint on a loopback socket. serve answers each request; if it returns false, the
 // connection is closed.
 type fakeEndpoint struct {
 	ln    net.Listener
 	serve func(nc net.Conn, req *http.Request) bool
-	read  func(body []byte) // gets each request's body, unless nil
+	read  func(body []byte) // unless nil, it gets the body of each request
 
 	mu       sync.Mutex
 	calls    []*http.Request
@@ -91,7 +91,7 @@
 	return len(p.calls), p.conns
 }
 
-// nextRequest waits for the next call.
+// nextRequest waits for the next request and returns it.
 func (p *fakeEndpoint) nextRequest(t *testing.T) *http.Request {
 	t.Helper()
 	select {
@@ -112,7 +112,7 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// neverAnswer reads a request and never answers.
+// neverAnswer never answers a request, and returns when the connection is closed.
 func neverAnswer(nc net.Conn, _ *http.Request) bool {
 	io.Copy(io.Discard, nc)
 	return false
@@ -124,7 +124,7 @@
 
 func newTestPool() *pool { return newPool(2*time.Second, time.Minute, 16) }
 
-// idleConns counts the idle connections of a pool.
+// idleConns returns the number of idle connections in a pool.
 func idleConns(p *pool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,15 +139,15 @@
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for: " + what)
 		}
 	}
 }
 
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		name, says string
-		want       callResult
+		name, response string
+		want           callResult
 	}{
 		{"delivered", okResponse, callResult{outcome: choice.Success, final: true}},
 		{"delivered with a report", "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n",
@@ -168,7 +168,7 @@
 		{"not HTTP", "what?\r\n\r\n", callResult{outcome: choice.ConnectionBroken}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newFakeEndpoint(t, respondWith(c.says))
+			p := newFakeEndpoint(t, respondWith(c.response))
 			got := newTestPool().do(t.Context(), newTestCall(newTestEndpoint(p.addr())))
 			if got.firstLineAt = (time.Time{}); !reflect.DeepEqual(got, c.want) {
 				t.Errorf("got %+v, want %+v", got, c.want)
@@ -189,12 +189,12 @@
 		}
 	})
 	t.Run("broken before the last byte", func(t *testing.T) {
-		near, far := net.Pipe() // takes only bytes that are read
+		local, remote := net.Pipe() // a write to it returns only when the bytes are read
 		go func() {
-			io.ReadFull(far, make([]byte, 10))
-			far.Close()
+			io.ReadFull(remote, make([]byte, 10))
+			remote.Close()
 		}()
-		k := &conn{Conn: near}
+		k := &conn{Conn: local}
 		if got, reuse := k.exchange(t.Context(), []byte(strings.Repeat("x", 100)), call{}); got.outcome != choice.Unreachable || reuse {
 			t.Errorf("got %+v, %v", got, reuse)
 		}
@@ -209,7 +209,7 @@
 		closed := make(chan bool, 1)
 		p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 			_, err := nc.Read(make([]byte, 1))
-			closed <- err != nil // an abandoned call closes its connection
+			closed <- err != nil // an abandoned call must close its connection
 			return false
 		})
 		c := newTestCall(newTestEndpoint(p.addr()))
@@ -250,8 +250,8 @@
 	}
 }
 
-// A call is never repeated by itself when its reused connection breaks: the repeat could have a second
-// effect.
+// When a reused connection breaks, the pool must not send the request again by itself: that could have a
+// second effect.
 func TestBrokenReusedConnectionIsNotSentAgain(t *testing.T) {
 	first := true
 	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
@@ -274,7 +274,7 @@
 	}
 }
 
-// A request on a connection that the endpoint has closed would be reset.
+// A request on a connection that the endpoint has closed would be answered by a reset.
 func TestClosedIdleConnectionIsDropped(t *testing.T) {
 	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 		io.WriteString(nc, okResponse)
@@ -319,8 +319,8 @@
 	}
 }
 
-// Where keep-alive connections break, a call asks for a new one. It replaces the old one in the endpoint's
-// connection table.
+// After a reused connection broke, a call asks for a new connection. It must replace the idle one, which
+// takes a place in the endpoint's connection table.
 func TestNewConnectionReplacesIdleOne(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	pool, c := newTestPool(), newTestCall(newTestEndpoint(p.addr()))
@@ -335,7 +335,7 @@
 	}
 }
 
-// Bytes that belong to no call would be taken for the answer to the next one.
+// Bytes that follow an answer would be taken for the answer to the next request.
 func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse+"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 	pool, e := newTestPool(), newTestEndpoint(p.addr())
@@ -346,8 +346,8 @@
 	}
 }
 
-// A dial lies between the decision and the first byte; a drain or a wait that comes meanwhile must stop the
-// call.
+// Between the decision to make a call and its first byte there may be a dial. A drain or a wait that comes in
+// that time must stop the call.
 func TestNoCallToClosedEndpoint(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	drained, waiting := newTestEndpoint(p.addr()), newTestEndpoint(p.addr())
@@ -363,15 +363,15 @@
 	}
 }
 
-// A connection may come up after a cut of its path. A repeat whose window has ended meanwhile must not be
-// sent on it.
+// A dial may succeed only after its network path was down for some time. A repeat must not be sent on that
+// connection if the time in which it may begin (startBy) has passed.
 func TestNoCallAfterStartBy(t *testing.T) {
 	p := newFakeEndpoint(t, respondWith(okResponse))
 	pool, c := newTestPool(), newTestCall(newTestEndpoint(p.addr()))
 	c.startBy = time.Now().Add(50 * time.Millisecond)
 	dial := pool.dialer
 	pool.dialer = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		<-ctx.Done() // not canceled at startBy, it would be at deadline
+		<-ctx.Done() // ends at startBy, or else at the call's deadline
 		return dial(context.WithoutCancel(ctx), network, addr)
 	}
 	if got := pool.do(t.Context(), c); got.outcome != choice.Stale {
@@ -382,8 +382,8 @@
 	}
 }
 
-// A broken answer proves only that the endpoint got the call, and must not hold the slot until the deadline.
-// Only a first line with 200 counts whatever follows it.
+// A broken answer proves only that the endpoint got the call, and it must not hold the slot until the
+// deadline. A first line with status 200 counts whatever follows it.
 func TestBrokenAnswers(t *testing.T) {
 	for _, code := range []string{"200", "429", "503", "504", "410", "500"} {
 		for _, c := range []struct{ name, rest string }{
@@ -400,7 +400,7 @@
 				t.Parallel()
 				p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 					io.WriteString(nc, "HTTP/1.1 "+code+" So\r\n"+loadHeader+": x0=0,x1=0\r\nRetry-After: 9\r\n"+c.rest)
-					io.Copy(io.Discard, nc) // the connection stays open
+					io.Copy(io.Discard, nc) // keeps the connection open
 					return false
 				})
 				pool := newTestPool()
@@ -429,7 +429,8 @@
 	}
 }
 
-// The module trusts a reported limit, and 0 means none.
+// Package choice trusts a reported limit, and takes 0 for no limit. So a report with any invalid part is
+// dropped.
 func TestLoadReports(t *testing.T) {
 	good := choice.Report{Left: 0.4, Limit: 25, HasLeft: true, HasLimit: true}
 	for text, want := range map[string]choice.Report{
@@ -446,7 +447,7 @@
 	}
 }
 
-// A call may end after its endpoint was closed; nothing would ever use or close a connection kept then.
+// A call may end after its endpoint was closed. A connection that is kept then would never be used or closed.
 func TestNoIdleConnectionToClosedEndpoint(t *testing.T) {
 	e := newTestEndpoint("")
 	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
@@ -461,19 +462,20 @@
 	}
 }
 
-// Whatever an endpoint writes, the call ends, and only a complete answer counts.
+// Whatever an endpoint writes, reading the answer ends, and a message counts as delivered only by a status of
+// 200.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{okResponse, "HTTP/1.1 100 Go on\r\n\r\n" + okResponse, "HTTP/1.1 429 No\r\nRetry-After: 0.7\r\n\r\n", "\x00"} {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		near, far := net.Pipe()
-		defer near.Close()
+		local, remote := net.Pipe()
+		defer local.Close()
 		go func() {
-			far.Write(text)
-			far.Close()
+			remote.Write(text)
+			remote.Close()
 		}()
-		k := newConn(near, "")
+		k := newConn(local, "")
 		res, reuse, err := k.readAnswer(nil)
 		if err != nil && (!reflect.DeepEqual(res, callResult{}) || reuse) {
 			t.Errorf("%v with %+v, %v", err, res, reuse)
@@ -484,25 +486,25 @@
 	})
 }
 
-// Several messages travel as a batch of the protocol, and each gets its own result from the answer. An answer
-// that is invalid in any part proves nothing about any of them.
+// Several messages are sent as one batch, and each gets its own result from the answer. An answer that is
+// invalid in any part proves nothing about any of them.
 func TestBatch(t *testing.T) {
-	pass, cut := itemResult{outcome: choice.Success, final: true}, itemResult{outcome: choice.ConnectionBroken}
+	delivered, broken := itemResult{outcome: choice.Success, final: true}, itemResult{outcome: choice.ConnectionBroken}
 	for _, c := range []struct {
 		name, head, body string
 		want             [3]itemResult
-		wait             time.Duration
+		retryAfter       time.Duration
 	}{
 		{"each its own", "200 OK", `[{"id":"c","state":"deferred"},{"id":"a","state":"accepted"},{"id":"b","state":"fault"}]`,
-			[3]itemResult{pass, {outcome: choice.ServerError}, {outcome: choice.Rejected}}, 0},
+			[3]itemResult{delivered, {outcome: choice.ServerError}, {outcome: choice.Rejected}}, 0},
 		{"not sent", "200 OK", `[{"id":"a","state":"expired"},{"id":"b","state":"no_more"},{"id":"c","state":"accepted"}]`,
-			[3]itemResult{{outcome: choice.Stale, final: true}, {outcome: choice.Stale}, pass}, 0},
+			[3]itemResult{{outcome: choice.Stale, final: true}, {outcome: choice.Stale}, delivered}, 0},
 		{"with a wait", "200 OK\r\nRetry-After: 0.5", `[{"id":"a","state":"accepted"},{"id":"b","state":"accepted"},{"id":"c","state":"deferred"}]`,
-			[3]itemResult{pass, pass, {outcome: choice.Rejected}}, 500 * time.Millisecond},
+			[3]itemResult{delivered, delivered, {outcome: choice.Rejected}}, 500 * time.Millisecond},
 		{"left out and unknown", "200 OK", `[{"id":"a","state":"accepted"},{"id":"b","state":"odd"},{"id":"x","state":"accepted"}]`,
-			[3]itemResult{pass, {outcome: choice.ServerError}, {outcome: choice.ServerError}}, 0},
-		{"named twice", "200 OK", `[{"id":"a","state":"accepted"},{"id":"a","state":"deferred"}]`, [3]itemResult{cut, cut, cut}, 0},
-		{"no JSON", "200 OK", `ok`, [3]itemResult{cut, cut, cut}, 0},
+			[3]itemResult{delivered, {outcome: choice.ServerError}, {outcome: choice.ServerError}}, 0},
+		{"named twice", "200 OK", `[{"id":"a","state":"accepted"},{"id":"a","state":"deferred"}]`, [3]itemResult{broken, broken, broken}, 0},
+		{"no JSON", "200 OK", `ok`, [3]itemResult{broken, broken, broken}, 0},
 		{"all alike", "429 No\r\nRetry-After: 2", ``,
 			[3]itemResult{{outcome: choice.Rejected}, {outcome: choice.Rejected}, {outcome: choice.Rejected}}, 2 * time.Second},
 	} {
@@ -522,7 +524,7 @@
 					t.Errorf("%d: got %+v, want %+v", i, got.forItem(i), want)
 				}
 			}
-			if got.retryAfter != c.wait {
+			if got.retryAfter != c.retryAfter {
 				t.Errorf("got a wait of %v", got.retryAfter)
 			}
 			if path := p.nextRequest(t).URL.Path; path != "/v1/messages:batch" {
@@ -536,8 +538,8 @@
 	}
 }
 
-// Once a message of a call is over, the answer's final states can't be relied on; what it says was not done
-// has never run.
+// Once a message of a call has ended, the final states in the answer are ambiguous. The other states still
+// prove that the message was not processed.
 func TestAnswerAfterAMessageIsOver(t *testing.T) {
 	const body = `[{"id":"a","state":"accepted"},{"id":"b","state":"expired"},{"id":"c","state":"deferred"}]`
 	answered := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
@@ -545,22 +547,22 @@
 		return err == nil
 	})
 	for _, c := range []struct {
-		name  string
-		endBy time.Duration
-		want  [3]itemResult
+		name     string
+		resultIn time.Duration
+		want     [3]itemResult
 	}{
 		{"in time", time.Hour, [3]itemResult{{outcome: choice.Success, final: true}, {outcome: choice.Stale, final: true}, {outcome: choice.Rejected}}},
 		{"late", 0, [3]itemResult{{outcome: choice.Success, ambiguous: true}, {outcome: choice.Stale, ambiguous: true}, {outcome: choice.Rejected}}},
 	} {
 		tested := newTestCall(newTestEndpoint(answered.addr()))
-		tested.items, tested.resultBy = []item{{ID: "a"}, {ID: "b"}, {ID: "c"}}, time.Now().Add(c.endBy)
+		tested.items, tested.resultBy = []item{{ID: "a"}, {ID: "b"}, {ID: "c"}}, time.Now().Add(c.resultIn)
 		got := newTestPool().do(t.Context(), tested)
 		for i, want := range c.want {
 			if got.forItem(i) != want {
 				t.Errorf("%s, %d: got %+v, want %+v", c.name, i, got.forItem(i), want)
 			}
 		}
-		sent := (&Node{}).takeOutcome(callEnd{endpoint: tested.endpoint, callResult: got}).PerItem[0] // for a successor that may be an older build
+		sent := (&Node{}).takeOutcome(callEnd{endpoint: tested.endpoint, callResult: got}).PerItem[0] // as a predecessor tells it to a successor, which may be an older build
 		if sent.Final == sent.Ambiguous || sent.Ambiguous != (sent.Outcome == choice.TimedOut) {
 			t.Errorf("%s: the successor is told %+v", c.name, sent)
 		}
@@ -571,8 +573,8 @@
 	}
 }
 
-// pausedConn is a connection whose first read lasts until its deadline is set to a time in the past, as if
-// the process had been stopped while the answer came.
+// pausedConn is a connection whose first read blocks until a deadline is set or it is closed, and then until
+// the answer has arrived, as if the process had been stopped meanwhile.
 type pausedConn struct {
 	net.Conn
 	arrived   <-chan struct{} // closed when the answer has arrived
@@ -600,8 +602,8 @@
 	return s.Conn.Close()
 }
 
-// An answer that has arrived but was not read is read before a call is abandoned, whether its time ran out
-// while the process did not run or the module cancels it.
+// An answer that has arrived and was not read yet is read before a call is abandoned, whether its deadline
+// passed while the process was stopped or package choice canceled it.
 func TestUnreadAnswerIsReadBeforeAbandoning(t *testing.T) {
 	t.Run("time up", func(t *testing.T) { testUnreadAnswer(t, false) })
 	t.Run("canceled", func(t *testing.T) { testUnreadAnswer(t, true) })
@@ -619,7 +621,7 @@
 		if err != nil {
 			return nil, err
 		}
-		go func() { // until the first byte of the answer has arrived, or the test is over
+		go func() { // ends when the first byte of the answer has arrived or the connection is closed
 			defer close(arrived)
 			raw, err := nc.(*net.TCPConn).SyscallConn()
 			if err != nil {
@@ -634,7 +636,7 @@
 	}
 	c := newTestCall(newTestEndpoint(partner.addr()))
 	if canceled {
-		go func() { // once the answer has arrived
+		go func() { // cancels the call once the answer has arrived
 			<-arrived
 			cancel()
 		}()
@@ -646,7 +648,7 @@
 	}
 }
 
-// A connection that comes up after its call was abandoned carries no byte of it.
+// If a connection comes up after its call was abandoned, nothing is written to it.
 func TestConnectionAfterDeadlineIsNotUsed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -88,6 +88,8 @@
 }
 
 // errProtocol ends a connection, because the start of its next request can't be found.
+//
+//lint:ignore ST1005 clients match this reply letter for letter
 var errProtocol = errors.New("Protocol error")
 
 // errTooLarge is a request that was read to its end and is too large to accept.
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -15,7 +15,8 @@
 	catalog.Serving: choice.Ready, catalog.Draining: choice.Draining, catalog.Deleted: choice.Gone,
 }
 
-// entries converts a list for the module. A member with an unknown phase counts as draining.
+// entries converts a list of endpoints for package choice. An endpoint with an unknown phase counts as
+// draining.
 func entries(members []catalog.Endpoint, names wire.Names) []choice.Entry {
 	out := make([]choice.Entry, 0, len(members))
 	for _, m := range members {
@@ -24,7 +25,7 @@
 			phase = choice.Draining
 		}
 		zone := slices.Index(names.Zones, m.Locality)
-		if zone < 0 { // not in the settings; two such zones may differ, and a repeat must not go from one to the other
+		if zone < 0 { // not in the settings; two unknown zones may differ, and a repeat must not go from one to the other
 			zone = -1 - int(crc32.ChecksumIEEE([]byte(m.Locality)))
 		}
 		out = append(out, choice.Entry{
@@ -35,16 +36,17 @@
 	return out
 }
 
-// endpoint is what calls need to know of an endpoint. The loop writes it, and calls in flight read it.
+// endpoint is what calls need to know of an endpoint. The node's event loop writes it, and calls in flight
+// read it.
 type endpoint struct {
 	id, addr  string
 	zone      int
-	maxBatch  int           // most messages in one call
-	closed    atomic.Bool   // it drains or is gone
-	waitUntil *atomic.Int64 // Unix time in nanoseconds; no calls until then, at the wish of its destination or route
+	maxBatch  int           // maximum number of messages in one call
+	closed    atomic.Bool   // it drains, has left the list or is disabled by an operator
+	waitUntil *atomic.Int64 // Unix time in nanoseconds; no calls until then, as an answer of its route has asked; shared by all endpoints of the route
 }
 
-// closedAt reports whether no new call may go to the endpoint.
+// closedAt reports whether no new call may be made to the endpoint at a given time.
 func (e *endpoint) closedAt(now time.Time) bool {
 	return e.closed.Load() || now.UnixNano() < e.waitUntil.Load()
 }
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	maxNoticePostSize = maxBody         // bytes of one post: the protocol's bodies hold no more
-	noticePostTimeout = 2 * time.Second // the agent answers at once, so one that does not answer is gone
-	// When there are several addresses, each gets this long at first, because a notice is due within 300 ms
-	// of its message's end. The timeout is doubled whenever none of them has answered.
+	maxNoticePostSize = maxBody         // bytes of one post; the protocol allows no larger body
+	noticePostTimeout = 2 * time.Second // discovery answers at once, so an address that does not is taken to be down
+	// With several addresses each gets this long at first, because a notice is due within 300 ms of the end
+	// of its message. The timeout is doubled whenever none of them has answered.
 	firstNoticePostTimeout = 100 * time.Millisecond
 )
 
-// notice tells the platform how a message ended that was accepted and not delivered.
+// notice tells the platform how a message ended that was accepted and not delivered. One line of a post holds
+// it as JSON.
 type notice struct {
 	message *pendingMessage
 
@@ -30,7 +31,7 @@
 	AfterMS int64  `json:"after_ms,omitempty"`
 }
 
-// newNotice makes the notice of a message that has its final answer.
+// newNotice returns the notice of a message that has its final answer.
 func newNotice(m *pendingMessage) notice {
 	if m.final.failed {
 		return notice{message: m, ID: m.id, State: "failed"}
@@ -38,9 +39,10 @@
 	return notice{message: m, ID: m.id, State: "returned", AfterMS: m.final.retryAfter.Milliseconds()}
 }
 
-// reportNotices posts the notices that it receives until the context ends, unanswered ones first, and returns
-// those that were not answered. It passes answered ones to done, because the journal may then forget their
-// messages. A post without an answer may have been accepted all the same; repeating a notice does no harm.
+// reportNotices posts notices to discovery's addresses until ctx ends: the unanswered ones first, then those
+// from more. It passes answered ones to done, because the journal may then forget their messages, and returns
+// those without an answer. A post without an answer may have been accepted all the same; posting a notice
+// again does no harm.
 func reportNotices(
 	ctx context.Context, log *slog.Logger, client *http.Client, addrs []string,
 	unanswered []notice, more <-chan []notice, done func([]notice),
@@ -52,7 +54,7 @@
 	}
 	timeout := firstTimeout
 	for next, failures := 0, 0; ctx.Err() == nil; {
-		if len(unanswered) == 0 { // while some are unanswered, the node's event loop keeps new ones
+		if len(unanswered) == 0 { // while some are unanswered, the node's event loop holds new ones back
 			select {
 			case unanswered = <-more:
 			case <-ctx.Done():
@@ -63,7 +65,7 @@
 		n, err := postNotices(ctx, client, addr, timeout, unanswered)
 		if err != nil {
 			if ctx.Err() == nil {
-				log.Warn("notices were not answered; trying the next address", "discovery", addr, "owed", len(unanswered), "err", err)
+				log.Warn("notices could not be posted; trying the next address", "discovery", addr, "owed", len(unanswered), "err", err)
 				next++ // the next address may accept them
 				if failures++; failures%len(addrs) == 0 {
 					timeout = min(2*timeout, noticePostTimeout)
@@ -79,7 +81,7 @@
 	return unanswered
 }
 
-// postNotices posts as many of the notices as fit into one body, and returns their number.
+// postNotices posts as many of the notices as fit into one body, and returns how many these are.
 func postNotices(ctx context.Context, client *http.Client, addr string, timeout time.Duration, notices []notice) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -109,7 +111,7 @@
 		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	if resp.StatusCode/100 != 2 {
-		return 0, fmt.Errorf("post notices: answered %s", resp.Status)
+		return 0, fmt.Errorf("post notices: status %s", resp.Status)
 	}
 	return n, nil
 }
