--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -28,52 +28,53 @@
 const (
 	lockName          = "lock"
 	handoverVersion   = 1
-	handoverTimeout   = time.Second             // limit of one handover, in which nobody decides
-	lockHolderTimeout = 2500 * time.Millisecond // a lock holder silent for so long hangs
+	handoverTimeout   = time.Second             // limit of one handover, during which neither process makes decisions
+	lockHolderTimeout = 2500 * time.Millisecond // a lock holder that does not answer for so long is taken to hang
 	lockPoll          = 20 * time.Millisecond
 	addressPoll       = 50 * time.Millisecond
-	maxSocketPath     = 100 // of the 108 bytes that the system has
+	maxSocketPath     = 100 // bytes; the system allows 108
 )
 
-// ErrSuccessorGone ends Run when the process that had taken over is gone. All that it held is in the journal.
+// ErrSuccessorGone is returned by Run when the process that had taken over is gone. All that it accepted is
+// in the journal.
 var ErrSuccessorGone = errors.New("the successor process is gone")
 
-// errLockHolderSilent reports that the lock holder runs but does not answer.
+// errLockHolderSilent reports that the process with the lock runs but does not answer.
 var errLockHolderSilent = errors.New("the lock holder does not answer")
 
-// handoverMessage is what the two processes exchange, one JSON value each. Except for Version and Owner, one
-// field is set.
+// handoverMessage is what the two processes send each other, one JSON value each. Only one field is set,
+// except that Owner comes with Version.
 type handoverMessage struct {
-	Version      int            `json:"Hello,omitempty"` // the successor's version; the listening socket comes before the State
+	Version      int            `json:"Hello,omitempty"` // first message of the successor: the version that it speaks; the answer is the listening socket and then State
 	Owner        string         `json:",omitempty"`      // with Version: the successor's name in the map of owners
 	State        *handoverState `json:"Legacy"`
 	Ready        bool           // the successor has received everything
 	LockReleased bool           `json:"Yours"` // the predecessor releases the lock
 
-	Outcome        *callOutcome        // of a call of the predecessor
+	Outcome        *callOutcome        // outcome of a call that the predecessor made
 	Request        *forwardedRequest   `json:"Ask"`   // a request that the predecessor read
 	Command        *forwardedCommand   `json:"Order"` // an operator's command to the predecessor
 	Answer         *forwardedAnswer    // to a Request or a Command
-	Cancel         *outstandingAttempt // the successor cancels an attempt
-	ClosedEndpoint string              `json:"Shut"` // an endpoint that no new call may go to
-	Wait           *endpointWait       // a wait that the successor was told
+	Cancel         *outstandingAttempt // the successor cancels an attempt of the predecessor's calls
+	ClosedEndpoint string              `json:"Shut"` // the successor got a list or command by which this endpoint gets no new calls
+	Wait           *endpointWait       // the successor got this retry-after from an endpoint
 }
 
-// handoverState is all that the node knows and the journal does not hold.
+// handoverState is what the node knows and the journal does not hold.
 type handoverState struct {
-	Clock       time.Duration // the module's time at At on the wall clock
+	Clock       time.Duration // the module's time at the time At
 	At          time.Time
 	Sender      choice.Saved
 	Revision    int64
-	ListSource  string `json:"ToldBy"`     // the server that counts the Revision
+	ListSource  string `json:"ToldBy"`     // address of the server that counts Revision
 	History     int64  `json:",omitempty"` // the history of the Revision, if the server names one
 	Members     []catalog.Endpoint
-	Waits       map[string]int64     // by endpoint; those of one destination share it
+	Waits       map[string]int64     // by endpoint ID: Unix time in nanoseconds until which it gets no calls; the same for all of a route
 	Outstanding []outstandingAttempt `json:"Out"`
 }
 
-// outstandingAttempt identifies an attempt in flight, with what is needed of its message once the journal has
-// forgotten that.
+// outstandingAttempt identifies an attempt in flight, with what the node needs to know of its message if the
+// journal has forgotten that.
 type outstandingAttempt struct {
 	Seq         uint64
 	Attempt     int
@@ -130,10 +131,10 @@
 	UnknownEndpoint bool          `json:"Unknown"` // there is no endpoint of the Command's ID
 }
 
-// predecessorGone is the loop's event when the predecessor ends.
+// predecessorGone is the event of the loop when the predecessor has ended.
 type predecessorGone struct{}
 
-// handoverConn is the connection between the two processes.
+// handoverConn is the connection between predecessor and successor.
 type handoverConn struct {
 	conn    *net.UnixConn
 	decoder *json.Decoder
@@ -146,8 +147,8 @@
 	return &handoverConn{conn: conn, decoder: json.NewDecoder(conn), encoder: json.NewEncoder(conn)}
 }
 
-// send is safe for concurrent use. If it fails it closes the connection, which ends the other side's reading
-// as well.
+// send sends a message and is safe for concurrent use. If it fails it closes the connection, so that the
+// other side's receive fails too.
 func (l *handoverConn) send(m handoverMessage) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,13 +171,13 @@
 	return m, nil
 }
 
-// sendListener passes the listening socket on, which stays open while either process has it.
+// sendListener sends the listening socket, which stays open while either process has it.
 func (l *handoverConn) sendListener(ln net.Listener) error {
 	t, ok := ln.(*net.TCPListener)
 	if !ok {
 		return errors.New("handover: the listener is not a TCP listener")
 	}
-	raw, err := t.SyscallConn() // File would make the socket block
+	raw, err := t.SyscallConn() // File would put the socket into blocking mode
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
@@ -192,7 +193,8 @@
 	return nil
 }
 
-// receiveListener must come before any receive, which might read past the descriptor.
+// receiveListener receives the listening socket. It must be called before receive, which might read past the
+// descriptor.
 func (l *handoverConn) receiveListener() (net.Listener, error) {
 	b, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
 	_, n, _, _, err := l.conn.ReadMsgUnix(b, oob)
@@ -216,8 +218,8 @@
 	return ln, nil
 }
 
-// handoverSocketPath is where the next process of a node connects. Nodes that share a temporary folder have
-// different paths.
+// handoverSocketPath returns the path of the handover socket of the node with this state folder. Nodes that
+// share a temporary folder have different paths.
 func handoverSocketPath(state string) string {
 	h := fnv.New64a()
 	if abs, err := filepath.Abs(state); err == nil {
@@ -227,7 +229,8 @@
 	return filepath.Join(os.TempDir(), fmt.Sprintf("coralyard-%016x", h.Sum64()))
 }
 
-// withSocketAddr calls f with an address short enough for a socket.
+// withSocketAddr calls f with a socket address for path. A path too long for an address is opened by its
+// folder's descriptor.
 func withSocketAddr[T any](path string, f func(*net.UnixAddr) (T, error)) (T, error) {
 	if len(path) > maxSocketPath {
 		dir, err := os.Open(filepath.Dir(path))
@@ -245,7 +248,8 @@
 	return withSocketAddr(path, func(a *net.UnixAddr) (*net.UnixConn, error) { return net.DialUnix("unix", nil, a) })
 }
 
-// listenHandover replaces whatever an earlier process has left at path. Only the lock holder may call it.
+// listenHandover opens the handover socket and replaces one that an earlier process has left. Only the lock
+// holder may call it.
 func listenHandover(path string) (*net.UnixListener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -254,12 +258,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	ln.SetUnlinkOnClose(false) // by then the path may be another process's
+	ln.SetUnlinkOnClose(false) // when it is closed, the path may already belong to the successor
 	return ln, nil
 }
 
-// tryLock takes the lock if it is free. The kernel frees it when the file is closed, at the latest with the
-// process.
+// tryLock takes the lock if it is free. The kernel releases it when the file is closed, at the latest when
+// the process ends.
 func tryLock(f *os.File) (bool, error) {
 	err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) || errors.Is(err, syscall.EINTR) {
@@ -271,8 +275,9 @@
 	return true, nil
 }
 
-// Start creates a node once this process holds the lock of the state folder. The state comes from a process
-// that hands the node over, or else from the journal. It waits until either succeeds or ctx ends.
+// Start returns a node, and its listener for clients, once this process holds the lock of the state folder.
+// The state comes from a process that hands the node over, or else from the journal. Start tries until one of
+// both succeeds or ctx ends.
 func Start(ctx context.Context, cfg Config, log *slog.Logger) (n *Node, ln net.Listener, err error) {
 	lock, err := os.OpenFile(filepath.Join(cfg.StateDir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -304,7 +309,7 @@
 			return nil, nil, ctx.Err()
 		}
 	}
-	// A build that knows no lock may still run. Then it has the address, and the journal belongs to it.
+	// A process of a build without the lock may still run. Then it has the address and uses the journal.
 	if ln, err = listen(ctx, cfg.Listen, log); err != nil {
 		return nil, nil, err
 	}
@@ -315,7 +320,7 @@
 	return n, ln, nil
 }
 
-// listen waits while another process has the address.
+// listen opens the address for clients, and waits while another process has it.
 func listen(ctx context.Context, addr string, log *slog.Logger) (net.Listener, error) {
 	for warned := false; ; warned = true {
 		ln, err := net.Listen("tcp", addr)
@@ -334,7 +339,8 @@
 	}
 }
 
-// takeOver asks the lock holder for the node. It kills one that hangs, which frees the lock.
+// takeOver asks the lock holder to hand over the node. It kills a lock holder that hangs, which frees the
+// lock.
 func takeOver(ctx context.Context, cfg Config, log *slog.Logger, lock *os.File) (*Node, net.Listener, error) {
 	conn, err := dialHandover(handoverSocketPath(cfg.StateDir))
 	if err != nil {
@@ -353,7 +359,7 @@
 	return nil, nil, err
 }
 
-// receiveNode takes the node over from the other side.
+// receiveNode takes over the node from the predecessor at the other end of the connection.
 func (l *handoverConn) receiveNode(ctx context.Context, cfg Config, log *slog.Logger, lock *os.File) (n *Node, ln net.Listener, err error) {
 	if err := l.send(handoverMessage{Version: handoverVersion, Owner: cfg.owner()}); err != nil {
 		return nil, nil, err
@@ -383,8 +389,8 @@
 	if err := l.send(handoverMessage{Ready: true}); err != nil {
 		return nil, nil, err
 	}
-	// Until the predecessor releases the lock it may carry on itself; the state that it sent is outdated
-	// then.
+	// Until the predecessor releases the lock it may keep the node after all; the state that it sent is then
+	// outdated.
 	release, err := l.receive()
 	if err != nil {
 		return nil, nil, err
@@ -433,8 +439,8 @@
 		return err
 	}
 	defer p.Release()
-	// While somebody accepts connections, the process found is the one that opened the socket: process IDs
-	// are reused.
+	// Process IDs are reused. While connections to the socket are accepted, the process found is still the
+	// one that opened the socket.
 	probe, err := dialHandover(path)
 	if err != nil {
 		return nil // it has ended by itself
@@ -444,7 +450,8 @@
 	return p.Kill()
 }
 
-// restore makes the node continue where its predecessor stopped.
+// restore sets the state that the predecessor has sent, so that the node continues where the predecessor
+// stopped.
 func (n *Node) restore(l *handoverConn, state *handoverState, sender *choice.Sender) {
 	n.sender, n.predecessor = sender, l
 	n.clockStart = time.Now().Add(epoch - state.Clock - time.Since(state.At))
@@ -454,21 +461,21 @@
 		n.cfg.InitialList.Revision, n.listPosition = 0, registry.Position{Server: n.cfg.Discovery}
 	}
 	n.applyList(n.cfg.InitialList) // the module has the list already
-	for id, until := range state.Waits {
+	for id, waitUntil := range state.Waits {
 		if e := n.endpoints[id]; e != nil {
-			e.waitUntil.Store(max(until, e.waitUntil.Load()))
+			e.waitUntil.Store(max(waitUntil, e.waitUntil.Load()))
 		}
 	}
 	for _, o := range state.Outstanding {
 		m := n.journal.live[o.Seq]
-		if m == nil { // over and forgotten; its outcome still has to come
+		if m == nil { // the message has ended and is forgotten; the outcome of its attempt is still to come
 			m = &pendingMessage{seq: o.Seq, dest: o.Dest, class: o.Class, final: &finalAnswer{}}
 		}
 		n.outstanding[attemptKey{o.Seq, o.Attempt}] = outstandingCall{message: m, fromPredecessor: true, cancel: func() { l.send(handoverMessage{Cancel: &o}) }}
 	}
 }
 
-// receiveFromPredecessor handles the predecessor's messages until it ends.
+// receiveFromPredecessor handles the predecessor's messages until its connection ends.
 func (n *Node) receiveFromPredecessor(ctx context.Context, l *handoverConn, tasks *sync.WaitGroup) {
 	stop := context.AfterFunc(ctx, func() { l.conn.Close() })
 	defer stop()
@@ -481,12 +488,12 @@
 			return
 		case m.Outcome != nil:
 			n.sendEvent(ctx, *m.Outcome)
-		case m.Request != nil: // as many at once as the predecessor has clients
+		case m.Request != nil: // at most as many at a time as the predecessor has clients
 			tasks.Go(func() {
 				a := n.submit(ctx, m.Request.request())
 				l.send(handoverMessage{Answer: &forwardedAnswer{Number: m.Request.Number, Refused: a.refused, RetryAfter: a.retryAfter, Failure: a.failure, OutcomeUnknown: a.outcomeUnknown}})
 			})
-		case m.Command != nil: // as many at once as the predecessor has operators' calls
+		case m.Command != nil: // at most as many at a time as the predecessor has operators' connections
 			tasks.Go(func() {
 				commandCtx, cancel := context.WithTimeout(ctx, adminCommandTimeout)
 				defer cancel()
@@ -528,8 +535,8 @@
 	return n.callEnded(c)
 }
 
-// endPredecessorCalls ends the calls of a predecessor that is gone. They may have run. Their broken
-// connections tell nothing of their endpoints, no more than a broken keep-alive connection does.
+// endPredecessorCalls ends the calls in flight of a predecessor that is gone. They may have run. That they
+// broke says nothing about their endpoints, so they are reported like broken keep-alive connections.
 func (n *Node) endPredecessorCalls() []choice.Event {
 	n.predecessor = nil
 	var events []choice.Event
@@ -570,10 +577,10 @@
 	}
 }
 
-// offerHandover hands the node over, between two steps. On an error this process keeps the node.
+// offerHandover offers the node to a successor, between two steps. If it fails, this process keeps the node.
 func (n *Node) offerHandover(l *handoverConn) error {
 	if len(n.actions) > 0 || n.journal.incomplete {
-		return errJournalUnavailable // the other process could not write it either
+		return errJournalUnavailable // the successor could not write the journal either
 	}
 	if err := errors.Join(n.journal.flush(), n.ownership.saveMap()); err != nil {
 		return err
@@ -611,7 +618,8 @@
 	return l.send(handoverMessage{LockReleased: true})
 }
 
-// handOver reports whether another process has the node now. Then this one makes no more decisions.
+// handOver hands the node over and reports whether the successor has it now. If so, this process makes no
+// more decisions.
 func (n *Node) handOver(l *handoverConn) bool {
 	if err := n.offerHandover(l); err != nil {
 		n.log.Warn("not handed over", "err", err)
@@ -629,12 +637,12 @@
 	return true
 }
 
-// serveSuccessor serves the successor until this process may end: when it is told to stop, or when no client
-// is left and no call is in flight.
+// serveSuccessor passes requests, commands and outcomes on to the successor until this process may end: when
+// it is told to stop, or when no client is left and no call is in flight.
 func (n *Node) serveSuccessor(ctx context.Context, stopped, disconnected <-chan struct{}) error {
-	linkClosed := make(chan struct{})
+	connClosed := make(chan struct{})
 	go func() { // until either side closes the connection
-		defer close(linkClosed)
+		defer close(connClosed)
 		for {
 			m, err := n.successor.receive()
 			if err != nil {
@@ -646,7 +654,7 @@
 	defer n.successor.conn.Close()
 	pending := map[uint64]func(forwardedAnswer){}
 	abandonPending := func() {
-		for number, deliver := range pending { // nobody can tell what became of them
+		for number, deliver := range pending { // nobody can tell how these ended
 			delete(pending, number)
 			deliver(forwardedAnswer{OutcomeUnknown: true})
 		}
@@ -675,7 +683,7 @@
 			n.successor.send(handoverMessage{Command: &forwardedCommand{n.lastForwarded, o.id, o.enable}})
 			continue
 		case other := <-n.successors:
-			other.conn.Close() // it will find the successor
+			other.conn.Close() // the other process tries again and will find the successor
 			continue
 		case <-disconnected:
 			disconnected = nil
@@ -687,8 +695,8 @@
 			}
 			abandonPending()
 			continue
-		case <-linkClosed:
-			linkClosed, stopping, disconnected, err = nil, true, nil, ErrSuccessorGone
+		case <-connClosed:
+			connClosed, stopping, disconnected, err = nil, true, nil, ErrSuccessorGone
 			n.successor.conn.Close()
 			for _, c := range n.outstanding { // a repeatable message must not have two attempts in flight
 				c.cancel()
@@ -733,7 +741,7 @@
 	return err
 }
 
-// takeOutcome removes a call from those in flight, and returns how it ended.
+// takeOutcome removes a call from those in flight, and returns its outcome for the successor.
 func (n *Node) takeOutcome(c callEnd) *callOutcome {
 	o := &callOutcome{
 		Endpoint: c.endpoint.id, Duration: c.took, Outcome: itemResult{c.outcome, c.final, c.ambiguous}.forSuccessor(),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,21 +25,21 @@
 	// epoch is the module's time when the process starts. It leaves room for times before a restart, which
 	// must stay above zero.
 	epoch      = 48 * time.Hour
-	maxBatch   = 256 // events in one Step
+	maxBatch   = 256 // maximum number of events in one Step
 	eventQueue = 1024
 	// After SIGTERM clients keep connecting for 0.4 s, and SIGKILL follows after 3.7 s. The module learns at
-	// once when the node will stop, and sends what can end before that. Messages are accepted all the while:
-	// the journal keeps them for the next start.
+	// once when the node will stop, and sends the messages whose calls can end before that. Messages are
+	// accepted all that time: the journal keeps them for the next start.
 	stopAfter       = 3200 * time.Millisecond
 	disconnectAfter = 3 * time.Second // clients are disconnected from then on, which takes 0.1 s, or half a second if some are slow
 )
 
 // Shares of the file descriptors that the process may hold.
 const (
-	defaultSockets         = 256 // the least that a platform gives
-	clientSocketsDivisor   = 2   // clients may hold a half,
-	operatorSocketsDivisor = 16  // operators a sixteenth
-	nodeDescriptors        = 24  // journal and its next file, lock, logs, listeners, discovery, notices, the runtime's
+	defaultSockets         = 256 // the least that any platform allows
+	clientSocketsDivisor   = 2   // clients may hold half of them,
+	operatorSocketsDivisor = 16  // and operators a sixteenth
+	nodeDescriptors        = 24  // of the node itself: journal and its next file, lock, logs, listeners, discovery, notices, the Go runtime's
 	minIdle                = 8
 )
 
@@ -53,8 +53,8 @@
 // guardedAction runs once the journal records before it are written.
 type guardedAction struct {
 	run func()
-	// From then on the action needs no record: a message past its deadline is not sent any more, so a later
-	// process that does not know of its end could only end it again. Zero means never.
+	// From this time on the action needs no record. A message past its deadline is not sent any more, so a
+	// later process that does not know of its end could only end it again. Zero means never.
 	unguardedFrom time.Time
 }
 
@@ -67,7 +67,7 @@
 }
 
 // Node is a delivery node. Package choice, called the module here, makes its decisions. The goroutine that
-// runs loop owns every field that is not marked as shared.
+// runs loop owns every field that is not marked as shared. See Run for the other goroutines.
 type Node struct {
 	cfg              Config
 	log              *slog.Logger
@@ -83,34 +83,34 @@
 	messages         map[string]*pendingMessage // all messages in the journal, by ID
 	outstanding      map[attemptKey]outstandingCall
 	endpoints        map[string]*endpoint
-	destinationWaits map[int]*atomic.Int64 // of destinations whose endpoints share a wait
-	owedNotices      []notice              // not yet handed to the reporter
-	openMessages     int                   // messages without a final answer
-	actions          []guardedAction       // wait for the records that guard them, in order
+	destinationWaits map[int]*atomic.Int64 // by destination, if its endpoints share one wait
+	owedNotices      []notice              // not yet taken by reportNotices
+	openMessages     int                   // number of messages without a final answer
+	actions          []guardedAction       // waiting for the records that guard them to be written, in order
 	metrics          *metrics
 	stage            atomic.Int32  // shared
-	revision         atomic.Int64  // shared; of the list that the module applied last
-	wakeAt           time.Duration // of the module; 0 for none
+	revision         atomic.Int64  // shared; of the list that the module got last
+	wakeAt           time.Duration // when the module asked to be woken; 0 for none
 	// The time since which the journal can't be written; zero while it can.
 	journalDownSince time.Time
 	calls            sync.WaitGroup
 
-	members      map[string]catalog.Endpoint // the list that discovery told last
-	listPosition registry.Position           // where in discovery's lists the node is
+	members      map[string]catalog.Endpoint // the endpoints of the last list, by ID
+	listPosition registry.Position           // history and revision of the last list
 	listCache    *listCache                  // nil if the list is not cached
-	ownership    *ownershipState             // nil without [ownership]
+	ownership    *ownershipState             // nil without an [ownership] section in the fleet file
 
 	// For the handover between processes; see handover.go.
 	listener         net.Listener
-	lock             *os.File // nil if the node can't be handed over, as in tests
+	lock             *os.File // held while this process has the node; nil in tests without handover
 	handoverListener *net.UnixListener
 	successors       chan *handoverConn
 	successor        *handoverConn // the process that has taken over, if any
 	predecessor      *handoverConn // the process that this one took over from, while it runs
-	lastForwarded    uint64        // of the requests forwarded to the successor
+	lastForwarded    uint64        // number of the last request or command that was forwarded to the successor
 }
 
-// Events of the loop.
+// Events of the loop, besides those of other files.
 type (
 	arrival struct {
 		request
@@ -143,7 +143,7 @@
 
 var stageReasons = [...]string{stageStarting: "starting", stageStopping: "leaving", stageHandedOver: "handed over to another process"}
 
-// New loads the journal. No other process may use its folder.
+// New returns a node with the state of the journal. No other process may use the journal's folder.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
 	j, err := openJournal(cfg.StateDir, cfg.journalMB())
 	if err != nil {
@@ -153,7 +153,7 @@
 		log.Warn("part of the journal is unreadable; the messages that it may concern end as failed", "part", j.corruption)
 	}
 	position := registry.Position{Revision: cfg.InitialList.Revision, Server: cfg.Discovery}
-	if !slices.Contains(cfg.DiscoveryAddresses(), cfg.Discovery) { // revisions of another source can't be compared
+	if !slices.Contains(cfg.DiscoveryAddresses(), cfg.Discovery) { // revisions of different servers can't be compared
 		position = registry.Position{}
 	}
 	cache := openListCache(cfg, log)
@@ -177,9 +177,9 @@
 	}, nil
 }
 
-// splitDescriptors divides what clients, who may fill their half at any time, and operators leave of the
-// process's limit. The node's own descriptors come first; the rest holds one call for each slot, and
-// connections idle between calls.
+// splitDescriptors divides the descriptors that clients and operators leave of the process's limit; clients
+// may use their half at any time. The node's own come first. The rest is for calls, one for each slot, and
+// for idle connections.
 func splitDescriptors(sockets, slots int) (calls, idle int) {
 	remaining := max(sockets-sockets/clientSocketsDivisor-sockets/operatorSocketsDivisor-nodeDescriptors, 2*minIdle)
 	if slots <= 0 || slots > remaining-minIdle {
@@ -203,8 +203,8 @@
 	return ""
 }
 
-// CurrentList returns the revision of the list in force in the loop, as its source counts, and the number of
-// endpoints. It is safe for concurrent use.
+// CurrentList returns the revision of the list that the module has, as its server counts, and the number of
+// endpoints in it. It is safe for concurrent use.
 func (n *Node) CurrentList() (revision int64, endpoints int) {
 	revision = n.revision.Load()
 	return revision, int(n.metrics.listedEndpoints.Load()) // of that revision or a later one
@@ -220,16 +220,18 @@
 	return h.Sum64()
 }
 
-// now returns the module's time, and moduleTime the module's time at t.
+// now returns the module's time now, moduleTime that at a wall clock time, and wallTime the wall clock time
+// at a module's time.
 func (n *Node) now() time.Duration { return n.moduleTime(time.Now()) }
 
 func (n *Node) moduleTime(t time.Time) time.Duration { return epoch + t.Sub(n.clockStart) }
 
 func (n *Node) wallTime(d time.Duration) time.Time { return n.clockStart.Add(d - epoch) }
 
-// Run serves clients on ln until ctx ends. Then it finishes what it can; the journal keeps the rest.
+// Run serves clients on ln until ctx ends or another process has taken over. Then it finishes what it can;
+// the journal keeps the rest.
 func (n *Node) Run(ctx context.Context, ln net.Listener) error {
-	// The background tasks outlive ctx by the time that stopping takes.
+	// The background tasks run on after ctx ends, for the time that stopping takes.
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	defer close(n.done)
@@ -281,7 +283,7 @@
 		disconnected := make(chan struct{})
 		tasks.Go(func() {
 			defer close(disconnected)
-			clients.close(requestTimeout + shutdownGrace) // nothing waits for this process to end, so they may take their time
+			clients.close(requestTimeout + shutdownGrace) // nothing waits for this process to end, so clients may finish what they are sending
 		})
 		err = n.serveSuccessor(runCtx, stopped, disconnected)
 	} else {
@@ -301,14 +303,14 @@
 	return err
 }
 
-// cancelCalls cancels the calls in flight and waits for the end of each. It drops those of the predecessor,
-// which may have run.
+// cancelCalls cancels the calls in flight and waits until each has ended. The predecessor's calls are only
+// dropped; their attempts may have run.
 func (n *Node) cancelCalls(ctx context.Context) {
 	maps.DeleteFunc(n.outstanding, func(_ attemptKey, c outstandingCall) bool { return c.fromPredecessor })
 	for _, c := range n.outstanding {
 		c.cancel()
 	}
-	for len(n.outstanding) > 0 { // each canceled call ends with an event
+	for len(n.outstanding) > 0 { // each canceled call sends a callEnd
 		n.handleBatch(ctx, []any{<-n.events})
 	}
 }
@@ -321,20 +323,21 @@
 	}
 }
 
-// followDiscovery runs the watch and the reports at discovery's addresses, and moves both when these change.
-// A new server is asked for the whole list, so that nothing is missed. A list older than the last one is not
-// applied, as it could undo a drain. Unanswered notices go to the new address.
+// followDiscovery watches the list and posts notices at discovery's addresses, and restarts both when the
+// addresses change. The new server is asked for the complete list, so that nothing is missed. A list older
+// than the last one is not applied, because it could undo a drain. Unanswered notices go to the new
+// addresses.
 func (n *Node) followDiscovery(ctx context.Context) {
 	addrs := n.cfg.DiscoveryAddresses()
-	track := registry.NewCursor(n.listPosition) // one watch at a time uses it
+	cursor := registry.NewCursor(n.listPosition) // used by one watch at a time
 	var unanswered []notice
 	for ctx.Err() == nil {
 		sourceCtx, stopSource := context.WithCancel(ctx)
 		transport := &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}
 		client := &http.Client{Transport: transport}
-		current := addrs // sources may change while the tasks start
+		current := addrs // addrs may change while the tasks start
 		var tasks sync.WaitGroup
-		w := registry.Watcher{Addresses: current, FleetSize: max(n.cfg.Settings.FleetSize, 1), Client: client, Log: n.log, Cursor: track}
+		w := registry.Watcher{Addresses: current, FleetSize: max(n.cfg.Settings.FleetSize, 1), Client: client, Log: n.log, Cursor: cursor}
 		if n.listCache != nil {
 			w.OnLine = n.listCache.markConfirmed
 			tasks.Go(func() { n.listCache.run(sourceCtx) })
@@ -353,10 +356,10 @@
 		})
 		for unchanged := true; unchanged; { // the same addresses again change nothing
 			select {
-			case to := <-n.newAddresses:
-				if !slices.Equal(to, addrs) {
-					n.log.Info("discovery has new addresses", "to", strings.Join(to, " "))
-					addrs, unchanged = to, false
+			case newAddrs := <-n.newAddresses:
+				if !slices.Equal(newAddrs, addrs) {
+					n.log.Info("discovery has new addresses", "to", strings.Join(newAddrs, " "))
+					addrs, unchanged = newAddrs, false
 				}
 			case <-ctx.Done():
 				unchanged = false
@@ -365,16 +368,17 @@
 		stopSource()
 		tasks.Wait()
 		transport.CloseIdleConnections()
-		track.ServerChanged(time.Now())
+		cursor.ServerChanged(time.Now())
 	}
 }
 
-// replayJournal returns the first events: the last known list, and the open messages of the journal.
+// replayJournal returns the first events for the module: the last known list, the endpoints that operators
+// disabled and the journal's messages without a final answer.
 func (n *Node) replayJournal() []choice.Event {
 	known := n.cfg.InitialList
 	known.Complete = true
 	var events []choice.Event
-	if n.predecessor == nil { // otherwise the predecessor has told the module
+	if n.predecessor == nil { // else the module got the list from the predecessor
 		events = append(events, n.applyList(known))
 		events = append(events, n.restoreDisabled()...)
 	}
@@ -413,26 +417,26 @@
 	return events
 }
 
-// resumedEvent tells the module of a message from the journal. An attempt not proven not to have run may have
-// run.
+// resumedEvent returns the event that tells the module of a message from the journal. An attempt may have run
+// unless it is proven that it has not.
 func (n *Node) resumedEvent(m *pendingMessage) choice.MessageResumed {
 	r := choice.MessageResumed{MessageArrived: n.arrivedEvent(m, m.deadline), Attempts: len(m.attempts)}
-	for _, s := range m.attempts {
-		r.Failed = r.Failed || s.failed
-		if !s.notRun && !r.MayHaveRun {
-			r.MayHaveRun, r.MayHaveRunSince, r.Zone = true, n.moduleTime(s.sentAt), s.zone
+	for _, a := range m.attempts {
+		r.Failed = r.Failed || a.failed
+		if !a.notRun && !r.MayHaveRun {
+			r.MayHaveRun, r.MayHaveRunSince, r.Zone = true, n.moduleTime(a.sentAt), a.zone
 		}
 	}
 	return r
 }
 
-// arrivedEvent tells the module of a message. A deadline that has not been through the journal is on the
-// monotonic clock, so that a step of the wall clock does not move it.
+// arrivedEvent returns the event that tells the module of a message. The deadline of a message that arrives
+// now is on the monotonic clock, so that a step of the wall clock does not move it.
 func (n *Node) arrivedEvent(m *pendingMessage, deadline time.Time) choice.MessageArrived {
 	return choice.MessageArrived{ID: m.choiceID(), Class: m.class, Tenant: m.tenant, Dest: m.dest, Key: m.key, Deadline: n.moduleTime(deadline)}
 }
 
-// sendEvent passes an event to the loop.
+// sendEvent passes an event to the loop, unless ctx ends first.
 func (n *Node) sendEvent(ctx context.Context, e any) {
 	select {
 	case n.events <- e:
@@ -478,8 +482,8 @@
 		case notices <- n.owedNotices:
 			n.owedNotices = nil
 			continue
-		case o := <-n.commands:
-			batch = append(batch, o)
+		case command := <-n.commands:
+			batch = append(batch, command)
 		case conn := <-n.successors:
 			if n.handOver(conn) {
 				return
@@ -500,8 +504,8 @@
 	}
 }
 
-// timeToWake returns the time to the module's next wake, or to the next attempt to write a journal that could
-// not be written.
+// timeToWake returns the time until the module wants to be woken, or until the next try to write a journal
+// that could not be written.
 func (n *Node) timeToWake() time.Duration {
 	wait := time.Hour
 	if n.wakeAt > 0 {
@@ -513,16 +517,17 @@
 	return wait
 }
 
-// newMessages holds the messages of a batch with the requests of each: an ID may occur more than once.
+// newMessages holds the new messages of a batch by journal number, each with its requests: an ID may be
+// submitted more than once.
 type newMessages map[uint64][]arrival
 
 func (m newMessages) reply(seq uint64, a answer) {
-	for _, c := range m[seq] {
-		c.reply <- a
+	for _, request := range m[seq] {
+		request.reply <- a
 	}
 }
 
-// handleBatch turns a batch into events of the module, and runs a step.
+// handleBatch turns a batch into events for the module and runs a step with them.
 func (n *Node) handleBatch(ctx context.Context, batch []any) {
 	var events []choice.Event
 	added := newMessages{}
@@ -540,8 +545,8 @@
 		case callEnd:
 			events = append(events, n.callEnded(e)...)
 		case noticesTaken:
-			for _, s := range e {
-				n.forget(s.message)
+			for _, answered := range e {
+				n.forget(answered.message)
 			}
 		case choice.Stopping:
 			events = append(events, e)
@@ -554,7 +559,7 @@
 		}
 	}
 	// The module and the clients must not learn of these messages before their records are written.
-	if !n.flushJournal() && len(added) > 0 { // the new messages are refused
+	if !n.flushJournal() && len(added) > 0 { // refuse the new messages
 		events = slices.DeleteFunc(events, func(e choice.Event) bool {
 			_, isNew := e.(choice.MessageArrived)
 			return isNew
@@ -572,15 +577,15 @@
 	n.step(ctx, events, added)
 }
 
-// accept journals a new message and returns it. It answers a request whose message is not new or can't be
-// accepted.
+// accept adds a new message to the journal and returns it. If the request's message is not new or can't be
+// accepted it answers the request instead and returns nil.
 func (n *Node) accept(a arrival, added newMessages) *pendingMessage {
 	m := n.messages[a.id]
 	switch {
-	case m != nil && added[m.seq] != nil: // it is not decided yet whether the message is accepted
+	case m != nil && added[m.seq] != nil: // added in this batch; not accepted yet
 		added[m.seq] = append(added[m.seq], a)
 		return nil
-	case m != nil: // accepted before; submitted again it has no second effect
+	case m != nil: // accepted before; another submission has no effect
 		n.actions = append(n.actions, guardedAction{run: func() { a.reply <- answer{} }})
 		return nil
 	case n.ownership != nil && n.refuseForeign(a):
@@ -607,12 +612,12 @@
 	return m
 }
 
-// refuse answers a request that the node has no room for, before the module learns of it.
+// refuse returns the answer to a request that the node has no room for. The module does not learn of it.
 func (n *Node) refuse(a arrival) answer {
 	return answer{refused: true, retryAfter: n.sender.RetryAfterIfFull(a.class, a.dest)}
 }
 
-// forget removes a message whose end needs no more work.
+// forget removes a message for which nothing is owed any more, and records that in the journal.
 func (n *Node) forget(m *pendingMessage) {
 	if n.messages[m.id] != m {
 		return
@@ -624,14 +629,15 @@
 	n.journal.add(newRecord(recordDone, m.seq))
 }
 
-// applyList updates the endpoints. Calls that have not written their first byte notice it by endpoint.closed.
+// applyList updates the endpoints from a list and returns the event for the module. Calls that have not
+// written their first byte learn of it by endpoint.closed.
 func (n *Node) applyList(l catalog.List) choice.ListUpdate {
 	maps.DeleteFunc(n.destinationWaits, func(dest int, _ *atomic.Int64) bool { return !n.sender.KnowsDestination(dest) })
 	l.Members = slices.DeleteFunc(l.Members, func(m catalog.Endpoint) bool { return m.ID == "" })
 	entries := entries(l.Members, n.cfg.Names)
-	named := map[string]bool{}
+	inList := map[string]bool{}
 	for i, m := range l.Members {
-		named[m.ID] = true
+		inList[m.ID] = true
 		n.members[m.ID] = m
 		if entries[i].Phase == choice.Gone {
 			delete(n.members, m.ID)
@@ -643,16 +649,17 @@
 	}
 	if l.Complete {
 		for id, e := range n.endpoints {
-			if !named[id] {
+			if !inList[id] {
 				n.closeEndpoint(e)
 			}
 		}
-		maps.DeleteFunc(n.members, func(id string, _ catalog.Endpoint) bool { return !named[id] })
+		maps.DeleteFunc(n.members, func(id string, _ catalog.Endpoint) bool { return !inList[id] })
 	}
 	return choice.ListUpdate{Complete: l.Complete, Entries: entries}
 }
 
-// updateEndpoint opens or closes an endpoint for calls, as the list and the operators say.
+// updateEndpoint opens or closes an endpoint for calls, according to its list entry and the operators'
+// commands.
 func (n *Node) updateEndpoint(m catalog.Endpoint, entry choice.Entry) {
 	e := n.endpoints[m.ID]
 	if entry.Phase != choice.Ready || n.journal.disabled[m.ID] {
@@ -685,7 +692,7 @@
 	}
 }
 
-// applyCommand carries out an operator's command for an endpoint. A repeated command changes nothing.
+// applyCommand carries out an operator's command for an endpoint. Repeating a command changes nothing.
 func (n *Node) applyCommand(o endpointCommand) []choice.Event {
 	disabled, known := n.journal.disabled[o.id]
 	if !known {
@@ -701,7 +708,7 @@
 		kind = recordEnabled
 	}
 	n.journal.add(endpointRecord(kind, o.id, time.Now()))
-	n.log.Info("endpoint switched by an operator", "endpoint", o.id, "serves", o.enable)
+	n.log.Info("endpoint enabled or disabled by an operator", "endpoint", o.id, "serves", o.enable)
 	if m, listed := n.members[o.id]; listed {
 		n.updateEndpoint(m, entries([]catalog.Endpoint{m}, n.cfg.Names)[0])
 	}
@@ -727,8 +734,8 @@
 	return 1
 }
 
-// waitFor returns the wait that applies to an endpoint: its own if it has a separate route, else that of its
-// destination.
+// waitFor returns the time until which an endpoint gets no calls: its own if it is a separate route, else
+// that of its destination.
 func (n *Node) waitFor(e choice.Entry) *atomic.Int64 {
 	if kinds := n.cfg.Settings.Kinds; e.Kind >= 0 && e.Kind < len(kinds) && kinds[e.Kind].SeparateRoutes {
 		return new(atomic.Int64)
@@ -739,7 +746,7 @@
 	return n.destinationWaits[e.Dest]
 }
 
-// applyWait stops new calls to an endpoint for the time that its answer asked for.
+// applyWait stops new calls to an endpoint for the retry-after of its answer.
 func (e callEnd) applyWait() {
 	if e.retryAfter > 0 {
 		until := time.Now().Add(e.retryAfter).UnixNano()
@@ -747,8 +754,8 @@
 	}
 }
 
-// callEnded records the outcome of a call for each of its messages. Without such a record the attempt may
-// have run.
+// callEnded records the outcome of a call for each of its messages and returns the events for the module.
+// After a restart, an attempt without a recorded outcome may have run.
 func (n *Node) callEnded(e callEnd) []choice.Event {
 	e.applyWait()
 	if e.retryAfter > 0 && n.predecessor != nil {
@@ -786,10 +793,10 @@
 	return events
 }
 
-// step lets the module decide and carries out its actions, in order, once the records that guard them are
-// written. The clients of added still wait to hear whether their messages are accepted.
+// step passes events to the module and carries out the actions that it decides on, in order, once the records
+// that guard them are written. The clients in added are told here whether their messages are accepted.
 func (n *Node) step(ctx context.Context, events []choice.Event, added newMessages) {
-	calls := map[uint64]*outgoingCall{} // by the module's number: calls that later sends of this step may join
+	calls := map[uint64]*outgoingCall{} // calls of this step, by the module's number; later sends may join them
 	for _, a := range n.sender.Step(n.now(), events) {
 		switch a := a.(type) {
 		case choice.Send:
@@ -828,8 +835,8 @@
 	n.actions = n.actions[:0]
 }
 
-// flushJournal writes the journal and reports whether it could. It logs only changes of that: an unwritable
-// journal is tried again ten times a second and at every message.
+// flushJournal writes the journal and reports whether that succeeded. It logs only changes between the two:
+// an unwritable journal is tried again ten times a second and at every message.
 func (n *Node) flushJournal() bool {
 	err := n.journal.flush()
 	switch {
@@ -843,8 +850,8 @@
 	return err == nil
 }
 
-// runUnguarded runs the actions that need no record any more while the journal can't be written. A full disk
-// must not keep the end of a message from the platform, nor from the module that a call was never begun.
+// runUnguarded runs the actions that need no record any more, while the journal can't be written. A full disk
+// must not hide the end of a message from the platform, nor hide from the module that a call was never begun.
 func (n *Node) runUnguarded(now time.Time) {
 	n.actions = slices.DeleteFunc(n.actions, func(a guardedAction) bool {
 		if a.unguardedFrom.IsZero() || now.Before(a.unguardedFrom) {
@@ -868,7 +875,7 @@
 }
 
 // finishMessage gives a message its final answer: to its clients if they still wait, else by a notice.
-func (n *Node) finishMessage(id string, e finalAnswer, added newMessages) {
+func (n *Node) finishMessage(id string, final finalAnswer, added newMessages) {
 	m := n.journal.live[parseChoiceID(id)]
 	if m == nil || m.final != nil {
 		return
@@ -876,36 +883,36 @@
 	if all, ok := added[m.seq]; ok {
 		delete(added, m.seq)
 		n.forget(m)
-		reply := answer{refused: true, retryAfter: e.retryAfter}
-		if e.failed {
+		reply := answer{refused: true, retryAfter: final.retryAfter}
+		if final.failed {
 			reply = answer{failure: "the message failed"}
 		}
 		n.actions = append(n.actions, guardedAction{run: func() { newMessages{m.seq: all}.reply(m.seq, reply) }})
 		return
 	}
 	n.openMessages--
-	n.metrics.countUndelivered(m.class, e.failed)
-	n.journal.add(finalRecord(m.seq, e))
+	n.metrics.countUndelivered(m.class, final.failed)
+	n.journal.add(finalRecord(m.seq, final))
 	notice := newNotice(m)
 	n.actions = append(n.actions, guardedAction{run: func() { n.owedNotices = append(n.owedNotices, notice) }, unguardedFrom: m.deadline})
 }
 
-// outgoingCall is a call while a step gathers its messages.
+// outgoingCall is a call to which a step may still add messages.
 type outgoingCall struct {
 	call
 	attempts    []attemptKey
 	messages    []*pendingMessage
-	size        int // of its items in the body of a batch, at most
-	actionIndex int // index in actions
+	size        int // bytes that its items may take in the body of a batch, at most
+	actionIndex int // index of its start in Node.actions
 }
 
-// send journals an attempt, and makes the call once that is written. Messages that the module sends together
-// share one call, as far as the batch size of their kind and the size of a body allow: the module counts one
-// slot for it, and the endpoint one call.
+// send records an attempt, and makes the call once the record is written. Messages that the module sends
+// together share one call, as far as the batch size of their kind and the size of a body allow: the module
+// counts one slot for it, and the endpoint one call.
 func (n *Node) send(ctx context.Context, a choice.Send, calls map[uint64]*outgoingCall) {
 	m, e := n.journal.live[parseChoiceID(a.ID)], n.endpoints[a.Endpoint]
 	if m == nil {
-		return // module and journal differ only if the journal was lost in a handover
+		return // the module knows a message that the journal lacks only if the journal was lost in a handover
 	}
 	if e == nil {
 		// The list has just dropped the endpoint. The call ends as Stale, which proves that it has not run.
@@ -936,17 +943,17 @@
 		o.startBy = t
 	}
 	o.newConn = o.newConn || a.NewConn
-	n.actions[o.actionIndex].unguardedFrom = o.deadline // begun after that, it ends at once as not sent
+	n.actions[o.actionIndex].unguardedFrom = o.deadline // begun after that, it ends at once as Stale
 }
 
-// countWritten counts the messages of a call whose last byte is written.
+// countWritten counts the attempts of a call whose last byte is written.
 func (n *Node) countWritten(o *outgoingCall) {
 	for _, m := range o.messages {
 		countClass(n.metrics.tries, m.class)
 	}
 }
 
-// startCall makes a call whose attempts are journaled.
+// startCall makes a call whose attempts are recorded in the journal.
 func (n *Node) startCall(ctx context.Context, o *outgoingCall) {
 	ctx, cancel := context.WithCancel(ctx)
 	for i, key := range o.attempts {
@@ -958,9 +965,9 @@
 		res := n.pool.do(ctx, o.call)
 		took := time.Since(began)
 		if !res.firstLineAt.IsZero() {
-			took = res.firstLineAt.Sub(began) // the rest of a broken answer may take its time
+			took = res.firstLineAt.Sub(began) // only until the first line: the rest of a broken answer may take longer
 		}
-		// Not by sendEvent: the loop takes the end of every call, also while the node stops.
+		// Not by sendEvent: the loop must learn of the end of every call, also while the node stops.
 		n.events <- callEnd{o.attempts, o.endpoint, res, took}
 	})
 }
