--- a/internal/lab/trial/formats_test.go
+++ b/internal/lab/trial/formats_test.go
@@ -83,28 +83,29 @@
 
 // The names that settings, flags, results and reports have.
 func TestNames(t *testing.T) {
-	var faultNames, ownFaultNames []string
+	var faultNames, ownershipFaultNames []string
 	for _, f := range faults {
 		faultNames = append(faultNames, f.name)
 	}
 	for _, f := range ownershipFaults {
-		ownFaultNames = append(ownFaultNames, f.name)
+		ownershipFaultNames = append(ownershipFaultNames, f.name)
 	}
 	raw, err := json.MarshalIndent(map[string]any{
 		"faults":           faultNames,
-		"ownership faults": ownFaultNames,
+		"ownership faults": ownershipFaultNames,
 		"boundaries":       interruptions,
 		"breaches":         InjectedViolations,
-		"rules":            []OwnershipRule{RuleUniqueMaps, RuleForwardOnly, RuleTimelyRelease, RuleOwnersOnly, RuleFilteredLists, RuleAnswers, RuleMessagesEnd, RuleRecovery},
-		"kinds":            []OperationKind{Read, Put, CompareAndSwap},
-		"outcomes":         []Outcome{Done, Conflict, Ambiguous},
-		"ends":             []string{RanAtPartner, AnsweredByPartner, NoticeFailed, NoticeReturned},
-		"classes":          classNames,
-		"unknown":          unknownDestination,
-		"nodes":            nodeName(3),
-		"record":           leaseRecord,
-		"map path":         mapPath,
-		"headers":          []string{headerPartitions, headerMap},
+		"rules": []OwnershipRule{RuleUniqueMaps, RuleForwardOnly, RuleTimelyRelease, RuleOwnersOnly, RuleFilteredLists, RuleAnswers,
+			RuleMessagesEnd, RuleRecovery},
+		"kinds":    []OperationKind{Read, Put, CompareAndSwap},
+		"outcomes": []Outcome{Done, Conflict, Ambiguous},
+		"ends":     []string{RanAtPartner, AnsweredByPartner, NoticeFailed, NoticeReturned},
+		"classes":  classNames,
+		"unknown":  unknownDestination,
+		"nodes":    nodeName(3),
+		"record":   leaseRecord,
+		"map path": mapPath,
+		"headers":  []string{headerPartitions, headerMap},
 	}, "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/trial/ownership_node.go
+++ b/internal/lab/trial/ownership_node.go
@@ -30,46 +30,49 @@
 	adminPort   = 9100
 	frontPort   = 8600
 	partnerPort = 9000
-	// Third bytes of addresses in the trial's block.
+	// Third bytes of the addresses in the trial's block.
 	nodeHost      = 1
-	frontHost     = 10 // and so many more as there are replicas
-	frontLinkHost = 20 // likewise: where nodes reach their fronts
+	frontHost     = 10 // the first of replicaCount
+	frontLinkHost = 20 // the first of replicaCount; where nodes reach their fronts
 	partnerHost   = 30
 
-	readyWait         = 30 * time.Second
+	readyTimeout      = 30 * time.Second
 	stopTimeout       = 10 * time.Second
-	messageLifetime   = 2 * time.Second // of a message, and the longest deadline of a class
-	clientTimeout     = 3 * time.Second // for an answer
+	messageLifetime   = 2 * time.Second // also the longest deadline of a class
+	clientTimeout     = 3 * time.Second // for an answer to a submission
 	maxAnswerDelay    = 900 * time.Millisecond
 	minAnswerDelay    = 3 * time.Millisecond // of a partner
 	classIdempotent   = 0
 	classDeduplicated = 1
 	classAtMostOnce   = 2
-	maxOpenMessages   = 4096 // messages that a node holds at most
+	maxOpenMessages   = 4096 // high enough that a node never refuses a message because it holds too many
 )
 
 var classNames = [...]string{classIdempotent: "notice", classDeduplicated: "order", classAtMostOnce: "payout"}
 
-// settingsOf is what the platform tells a node as its settings.
+// nodeSettings returns the settings that a node gets from the platform.
 func nodeSettings(node int, zones []string, nodes int) (json.RawMessage, error) {
-	class := func(n int, e judge.Effect) experiment.ClassPlan {
-		return experiment.ClassPlan{Name: classNames[n], SoftDeadline: time.Second, Deadline: messageLifetime, Worth: 1, WorthAtDeadline: 0.5, Effect: e, Window: time.Minute}
+	class := func(n int, effect judge.Effect) experiment.ClassPlan {
+		return experiment.ClassPlan{Name: classNames[n], SoftDeadline: time.Second, Deadline: messageLifetime, Worth: 1,
+			WorthAtDeadline: 0.5, Effect: effect, Window: time.Minute}
 	}
-	p := experiment.Plan{
+	plan := experiment.Plan{
 		Zones: zones, PartnerKinds: []string{"hook"}, Tenants: []experiment.TenantPlan{{Name: "m", Share: 1, Allowance: 1e6}},
-		Classes: []experiment.ClassPlan{class(classIdempotent, judge.EffectIdempotent), class(classDeduplicated, judge.EffectDeduplicated), class(classAtMostOnce, judge.EffectAtMostOnce)},
+		Classes: []experiment.ClassPlan{class(classIdempotent, judge.EffectIdempotent),
+			class(classDeduplicated, judge.EffectDeduplicated), class(classAtMostOnce, judge.EffectAtMostOnce)},
 		Rules: experiment.RulesPlan{
-			MaxAttempts: 6, DrainGrace: time.Second, CollapseMultiple: 1.5, CollapseSpan: 2 * time.Second, SlowStartFrom: 0.3, SlowStartDuration: 2 * time.Second,
-			DialTimeout: time.Second, ConnIdleTimeout: 5 * time.Second, MaxRetryAfter: 3 * time.Second,
+			MaxAttempts: 6, DrainGrace: time.Second, CollapseMultiple: 1.5, CollapseSpan: 2 * time.Second, SlowStartFrom: 0.3,
+			SlowStartDuration: 2 * time.Second,
+			DialTimeout:       time.Second, ConnIdleTimeout: 5 * time.Second, MaxRetryAfter: 3 * time.Second,
 		},
 	}
 	for i := range nodes {
-		p.Nodes = append(p.Nodes, experiment.NodePlan{Zone: i % len(zones), Slots: 64, MaxOpen: maxOpenMessages})
+		plan.Nodes = append(plan.Nodes, experiment.NodePlan{Zone: i % len(zones), Slots: 64, MaxOpen: maxOpenMessages})
 	}
-	return p.Settings(node)
+	return plan.Settings(node)
 }
 
-// ownedNode is one delivery node: its folder, its fronts, and the process that is it now.
+// deliveryNode is one delivery node: its folder, its fronts, and its present process.
 type deliveryNode struct {
 	trial   *ownershipTrial
 	number  int
@@ -85,27 +88,29 @@
 
 func (t *ownershipTrial) newNode(number int) (*deliveryNode, error) {
 	n := &deliveryNode{trial: t, number: number, name: nodeName(number), folder: filepath.Join(t.options.Dir, nodeName(number))}
-	for _, d := range []string{"state", "tmp"} {
-		if err := os.MkdirAll(filepath.Join(n.folder, d), 0o700); err != nil {
-			return nil, fmt.Errorf("folder of %s: %w", n.name, err)
+	for _, folder := range []string{"state", "tmp"} {
+		if err := os.MkdirAll(filepath.Join(n.folder, folder), 0o700); err != nil {
+			return nil, fmt.Errorf("create the folder of %s: %w", n.name, err)
 		}
 	}
 	var err error
 	if n.logFile, err = os.Create(filepath.Join(n.folder, "log")); err != nil {
-		return nil, fmt.Errorf("log of %s: %w", n.name, err)
+		return nil, fmt.Errorf("create the log of %s: %w", n.name, err)
 	}
 	var addresses []string
-	for i, r := range t.replicas {
-		reached := fmt.Sprintf("%s:%d", t.block.IP(frontLinkHost+i, number+1), frontPort)
-		f, err := openFront(t, number, i, fmt.Sprintf("%s:%d", t.block.IP(frontHost+i, number+1), frontPort), reached, r.AdvertisedAddr(0))
+	for i, replica := range t.replicas {
+		linkAddr := fmt.Sprintf("%s:%d", t.block.IP(frontLinkHost+i, number+1), frontPort)
+		front, err := openFront(t, number, i, fmt.Sprintf("%s:%d", t.block.IP(frontHost+i, number+1), frontPort), linkAddr,
+			replica.AdvertisedAddr(0))
 		if err != nil {
-			return n, fmt.Errorf("front of %s: %w", n.name, err)
+			return n, fmt.Errorf("open a front of %s: %w", n.name, err)
 		}
-		n.fronts = append(n.fronts, f)
-		addresses = append(addresses, strconv.Quote(reached))
+		n.fronts = append(n.fronts, front)
+		addresses = append(addresses, strconv.Quote(linkAddr))
 	}
-	text := fmt.Sprintf("[registry]\naddresses = [%s]\nkeep_kb = 64\n[ownership]\nname = %q\nowners = %d\n", strings.Join(addresses, ", "), n.name, ownersPerPartition)
-	if err := os.WriteFile(filepath.Join(n.folder, "fleet.toml"), []byte(text), 0o600); err != nil {
+	fleetConfig := fmt.Sprintf("[registry]\naddresses = [%s]\nkeep_kb = 64\n[ownership]\nname = %q\nowners = %d\n",
+		strings.Join(addresses, ", "), n.name, ownersPerPartition)
+	if err := os.WriteFile(filepath.Join(n.folder, "fleet.toml"), []byte(fleetConfig), 0o600); err != nil {
 		return n, err
 	}
 	settings, err := nodeSettings(number, t.zones, nodeCount)
@@ -113,7 +118,8 @@
 		return n, err
 	}
 	raw, err := json.Marshal(map[string]any{
-		"name": n.name, "listen": n.clientAddr(), "discovery": discoveryAddr(n), "seed": fmt.Sprintf("%016x", t.options.Seed+uint64(number)), "settings": settings,
+		"name": n.name, "listen": n.clientAddr(), "discovery": discoveryAddr(n),
+		"seed": fmt.Sprintf("%016x", t.options.Seed+uint64(number)), "settings": settings,
 		"known":  catalog.List{Members: []catalog.Endpoint{}},
 		"limits": map[string]any{"cores": 1, "memory_mb": 256, "sockets": 512, "disk_mb": 16},
 	})
@@ -131,19 +137,20 @@
 	return fmt.Sprintf("%s:%d", n.trial.block.IP(nodeHost, n.number+1), clientPort)
 }
 
-// admin is the operators' address of the process that was started last; the one before may still have its own.
+// adminAddr returns the operators' address of the process that was started last; during a handover the one
+// before has another.
 func (n *deliveryNode) adminAddr() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.adminAddrLocked()
 }
 
-// adminAt is that; the lock is held.
+// adminAddrLocked is adminAddr for callers that hold mu.
 func (n *deliveryNode) adminAddrLocked() string {
 	return fmt.Sprintf("%s:%d", n.trial.block.IP(nodeHost, n.number+1), adminPort+n.startCount)
 }
 
-// start starts its process, unless it runs, and returns when it answers.
+// start starts the node's process unless it runs, and returns when it answers a ping.
 func (n *deliveryNode) start(ctx context.Context) error {
 	n.mu.Lock()
 	if n.running == nil || hasExited(n.running) {
@@ -157,30 +164,33 @@
 }
 
 func (n *deliveryNode) awaitServing(ctx context.Context) error {
-	p := n.process()
-	err := await(ctx, n.name+" in service", func() bool { return hasExited(p) || n.ping() })
-	if err == nil && hasExited(p) {
-		err = fmt.Errorf("%s ended %v before it was in service", n.name, p.Wait())
+	process := n.process()
+	err := await(ctx, n.name+" to answer a ping", func() bool { return hasExited(process) || n.ping() })
+	if err == nil && hasExited(process) {
+		err = fmt.Errorf("%s exited (%v) before it answered a ping", n.name, process.Wait())
 	}
 	return err
 }
 
-// launch starts a process; the lock is held.
+// launchLocked starts a process; the caller holds mu.
 func (n *deliveryNode) launchLocked() error {
 	n.startCount++
-	p, err := n.trial.supervisor.Start(proc.Spec{Name: n.name, Command: n.trial.ownershipOptions.Node, Output: n.logFile, MaxDescriptors: 512, Env: []string{
-		"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=" + n.name, "ROUTER_LISTEN=" + n.clientAddr(), "ROUTER_DISCOVERY=" + discoveryAddr(n),
-		"ROUTER_STATE=" + filepath.Join(n.folder, "state"), "ROUTER_CONFIG=" + filepath.Join(n.folder, "config.json"), "TMPDIR=" + filepath.Join(n.folder, "tmp"),
-		"ROUTER_FLEET=" + filepath.Join(n.folder, "fleet.toml"), "ROUTER_ADMIN_ADDR=" + n.adminAddrLocked(),
-	}})
+	process, err := n.trial.supervisor.Start(proc.Spec{Name: n.name, Command: n.trial.ownershipOptions.Node, Output: n.logFile,
+		MaxDescriptors: 512, Env: []string{
+			"PATH=" + os.Getenv("PATH"), "ROUTER_NAME=" + n.name, "ROUTER_LISTEN=" + n.clientAddr(),
+			"ROUTER_DISCOVERY=" + discoveryAddr(n),
+			"ROUTER_STATE=" + filepath.Join(n.folder, "state"), "ROUTER_CONFIG=" + filepath.Join(n.folder, "config.json"),
+			"TMPDIR=" + filepath.Join(n.folder, "tmp"),
+			"ROUTER_FLEET=" + filepath.Join(n.folder, "fleet.toml"), "ROUTER_ADMIN_ADDR=" + n.adminAddrLocked(),
+		}})
 	if err == nil {
-		n.running = p
+		n.running = process
 	}
 	return err
 }
 
-// handOver starts another process, which takes over, and ends the one that was there.
-func (n *deliveryNode) handOver(ctx context.Context, after time.Duration) error {
+// handOver starts a second process, which takes over, and ends the first one after a delay.
+func (n *deliveryNode) handOver(ctx context.Context, delay time.Duration) error {
 	n.mu.Lock()
 	old := n.running
 	err := n.launchLocked()
@@ -188,7 +198,7 @@
 	if err != nil {
 		return err
 	}
-	registry.Sleep(ctx, after)
+	registry.Sleep(ctx, delay)
 	if err := old.Terminate(ctx, stopTimeout); err != nil {
 		return err
 	}
@@ -210,7 +220,7 @@
 	return n.running
 }
 
-// kill ends its process at once.
+// kill kills the node's process and waits until it has exited.
 func (n *deliveryNode) kill() error {
 	p := n.process()
 	err := p.Signal(syscall.SIGKILL)
@@ -219,20 +229,20 @@
 }
 
 func (n *deliveryNode) ping() bool {
-	nc, err := net.DialTimeout("tcp", n.clientAddr(), 200*time.Millisecond)
+	conn, err := net.DialTimeout("tcp", n.clientAddr(), 200*time.Millisecond)
 	if err != nil {
 		return false
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(time.Second))
-	if _, err := io.WriteString(nc, "*1\r\n$4\r\nPING\r\n"); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(time.Second))
+	if _, err := io.WriteString(conn, "*1\r\n$4\r\nPING\r\n"); err != nil {
 		return false
 	}
-	line, err := bufio.NewReader(nc).ReadString('\n')
+	line, err := bufio.NewReader(conn).ReadString('\n')
 	return err == nil && line == "+PONG\r\n"
 }
 
-// ready asks the operators' address, and tells what it says otherwise.
+// ready tells whether the operators' address reports the node as ready, and what it answers.
 func (n *deliveryNode) ready(ctx context.Context) (bool, string) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -249,17 +259,17 @@
 	return err == nil && resp.StatusCode == http.StatusOK, strings.TrimSpace(string(raw))
 }
 
-// list is the list that the node keeps in its folder.
+// savedList returns the list that the node stores in its folder.
 func (n *deliveryNode) savedList() (map[string]catalog.Endpoint, error) {
 	raw, err := os.ReadFile(filepath.Join(n.folder, "state", "share", "list.json"))
 	if err != nil {
 		return nil, err
 	}
-	var l catalog.List
-	if err := json.Unmarshal(raw, &l); err != nil {
+	var list catalog.List
+	if err := json.Unmarshal(raw, &list); err != nil {
 		return nil, err
 	}
-	return endpointsByID(l), nil
+	return endpointsByID(list), nil
 }
 
 func (n *deliveryNode) close() {
@@ -269,27 +279,27 @@
 	n.logFile.Close()
 }
 
-// handIn hands a message in, on a connection of its own, and waits for the answer.
-func (n *deliveryNode) submit(id string, class, dest int, left time.Duration) (state string, wait time.Duration, why string) {
-	words := fmt.Sprintf("c=%s,t=m,d=%d,dest=%d", classNames[class], left.Milliseconds(), dest)
+// submit submits a message on a connection of its own and waits for the answer.
+func (n *deliveryNode) submit(id string, class, destination int, timeLeft time.Duration) (state string, wait time.Duration, why string) {
+	attributes := fmt.Sprintf("c=%s,t=m,d=%d,dest=%d", classNames[class], timeLeft.Milliseconds(), destination)
 	if class == classDeduplicated {
-		words += ",k=" + id
+		attributes += ",k=" + id
 	}
-	nc, err := net.DialTimeout("tcp", n.clientAddr(), time.Second)
+	conn, err := net.DialTimeout("tcp", n.clientAddr(), time.Second)
 	if err != nil {
 		return history.Unsent, 0, ""
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(clientTimeout))
-	var b strings.Builder
-	b.WriteString("*5\r\n")
-	for _, w := range []string{"ENQUEUE", strings.Repeat("0", 16), id, words, "x"} {
-		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(w), w)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(clientTimeout))
+	var request strings.Builder
+	request.WriteString("*5\r\n")
+	for _, word := range []string{"ENQUEUE", strings.Repeat("0", 16), id, attributes, "x"} {
+		fmt.Fprintf(&request, "$%d\r\n%s\r\n", len(word), word)
 	}
-	if _, err := io.WriteString(nc, b.String()); err != nil {
+	if _, err := io.WriteString(conn, request.String()); err != nil {
 		return history.ConnectionLost, 0, ""
 	}
-	line, err := bufio.NewReader(nc).ReadString('\n')
+	line, err := bufio.NewReader(conn).ReadString('\n')
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return history.ClientTimedOut, 0, ""
@@ -301,7 +311,7 @@
 	case strings.HasPrefix(line, "+"):
 		return history.Taken, 0, ""
 	case line == "-BUSY" || strings.HasPrefix(line, "-BUSY "):
-		ms, _ := strconv.ParseInt(strings.TrimPrefix(strings.TrimPrefix(line, "-BUSY"), " "), 10, 64) // none told: 0
+		ms, _ := strconv.ParseInt(strings.TrimPrefix(strings.TrimPrefix(line, "-BUSY"), " "), 10, 64) // 0 if the node tells no time
 		return history.Refused, time.Duration(ms) * time.Millisecond, ""
 	}
 	return history.Failed, 0, strings.TrimPrefix(line, "-ERR ")
