--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -75,7 +75,7 @@
 // callResult is how a call ended. Without perItem it holds for all items.
 type callResult struct {
 	outcome     choice.Outcome
-	perItem     []itemResult  // in the order of the items, if the answer to a batch has a state for each
+	perItem     []itemResult  // in the order of the items, if the answer to a batch was read
 	retryAfter  time.Duration // the wait that the answer asks for, 0 for none
 	noSlot      bool          // the endpoint had no slot for the call
 	final       bool          // as in itemResult
