--- a/fleet/judge/judge.go
+++ b/fleet/judge/judge.go
@@ -22,11 +22,11 @@
 	OneAttemptAtATime Rule = "one-copy" // no two attempts of a message are in flight at once
 	AtMostOnce        Rule = "once"     // a message that must not run twice is not sent, returned or run again once it may have run
 	KeyWindow         Rule = "window"   // deduplicated messages are repeated within their window or not at all
-	Drain             Rule = "drain"    // no new calls to an endpoint that drains or is deleted, one second after the change was announced
+	Drain             Rule = "drain"    // no new calls to an endpoint from Config.DrainGrace after it was announced as draining or deleted
 	RetryAfter        Rule = "wait"     // a partner that told a retry-after gets no calls until it has passed
 	SlowStart         Rule = "cold"     // no partner in slow start collapses by calls from nodes that saw its outage
-	MaxAttempts       Rule = "attempts" // a message has at most so many attempts
-	Slots             Rule = "slots"    // a node has at most so many calls in flight
+	MaxAttempts       Rule = "attempts" // a message has at most Config.MaxAttempts attempts
+	Slots             Rule = "slots"    // a node has at most as many calls in flight as it has slots
 	WrongPartner      Rule = "foreign"  // a partner gets only messages that were submitted for it
 	AnswerGiven       Rule = "answer"   // a client that sent a complete request gets an answer
 	Alive             Rule = "alive"    // no crash, no failed start, no resource limit exceeded
@@ -48,14 +48,14 @@
 type Class struct {
 	Name   string
 	Effect Effect
-	Window time.Duration
+	Window time.Duration // in which the partner drops repeats; only for EffectDeduplicated
 }
 
 // Config holds the parameters of the rules. A zero slack means none.
 type Config struct {
 	Classes          []Class
-	MaxAttempts      int // 0: unlimited
-	Slots            []int
+	MaxAttempts      int           // 0: unlimited
+	Slots            []int         // calls that a node may have in flight, by node; 0: not checked
 	DrainGrace       time.Duration // after a drain was announced
 	Slack            time.Duration // added to every time limit
 	FinalAnswerSlack time.Duration // after a message's deadline, for its final answer
@@ -83,12 +83,12 @@
 	Evidence []history.Event `json:"proof"`
 }
 
-func (b Violation) String() string {
-	s := fmt.Sprintf("%s: node %d at %v", b.Rule, b.Node, b.At.Round(time.Millisecond))
-	if b.ID != "" {
-		s += ", message " + b.ID
+func (v Violation) String() string {
+	s := fmt.Sprintf("%s: node %d at %v", v.Rule, v.Node, v.At.Round(time.Millisecond))
+	if v.ID != "" {
+		s += ", message " + v.ID
 	}
-	return s + ": " + b.Reason
+	return s + ": " + v.Reason
 }
 
 // call is one call as the observers saw it.
@@ -106,8 +106,8 @@
 }
 
 // outcome returns how the call ended for a message, as the node was told. mayHaveRun is true unless the node
-// has proof that the message did not run. An answer to a batch counts for none of its messages once the
-// deadline of one of them has passed.
+// has proof that the message did not run. An answer to a batch that comes after the deadline of one of its
+// messages counts as a delivery of none of them.
 func (c *call) outcome(id string) (delivered, mayHaveRun bool) {
 	if c.unfinished {
 		return false, true
@@ -127,6 +127,7 @@
 	return false, true
 }
 
+// message is what was seen of one submission; a message that is resubmitted under another id has several.
 type message struct {
 	submitted history.Event
 	answered  *history.Event // by the node; nil: not seen
@@ -147,10 +148,10 @@
 	messageIDs []string // of messages, in the order of their submission
 	calls      map[uint64]*call
 	callOrder  []*call
-	excused    map[int][]span // restarts and stops, by node
-	starts     map[int][]time.Duration
-	stateLost  map[int][]time.Duration
-	end        time.Duration
+	excused    map[int][]span          // restarts and stops, by node
+	starts     map[int][]time.Duration // of processes, by node
+	stateLost  map[int][]time.Duration // when the state directory was lost, by node
+	end        time.Duration           // of the history
 	violations []Violation
 }
 
@@ -291,7 +292,8 @@
 	}
 }
 
-// excusedUntil moves a time to the end of the periods in which the node is excused.
+// excusedUntil returns the end of the excused periods of a node that a time is in, or the time itself if it is in
+// none.
 func (j *checker) excusedUntil(node int, at time.Duration) time.Duration {
 	for _, s := range j.excused[node] {
 		if s.from <= at && at < s.to {
@@ -301,11 +303,12 @@
 	return at
 }
 
+// stateLostSince reports whether the node lost its state directory at or after a time.
 func (j *checker) stateLostSince(node int, at time.Duration) bool {
 	return slices.ContainsFunc(j.stateLost[node], func(l time.Duration) bool { return l >= at })
 }
 
-// finalAnswer returns the first event that ended the message.
+// finalAnswer returns the first event that ended the message: a call that delivered it, or a notice.
 func (j *checker) finalAnswer(m *message) (history.Event, bool) {
 	var first history.Event
 	found := false
@@ -441,34 +444,35 @@
 	return c.ended.State
 }
 
-// checkDoubleRuns finds messages that must not run twice and did, under one id or, if a node said that
-// resubmission is harmless, under two.
+// checkDoubleRuns finds messages that must not run twice and did. Runs under all ids of a message count: a client
+// resubmits it under another id only after a node said that this is harmless.
 func (j *checker) checkDoubleRuns() {
 	type run struct {
-		m  *message
-		at history.Event
+		m     *message
+		event history.Event
 	}
-	byCase := map[int][]run{}
+	byMessage := map[int][]run{}
 	for _, id := range j.messageIDs {
 		m := j.messages[id]
 		if m.submitted.Class < len(j.config.Classes) && j.config.Classes[m.submitted.Class].Effect == EffectAtMostOnce {
 			for _, r := range m.ran {
-				byCase[m.submitted.MessageNumber] = append(byCase[m.submitted.MessageNumber], run{m, r})
+				byMessage[m.submitted.MessageNumber] = append(byMessage[m.submitted.MessageNumber], run{m, r})
 			}
 		}
 	}
-	for _, c := range slices.Sorted(maps.Keys(byCase)) {
-		runs := byCase[c]
-		slices.SortStableFunc(runs, func(a, b run) int { return cmp.Compare(a.at.At, b.at.At) })
+	for _, number := range slices.Sorted(maps.Keys(byMessage)) {
+		runs := byMessage[number]
+		slices.SortStableFunc(runs, func(a, b run) int { return cmp.Compare(a.event.At, b.event.At) })
 		if len(runs) < 2 {
 			continue
 		}
 		a, b := runs[0], runs[1]
-		j.report(AtMostOnce, b.m.submitted.Node, b.m.submitted.ID, b.at.At, []history.Event{a.m.submitted, a.at, b.m.submitted, b.at}, "it took effect twice: in call %d and in call %d",
-			a.at.Call, b.at.Call)
+		j.report(AtMostOnce, b.m.submitted.Node, b.m.submitted.ID, b.event.At, []history.Event{a.m.submitted, a.event, b.m.submitted, b.event}, "it took effect twice: in call %d and in call %d",
+			a.event.Call, b.event.Call)
 	}
 }
 
+// checkAnswer finds connections that ended without an answer while the node was not excused.
 func (j *checker) checkAnswer(m *message) {
 	e := m.answered
 	if e == nil || e.State != history.ConnectionLost || j.excusedUntil(m.submitted.Node, e.At) != e.At || j.excusedUntil(m.submitted.Node, m.submitted.At) != m.submitted.At {
@@ -477,6 +481,7 @@
 	j.report(AnswerGiven, m.submitted.Node, m.submitted.ID, e.At, []history.Event{m.submitted, *e}, "the connection ended without an answer")
 }
 
+// checkPartners finds messages in calls that the node or the partner should not have had, and duplicates in a call.
 func (j *checker) checkPartners() {
 	for _, c := range j.callOrder {
 		for i, id := range c.started.IDs {
@@ -488,7 +493,7 @@
 				j.report(WrongPartner, c.started.Node, id, c.started.At, []history.Event{m.submitted, c.started}, "it is for partner %d but was sent to partner %d", m.submitted.Dest,
 					c.started.Partner)
 			case m.submitted.Node != c.started.Node:
-				j.report(WrongPartner, c.started.Node, id, c.started.At, []history.Event{m.submitted, c.started}, "it was submitted to node %d", m.submitted.Node)
+				j.report(WrongPartner, c.started.Node, id, c.started.At, []history.Event{m.submitted, c.started}, "it was submitted to node %d, but another node sent it", m.submitted.Node)
 			case slices.Contains(c.started.IDs[:i], id):
 				j.report(OneAttemptAtATime, c.started.Node, id, c.started.At, []history.Event{c.started}, "it is twice in one call")
 			}
@@ -497,15 +502,15 @@
 }
 
 func (j *checker) checkDrains() {
-	type place struct {
+	type view struct { // an endpoint as one node is told of it
 		node     int
 		endpoint string
 	}
-	announced := map[place]history.Event{}
-	at := map[place][]history.Event{}
+	announced := map[view]history.Event{}
+	at := map[view][]history.Event{}
 	for _, e := range j.events {
 		if e.Kind == history.ChangeAnnounced {
-			p := place{e.Node, e.Endpoint}
+			p := view{e.Node, e.Endpoint}
 			at[p] = append(at[p], e)
 		}
 	}
@@ -513,7 +518,7 @@
 		if len(c.started.IDs) == 0 {
 			continue // a probe delivers no message
 		}
-		p := place{c.started.Node, c.started.Endpoint}
+		p := view{c.started.Node, c.started.Endpoint}
 		for len(at[p]) > 0 && at[p][0].At <= c.started.FirstAt {
 			e := at[p][0]
 			at[p] = at[p][1:]
@@ -530,7 +535,7 @@
 		// A process that is stopped learns of a change when it resumes.
 		knownAt := j.stoppedUntil(p.node, e.At)
 		if late := c.started.FirstAt - knownAt - j.config.DrainGrace - j.config.Slack; late > 0 {
-			j.report(Drain, p.node, firstID(c.started.IDs), c.started.FirstAt, []history.Event{e, c.started}, "a call to %s started %v too late after the endpoint was announced as %s",
+			j.report(Drain, p.node, firstID(c.started.IDs), c.started.FirstAt, []history.Event{e, c.started}, "a call to %s started %v after the end of the grace period; the endpoint had been announced as %s",
 				p.endpoint, late.Round(time.Millisecond), e.State)
 		}
 	}
@@ -554,11 +559,11 @@
 }
 
 func (j *checker) checkRetryAfter() {
-	type place struct{ node, partner int }
-	refusals := map[place][]history.Event{}
+	type pair struct{ node, partner int }
+	refusals := map[pair][]history.Event{}
 	for _, e := range j.events {
 		if e.Kind == history.CallEnded && e.RetryAfter > 0 && e.State != history.Abandoned {
-			p := place{e.Node, e.Partner}
+			p := pair{e.Node, e.Partner}
 			refusals[p] = append(refusals[p], e)
 		}
 	}
@@ -566,7 +571,7 @@
 		if len(c.started.IDs) == 0 {
 			continue
 		}
-		p := place{c.started.Node, c.started.Partner}
+		p := pair{c.started.Node, c.started.Partner}
 		for _, e := range refusals[p] {
 			if e.At > c.started.FirstAt {
 				break
@@ -575,22 +580,23 @@
 			if c.started.FirstAt <= knownAt+j.config.RetryAfterGrace || c.started.FirstAt >= e.At+e.RetryAfter-j.config.Slack || j.restarted(p.node, e.At, c.started.FirstAt) {
 				continue
 			}
-			j.report(RetryAfter, p.node, firstID(c.started.IDs), c.started.FirstAt, []history.Event{e, c.started}, "partner %d had told a retry-after %v before, of %v",
+			j.report(RetryAfter, p.node, firstID(c.started.IDs), c.started.FirstAt, []history.Event{e, c.started}, "partner %d had answered %v before with a retry-after of %v",
 				p.partner, (c.started.FirstAt - e.At).Round(time.Millisecond), e.RetryAfter.Round(time.Millisecond))
 			break
 		}
 	}
 }
 
+// restarted reports whether a process of the node started after from and by to.
 func (j *checker) restarted(node int, from, to time.Duration) bool {
 	return slices.ContainsFunc(j.starts[node], func(at time.Duration) bool { return at > from && at <= to })
 }
 
 func (j *checker) checkSlots() {
 	type edge struct {
-		at time.Duration
-		d  int
-		c  *call
+		at    time.Duration
+		delta int // of the calls in flight
+		call  *call
 	}
 	byNode := map[int][]edge{}
 	for _, c := range j.callOrder {
@@ -608,18 +614,19 @@
 			continue
 		}
 		edges := byNode[n]
-		slices.SortStableFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.d, b.d)) })
+		slices.SortStableFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.delta, b.delta)) })
 		inFlight := 0
 		for _, e := range edges {
-			if inFlight += e.d; inFlight > j.config.Slots[n] {
-				j.report(Slots, n, firstID(e.c.started.IDs), e.at, []history.Event{e.c.started}, "%d calls are in flight, the node has %d slots", inFlight, j.config.Slots[n])
+			if inFlight += e.delta; inFlight > j.config.Slots[n] {
+				j.report(Slots, n, firstID(e.call.started.IDs), e.at, []history.Event{e.call.started}, "%d calls are in flight, the node has %d slots", inFlight, j.config.Slots[n])
 				break
 			}
 		}
 	}
 }
 
-// checkSlowStart finds partners that collapsed mostly by calls of nodes that had seen the outage.
+// checkSlowStart finds partners that collapsed in slow start when two thirds or more of the calls came from nodes
+// that had seen the outage, that is, that had a failed call or connection in it.
 func (j *checker) checkSlowStart() {
 	firstFailure := map[int]map[int]history.Event{} // by partner and node: the first failure in its last outage
 	inOutage := map[int]bool{}
--- a/fleet/ownership/make.go
+++ b/fleet/ownership/make.go
@@ -40,7 +40,7 @@
 // each, see maxFillRatio. Given a previous map, a partition keeps its owners except: owners that left; owners
 // that share a zone while another zone has none; owners above their bound; and owners above their fair share
 // whose assignment is taken over by a new member (one that joined, gained weight or changed its zone) until
-// that member has its own share. The result does not depend on the order of members. Errors are ErrInvalid.
+// that member has its own share. The result does not depend on the order of members. Errors wrap ErrInvalid.
 func Make(number int64, ownersPerPartition int, members []Member, previous *Map) (*Map, error) {
 	members = sortedByName(members)
 	if err := validate(number, ownersPerPartition, members); err != nil {
@@ -78,7 +78,7 @@
 	return out, nil
 }
 
-// CheckMembers validates the input of Make. Errors are ErrInvalid.
+// CheckMembers validates the input of Make. Errors wrap ErrInvalid.
 func CheckMembers(ownersPerPartition int, members []Member) error {
 	return validate(1, ownersPerPartition, sortedByName(members))
 }
@@ -93,7 +93,7 @@
 	case number < 1:
 		return fmt.Errorf("%w: number %d is below 1", ErrInvalid, number)
 	case ownersPerPartition < 1 || ownersPerPartition > MaxOwners:
-		return fmt.Errorf("%w: %d owners of each partition, must be 1 to %d", ErrInvalid, ownersPerPartition, MaxOwners)
+		return fmt.Errorf("%w: %d owners for each partition, must be 1 to %d", ErrInvalid, ownersPerPartition, MaxOwners)
 	case len(members) == 0 || len(members) > MaxMembers:
 		return fmt.Errorf("%w: %d members, must be 1 to %d", ErrInvalid, len(members), MaxMembers)
 	}
@@ -102,10 +102,10 @@
 			return fmt.Errorf("%w: member %.40q: %w", ErrInvalid, m.Name, err)
 		}
 		if !(m.Weight > 0) || math.IsInf(m.Weight, 0) {
-			return fmt.Errorf("%w: member %q: weight %v is not finite and above 0", ErrInvalid, m.Name, m.Weight)
+			return fmt.Errorf("%w: member %q: weight %v must be finite and above 0", ErrInvalid, m.Name, m.Weight)
 		}
 		if i > 0 && members[i-1].Name >= m.Name {
-			return fmt.Errorf("%w: member %q is there twice or out of order", ErrInvalid, m.Name)
+			return fmt.Errorf("%w: member %q is listed twice or out of order", ErrInvalid, m.Name)
 		}
 	}
 	return nil
@@ -144,41 +144,42 @@
 	return zone, len(number)
 }
 
-// fairShares divides all assignments among the zones by weight, and those of a zone among its members. If
+// fairShares returns the fair share of each member, in assignments. It divides all assignments among the zones by
+// weight, and those of a zone among its members by weight. If
 // there are at least as many zones as owners of a partition, a zone has each partition at most once,
 // otherwise at least once; a member has each partition at most once.
 func fairShares(members []Member, ownersEach int) []float64 {
 	w := relativeWeights(members)
 	zone, zones := numberZones(members)
-	of := make([][]int, zones)
+	membersOf := make([][]int, zones)
 	for i, z := range zone {
-		of[z] = append(of[z], i)
+		membersOf[z] = append(membersOf[z], i)
 	}
-	zw, lo, hi := make([]float64, zones), make([]float64, zones), make([]float64, zones)
+	zoneWeights, lo, hi := make([]float64, zones), make([]float64, zones), make([]float64, zones)
 	for z := range zones {
-		for _, i := range of[z] {
-			zw[z] += w[i]
+		for _, i := range membersOf[z] {
+			zoneWeights[z] += w[i]
 		}
 		hi[z] = PartitionCount
 		if zones < ownersEach {
-			lo[z], hi[z] = PartitionCount, PartitionCount*float64(len(of[z]))
+			lo[z], hi[z] = PartitionCount, PartitionCount*float64(len(membersOf[z]))
 		}
 	}
 	out := make([]float64, len(members))
-	for z, share := range divideBounded(PartitionCount*float64(ownersEach), zw, lo, hi) {
-		mw, lo, hi := make([]float64, len(of[z])), make([]float64, len(of[z])), make([]float64, len(of[z]))
-		for j, i := range of[z] {
-			mw[j], hi[j] = w[i], PartitionCount
+	for z, share := range divideBounded(PartitionCount*float64(ownersEach), zoneWeights, lo, hi) {
+		memberWeights, lo, hi := make([]float64, len(membersOf[z])), make([]float64, len(membersOf[z])), make([]float64, len(membersOf[z]))
+		for j, i := range membersOf[z] {
+			memberWeights[j], hi[j] = w[i], PartitionCount
 		}
-		for j, v := range divideBounded(share, mw, lo, hi) {
-			out[of[z][j]] = v
+		for j, v := range divideBounded(share, memberWeights, lo, hi) {
+			out[membersOf[z][j]] = v
 		}
 	}
 	return out
 }
 
-// divideBounded divides a total by weights, each part within its bounds; the total must lie between the sums
-// of the bounds.
+// divideBounded divides a total into parts in proportion to weights, each part between its lo and its hi; the
+// total must lie between the sums of these.
 func divideBounded(total float64, weights, lo, hi []float64) []float64 {
 	out := make([]float64, len(weights))
 	fixed := make([]bool, len(weights))
@@ -220,7 +221,7 @@
 	}
 }
 
-// mapBuilder holds a map while it is being made.
+// mapBuilder holds a map while it is being made. Members and partitions are referred to by index.
 type mapBuilder struct {
 	members     []Member
 	nameHash    []uint64
@@ -229,12 +230,12 @@
 	zonesNeeded int // zones that the owners of each partition must be in
 	ownersEach  int // owners of each partition
 	fairShare   []float64
-	shareLimit  []int // a member is given assignments while it has fewer than this,
-	fillLimit   []int // or fewer than this if no other member can be given one,
-	keepLimit   []int // and loses assignments while it has more than this
-	owners      [][]int
-	held        []Set
-	load        []int
+	shareLimit  []int   // a member is given assignments while it has fewer than this,
+	fillLimit   []int   // or fewer than this if no other member can be given one,
+	keepLimit   []int   // and loses assignments while it has more than this
+	owners      [][]int // by partition
+	held        []Set   // partitions, by member
+	load        []int   // number of assignments, by member
 
 	scoredPartition int // partition that scores was computed for
 	scores          []float64
@@ -456,7 +457,7 @@
 	}
 }
 
-// reduceToLimit brings the load of a member down to its limit.
+// reduceToLimit hands assignments of a member to others until its load is within keepLimit, if that is possible.
 func (mb *mapBuilder) reduceToLimit(m int, isNew []bool) {
 	for _, limit := range [][]int{mb.shareLimit, mb.fillLimit, mb.keepLimit} {
 		if mb.load[m] <= mb.keepLimit[m] {
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	enqueueTimeout    = 2 * time.Second // for a place in Raft's queue
-	commitTimeout     = 4 * time.Second // for a majority; whoever waits for the answer gives up later than this
+	enqueueTimeout    = 2 * time.Second // for a place in the queue of Raft
+	commitTimeout     = 4 * time.Second // for a majority to store the command; callers wait longer than this for the response
 	pollInterval      = 100 * time.Millisecond
 	joinRetryInterval = 300 * time.Millisecond
 	peerTimeout       = 500 * time.Millisecond
@@ -57,7 +57,7 @@
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 	openedAt   time.Time
-	unwritable atomic.Bool // the folder can't be written
+	unwritable atomic.Bool // the data folder can't be written
 	failed     chan error  // holds the first error that the replica can't recover from
 
 	mu          sync.Mutex // guards the fields below
@@ -68,7 +68,7 @@
 	leasesSince time.Time             // origin of the lease manager's clock
 }
 
-// Open starts a replica on its folder. A replica with an empty folder bootstraps the service if it is alone,
+// Open starts a replica on its data folder. A replica with an empty folder bootstraps the service if it is alone,
 // or if it is the first of several that are all new; otherwise it joins the existing service.
 func Open(cfg Config, log *slog.Logger) (*Replica, error) {
 	return open(cfg, log, func(s raft.LogStore) raft.LogStore { return s })
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	if err := os.MkdirAll(cfg.Data, 0o700); err != nil {
-		return nil, fmt.Errorf("folder: %w", err)
+		return nil, fmt.Errorf("data folder: %w", err)
 	}
 	r := &Replica{cfg: cfg, log: log, openedAt: time.Now(), failed: make(chan error, 1), peerClient: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: peerTimeout}).DialContext,
@@ -112,19 +112,20 @@
 	return r, nil
 }
 
-// resetFolder moves the contents of the folder aside and creates an empty log.
+// resetFolder moves the log and the snapshots of the data folder to the folder aside, and creates an empty log.
 func resetFolder(folder, aside string) (*raftboltdb.BoltStore, error) {
 	if err := os.MkdirAll(aside, 0o700); err != nil {
-		return nil, fmt.Errorf("folder: %w", err)
+		return nil, fmt.Errorf("move damaged data aside: %w", err)
 	}
 	for _, name := range []string{"log.db", "snapshots"} {
 		if err := os.Rename(filepath.Join(folder, name), filepath.Join(aside, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return nil, fmt.Errorf("folder: %w", err)
+			return nil, fmt.Errorf("move damaged data aside: %w", err)
 		}
 	}
 	return openLog(filepath.Join(folder, "log.db"))
 }
 
+// reportFailure passes an error to Failed, unless there has been one before.
 func (r *Replica) reportFailure(err error) {
 	select {
 	case r.failed <- err:
@@ -148,7 +149,7 @@
 		select {
 		case err = <-done:
 		case <-time.After(3 * time.Second): // a full disk may block it
-			return errors.New("raft did not shut down in time")
+			return errors.New("raft did not shut down within 3 s")
 		}
 	}
 	if t, ok := transport.(*raft.NetworkTransport); ok {
@@ -246,9 +247,10 @@
 	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, JSONFormat: true, Output: jsonLogWriter{r.log}})
 }
 
+// jsonLogWriter writes JSON log lines of Raft to the replica's log.
 type jsonLogWriter struct{ log *slog.Logger }
 
-// Write logs one line of JSON.
+// Write logs one line of JSON, or the bare text if it is not JSON.
 func (l jsonLogWriter) Write(p []byte) (int, error) {
 	var m map[string]any
 	if json.Unmarshal(p, &m) != nil {
