--- a/internal/lab/scale/formats_test.go
+++ b/internal/lab/scale/formats_test.go
@@ -10,18 +10,19 @@
 	"starlingusher/internal/golden"
 )
 
-// TestPointsFileFormat pins the file that a run is resumed from: its first line and one line for each play.
+// TestPointsFileFormat pins the file that a run is resumed from: its header line and one line for each
+// play.
 func TestPointsFileFormat(t *testing.T) {
 	var header runHeader
-	var play Record
+	var record Record
 	golden.Fill(&header)
-	golden.Fill(&play)
+	golden.Fill(&record)
 	dir := t.TempDir()
 	s, err := createStore(dir, header)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.appendLine(play); err != nil {
+	if err := s.appendLine(record); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.close(); err != nil {
@@ -35,16 +36,17 @@
 	if err := os.WriteFile(path, golden.Check(t, "points.jsonl", encoded), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, gotFirst, gotPlays, err := resumeStore(dir, header)
+	s, gotHeader, gotRecords, err := resumeStore(dir, header)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.close()
-	if !reflect.DeepEqual(gotFirst, header) || !reflect.DeepEqual(gotPlays, []Record{play}) {
-		t.Errorf("decoded %+v and %+v, want %+v and %+v", gotFirst, gotPlays, header, play)
+	if !reflect.DeepEqual(gotHeader, header) || !reflect.DeepEqual(gotRecords, []Record{record}) {
+		t.Errorf("decoded %+v and %+v, want %+v and %+v", gotHeader, gotRecords, header, record)
 	}
 }
 
+// TestResultFormat pins the JSON of a Result, the table that a run writes.
 func TestResultFormat(t *testing.T) {
 	var want, got Result
 	golden.Fill(&want)
--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -15,16 +15,18 @@
 )
 
 const (
-	replicaCount    = 3
+	replicaCount    = 3               // of the directory
 	idleWindow      = 6 * time.Second // three heartbeats of each watch
 	quickIdleWindow = 2 * time.Second // one heartbeat
-	timedChanges    = 10              // changes timed for directory.change.last
-	burstChanges    = 50              // changes for comparing hollow with real nodes
-	burstRate       = 50              // changes a second
-	burstTail       = time.Second     // work of a change that comes later: the list cache is written once a second
-	memoryLimit     = 9 << 30         // bytes of this process; keeps its garbage collector from using up the machine's memory
+	timedChanges    = 10              // number of changes timed for directory.change.last
+	burstChanges    = 50              // number of changes on which hollow and real nodes are compared
+	burstRate       = 50              // changes per second
+	burstTail       = time.Second     // wait after the last change, since some of its work comes later: the list cache is written once a second
+	memoryLimit     = 9 << 30         // soft memory limit of this process in bytes; keeps its garbage from using up the machine's memory
 )
 
+// nodesAxis is the axis that grows the number of hollow nodes, and measures what they cost the directory and
+// themselves.
 func nodesAxis() play.Axis {
 	flag := func(about string) play.Setting { return play.Setting{Default: 0, Min: 0, Max: 1, Description: about} }
 	return play.Axis{
@@ -42,7 +44,7 @@
 			"endpoints":     endpointsSetting,
 			"keep_kb":       cacheSetting,
 			"real":          {Default: defaultRealNodes, Min: 0, Max: 200, Description: "number of coralyard processes in addition to the hollow nodes"},
-			"load":          {Default: 0, Min: 0, Max: 500, Description: "messages per second that the lab's clients submit to the real nodes; with a load, hollow and real nodes are not compared by the same changes"},
+			"load":          {Default: 0, Min: 0, Max: 500, Description: "messages per second that the lab's clients submit to the real nodes; above 0, the CPU time that hollow and real nodes need for the same changes is not compared"},
 			"quick":         quickSetting,
 			"kill":          flag("1: the leader of the directory is killed, and restarted after fault_seconds"),
 			"stop":          flag("1: a follower of the directory is stopped (SIGSTOP) for fault_seconds"),
@@ -55,26 +57,29 @@
 	}
 }
 
+// playNodes plays a point of the axis nodes: it starts the nodes on a list of one endpoint, gives them the
+// long list, measures them while nothing changes and during changes, and plays the faults of the settings.
 func playNodes(ctx context.Context, spec play.Spec, log *slog.Logger) (r play.Reading, err error) {
 	if spec.X < 1 {
-		return r, fmt.Errorf("need at least 1 node, not %v", spec.X)
+		return r, fmt.Errorf("axis nodes: a point needs at least 1 node, not %v", spec.X)
 	}
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(memoryLimit))
-	hollow, real, endpoints := int(spec.X), int(spec.Settings["real"]), int(spec.Settings["endpoints"])
+	hollowCount, realCount, endpoints := int(spec.X), int(spec.Settings["real"]), int(spec.Settings["endpoints"])
 	quick := spec.Settings["quick"] > 0
+	// linked: the nodes reach the replicas through links, which two of the faults cut.
 	linked := spec.Settings["cut_zone"] > 0 || spec.Settings["cut_region"] > 0
-	svc, err := openService(ctx, spec, replicaCount, linked, endpointList(1)) // a short list first, so that the long one's costs can be read apart
+	svc, err := openService(ctx, spec, replicaCount, linked, endpointList(1)) // a list of one endpoint first, so that the costs of the long list can be measured separately
 	if err != nil {
 		return r, err
 	}
-	group := newNodeGroup(spec, svc, hollow+real, endpoints, log)
+	group := newNodeGroup(spec, svc, hollowCount+realCount, endpoints, log)
 	defer group.shutdown(&err)
-	if spec.Settings["load"] > 0 && real > 0 {
-		if group.load, err = openLoad(spec, svc, real); err != nil {
+	if spec.Settings["load"] > 0 && realCount > 0 {
+		if group.load, err = openLoad(spec, svc, realCount); err != nil {
 			return r, err
 		}
 	}
-	specs, err := group.prepare(hollow)
+	nodeSpecs, err := group.prepare(hollowCount)
 	if err != nil {
 		return r, err
 	}
@@ -83,10 +88,10 @@
 	if err != nil {
 		return r, err
 	}
-	if err := group.startReal(spec.NodeProgram, real); err != nil {
+	if err := group.startReal(spec.NodeProgram, realCount); err != nil {
 		return r, err
 	}
-	if err := group.start(specs); err != nil {
+	if err := group.start(nodeSpecs); err != nil {
 		return r, err
 	}
 	st, err := svc.status(ctx, svc.replicas[0])
@@ -96,15 +101,15 @@
 	if err := group.awaitList(ctx, st.Revision, 1); err != nil {
 		return r, err
 	}
-	short, err := readUsage(group)
+	afterShortList, err := readUsage(group)
 	if err != nil {
 		return r, err
 	}
-	nodes := float64(hollow)
-	r.SetCount("node.goroutines", float64(short.goroutines-before.goroutines)/nodes)
-	r.SetCount("node.descriptors", float64(short.descriptors-before.descriptors)/nodes)
+	nodes := float64(hollowCount)
+	r.SetCount("node.goroutines", float64(afterShortList.goroutines-before.goroutines)/nodes)
+	r.SetCount("node.descriptors", float64(afterShortList.descriptors-before.descriptors)/nodes)
 
-	// The complete list.
+	// The long list. Its costs are the differences from afterShortList.
 	list := endpointList(endpoints)
 	if group.load != nil {
 		list = append(list, group.load.list...)
@@ -131,22 +136,24 @@
 	if !quick {
 		registry.Sleep(ctx, cacheWriteWait)
 	}
-	long, err := readUsage(group)
+	afterLongList, err := readUsage(group)
 	if err != nil {
 		return r, err
 	}
+	// calibrate reports one cost of a hollow and of a real node next to each other, which shows how well hollow
+	// nodes represent real ones.
 	calibrate := func(name string, hollow, real float64) {
 		r.SetCount("calibration.hollow."+name, hollow)
 		if len(group.real) > 0 {
 			r.SetCount("calibration.real."+name, real)
 		}
 	}
-	calibrate("list.cpu", (long.cpu-short.cpu)/nodes, long.realCPU-short.realCPU)
-	calibrate("list.rss", (long.rss-short.rss)/nodes, long.realRSS-short.realRSS)
-	calibrate("rss", (long.rss-before.rss)/nodes, long.realRSS)
-	r.SetCount("calibration.hollow.list.heap", (long.heap-short.heap)/nodes)
-	r.SetValue("node.idle.heap", (long.heap-before.heap)/nodes)
-	r.SetCount("process.rss", long.rss)
+	calibrate("list.cpu", (afterLongList.cpu-afterShortList.cpu)/nodes, afterLongList.realCPU-afterShortList.realCPU)
+	calibrate("list.rss", (afterLongList.rss-afterShortList.rss)/nodes, afterLongList.realRSS-afterShortList.realRSS)
+	calibrate("rss", (afterLongList.rss-before.rss)/nodes, afterLongList.realRSS)
+	r.SetCount("calibration.hollow.list.heap", (afterLongList.heap-afterShortList.heap)/nodes)
+	r.SetValue("node.idle.heap", (afterLongList.heap-before.heap)/nodes)
+	r.SetCount("process.rss", afterLongList.rss)
 
 	if group.load != nil {
 		group.load.start()
@@ -166,14 +173,16 @@
 	return r, playFaults(ctx, group, spec, &r, endpoints, total)
 }
 
-// usage is the use of resources by this process and by the real nodes.
+// usage is the resources used by this process, in which the hollow nodes run, and by the mean real node:
+// memory in bytes, CPU time in seconds since the start of the process.
 type usage struct {
 	heap, rss, cpu          float64
 	realRSS, realCPU        float64
 	goroutines, descriptors int
 }
 
-// readUsage reads the usage. It reads the resident memory first, as a garbage collection would change it.
+// readUsage reads the usage. The live heap is read last, because the garbage collection that this takes
+// changes the resident memory.
 func readUsage(g *nodeGroup) (u usage, err error) {
 	if u.rss, err = rss(ownPID); err != nil {
 		return u, err
@@ -189,7 +198,7 @@
 	return u, nil
 }
 
-// measureIdle reads the costs while nothing changes.
+// measureIdle reads the costs of the nodes and of the replicas over a window in which nothing changes.
 func measureIdle(ctx context.Context, g *nodeGroup, r *play.Reading, quick bool, calibrate func(string, float64, float64)) error {
 	window := idleWindow
 	if quick {
@@ -200,8 +209,8 @@
 	var realCPU [2]float64
 	var replicasUsed [2]replicaUse
 	replicaAddrs := g.service.allAddresses()
-	// On a saturated machine the complete list may take longer than a watch waits for it; watches that were
-	// cut off ask again.
+	// On a saturated machine the transfer of the complete list may take longer than a watch waits for it. A
+	// node whose watch was cut off opens another one, so the window starts once each node has exactly one.
 	if err := awaitEvery(ctx, descriptorPollInterval, "one watch of each node", func() bool {
 		t, err := readTraffic(replicaAddrs, g.service.ownAddr())
 		return err == nil && t.conns == len(g.hollow)
@@ -239,7 +248,7 @@
 		r.SetCount("node.watch.received", delta.in/nodes/seconds)
 		r.SetCount("node.watch.sent", delta.out/nodes/seconds)
 	} else {
-		r.AddNote("%d hollow nodes had %d and then %d watches, so node.watch.bytes is missing", len(g.hollow), trafficBefore.conns, trafficAfter.conns)
+		r.AddNote("%d hollow nodes had %d watches before the idle window and %d after it, so node.watch.bytes is missing", len(g.hollow), trafficBefore.conns, trafficAfter.conns)
 	}
 	r.SetValue("node.idle.cpu", (cpuUsed[1]-cpuUsed[0])/nodes/seconds)
 	calibrate("idle.cpu", (cpuUsed[1]-cpuUsed[0])/nodes/seconds, (realCPU[1]-realCPU[0])/seconds)
@@ -253,7 +262,9 @@
 	return nil
 }
 
-// measurePropagation times changes until all nodes have them: an endpoint is added and removed in turn.
+// measurePropagation times changes, each from the request until all nodes have applied it: an endpoint is
+// added and removed in turn. At the start the list has total endpoints: the first ones of endpointAt, as many
+// as the parameter endpoints says, and those of the load's partners.
 func measurePropagation(ctx context.Context, g *nodeGroup, r *play.Reading, quick bool, endpoints, total int) error {
 	changes := timedChanges
 	if quick {
@@ -285,13 +296,14 @@
 	r.SetValue("directory.change.last", median(took))
 	r.SetCount("change.last.worst", slices.Max(took))
 	if len(tookReal) > 0 {
-		r.SetCount("change.last.real", median(tookReal)) // as seen at the operators' address; polled after the hollow nodes
+		r.SetCount("change.last.real", median(tookReal)) // an upper bound: polled over HTTP at the operators' addresses, and only after all hollow nodes have the change
 	}
 	return nil
 }
 
-// compareBursts compares the CPU time of hollow and real nodes for the same changes. That of the hollow nodes
-// includes the writes, some 0.1 ms each, which matters where there are few nodes.
+// compareBursts compares the CPU time that hollow and real nodes use for the same changes. The time of the
+// hollow nodes is that of this process, so it includes the requests for the changes, some 0.1 ms each, which
+// matters where there are few nodes.
 func compareBursts(ctx context.Context, g *nodeGroup, r *play.Reading, calibrate func(string, float64, float64)) error {
 	var cpuUsed, realCPU [2]float64
 	for i := range 2 {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -1,7 +1,9 @@
 // Package scale measures how the costs of a fleet grow along one axis: it plays each point of the axis
-// several times, each play in a process of its own, and fits the readings. The fitted slopes are the input of
-// the page of capacities. The axes themselves are in the packages hollow and burden; package play holds the
-// types that they share with a run.
+// several times, each play in a process of its own, and fits a slope to each figure that the plays read.
+// Package capacity computes the costs of fleets of other sizes from the slopes.
+//
+// The terms axis, point and play are explained in package play, which holds the types that a run and its axes
+// share. The axes themselves are in the packages hollow and burden.
 package scale
 
 import (
@@ -29,39 +31,39 @@
 // Intervals of a run.
 const (
 	snapshotInterval = 250 * time.Millisecond // between snapshots of the machine while a play runs
-	stopTimeout      = 5 * time.Second        // that a play gets to stop before it is killed
+	stopTimeout      = 5 * time.Second        // time that a play has to stop by itself before it is killed
 )
 
-// Files beside PointsFile during a run.
+// Names in the folder of a run, beside PointsFile.
 const (
-	playDir = "play"     // folder of the current play
-	LogFile = "play.log" // standard error of all plays
+	playDir = "play"     // folder of the current play; removed when the run ends
+	LogFile = "play.log" // standard error of all plays; kept
 )
 
-// Options say how a run file is played.
+// Options say how Run plays a run file.
 type Options struct {
-	Dir         string   // for the results; must exist, and be empty unless Resume is set
+	Dir         string   // for the points file and the log; must exist, and hold no points file unless Resume is set
 	Resume      bool     // continue the interrupted run in Dir
-	Command     []string // starts a process that calls RunPlay
-	Env         []string // its complete environment
-	NodeProgram string   // path of coralyard
-	LabProgram  string   // path of cottonrack
+	Command     []string // program and arguments of the process of a play, which must call RunPlay
+	Env         []string // complete environment of that process
+	NodeProgram string   // path of the node's program, coralyard
+	LabProgram  string   // path of the lab's program, cottonrack
 	Build       Build
-	Machine     Machine // nil: Linux
-	Progress    func(Progress)
-	Log         *slog.Logger
+	Machine     Machine        // nil: Linux{}
+	Progress    func(Progress) // called during each play, every snapshotInterval; nil: none
+	Log         *slog.Logger   // nil: none
 }
 
-// Progress is the state of a run.
+// Progress is the state of a run while a play is under way.
 type Progress struct {
-	Done, Total    int     // number of plays
-	X              float64 // point of the current play
-	Play           int     // number of the current play
-	Elapsed        time.Duration
-	Remaining      time.Duration // of the whole run, estimated from the finished plays
+	Done, Total    int           // number of finished plays, and of all plays
+	X              float64       // point of the current play
+	Play           int           // number of the current play among those of its point, from 0
+	Elapsed        time.Duration // of the current play
+	Remaining      time.Duration // of the whole run, estimated from the plays done before
 	RemainingKnown bool          // whether there is an estimate
-	RSS            int64         // of all processes together, in bytes
-	Processes      int
+	RSS            int64         // peak during the current play, of all processes together, in bytes
+	Processes      int           // peak number during the current play
 }
 
 // run is the state of one call of Run.
@@ -72,12 +74,13 @@
 	store      *store
 	log        *os.File
 	header     runHeader
-	records    []Record // the last one of each play
-	pending    []Record // plays still to do, the current one first
+	records    []Record // of each play the last one only
+	pending    []Record // plays still to do, the current one first; only X, Play and Seed are set
 }
 
-// Run plays a run file and returns the results. When the context ends, the run stops all its processes and
-// fails; the plays that are already in its points file can be used by a run with Options.Resume.
+// Run plays a run file and returns the results. When the context ends, Run stops all processes that it has
+// started and returns an error. The plays that are already in the points file are then kept, and a run with
+// Options.Resume continues after them.
 func Run(ctx context.Context, f RunFile, opts Options) (*Result, error) {
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
@@ -112,7 +115,7 @@
 		r.addRecord(rec)
 	}
 	if r.log, err = os.OpenFile(filepath.Join(r.opts.Dir, LogFile), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644); err != nil {
-		return errors.Join(fmt.Errorf("log of the plays: %w", err), r.store.close())
+		return errors.Join(fmt.Errorf("open the log of the plays: %w", err), r.store.close())
 	}
 	r.supervisor = proc.NewSupervisor()
 	return nil
@@ -123,7 +126,7 @@
 	return errors.Join(r.store.close(), r.log.Close(), os.RemoveAll(filepath.Join(r.opts.Dir, playDir)))
 }
 
-// addRecord adds a record or replaces the earlier one of the same play.
+// addRecord adds a record; it replaces an earlier record of the same play.
 func (r *run) addRecord(rec Record) {
 	r.records = slices.DeleteFunc(r.records, func(other Record) bool { return other.X == rec.X && other.Play == rec.Play })
 	r.records = append(r.records, rec)
@@ -153,16 +156,16 @@
 	return nil
 }
 
-// playOnce plays one point once. It returns an error if the run can't go on; a failure of the play alone goes
-// into the record.
+// playOnce plays one point once and returns its completed record. It returns an error if the run can't go on;
+// a failure of the play alone goes into the record.
 func (r *run) playOnce(ctx context.Context, rec Record) (Record, error) {
 	dir := filepath.Join(r.opts.Dir, playDir)
-	if err := errors.Join(os.RemoveAll(dir), os.Mkdir(dir, 0o755)); err != nil { // an earlier run may have been killed and left it
-		return rec, fmt.Errorf("folder of a play: %w", err)
+	if err := errors.Join(os.RemoveAll(dir), os.Mkdir(dir, 0o755)); err != nil { // a run that was killed may have left the folder
+		return rec, fmt.Errorf("create the folder of a play: %w", err)
 	}
 	dir, err := filepath.Abs(dir)
 	if err != nil {
-		return rec, fmt.Errorf("folder of a play: %w", err)
+		return rec, fmt.Errorf("absolute path of the folder of a play: %w", err)
 	}
 	spec, err := json.Marshal(play.Spec{Axis: r.file.Axis.Name, X: rec.X, Seed: rec.Seed, Dir: dir, NodeProgram: r.opts.NodeProgram, LabProgram: r.opts.LabProgram, Settings: r.file.Settings})
 	if err != nil {
@@ -173,7 +176,7 @@
 		return rec, err
 	}
 	monitor := playMonitor{record: &rec, before: before, seen: map[Process]bool{}}
-	if monitor.observe(before); len(rec.MachineReasons) > 0 { // short of memory before the play has started
+	if monitor.observe(before); len(rec.MachineReasons) > 0 { // the machine is over a bound, for example short of memory, before the play has started
 		return rec, nil
 	}
 	fmt.Fprintf(r.log, "--- %s at %v, play %d, seed %d\n", r.file.Axis.Name, formatNumber(rec.X), rec.Play, rec.Seed)
@@ -188,7 +191,7 @@
 	defer timeout.Stop()
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
-	stopReason := "" // the reason to stop it early
+	stopReason := "" // why the play is stopped early; empty: it is not
 	for running := true; running && stopReason == ""; {
 		r.reportProgress(&rec, time.Since(startedAt))
 		select {
@@ -197,7 +200,7 @@
 		case <-ctx.Done():
 			stopReason = "the run was canceled"
 		case <-timeout.C:
-			stopReason = fmt.Sprintf("the play did not end within its limit of %v", r.file.PlayTimeout)
+			stopReason = fmt.Sprintf("the play did not end within the run file's limit of %v", r.file.PlayTimeout)
 			rec.Failure = stopReason
 		case <-ticker.C:
 			snapshot, err := r.opts.Machine.Snapshot(os.Getpid())
@@ -231,7 +234,7 @@
 	if err != nil {
 		return rec, err
 	}
-	monitor.judgeCPUShares(after)
+	monitor.checkCPUShares(after)
 	if exit := process.Wait(); exit.Code != 0 {
 		rec.Failure = strings.TrimSpace(fmt.Sprintf("the play's process ended %v: %s", exit, stderr))
 		return rec, nil
@@ -240,13 +243,13 @@
 	dec.DisallowUnknownFields()
 	err = dec.Decode(&rec.Reading)
 	if err == nil && out.truncated {
-		err = errors.New("the output is too long")
+		err = errors.New("the play wrote too much to standard output")
 	}
 	if err == nil {
 		err = checkReading(r.file.Axis, rec.Reading)
 	}
 	if err != nil {
-		rec.Reading, rec.Failure = play.Reading{}, fmt.Sprintf("reading: %v", err)
+		rec.Reading, rec.Failure = play.Reading{}, fmt.Sprintf("read the play's reading: %v", err)
 	}
 	return rec, nil
 }
@@ -259,11 +262,12 @@
 	r.opts.Progress(p)
 }
 
-// remainingTime estimates the time that the rest of the run takes. A point takes as long as its earlier
-// plays; one without any takes as long as the next smaller point, scaled by the square root of x, because
-// much of a play's time does not depend on x.
+// remainingTime estimates the time that the rest of the run takes, and reports whether it can. A play is
+// expected to take as long as the mean of the finished plays of its point. If there are none, those of the
+// next smaller point are taken, scaled by the square root of the ratio of the two x, because much of a play's
+// time does not depend on x. There is no estimate while no play of this or a smaller point is finished.
 func (r *run) remainingTime(elapsed time.Duration) (time.Duration, bool) {
-	secondsByPoint := map[float64][]float64{} // by point
+	secondsByPoint := map[float64][]float64{} // durations of finished plays
 	for _, rec := range r.records {
 		secondsByPoint[rec.X] = append(secondsByPoint[rec.X], rec.TookSeconds)
 	}
@@ -290,14 +294,15 @@
 	return time.Duration(remaining * float64(time.Second)), true
 }
 
-// playMonitor watches the resources of one play.
+// playMonitor watches the resources that one play uses, and notes in its record where they exceed a bound.
 type playMonitor struct {
 	record *Record
-	before Snapshot
-	seen   map[Process]bool // processes of the play, with RSS left 0
+	before Snapshot         // before the play
+	seen   map[Process]bool // all processes that the play was seen to have; RSS stays 0, so that each process is one key
 }
 
-// observe takes in a snapshot, and returns which bound it exceeds, if any.
+// observe updates the record's peaks from a snapshot. If the snapshot exceeds a bound, it adds the reason to
+// the record's MachineReasons and returns it.
 func (m *playMonitor) observe(s Snapshot) (exceeded string) {
 	rec := m.record
 	rec.PeakRSS, rec.PeakProcesses = max(rec.PeakRSS, s.RSS()), max(rec.PeakProcesses, len(s.Processes))
@@ -311,11 +316,11 @@
 	}
 	switch {
 	case s.RSS() > MaxMemory:
-		exceeded = fmt.Sprintf("the processes of the run held more than %d GB", MaxMemory>>30)
+		exceeded = fmt.Sprintf("the processes of the run used more than %d GB of memory", MaxMemory>>30)
 	case len(s.Processes) > MaxProcesses:
 		exceeded = fmt.Sprintf("the run had more than %d processes", MaxProcesses)
 	case s.AvailableMemory < minAvailableMemory:
-		exceeded = fmt.Sprintf("the machine had only %d MB of memory left", s.AvailableMemory>>20)
+		exceeded = fmt.Sprintf("the machine had only %d MB of memory available", s.AvailableMemory>>20)
 	}
 	if exceeded != "" {
 		rec.MachineReasons = append(rec.MachineReasons, exceeded)
@@ -323,20 +328,22 @@
 	return exceeded
 }
 
-// judgeCPUShares checks the use of the cores during the whole play, given the snapshot after it.
-func (m *playMonitor) judgeCPUShares(after Snapshot) {
+// checkCPUShares computes how the CPU time of the whole play was shared, given the snapshot after it, and
+// adds a reason to the record's MachineReasons if other processes took too much or the cores were saturated.
+func (m *playMonitor) checkCPUShares(after Snapshot) {
 	rec := m.record
 	rec.CPUShares = cpuShares(m.before, after)
 	total := after.CPU.Total - m.before.CPU.Total
 	if rec.CPUShares.Others*total-othersTickError > maxOthersShare*total {
-		rec.MachineReasons = append(rec.MachineReasons, fmt.Sprintf("other processes took %.0f%% of the cores (at most %.0f%%)", 100*rec.CPUShares.Others, 100*maxOthersShare))
+		rec.MachineReasons = append(rec.MachineReasons, fmt.Sprintf("other processes took %.0f%% of the CPU time (allowed: at most %.0f%%)", 100*rec.CPUShares.Others, 100*maxOthersShare))
 	}
 	if rec.CPUShares.Idle < minIdleShare {
-		rec.MachineReasons = append(rec.MachineReasons, fmt.Sprintf("the cores were only %.1f%% idle (at least %.0f%%)", 100*rec.CPUShares.Idle, 100*minIdleShare))
+		rec.MachineReasons = append(rec.MachineReasons, fmt.Sprintf("the cores were idle for only %.1f%% of the time (required: at least %.0f%%)", 100*rec.CPUShares.Idle, 100*minIdleShare))
 	}
 }
 
-// killLeftProcesses kills the processes that the play has left running, and returns their number.
+// killLeftProcesses kills the processes that the play was seen to have and that still run, and returns their
+// number.
 func (m *playMonitor) killLeftProcesses() (killed int) {
 	for p := range m.seen {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID))
@@ -353,22 +360,23 @@
 	return killed
 }
 
-// cappedBuffer keeps the first bytes that a play writes, up to a bound.
+// cappedBuffer is a buffer for what a play writes. A write that would make it longer than maxBytes is
+// dropped, and sets truncated.
 type cappedBuffer struct {
 	bytes.Buffer
 	truncated bool
 }
 
 func (b *cappedBuffer) Write(p []byte) (int, error) {
-	const most = 4 << 20
-	if b.Len()+len(p) > most {
+	const maxBytes = 4 << 20
+	if b.Len()+len(p) > maxBytes {
 		b.truncated = true
 		return len(p), nil
 	}
 	return b.Buffer.Write(p)
 }
 
-// tailWriter passes on what is written, and keeps the last bytes of it.
+// tailWriter passes on what is written, and keeps the last maxBytes of it for an error message.
 type tailWriter struct {
 	out io.Writer
 
@@ -378,9 +386,9 @@
 
 func (t *tailWriter) Write(p []byte) (int, error) {
 	t.mu.Lock()
-	const most = 1000
+	const maxBytes = 1000
 	t.last = append(t.last, p...)
-	t.last = t.last[max(0, len(t.last)-most):]
+	t.last = t.last[max(0, len(t.last)-maxBytes):]
 	t.mu.Unlock()
 	return t.out.Write(p)
 }
@@ -391,7 +399,7 @@
 	return strings.ToValidUTF8(strings.TrimSpace(string(t.last)), "?")
 }
 
-// sortedRecords returns the records by point and play number.
+// sortedRecords returns the records in the order of their points and play numbers.
 func sortedRecords(records []Record) []Record {
 	return slices.SortedFunc(slices.Values(records), func(a, b Record) int { return cmp.Or(cmp.Compare(a.X, b.X), cmp.Compare(a.Play, b.Play)) })
 }
