--- a/internal/lab/scale/hollow/nodes.go
+++ b/internal/lab/scale/hollow/nodes.go
@@ -64,7 +64,7 @@
 		return r, fmt.Errorf("axis nodes: a point needs at least 1 node, not %v", spec.X)
 	}
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(memoryLimit))
-	hollowCount, realCount, endpoints := int(spec.X), int(spec.Settings["real"]), int(spec.Settings["endpoints"])
+	hollow, real, endpoints := int(spec.X), int(spec.Settings["real"]), int(spec.Settings["endpoints"])
 	quick := spec.Settings["quick"] > 0
 	// linked: the nodes reach the replicas through links, which two of the faults cut.
 	linked := spec.Settings["cut_zone"] > 0 || spec.Settings["cut_region"] > 0
@@ -72,14 +72,14 @@
 	if err != nil {
 		return r, err
 	}
-	group := newNodeGroup(spec, svc, hollowCount+realCount, endpoints, log)
+	group := newNodeGroup(spec, svc, hollow+real, endpoints, log)
 	defer group.shutdown(&err)
-	if spec.Settings["load"] > 0 && realCount > 0 {
-		if group.load, err = openLoad(spec, svc, realCount); err != nil {
+	if spec.Settings["load"] > 0 && real > 0 {
+		if group.load, err = openLoad(spec, svc, real); err != nil {
 			return r, err
 		}
 	}
-	nodeSpecs, err := group.prepare(hollowCount)
+	nodeSpecs, err := group.prepare(hollow)
 	if err != nil {
 		return r, err
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		return r, err
 	}
-	if err := group.startReal(spec.NodeProgram, realCount); err != nil {
+	if err := group.startReal(spec.NodeProgram, real); err != nil {
 		return r, err
 	}
 	if err := group.start(nodeSpecs); err != nil {
@@ -105,7 +105,7 @@
 	if err != nil {
 		return r, err
 	}
-	nodes := float64(hollowCount)
+	nodes := float64(hollow)
 	r.SetCount("node.goroutines", float64(afterShortList.goroutines-before.goroutines)/nodes)
 	r.SetCount("node.descriptors", float64(afterShortList.descriptors-before.descriptors)/nodes)
 
--- a/internal/lab/scale/hollow/owned.go
+++ b/internal/lab/scale/hollow/owned.go
@@ -26,13 +26,14 @@
 )
 
 const (
-	ownersPerPartition = 3               // of a partition
-	fillBatch          = 20_000          // endpoints in one write: 2.7 MB of at most 16 MB
-	mapLeaseTTL        = 5 * time.Second // of the record while the map is written
-	ownedIdleWindow    = 4 * time.Second // two heartbeats
-	trailerWait        = 50 * time.Millisecond
+	ownersPerPartition = 3                     // nodes that own each partition
+	fillBatch          = 20_000                // endpoints in one write: 2.7 MB of at most 16 MB
+	mapLeaseTTL        = 5 * time.Second       // of the lease on the directory's record while the map is written
+	ownedIdleWindow    = 4 * time.Second       // two heartbeats
+	trailerWait        = 50 * time.Millisecond // until the end of an HTTP chunk has been counted too
 )
 
+// ownedAxis is the axis that grows the share of the list that one node owns.
 func ownedAxis() play.Axis {
 	return play.Axis{
 		Name: "owned", XUnit: "destination owned",
@@ -61,7 +62,7 @@
 type ownershipLayout struct {
 	endpointCount  int // of the whole fleet
 	ownerMap       *ownership.Map
-	node           int // the node whose share is nearest to the point
+	node           int // number of the node whose share is nearest to the point
 	partitions     ownership.Set
 	destinations   int   // number of the node's destinations
 	ownEndpoints   []int // the node's endpoints, by number
@@ -71,11 +72,12 @@
 func memberName(n int) string { return fmt.Sprintf("n%d", n) }
 
 // layOutOwnership lays out a fleet whose nodes own x destinations on average, and picks the node whose share
-// is nearest to x. A node has few partitions, so shares differ by some percent.
+// is nearest to x. A node has few partitions, so shares differ by some percent. The layout names at most as
+// many endpoints of other nodes as others says.
 func layOutOwnership(x float64, nodes, others int) (*ownershipLayout, error) {
 	destinations := int(math.Round(x * float64(nodes) / ownersPerPartition))
 	if destinations < 1 {
-		return nil, fmt.Errorf("need at least 1 destination, not %v per node", x)
+		return nil, fmt.Errorf("axis owned: with %v destinations per node the fleet has none at all", x)
 	}
 	var members []ownership.Member
 	for n := range nodes {
@@ -114,8 +116,8 @@
 	return layout, nil
 }
 
-// openLargeService starts one replica with a raised cap, writes a list of any length to it, and returns the
-// list's revision.
+// openLargeService starts one replica that accepts as many endpoints as the list has, also more than
+// catalog.DefaultMaxEndpoints. It writes the list to the replica and returns the list's revision.
 func openLargeService(ctx context.Context, s play.Spec, endpoints int) (*service, int64, error) {
 	svc, err := openServiceWith(ctx, s, fmt.Sprintf("[list]\nmost = %d\n", max(endpoints, catalog.DefaultMaxEndpoints)), 1, false, endpointList(1))
 	if err != nil {
@@ -139,7 +141,8 @@
 	return svc, revision, nil
 }
 
-// putMap writes a map of owners into the directory's record, and returns its size.
+// putMap writes a map of owners into the directory's record, and returns the size of the encoded map in
+// bytes.
 func (s *service) putMap(ctx context.Context, m *ownership.Map) (int, error) {
 	raw, err := m.Encode()
 	if err != nil {
@@ -156,7 +159,7 @@
 			err = json.Unmarshal(raw, &w)
 		}
 		if err != nil {
-			err = fmt.Errorf("map of owners: %w", err)
+			err = fmt.Errorf("write the map of owners: %w", err)
 		}
 		return err
 	}
@@ -187,6 +190,9 @@
 	return len(l.Members), nil
 }
 
+// playOwned plays a point of the axis owned: it fills one replica with the list of a whole fleet and a map of
+// owners, starts one hollow node through a proxy that counts bytes, and measures its start and the changes
+// inside and outside its share.
 func playOwned(ctx context.Context, s play.Spec, log *slog.Logger) (r play.Reading, err error) {
 	changes := int(s.Settings["changes"])
 	layout, err := layOutOwnership(s.X, int(s.Settings["nodes"]), changes)
@@ -370,7 +376,7 @@
 }
 
 const (
-	firstChangeTime = 1000    // so that the times of all changes have the same number of digits
+	firstChangeTime = 1000    // start times (Endpoint.UpSince) begin here, so that all have the same number of digits and changes the same size
 	shareDir        = "share" // in a node's state folder: holds its list cache if it has [ownership]
 )
 
@@ -416,8 +422,8 @@
 	return nil
 }
 
-// meteringProxy is a proxy before a replica. It counts the bytes of each response: TCP payload, with HTTP
-// headers and framing. Its owner must call close.
+// meteringProxy is a proxy in front of a replica. It counts the bytes of each response: TCP payload, with
+// HTTP headers and framing. Its owner must call close.
 type meteringProxy struct {
 	ln     net.Listener
 	target string
@@ -430,6 +436,7 @@
 	beforeRequest func(path string)
 }
 
+// request is one request that the proxy has forwarded, and the bytes of its response so far.
 type request struct {
 	path          string
 	responseBytes float64
@@ -469,9 +476,9 @@
 func (proxy *meteringProxy) responseBytes(match func(path string) bool) (total float64, requests int) {
 	proxy.mu.Lock()
 	defer proxy.mu.Unlock()
-	for _, a := range proxy.requests {
-		if match(a.path) {
-			total += a.responseBytes
+	for _, req := range proxy.requests {
+		if match(req.path) {
+			total += req.responseBytes
 			requests++
 		}
 	}
@@ -554,7 +561,8 @@
 	}
 }
 
-// requestPath returns the path of a request, which a client sends in one piece.
+// requestPath returns the path and query of a GET request, given the data that it begins with. It reports
+// false if the data does not begin with one. A client sends a request in one piece.
 func requestPath(p []byte) (string, bool) {
 	line, _, _ := bytes.Cut(p, []byte("\r\n"))
 	f := strings.Fields(string(line))
@@ -575,6 +583,7 @@
 	proxy.wg.Wait()
 }
 
+// directoryAxis is the axis that grows the list of a replica without nodes.
 func directoryAxis() play.Axis {
 	return play.Axis{
 		Name: "directory", XUnit: "destination",
@@ -587,6 +596,8 @@
 	}
 }
 
+// playDirectory plays a point of the axis directory: it fills one replica, kills and restarts it, and checks
+// the lists by partition that it then serves.
 func playDirectory(ctx context.Context, s play.Spec, _ *slog.Logger) (r play.Reading, err error) {
 	endpoints := endpointCountOf(int(s.X))
 	startedAt := time.Now()
@@ -640,7 +651,7 @@
 	return r, ctx.Err()
 }
 
-const maxPartitionsPerRequest = 500 // the header of a request may have 16 KB
+const maxPartitionsPerRequest = 500 // keeps the request's header below the 16 KB that it may have
 
 // splitPartitions splits a set into sets of at most this many partitions.
 func splitPartitions(set ownership.Set, maxSize int) (parts []ownership.Set) {
--- a/internal/lab/scale/hollow/read.go
+++ b/internal/lab/scale/hollow/read.go
@@ -205,13 +205,14 @@
 	descriptorPollInterval = 200 * time.Millisecond // where a poll reads all descriptors
 )
 
-// await waits for a condition, polling every millisecond.
+// await waits for a condition, polling every pollInterval. The text what completes "waiting for" in its error.
 func await(ctx context.Context, what string, isDone func() bool) error {
 	return awaitEvery(ctx, pollInterval, what, isDone)
 }
 
+// awaitEvery is await with another interval between polls.
 func awaitEvery(ctx context.Context, every time.Duration, what string, isDone func() bool) error {
-	ctx, cancel := context.WithTimeoutCause(ctx, waitTimeout, fmt.Errorf("%s has not come within %v", what, waitTimeout))
+	ctx, cancel := context.WithTimeoutCause(ctx, waitTimeout, fmt.Errorf("waiting for %s timed out after %v", what, waitTimeout))
 	defer cancel()
 	tick := time.NewTicker(every)
 	defer tick.Stop()
