--- a/cmd/cottonrack/scale.go
+++ b/cmd/cottonrack/scale.go
@@ -25,7 +25,7 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// axes returns all axes that a scale run can measure.
+// axes returns all axes that a scale run can grow.
 func axes() []play.Axis { return slices.Concat(hollow.Axes(), burden.Axes()) }
 
 type labScaleCmd struct {
@@ -39,7 +39,7 @@
 	Commit string `help:"Commit that both programs were built from, if they don't know it themselves (-buildvcs=false)."`
 }
 
-// Run executes the scale run, and writes its results.
+// Run plays the scale run of the file, writes its results and prints them.
 func (c *labScaleCmd) Run(a *app) error {
 	if c.Axes {
 		return a.listAxes()
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// options returns the programs of a run and what is known of their build.
+// options returns the options of a run: the programs, and the build that they are from.
 func (c *labScaleCmd) options(a *app) (scale.Options, error) {
 	o := scale.Options{Resume: c.Resume, Env: os.Environ(), Log: a.log}
 	node, err := exec.LookPath(c.Node)
@@ -169,8 +169,8 @@
 	return hex.EncodeToString(h.Sum(nil)), nil
 }
 
-// scaleProgress shows the progress of a run: one updated line on a terminal; elsewhere a separate line for
-// each measurement and every ten seconds.
+// scaleProgress returns a function that shows the progress of a run, and one to call when the run has ended.
+// On a terminal one line is updated; elsewhere there is a line for each play and every ten seconds.
 func (a *app) scaleProgress(f scale.RunFile) (show func(scale.Progress), done func()) {
 	line := func(p scale.Progress) string {
 		left := "time left unknown"
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// listAxes prints what a file may name.
+// listAxes prints the axes, and the figures and settings of each that a run file may name.
 func (a *app) listAxes() error {
 	if a.asJSON {
 		type axis struct {
@@ -272,5 +272,5 @@
 
 type labScalePlayCmd struct{}
 
-// Run executes one measurement, which its run describes on standard input.
+// Run is the process of one play; the run that started it sends the play.Spec on standard input.
 func (labScalePlayCmd) Run(a *app) error { return scale.RunPlay(a.ctx, os.Stdin, a.out, axes(), a.log) }
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -7,9 +7,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Comparison holds runs of two sides on the same seeds.
+// Comparison compares two sides, A and B, each an experiment or a program of the node, by pairs of runs with
+// the same seed.
 type Comparison struct {
-	A, B  string
+	A, B  string // what was run on each side
 	Pairs []SeedPair
 }
 
@@ -19,15 +20,15 @@
 	A, B *Result
 }
 
-// Difference is one metric on both sides.
+// Difference is one metric compared between the sides.
 type Difference struct {
 	Name    string  `json:"name"`
-	A       float64 `json:"a"` // mean
+	A       float64 `json:"a"` // mean over all runs of A
 	B       float64 `json:"b"`
-	Mean    float64 `json:"mean"` // of B minus A, by pairs
-	Low     float64 `json:"low"`  // lower bound of the 95% confidence interval of the mean
+	Mean    float64 `json:"mean"` // mean over the pairs of B minus A
+	Low     float64 `json:"low"`  // bounds of the 95% confidence interval of Mean; both are Mean if there are fewer than two pairs
 	High    float64 `json:"high"`
-	Verdict string  `json:"verdict"`
+	Verdict string  `json:"verdict"` // whether the interval shows a difference, in words
 }
 
 // Add adds a pair. Both sides must have run with the same seed.
@@ -35,7 +36,7 @@
 	c.Pairs = append(c.Pairs, SeedPair{Seed: a.Seed, A: a, B: b})
 }
 
-// FailedRuns returns the number of runs that did not pass.
+// FailedRuns returns the number of runs on both sides that did not pass.
 func (c *Comparison) FailedRuns() int {
 	n := 0
 	for _, p := range c.Pairs {
@@ -48,7 +49,8 @@
 	return n
 }
 
-// Differences returns the difference of each metric. With fewer than two pairs there is no interval.
+// Differences returns the difference of each metric, among them one for each class of the first run of A. It
+// is NaN if another run lacks the class.
 func (c *Comparison) Differences() []Difference {
 	metrics := []struct {
 		name string
@@ -96,21 +98,22 @@
 		}
 	}
 	var out []Difference
-	for _, f := range metrics {
+	for _, metric := range metrics {
 		var a, b, d []float64
 		for _, p := range c.Pairs {
-			x, y := f.of(p.A), f.of(p.B)
+			x, y := metric.of(p.A), metric.of(p.B)
 			a, b, d = append(a, x), append(b, y), append(d, y-x)
 		}
-		out = append(out, pairedDifference(f.name, a, b, d))
+		out = append(out, pairedDifference(metric.name, a, b, d))
 	}
 	return out
 }
 
+// ratio returns n divided by of, or n if of is 0.
 func ratio(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
-// pairedDifference returns the mean of the differences with the confidence interval of Student's
-// t-distribution.
+// pairedDifference returns the difference of one metric, given its values a and b on both sides and the
+// differences d, B minus A, by pairs. The confidence interval is that of a paired Student's t-test.
 func pairedDifference(name string, a, b, d []float64) Difference {
 	out := Difference{Name: name, A: stat.Mean(a, nil), B: stat.Mean(b, nil), Verdict: "too few pairs"}
 	mean, sd := stat.MeanStdDev(d, nil)
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -53,8 +53,8 @@
 	Calls        int
 	Notices      int
 	ReadyNodes   int
-	Lateness     time.Duration // 99th percentile so far
-	Starting     bool
+	Lateness     time.Duration // 99th percentile so far, of the component of the lab where it is highest
+	Starting     bool          // the nodes are being started; only ReadyNodes is set
 }
 
 // run is the execution of one plan.
@@ -76,9 +76,9 @@
 	mu               sync.Mutex
 	endpointsMade    int // how many were ever created
 	activeLinkFaults []*experiment.FaultPlan
-	limitShares      map[int][]float64
-	labFailures      []string // what the lab itself failed to do
-	agentMoves       int
+	limitShares      map[int][]float64  // by partner: the sizes of its limit faults under way
+	labFailures      []string           // what the lab itself failed to do
+	agentMoves       int                // number of move faults so far; each takes another port
 	stopWrites       context.CancelFunc // stops the writes to the directory
 }
 
@@ -176,7 +176,8 @@
 	return nil
 }
 
-// addEndpoint puts a new endpoint of a partner into service and adds it to the discovery list.
+// addEndpoint puts a new endpoint of a partner into service and adds it to the discovery list. With atOnce all
+// nodes learn of it without delay, and it counts as up for long, as at the start of a run.
 func (r *run) addEndpoint(partnerNumber, zone int, atOnce bool) error {
 	r.mu.Lock()
 	endpointNumber := r.endpointsMade
@@ -314,7 +315,8 @@
 	}
 }
 
-// folderSize returns the size of the files in a directory, each rounded up to whole blocks of 512 bytes.
+// directorySize returns the size in bytes of the files in a directory, each rounded up to whole blocks of 512
+// bytes.
 func directorySize(dir string) int64 {
 	sum := int64(0)
 	filepath.WalkDir(dir, func(_ string, d os.DirEntry, err error) error {
--- a/internal/lab/standin/partner.go
+++ b/internal/lab/standin/partner.go
@@ -22,13 +22,13 @@
 	"starlingusher/internal/lab/relay"
 )
 
-const maxBody = 64 << 10
+const maxBody = 64 << 10 // bytes read of a message; twice as many are read of a batch
 
-// lastNumber is the number last given to a call or a connection, over all partners of a process.
+// lastNumber is the number last given to a call or a connection. All partners of a process share it.
 var lastNumber atomic.Uint64
 
-// Partner is one partner on sockets: its model, and an HTTP server for each of its endpoints. Nodes connect
-// through links.
+// Partner serves the model of one partner on sockets, with an HTTP server for each of its endpoints. Nodes
+// connect through links, which can impose network conditions.
 type Partner struct {
 	number      int
 	log         *observe.Log
@@ -37,15 +37,15 @@
 	idleTimeout time.Duration
 
 	mu             sync.Mutex
-	modelState     *partner.Partner
+	model          *partner.Partner
 	timer          *time.Timer
-	nextTick       time.Duration
-	pendingAnswers map[uint64]chan partner.Answer
-	conns          map[uint64]*serverConn // by connection number
+	nextTick       time.Duration                  // time of the run that timer is set to
+	pendingAnswers map[uint64]chan partner.Answer // by call number
+	conns          map[uint64]*serverConn         // by connection number
 	endpoints      []*Endpoint
-	outages        int // faults that currently cause an outage
+	outages        int // number of faults under way that are outages
 	closed         bool
-	onCall         func(ids []string) // called with the messages of each call; may be nil
+	onCall         func(ids []string) // called with the IDs of the messages of each call; may be nil
 }
 
 // Endpoint is one endpoint of a partner. It has a link for each node.
@@ -53,14 +53,14 @@
 	ID       string
 	Zone     int
 	partner  *Partner
-	index    int
-	links    []*relay.Link
+	index    int           // in Partner.endpoints and in the model
+	links    []*relay.Link // by node
 	listener *connQueue
 	server   *http.Server
 	done     chan struct{}
 }
 
-// serverConn is a connection as the server of an endpoint has it.
+// serverConn is the server's side of a relayed connection between a node and an endpoint.
 type serverConn struct {
 	net.Conn
 	relayed       *relay.Connection
@@ -69,12 +69,13 @@
 	endpointIndex int
 }
 
-// NewPartner creates a partner without endpoints; AddEndpoint adds them. The function onCall, unless nil, is
-// called with the messages of each call.
+// NewPartner creates a partner without endpoints; AddEndpoint adds them. The seed is for the model's random
+// choices, and idleTimeout is how long the servers keep an idle connection. The function onCall, unless nil,
+// is called with the IDs of the messages of each call.
 func NewPartner(number int, config partner.Config, seed uint64, nodeCount int, idleTimeout time.Duration, log *observe.Log, onCall func([]string)) *Partner {
 	p := &Partner{
 		number: number, log: log, config: config, nodeCount: nodeCount, idleTimeout: idleTimeout, onCall: onCall,
-		modelState:     partner.New(config, rand.New(rand.NewPCG(seed, uint64(number)))),
+		model:          partner.New(config, rand.New(rand.NewPCG(seed, uint64(number)))),
 		pendingAnswers: map[uint64]chan partner.Answer{}, conns: map[uint64]*serverConn{},
 	}
 	p.timer = time.AfterFunc(time.Hour, p.tick)
@@ -85,7 +86,7 @@
 func (p *Partner) AddEndpoint(id string, zone int, addr func(node int) string) (*Endpoint, error) {
 	p.mu.Lock()
 	index := len(p.endpoints)
-	if index >= p.config.Endpoints {
+	if index >= p.config.Endpoints { // the model does not have it from the start
 		p.step(partner.EndpointAdded{})
 	}
 	e := &Endpoint{ID: id, Zone: zone, partner: p, index: index, listener: newConnQueue(), done: make(chan struct{})}
@@ -96,7 +97,7 @@
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, connKey{}, nc) },
 		ConnState:   e.handleConnState,
 	}
-	go func() { // ends with close
+	go func() { // ends when close closes the server
 		defer close(e.done)
 		e.server.Serve(e.listener)
 	}()
@@ -113,13 +114,15 @@
 	return e, nil
 }
 
+// connKey is the context key of the connection that a request came on.
 type connKey struct{}
 
-// connect opens the server side of a connection on a node's link.
+// connect opens the server's side of a connection on a node's link, and returns the end that the link
+// forwards to.
 func (e *Endpoint) connect(ctx context.Context, node int, relayed *relay.Connection) (net.Conn, error) {
 	p := e.partner
 	p.mu.Lock()
-	if p.closed || p.modelState.IsDown(e.index) {
+	if p.closed || p.model.IsDown(e.index) {
 		p.mu.Unlock()
 		p.log.Add(history.Event{Kind: history.ConnectFailed, Node: node, Partner: p.number, Endpoint: e.ID})
 		return nil, errors.New("endpoint is down")
@@ -138,13 +141,14 @@
 	return linkEnd, nil
 }
 
-// handleConnState handles the end of a connection.
+// handleConnState tells the model when the server has closed a connection.
 func (e *Endpoint) handleConnState(nc net.Conn, s http.ConnState) {
 	if c, ok := nc.(*serverConn); ok && (s == http.StateClosed || s == http.StateHijacked) {
 		e.partner.closeConn(c)
 	}
 }
 
+// closeConn tells the model that a connection is closed, unless it was told before or reset the connection.
 func (p *Partner) closeConn(s *serverConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,7 +164,7 @@
 // Link returns the link of a node.
 func (e *Endpoint) Link(node int) *relay.Link { return e.links[node] }
 
-// Retire takes the endpoint out of service like a machine that is gone: connections are reset and refused.
+// Retire takes the endpoint out of service as if its machine was gone: connections are reset and refused.
 func (e *Endpoint) Retire() { e.close() }
 
 func (e *Endpoint) close() {
@@ -179,7 +183,9 @@
 	return append([]*Endpoint(nil), p.endpoints...)
 }
 
-// StartFault starts a fault on all endpoints.
+// StartFault starts a fault on all endpoints, which lasts until a time of the run, or forever if that is 0.
+// If the fault is an outage of the whole partner, its start is recorded, and the end once no outage is left;
+// Failing counts as an outage if at least half of the answers are errors.
 func (p *Partner) StartFault(kind partner.FaultKind, size float64, until time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,7 +205,8 @@
 	p.step(partner.FaultStarted{Endpoint: -1, Kind: kind, Size: size, Until: until})
 }
 
-// CatchUp advances the model to the run's time, after the run has started.
+// CatchUp advances the model to the run's time and sets its timer anew. It must be called after observe.Log's
+// Start, which moves the run's time.
 func (p *Partner) CatchUp() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,6 +232,7 @@
 	}
 }
 
+// tick passes the time to the model; the timer calls it.
 func (p *Partner) tick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -239,7 +247,7 @@
 
 // step passes an event to the model and carries out the resulting actions. The caller holds the lock.
 func (p *Partner) step(ev partner.Event) {
-	for _, a := range p.modelState.Step(p.log.Now(), ev) {
+	for _, a := range p.model.Step(p.log.Now(), ev) {
 		switch a := a.(type) {
 		case partner.Answer:
 			if c := p.pendingAnswers[a.Call]; c != nil {
@@ -272,20 +280,21 @@
 			p.log.Add(history.Event{Kind: history.Collapsed, Node: -1, Partner: p.number, CallsBySender: a.CallsBySender})
 		}
 	}
-	if next, ok := p.modelState.NextTick(); ok && !p.closed {
+	if next, ok := p.model.NextTick(); ok && !p.closed {
 		p.nextTick = next
 		p.timer.Reset(time.Until(p.log.WallTime(next)))
 	}
 }
 
-// item is a message of a batch.
+// item is a message of a call, as it is encoded in a batch.
 type item struct {
 	ID   string `json:"id"`
 	Key  string `json:"key"`
 	Body []byte `json:"body"`
 }
 
-// serve answers one request of a node.
+// serve handles one request of a node: a call with one message, a call with a batch, or a probe, which is a
+// call without messages.
 func (e *Endpoint) serve(w http.ResponseWriter, req *http.Request) {
 	c, _ := req.Context().Value(connKey{}).(*serverConn)
 	var items []item
@@ -330,7 +339,7 @@
 	}
 	answers := make(chan partner.Answer, 1)
 	p.mu.Lock()
-	if p.conns[c.number] == nil { // it was reset before its call was read
+	if p.conns[c.number] == nil { // the connection was reset before its call was read
 		p.mu.Unlock()
 		return
 	}
@@ -348,7 +357,7 @@
 		p.mu.Lock()
 		delete(p.pendingAnswers, call.Call)
 		p.mu.Unlock()
-		end.State = history.Abandoned
+		end.State = history.Abandoned // by the node, unless the node has not closed the connection
 		if at := c.relayed.ClientClosedAt(); !at.IsZero() {
 			end.At = p.log.RunTime(at)
 		} else {
@@ -367,7 +376,7 @@
 	partner.Accepted: history.OutcomeAccepted, partner.Failed: history.OutcomeFailed, partner.Deferred: history.OutcomeDeferred,
 }
 
-// sendAnswer writes an answer, and records the end of the call once the answer was sent to the node.
+// sendAnswer sends the model's answer to the node, and records the end of the call.
 func (e *Endpoint) sendAnswer(w http.ResponseWriter, c *serverConn, items []item, a partner.Answer, end history.Event) {
 	p := e.partner
 	end.State, end.RetryAfter = statesByStatus[a.Status], a.RetryAfter
@@ -401,7 +410,7 @@
 			for i, it := range items {
 				list[i] = itemAnswer{it.ID, end.Outcomes[i]}
 			}
-			body, _ = json.Marshal(list) // strings always encode
+			body, _ = json.Marshal(list) // can't fail: it has strings only
 		}
 	case partner.Errored:
 		code = http.StatusInternalServerError
@@ -419,8 +428,8 @@
 	e.recordEnd(c, end)
 }
 
-// recordEnd records the end of a call when its answer has reached the node. A call whose answer never arrives
-// is recorded as abandoned.
+// recordEnd records the end of a call once its answer has reached the node. A call whose answer does not
+// reach the node is recorded as abandoned.
 func (e *Endpoint) recordEnd(c *serverConn, end history.Event) {
 	c.relayed.OnDelivered(func(at time.Time, delivered bool) {
 		if !delivered {
@@ -442,6 +451,8 @@
 	return &connQueue{conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
+// put hands a connection to Accept. It closes the connection and returns false if the queue is closed or the
+// context ends first.
 func (q *connQueue) put(ctx context.Context, nc net.Conn) bool {
 	select {
 	case q.conns <- nc:
