--- a/internal/lab/scale/hollow/hollow.go
+++ b/internal/lab/scale/hollow/hollow.go
@@ -6,21 +6,24 @@
 // It differs from a real node in this, and nothing else:
 //
 //	clients      no connection is ever accepted, so no message is read, accepted, refused or answered
-//	messages     none are held: the journal has records of endpoints only, and the module's queues are empty
+//	messages     none are held: the journal has records of endpoints only, and the queues of the decision module
+//	             (package choice) are empty
 //	calls        none are made, so nothing is probed, no endpoint is ever down, and the connection pool is empty
 //	bodies       none
 //	notices      none are due, so nothing is posted to the list service
 //	successor    no lock on the state folder, and no handover socket for another process to take over by
 //	operators    no operators' address
 //	process      one for all of them: the Go runtime, its processors, its heap and its garbage collector are shared, and no
-//	             memory limit is set (coralyard sets one, and has its own processors)
+//	             memory limit of a node is set (coralyard sets one, and has its own processors); the axis nodes limits
+//	             the whole process
 //
 // The rest is the node's own: the client of the list service with its cursor, its pauses and its connection,
-// the list cache and its file, the loop, the module with its destinations, endpoints, routes and limits, and
-// the journal. So a hollow node needs what a real node needs: two descriptors (the journal, the watch), the
-// memory of a listener, the channels of the module and the loop, and some goroutines (the plays count them).
+// the list cache and its file, the loop, the decision module with its destinations, endpoints, routes and
+// limits, and the journal. So a hollow node needs what a real node needs: two descriptors (the journal, the watch), the
+// memory of a listener and of the decision module, the channels of the loop, and some goroutines (the plays
+// count them).
 //
-// Neither has a view of the members (package fleet/members): no node has one yet. A node follows only its own
+// Neither hollow nor real nodes have a view of the members (package fleet/members): no node has one yet. A node follows only its own
 // partitions if Spec.FleetTOML says so.
 package hollow
 
--- a/internal/lab/scale/play/play.go
+++ b/internal/lab/scale/play/play.go
@@ -1,10 +1,13 @@
 // Package play holds what a scale run (package scale) and its axes share: what an axis is, what it is asked
 // to play, and what it reads.
 //
-// An axis is the one quantity that a scale run grows while all else stays the same, as the number of nodes. A
-// play is one measurement of one point of an axis. The run starts a process for each play, kills what the
-// play has left running, and fits the readings. An axis starts what it needs, reads its figures, and stops
-// all of it again.
+// An axis is the one quantity that a scale run grows while all else stays the same, for example the number of
+// nodes. A point is one value of it, x. A play is one measurement of a point, and a figure is one number that
+// it reads: the value of a [Measure].
+//
+// The run starts a process for each play, which plays the axis at that point: it starts what it needs, reads
+// the figures, and stops all of it again. The run kills what the play has left running, and fits slopes to the
+// figures of all plays.
 package play
 
 import (
