--- a/internal/lab/standin/clients.go
+++ b/internal/lab/standin/clients.go
@@ -21,36 +21,37 @@
 )
 
 const (
-	maxKept     = 64 // idle connections to a node
-	rudeWindow  = 3 * time.Second
-	rudeSlack   = 200 * time.Millisecond
-	dialTimeout = time.Second
+	maxIdleConns    = 64 // idle connections to one node
+	rudePeerTimeout = 3 * time.Second
+	rudePeerSlack   = 200 * time.Millisecond
+	dialTimeout     = time.Second
 )
 
-// Clients hand a plan's messages in, in an open loop: when they come does not depend on what becomes of others.
+// Clients submit a plan's messages in an open loop: the time of a submission does not depend on the fate of
+// other messages.
 type Clients struct {
-	plan  *experiment.Plan
-	log   *observe.Log
-	addr  func(node int) string // where a node's clients connect
-	alive func(node int) bool   // whether it runs, as far as its clients can know
-	body  []byte
+	plan *experiment.Plan
+	log  *observe.Log
+	addr func(node int) string // the address of a node's client port
+	isUp func(node int) bool   // reports whether a node runs, as far as its clients can know
+	body []byte
 
 	wg  sync.WaitGroup
 	mu  sync.Mutex
-	ctx context.Context // of the run, once it has begun
+	ctx context.Context // of the run; nil until it starts
 
-	rand  *rand.Rand
-	cases []caseState // by number, from 1
-	ids   map[string]int
-	idle  []idleConns
-	rude  RudePeerCounts
+	rand           *rand.Rand
+	cases          []caseState // by number, from 1
+	caseNumbers    map[string]int
+	idle           []idleConns
+	rudePeerCounts RudePeerCounts
 }
 
-// RudeCount is how rude peers fared.
+// RudePeerCounts tells how nodes treated rude peers.
 type RudePeerCounts struct {
 	Connected  int `json:"came"`
-	Unanswered int `json:"unanswered"` // had neither an error line nor a close in time
-	Accepted   int `json:"taken_on"`   // had a message taken on
+	Unanswered int `json:"unanswered"` // got neither an error line nor a close in time
+	Accepted   int `json:"taken_on"`   // had a message accepted
 }
 
 type idleConns struct {
@@ -60,101 +61,102 @@
 
 type clientConn struct {
 	net.Conn
-	br   *bufio.Reader
-	used bool
+	reader *bufio.Reader
+	used   bool
 }
 
-// caseState is one message over all its ids.
+// caseState is the state of one message over all its submissions, each of which has an id of its own.
 type caseState struct {
-	tries   int
-	id      string // the last one
-	node    int
-	taken   bool          // under it
-	over    bool          // delivered, failed, or given up
-	touched bool          // a partner has seen it,
-	first   time.Duration // then first
+	submissions    int
+	id             string // of the last submission
+	node           int
+	accepted       bool          // by the node, under this id
+	done           bool          // delivered, failed, or given up by the client
+	reachedPartner bool          // a partner has received it
+	firstReachedAt time.Duration // when that first happened
 }
 
-// NewClients makes the clients of a plan.
-func NewClients(plan *experiment.Plan, addr func(int) string, alive func(int) bool, log *observe.Log) *Clients {
+// NewClients returns the clients of a plan.
+func NewClients(plan *experiment.Plan, addr func(int) string, isUp func(int) bool, log *observe.Log) *Clients {
 	return &Clients{
-		plan: plan, log: log, addr: addr, alive: alive, body: []byte(strings.Repeat("x", plan.Load.BodyBytes)),
-		rand: rand.New(rand.NewPCG(plan.Seed, 0xc11e)), cases: make([]caseState, len(plan.Arrivals)+1), ids: map[string]int{},
+		plan: plan, log: log, addr: addr, isUp: isUp, body: []byte(strings.Repeat("x", plan.Load.BodyBytes)),
+		rand: rand.New(rand.NewPCG(plan.Seed, 0xc11e)), cases: make([]caseState, len(plan.Arrivals)+1), caseNumbers: map[string]int{},
 		idle: make([]idleConns, len(plan.Nodes)),
 	}
 }
 
-// Run hands in until the context ends and all clients have gone.
+// Run submits messages until the context ends, and returns when all clients have ended.
 func (c *Clients) Run(ctx context.Context) {
 	c.mu.Lock()
 	c.ctx = ctx
 	c.mu.Unlock()
-	c.wg.Go(func() { c.rudePeers(ctx) })
-	for i, a := range c.plan.Arrivals {
-		if !observe.SleepUntil(ctx, c.log.WallTime(a.At)) {
+	c.wg.Go(func() { c.runRudePeers(ctx) })
+	for i, arrival := range c.plan.Arrivals {
+		if !observe.SleepUntil(ctx, c.log.WallTime(arrival.At)) {
 			break
 		}
-		c.log.RecordLateness(observe.Clients, c.log.Now()-a.At)
-		c.wg.Go(func() { c.handIn(ctx, i+1, a.Node, false) })
+		c.log.RecordLateness(observe.Clients, c.log.Now()-arrival.At)
+		c.wg.Go(func() { c.submit(ctx, i+1, arrival.Node, false) })
 	}
 	<-ctx.Done()
 	c.wg.Wait()
 	for i := range c.idle {
-		for _, k := range c.idle[i].conns {
-			k.Close()
+		for _, conn := range c.idle[i].conns {
+			conn.Close()
 		}
 	}
 }
 
-// Rude is how the rude peers have fared.
+// RudePeerCounts returns how the rude peers have been treated so far.
 func (c *Clients) RudePeerCounts() RudePeerCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rude
+	return c.rudePeerCounts
 }
 
-// Saw is told of the messages of a call that has reached a partner.
+// RecordReached records the messages of a call that has reached a partner.
 func (c *Clients) RecordReached(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
-		if s := c.of(id); s != nil && !s.touched {
-			s.touched, s.first = true, c.log.Now()
+		if s := c.caseOf(id); s != nil && !s.reachedPartner {
+			s.reachedPartner, s.firstReachedAt = true, c.log.Now()
 		}
 	}
 }
 
-// of is the state of the case that an id is the last one of; the lock is held.
-func (c *Clients) of(id string) *caseState {
-	n := c.ids[id]
+// caseOf returns the state of the message whose last submission has this id, or nil. The caller holds the
+// lock.
+func (c *Clients) caseOf(id string) *caseState {
+	n := c.caseNumbers[id]
 	if n == 0 || c.cases[n].id != id {
 		return nil
 	}
 	return &c.cases[n]
 }
 
-// Heard is told of a node's notice: a message that was handed back may come again.
-func (c *Clients) HandleNotice(_ int, id, state string, after time.Duration) {
+// HandleNotice handles a node's notice: a message that was returned may be submitted again.
+func (c *Clients) HandleNotice(_ int, id, state string, retryAfter time.Duration) {
 	c.mu.Lock()
-	s := c.of(id)
-	if s == nil || s.over || !s.taken {
+	s := c.caseOf(id)
+	if s == nil || s.done || !s.accepted {
 		c.mu.Unlock()
 		return
 	}
-	s.taken = false
-	n, node := c.ids[id], s.node
+	s.accepted = false
+	n, node := c.caseNumbers[id], s.node
 	if state != history.Returned {
-		s.over = true
+		s.done = true
 	}
 	ctx := c.ctx
 	c.mu.Unlock()
 	if state == history.Returned && ctx != nil {
-		c.comeAgain(ctx, n, node, after)
+		c.retry(ctx, n, node, retryAfter)
 	}
 }
 
-// Lost is told that a node's folder has gone: what it held comes again to a node that runs, unless it may have run and
-// must not run twice.
+// HandleStateLoss handles the loss of a node's state directory. Messages that the node held are submitted to
+// another node that runs, unless they may have run and must not run twice.
 func (c *Clients) HandleStateLoss(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,27 +166,28 @@
 	ctx := c.ctx
 	for n := 1; n < len(c.cases); n++ {
 		s := &c.cases[n]
-		if s.id == "" || s.over || !s.taken || s.node != node {
+		if s.id == "" || s.done || !s.accepted || s.node != node {
 			continue
 		}
-		s.taken = false
+		s.accepted = false
 		class := c.plan.Classes[c.plan.Arrivals[n-1].Class]
 		wait := c.draw(c.plan.Load.ResubmitDelay)
 		c.wg.Go(func() {
 			if !observe.SleepUntil(ctx, time.Now().Add(wait)) {
 				return
 			}
-			// Not before: a call may still have been on its way when its node was lost.
+			// This is checked only after the wait: a call may still have been on its way when its node was
+			// lost.
 			c.mu.Lock()
-			s.over = s.touched && (class.Effect == judge.EffectAtMostOnce || class.Effect == judge.EffectDeduplicated && c.log.Now()-s.first > class.Window/2)
-			over := s.over
+			s.done = s.reachedPartner && (class.Effect == judge.EffectAtMostOnce || class.Effect == judge.EffectDeduplicated && c.log.Now()-s.firstReachedAt > class.Window/2)
+			done := s.done
 			c.mu.Unlock()
-			if over {
+			if done {
 				return
 			}
 			for i := range c.plan.Nodes {
-				if to := (node + 1 + i) % len(c.plan.Nodes); c.alive(to) {
-					c.handIn(ctx, n, to, true)
+				if to := (node + 1 + i) % len(c.plan.Nodes); c.isUp(to) {
+					c.submit(ctx, n, to, true)
 					return
 				}
 			}
@@ -192,92 +195,93 @@
 	}
 }
 
-// draw draws a time; the lock is held.
-func (c *Clients) draw(s experiment.DurationRange) time.Duration {
-	return s.Low + time.Duration(c.rand.Float64()*float64(s.High-s.Low))
+// draw draws a random duration. The caller holds the lock.
+func (c *Clients) draw(bounds experiment.DurationRange) time.Duration {
+	return bounds.Low + time.Duration(c.rand.Float64()*float64(bounds.High-bounds.Low))
 }
 
-// comeAgain hands a message in again after a wait, if its client has tries left.
-func (c *Clients) comeAgain(ctx context.Context, n, node int, told time.Duration) {
+// retry submits a message again after a wait, if its client has retries left.
+func (c *Clients) retry(ctx context.Context, number, node int, retryAfter time.Duration) {
 	c.mu.Lock()
-	s := &c.cases[n]
-	if s.tries > c.plan.Load.MaxRetries {
-		s.over = true
+	s := &c.cases[number]
+	if s.submissions > c.plan.Load.MaxRetries {
+		s.done = true
 		c.mu.Unlock()
 		return
 	}
 	wait := c.draw(c.plan.Load.Backoff)
-	if told > 0 && c.rand.Float64() < c.plan.Load.HonorRetryAfter {
-		wait = min(told, c.plan.Rules.MaxRetryAfter)
+	if retryAfter > 0 && c.rand.Float64() < c.plan.Load.HonorRetryAfter {
+		wait = min(retryAfter, c.plan.Rules.MaxRetryAfter)
 	}
 	c.mu.Unlock()
 	c.wg.Go(func() {
 		if observe.SleepUntil(ctx, time.Now().Add(wait)) {
-			c.handIn(ctx, n, node, false)
+			c.submit(ctx, number, node, false)
 		}
 	})
 }
 
-// handIn hands a message in once, under a new id.
-func (c *Clients) handIn(ctx context.Context, n, node int, again bool) {
-	a := c.plan.Arrivals[n-1]
-	class := c.plan.Classes[a.Class]
-	left := a.At + class.Deadline - c.log.Now()
-	if left <= time.Millisecond {
+// submit submits a message once, under a new id.
+func (c *Clients) submit(ctx context.Context, number, node int, resubmitted bool) {
+	arrival := c.plan.Arrivals[number-1]
+	class := c.plan.Classes[arrival.Class]
+	remaining := arrival.At + class.Deadline - c.log.Now()
+	if remaining <= time.Millisecond {
 		return
 	}
 	c.mu.Lock()
-	s := &c.cases[n]
-	s.tries++
-	s.id, s.node, s.taken = c.plan.MessageID(n, s.tries), node, false
-	id, first := s.id, s.tries == 1
-	c.ids[id] = n
+	s := &c.cases[number]
+	s.submissions++
+	s.id, s.node, s.accepted = c.plan.MessageID(number, s.submissions), node, false
+	id, first := s.id, s.submissions == 1
+	c.caseNumbers[id] = number
 	c.mu.Unlock()
-	words := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", class.Name, c.plan.Tenants[a.Tenant].Name, left.Milliseconds(), a.Dest)
-	key := c.plan.IdempotencyKey(n)
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d,dest=%d", class.Name, c.plan.Tenants[arrival.Tenant].Name, remaining.Milliseconds(), arrival.Dest)
+	key := c.plan.IdempotencyKey(number)
 	if key != "" {
-		words += ",k=" + key
+		fields += ",k=" + key
 	}
-	if again {
-		words += ",again=1"
+	if resubmitted {
+		fields += ",again=1"
 	}
 	e := history.Event{
-		Kind: history.Submitted, Node: node, Partner: -1, ID: id, MessageNumber: n, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest, Key: key,
-		ExpiresIn: left.Truncate(time.Millisecond), Resubmitted: again, FirstAt: a.At, At: c.log.Now(),
+		Kind: history.Submitted, Node: node, Partner: -1, ID: id, MessageNumber: number, Class: arrival.Class, Tenant: arrival.Tenant, Dest: arrival.Dest, Key: key,
+		ExpiresIn: remaining.Truncate(time.Millisecond), Resubmitted: resubmitted, FirstAt: arrival.At, At: c.log.Now(),
 	}
 	if !first {
 		e.FirstAt = e.At
 	}
 	c.log.Add(e)
-	state, wait := c.ask(ctx, node, command("ENQUEUE", strings.Repeat("0", 16), id, words, string(c.body)))
+	state, retryAfter := c.request(ctx, node, encodeCommand("ENQUEUE", strings.Repeat("0", 16), id, fields, string(c.body)))
 	if ctx.Err() != nil {
 		return
 	}
-	c.log.Add(history.Event{Kind: history.Answered, Node: node, Partner: -1, ID: id, State: state, RetryAfter: wait})
+	c.log.Add(history.Event{Kind: history.Answered, Node: node, Partner: -1, ID: id, State: state, RetryAfter: retryAfter})
 	c.mu.Lock()
-	mine := c.cases[n].id == id
-	touched, since := s.touched, c.log.Now()-s.first
-	if mine {
-		s.taken = state == history.Taken
-		s.over = state == history.Failed
+	isCurrent := c.cases[number].id == id
+	reached, since := s.reachedPartner, c.log.Now()-s.firstReachedAt
+	if isCurrent {
+		s.accepted = state == history.Taken
+		s.done = state == history.Failed
 	}
 	c.mu.Unlock()
-	if !mine {
+	if !isCurrent {
 		return
 	}
 	switch state {
 	case history.Refused, history.Unsent:
-		c.comeAgain(ctx, n, node, wait)
+		c.retry(ctx, number, node, retryAfter)
 	case history.ClientTimedOut, history.ConnectionLost:
-		// It may be with the node, and may yet run: only what may be repeated comes again, under a new id.
-		if class.Effect == judge.EffectIdempotent || class.Effect == judge.EffectDeduplicated && (!touched || since < class.Window/2) {
-			c.comeAgain(ctx, n, node, 0)
+		// The node may have the message, and may still run it: only what may be repeated is submitted again,
+		// under a new id.
+		if class.Effect == judge.EffectIdempotent || class.Effect == judge.EffectDeduplicated && (!reached || since < class.Window/2) {
+			c.retry(ctx, number, node, 0)
 		}
 	}
 }
 
-// command is a command as clients write it.
-func command(words ...string) []byte {
+// encodeCommand encodes a command in the clients' protocol.
+func encodeCommand(words ...string) []byte {
 	b := strconv.AppendInt([]byte{'*'}, int64(len(words)), 10)
 	for _, w := range words {
 		b = append(b, "\r\n$"...)
@@ -288,73 +292,73 @@
 	return append(b, "\r\n"...)
 }
 
-// ask sends a request and waits for its answer as long as clients do. One that crosses the close of an idle connection
-// is sent once more.
-func (c *Clients) ask(ctx context.Context, node int, request []byte) (state string, wait time.Duration) {
-	by := time.Now().Add(c.plan.Load.AnswerTimeout)
-	crossed := false // it has been written to a connection that ended: the node may have read it all the same
+// request sends a request and waits for the answer as long as clients do. A request that crosses the close of
+// an idle connection is sent again.
+func (c *Clients) request(ctx context.Context, node int, request []byte) (state string, retryAfter time.Duration) {
+	deadline := time.Now().Add(c.plan.Load.AnswerTimeout)
+	maybeRead := false // it was written to a connection that the node closed: the node may still have read it
 	for {
-		k, err := c.conn(ctx, node)
-		if err != nil && crossed {
+		conn, err := c.takeConn(ctx, node)
+		if err != nil && maybeRead {
 			return history.ConnectionLost, 0
 		}
 		if err != nil {
 			return history.Unsent, 0
 		}
-		stop := context.AfterFunc(ctx, func() { k.Close() })
-		line, wrote, err := k.ask(request, by)
-		used := k.used
+		stop := context.AfterFunc(ctx, func() { conn.Close() })
+		line, wrote, err := conn.request(request, deadline)
+		used := conn.used
 		stop()
 		if err == nil {
-			k.used = true
-			c.keep(node, k)
-			return answered(line)
+			conn.used = true
+			c.putConn(node, conn)
+			return parseAnswer(line)
 		}
-		k.Close()
+		conn.Close()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return history.ClientTimedOut, 0
 		case used && ctx.Err() == nil:
-			crossed = crossed || wrote
-			continue // the node closed it between requests
-		case !wrote && !crossed:
+			maybeRead = maybeRead || wrote
+			continue // the node closed it between two requests
+		case !wrote && !maybeRead:
 			return history.Unsent, 0
 		}
 		return history.ConnectionLost, 0
 	}
 }
 
-func (k *clientConn) ask(request []byte, by time.Time) (line string, wrote bool, err error) {
-	if err := k.SetDeadline(by); err != nil {
+func (k *clientConn) request(request []byte, deadline time.Time) (line string, wrote bool, err error) {
+	if err := k.SetDeadline(deadline); err != nil {
 		return "", false, err
 	}
 	if _, err := k.Write(request); err != nil {
 		return "", false, err
 	}
-	line, err = k.br.ReadString('\n')
+	line, err = k.reader.ReadString('\n')
 	return line, true, err
 }
 
-func answered(line string) (string, time.Duration) {
+func parseAnswer(line string) (string, time.Duration) {
 	line = strings.TrimRight(line, "\r\n")
 	switch {
 	case strings.HasPrefix(line, "+"), strings.HasPrefix(line, "$"):
 		return history.Taken, 0
 	case line == "-BUSY" || strings.HasPrefix(line, "-BUSY "):
-		ms, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")), 64) // none told: 0
+		ms, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimPrefix(line, "-BUSY")), 64) // 0 if there is none
 		return history.Refused, time.Duration(ms * float64(time.Millisecond))
 	}
 	return history.Failed, 0
 }
 
-func (c *Clients) conn(ctx context.Context, node int) (*clientConn, error) {
+func (c *Clients) takeConn(ctx context.Context, node int) (*clientConn, error) {
 	pool := &c.idle[node]
 	pool.mu.Lock()
 	if n := len(pool.conns); n > 0 {
-		k := pool.conns[n-1]
+		conn := pool.conns[n-1]
 		pool.conns = pool.conns[:n-1]
 		pool.mu.Unlock()
-		return k, nil
+		return conn, nil
 	}
 	pool.mu.Unlock()
 	d := net.Dialer{Timeout: dialTimeout}
@@ -362,60 +366,60 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: nc, br: bufio.NewReader(nc)}, nil
+	return &clientConn{Conn: nc, reader: bufio.NewReader(nc)}, nil
 }
 
-func (c *Clients) keep(node int, k *clientConn) {
+func (c *Clients) putConn(node int, conn *clientConn) {
 	pool := &c.idle[node]
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if len(pool.conns) >= maxKept {
-		k.Close()
+	if len(pool.conns) >= maxIdleConns {
+		conn.Close()
 		return
 	}
-	pool.conns = append(pool.conns, k)
+	pool.conns = append(pool.conns, conn)
 }
 
-// rudePeers come and say nothing, nonsense, too much, or half a request.
-func (c *Clients) rudePeers(ctx context.Context) {
+// runRudePeers starts clients that send nothing, garbage, too much or half a request.
+func (c *Clients) runRudePeers(ctx context.Context) {
 	for _, r := range c.plan.RudePeers {
 		if !observe.SleepUntil(ctx, c.log.WallTime(r.At)) {
 			return
 		}
-		c.wg.Go(func() { c.beRude(ctx, r) })
+		c.wg.Go(func() { c.runRudePeer(ctx, r) })
 	}
 }
 
-func (c *Clients) beRude(ctx context.Context, r experiment.RudePeer) {
-	if !c.alive(r.Node) {
-		return // a node that does not run owes it nothing
+func (c *Clients) runRudePeer(ctx context.Context, peer experiment.RudePeer) {
+	if !c.isUp(peer.Node) {
+		return // a node that does not run owes it no answer
 	}
 	var d net.Dialer
-	nc, err := d.DialContext(ctx, "tcp", c.addr(r.Node))
+	nc, err := d.DialContext(ctx, "tcp", c.addr(peer.Node))
 	if err != nil {
-		return // it has just gone
+		return // the node has just ended
 	}
 	defer nc.Close()
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
 	start := time.Now()
-	nc.SetDeadline(start.Add(rudeWindow + rudeSlack))
-	sayings := []string{
+	nc.SetDeadline(start.Add(rudePeerTimeout + rudePeerSlack))
+	inputs := []string{
 		"", "\x00\xff\x16\x03\x01nonsense\r\n", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n", "*99999\r\n",
 		"*1\r\n$999999999\r\n", "*5\r\n$7\r\nENQUEUE\r\n$1\r\n0\r\n$3\r\nabc\r\n$3\r\nc=x\r\n$0\r\n\r\n", strings.Repeat("A", 100_000),
 	}
-	io.WriteString(nc, sayings[r.Behavior%len(sayings)])
+	io.WriteString(nc, inputs[peer.Behavior%len(inputs)])
 	line, err := bufio.NewReader(nc).ReadString('\n')
-	if ctx.Err() != nil || !c.alive(r.Node) {
+	if ctx.Err() != nil || !c.isUp(peer.Node) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rude.Connected++
+	c.rudePeerCounts.Connected++
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.rude.Unanswered++
+		c.rudePeerCounts.Unanswered++
 	case strings.HasPrefix(line, "+"):
-		c.rude.Accepted++
+		c.rudePeerCounts.Accepted++
 	}
 }
