--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,7 +1,8 @@
-// Package choice decides for a delivery node: refuse or admit a message, when to send it, to which endpoint,
-// whether to try again, when to give up. Its interface (Settings, Events, Actions) is in types.go and its
-// bare state in state.go; every decision, table and tuned value is here. A Sender is a deterministic state
-// machine: time comes with Step, randomness from the seed, and it shares nothing with other senders.
+// Package choice makes the decisions of a delivery node: whether to admit or refuse a message, when to send
+// it and to which endpoint, whether to try again, and when to give up. Its interface (Settings, Event,
+// Action) is in types.go, the state that it keeps in state.go; all decisions and constants are here. A Sender
+// is a deterministic state machine: time comes with Step, randomness from the seed, and senders share nothing
+// with each other.
 package choice
 
 import (
@@ -12,344 +13,363 @@
 )
 
 const (
-	// Gate. Bounds of the response ratio are the paper's best, BBC 60-80.
-	gateUpper, gateLower = 80, 60
-	// The ratio bounds cannot act before a slow destination's messages expire, so shares of the deadline do.
-	deadlineShut, deadlineOpen = 0.5, 1.0 / 3
-	// One never sent counts as this share of the deadline, just past the bound: it may be all that a gate
-	// hears, and with all its time a single one kept the gate shut for long.
-	unsentShare  = 0.6
-	smoothing    = 0.2               // weight of a sample when they come often
-	smoothSpan   = 2 * time.Second   // after a silence this long a sample weighs more
-	baselineSpan = 120 * time.Second // the baseline grows by a factor e in this time
-	// A failed attempt counts for so many aims at least: it reads ill, but holding through an outage beats
-	// refusing, so it must not shut the gate alone. The hold that follows does when it grows too long.
-	failCharge    = 1.0
-	floorResponse = 5 * time.Millisecond   // keeps ratios finite
-	gateTrial     = 500 * time.Millisecond // pause between trial messages of a shut, idle gate
-
-	// Health of a route.
-	failWeight = 0.05                    // weight of a call in the share of failures met everywhere
-	chanceRun  = 0.02                    // a run of failures less likely than this by that share is no luck
-	shutWait   = 2200 * time.Millisecond // a told wait longer than any limit's span means shut
-	trialFirst = 250 * time.Millisecond  // half-open trials: first pause,
-	trialLast  = 1000 * time.Millisecond // and the longest, a fraction of the outages worth noticing
-	sickCount  = 3                       // failures in a row that make an outage where they are rare,
-	sickSpan   = 2 * time.Second         // one less if none passed for so long,
-	rareCalls  = 0.5                     // or where we have so few calls in that time
-	// Rule four counts the load of knowing senders; a tenth less than all of it leaves room for chance.
-	knowingShare = 0.9
-	// Of its own demand a sender takes less, for a busy destination may be asked for more than it can do.
-	demandShare = 0.4
-	roughWeight = 1.5 // a rough weight may be this many times too high
-	// So many roots of a cold destination's budget of calls, and so many calls more, are put down to chance.
-	chanceRoots, chanceCalls = 2, 2
+	// Gate. It closes when the response time ratio (average over baseline) exceeds the upper bound and opens
+	// below the lower one. These are the best bounds of the paper (its variant BBC 60-80).
+	gateUpperRatio, gateLowerRatio = 80, 60
+	// The messages of a slow destination expire before the ratio reaches its bounds. So the average response
+	// time is also bounded by these shares of the deadline.
+	gateCloseDeadlineShare, gateOpenDeadlineShare = 0.5, 1.0 / 3
+	// A message that expired unsent is sampled with at most this share of the deadline, just above the bound
+	// for closing. It may be the only sample that a gate gets; sampled with its full age, a single one kept
+	// the gate closed for long.
+	unsentDeadlineShare = 0.6
+	smoothingWeight     = 0.2               // least weight of a sample in the average
+	smoothingSpan       = 2 * time.Second   // time constant of the average: after a pause of this length a sample weighs more
+	baselineGrowthSpan  = 120 * time.Second // the baseline grows by a factor of e in this time
+	// A failed attempt is sampled with at least so many soft deadlines. It must not close the gate alone,
+	// because holding messages through an outage is better than refusing them. Once they are held too long,
+	// their response times close it.
+	failureSoftDeadlines = 1.0
+	minResponseTime      = 5 * time.Millisecond   // lower bound that keeps ratios finite
+	gateTrialInterval    = 500 * time.Millisecond // pause between trial messages of a closed, idle gate
+
+	// Circuit breaker of a route.
+	failureShareWeight   = 0.05                    // weight of one call in the smoothed share of failures over all routes
+	chanceRunProbability = 0.02                    // a run of failures less likely than this at that share of failures is not put down to chance
+	shutRetryAfter       = 2200 * time.Millisecond // a longer retry-after exceeds the span of any limit, so the endpoint is shut
+	halfOpenFirstPause   = 250 * time.Millisecond  // backoff before the first half-open call,
+	halfOpenMaxPause     = 1000 * time.Millisecond // and its maximum, a fraction of the outages that matter
+	outageFailures       = 3                       // failures in a row that count as an outage where failures are rare,
+	outageSpan           = 2 * time.Second         // one fewer if no call has succeeded for this time,
+	rareArrivals         = 0.5                     // or if fewer messages than this arrive within it
+	// Share of an even part of the slow start budget that each sender may use. Only the calls of senders that
+	// know of the outage count against the budget; a tenth less than all of it leaves room for chance.
+	evenBudgetShare = 0.9
+	// Share of its own demand that a sender may use of the budget. It is less than 1 because the demand on a
+	// busy destination may exceed its capacity.
+	ownDemandShare    = 0.4
+	roughWeightFactor = 1.5 // an endpoint's weight may be too high by this factor if Settings.RoughWeights is set
+	// The fleet may exceed the slow start budget by chance: by so many standard deviations (the square root
+	// of the budget), and so many calls more.
+	chanceDeviations, chanceExtraCalls = 2, 2
 
 	// Connections.
-	farApart    = 2.0              // mean gaps of so many idle times: two in five calls come in time
-	crowdedSpan = 30 * time.Second // idle ones are given back so long after a sign of a full one
-	roomGrow    = 2.0              // calls a second that are tried there beyond those known to fit
-	wornSpan    = 10 * time.Second // kept connections are not trusted so long after one broke under a call
+	rareCallIdleTimes  = 2.0              // with a mean gap of so many idle timeouts between calls, two in five calls come before the connection is closed
+	fullTableSpan      = 30 * time.Second // idle connections are closed early for this time after a sign of a full connection table
+	tableRoomPerSecond = 2.0              // calls tried beyond the number known to fit, for each second since the table was full
+	brokenConnSpan     = 10 * time.Second // reused connections are not trusted for this time after one broke under a call
 
 	// Slots.
-	slowFactor = 5                      // a call older than so many usual times makes its destination slow
-	slowLeast  = 700 * time.Millisecond // but not before this, or noise would
-	lostFactor = 10                     // at so many usual times an answer may have been lost, not just late,
-	lostLeast  = 350 * time.Millisecond // and not before this
-	slotSpan   = 2 * time.Second        // slot time fades from memory in this span
-	sendCharge = 10 * time.Millisecond  // slot time booked at once, so that sends of one moment take turns
-	slowShare  = 0.4                    // share of the slots that all slow destinations together may hold
-
-	// Pacing. Parts are in shares of the weight.
-	partCut     = 0.6  // factor on this sender's part at a refusal, once more for each in a row
-	partLeast   = 0.05 // is never cut
-	partGrow    = 0.03 // growth in the time of a call at the own share, while calls pass,
-	partStay    = 0.1  // and its logarithm after a refusal, less than what the next one cuts
-	partFirst   = 2.0  // more than the own share at first, for thin traffic is uneven,
-	partMost    = 4.0  // and at most; depthMost calls may go at once
-	depthMost   = 3.0
-	batchMost   = 0.9                    // where what waits travels together the own share costs little
-	weightSpan  = 30 * time.Second       // the weight is what arrived for the first time in so long,
-	weightPrior = 3.0                    // with so many seconds of an even share before the start
-	firstSpan   = 300 * time.Millisecond // a message younger than this comes for the first time
-	demandSpan  = 10 * time.Second       // this sender's own demand is what arrived of late
-	burstSpan   = 0.25                   // seconds of pace that may go at once
-	refusedRest = 120 * time.Millisecond // first rest after a refusal that told no wait
+	slowFactor     = 5                      // a call that is out for so many typical times makes its destination slow,
+	slowMin        = 700 * time.Millisecond // but not before this time, which ignores noise
+	lostFactor     = 10                     // a call that is out for so many typical times may have lost its answer instead of being late,
+	lostMin        = 350 * time.Millisecond // but not before this time
+	slotTimeSpan   = 2 * time.Second        // time constant of the decay of a destination's recent slot time
+	slotTimeCharge = 10 * time.Millisecond  // slot time charged when a call starts, so that calls of the same moment alternate between destinations
+	slowSlotShare  = 0.4                    // share of the slots that all slow or unresponsive destinations together may hold
+
+	// Pacing. A rate share is a part of a route's limit, in multiples of this sender's share of the traffic.
+	rateShareDecreaseFactor         = 0.6  // factor on the rate share at a rejection, applied once more for each further rejection in a row
+	minRateShare                    = 0.05 // lower bound of a decrease
+	rateShareIncrease               = 0.03 // additive increase per call that could be made at a rate share of 1, while calls succeed,
+	rateShareIncreaseAfterRejection = 0.1  // and the exponent of its growth per such call after a rejection: less than the next rejection decreases it
+	initialRateShare                = 2.0  // starts above 1, because sparse traffic is uneven,
+	maxRateShare                    = 4.0  // and stays at most this; maxBurstCalls calls may go at once
+	maxBurstCalls                   = 3.0
+	maxBatchRateShare               = 0.9                    // bound of the rate share where calls are batches: waiting messages share a call, so a low rate costs little
+	trafficSpan                     = 30 * time.Second       // time constant over which first submissions count for the share of the traffic,
+	trafficPriorSeconds             = 3.0                    // and an even share counts as if it had been seen for so many seconds before
+	firstSubmissionMaxAge           = 300 * time.Millisecond // a younger message counts as a first submission
+	arrivalsSpan                    = 10 * time.Second       // time constant of the arrivals at this sender, which are its own demand
+	burstSeconds                    = 0.25                   // seconds' worth of the rate that may be sent at once
+	firstRejectionPause             = 120 * time.Millisecond // first pause after a rejection without a retry-after
 
 	// Attempts.
-	timeoutFactor = 6                      // time-out in usual times, where a repeat is allowed,
-	timeoutGrow   = 1.5                    // growing with each failure in a row, lest a slow one never pass
-	timeoutLeast  = 0.5                    // and this share of the aim at least: a repeat still fits in it,
-	timeoutAims   = 2.0                    // and at most so many aims
-	retryRest     = 100 * time.Millisecond // rest of a message after a failure, doubled each time
-	drawPower     = 2                      // odds of an endpoint fall with this power of its response
-	sweepEvery    = 10 * time.Millisecond  // wakes are this far apart at least,
-	pollEvery     = 30 * time.Millisecond  // and this far while something waits
-	endMargin     = 15 * time.Millisecond  // final answers are given this long before the deadline
-
-	// Leaving. What is cut off may have run: one that may be repeated goes out with room for so many usual
-	// times, one that may not for more. The rest is held for the next life.
-	leaveRoom, leaveRoomUnsafe = 2, 6
-	leaveLeast                 = 300 * time.Millisecond
-	leaveLeastUnsafe           = time.Second
-
-	// A destination that the list no longer has any endpoint of is forgotten after this time.
+	timeoutFactor           = 6                      // timeout in typical times, for messages that may be sent again,
+	timeoutGrowth           = 1.5                    // multiplied by this for each failure in a row, so that a slow call succeeds in the end
+	minTimeoutSoftDeadlines = 0.5                    // at least this share of the soft deadline, which leaves time for another attempt,
+	maxTimeoutSoftDeadlines = 2.0                    // and at most so many soft deadlines
+	retryPause              = 100 * time.Millisecond // pause of a message after a failed attempt, doubled for each further one
+	responseTimePower       = 2                      // the probability that an endpoint is picked falls with this power of its response time
+	minWakeInterval         = 10 * time.Millisecond  // minimum time between wakes,
+	pollInterval            = 30 * time.Millisecond  // and the time between them while a message waits
+	answerMargin            = 15 * time.Millisecond  // a message gets its final answer so long before its deadline
+
+	// Stopping. A call that is cut off may have run. So a message is sent only if so many typical times are
+	// left before the process ends: more for one that may not be repeated. The others are left to the next
+	// process.
+	stopFactor, stopFactorAtMostOnce = 2, 6
+	stopMarginMin                    = 300 * time.Millisecond
+	stopMarginMinAtMostOnce          = time.Second
+
+	// A destination is forgotten this long after its last endpoint left the list.
 	forgetAfter = 2 * time.Minute
 )
 
-// New returns the decision maker of a delivery node that has just started.
+// New returns the Sender of a delivery node that has just started. The seed determines its random choices.
 func New(cfg Settings, seed uint64) *Sender {
 	source := rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)
 	s := &Sender{
 		cfg: cfg, source: source, rng: rand.New(source),
-		dests: map[int]*destination{}, eps: map[string]*endpoint{}, msgs: map[string]*message{},
-		lines: map[string][]*message{}, rests: map[string]time.Duration{}, sent: map[attempt]sending{},
-		parted: map[string]time.Duration{}, barred: map[string]bool{},
-		tenants: make([]tenant, len(cfg.Tenants)), crowded: map[int]time.Duration{},
+		dests: map[int]*destination{}, endpoints: map[string]*endpoint{}, messages: map[string]*message{},
+		keyQueues: map[string][]*message{}, keyPauses: map[string]time.Duration{}, attemptsOut: map[attempt]pendingAttempt{},
+		removedWaits: map[string]time.Duration{}, disabled: map[string]bool{},
+		tenants: make([]tenant, len(cfg.Tenants)), tableFullUntil: map[int]time.Duration{},
 	}
-	s.cfg.Fleet = max(cfg.Fleet, 1)
-	if cfg.AskForList {
-		s.askAt = 1 // at once
+	s.cfg.FleetSize = max(cfg.FleetSize, 1)
+	if cfg.WatchOnRequest {
+		s.watchAt = 1 // immediately
 	}
 	return s
 }
 
-// Step takes the events of a moment and returns what to do about them, in order.
+// Step handles the events since the last step and returns the actions to take, in order.
 func (s *Sender) Step(now time.Duration, events []Event) []Action {
 	s.now, s.actions = now, nil
-	if s.cameAt == 0 {
-		s.cameAt = now // the clock starts anywhere
+	if s.firstSubmissionsAt == 0 {
+		s.firstSubmissionsAt = now // the clock may start at any time
 	}
-	// Lists and bans first: a drain acts in the step that told of it, whatever stands before it in the batch.
+	// List changes and disabled endpoints come first: a drain takes effect in the step that reports it, even
+	// if other events come before it in the batch.
 	for _, e := range events {
 		switch e := e.(type) {
-		case Listed:
-			s.listed(e)
-		case Barred:
-			s.bar(e)
+		case ListUpdate:
+			s.updateList(e)
+		case EndpointDisabled:
+			s.setDisabled(e)
 		}
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case Arrived:
-			s.arrived(e)
-		case Resumed:
-			s.resumed(e)
-		case Ended:
-			s.ended(e)
-		case Probed:
-			s.probed(e)
-		case Dropped:
-			if m := s.msgs[e.ID]; m != nil {
-				s.finish(m, nil)
+		case MessageArrived:
+			s.handleArrival(e)
+		case MessageResumed:
+			s.handleResumed(e)
+		case AttemptEnded:
+			s.handleAttemptEnd(e)
+		case ProbeEnded:
+			s.handleProbeEnd(e)
+		case MessageAbandoned:
+			if m := s.messages[e.ID]; m != nil {
+				s.endMessage(m, nil)
 			}
-		case Rang:
-			s.wakeAt = 0 // a rounded clock may ring a little before the time
-		case Leaving:
-			s.leaveBy = e.By
+		case WakeDue:
+			s.wakeAt = 0 // the clock's resolution may wake the sender a little early
+		case Stopping:
+			s.stopAt = e.By
 		}
 	}
-	if s.askAt > 0 && now >= s.askAt {
-		s.askAt = 0
-		s.do(Watch{})
+	if s.watchAt > 0 && now >= s.watchAt {
+		s.watchAt = 0
+		s.emit(Watch{})
 	}
-	s.expire()
-	s.release()
-	s.preempt()
-	s.arm()
+	s.expireMessages()
+	s.startCalls()
+	s.cancelStuckCalls()
+	s.scheduleWake()
 	return s.actions
 }
 
-// arm asks to be woken when a message's time is up, and soon while one waits for a slot, a rest or a pace.
-// What is out wakes the sender by its outcome; with nothing held it sleeps.
-func (s *Sender) arm() {
+// scheduleWake asks for a wake when the time of a message is up, and soon if one waits for a slot, the end of
+// a pause or the rate. The outcome of a call runs a step anyway; a sender without messages asks for no wake.
+func (s *Sender) scheduleWake() {
 	due := time.Duration(math.MaxInt64)
-	if s.askAt > 0 {
-		due = s.askAt
+	if s.watchAt > 0 {
+		due = s.watchAt
 	}
-	for _, m := range s.open {
-		due = min(due, max(m.dropDead-endMargin-s.cfg.Tick, s.now+sweepEvery))
-		if m.waits {
-			due = min(due, s.now+pollEvery)
+	for _, m := range s.openMessages {
+		due = min(due, max(m.deadline-answerMargin-s.cfg.Tick, s.now+minWakeInterval))
+		if m.waiting {
+			due = min(due, s.now+pollInterval)
 		}
 	}
 	if due < math.MaxInt64 && (s.wakeAt <= s.now || due < s.wakeAt) {
 		s.wakeAt = due
-		s.do(Wake{At: due, Tag: "sweep"})
+		s.emit(Wake{At: due, Tag: "sweep"})
 	}
 }
 
-// listed brings the list of endpoints up to date. A whole list replaces the old one.
-func (s *Sender) listed(l Listed) {
+// updateList applies a list of endpoints. A complete list replaces the old one.
+func (s *Sender) updateList(l ListUpdate) {
 	if l.Failed {
-		s.asking = min(max(2*s.asking, trialFirst), time.Minute)
-		if s.cfg.AskForList {
-			s.askAt = s.now + s.asking
+		s.watchBackoff = min(max(2*s.watchBackoff, halfOpenFirstPause), time.Minute)
+		if s.cfg.WatchOnRequest {
+			s.watchAt = s.now + s.watchBackoff
 		}
 		return
 	}
-	s.asking = 0
-	if l.Whole {
-		s.keepOnly(l.Entries)
+	s.watchBackoff = 0
+	if l.Complete {
+		s.removeUnlisted(l.Entries)
 	}
 	for _, entry := range l.Entries {
-		e := s.eps[entry.Endpoint]
+		e := s.endpoints[entry.Endpoint]
 		if e != nil && (entry.Phase == Gone || e.dest.id != entry.Dest) {
-			s.drop(e)
+			s.removeEndpoint(e)
 		}
 		if entry.Phase == Gone {
 			continue
 		}
-		if e = s.eps[entry.Endpoint]; e == nil {
+		if e = s.endpoints[entry.Endpoint]; e == nil {
 			d := s.destination(entry.Dest)
 			e = &endpoint{id: entry.Endpoint, zone: entry.Zone, dest: d}
-			s.eps[entry.Endpoint] = e
+			s.endpoints[entry.Endpoint] = e
 			d.endpoints = append(d.endpoints, e)
 			d.kind = entry.Kind
-			if e.route = d.shared; s.apart(d) {
+			if e.route = d.sharedRoute; s.separateRoutes(d) {
 				e.route = newRoute()
-				e.route.waitUntil = s.parted[e.id] // the only thing that outlasts a route's leaving
+				e.route.waitUntil = s.removedWaits[e.id] // the only state that is kept when a separate route is removed
 			}
-			if s.batch(d) > 1 {
-				e.route.most, e.route.part = batchMost, min(e.route.part, batchMost)
+			if s.maxBatch(d) > 1 {
+				e.route.maxRateShare, e.route.rateShare = maxBatchRateShare, min(e.route.rateShare, maxBatchRateShare)
 			}
 		}
-		e.listed = entry.Phase == Ready
-		e.ready = e.listed && !s.barred[e.id]
-		if s.cfg.Weighted && entry.Weight > 0 {
+		e.listedReady = entry.Phase == Ready
+		e.ready = e.listedReady && !s.disabled[e.id]
+		if s.cfg.WeightIsRate && entry.Weight > 0 {
 			e.route.weight = entry.Weight
 		}
 	}
-	s.forget()
+	s.forgetUnused()
 }
 
-// bar leaves an endpoint out by hand, or lets it serve again. It was restarted meanwhile and is cold, while
-// its fellows are not: so it has a budget of its own beside their route's, for its part of what that can do.
-func (s *Sender) bar(b Barred) {
-	e := s.eps[b.Endpoint]
+// setDisabled disables an endpoint or enables it again. An endpoint that is enabled again has been restarted
+// meanwhile and needs a slow start, while the other endpoints of its route do not. So it has a slow start
+// budget of its own besides the route's, for its part of the route's capacity.
+func (s *Sender) setDisabled(b EndpointDisabled) {
+	e := s.endpoints[b.Endpoint]
 	switch {
 	case !b.Lifted:
-		s.barred[b.Endpoint] = true
+		s.disabled[b.Endpoint] = true
 		if e != nil {
-			e.ready, e.warming = false, nil
+			e.ready, e.slowStart = false, nil
 		}
-	case s.barred[b.Endpoint]:
-		delete(s.barred, b.Endpoint)
+	case s.disabled[b.Endpoint]:
+		delete(s.disabled, b.Endpoint)
 		if e != nil {
-			e.ready, e.warming = e.listed, newRoute()
-			e.warming.weight = s.capacity(e.route) / float64(len(e.dest.endpoints))
-			e.warming.struckAt, e.warming.coldFrom, e.warming.demand = s.now, s.now, 1
-			e.warming.tokens, e.warming.tokensAt = s.rng.Float64(), s.now
+			e.ready, e.slowStart = e.listedReady, newRoute()
+			e.slowStart.weight = s.capacity(e.route) / float64(len(e.dest.endpoints))
+			e.slowStart.outageAt, e.slowStart.slowStartAt, e.slowStart.outageDemand = s.now, s.now, 1
+			e.slowStart.tokens, e.slowStart.tokensAt = s.rng.Float64(), s.now
 		}
 	}
 }
 
-func newRoute() *route { return &route{part: partFirst, most: partMost, tokens: 1} }
+func newRoute() *route {
+	return &route{rateShare: initialRateShare, maxRateShare: maxRateShare, tokens: 1}
+}
 
-// arrived admits a message or refuses it at once.
-func (s *Sender) arrived(e Arrived) {
-	if s.msgs[e.ID] != nil {
+// handleArrival admits a message or refuses it immediately.
+func (s *Sender) handleArrival(e MessageArrived) {
+	if s.messages[e.ID] != nil {
 		return
 	}
-	m, d := s.take(e)
+	m, d := s.registerMessage(e)
 	if !s.admit(d, m) {
-		s.finish(m, PushBack{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
+		s.endMessage(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
 		return
 	}
-	s.hold(m, e.Key)
+	s.holdMessage(m, e.Key)
 }
 
-// take notes a new message and its demand on the destination.
-func (s *Sender) take(e Arrived) (*message, *destination) {
+// registerMessage records a message that arrived or was resumed, and its demand on the destination.
+func (s *Sender) registerMessage(e MessageArrived) (*message, *destination) {
 	d := s.destination(e.Dest)
-	d.came, d.cameAt = d.rate(s.now)*seconds(demandSpan)+1, s.now
+	d.arrivals, d.arrivalsAt = d.arrivalRate(s.now)*seconds(arrivalsSpan)+1, s.now
 	class := s.class(e.Class)
 	m := &message{
-		id: e.ID, class: class, dest: d, arrived: s.now, dropDead: e.DropDead, worth: class.Worth,
-		born: e.DropDead - class.Deadline, gate: s.gate(d, e.Class),
-	}
-	m.aim = min(class.Aim+span(class.AimStretch*seconds(e.Hint)), max(class.Deadline, class.Aim))
-	if !s.inShare(e.Tenant) {
+		id: e.ID, class: class, dest: d, arrivedAt: s.now, deadline: e.Deadline, worth: class.Worth,
+		submittedAt: e.Deadline - class.Deadline, gate: s.gate(d, e.Class),
+	}
+	m.softDeadline = min(
+		class.SoftDeadline+duration(class.SoftDeadlineStretch*seconds(e.Hint)),
+		max(class.Deadline, class.SoftDeadline),
+	)
+	if !s.withinTenantAllowance(e.Tenant) {
 		m.worth *= s.cfg.OverShareWorth
 	}
-	if s.now-m.born < firstSpan {
-		fade := math.Exp(-seconds(s.now-s.cameAt) / seconds(weightSpan))
-		s.seen, s.came, s.cameAt = s.seen*fade+seconds(weightSpan)*(1-fade), s.came*fade+1, s.now
+	if s.now-m.submittedAt < firstSubmissionMaxAge {
+		fade := math.Exp(-seconds(s.now-s.firstSubmissionsAt) / seconds(trafficSpan))
+		s.firstSubmissionsSpan, s.firstSubmissions, s.firstSubmissionsAt =
+			s.firstSubmissionsSpan*fade+seconds(trafficSpan)*(1-fade), s.firstSubmissions*fade+1, s.now
 	}
-	s.msgs[m.id] = m
+	s.messages[m.id] = m
 	return m, d
 }
 
-// hold puts a message that was taken on among the waiting.
-func (s *Sender) hold(m *message, key string) {
-	s.open = append(s.open, m)
+// holdMessage queues an admitted message.
+func (s *Sender) holdMessage(m *message, key string) {
+	s.openMessages = append(s.openMessages, m)
 	if len(m.dest.waiting) == 0 {
-		s.forgo(m.dest)
+		s.dropSavedTokens(m.dest)
 	}
 	if m.class.Ordered && key != "" {
 		m.key = key
-		s.lines[m.key] = append(s.lines[m.key], m)
+		s.keyQueues[m.key] = append(s.keyQueues[m.key], m)
 	}
 	s.enqueue(m)
 	for _, e := range m.dest.endpoints {
 		if e.route.recovering() {
-			e.route.demand += 1 / float64(len(m.dest.endpoints))
+			e.route.outageDemand += 1 / float64(len(m.dest.endpoints))
 		}
-		if e.warming != nil {
-			e.warming.demand += 1 / float64(len(m.dest.endpoints))
+		if e.slowStart != nil {
+			e.slowStart.outageDemand += 1 / float64(len(m.dest.endpoints))
 		}
 	}
 }
 
-// forgo gives up what a cold budget allowed while nothing waited for it: saved up over a large fleet it is a
-// call at once for each sender that has heard of the outage. The next one comes at any moment of the pace.
-func (s *Sender) forgo(d *destination) {
+// dropSavedTokens drops the slow start tokens that were saved while no message waited. Otherwise all senders
+// of a large fleet that know of the outage could each make a call at the same moment. The next call comes at
+// a random moment instead, at the same rate.
+func (s *Sender) dropSavedTokens(d *destination) {
 	for i, e := range d.endpoints {
-		if r := e.route; (i == 0 || r != d.endpoints[0].route) && r.recovering() && s.outnumbers(r) {
-			s.refill(r)
+		if r := e.route; (i == 0 || r != d.endpoints[0].route) && r.recovering() && s.fleetExceedsBudget(r) {
+			s.refillTokens(r)
 			r.tokens = min(r.tokens, s.rng.Float64())
 		}
 	}
 }
 
-// outnumbers tells that the fleet has more senders than a cold destination may get calls, chance and all: one
-// call too many of each is too much then.
-func (s *Sender) outnumbers(r *route) bool {
-	budget := s.cfg.FallMultiple * s.cfg.ColdFrom * s.capacity(r) * seconds(s.cfg.Fall)
-	return budget > 0 && float64(s.cfg.Fleet) > budget+chanceRoots*math.Sqrt(budget)+chanceCalls
+// fleetExceedsBudget reports whether the fleet has more senders than the calls that a destination in slow
+// start may get, allowing for chance. One more call from each sender would then be too much.
+func (s *Sender) fleetExceedsBudget(r *route) bool {
+	budget := s.cfg.CollapseMultiple * s.cfg.SlowStartShare * s.capacity(r) * seconds(s.cfg.CollapseSpan)
+	return budget > 0 && float64(s.cfg.FleetSize) > budget+chanceDeviations*math.Sqrt(budget)+chanceExtraCalls
 }
 
-// resumed takes back a message from before a restart. It was admitted then, so no gate is asked; what may
-// have run already and may not be repeated ends here. A failure known from before may have been an outage's,
-// whose end this life did not see: the way back there is taken as cold.
-func (s *Sender) resumed(e Resumed) {
-	if s.msgs[e.ID] != nil {
+// handleResumed takes back a message that was accepted before a restart; the gate is not asked again. A
+// message that may have run and must not be repeated ends here. If an attempt is known to have failed, that
+// may be part of an outage whose end this process did not see: the routes of the destination get a slow
+// start.
+func (s *Sender) handleResumed(e MessageResumed) {
+	if s.messages[e.ID] != nil {
 		return
 	}
-	m, d := s.take(e.Arrived)
-	m.attempts, m.touched = e.Attempts, e.Touched && m.class.Effect != Safe
-	m.mayRun, m.zone = e.MayRun, e.Zone
-	if (m.touched && m.class.Effect == Unsafe) || s.spent(m) || s.now >= s.startBy(m) {
+	m, d := s.registerMessage(e.MessageArrived)
+	m.attempts, m.mayHaveRun = e.Attempts, e.MayHaveRun && m.class.Effect != Idempotent
+	m.mayHaveRunSince, m.mayHaveRunZone = e.MayHaveRunSince, e.Zone
+	if (m.mayHaveRun && m.class.Effect == AtMostOnce) || s.attemptsExhausted(m) || s.now >= s.latestStart(m) {
 		s.giveUp(m)
 		return
 	}
 	for _, ep := range d.endpoints {
 		if r := ep.route; e.Failed && !r.recovering() {
-			s.strike(r)
-			r.sick, r.coldFrom = false, s.now
+			s.openBreaker(r)
+			r.breakerOpen, r.slowStartAt = false, s.now
 		}
 	}
-	s.hold(m, e.Key)
+	s.holdMessage(m, e.Key)
 }
 
-// inShare counts a request against its tenant's share, of which this sender sees its part.
-func (s *Sender) inShare(i int) bool {
+// withinTenantAllowance counts a message against its tenant's allowance and reports whether it is within.
+// Each sender has an equal part of the allowance.
+func (s *Sender) withinTenantAllowance(i int) bool {
 	if i < 0 || i >= len(s.tenants) || s.cfg.Tenants[i].PerSecond <= 0 {
 		return true
 	}
-	t, rate := &s.tenants[i], s.cfg.Tenants[i].PerSecond/float64(s.cfg.Fleet)
-	t.tokens = min(t.tokens+rate*seconds(s.now-t.at), 2*rate+1)
-	t.at = s.now
+	t, rate := &s.tenants[i], s.cfg.Tenants[i].PerSecond/float64(s.cfg.FleetSize)
+	t.tokens = min(t.tokens+rate*seconds(s.now-t.updatedAt), 2*rate+1)
+	t.updatedAt = s.now
 	if t.tokens < 1 {
 		return false
 	}
@@ -357,596 +377,621 @@
 	return true
 }
 
-// admit asks the gate, at arrival. Beside the paper's ratio stand two departures: the deadline bounds, and
-// a share of the room for held messages, since one backlog must not turn everybody else's messages away.
+// admit reports whether an arriving message is admitted by its gate. It differs from the paper in two points.
+// The gate also has bounds in shares of the deadline. And a destination with more waiting messages than there
+// is room left for others is refused more, so that one backlog does not take the room of all destinations.
 func (s *Sender) admit(d *destination, m *message) bool {
-	if s.cfg.MaxOpen > 0 && len(d.waiting) > s.cfg.MaxOpen-len(s.open) {
+	if s.cfg.MaxOpen > 0 && len(d.waiting) > s.cfg.MaxOpen-len(s.openMessages) {
 		return false
 	}
 	g := m.gate
-	if g.accepts(g.average, seconds(m.class.Deadline)) {
+	if g.updateOpen(g.average, seconds(m.class.Deadline)) {
 		return true
 	}
-	// Shut: with nobody held or out, a single trial message lets the ratio fall. Calls that are overdue don't
-	// count: one silent payout, out for all its time, kept the gate shut as long.
-	awaited := slices.ContainsFunc(d.calls, func(c *call) bool { return !s.overdue(c) })
+	// Closed: while no message is held and no call is out, a single trial message lets the ratio fall.
+	// Overdue calls don't count: one unanswered AtMostOnce message (a payout), which stays out until its
+	// deadline, kept the gate closed as long.
+	callOut := slices.ContainsFunc(d.calls, func(c *call) bool { return !s.overdue(c) })
 	held := slices.ContainsFunc(d.waiting, func(o *message) bool { return o.gate == g })
-	if !held && !awaited && s.now-g.lastTrial >= gateTrial {
-		g.lastTrial = s.now
+	if !held && !callOut && s.now-g.lastTrialAt >= gateTrialInterval {
+		g.lastTrialAt = s.now
 		return true
 	}
 	return false
 }
 
-// accepts moves the gate between its bounds and tells whether it is open.
-func (g *gate) accepts(current, deadline float64) bool {
-	base := max(g.baseline, seconds(floorResponse))
-	upper, lower := gateUpper*base, gateLower*base
+// updateOpen opens or closes the gate for an average response time, in seconds, and reports whether it is
+// open. deadline is that of the class in seconds, 0 for none.
+func (g *gate) updateOpen(current, deadline float64) bool {
+	base := max(g.baseline, seconds(minResponseTime))
+	upper, lower := gateUpperRatio*base, gateLowerRatio*base
 	if deadline > 0 {
-		upper, lower = min(upper, deadlineShut*deadline), min(lower, deadlineOpen*deadline)
+		upper, lower = min(upper, gateCloseDeadlineShare*deadline), min(lower, gateOpenDeadlineShare*deadline)
 	}
 	switch {
-	case !g.seen:
-		g.shut = current > upper
+	case !g.sampled:
+		g.closed = current > upper
 	case current > upper:
-		g.shut = true
+		g.closed = true
 	case current < lower:
-		g.shut = false
+		g.closed = false
 	}
-	return !g.shut
+	return !g.closed
 }
 
-// sample takes a response time into the average, and keeps the lowest average as the baseline.
-func (g *gate) sample(now time.Duration, sec float64) {
-	if !g.seen {
-		g.seen, g.average, g.baseline, g.at = true, sec, sec, now
+// addSample adds a response time in seconds to the average. The baseline is the lowest average; it grows
+// slowly over time.
+func (g *gate) addSample(now time.Duration, sec float64) {
+	if !g.sampled {
+		g.sampled, g.average, g.baseline, g.updatedAt = true, sec, sec, now
 		return
 	}
-	gap := seconds(now - g.at)
-	w := max(smoothing, 1-math.Exp(-gap/seconds(smoothSpan)))
+	gap := seconds(now - g.updatedAt)
+	w := max(smoothingWeight, 1-math.Exp(-gap/seconds(smoothingSpan)))
 	g.average += w * (sec - g.average)
-	g.baseline = min(g.baseline*math.Exp(gap/seconds(baselineSpan)), g.average)
-	g.at = now
+	g.baseline = min(g.baseline*math.Exp(gap/seconds(baselineGrowthSpan)), g.average)
+	g.updatedAt = now
 }
 
-// retryAfter asks a refused client to stay away for about as long as the backlog lasts.
+// retryAfter is the wait that a refused client is told: about as long as the backlog lasts.
 func (s *Sender) retryAfter(g *gate) time.Duration {
-	after := s.cfg.MaxRetryAfter
-	if g.seen && !g.shut {
-		after = min(after, span(g.average))
+	wait := s.cfg.MaxRetryAfter
+	if g.sampled && !g.closed {
+		wait = min(wait, duration(g.average))
 	}
-	return after
+	return wait
 }
 
-// StayAway is how long a client should stay away whose message is turned away before the gate, for no room.
-func (s *Sender) StayAway(class, dest int) time.Duration {
+// RetryAfterIfFull returns the retry-after for a client whose message the node refuses for lack of room,
+// without passing it to the sender.
+func (s *Sender) RetryAfterIfFull(class, dest int) time.Duration {
 	return s.retryAfter(s.gate(s.destination(dest), class))
 }
 
-// Knows tells that a destination is on the list, or was not long ago.
-func (s *Sender) Knows(dest int) bool { return s.dests[dest] != nil }
+// KnowsDestination reports whether the list has a destination, or had it until recently (see forgetAfter).
+func (s *Sender) KnowsDestination(dest int) bool { return s.dests[dest] != nil }
 
-// Ominous tells whether an outcome is a sign of an outage that the next life should hear of with its message.
-// A refusal over a limit is none, nor is a call that was called off, nor a kept connection that broke.
-func (s *Sender) Ominous(dest int, e Ended) bool {
+// IndicatesOutage reports whether an outcome is a sign of an outage, which the journal must tell the next
+// process. A rejection over a limit is none, nor is a canceled call or a reused connection that broke.
+func (s *Sender) IndicatesOutage(dest int, e AttemptEnded) bool {
 	switch e.Outcome {
-	case Pass, Stale, Undone:
+	case Success, Stale, Canceled:
 		return false
-	case Cut:
-		return !e.Kept
-	case NoRoom:
+	case ConnectionBroken:
+		return !e.ReusedConn
+	case Rejected:
 		d := s.dests[dest]
-		struck := func(ep *endpoint) bool { return ep.route.recovering() }
-		return e.Wait > shutWait || (d != nil && slices.ContainsFunc(d.endpoints, struck))
+		recovers := func(ep *endpoint) bool { return ep.route.recovering() }
+		return e.RetryAfter > shutRetryAfter || (d != nil && slices.ContainsFunc(d.endpoints, recovers))
 	}
 	return true
 }
 
-// finish ends a message; a is nil when it is over without our doing.
-func (s *Sender) finish(m *message, a Action) {
-	if m.over {
+// endMessage ends a message with the action a, or with none if a is nil: delivered, refused on arrival or
+// abandoned.
+func (s *Sender) endMessage(m *message, a Action) {
+	if m.ended {
 		return
 	}
-	m.over = true
+	m.ended = true
 	m.dest.dequeue(m)
-	delete(s.msgs, m.id)
-	s.trimLine(m.key)
+	delete(s.messages, m.id)
+	s.trimKeyQueue(m.key)
 	if a != nil {
-		s.do(a)
+		s.emit(a)
 	}
 }
 
-// mayRefuse tells whether a refusal promises the truth, that coming again is harmless.
-func (s *Sender) mayRefuse(m *message) bool {
-	if m.class.Effect == Safe || (m.out == 0 && !m.touched) {
+// canRefuse reports whether a message may end with a Refuse, which promises that a new submission has no
+// second effect.
+func (s *Sender) canRefuse(m *message) bool {
+	if m.class.Effect == Idempotent || (m.attemptsOut == 0 && !m.mayHaveRun) {
 		return true
 	}
-	return m.class.Effect == Keyed && m.touched && m.class.GroupAll && s.now <= s.windowEnd(m)
+	return m.class.Effect == Deduplicated && m.mayHaveRun && m.class.DedupEverywhere && s.now <= s.dedupWindowEnd(m)
 }
 
-// windowEnd is the last moment at which a keyed message's repeat is surely dropped.
-func (s *Sender) windowEnd(m *message) time.Duration {
-	return m.mayRun + m.class.Window - endMargin - 2*s.cfg.Tick
+// dedupWindowEnd is the last time at which the destination is certain to drop a repeat.
+func (s *Sender) dedupWindowEnd(m *message) time.Duration {
+	return m.mayHaveRunSince + m.class.DedupWindow - answerMargin - 2*s.cfg.Tick
 }
 
-// startBy is when an attempt has to begin: while the message has time, and a keyed one's repeat so that it
-// comes to its endpoint within the window. From then on it is given up, while it may still be refused.
-func (s *Sender) startBy(m *message) time.Duration {
-	by := m.dropDead - endMargin - 2*s.cfg.Tick
-	if m.touched && m.class.Effect == Keyed {
-		by = min(by, s.windowEnd(m)-2*pollEvery)
+// latestStart is the latest time at which an attempt may begin: while the message has time left, and for a
+// repeat of a Deduplicated message early enough to reach the endpoint within the window. After it the message
+// is given up, while it can still be refused.
+func (s *Sender) latestStart(m *message) time.Duration {
+	by := m.deadline - answerMargin - 2*s.cfg.Tick
+	if m.mayHaveRun && m.class.Effect == Deduplicated {
+		by = min(by, s.dedupWindowEnd(m)-2*pollInterval)
 	}
 	return by
 }
 
-// giveUp ends a message as its effect allows.
+// giveUp ends a message that can't be delivered: with a Refuse if that is safe, else with a Fail.
 func (s *Sender) giveUp(m *message) {
-	if s.mayRefuse(m) {
-		s.finish(m, PushBack{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
+	if s.canRefuse(m) {
+		s.endMessage(m, Refuse{ID: m.id, RetryAfter: s.retryAfter(m.gate)})
 	} else {
-		s.finish(m, Fail{ID: m.id})
+		s.endMessage(m, Fail{ID: m.id})
 	}
 }
 
-// expire gives every open message its end in time, and sweeps out the ended.
-func (s *Sender) expire() {
-	s.open = slices.DeleteFunc(s.open, func(m *message) bool {
+// expireMessages gives up the open messages whose time is up, and removes ended ones from openMessages.
+func (s *Sender) expireMessages() {
+	s.openMessages = slices.DeleteFunc(s.openMessages, func(m *message) bool {
 		switch {
-		case m.over:
-		case s.now >= m.dropDead-endMargin-s.cfg.Tick && m.out == 0, s.now >= m.dropDead:
-			// Of a class that is never sent its gate would hear nothing, and stay open.
-			if m.attempts == 0 && !m.dest.troubled() {
-				m.gate.sample(s.now, min(seconds(s.now-m.arrived), unsentShare*seconds(m.class.Deadline)))
+		case m.ended:
+		case s.now >= m.deadline-answerMargin-s.cfg.Tick && m.attemptsOut == 0, s.now >= m.deadline:
+			// If no message of a class is ever sent, this is the only sample for their gate; without it the
+			// gate would stay open.
+			if m.attempts == 0 && !m.dest.unavailable() {
+				m.gate.addSample(s.now, min(seconds(s.now-m.arrivedAt), unsentDeadlineShare*seconds(m.class.Deadline)))
 			}
 			s.giveUp(m)
-		case m.touched && m.out == 0 && s.now >= s.startBy(m):
+		case m.mayHaveRun && m.attemptsOut == 0 && s.now >= s.latestStart(m):
 			s.giveUp(m)
 		}
-		return m.over
+		return m.ended
 	})
 }
 
-// ended takes the outcome of an attempt.
-func (s *Sender) ended(e Ended) {
+// handleAttemptEnd handles the outcome of an attempt.
+func (s *Sender) handleAttemptEnd(e AttemptEnded) {
 	key := attempt{e.ID, e.Attempt}
-	m, c := s.sent[key].m, s.sent[key].c
+	m, c := s.attemptsOut[key].m, s.attemptsOut[key].c
 	if c == nil {
 		return
 	}
-	delete(s.sent, key)
-	if c.left--; c.left == 0 {
-		s.hangEnd(c)
-	}
-	// A kept connection that breaks under a call tells of the connection, not of its destination; so does
-	// silence where calls that were sent later have passed.
-	worn := e.Kept && e.Outcome == Cut
-	if worn {
-		s.wornTil = s.now + wornSpan
-	}
-	lone := worn || (e.Outcome == TooSlow || e.Outcome == Undone) && s.lost(c)
-	s.report(c.ep.route, e.Report)
-	s.judge(c, e, lone)
-	if e.Wait > 0 { // the answer to a batch may tell one whatever became of this message
-		c.ep.route.waitUntil = max(c.ep.route.waitUntil, s.now+e.Wait)
-	}
-	s.inherit(c.ep)
-	m.out--
-	ran := e.Outcome == Fault || e.Outcome == TooSlow || e.Outcome == Cut || e.Outcome == Undone
-	if ran && m.class.Effect != Safe && (!m.touched || c.sentAt < m.mayRun) {
-		m.touched, m.mayRun, m.zone = true, c.sentAt, c.ep.zone
-	}
-	if ran && e.Outcome != Fault && m.key != "" {
-		s.restKey(m.key)
-	}
-	if m.over {
-		s.trimLine(m.key)
-		return // ended meanwhile; its turn and its key had to hear of the outcome all the same
-	}
-	s.sample(m, c, e.Outcome, lone)
+	delete(s.attemptsOut, key)
+	if c.outcomesLeft--; c.outcomesLeft == 0 {
+		s.finishCall(c)
+	}
+	// When a reused connection breaks under a call, that says something about the connection only, and
+	// nothing about the destination. The same holds for a call without an answer when calls sent later have
+	// succeeded.
+	reusedConnBroke := e.ReusedConn && e.Outcome == ConnectionBroken
+	if reusedConnBroke {
+		s.distrustReusedUntil = s.now + brokenConnSpan
+	}
+	connectionOnly := reusedConnBroke || (e.Outcome == TimedOut || e.Outcome == Canceled) && s.lost(c)
+	s.recordReport(c.endpoint.route, e.Report)
+	s.recordOutcome(c, e, connectionOnly)
+	if e.RetryAfter > 0 { // the retry-after of a batch's answer holds whatever the outcome of this message
+		c.endpoint.route.waitUntil = max(c.endpoint.route.waitUntil, s.now+e.RetryAfter)
+	}
+	s.carryOverWait(c.endpoint)
+	m.attemptsOut--
+	mayHaveRun := e.Outcome == ServerError || e.Outcome == TimedOut || e.Outcome == ConnectionBroken || e.Outcome == Canceled
+	if mayHaveRun && m.class.Effect != Idempotent && (!m.mayHaveRun || c.sentAt < m.mayHaveRunSince) {
+		m.mayHaveRun, m.mayHaveRunSince, m.mayHaveRunZone = true, c.sentAt, c.endpoint.zone
+	}
+	if mayHaveRun && e.Outcome != ServerError && m.key != "" {
+		s.pauseKey(m.key)
+	}
+	if m.ended {
+		s.trimKeyQueue(m.key)
+		return // it ended while the attempt was out; its key and its turn in the key's queue waited for the outcome
+	}
+	s.sampleOutcome(m, c, e.Outcome, connectionOnly)
 	switch {
-	case e.Unsure: // a repeat could be one after its end, a refusal could be untrue
-		s.finish(m, Fail{ID: m.id})
-	case e.Closed || e.Outcome == Pass:
-		s.finish(m, nil)
-	case m.out > 0: // another copy is out and may still pass
-	case s.now >= m.dropDead-endMargin, ran && m.class.Effect == Unsafe, s.spent(m):
+	case e.Ambiguous: // another attempt might come too late, and a refusal might be untrue
+		s.endMessage(m, Fail{ID: m.id})
+	case e.Final || e.Outcome == Success:
+		s.endMessage(m, nil)
+	case m.attemptsOut > 0: // another attempt is out and may still succeed
+	case s.now >= m.deadline-answerMargin, mayHaveRun && m.class.Effect == AtMostOnce, s.attemptsExhausted(m):
 		s.giveUp(m)
 	default:
-		if !worn && (ran || e.Outcome == NoRoute) {
-			m.notBefore = s.now + retryRest<<min(m.attempts, 16)
+		if !reusedConnBroke && (mayHaveRun || e.Outcome == Unreachable) {
+			m.notBefore = s.now + retryPause<<min(m.attempts, 16)
 		}
 		s.enqueue(m)
 	}
 }
 
-func (s *Sender) spent(m *message) bool {
+func (s *Sender) attemptsExhausted(m *message) bool {
 	return s.cfg.MaxAttempts > 0 && m.attempts >= s.cfg.MaxAttempts
 }
 
-// sample is the one place that turns outcomes into gate samples. Whatever did not deliver is charged as slow,
-// or fast errors would make the ratio read healthy while everything is rejected; a refusal for being over a
-// limit is pacing news and no sample, for the hold that follows shows in the final one. Of a message held
-// through an outage only the time since the return counts (the call itself in any case): its hold says
-// nothing of what a new one would meet, and the old backlog kept the gate shut for messages that could be
-// in time.
-func (s *Sender) sample(m *message, c *call, o Outcome, lone bool) {
-	if lone {
+// sampleOutcome adds the outcome of an attempt to the samples of its gate; only expireMessages adds others. A
+// failed attempt counts as slow: if fast errors counted as they are, the ratio would look healthy while all
+// calls fail. A rejection over a limit affects only the pacing; the wait that follows is part of the final
+// sample. For a message held through an outage only the time since the return counts, or the time of the call
+// if that is longer. The time before says nothing about a new message, and the old backlog kept the gate
+// closed for messages that could be delivered in time.
+func (s *Sender) sampleOutcome(m *message, c *call, o Outcome, connectionOnly bool) {
+	if connectionOnly {
 		return
 	}
-	sec := seconds(s.now - max(m.arrived, min(c.ep.route.coldFrom, c.sentAt)))
+	sec := seconds(s.now - max(m.arrivedAt, min(c.endpoint.route.slowStartAt, c.sentAt)))
 	switch o {
-	case Pass:
-	case Stale, Undone:
+	case Success:
+	case Stale, Canceled:
 		return
-	case NoRoom:
-		if !m.dest.troubled() {
+	case Rejected:
+		if !m.dest.unavailable() {
 			return
 		}
 		fallthrough
 	default:
-		sec = max(sec, failCharge*seconds(m.aim))
+		sec = max(sec, failureSoftDeadlines*seconds(m.softDeadline))
 	}
-	m.gate.sample(s.now, sec)
+	m.gate.addSample(s.now, sec)
 }
 
-func (d *destination) troubled() bool {
+// unavailable reports whether the destination has no endpoint that is ready and whose breaker is closed.
+func (d *destination) unavailable() bool {
 	for _, e := range d.endpoints {
-		if e.ready && !e.route.sick {
+		if e.ready && !e.route.breakerOpen {
 			return false
 		}
 	}
 	return true
 }
 
-// report takes what an endpoint tells of its limit; odd values are skipped. The room left changes by the
-// moment: without a report there is none to count on.
-func (s *Sender) report(r *route, rep Report) {
-	r.left = 0
+// recordReport stores the load report of an endpoint. Invalid limits are skipped. The remaining share of the
+// limit changes all the time, so none is assumed without a report.
+func (s *Sender) recordReport(r *route, rep Report) {
+	r.limitLeft = 0
 	if rep.HasLimit && rep.Limit >= 0 && !math.IsInf(rep.Limit, 0) {
-		r.reported, r.limit = true, rep.Limit
+		r.limitReported, r.limit = true, rep.Limit
 		if rep.HasLeft && rep.Left > 0 {
-			r.left = min(rep.Left, 1)
+			r.limitLeft = min(rep.Left, 1)
 		}
 	}
 }
 
-// judge updates the health of an endpoint and its route from an outcome. One that tells of its connection
-// alone says nothing of them.
-func (s *Sender) judge(c *call, e Ended, lone bool) {
-	ep, r, took := c.ep, c.ep.route, max(seconds(e.Took), seconds(floorResponse))
-	if c.trial {
-		r.trial = false
+// recordOutcome updates the health of an endpoint and its route from the outcome of a call. With
+// connectionOnly the outcome says something about the connection only.
+func (s *Sender) recordOutcome(c *call, e AttemptEnded, connectionOnly bool) {
+	ep, r, took := c.endpoint, c.endpoint.route, max(seconds(e.Took), seconds(minResponseTime))
+	if c.halfOpen {
+		r.halfOpenCallOut = false
 	}
 	switch {
-	case lone:
-	case e.Outcome == Pass:
-		if took <= slowFactor*ep.usual {
-			ep.provenAt = max(ep.provenAt, c.sentAt)
+	case connectionOnly:
+	case e.Outcome == Success:
+		if took <= slowFactor*ep.typicalTime {
+			ep.lastPromptCallAt = max(ep.lastPromptCallAt, c.sentAt)
 		}
-		ep.usual = ease(ep.usual, took)
-		ep.response = ease(ep.response, took)
-		if r.fails > 0 && r.harmless && !r.sick && !s.cfg.FullTold {
-			s.crowded[ep.dest.kind] = s.now + crowdedSpan // no connection, then a pass: a full table
+		ep.typicalTime = smooth(ep.typicalTime, took)
+		ep.responseTime = smooth(ep.responseTime, took)
+		if r.failures > 0 && r.nothingRan && !r.breakerOpen && !s.cfg.FullTableRejects {
+			s.tableFullUntil[ep.dest.kind] = s.now + fullTableSpan // a failed connect and then a success: the sign of a full connection table
 		}
-		s.passed(r)
+		s.recordSuccess(r)
 	case e.Outcome == Stale:
-	case e.Outcome == NoRoom && e.HungUp && !e.Kept && e.Wait == 0 && !r.sick:
-		s.crowd(ep)
-	case e.Outcome == NoRoom:
-		// Refusals in a row rest longer each time, over a limit or shut. They are no outage by themselves:
-		// a large fleet meets three in a row at any busy limit.
-		if s.now-r.waitUntil > r.rest {
-			r.rest = refusedRest
-		} else if s.now >= r.waitUntil { // no fellow of the call that told of it
-			r.rest *= 2
+	case e.Outcome == Rejected && e.ConnClosed && !e.ReusedConn && e.RetryAfter == 0 && !r.breakerOpen:
+		s.recordFullTable(ep)
+	case e.Outcome == Rejected:
+		// Rejections in a row double the pause, whether over a limit or because the endpoint is shut. By
+		// themselves they are no outage: a large fleet gets three in a row at any busy limit.
+		if s.now-r.waitUntil > r.rejectionPause {
+			r.rejectionPause = firstRejectionPause
+		} else if s.now >= r.waitUntil { // else the call was sent before the current wait began
+			r.rejectionPause *= 2
 		}
-		r.waitUntil = max(r.waitUntil, s.now+max(e.Wait, r.rest))
-		ep.response = ease(ep.response, 2*max(ep.response, took))
-		// Refused where there is no limit: a full queue, as of a destination that hangs.
-		stuck := r.reported && r.limit == 0
-		if shut := e.Wait > shutWait; shut || stuck || r.sick {
-			s.failure(ep, shut, true)
+		r.waitUntil = max(r.waitUntil, s.now+max(e.RetryAfter, r.rejectionPause))
+		ep.responseTime = smooth(ep.responseTime, 2*max(ep.responseTime, took))
+		// Rejected although the endpoint reports no limit: its queue is full, as when a destination hangs.
+		queueFull := r.limitReported && r.limit == 0
+		if isShut := e.RetryAfter > shutRetryAfter; isShut || queueFull || r.breakerOpen {
+			s.recordFailure(ep, isShut, true)
 		} else {
-			s.cut(c)
+			s.decreaseRateShare(c)
 		}
 	default:
-		s.failed(ep, took, e.Outcome == NoRoute)
+		s.recordFailedCall(ep, took, e.Outcome == Unreachable)
 	}
-	if c.left == 0 && e.Outcome != NoRoute && e.Outcome != Stale {
-		s.giveBack(ep)
+	if c.outcomesLeft == 0 && e.Outcome != Unreachable && e.Outcome != Stale {
+		s.closeIdleConnections(ep)
 	}
 }
 
-// failed books a call that failed.
-func (s *Sender) failed(ep *endpoint, took float64, harmless bool) {
-	ep.response = ease(ep.response, max(2*ep.response, took, seconds(slowLeast)))
-	s.failure(ep, false, harmless)
+// recordFailedCall records a call that failed after took seconds as slow, and as a sign of an outage.
+func (s *Sender) recordFailedCall(ep *endpoint, took float64, nothingRan bool) {
+	ep.responseTime = smooth(ep.responseTime, max(2*ep.responseTime, took, seconds(slowMin)))
+	s.recordFailure(ep, false, nothingRan)
 }
 
-// giveBack closes idle connections that stand in other senders' way: an endpoint's table may be small, idle
-// ones counted, and a large fleet fills it. It acts where the connection would hardly see another use before
-// it is closed: calls come at random, most of them sooner than the mean gap. It acts as well at a kind where
-// connects failed of late; there it costs handshakes while the sign lasts.
-func (s *Sender) giveBack(ep *endpoint) {
-	unused := s.cfg.ConnIdle > 0 && ep.gap > farApart*seconds(s.cfg.ConnIdle)
+// closeIdleConnections closes idle connections that would keep other senders out: the connection table of an
+// endpoint may be small, it counts idle connections, and a large fleet fills it. Connections are closed where
+// the next call is unlikely to come before the idle timeout; calls come at random, most of them sooner than
+// the mean gap. They are also closed at a kind of destination where connects failed recently, which costs
+// handshakes for as long as tableFullUntil lasts.
+func (s *Sender) closeIdleConnections(ep *endpoint) {
+	unused := s.cfg.IdleConnTimeout > 0 && ep.callGap > rareCallIdleTimes*seconds(s.cfg.IdleConnTimeout)
 	switch {
 	case len(ep.dest.waiting) > 0:
-	case unused || s.now < s.crowded[ep.dest.kind]:
-		s.do(HangUp{Endpoint: ep.id})
-	case ep.room > 0 && s.now-ep.crowdedAt < crowdedSpan:
-		s.do(HangUp{Endpoint: ep.id, Keep: 1})
+	case unused || s.now < s.tableFullUntil[ep.dest.kind]:
+		s.emit(CloseIdle{Endpoint: ep.id})
+	case ep.tableRoom > 0 && s.now-ep.tableFullAt < fullTableSpan:
+		s.emit(CloseIdle{Endpoint: ep.id, Keep: 1})
 	}
 }
 
-// crowd takes a new connection that was refused and closed: the endpoint's table is full, while the
-// connections that it holds go on being served. That is neither its limit nor an outage: taken for a limit,
-// it cut the pace to a quarter and stopped the calls that had a connection. As many calls as are out there
-// fit, and little by little more is tried; lost calls, which hold a connection each, are called off. It
-// guards against any peer that sheds connections rather than calls. It could do harm at one that hangs up
-// so on whatever is above its limit: the pace would fall by the connections alone.
-func (s *Sender) crowd(ep *endpoint) {
-	if ep.out == 0 { // nothing of ours is there: somebody else has to leave first
-		ep.shyTil = s.now + refusedRest + time.Duration(s.rng.Int64N(int64(refusedRest)))
-	}
-	ep.room, ep.crowdedAt = float64(max(ep.out, 1)), s.now
+// recordFullTable handles a new connection that was rejected and closed: the endpoint's connection table is
+// full, while calls on the connections that it holds are still served. That is neither a limit nor an outage:
+// treated as a limit, it cut the rate to a quarter and stopped the calls that had a connection. The calls
+// that are out there now are known to fit, and slowly more are tried; lost calls, which hold a connection
+// each, are canceled. This works for any peer that rejects connections instead of calls. It could do harm at
+// one that closes connections for everything above its limit: there only the number of connections would
+// reduce the rate.
+func (s *Sender) recordFullTable(ep *endpoint) {
+	if ep.callsOut == 0 { // this sender holds no connection there, so connections of others have to close first
+		ep.avoidUntil = s.now + firstRejectionPause + time.Duration(s.rng.Int64N(int64(firstRejectionPause)))
+	}
+	ep.tableRoom, ep.tableFullAt = float64(max(ep.callsOut, 1)), s.now
 	for _, c := range ep.dest.calls {
-		if c.ep == ep && s.lost(c) {
-			s.callOff(c)
+		if c.endpoint == ep && s.lost(c) {
+			s.cancelCall(c)
 		}
 	}
 }
 
-// cut lowers this sender's part of the limit at a refusal: below its own share at once, and ever deeper
-// with refusals in a row, for where refused calls use up the limit, a fleet that goes on asking gets nothing.
-// The next call comes at any moment of the new pace, lest all come at once.
-func (s *Sender) cut(c *call) {
-	r := c.ep.route
-	if c.sentAt < r.cutAt { // it went out before the last cut and tells no more
+// decreaseRateShare lowers the rate share at a rejection: at once below 1, and further with each rejection in
+// a row. Where rejected calls use up the limit, a fleet that does not slow down gets nothing through. The
+// next call comes at a random moment of the new rate, so that the senders do not all call at once.
+func (s *Sender) decreaseRateShare(c *call) {
+	r := c.endpoint.route
+	if c.sentAt < r.decreasedAt { // sent before the last decrease, so its rejection is no new sign
 		return
 	}
-	s.grow(r)
-	r.refusals++
-	r.cutAt = s.now
-	r.part = max(min(r.part, 1)*math.Pow(partCut, float64(r.refusals)), partLeast)
+	s.increaseRateShare(r)
+	r.rejections++
+	r.decreasedAt = s.now
+	r.rateShare = max(min(r.rateShare, 1)*math.Pow(rateShareDecreaseFactor, float64(r.rejections)), minRateShare)
 	r.tokens = min(r.tokens, s.rng.Float64())
 }
 
-func ease(old, sample float64) float64 {
+// smooth adds a sample to an exponentially smoothed value; one sample counts as at most 20 times the value.
+func smooth(old, sample float64) float64 {
 	if old == 0 {
 		return sample
 	}
-	return old + smoothing*(min(sample, 20*old)-old)
+	return old + smoothingWeight*(min(sample, 20*old)-old)
 }
 
-// failure notes a sign of an outage. It covers every kind: refused connections, errors, silence, shut doors.
-// A route gone sick gets single trials with growing pauses; the cold budget holds until it is surely warm.
-// One failure is no outage: a run is, if it is longer than the failures met everywhere explain. So a
-// lossy path of our own does not make all destinations look struck. Only calls that follow a pass there count
-// in that share, or an outage would raise the bar for itself. Routes apart of one destination add up their
-// runs, for an outage mostly takes them all and each sees few calls.
-func (s *Sender) failure(ep *endpoint, sure, harmless bool) {
+// recordFailure records a sign of an outage of any kind: refused connections, errors, timeouts, endpoints
+// that are shut. An open breaker lets single half-open calls through, with growing pauses, and the slow start
+// budget holds until the destination certainly has its full capacity again. One failure is no outage; a run
+// of failures is one if it is longer than the share of failures over all routes explains. So a lossy path of
+// this node does not look like an outage of all destinations. Only calls that follow a success on their route
+// count in that share; otherwise an outage would raise its own threshold. The runs of all separate routes of
+// a destination are added up, because an outage mostly affects all of them and each has few calls.
+func (s *Sender) recordFailure(ep *endpoint, certain, nothingRan bool) {
 	r := ep.route
-	r.harmless, r.partAt = harmless, s.now
-	r.fails++
-	if !r.sick {
-		if r.fails == 1 {
-			r.failedAt = s.now
-			s.failing += failWeight * (1 - s.failing)
+	r.nothingRan, r.rateShareAt = nothingRan, s.now
+	r.failures++
+	if !r.breakerOpen {
+		if r.failures == 1 {
+			r.firstFailureAt = s.now
+			s.failureShare += failureShareWeight * (1 - s.failureShare)
 		}
-		least := float64(sickCount)
-		if s.now-r.failedAt >= sickSpan || ep.dest.rate(s.now)*seconds(sickSpan) < rareCalls {
-			least--
+		minFailures := float64(outageFailures)
+		if s.now-r.firstFailureAt >= outageSpan || ep.dest.arrivalRate(s.now)*seconds(outageSpan) < rareArrivals {
+			minFailures--
 		}
-		run := max(least, math.Log(chanceRun)/math.Log(min(max(s.failing, 0.01), 0.7)))
-		if least < sickCount && !harmless && s.outnumbers(r) {
-			run = 1 // a second try of each sender is too much for the destination when it returns
+		requiredFailures := max(minFailures, math.Log(chanceRunProbability)/math.Log(min(max(s.failureShare, 0.01), 0.7)))
+		if minFailures < outageFailures && !nothingRan && s.fleetExceedsBudget(r) {
+			requiredFailures = 1 // a second attempt from each sender would be too much for the destination when it returns
 		}
-		fails := r.fails
-		for _, mate := range ep.dest.endpoints {
-			if mate.route != r {
-				fails += mate.route.fails
+		failures := r.failures
+		for _, other := range ep.dest.endpoints {
+			if other.route != r {
+				failures += other.route.failures
 			}
 		}
-		if sure || float64(fails) >= run {
-			s.strike(r)
+		if certain || float64(failures) >= requiredFailures {
+			s.openBreaker(r)
 		}
-	} else if s.now >= r.trialAt {
-		r.backoff = min(2*r.backoff, trialLast)
-		r.trialAt = s.now + r.backoff/2 + time.Duration(s.rng.Int64N(int64(r.backoff)))
+	} else if s.now >= r.halfOpenAt {
+		r.halfOpenBackoff = min(2*r.halfOpenBackoff, halfOpenMaxPause)
+		r.halfOpenAt = s.now + r.halfOpenBackoff/2 + time.Duration(s.rng.Int64N(int64(r.halfOpenBackoff)))
 	}
 }
 
-// strike opens an outage. The allowance starts anywhere below one call, or the senders of a large fleet, most
-// of which hold a single message, would all try at the same age of the outage.
-func (s *Sender) strike(r *route) {
+// openBreaker opens the breaker of a route, and starts an outage unless one is known. The tokens start at a
+// random value below one call; otherwise the senders of a large fleet, most of which hold a single message,
+// would all make their first call at the same time after the start of the outage.
+func (s *Sender) openBreaker(r *route) {
 	if !r.recovering() {
-		r.struckAt, r.demand = s.now, 1
+		r.outageAt, r.outageDemand = s.now, 1
 		r.tokens, r.tokensAt = s.rng.Float64(), s.now
 	}
-	r.sick, r.backoff, r.coldFrom = true, trialFirst, 0
-	r.trialAt = s.now + r.backoff
+	r.breakerOpen, r.halfOpenBackoff, r.slowStartAt = true, halfOpenFirstPause, 0
+	r.halfOpenAt = s.now + r.halfOpenBackoff
 }
 
-// passed notes a delivered call: the end of an outage, a step of the recovery, or plain health.
-func (s *Sender) passed(r *route) {
-	if !r.sick && r.fails == 0 {
-		s.failing *= 1 - failWeight
+// recordSuccess records a successful call on a route: it ends an outage, goes on with the slow start, or
+// confirms normal operation.
+func (s *Sender) recordSuccess(r *route) {
+	if !r.breakerOpen && r.failures == 0 {
+		s.failureShare *= 1 - failureShareWeight
 	}
-	r.rest, r.fails = 0, 0
-	if gap := seconds(s.now - r.passedAt); gap > 1 {
-		r.busiest = max(r.busiest, r.passed/gap)
-		r.passed, r.passedAt = 0, s.now
+	r.rejectionPause, r.failures = 0, 0
+	if gap := seconds(s.now - r.successesSince); gap > 1 {
+		r.peakRate = max(r.peakRate, r.successes/gap)
+		r.successes, r.successesSince = 0, s.now
 	}
-	r.passed++
-	s.grow(r)
-	r.refusals = 0
+	r.successes++
+	s.increaseRateShare(r)
+	r.rejections = 0
 	switch {
-	case r.sick:
-		r.sick, r.coldFrom = false, s.now
-	case r.coldFrom > 0 && s.now-r.coldFrom > s.cfg.WarmWithin:
-		r.coldFrom = 0
+	case r.breakerOpen:
+		r.breakerOpen, r.slowStartAt = false, s.now
+	case r.slowStartAt > 0 && s.now-r.slowStartAt > s.cfg.SlowStartDuration:
+		r.slowStartAt = 0
 	}
 }
 
-// recovering tells that the route is struck, or not yet surely warm again.
-func (r *route) recovering() bool { return r.sick || r.coldFrom > 0 }
+// recovering reports whether the route has an outage or is in slow start after one.
+func (r *route) recovering() bool { return r.breakerOpen || r.slowStartAt > 0 }
 
-// capacity is a careful guess of what the route takes a second from all senders when it is warm.
+// capacity is a cautious estimate of the calls a second that the route takes from all senders together at its
+// full capacity.
 func (s *Sender) capacity(r *route) float64 {
 	switch {
 	case r.limit > 0:
 		return r.limit
 	case r.weight > 0 && s.cfg.RoughWeights:
-		return r.weight / roughWeight
+		return r.weight / roughWeightFactor
 	case r.weight > 0:
 		return r.weight
 	}
-	return max(r.busiest, 1)
+	return max(r.peakRate, 1)
 }
 
-// pace is how many calls a second this sender may send on the route, and whether it is so bound. Of the cold
-// budget it takes what its own demand since the outage began calls for: over all senders that sums up to what
-// the destination is asked for, which a warm one can do. Where there are many, they learn of an outage one by
-// one, each by a message of its own: without the span of demand before it these would sum up to several times
-// that. An even share starves the few senders of a large fleet that hold messages, and wastes what is left.
+// pace returns the calls a second that this sender may make on the route, and whether that is bounded at all.
+// Of the slow start budget a sender uses what its own demand since the start of the outage requires: over all
+// senders this adds up to the demand on the destination, which it can handle at full capacity. In a large
+// fleet the senders learn of an outage one by one, each from a message of its own. Their rates would add up
+// to several times the budget if the demand were not averaged over arrivalsSpan before the outage as well. An
+// even share would starve the few senders of a large fleet that hold messages, and waste the rest.
 func (s *Sender) pace(r *route) (rate float64, bound bool) {
-	if r.recovering() && s.cfg.Fall > 0 && s.cfg.FallMultiple > 0 {
-		share := s.cfg.ColdFrom
-		if r.coldFrom > 0 && s.cfg.WarmWithin > 0 {
-			share += (1 - share) * min(1, seconds(s.now-r.coldFrom)/seconds(s.cfg.WarmWithin))
+	if r.recovering() && s.cfg.CollapseSpan > 0 && s.cfg.CollapseMultiple > 0 {
+		share := s.cfg.SlowStartShare
+		if r.slowStartAt > 0 && s.cfg.SlowStartDuration > 0 {
+			share += (1 - share) * min(1, seconds(s.now-r.slowStartAt)/seconds(s.cfg.SlowStartDuration))
 		}
-		even := s.capacity(r) / float64(s.cfg.Fleet)
-		own := r.demand / max(seconds(s.now-r.struckAt), seconds(s.cfg.Fall))
-		if s.outnumbers(r) {
-			own = r.demand / (seconds(s.now-r.struckAt) + seconds(demandSpan))
+		evenPart := s.capacity(r) / float64(s.cfg.FleetSize)
+		ownDemand := r.outageDemand / max(seconds(s.now-r.outageAt), seconds(s.cfg.CollapseSpan))
+		if s.fleetExceedsBudget(r) {
+			ownDemand = r.outageDemand / (seconds(s.now-r.outageAt) + seconds(arrivalsSpan))
 		}
-		part := max(knowingShare*even, demandShare*min(own, s.capacity(r)))
-		rate, bound = s.cfg.FallMultiple*share*part, true
+		allotted := max(evenBudgetShare*evenPart, ownDemandShare*min(ownDemand, s.capacity(r)))
+		rate, bound = s.cfg.CollapseMultiple*share*allotted, true
 	}
-	limit := s.limit(r)
-	own := min(1, r.part*s.weight()) * limit
+	limit := s.rateLimit(r)
+	paced := min(1, r.rateShare*s.trafficShare()) * limit
 	switch {
 	case limit == 0:
 		return rate, bound
-	case bound: // what refuses a cold one's budget is its limit, which refused calls use up
-		return min(rate, own), true
+	case bound: // a destination in slow start rejects calls over its limit, and rejected calls use up that limit
+		return min(rate, paced), true
 	}
-	return own, true
+	return paced, true
 }
 
-// limit is what the route takes a second from all senders as far as it is told, 0 for no limit.
-func (s *Sender) limit(r *route) float64 {
-	if !r.reported && r.weight > 0 {
+// rateLimit is the known number of calls a second that the route takes from all senders together, 0 for no
+// limit.
+func (s *Sender) rateLimit(r *route) float64 {
+	if !r.limitReported && r.weight > 0 {
 		return r.weight
 	}
 	return r.limit
 }
 
-// rate is how many messages a second came here for the destination of late.
-func (d *destination) rate(now time.Duration) float64 {
-	return d.came * math.Exp(-seconds(now-d.cameAt)/seconds(demandSpan)) / seconds(demandSpan)
+// arrivalRate is the recent number of messages a second for the destination at this sender, as an
+// exponentially decaying average.
+func (d *destination) arrivalRate(now time.Duration) float64 {
+	return d.arrivals * math.Exp(-seconds(now-d.arrivalsAt)/seconds(arrivalsSpan)) / seconds(arrivalsSpan)
 }
 
-// grow gives back a part that was cut. While calls pass it grows by the same step for all, in the time of a
-// call at the own share: growth in proportion to the part, or by the calls, drove the parts of a fleet apart
-// until half of it starved. After a refusal it grows by less in that time than the next refusal cuts, for a
-// fleet whose parts come back between its rare calls keeps a limit overbooked for good.
-func (s *Sender) grow(r *route) {
-	calls := s.weight() * s.limit(r) * min(seconds(s.now-r.partAt), seconds(demandSpan))
-	if r.refusals > 0 {
-		r.part *= math.Exp(partStay * calls)
+// increaseRateShare raises a rate share that was decreased. While calls succeed it grows by the same step for
+// all senders in the time of one call at a rate share of 1. Growth in proportion to the rate share, or with
+// each call, drove the shares of a fleet apart until half of it starved. After a rejection it grows by less
+// in that time than the next rejection decreases it: a fleet whose shares recover between its rare calls
+// keeps exceeding a limit for good.
+func (s *Sender) increaseRateShare(r *route) {
+	calls := s.trafficShare() * s.rateLimit(r) * min(seconds(s.now-r.rateShareAt), seconds(arrivalsSpan))
+	if r.rejections > 0 {
+		r.rateShare *= math.Exp(rateShareIncreaseAfterRejection * calls)
 	} else {
-		r.part += partGrow * calls
+		r.rateShare += rateShareIncrease * calls
 	}
-	r.part, r.partAt = min(r.part, r.most), s.now
+	r.rateShare, r.rateShareAt = min(r.rateShare, r.maxRateShare), s.now
 }
 
-// weight is this sender's share of the fleet's traffic: of what the tenants' allowances let expect for all,
-// what comes here for the first time.
-func (s *Sender) weight() float64 {
-	even, all := 1/float64(s.cfg.Fleet), 0.0
+// trafficShare is this sender's share of the fleet's traffic: the rate of first submissions here over the sum
+// of the tenants' allowances, which is what all senders together are expected to get.
+func (s *Sender) trafficShare() float64 {
+	even, total := 1/float64(s.cfg.FleetSize), 0.0
 	for _, t := range s.cfg.Tenants {
-		all += t.PerSecond
+		total += t.PerSecond
 	}
-	if all <= 0 {
+	if total <= 0 {
 		return even
 	}
-	fade := math.Exp(-seconds(s.now-s.cameAt) / seconds(weightSpan))
-	seen := s.seen*fade + seconds(weightSpan)*(1-fade)
-	return min(1, (s.came*fade/all+even*weightPrior)/(seen+weightPrior))
+	fade := math.Exp(-seconds(s.now-s.firstSubmissionsAt) / seconds(trafficSpan))
+	observed := s.firstSubmissionsSpan*fade + seconds(trafficSpan)*(1-fade)
+	return min(1, (s.firstSubmissions*fade/total+even*trafficPriorSeconds)/(observed+trafficPriorSeconds))
 }
 
-// refill brings the token bucket up to now. On the way back from an outage nothing is saved up for a burst.
-func (s *Sender) refill(r *route) {
+// refillTokens brings the token bucket of a route up to the current time; one token is one call. During an
+// outage and the slow start no tokens are saved for a burst.
+func (s *Sender) refillTokens(r *route) {
 	if !r.recovering() {
-		s.grow(r)
+		s.increaseRateShare(r)
 	}
 	rate, bound := s.pace(r)
 	if !bound {
 		r.tokens, r.tokensAt = 1, s.now
 		return
 	}
-	most := max(1, burstSpan*rate)
+	maxTokens := max(1, burstSeconds*rate)
 	switch {
 	case r.recovering():
-		most = 1
-	case r.most > 1:
-		most = max(most, depthMost)
+		maxTokens = 1
+	case r.maxRateShare > 1:
+		maxTokens = max(maxTokens, maxBurstCalls)
 	}
-	r.tokens = min(r.tokens+rate*seconds(s.now-r.tokensAt), most)
+	r.tokens = min(r.tokens+rate*seconds(s.now-r.tokensAt), maxTokens)
 	r.tokensAt = s.now
 }
 
-// patience is how long a call may be out before that is far longer than usual, in seconds.
-func (c *call) patience() float64 { return max(slowFactor*c.ep.usual, seconds(slowLeast)) }
+// slowAfter is the number of seconds after which a call that is still out has taken far longer than typical.
+func (c *call) slowAfter() float64 { return max(slowFactor*c.endpoint.typicalTime, seconds(slowMin)) }
 
-// overdue tells that a call has been out for so long that its answer is hardly to be counted on.
+// overdue reports whether a call has been out for so long that an answer is unlikely.
 func (s *Sender) overdue(c *call) bool {
-	return seconds(s.now-c.sentAt) > max(lostFactor*c.ep.usual, seconds(lostLeast))
+	return seconds(s.now-c.sentAt) > max(lostFactor*c.endpoint.typicalTime, seconds(lostMin))
 }
 
-// lost tells that a call is overdue though one sent later to the same endpoint has passed in the usual time:
-// its connection or its answer is gone, and its silence says nothing of the destination. Without this, single
-// calls lost on the way, payouts above all, which are out for all their time, made every busy destination
-// look slow, and then struck. It guards as well against answers that are dropped or held back one by one. It
-// could do harm where an endpoint serves some calls fast and lets others hang for good: those hold slots
-// beyond the slow share, until none is free and preempt takes them first.
-func (s *Sender) lost(c *call) bool { return c.sentAt < c.ep.provenAt && s.overdue(c) }
-
-// slow tells that a destination's oldest call, of those not lost, has been out far longer than usual: before
-// any time-out has passed, silence and crawling look like this. Its share of the slots is capped then.
+// lost reports whether a call is overdue although one sent later to the same endpoint succeeded in the
+// typical time. Its connection or its answer is gone, and the missing answer says nothing about the
+// destination. Without this, single calls lost on the way made every busy destination look slow and then
+// opened its breaker: mainly those of AtMostOnce messages (payouts), which stay out until their deadline. It
+// also protects against answers that are dropped or held back one by one. It could do harm where an endpoint
+// serves some calls fast and lets others hang forever: those hold slots beyond slowSlotShare until none is
+// free, and cancelStuckCalls cancels them first.
+func (s *Sender) lost(c *call) bool { return c.sentAt < c.endpoint.lastPromptCallAt && s.overdue(c) }
+
+// slow reports whether the oldest call of a destination, apart from lost ones, has been out far longer than
+// typical. Before any timeout has passed, a silent destination and a very slow one both look like this. The
+// slots that it may hold are then limited.
 func (s *Sender) slow(d *destination) bool {
 	for _, c := range d.calls {
 		if !s.lost(c) {
-			return seconds(s.now-c.sentAt) > c.patience()
+			return seconds(s.now-c.sentAt) > c.slowAfter()
 		}
 	}
 	return false
 }
 
-// spend brings the slot time that the destination had of late up to now.
-func (d *destination) spend(now time.Duration) {
-	fade := math.Exp(-seconds(now-d.usedAt) / seconds(slotSpan))
-	d.used = d.used*fade + float64(len(d.calls))*seconds(slotSpan)*(1-fade)
-	d.usedAt = now
+// updateSlotTime brings the destination's recent slot time up to the current time.
+func (d *destination) updateSlotTime(now time.Duration) {
+	fade := math.Exp(-seconds(now-d.slotTimeAt) / seconds(slotTimeSpan))
+	d.slotTime = d.slotTime*fade + float64(len(d.calls))*seconds(slotTimeSpan)*(1-fade)
+	d.slotTimeAt = now
 }
 
-// lame tells that a destination is slow, or that at each of its routes the last call failed. With few slots,
-// first tries at silent destinations held them all.
-func (s *Sender) lame(d *destination) bool {
+// unresponsive reports whether a destination is slow or the last call failed on each of its routes. Before
+// this check, when slots were few, first attempts at silent destinations held all of them.
+func (s *Sender) unresponsive(d *destination) bool {
 	for _, e := range d.endpoints {
-		if e.ready && e.route.fails == 0 {
+		if e.ready && e.route.failures == 0 {
 			return s.slow(d)
 		}
 	}
 	return true
 }
 
-// lameHeld counts the slots that lame destinations hold.
-func (s *Sender) lameHeld() int {
+// unresponsiveCalls counts the slots that unresponsive destinations hold, apart from lost calls.
+func (s *Sender) unresponsiveCalls() int {
 	n := 0
-	for _, d := range s.active {
-		if len(d.calls) == 0 || !s.lame(d) {
+	for _, d := range s.activeDests {
+		if len(d.calls) == 0 || !s.unresponsive(d) {
 			continue
 		}
 		for _, c := range d.calls {
@@ -958,39 +1003,40 @@
 	return n
 }
 
-// preempt calls off calls that are out far longer than usual while no slot is free: silence, be it a few
-// destinations' or a lossy path's, must not stop delivery to all the others. A call whose messages may be
-// repeated goes first and at once. One that may not ends failed: if it is lost it goes while others wait for
-// its slot, for hardly one in thirty of these is answered after all, and each holds a slot for all its time;
-// if it is not, only while slow destinations hold more than their share of the slots. Called-off work may be
-// wasted; a full node would lose far more.
-func (s *Sender) preempt() {
-	if !s.cfg.MayCancel || s.cfg.Slots <= 0 || s.busy < s.cfg.Slots {
+// cancelStuckCalls cancels a call that is out far longer than typical when no slot is free: destinations that
+// don't answer, or a lossy path, must not stop delivery to all the others. A call whose messages may be
+// repeated is canceled first and at once. A message that may not be repeated ends as failed. So its call, if
+// it is lost, is canceled only when a message waits for a slot: hardly one in thirty of these calls is
+// answered after all, and each holds a slot until its deadline. If the call is not lost, it is canceled only
+// while slow destinations hold more than their share of the slots. Canceled work may be wasted, but a node
+// without free slots would lose far more.
+func (s *Sender) cancelStuckCalls() {
+	if !s.cfg.MayCancel || s.cfg.Slots <= 0 || s.callsOut < s.cfg.Slots {
 		return
 	}
 	var repeatable, lost, slowest *call
-	held, late, waiting := 0, 1.0, false
-	for _, d := range s.active {
+	slowCalls, maxOverdue, waiting := 0, 1.0, false
+	for _, d := range s.activeDests {
 		slow := s.slow(d)
 		waiting = waiting || len(d.waiting) > 0
 		for _, c := range d.calls {
-			if c.called {
-				return // its slot is about to come back
+			if c.canceled {
+				return // its slot will be free soon
 			}
 			if slow {
-				held++
+				slowCalls++
 			}
-			patience := c.patience() * math.Pow(timeoutGrow, float64(c.ep.route.fails))
-			over := seconds(s.now-c.sentAt) / patience
-			gone := s.lost(c)
-			if gone {
-				over++ // first of all
+			slowAfter := c.slowAfter() * math.Pow(timeoutGrowth, float64(c.endpoint.route.failures))
+			overdue := seconds(s.now-c.sentAt) / slowAfter
+			isLost := s.lost(c)
+			if isLost {
+				overdue++ // lost calls go first
 			}
 			switch {
-			case c.repeatable && over > late:
-				repeatable, late = c, over
+			case c.repeatable && overdue > maxOverdue:
+				repeatable, maxOverdue = c, overdue
 			case c.repeatable:
-			case gone:
+			case isLost:
 				lost = c
 			case slow && slowest == nil:
 				slowest = c
@@ -999,32 +1045,32 @@
 	}
 	switch {
 	case repeatable != nil:
-		s.callOff(repeatable)
+		s.cancelCall(repeatable)
 	case lost != nil && waiting:
-		s.callOff(lost)
-	case slowest != nil && float64(held) > slowShare*float64(s.cfg.Slots):
-		s.callOff(slowest)
+		s.cancelCall(lost)
+	case slowest != nil && float64(slowCalls) > slowSlotShare*float64(s.cfg.Slots):
+		s.cancelCall(slowest)
 	}
 }
 
-// callOff cancels a call.
-func (s *Sender) callOff(c *call) {
-	if c.called || !s.cfg.MayCancel {
+// cancelCall cancels the attempts of a call.
+func (s *Sender) cancelCall(c *call) {
+	if c.canceled || !s.cfg.MayCancel {
 		return
 	}
-	c.called = true
-	for _, a := range c.sends {
-		if s.sent[a].c == c {
-			s.do(Cancel{ID: a.id, Attempt: a.n})
+	c.canceled = true
+	for _, a := range c.attempts {
+		if s.attemptsOut[a].c == c {
+			s.emit(Cancel{ID: a.id, Attempt: a.number})
 		}
 	}
 }
 
-// release fills free slots: the waiting destination that had the least slot time of late comes first, so that
-// one whose calls last long does not get as many slots as a fast one.
-func (s *Sender) release() {
-	s.active = slices.DeleteFunc(s.active, func(d *destination) bool {
-		d.spend(s.now)
+// startCalls fills free slots. The destination with the least recent slot time comes first, so that one with
+// long calls does not get as many slots as a fast one.
+func (s *Sender) startCalls() {
+	s.activeDests = slices.DeleteFunc(s.activeDests, func(d *destination) bool {
+		d.updateSlotTime(s.now)
 		d.active = len(d.waiting)+len(d.calls) > 0
 		return !d.active
 	})
@@ -1032,236 +1078,240 @@
 		var best *destination
 		var bestMsg *message
 		var bestEp *endpoint
-		if s.cfg.Slots > 0 && s.busy >= s.cfg.Slots {
+		if s.cfg.Slots > 0 && s.callsOut >= s.cfg.Slots {
 			return
 		}
-		for _, d := range s.active {
-			if len(d.waiting) == 0 || (best != nil && d.used >= best.used) {
+		for _, d := range s.activeDests {
+			if len(d.waiting) == 0 || (best != nil && d.slotTime >= best.slotTime) {
 				continue
 			}
-			if m, ep := s.next(d); m != nil {
+			if m, ep := s.nextMessage(d); m != nil {
 				best, bestMsg, bestEp = d, m, ep
 			}
 		}
 		if best == nil {
 			return
 		}
-		s.send(best, bestMsg, bestEp)
+		s.startCall(best, bestMsg, bestEp)
 	}
 }
 
-// next finds the message a destination would release now, and its endpoint. The order is that of arrival,
-// unless the queue is so long that waiting costs worth: then the one that loses most by waiting as long
-// as the oldest has waited goes first.
-func (s *Sender) next(d *destination) (*message, *endpoint) {
-	if s.lame(d) && s.cfg.Slots > 0 && float64(s.lameHeld()) >= max(1, slowShare*float64(s.cfg.Slots)) {
+// nextMessage returns the message that a destination would send now, and its endpoint. Messages are sent in
+// the order of arrival, unless the queue is so long that waiting costs worth: then the message goes first
+// that would lose most by waiting as long as the oldest one has.
+func (s *Sender) nextMessage(d *destination) (*message, *endpoint) {
+	if s.unresponsive(d) && s.cfg.Slots > 0 && float64(s.unresponsiveCalls()) >= max(1, slowSlotShare*float64(s.cfg.Slots)) {
 		return nil, nil
 	}
-	open := false
+	anyAvailable := false
 	for i, e := range d.endpoints {
-		if i == 0 || e.route != d.endpoints[0].route { // one for all, or each its own
-			s.refill(e.route)
+		if i == 0 || e.route != d.endpoints[0].route { // all endpoints share one route, or each has its own
+			s.refillTokens(e.route)
 		}
-		if e.warming != nil && s.now-e.warming.coldFrom > s.cfg.WarmWithin {
-			e.warming = nil
-		} else if e.warming != nil {
-			s.refill(e.warming)
+		if e.slowStart != nil && s.now-e.slowStart.slowStartAt > s.cfg.SlowStartDuration {
+			e.slowStart = nil
+		} else if e.slowStart != nil {
+			s.refillTokens(e.slowStart)
 		}
-		open = open || s.routeOpen(e)
+		anyAvailable = anyAvailable || s.endpointAvailable(e)
 	}
-	if !open {
+	if !anyAvailable {
 		return nil, nil
 	}
-	horizon := s.now - d.waiting[0].arrived
+	oldestWait := s.now - d.waiting[0].arrivedAt
 	var best *message
 	var bestEp *endpoint
-	most := -1.0
+	maxLoss := -1.0
 	for _, m := range d.waiting {
-		if loss := s.loss(m, horizon); loss > most {
-			if ep := s.draw(m); ep != nil {
-				best, bestEp, most = m, ep, loss
+		if loss := s.worthLost(m, oldestWait); loss > maxLoss {
+			if ep := s.pickEndpoint(m); ep != nil {
+				best, bestEp, maxLoss = m, ep, loss
 			}
 		}
 	}
 	return best, bestEp
 }
 
-// loss is the worth that a message loses by waiting for another span.
-func (s *Sender) loss(m *message, wait time.Duration) float64 {
-	usual := time.Duration(0)
+// worthLost is the worth that a message loses if its delivery is delayed by wait.
+func (s *Sender) worthLost(m *message, wait time.Duration) float64 {
+	typicalTime := time.Duration(0)
 	if e := m.dest.endpoints; len(e) > 0 {
-		usual = span(e[0].usual)
+		typicalTime = duration(e[0].typicalTime)
 	}
-	return s.value(m, s.now+usual) - s.value(m, s.now+usual+wait)
+	return s.worthAt(m, s.now+typicalTime) - s.worthAt(m, s.now+typicalTime+wait)
 }
 
-// value is what a delivery at a moment is worth.
-func (s *Sender) value(m *message, at time.Duration) float64 {
-	age, late := at-m.born, m.class.LateWorth
+// worthAt is the worth of a message that is delivered at a given time.
+func (s *Sender) worthAt(m *message, at time.Duration) float64 {
+	age, late := at-m.submittedAt, m.class.LateWorth
 	switch {
-	case at > m.dropDead:
+	case at > m.deadline:
 		return 0
-	case age <= m.aim || m.aim <= 0:
+	case age <= m.softDeadline || m.softDeadline <= 0:
 		return m.worth
-	case s.cfg.Halves:
-		return m.worth * max(late, math.Exp2(-float64(age-m.aim)/float64(m.aim)))
+	case s.cfg.WorthHalves:
+		return m.worth * max(late, math.Exp2(-float64(age-m.softDeadline)/float64(m.softDeadline)))
 	}
-	return m.worth * (1 - (1-late)*float64(age-m.aim)/float64(max(m.class.Deadline-m.aim, 1)))
+	return m.worth * (1 - (1-late)*float64(age-m.softDeadline)/float64(max(m.class.Deadline-m.softDeadline, 1)))
 }
 
-// draw picks an endpoint at random among those that pass the check, odds falling with smoothed latency.
-func (s *Sender) draw(m *message) *endpoint {
+// pickEndpoint picks a random endpoint among those that maySend accepts, with a probability that falls with
+// the smoothed response time. It returns nil if there is none.
+func (s *Sender) pickEndpoint(m *message) *endpoint {
 	total := 0.0
-	var fit []*endpoint
-	var odds []float64
+	var candidates []*endpoint
+	var weights []float64
 	for _, e := range m.dest.endpoints {
-		if s.check(m, e) {
-			o := math.Pow(max(e.response, seconds(floorResponse)), -drawPower)
-			fit, odds, total = append(fit, e), append(odds, o), total+o
+		if s.maySend(m, e) {
+			weight := math.Pow(max(e.responseTime, seconds(minResponseTime)), -responseTimePower)
+			candidates, weights, total = append(candidates, e), append(weights, weight), total+weight
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
 	x := s.rng.Float64() * total
-	for i, e := range fit {
-		if x -= odds[i]; x < 0 {
+	for i, e := range candidates {
+		if x -= weights[i]; x < 0 {
 			return e
 		}
 	}
-	return fit[len(fit)-1]
+	return candidates[len(candidates)-1]
 }
 
-// routeOpen is the part of the check that hangs on the endpoint alone: drain, wait, health, budget and pace.
-func (s *Sender) routeOpen(e *endpoint) bool {
+// endpointAvailable is the part of maySend that depends on the endpoint alone: whether it is ready, its
+// waits, connection table, circuit breaker and tokens.
+func (s *Sender) endpointAvailable(e *endpoint) bool {
 	r := e.route
-	if !e.ready || s.now < r.waitUntil || r.tokens < 1 || s.now < e.shyTil {
+	if !e.ready || s.now < r.waitUntil || r.tokens < 1 || s.now < e.avoidUntil {
 		return false
 	}
-	if e.warming != nil && e.warming.tokens < 1 {
+	if e.slowStart != nil && e.slowStart.tokens < 1 {
 		return false
 	}
-	if since := s.now - e.crowdedAt; e.room > 0 && since < crowdedSpan &&
-		float64(e.out) >= e.room+roomGrow*seconds(since) {
+	if since := s.now - e.tableFullAt; e.tableRoom > 0 && since < fullTableSpan &&
+		float64(e.callsOut) >= e.tableRoom+tableRoomPerSecond*seconds(since) {
 		return false
 	}
-	return !r.sick || (!r.trial && s.now >= r.trialAt)
+	return !r.breakerOpen || (!r.halfOpenCallOut && s.now >= r.halfOpenAt)
 }
 
-// check is the one gate before every send; no path goes round it.
-func (s *Sender) check(m *message, e *endpoint) bool {
-	if m.over || m.out > 0 || s.now < m.notBefore || s.spent(m) || !s.routeOpen(e) {
+// maySend reports whether a message may be sent to an endpoint now. Every send passes this check.
+func (s *Sender) maySend(m *message, e *endpoint) bool {
+	if m.ended || m.attemptsOut > 0 || s.now < m.notBefore || s.attemptsExhausted(m) || !s.endpointAvailable(e) {
 		return false
 	}
-	if s.cfg.Slots > 0 && s.busy >= s.cfg.Slots || s.now >= s.startBy(m) {
+	if s.cfg.Slots > 0 && s.callsOut >= s.cfg.Slots || s.now >= s.latestStart(m) {
 		return false
 	}
-	if s.leaveBy > 0 && s.now+s.leaveSpan(m, e) > s.leaveBy {
+	if s.stopAt > 0 && s.now+s.stopMargin(m, e) > s.stopAt {
 		return false
 	}
 	switch m.class.Effect {
-	case Unsafe:
-		// On a sick route an unsafe message risks an unsure end, unless failures there prove that
-		// nothing ran; with most of its time gone it has less to lose.
-		spent := s.now-m.arrived > (m.dropDead-m.arrived)/2
-		if m.touched || (e.route.sick && !e.route.harmless && !spent) {
+	case AtMostOnce:
+		// With an open breaker an AtMostOnce message risks an ambiguous outcome, unless the last failure
+		// there proved that nothing ran. With most of its time gone it has less to lose.
+		mostTimeSpent := s.now-m.arrivedAt > (m.deadline-m.arrivedAt)/2
+		if m.mayHaveRun || (e.route.breakerOpen && !e.route.nothingRan && !mostTimeSpent) {
 			return false
 		}
-	case Keyed:
-		if m.touched && !m.class.GroupAll && e.zone != m.zone {
+	case Deduplicated:
+		if m.mayHaveRun && !m.class.DedupEverywhere && e.zone != m.mayHaveRunZone {
 			return false
 		}
 	}
 	if m.key != "" {
-		s.trimLine(m.key)
-		// Whoever had the turn before may try again without a rest.
-		line := s.lines[m.key]
-		if (s.now < s.rests[m.key] && m.attempts == 0) || (len(line) > 0 && line[0] != m) {
+		s.trimKeyQueue(m.key)
+		// A message that has had an attempt may be sent again without waiting for the pause of its key.
+		queue := s.keyQueues[m.key]
+		if (s.now < s.keyPauses[m.key] && m.attempts == 0) || (len(queue) > 0 && queue[0] != m) {
 			return false
 		}
 	}
 	return true
 }
 
-// leaveSpan is how long before the process ends a message may still go out.
-func (s *Sender) leaveSpan(m *message, e *endpoint) time.Duration {
-	if m.class.Effect == Unsafe {
-		return max(span(leaveRoomUnsafe*e.usual), leaveLeastUnsafe)
+// stopMargin is the time before the end of the process from which on a message is not sent any more.
+func (s *Sender) stopMargin(m *message, e *endpoint) time.Duration {
+	if m.class.Effect == AtMostOnce {
+		return max(duration(stopFactorAtMostOnce*e.typicalTime), stopMarginMinAtMostOnce)
 	}
-	return max(span(leaveRoom*e.usual), leaveLeast)
+	return max(duration(stopFactor*e.typicalTime), stopMarginMin)
 }
 
-// send sends a message and, where the kind allows, more of the destination's waiting ones in the same call.
-func (s *Sender) send(d *destination, m *message, e *endpoint) {
+// startCall sends a message, together with more of the destination's waiting messages if its kind allows
+// batches.
+func (s *Sender) startCall(d *destination, m *message, e *endpoint) {
 	r := e.route
-	c := &call{ep: e, sentAt: s.now, trial: r.sick, repeatable: m.class.Effect != Unsafe}
-	s.made++
-	r.trial = r.trial || c.trial
-	// On sockets a call is given up whole: where silence is to be feared, what may be repeated is not tied to
-	// the time of what may not. Where it isn't, twice the calls would only take slots from others.
-	mixed := !r.recovering() && !s.lame(d)
+	c := &call{endpoint: e, sentAt: s.now, halfOpen: r.breakerOpen, repeatable: m.class.Effect != AtMostOnce}
+	s.callsMade++
+	r.halfOpenCallOut = r.halfOpenCallOut || c.halfOpen
+	// A call times out or is canceled as a whole. Where that is likely, messages that may be repeated are not
+	// tied to the long timeout of those that may not. Elsewhere separate calls would be twice as many, and
+	// only take slots from others.
+	mayMix := !r.recovering() && !s.unresponsive(d)
 	group := []*message{m}
 	for _, o := range d.waiting {
-		if len(group) >= s.batch(d) || c.trial {
+		if len(group) >= s.maxBatch(d) || c.halfOpen {
 			break
 		}
-		if o != m && (mixed || c.repeatable == (o.class.Effect != Unsafe)) && s.check(o, e) {
+		if o != m && (mayMix || c.repeatable == (o.class.Effect != AtMostOnce)) && s.maySend(o, e) {
 			group = append(group, o)
 		}
 	}
 	for _, o := range group {
 		d.dequeue(o)
 		a := attempt{o.id, o.attempts}
-		s.sent[a], c.sends = sending{o, c}, append(c.sends, a)
+		s.attemptsOut[a], c.attempts = pendingAttempt{o, c}, append(c.attempts, a)
 		o.attempts++
-		o.out++
-		c.left++
-		c.repeatable = c.repeatable && o.class.Effect != Unsafe
-		// What may not be repeated is lost when a kept connection turns out broken; a handshake costs less,
-		// and less than another turn for what has had one.
-		fresh := s.now < s.wornTil && (o.class.Effect == Unsafe || o.attempts > 1)
-		s.do(Send{
-			ID: o.id, Endpoint: e.id, Call: s.made, NotPast: s.timeout(o, e), StartBy: s.startBy(o),
-			EndBy: o.endBy(), Fresh: fresh,
+		o.attemptsOut++
+		c.outcomesLeft++
+		c.repeatable = c.repeatable && o.class.Effect != AtMostOnce
+		// An AtMostOnce message is lost when a reused connection turns out to be broken. A handshake costs
+		// less than that, and less than another attempt of a message that has already had one.
+		newConn := s.now < s.distrustReusedUntil && (o.class.Effect == AtMostOnce || o.attempts > 1)
+		s.emit(Send{
+			ID: o.id, Endpoint: e.id, Call: s.callsMade, TimeoutAt: s.timeoutAt(o, e), StartBy: s.latestStart(o),
+			ResultBy: o.resultBy(), NewConn: newConn,
 		})
 	}
 	r.tokens--
-	if e.warming != nil {
-		e.warming.tokens--
+	if e.slowStart != nil {
+		e.slowStart.tokens--
 	}
-	if e.sentAt > 0 {
-		e.gap = ease(e.gap, seconds(s.now-e.sentAt))
+	if e.lastCallAt > 0 {
+		e.callGap = smooth(e.callGap, seconds(s.now-e.lastCallAt))
 	}
-	e.sentAt = s.now
-	s.busy++
-	e.out++
+	e.lastCallAt = s.now
+	s.callsOut++
+	e.callsOut++
 	d.calls = append(d.calls, c)
-	d.used += seconds(sendCharge)
+	d.slotTime += seconds(slotTimeCharge)
 }
 
-// endBy is the clock time at which what a call says of the message counts no longer.
-func (m *message) endBy() time.Duration { return m.dropDead - endMargin/2 }
+// resultBy is the time after which an answer about the message no longer counts.
+func (m *message) resultBy() time.Duration { return m.deadline - answerMargin/2 }
 
-// timeout is the clock time at which an attempt is abandoned. An unsafe message cannot be tried again, so it
-// is given all its time.
-func (s *Sender) timeout(m *message, e *endpoint) time.Duration {
-	last := m.endBy()
-	if m.class.Effect == Unsafe {
+// timeoutAt is the time at which an attempt is abandoned. An AtMostOnce message can't be sent again, so its
+// attempt may take all the time that is left.
+func (s *Sender) timeoutAt(m *message, e *endpoint) time.Duration {
+	last := m.resultBy()
+	if m.class.Effect == AtMostOnce {
 		return last
 	}
-	aim := seconds(m.aim)
-	t := max(timeoutFactor*e.usual, timeoutLeast*aim) * math.Pow(timeoutGrow, float64(e.route.fails))
-	if e.usual == 0 {
-		t = aim
+	softDeadline := seconds(m.softDeadline)
+	t := max(timeoutFactor*e.typicalTime, minTimeoutSoftDeadlines*softDeadline) * math.Pow(timeoutGrowth, float64(e.route.failures))
+	if e.typicalTime == 0 {
+		t = softDeadline
 	}
-	t = min(t, timeoutAims*aim)
-	return min(last, s.now+span(t))
+	t = min(t, maxTimeoutSoftDeadlines*softDeadline)
+	return min(last, s.now+duration(t))
 }
 
-// probed takes the result of a probe as it takes that of a call.
-func (s *Sender) probed(e Probed) {
-	if ep := s.eps[e.Endpoint]; ep != nil {
-		s.report(ep.route, e.Report)
-		s.judge(&call{ep: ep, trial: true}, Ended{Outcome: e.Outcome, Took: e.Took}, false)
+// handleProbeEnd records the result of a probe like that of a half-open call.
+func (s *Sender) handleProbeEnd(e ProbeEnded) {
+	if ep := s.endpoints[e.Endpoint]; ep != nil {
+		s.recordReport(ep.route, e.Report)
+		s.recordOutcome(&call{endpoint: ep, halfOpen: true}, AttemptEnded{Outcome: e.Outcome, Took: e.Took}, false)
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func one() Listed { return list(Entry{Endpoint: "a", Dest: 0, Weight: 10}) }
+func listOfOne() ListUpdate { return completeList(Entry{Endpoint: "a", Dest: 0, Weight: 10}) }
 
 func TestGateHysteresis(t *testing.T) {
 	for _, c := range []struct {
@@ -23,15 +23,15 @@
 		{"deadline bounds", 12, 1, []float64{5, 6.1, 5, 4.1, 3.9, 5.9}, []bool{true, false, false, false, true, true}},
 		{"the lower of both acts", 100, 0.1, []float64{8.1, 5.9}, []bool{false, true}},
 	} {
-		g := gate{seen: true, baseline: c.baseline}
+		g := gate{sampled: true, baseline: c.baseline}
 		for i, cur := range c.currents {
-			if got := g.accepts(cur, c.deadline); got != c.open[i] {
+			if got := g.updateOpen(cur, c.deadline); got != c.open[i] {
 				t.Errorf("%s: step %d, current %v: open is %v", c.name, i, cur, got)
 			}
 		}
 	}
-	if fresh := (gate{}); !fresh.accepts(0, 10) {
-		t.Error("a fresh gate must accept")
+	if fresh := (gate{}); !fresh.updateOpen(0, 10) {
+		t.Error("a new gate must be open")
 	}
 }
 
@@ -40,188 +40,190 @@
 	now := time.Hour
 	for range 20 {
 		now += 100 * ms
-		g.sample(now, 0.2)
+		g.addSample(now, 0.2)
 	}
 	for range 50 {
 		now += 100 * ms
-		g.sample(now, 5)
+		g.addSample(now, 5)
 	}
 	if g.baseline > 0.25 || g.average < 4 {
-		t.Fatalf("baseline %v, average %v", g.baseline, g.average)
+		t.Fatalf("the baseline is %v, the average is %v", g.baseline, g.average)
 	}
 	before := g.baseline
 	for range 600 {
 		now += time.Second
-		g.sample(now, 5)
+		g.addSample(now, 5)
 	}
 	if g.baseline <= before*2 || g.baseline > g.average {
-		t.Errorf("after ten minutes at a new base speed the baseline is %v, was %v", g.baseline, before)
+		t.Errorf("after ten minutes at a new response time the baseline is %v, was %v", g.baseline, before)
 	}
 }
 
-func TestShutGateRefusesAtOnceButLetsATrialIn(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, one())
-	g := &w.s.dests[0].gates[0]
-	*g = gate{seen: true, baseline: 0.1, average: 9, at: w.now}
-	w.step(5*ms, w.arrive("trial", 0, 0))
-	if len(w.sends) != 1 || len(w.backs) != 0 {
-		t.Fatalf("an idle shut gate must admit one trial: %v", w.log)
+func TestClosedGateRefusesButAdmitsATrialMessage(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, listOfOne())
+	g := &w.sender.dests[0].gates[0]
+	*g = gate{sampled: true, baseline: 0.1, average: 9, updatedAt: w.now}
+	w.step(5*ms, w.newMessage("trial", 0, 0))
+	if len(w.sends) != 1 || len(w.refusals) != 0 {
+		t.Fatalf("a closed gate without calls must admit one trial message: %v", w.log)
 	}
-	w.step(5*ms, w.arrive("next", 0, 0))
-	if len(w.backs) != 1 || w.backs[0].ID != "next" || w.backs[0].RetryAfter <= 0 {
-		t.Fatalf("a shut gate refuses with a retry-after: %v", w.log)
+	w.step(5*ms, w.newMessage("next", 0, 0))
+	if len(w.refusals) != 1 || w.refusals[0].ID != "next" || w.refusals[0].RetryAfter <= 0 {
+		t.Fatalf("a closed gate must refuse with a retry-after: %v", w.log)
 	}
 	for i := range 30 {
-		w.quiet(600 * ms)
-		if len(w.out) > 0 {
-			id := w.flights()[0].id
-			w.step(5*ms, w.outcome(id, Pass, 0))
+		w.idle(600 * ms)
+		if len(w.pending) > 0 {
+			id := w.attemptsOut()[0].id
+			w.step(5*ms, w.outcome(id, Success, 0))
 		}
-		w.step(5*ms, w.arrive(fmt.Sprint("t", i), 0, 0))
+		w.step(5*ms, w.newMessage(fmt.Sprint("t", i), 0, 0))
 	}
-	if g.shut {
-		t.Errorf("fast trials must open the gate; average %v", g.average)
+	if g.closed {
+		t.Errorf("fast trial messages must open the gate; the average is %v", g.average)
 	}
 	w.finish()
 }
 
-// What one class waits at the end of the order must not turn away another that goes before it and is in time.
-func TestLongHoldOfOneClassLeavesTheGateOfAnotherOpen(t *testing.T) {
-	cfg := settings()
+// The waiting time of one class, which is last in the order, must not refuse another class that goes first
+// and is in time.
+func TestLongWaitOfOneClassKeepsOtherGatesOpen(t *testing.T) {
+	cfg := testSettings()
 	cfg.Classes[0].Deadline = time.Minute
-	w := newStory(t, cfg, 1)
-	w.step(0, one())
-	w.step(5*ms, w.arrive("urgent", 1, 0))
-	w.step(50*ms, w.outcome("urgent", Pass, 0))
-	w.step(5*ms, w.arrive("held", 0, 0))
-	w.step(9*time.Second, w.outcome("held", Pass, 0)) // most of the other class's time
-	w.step(5*ms, w.arrive("more", 1, 0), w.arrive("and more", 1, 0))
-	if len(w.backs) != 0 {
-		t.Errorf("turned away: %v", w.backs)
+	w := newScenario(t, cfg, 1)
+	w.step(0, listOfOne())
+	w.step(5*ms, w.newMessage("urgent", 1, 0))
+	w.step(50*ms, w.outcome("urgent", Success, 0))
+	w.step(5*ms, w.newMessage("held", 0, 0))
+	w.step(9*time.Second, w.outcome("held", Success, 0)) // most of the time of that class
+	w.step(5*ms, w.newMessage("more", 1, 0), w.newMessage("and more", 1, 0))
+	if len(w.refusals) != 0 {
+		t.Errorf("refused: %v", w.refusals)
 	}
 	w.finish()
 }
 
-// A class whose messages are never sent has no outcomes; its gate must learn from those that are given up.
-func TestMessagesGivenUpUnsentShutTheGate(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, one(), w.arrive("sent", 1, 0)) // has its answer neither way, and the only call of the pace
-	w.s.eps["a"].route.waitUntil = w.now + time.Minute
+// A class whose messages are never sent has no outcomes; its gate must learn from the messages that are given
+// up.
+func TestMessagesGivenUpUnsentCloseTheGate(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, listOfOne(), w.newMessage("sent", 1, 0)) // stays out without an answer, and is the only call that the rate allows
+	w.sender.endpoints["a"].route.waitUntil = w.now + time.Minute
 	for i := range 3 {
-		w.step(5*ms, w.arrive(fmt.Sprint("held", i), 0, 0))
+		w.step(5*ms, w.newMessage(fmt.Sprint("held", i), 0, 0))
 	}
-	w.quiet(11 * time.Second)
-	if len(w.sends) != 1 || len(w.backs) == 0 {
+	w.idle(11 * time.Second)
+	if len(w.sends) != 1 || len(w.refusals) == 0 {
 		t.Fatal(w.log)
 	}
-	given := len(w.backs)
-	w.step(5*ms, w.arrive("trial", 0, 0))
-	w.step(5*ms, w.arrive("next", 0, 0))
-	if len(w.backs) != given+1 {
-		t.Errorf("%d turned away after three that were given up unsent", len(w.backs)-given)
+	refusedBefore := len(w.refusals)
+	w.step(5*ms, w.newMessage("trial", 0, 0))
+	w.step(5*ms, w.newMessage("next", 0, 0))
+	if len(w.refusals) != refusedBefore+1 {
+		t.Errorf("%d messages refused after three that were given up unsent", len(w.refusals)-refusedBefore)
 	}
 	w.finish()
 }
 
-func TestFailuresNeverReadHealthy(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, one())
+func TestFastFailuresCountAsSlow(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, listOfOne())
 	for i := range 5 {
 		id := fmt.Sprint("m", i)
-		w.step(200*ms, w.arrive(id, 2, 0))
-		w.step(20*ms, w.outcome(id, Pass, 0))
+		w.step(200*ms, w.newMessage(id, 2, 0))
+		w.step(20*ms, w.outcome(id, Success, 0))
 	}
-	was := w.s.dests[0].gates[2].average
-	w.step(5*ms, w.arrive("x", 2, 0))
-	w.step(5*ms, w.outcome("x", Fault, 0)) // a fast error
-	if now := w.s.dests[0].gates[2].average; now < was+0.2*smoothing {
-		t.Errorf("a fast error moved the average from %v to %v", was, now)
+	was := w.sender.dests[0].gates[2].average
+	w.step(5*ms, w.newMessage("x", 2, 0))
+	w.step(5*ms, w.outcome("x", ServerError, 0)) // a fast error
+	if now := w.sender.dests[0].gates[2].average; now < was+0.2*smoothingWeight {
+		t.Errorf("a fast error changed the average from %v to %v", was, now)
 	}
 	w.finish()
 }
 
 func TestRuleOneEveryMessageEnds(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, w.arrive("nowhere", 0, 9)) // no such destination, no list at all
-	w.step(5*ms, one(), w.arrive("gone", 1, 0))
-	w.step(5*ms, list(), w.outcome("gone", NoRoute, 0)) // its endpoint left
-	w.step(5*ms, one(), w.arrive("slow", 2, 0))
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, w.newMessage("nowhere", 0, 9)) // no such destination and no list
+	w.step(5*ms, listOfOne(), w.newMessage("gone", 1, 0))
+	w.step(5*ms, completeList(), w.outcome("gone", Unreachable, 0)) // its endpoint left
+	w.step(5*ms, listOfOne(), w.newMessage("slow", 2, 0))
 	w.finish()
-	if !slices.ContainsFunc(w.backs, func(b PushBack) bool { return b.ID == "nowhere" }) {
-		t.Error("what never ran is refused, not failed")
+	if !slices.ContainsFunc(w.refusals, func(b Refuse) bool { return b.ID == "nowhere" }) {
+		t.Error("a message that never ran must be refused, not failed")
 	}
 }
 
 // A call with several messages lasts as long as the longest of them, and its connection may come up late.
-func TestRuleOneEachMessageBeginsInItsTime(t *testing.T) {
-	cfg := settings()
-	cfg.Kinds[0].Batch = 2
-	w := newStory(t, cfg, 1)
-	w.step(0, one())
-	short, long := w.arrive("short", 0, 0), w.arrive("long", 2, 0)
-	long.DropDead += time.Minute
+func TestRuleOneEachAttemptStartsInTime(t *testing.T) {
+	cfg := testSettings()
+	cfg.Kinds[0].MaxBatch = 2
+	w := newScenario(t, cfg, 1)
+	w.step(0, listOfOne())
+	short, long := w.newMessage("short", 0, 0), w.newMessage("long", 2, 0)
+	long.Deadline += time.Minute
 	w.step(5*ms, short, long)
 	if len(w.sends) != 2 || w.sends[0].Call != w.sends[1].Call {
 		t.Fatal(w.log)
 	}
 	for _, s := range w.sends {
-		if end := w.msgs[s.ID].DropDead; s.StartBy <= w.now || s.StartBy >= end {
-			t.Errorf("%s may begin until %v, its time is up at %v", s.ID, s.StartBy, end)
+		if end := w.messages[s.ID].Deadline; s.StartBy <= w.now || s.StartBy >= end {
+			t.Errorf("%s may start until %v, its deadline is %v", s.ID, s.StartBy, end)
 		}
 	}
 	w.finish()
 }
 
 func TestRuleTwoEffects(t *testing.T) {
-	t.Run("unsafe fails after an unsure end", func(t *testing.T) {
-		w := newStory(t, settings(), 1)
-		w.step(0, one(), w.arrive("u", 2, 0))
-		w.step(5*ms, w.outcome("u", Cut, 0))
+	t.Run("at most once: fails after an ambiguous outcome", func(t *testing.T) {
+		w := newScenario(t, testSettings(), 1)
+		w.step(0, listOfOne(), w.newMessage("u", 2, 0))
+		w.step(5*ms, w.outcome("u", ConnectionBroken, 0))
 		if len(w.fails) != 1 {
 			t.Fatal(w.log)
 		}
 	})
-	t.Run("unsafe goes again when nothing ran", func(t *testing.T) {
-		w := newStory(t, settings(), 1)
-		w.step(0, one(), w.arrive("u", 2, 0))
-		w.step(5*ms, w.outcome("u", NoRoom, 0))
-		w.quiet(time.Second)
+	t.Run("at most once: is sent again when nothing ran", func(t *testing.T) {
+		w := newScenario(t, testSettings(), 1)
+		w.step(0, listOfOne(), w.newMessage("u", 2, 0))
+		w.step(5*ms, w.outcome("u", Rejected, 0))
+		w.idle(time.Second)
 		if len(w.sends) != 2 {
 			t.Fatal(w.log)
 		}
 		w.finish()
 	})
-	t.Run("keyed is refused before its window ends", func(t *testing.T) {
-		w := newStory(t, settings(), 1)
-		w.step(0, one(), w.arrive("k", 1, 0))
-		w.step(5*ms, w.outcome("k", TooSlow, 0), list())
-		w.quiet(5 * time.Second)
-		if len(w.backs) != 1 {
+	t.Run("deduplicated: is refused before its window ends", func(t *testing.T) {
+		w := newScenario(t, testSettings(), 1)
+		w.step(0, listOfOne(), w.newMessage("k", 1, 0))
+		w.step(5*ms, w.outcome("k", TimedOut, 0), completeList())
+		w.idle(5 * time.Second)
+		if len(w.refusals) != 1 {
 			t.Fatal(w.log)
 		}
 	})
-	t.Run("keyed goes again with its window's end", func(t *testing.T) {
-		w := newStory(t, settings(), 1)
-		w.step(0, one(), w.arrive("k", 1, 0))
+	t.Run("deduplicated: is sent again until its window ends", func(t *testing.T) {
+		w := newScenario(t, testSettings(), 1)
+		w.step(0, listOfOne(), w.newMessage("k", 1, 0))
 		first := w.now
-		w.step(5*ms, w.outcome("k", Fault, 0))
-		w.quiet(time.Second)
+		w.step(5*ms, w.outcome("k", ServerError, 0))
+		w.idle(time.Second)
 		if len(w.sends) != 2 {
 			t.Fatal(w.log)
 		}
-		if by, end := w.sends[1].StartBy, first+w.cfg.Classes[1].Window; by <= w.now || by >= end {
-			t.Errorf("may begin until %v, the window ends at %v", by, end)
+		if by, end := w.sends[1].StartBy, first+w.cfg.Classes[1].DedupWindow; by <= w.now || by >= end {
+			t.Errorf("may start until %v, the window ends at %v", by, end)
 		}
 		w.finish()
 	})
-	t.Run("keyed of one zone stays there", func(t *testing.T) {
-		cfg := settings()
-		cfg.Classes[1].GroupAll = false
-		w := newStory(t, cfg, 1)
-		w.step(0, one(), w.arrive("k", 1, 0))
-		other := list(Entry{Endpoint: "b", Zone: 1, Weight: 10})
-		w.step(5*ms, w.outcome("k", Fault, 0), other)
+	t.Run("deduplicated in one zone: stays there", func(t *testing.T) {
+		cfg := testSettings()
+		cfg.Classes[1].DedupEverywhere = false
+		w := newScenario(t, cfg, 1)
+		w.step(0, listOfOne(), w.newMessage("k", 1, 0))
+		other := completeList(Entry{Endpoint: "b", Zone: 1, Weight: 10})
+		w.step(5*ms, w.outcome("k", ServerError, 0), other)
 		w.finish()
 		if len(w.sends) != 1 || len(w.fails) != 1 {
 			t.Fatal(w.log)
@@ -229,61 +231,61 @@
 	})
 }
 
-func TestRuleThreeDrainActsInItsStep(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, list(Entry{Endpoint: "a", Weight: 10}, Entry{Endpoint: "b", Weight: 10}))
-	drain := Listed{Entries: []Entry{{Endpoint: "a", Phase: Draining}}}
-	w.step(5*ms, w.arrive("0", 0, 0), w.arrive("1", 0, 0), w.arrive("2", 0, 0), w.arrive("3", 0, 0), drain)
+func TestRuleThreeDrainTakesEffectInItsStep(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, completeList(Entry{Endpoint: "a", Weight: 10}, Entry{Endpoint: "b", Weight: 10}))
+	drain := ListUpdate{Entries: []Entry{{Endpoint: "a", Phase: Draining}}}
+	w.step(5*ms, w.newMessage("0", 0, 0), w.newMessage("1", 0, 0), w.newMessage("2", 0, 0), w.newMessage("3", 0, 0), drain)
 	if len(w.sends) == 0 {
-		t.Fatal("the other endpoint is free")
+		t.Fatal("no message was sent to the other endpoint")
 	}
-	w.step(5*ms, Listed{Entries: []Entry{{Endpoint: "a", Weight: 10}, {Endpoint: "b", Phase: Gone}}})
-	w.quiet(time.Second)
-	w.step(5*ms, w.arrive("4", 0, 0))
+	w.step(5*ms, ListUpdate{Entries: []Entry{{Endpoint: "a", Weight: 10}, {Endpoint: "b", Phase: Gone}}})
+	w.idle(time.Second)
+	w.step(5*ms, w.newMessage("4", 0, 0))
 	if last := w.sends[len(w.sends)-1]; last.Endpoint != "a" {
-		t.Errorf("an endpoint may come back: %v", last)
+		t.Errorf("the endpoint that is Ready again must get the message: %v", last)
 	}
 	w.finish()
 }
 
-// Messages held through an outage kept the gate shut for new ones that could be in time.
-func TestOldHoldDoesNotShutTheGateAfterTheReturn(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, one(), w.arrive("old", 0, 0))
-	d := w.s.dests[0]
-	w.step(7*time.Second, w.outcome("old", NoRoom, 0))
-	d.gates[0] = gate{seen: true, average: 1, baseline: 0.5, at: w.now}
-	d.endpoints[0].route.coldFrom = w.now
-	w.quiet(2 * time.Second)
-	w.step(50*ms, w.outcome("old", Pass, 0))
+// Messages held through an outage kept the gate closed for new ones that could be delivered in time.
+func TestOldBacklogDoesNotCloseTheGateAfterAnOutage(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, listOfOne(), w.newMessage("old", 0, 0))
+	d := w.sender.dests[0]
+	w.step(7*time.Second, w.outcome("old", Rejected, 0))
+	d.gates[0] = gate{sampled: true, average: 1, baseline: 0.5, updatedAt: w.now}
+	d.endpoints[0].route.slowStartAt = w.now
+	w.idle(2 * time.Second)
+	w.step(50*ms, w.outcome("old", Success, 0))
 	if d.gates[0].average > 3 {
-		t.Errorf("the average is %v s after a hold through an outage", d.gates[0].average)
+		t.Errorf("the average is %v s after messages were held through an outage", d.gates[0].average)
 	}
-	// The call that ends an outage starts the recovery at its own outcome; it still lasted as long as it did.
-	w.step(5*ms, w.arrive("next", 0, 0))
-	w.quiet(300 * ms)
-	d.gates[0], d.endpoints[0].route.sick = gate{}, true
-	w.step(5*ms, w.outcome("next", Pass, 0))
+	// The call that ends an outage starts the slow start at its own outcome; its time still counts in full.
+	w.step(5*ms, w.newMessage("next", 0, 0))
+	w.idle(300 * ms)
+	d.gates[0], d.endpoints[0].route.breakerOpen = gate{}, true
+	w.step(5*ms, w.outcome("next", Success, 0))
 	if d.gates[0].baseline < 0.3 {
 		t.Errorf("the baseline fell to %v s", d.gates[0].baseline)
 	}
 }
 
-// A destination that is back cold must not be pushed over by the backlog that a fleet held through its outage,
-// be the fleet two busy senders or many that seldom call there; nor must the backlog starve.
-func TestRuleFourColdBudget(t *testing.T) {
+// A destination in slow start must not be overloaded by the backlog that a fleet held through its outage,
+// whether the fleet is two busy senders or many that rarely call it; and the backlog must not starve.
+func TestRuleFourSlowStartBudget(t *testing.T) {
 	for _, fleet := range []int{2, 40} {
-		t.Run(fmt.Sprint(fleet), func(t *testing.T) { coldFleet(t, fleet) })
+		t.Run(fmt.Sprint(fleet), func(t *testing.T) { testSlowStartOfFleet(t, fleet) })
 	}
 }
 
-func coldFleet(t *testing.T, fleet int) {
-	cfg := settings()
-	cfg.Slots, cfg.MaxOpen, cfg.Fleet = 50, 400, fleet
-	var senders []*story
+func testSlowStartOfFleet(t *testing.T, fleet int) {
+	cfg := testSettings()
+	cfg.Slots, cfg.MaxOpen, cfg.FleetSize = 50, 400, fleet
+	var senders []*scenario
 	for i := range fleet {
-		w := newStory(t, cfg, uint64(i))
-		w.step(0, one()) // 10 calls a second
+		w := newScenario(t, cfg, uint64(i))
+		w.step(0, listOfOne()) // 10 calls a second
 		senders = append(senders, w)
 	}
 	start := senders[0].now
@@ -291,25 +293,25 @@
 	var when []time.Duration
 	served := 0
 	for n := range 2400 {
-		to := rng.IntN(fleet) // 6.7 messages a second in all
+		to := rng.IntN(fleet) // 6.7 messages a second over all senders
 		for i, w := range senders {
 			var events []Event
-			for _, a := range w.flights() {
-				f := w.out[a]
-				if age := w.now - f.sent; age >= 50*ms {
-					e := Ended{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: age, Outcome: NoRoute}
-					if f.sent >= back {
-						e.Outcome, e.Closed = Pass, true
+			for _, a := range w.attemptsOut() {
+				f := w.pending[a]
+				if age := w.now - f.sentAt; age >= 50*ms {
+					e := AttemptEnded{ID: a.id, Attempt: a.number, Endpoint: f.Endpoint, Took: age, Outcome: Unreachable}
+					if f.sentAt >= back {
+						e.Outcome, e.Final = Success, true
 						served++
 					}
 					events = append(events, e)
 				}
 			}
 			if n%15 == 0 && i == to {
-				events = append(events, w.arrive(fmt.Sprint("m", n), 0, 0))
+				events = append(events, w.newMessage(fmt.Sprint("m", n), 0, 0))
 			}
 			before := len(w.sends)
-			w.step(10*ms, append(events, Rang{})...)
+			w.step(10*ms, append(events, WakeDue{})...)
 			for range len(w.sends) - before {
 				when = append(when, w.now)
 			}
@@ -321,316 +323,322 @@
 		}
 		count := 0
 		for _, at := range when[i:] {
-			if at < from+cfg.Fall {
+			if at < from+cfg.CollapseSpan {
 				count++
 			}
 		}
-		share := min(1, cfg.ColdFrom+(1-cfg.ColdFrom)*(from-back+cfg.Fall/2).Seconds()/cfg.WarmWithin.Seconds())
-		if most := cfg.FallMultiple * share * 12 * cfg.Fall.Seconds(); float64(count) > most {
-			t.Fatalf("%d calls in the window from %v after the return, at most %.1f", count, from-back, most)
+		share := min(1, cfg.SlowStartShare+(1-cfg.SlowStartShare)*(from-back+cfg.CollapseSpan/2).Seconds()/cfg.SlowStartDuration.Seconds())
+		if most := cfg.CollapseMultiple * share * 12 * cfg.CollapseSpan.Seconds(); float64(count) > most {
+			t.Fatalf("%d calls in the window from %v after the return, want at most %.1f", count, from-back, most)
 		}
 	}
 	if served < 70 {
-		t.Errorf("only %d of 160 messages served: the backlog starves", served)
+		t.Errorf("only %d of 160 messages were delivered: the backlog starves", served)
 	}
 }
 
-// A wake that rings a little early is asked for again; else what waits would wait for other news.
-func TestEarlyRingIsNoLostWake(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, w.arrive("m", 0, 0))
-	w.step(w.wakes[0]-w.now-time.Microsecond, Rang{})
+// After a WakeDue that comes a little early another wake must be asked for; otherwise waiting messages depend
+// on other events.
+func TestEarlyWakeIsAskedForAgain(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, w.newMessage("m", 0, 0))
+	w.step(w.wakes[0]-w.now-time.Microsecond, WakeDue{})
 	if len(w.wakes) < 2 {
-		t.Fatal("no wake is asked for")
+		t.Fatal("no second wake was asked for")
 	}
 	w.finish()
 }
 
 func TestRuleFiveOrder(t *testing.T) {
-	cfg := settings()
+	cfg := testSettings()
 	cfg.Classes[0].Ordered = true
-	w := newStory(t, cfg, 1)
-	keyed := func(id string) Arrived { a := w.arrive(id, 0, 0); a.Key = "k"; return a }
-	w.step(0, one(), keyed("1"), keyed("2"))
+	w := newScenario(t, cfg, 1)
+	withKey := func(id string) MessageArrived { a := w.newMessage(id, 0, 0); a.Key = "k"; return a }
+	w.step(0, listOfOne(), withKey("1"), withKey("2"))
 	if len(w.sends) != 1 {
 		t.Fatal(w.log)
 	}
-	// The first ends while its attempt is out: the turn passes only with the outcome and after the rest.
-	w.step(5*ms, Dropped{ID: "1"})
-	w.quiet(100 * ms)
+	// The first ends while its attempt is out: the next has its turn only after the outcome and the pause.
+	w.step(5*ms, MessageAbandoned{ID: "1"})
+	w.idle(100 * ms)
 	if len(w.sends) != 1 {
-		t.Fatal("overtaken while an attempt was out")
+		t.Fatal("the next message was sent while an attempt of the first was out")
 	}
-	w.step(5*ms, w.outcome("1", TooSlow, 0))
-	w.quiet(cfg.OrderSettle + 500*ms)
+	w.step(5*ms, w.outcome("1", TimedOut, 0))
+	w.idle(cfg.KeyPause + 500*ms)
 	if len(w.sends) != 2 {
-		t.Fatalf("the turn was never passed on: %v", w.log)
+		t.Fatalf("the next message never had its turn: %v", w.log)
 	}
 	w.finish()
 }
 
-func TestRuleSixWaits(t *testing.T) {
+func TestRuleSixRetryAfter(t *testing.T) {
 	for _, apart := range []bool{false, true} {
-		cfg := settings()
-		cfg.Kinds[0].Apart = apart
-		w := newStory(t, cfg, 1)
-		w.step(0, list(Entry{Endpoint: "a", Weight: 10}))
-		w.step(5*ms, w.arrive("1", 0, 0))
-		w.step(5*ms, w.outcome("1", NoRoom, time.Second), Listed{Entries: []Entry{{Endpoint: "b", Weight: 10}}})
-		w.step(5*ms, w.arrive("2", 1, 0), w.arrive("3", 2, 0))
+		cfg := testSettings()
+		cfg.Kinds[0].SeparateRoutes = apart
+		w := newScenario(t, cfg, 1)
+		w.step(0, completeList(Entry{Endpoint: "a", Weight: 10}))
+		w.step(5*ms, w.newMessage("1", 0, 0))
+		w.step(5*ms, w.outcome("1", Rejected, time.Second), ListUpdate{Entries: []Entry{{Endpoint: "b", Weight: 10}}})
+		w.step(5*ms, w.newMessage("2", 1, 0), w.newMessage("3", 2, 0))
 		if others := len(w.sends) > 1; others != apart {
-			t.Errorf("apart %v: sends %v", apart, w.sends)
+			t.Errorf("separate routes %v: sends are %v", apart, w.sends)
 		}
-		w.quiet(2500 * ms)
+		w.idle(2500 * ms)
 		if len(w.sends) < 3 {
-			t.Errorf("apart %v: nothing more after the wait: %v", apart, w.sends)
+			t.Errorf("separate routes %v: no further sends after the wait: %v", apart, w.sends)
 		}
 		w.finish()
 	}
 }
 
-// Hung destinations held every slot until long time-outs, and healthy ones starved.
-func TestSilenceDoesNotHoldAllSlots(t *testing.T) {
-	w := newStory(t, settings(), 1)
+// Destinations that hung held every slot until long timeouts, and healthy ones starved.
+func TestSilentDestinationsDoNotHoldAllSlots(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
 	var entries []Entry
 	for i := range 5 {
 		entries = append(entries, Entry{Endpoint: fmt.Sprint("e", i), Dest: i, Weight: 20})
 	}
-	w.step(0, list(entries...))
+	w.step(0, completeList(entries...))
 	served := 0
 	for n := range 800 {
 		var events []Event
-		for _, a := range w.flights() {
-			f := w.out[a]
-			e := Ended{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: w.now - f.sent}
+		for _, a := range w.attemptsOut() {
+			f := w.pending[a]
+			e := AttemptEnded{ID: a.id, Attempt: a.number, Endpoint: f.Endpoint, Took: w.now - f.sentAt}
 			switch {
-			case f.Endpoint == "e0" && w.now-f.sent >= 50*ms:
-				e.Outcome, e.Closed = Pass, true
+			case f.Endpoint == "e0" && w.now-f.sentAt >= 50*ms:
+				e.Outcome, e.Final = Success, true
 				served++
-			case w.now >= f.NotPast:
-				e.Outcome = TooSlow
+			case w.now >= f.TimeoutAt:
+				e.Outcome = TimedOut
 			default:
 				continue
 			}
 			events = append(events, e)
 		}
 		if n%5 == 0 {
-			events = append(events, w.arrive(fmt.Sprint("m", n), n/5%3, n/5%5))
+			events = append(events, w.newMessage(fmt.Sprint("m", n), n/5%3, n/5%5))
 		}
-		w.step(10*ms, append(events, Rang{})...)
-		for _, a := range w.s.actions { // what is called off ends in the next step
+		w.step(10*ms, append(events, WakeDue{})...)
+		for _, a := range w.sender.actions { // a canceled attempt ends in the next step
 			if c, ok := a.(Cancel); ok {
-				w.step(ms, w.outcome(c.ID, Undone, 0))
+				w.step(ms, w.outcome(c.ID, Canceled, 0))
 			}
 		}
 	}
 	if served < 24 {
-		t.Errorf("the one healthy destination of five had %d of 32 messages served", served)
+		t.Errorf("the one healthy destination of five got %d of 32 messages delivered", served)
 	}
 }
 
-// A destination whose calls last long took as many slots as a fast one, and held each far longer.
-func TestSlotsGoByTimeHeld(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, list(Entry{Endpoint: "fast", Dest: 0, Weight: 1000}, Entry{Endpoint: "long", Dest: 1, Weight: 1000}))
+// A destination with long calls got as many slots as a fast one, and held each far longer.
+func TestSlotsAreSharedByTimeHeld(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, completeList(Entry{Endpoint: "fast", Dest: 0, Weight: 1000}, Entry{Endpoint: "long", Dest: 1, Weight: 1000}))
 	passed := map[string]int{}
 	for n := range 500 {
 		var events []Event
-		for _, a := range w.flights() {
-			f := w.out[a]
-			if need := map[string]time.Duration{"fast": 50 * ms, "long": 600 * ms}[f.Endpoint]; w.now-f.sent >= need {
-				events = append(events, Ended{ID: a.id, Attempt: a.n, Endpoint: f.Endpoint, Took: need, Closed: true})
+		for _, a := range w.attemptsOut() {
+			f := w.pending[a]
+			if need := map[string]time.Duration{"fast": 50 * ms, "long": 600 * ms}[f.Endpoint]; w.now-f.sentAt >= need {
+				events = append(events, AttemptEnded{ID: a.id, Attempt: a.number, Endpoint: f.Endpoint, Took: need, Final: true})
 				passed[f.Endpoint]++
 			}
 		}
-		events = append(events, w.arrive(fmt.Sprint("a", n), 0, n%2))
-		w.step(10*ms, append(events, Rang{})...)
+		events = append(events, w.newMessage(fmt.Sprint("a", n), 0, n%2))
+		w.step(10*ms, append(events, WakeDue{})...)
 	}
 	if passed["fast"] < 3*passed["long"] {
-		t.Errorf("fast %d, long %d", passed["fast"], passed["long"])
+		t.Errorf("%d calls to the fast destination, %d to the one with long calls", passed["fast"], passed["long"])
 	}
 }
 
-// An endpoint that takes few connections refuses ours while others pass: no outage, and idle ones are given back.
-func TestCrowdedEndpointIsNoOutage(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, one(), w.arrive("1", 0, 0))
-	w.step(time.Second, w.outcome("1", NoRoute, 0))
-	if w.s.dests[0].endpoints[0].route.sick {
-		t.Fatal("one failed connect made an outage")
+// An endpoint that takes few connections refuses new ones while other calls succeed: no outage, and idle
+// connections are closed.
+func TestFullConnectionTableIsNoOutage(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, listOfOne(), w.newMessage("1", 0, 0))
+	w.step(time.Second, w.outcome("1", Unreachable, 0))
+	if w.sender.dests[0].endpoints[0].route.breakerOpen {
+		t.Fatal("one failed connect opened the breaker")
 	}
-	w.quiet(time.Second)
-	w.step(5*ms, w.outcome("1", Pass, 0))
-	if !slices.ContainsFunc(w.s.actions, func(a Action) bool { return a == HangUp{Endpoint: "a"} }) {
-		t.Error("the idle connection was kept")
+	w.idle(time.Second)
+	w.step(5*ms, w.outcome("1", Success, 0))
+	if !slices.ContainsFunc(w.sender.actions, func(a Action) bool { return a == CloseIdle{Endpoint: "a"} }) {
+		t.Error("the idle connection was not closed")
 	}
 }
 
-// One destination's backlog must not take the whole room for held messages.
+// The backlog of one destination must not take all the room for held messages.
 func TestBacklogLeavesRoomForOthers(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, list(Entry{Endpoint: "b", Dest: 1, Weight: 10}))
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, completeList(Entry{Endpoint: "b", Dest: 1, Weight: 10}))
 	for i := range 100 {
-		w.step(5*ms, w.arrive(fmt.Sprint("m", i), 0, 0)) // no endpoint there
+		w.step(5*ms, w.newMessage(fmt.Sprint("m", i), 0, 0)) // no endpoint there
 	}
-	if held := len(w.s.dests[0].waiting); held > w.cfg.MaxOpen/2+1 {
-		t.Errorf("%d of %d places held by one destination", held, w.cfg.MaxOpen)
+	if held := len(w.sender.dests[0].waiting); held > w.cfg.MaxOpen/2+1 {
+		t.Errorf("one destination holds %d of %d places", held, w.cfg.MaxOpen)
 	}
-	w.step(5*ms, w.arrive("other", 0, 1))
+	w.step(5*ms, w.newMessage("other", 0, 1))
 	if n := len(w.sends); n != 1 || w.sends[0].ID != "other" {
-		t.Errorf("the healthy destination was not served: %v", w.sends)
+		t.Errorf("the healthy destination got no call: %v", w.sends)
 	}
 	w.finish()
 }
 
-func TestHalfOpenTrialsNeverRiskAnUnsafeMessage(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, one())
-	w.s.dests[0].came, w.s.dests[0].cameAt = 30, w.now // a busy sender
-	for i := range sickCount {
+func TestHalfOpenCallsCarryNoAtMostOnceMessage(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, listOfOne())
+	w.sender.dests[0].arrivals, w.sender.dests[0].arrivalsAt = 30, w.now // a busy sender
+	for i := range outageFailures {
 		id := fmt.Sprint("s", i)
-		w.step(500*ms, w.arrive(id, 0, 0))
-		w.step(5*ms, w.outcome(id, Fault, 0))
+		w.step(500*ms, w.newMessage(id, 0, 0))
+		w.step(5*ms, w.outcome(id, ServerError, 0))
 	}
-	if !w.s.dests[0].endpoints[0].route.sick {
-		t.Fatal("a run of failures makes an outage")
+	if !w.sender.dests[0].endpoints[0].route.breakerOpen {
+		t.Fatal("a run of failures must open the breaker")
 	}
-	w.step(5*ms, w.arrive("u", 2, 0))
-	w.quiet(2 * time.Second)
+	w.step(5*ms, w.newMessage("u", 2, 0))
+	w.idle(2 * time.Second)
 	for _, s := range w.sends {
 		if s.ID == "u" {
-			t.Fatal("an unsafe message went out as a trial")
+			t.Fatal("an AtMostOnce message was sent in a half-open call")
 		}
 	}
 	w.finish()
 }
 
-func TestOddReportsAreHarmless(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, one())
+func TestInvalidReportsAreIgnored(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, listOfOne())
 	for i, v := range []float64{-1, math.NaN(), math.Inf(1), 2, 0} {
 		id := fmt.Sprint("m", i)
-		w.step(5*ms, w.arrive(id, 0, 0))
-		e := w.outcome(id, Pass, 0)
+		w.step(5*ms, w.newMessage(id, 0, 0))
+		e := w.outcome(id, Success, 0)
 		e.Report = Report{Left: v, Limit: v, HasLeft: true, HasLimit: true}
 		w.step(100*ms, e)
 	}
-	w.quiet(2 * time.Second)
-	w.step(5*ms, w.arrive("last", 0, 0))
-	w.quiet(time.Second)
+	w.idle(2 * time.Second)
+	w.step(5*ms, w.newMessage("last", 0, 0))
+	w.idle(time.Second)
 	if last := w.sends[len(w.sends)-1]; last.ID != "last" {
-		t.Errorf("sending stopped after odd reports: %v", last)
+		t.Errorf("sending stopped after invalid reports: %v", last)
 	}
 	w.finish()
 }
 
 func TestMissingSettingsDoNotCrash(t *testing.T) {
-	w := newStory(t, Settings{}, 1)
-	w.step(0, one(), w.arrive("m", 7, 0), w.arrive("n", -1, 3))
+	w := newScenario(t, Settings{}, 1)
+	w.step(0, listOfOne(), w.newMessage("m", 7, 0), w.newMessage("n", -1, 3))
 	w.finish()
 }
 
-func TestRandomStories(t *testing.T) {
+func TestRandomScenarios(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			if w := randomStory(t, seed, 2500); len(w.sends) < 50 && w.cfg.MaxOpen > 10 {
-				t.Errorf("only %d sends: the story tests little", len(w.sends))
+			if w := randomScenario(t, seed, 2500); len(w.sends) < 50 && w.cfg.MaxOpen > 10 {
+				t.Errorf("only %d sends: the scenario tests little", len(w.sends))
 			}
 		})
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	a, b := randomStory(t, 7, 2000), randomStory(t, 7, 2000)
+	a, b := randomScenario(t, 7, 2000), randomScenario(t, 7, 2000)
 	if !slices.Equal(a.log, b.log) {
-		t.Error("two runs over the same events differ")
+		t.Error("two runs with the same events differ")
 	}
 }
 
-// A lossy path: lost calls held the few slots until their time-outs, though their messages may be repeated.
-func TestLostRepeatableCallsGiveBackTheirSlots(t *testing.T) {
-	cfg := settings()
+// On a lossy path, lost calls held the few slots until their timeouts although their messages may be
+// repeated.
+func TestLostRepeatableCallsFreeTheirSlots(t *testing.T) {
+	cfg := testSettings()
 	cfg.Slots = 2
-	w := newStory(t, cfg, 1)
-	w.step(0, list(Entry{Endpoint: "a", Weight: 1000}))
-	w.step(5*ms, w.arrive("0", 0, 0))
-	w.step(100*ms, w.outcome("0", Pass, 0))
-	w.step(5*ms, w.arrive("lost", 0, 0), w.arrive("unsafe", 2, 0), w.arrive("next", 0, 0))
-	called := map[string]bool{}
+	w := newScenario(t, cfg, 1)
+	w.step(0, completeList(Entry{Endpoint: "a", Weight: 1000}))
+	w.step(5*ms, w.newMessage("0", 0, 0))
+	w.step(100*ms, w.outcome("0", Success, 0))
+	w.step(5*ms, w.newMessage("lost", 0, 0), w.newMessage("at most once", 2, 0), w.newMessage("next", 0, 0))
+	canceled := map[string]bool{}
 	for end := w.now + 950*ms; w.now < end; {
-		w.step(10*ms, Rang{})
-		for _, a := range w.s.actions {
+		w.step(10*ms, WakeDue{})
+		for _, a := range w.sender.actions {
 			if c, ok := a.(Cancel); ok {
-				called[c.ID] = true
+				canceled[c.ID] = true
 			}
 		}
 	}
-	if len(called) == 0 || called["unsafe"] {
-		t.Errorf("called off: %v; want repeatable calls only", called)
+	if len(canceled) == 0 || canceled["at most once"] {
+		t.Errorf("canceled: %v; want repeatable calls only", canceled)
 	}
 }
 
-// A large fleet's idle connections filled small tables: one that will hardly be used again goes back. But closing those
-// whose mean gap was just above the idle time cost handshakes, for calls at random mostly come sooner than the mean.
-func TestConnectionOfAFarApartSenderIsGivenBack(t *testing.T) {
+// The idle connections of a large fleet filled small connection tables: one that will hardly be used again is
+// closed. But closing connections with a mean gap just above the idle timeout cost handshakes, because calls
+// at random mostly come sooner than the mean.
+func TestConnectionOfARareSenderIsClosed(t *testing.T) {
 	for _, c := range []struct {
 		gap  time.Duration
 		back bool
 	}{{20 * time.Second, true}, {7 * time.Second, false}, {500 * ms, false}} {
-		cfg := settings()
-		cfg.ConnIdle = 5 * time.Second
-		w := newStory(t, cfg, 1)
-		w.step(0, one())
+		cfg := testSettings()
+		cfg.IdleConnTimeout = 5 * time.Second
+		w := newScenario(t, cfg, 1)
+		w.step(0, listOfOne())
 		back := false
 		for i := range 4 {
 			id := fmt.Sprint("m", i)
-			w.quiet(c.gap)
-			w.step(5*ms, w.arrive(id, 0, 0))
-			w.step(100*ms, w.outcome(id, Pass, 0))
-			back = slices.Contains(w.s.actions, Action(HangUp{Endpoint: "a"}))
+			w.idle(c.gap)
+			w.step(5*ms, w.newMessage(id, 0, 0))
+			w.step(100*ms, w.outcome(id, Success, 0))
+			back = slices.Contains(w.sender.actions, Action(CloseIdle{Endpoint: "a"}))
 		}
 		if back != c.back {
-			t.Errorf("calls %v apart: connection given back is %v", c.gap, back)
+			t.Errorf("calls %v apart: the connection was closed: %v", c.gap, back)
 		}
 	}
 }
 
-// A rare sender has no third call in time: two failures in a row are an outage for it, not for a busy one.
+// A sender with rare calls has no third call in time: two failures in a row are an outage for it, but not for
+// a busy one.
 func TestTwoFailuresAreAnOutageForARareSender(t *testing.T) {
 	for _, c := range []struct {
-		gap  time.Duration
-		busy float64
-		sick bool
+		gap         time.Duration
+		busy        float64
+		breakerOpen bool
 	}{{3 * time.Second, 0, true}, {300 * ms, 30, false}} {
-		w := newStory(t, settings(), 1)
-		w.step(0, one())
-		w.s.dests[0].came, w.s.dests[0].cameAt = c.busy, w.now
+		w := newScenario(t, testSettings(), 1)
+		w.step(0, listOfOne())
+		w.sender.dests[0].arrivals, w.sender.dests[0].arrivalsAt = c.busy, w.now
 		for i := range 2 {
 			id := fmt.Sprint("m", i)
-			w.step(c.gap, w.arrive(id, 0, 0))
-			w.step(5*ms, w.outcome(id, Fault, 0), Dropped{ID: id})
+			w.step(c.gap, w.newMessage(id, 0, 0))
+			w.step(5*ms, w.outcome(id, ServerError, 0), MessageAbandoned{ID: id})
 		}
-		if got := w.s.eps["a"].route.sick; got != c.sick {
-			t.Errorf("failures %v apart: outage is %v", c.gap, got)
+		if got := w.sender.endpoints["a"].route.breakerOpen; got != c.breakerOpen {
+			t.Errorf("failures %v apart: the breaker is open: %v", c.gap, got)
 		}
 	}
 }
 
-// Where refused calls use up the limit, a fleet that goes on asking gets nothing. So at a refusal a sender falls below
-// its own share, and however long all are refused, what it goes on with stays a fraction of that.
-func TestRefusedSenderStaysBelowItsShare(t *testing.T) {
+// Where rejected calls use up the limit, a fleet that does not slow down gets nothing. So a sender falls
+// below its own share at a rejection, and its rate stays a fraction of that however long all calls are
+// rejected.
+func TestRejectedSenderStaysBelowItsShare(t *testing.T) {
 	for _, limit := range []float64{20, 130} {
-		cfg := settings()
-		cfg.Fleet = 80
-		w := newStory(t, cfg, 1)
-		w.step(0, list(Entry{Endpoint: "a", Weight: limit}))
-		share, calls := limit/float64(cfg.Fleet), 0
+		cfg := testSettings()
+		cfg.FleetSize = 80
+		w := newScenario(t, cfg, 1)
+		w.step(0, completeList(Entry{Endpoint: "a", Weight: limit}))
+		share, calls := limit/float64(cfg.FleetSize), 0
 		for i := range 600 {
-			w.step(100*ms, w.arrive(fmt.Sprint("m", i), 0, 0))
-			for a := range w.out {
-				w.step(5*ms, w.outcome(a.id, NoRoom, 0), Dropped{ID: a.id})
-				if rate, _ := w.s.pace(w.s.eps["a"].route); rate >= share {
-					t.Fatalf("limit %v: %v calls a second after a refusal, the share is %v", limit, rate, share)
+			w.step(100*ms, w.newMessage(fmt.Sprint("m", i), 0, 0))
+			for a := range w.pending {
+				w.step(5*ms, w.outcome(a.id, Rejected, 0), MessageAbandoned{ID: a.id})
+				if rate, _ := w.sender.pace(w.sender.endpoints["a"].route); rate >= share {
+					t.Fatalf("limit %v: %v calls a second after a rejection, the own share is %v", limit, rate, share)
 				}
 				if i >= 100 {
 					calls++
@@ -638,45 +646,46 @@
 			}
 		}
 		if rate := float64(calls) / (0.9 * seconds(w.now-time.Hour)); rate > share/3 || calls == 0 {
-			t.Errorf("limit %v: %v calls a second while all are refused, the share is %v", limit, rate, share)
+			t.Errorf("limit %v: %v calls a second while all are rejected, the own share is %v", limit, rate, share)
 		}
 	}
 }
 
-// A destination that is back and cold has a limit too, which refused calls use up: with the cold budget alone a fleet whose
-// backlog is large overbooks it until it is warm.
-func TestRefusalsSlowThePaceToAColdDestination(t *testing.T) {
-	cfg := settings()
-	cfg.Fleet = 80
-	w := newStory(t, cfg, 1)
-	w.step(0, list(Entry{Endpoint: "a", Weight: 80}))
-	r := w.s.eps["a"].route
-	w.s.strike(r)
-	w.quiet(5 * time.Second)
-	r.sick, r.coldFrom, r.demand = false, w.now, 100 // a backlog that was handed in meanwhile
-	w.quiet(6 * time.Second)
-	before, _ := w.s.pace(r)
+// A destination in slow start has a limit too, which rejected calls use up: with the slow start budget alone,
+// a fleet with a large backlog overbooks it until the slow start ends.
+func TestRejectionsLowerTheRateInSlowStart(t *testing.T) {
+	cfg := testSettings()
+	cfg.FleetSize = 80
+	w := newScenario(t, cfg, 1)
+	w.step(0, completeList(Entry{Endpoint: "a", Weight: 80}))
+	r := w.sender.endpoints["a"].route
+	w.sender.openBreaker(r)
+	w.idle(5 * time.Second)
+	r.breakerOpen, r.slowStartAt, r.outageDemand = false, w.now, 100 // a backlog that arrived meanwhile
+	w.idle(6 * time.Second)
+	before, _ := w.sender.pace(r)
 	for range 3 {
-		w.s.now += time.Second
-		w.s.cut(&call{ep: w.s.eps["a"], sentAt: w.s.now})
+		w.sender.now += time.Second
+		w.sender.decreaseRateShare(&call{endpoint: w.sender.endpoints["a"], sentAt: w.sender.now})
 	}
-	if after, bound := w.s.pace(r); !bound || after > 0.3 || before < 0.9 {
-		t.Errorf("%v calls a second before and %v after three refusals; the own share is 1", before, after)
+	if after, bound := w.sender.pace(r); !bound || after > 0.3 || before < 0.9 {
+		t.Errorf("%v calls a second before and %v after three rejections; the own share is 1", before, after)
 	}
 }
 
-// Parts that grew with each call that passed drove the nodes of a fleet apart: those with more calls got more, until the
-// others starved at a limit that had room for all. Two that see the same share of refusals have to come together.
-func TestPartsComeTogether(t *testing.T) {
-	cfg := settings()
-	cfg.Fleet = 80
+// Rate shares that grew with each successful call drove the nodes of a fleet apart: those with more calls got
+// more, until the others starved at a limit with room for all. Two nodes with the same share of rejections
+// must converge.
+func TestRateSharesConverge(t *testing.T) {
+	cfg := testSettings()
+	cfg.FleetSize = 80
 	s := New(cfg, 1)
-	s.Step(time.Hour, []Event{list(Entry{Endpoint: "a", Weight: 80})})
+	s.Step(time.Hour, []Event{completeList(Entry{Endpoint: "a", Weight: 80})})
 	high, low := newRoute(), newRoute()
-	high.weight, low.weight, high.part, low.part = 80, 80, 1, 0.1
-	high.partAt, low.partAt = s.now, s.now
+	high.weight, low.weight, high.rateShare, low.rateShare = 80, 80, 1, 0.1
+	high.rateShareAt, low.rateShareAt = s.now, s.now
 	due := map[*route]float64{}
-	for range 3000 { // 0.1 s each; the limit is one call a second for each node, and one in ten is refused
+	for range 3000 { // 0.1 s each; the limit is one call a second for each node, and one call in ten is rejected
 		s.now += 100 * ms
 		for _, r := range []*route{high, low} {
 			rate, _ := s.pace(r)
@@ -685,163 +694,167 @@
 			}
 			due[r]--
 			if s.rng.Float64() < 0.1 {
-				s.cut(&call{ep: &endpoint{route: r}, sentAt: s.now})
+				s.decreaseRateShare(&call{endpoint: &endpoint{route: r}, sentAt: s.now})
 			} else {
-				s.passed(r)
+				s.recordSuccess(r)
 			}
 		}
 	}
-	if low.part < 0.4 || low.part < high.part/3 || high.part < low.part/3 {
-		t.Errorf("parts are %v and %v after five minutes", high.part, low.part)
+	if low.rateShare < 0.4 || low.rateShare < high.rateShare/3 || high.rateShare < low.rateShare/3 {
+		t.Errorf("the rate shares are %v and %v after five minutes", high.rateShare, low.rateShare)
 	}
 }
 
-// Calls that are out when the first refusal comes were sent into the same overload: theirs tell nothing new.
-func TestRefusalsOfOneMomentCutOnce(t *testing.T) {
-	cfg := settings()
-	cfg.Fleet = 4
-	w := newStory(t, cfg, 1)
-	w.step(0, list(Entry{Endpoint: "a", Weight: 100}))
-	w.step(5*ms, w.arrive("a", 0, 0), w.arrive("b", 0, 0), w.arrive("c", 0, 0))
-	if len(w.out) != 3 {
-		t.Fatalf("%d calls out", len(w.out))
+// Calls that are out at the first rejection were sent into the same overload: their rejections are no new
+// sign.
+func TestRejectionsOfOneMomentDecreaseOnce(t *testing.T) {
+	cfg := testSettings()
+	cfg.FleetSize = 4
+	w := newScenario(t, cfg, 1)
+	w.step(0, completeList(Entry{Endpoint: "a", Weight: 100}))
+	w.step(5*ms, w.newMessage("a", 0, 0), w.newMessage("b", 0, 0), w.newMessage("c", 0, 0))
+	if len(w.pending) != 3 {
+		t.Fatalf("%d calls out", len(w.pending))
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		w.step(5*ms, w.outcome(id, NoRoom, 0), Dropped{ID: id})
+		w.step(5*ms, w.outcome(id, Rejected, 0), MessageAbandoned{ID: id})
 	}
-	if r := w.s.eps["a"].route; r.refusals != 1 || r.part < partCut {
-		t.Errorf("%d cuts, the part is %v", r.refusals, r.part)
+	if r := w.sender.endpoints["a"].route; r.rejections != 1 || r.rateShare < rateShareDecreaseFactor {
+		t.Errorf("%d decreases, the rate share is %v", r.rejections, r.rateShare)
 	}
 }
 
-// The weight follows what comes for the first time; what is handed in again does not count.
-func TestWeightIsTheShareOfFirstTries(t *testing.T) {
-	cfg := settings()
-	cfg.Fleet, cfg.Tenants = 10, []Tenant{{PerSecond: 60}, {PerSecond: 40}}
-	w := newStory(t, cfg, 1)
-	w.step(0, one())
-	if got := w.s.weight(); math.Abs(got-0.1) > 0.001 {
-		t.Errorf("%v at the start, want an even share", got)
+// The traffic share counts first submissions; repeated submissions do not count.
+func TestTrafficShareCountsFirstSubmissions(t *testing.T) {
+	cfg := testSettings()
+	cfg.FleetSize, cfg.Tenants = 10, []Tenant{{PerSecond: 60}, {PerSecond: 40}}
+	w := newScenario(t, cfg, 1)
+	w.step(0, listOfOne())
+	if got := w.sender.trafficShare(); math.Abs(got-0.1) > 0.001 {
+		t.Errorf("the traffic share is %v at the start, want an even one", got)
 	}
 	for i := range 600 { // 20 a second, of 100
-		e := w.arrive(fmt.Sprint("m", i), 0, 0)
-		w.step(50*ms, e, Dropped{ID: e.ID})
-		again := w.arrive(fmt.Sprint("again", i), 0, 0)
-		again.DropDead -= time.Second
-		w.step(0, again, Dropped{ID: again.ID})
-	}
-	if got := w.s.weight(); got < 0.16 || got > 0.22 {
-		t.Errorf("%v with a fifth of the traffic", got)
-	}
-}
-
-// In a large fleet a part that was cut is soon given back, though hardly a call passes meanwhile: messages waited for all
-// their time at a destination that had room.
-func TestRareSenderIsNotStarvedByARefusal(t *testing.T) {
-	cfg := settings()
-	cfg.Fleet = 36
-	w := newStory(t, cfg, 1)
-	w.step(0, list(Entry{Endpoint: "a", Weight: 5}))
-	w.step(5*ms, w.arrive("refused", 0, 0))
-	w.step(50*ms, w.outcome("refused", NoRoom, 0))
-	for w.out[attempt{"refused", 1}] == nil {
-		w.step(20*ms, Rang{})
+		e := w.newMessage(fmt.Sprint("m", i), 0, 0)
+		w.step(50*ms, e, MessageAbandoned{ID: e.ID})
+		again := w.newMessage(fmt.Sprint("again", i), 0, 0)
+		again.Deadline -= time.Second
+		w.step(0, again, MessageAbandoned{ID: again.ID})
+	}
+	if got := w.sender.trafficShare(); got < 0.16 || got > 0.22 {
+		t.Errorf("the traffic share is %v with a fifth of the traffic", got)
+	}
+}
+
+// In a large fleet a decreased rate share must recover soon although hardly a call succeeds meanwhile:
+// messages waited for all their time at a destination that had room.
+func TestRareSenderIsNotStarvedByARejection(t *testing.T) {
+	cfg := testSettings()
+	cfg.FleetSize = 36
+	w := newScenario(t, cfg, 1)
+	w.step(0, completeList(Entry{Endpoint: "a", Weight: 5}))
+	w.step(5*ms, w.newMessage("refused", 0, 0))
+	w.step(50*ms, w.outcome("refused", Rejected, 0))
+	for w.pending[attempt{"refused", 1}] == nil {
+		w.step(20*ms, WakeDue{})
 		if w.now > time.Hour+5*time.Second {
 			t.Fatal("no second call in five seconds")
 		}
 	}
-	w.step(50*ms, w.outcome("refused", Pass, 0))
+	w.step(50*ms, w.outcome("refused", Success, 0))
 	w.finish()
 }
 
-// A hung destination's queue fills, and it refuses: where no limit is told, a run of refusals is an outage.
-func TestRefusalsWithoutALimitAreAnOutage(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, list(Entry{Endpoint: "a", Dest: 0}))
-	for i := range sickCount {
+// The queue of a destination that hangs fills up, and it rejects calls: without a known limit, a run of
+// rejections is an outage.
+func TestRejectionsWithoutALimitAreAnOutage(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, completeList(Entry{Endpoint: "a", Dest: 0}))
+	for i := range outageFailures {
 		id := fmt.Sprint("m", i)
-		w.quiet(time.Second)
-		w.step(5*ms, w.arrive(id, 0, 0))
-		e := w.outcome(id, NoRoom, 0)
+		w.idle(time.Second)
+		w.step(5*ms, w.newMessage(id, 0, 0))
+		e := w.outcome(id, Rejected, 0)
 		e.Report = Report{HasLimit: true}
-		w.step(50*ms, e, Dropped{ID: id})
+		w.step(50*ms, e, MessageAbandoned{ID: id})
 	}
-	if !w.s.eps["a"].route.sick {
-		t.Error("three refusals where there is no limit are no outage")
+	if !w.sender.endpoints["a"].route.breakerOpen {
+		t.Error("three rejections without a limit did not open the breaker")
 	}
 }
 
-// The answer to a batch may tell a wait though this message of it was delivered. It binds all the same.
-func TestWaitToldWithADeliveryBinds(t *testing.T) {
-	w := newStory(t, settings(), 1)
-	w.step(0, one())
-	w.step(5*ms, w.arrive("a", 0, 0))
-	w.step(5*ms, w.outcome("a", Pass, time.Second))
-	w.quiet(200 * ms)
+// The answer to a batch may have a retry-after although this message of it was delivered. It applies all the
+// same.
+func TestRetryAfterOfADeliveryApplies(t *testing.T) {
+	w := newScenario(t, testSettings(), 1)
+	w.step(0, listOfOne())
+	w.step(5*ms, w.newMessage("a", 0, 0))
+	w.step(5*ms, w.outcome("a", Success, time.Second))
+	w.idle(200 * ms)
 	sent := len(w.sends)
-	w.step(5*ms, w.arrive("b", 0, 0))
-	if w.quiet(700 * ms); len(w.sends) != sent {
-		t.Error("a call went out before the end of the wait")
+	w.step(5*ms, w.newMessage("b", 0, 0))
+	if w.idle(700 * ms); len(w.sends) != sent {
+		t.Error("a call was made before the end of the wait")
 	}
-	if w.quiet(300 * ms); len(w.sends) != sent+1 {
+	if w.idle(300 * ms); len(w.sends) != sent+1 {
 		t.Errorf("%d calls after the wait", len(w.sends)-sent)
 	}
 	w.finish()
 }
 
-// A call of several messages is given up whole, and one that may not be repeated is given all its time. So where the
-// last call failed, those that may be repeated travel apart from it; elsewhere they share its call and its slot.
-func TestUnsafeMessagesTravelApartWhereSilenceIsFeared(t *testing.T) {
-	for _, feared := range []bool{false, true} {
-		cfg := settings()
-		cfg.Kinds = []Kind{{Batch: 10}}
+// A call of several messages is given up whole, and an AtMostOnce message gets all its time. So where the
+// last call failed, messages that may be repeated are sent in other calls; elsewhere they share its call and
+// its slot.
+func TestAtMostOnceMessagesGetOwnCallsAfterAFailure(t *testing.T) {
+	for _, afterFailure := range []bool{false, true} {
+		cfg := testSettings()
+		cfg.Kinds = []Kind{{MaxBatch: 10}}
 		classOf := func(e Effect) int {
 			return slices.IndexFunc(cfg.Classes, func(c Class) bool { return c.Effect == e && !c.Ordered })
 		}
 		s := New(cfg, 1)
-		s.Step(time.Hour, []Event{list(Entry{Endpoint: "a", Weight: 1000})})
-		if feared {
-			s.dests[0].shared.fails = 1
+		s.Step(time.Hour, []Event{completeList(Entry{Endpoint: "a", Weight: 1000})})
+		if afterFailure {
+			s.dests[0].sharedRoute.failures = 1
 		}
 		var events []Event
 		for i := range 9 {
-			events = append(events, Arrived{
-				ID: fmt.Sprint(i), Class: classOf([]Effect{Safe, Keyed, Unsafe}[i%3]), DropDead: time.Hour + time.Minute,
+			events = append(events, MessageArrived{
+				ID: fmt.Sprint(i), Class: classOf([]Effect{Idempotent, Deduplicated, AtMostOnce}[i%3]), Deadline: time.Hour + time.Minute,
 			})
 		}
-		unsafe, repeatable := map[uint64]int{}, map[uint64]int{}
+		atMostOnce, repeatable := map[uint64]int{}, map[uint64]int{}
 		for _, a := range s.Step(time.Hour+time.Second, events) {
 			if a, ok := a.(Send); !ok {
 				continue
 			} else if a.ID == "2" || a.ID == "5" || a.ID == "8" {
-				unsafe[a.Call]++
+				atMostOnce[a.Call]++
 			} else {
 				repeatable[a.Call]++
 			}
 		}
 		mixed, together := false, 0
 		for call, n := range repeatable {
-			mixed = mixed || unsafe[call] > 0
+			mixed = mixed || atMostOnce[call] > 0
 			together = max(together, n)
 		}
-		if mixed == feared {
-			t.Errorf("feared is %v, so is a mixed call", feared)
+		if mixed == afterFailure {
+			t.Errorf("after a failure: %v, and there is a mixed call: the same", afterFailure)
 		}
-		if together != 6 || len(s.sent) < 9 && !feared {
-			t.Errorf("feared is %v: %d of what may be repeated travel together, %d are out", feared, together, len(s.sent))
+		if together != 6 || len(s.attemptsOut) < 9 && !afterFailure {
+			t.Errorf("after a failure: %v; %d repeatable messages share a call, %d attempts are out", afterFailure, together, len(s.attemptsOut))
 		}
 	}
 }
 
-// A message whose call was answered when a fellow was over already may be delivered and may not: it is neither sent again,
-// lest that be after its end, nor refused, lest that be untrue.
-func TestWhatCantBeToldEndsAsFailed(t *testing.T) {
-	for class := range settings().Classes {
-		w := newStory(t, settings(), 1)
-		w.step(0, one())
-		w.step(5*ms, w.arrive("a", class, 0))
-		e := w.outcome("a", Pass, 0)
-		e.Closed, e.Unsure = false, true
+// A message may be delivered or not if its call was answered when another message of the call had ended
+// already. It is not sent again, which might be after its end, and not refused, which might be untrue.
+func TestAmbiguousEndIsReportedAsFailed(t *testing.T) {
+	for class := range testSettings().Classes {
+		w := newScenario(t, testSettings(), 1)
+		w.step(0, listOfOne())
+		w.step(5*ms, w.newMessage("a", class, 0))
+		e := w.outcome("a", Success, 0)
+		e.Final, e.Ambiguous = false, true
 		w.step(5*ms, e)
 		if len(w.fails) != 1 || len(w.sends) != 1 {
 			t.Errorf("class %d: failed %d times after %d sends", class, len(w.fails), len(w.sends))
--- a/choice/saved_test.go
+++ b/choice/saved_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// handedOver is a sender after its way to another process.
-func handedOver(t testing.TB, s *Sender, cfg Settings) *Sender {
+// handOver saves the sender and returns it as a successor restores it, through JSON.
+func handOver(t testing.TB, s *Sender, cfg Settings) *Sender {
 	t.Helper()
 	saved, err := s.Save()
 	if err != nil {
@@ -19,38 +19,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var come Saved
-	if err := json.Unmarshal(text, &come); err != nil {
+	var decoded Saved
+	if err := json.Unmarshal(text, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	heir, err := Restore(cfg, come)
+	restored, err := Restore(cfg, decoded)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return heir
+	return restored
 }
 
-// A sender that is handed over every few steps, calls out and all, acts as one that never was.
-func TestHandedOverActsTheSame(t *testing.T) {
-	acts := func(w *story) []string {
+// A sender that is handed over every seven steps, with attempts out, acts like one that never is. Wakes are
+// not compared.
+func TestHandedOverSenderActsTheSame(t *testing.T) {
+	actionsOf := func(w *scenario) []string {
 		if len(w.sends) < 50 && w.cfg.MaxOpen > 10 {
-			t.Errorf("only %d sends: the story tests little", len(w.sends))
+			t.Errorf("only %d sends: the scenario tests little", len(w.sends))
 		}
 		return slices.DeleteFunc(w.log, func(line string) bool { return strings.Contains(line, "Wake") })
 	}
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			out := 0
-			moved := interruptedStory(t, seed, 1500, func(n int, w *story) {
-				barNow(n, w)
+			attemptsOut := 0
+			handedOver := interruptedScenario(t, seed, 1500, func(n int, w *scenario) {
+				toggleDisabled(n, w)
 				if n%7 == 3 {
-					w.s = handedOver(t, w.s, w.cfg)
-					out += len(w.s.sent)
+					w.sender = handOver(t, w.sender, w.cfg)
+					attemptsOut += len(w.sender.attemptsOut)
 				}
 			})
-			want, got := acts(interruptedStory(t, seed, 1500, barNow)), acts(moved)
-			if len(got) == 0 || (out == 0 && moved.cfg.MaxOpen > 10) {
-				t.Fatal("the story tests nothing")
+			want, got := actionsOf(interruptedScenario(t, seed, 1500, toggleDisabled)), actionsOf(handedOver)
+			if len(got) == 0 || (attemptsOut == 0 && handedOver.cfg.MaxOpen > 10) {
+				t.Fatal("the scenario tests nothing")
 			}
 			for i := range min(len(want), len(got)) {
 				if want[i] != got[i] {
@@ -64,9 +65,10 @@
 	}
 }
 
-// A route that comes from a process which did not count parts in shares must not be left without any.
-func TestRouteFromBeforeSharesHasAPart(t *testing.T) {
-	if r := (SavedRoute{Part: 0.01}).route(); r.part != partFirst || r.most != partMost {
-		t.Errorf("the part is %v of at most %v", r.part, r.most)
+// A route that was saved by a build which did not count rate shares in multiples of the traffic share must
+// get a usable rate share.
+func TestRouteOfAnOldBuildGetsARateShare(t *testing.T) {
+	if r := (SavedRoute{RateShare: 0.01}).route(); r.rateShare != initialRateShare || r.maxRateShare != maxRateShare {
+		t.Errorf("the rate share is %v, its upper bound %v", r.rateShare, r.maxRateShare)
 	}
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -7,268 +7,276 @@
 	"time"
 )
 
-// Sender decides for one delivery node.
+// Sender makes the decisions of one delivery node. All times are clock times as in Step; zero mostly means
+// never.
 type Sender struct {
-	cfg     Settings
-	source  *rand.PCG
-	rng     *rand.Rand // draws from source
-	now     time.Duration
-	dests   map[int]*destination
-	order   []*destination // in order of first mention, so that nothing hangs on map order
-	eps     map[string]*endpoint
-	msgs    map[string]*message
-	open    []*message // in order of arrival; ended ones are swept out
-	lines   map[string][]*message
-	rests   map[string]time.Duration // keys at rest until then
-	resting []keyRest                // the same in the order in which they end
-	parted  map[string]time.Duration // waits told by routes apart that have left the list
-	barred  map[string]bool          // endpoints that are left out by hand
-	crowded map[int]time.Duration    // connection tables of a kind seem full until then
-	wornTil time.Duration            // kept connections are not trusted until then
-	tenants []tenant
-	busy    int                 // calls out
-	made    uint64              // calls so far
-	sent    map[attempt]sending // attempts without an outcome
-	active  []*destination      // with messages waiting or calls out; swept in release
-	wakeAt  time.Duration       // the earliest wake asked for
-	asking  time.Duration       // pause before the list is asked for again
-	askAt   time.Duration
-	leaveBy time.Duration // when the process ends; 0 while it stays
-	failing float64       // smoothed share of failures at routes not known to be struck
-	came    float64       // messages that came here for the first time, fading,
-	seen    float64       // and the time in which they did, in seconds
-	cameAt  time.Duration
-	actions []Action
+	cfg                  Settings
+	source               *rand.PCG
+	rng                  *rand.Rand // draws from source
+	now                  time.Duration
+	dests                map[int]*destination
+	destOrder            []*destination // in order of first mention, so that no decision depends on map order
+	endpoints            map[string]*endpoint
+	messages             map[string]*message
+	openMessages         []*message // in order of arrival; ended ones are removed by expireMessages
+	keyQueues            map[string][]*message
+	keyPauses            map[string]time.Duration // until when each ordered key pauses
+	pausedKeys           []keyPause               // the same pauses in the order in which they end; may hold outdated ones
+	removedWaits         map[string]time.Duration // until when to wait, by the ID of an endpoint that was a separate route and left the list
+	disabled             map[string]bool          // endpoints that an operator has disabled, by ID
+	tableFullUntil       map[int]time.Duration    // by kind of destination: until when its connection tables are taken for full
+	distrustReusedUntil  time.Duration            // until when AtMostOnce messages and repeats get new connections
+	tenants              []tenant
+	callsOut             int                        // number of calls out
+	callsMade            uint64                     // number of calls made so far
+	attemptsOut          map[attempt]pendingAttempt // attempts that are out: sent and without an outcome
+	activeDests          []*destination             // with messages waiting or calls out; startCalls removes the others
+	wakeAt               time.Duration              // the earliest wake asked for that is still due; 0 for none
+	watchBackoff         time.Duration              // pause before a Watch after one that failed, doubled each time
+	watchAt              time.Duration              // when to send the next Watch; 0 for none
+	stopAt               time.Duration              // when the process ends; 0 while it goes on
+	failureShare         float64                    // smoothed share of failures among the calls that follow a success on their route
+	firstSubmissions     float64                    // number of first submissions at this sender, decaying with trafficSpan,
+	firstSubmissionsSpan float64                    // and the seconds in which they came, decaying alike
+	firstSubmissionsAt   time.Duration
+	actions              []Action // of the current step
 }
 
+// tenant is the token bucket of a tenant's allowance at this sender.
 type tenant struct {
-	tokens float64
-	at     time.Duration
+	tokens    float64
+	updatedAt time.Duration
 }
 
-// keyRest is a key's rest as it was when it began; a later one may have prolonged it.
-type keyRest struct {
+// keyPause is the pause of a key as it was when it began. A later one may have extended it.
+type keyPause struct {
 	key   string
 	until time.Duration
 }
 
-// destination is one partner: its gate, endpoints and waiting messages.
+// destination is what messages are addressed to, with its gates, endpoints and waiting messages. The
+// organization behind it is called a partner.
 type destination struct {
-	id        int
-	emptied   time.Duration // when its last endpoint left the list
-	gates     []gate        // by class; the last is for those not known
-	kind      int
-	shared    *route // of all endpoints, unless they are routes apart
-	endpoints []*endpoint
-	waiting   []*message // in order of arrival
-	used      float64    // slot time it had of late, in seconds
-	usedAt    time.Duration
-	calls     []*call // out, oldest first
-	came      float64 // messages that came of late, fading
-	cameAt    time.Duration
-	active    bool // stands in the sender's list of those with something to do
+	id          int
+	emptiedAt   time.Duration // when its last endpoint left the list, or when it was first mentioned
+	gates       []gate        // by class; the last one is for unknown classes
+	kind        int
+	sharedRoute *route // the route of all endpoints, unless each endpoint is a separate route
+	endpoints   []*endpoint
+	waiting     []*message // not sent or to be sent again, in order of arrival
+	slotTime    float64    // seconds for which its calls held slots, decaying with slotTimeSpan
+	slotTimeAt  time.Duration
+	calls       []*call // calls out, oldest first
+	arrivals    float64 // number of messages that arrived, decaying with arrivalsSpan
+	arrivalsAt  time.Duration
+	active      bool // is in the sender's list of active destinations
 }
 
-// gate is the two-bound admission control of the paper, for one destination and class: what a long hold costs
-// one class at its place in the order says nothing of what another meets.
+// gate is the admission control of the paper with two bounds, for one destination and class. Each class has
+// its own place in the order of sending, so the waiting time of one says nothing about that of another.
 type gate struct {
-	average, baseline float64 // seconds
-	at                time.Duration
-	seen, shut        bool
-	lastTrial         time.Duration
+	average, baseline float64 // response times in seconds
+	updatedAt         time.Duration
+	sampled, closed   bool          // sampled: it has had a sample
+	lastTrialAt       time.Duration // when the closed gate last admitted a trial message
 }
 
-// route is what limits, waits and outages bind: a destination, or an endpoint that is a route apart.
+// route is what limits, waits and outages apply to: all endpoints of a destination together, or one endpoint
+// that is a separate route.
 type route struct {
-	waitUntil time.Duration // rule six
-	limit     float64       // calls a second as reported
-	reported  bool
-	left      float64 // share of it left at the last report
-	weight    float64
-	part      float64 // of the limit that this sender takes, in shares of its weight
-	partAt    time.Duration
-	refusals  int // in a row
-	cutAt     time.Duration
-	most      float64 // is never exceeded by the part
-	tokens    float64
-	tokensAt  time.Duration
-	fails     int           // failures in a row
-	failedAt  time.Duration // the first of them
-	rest      time.Duration // after the last of the refusals in a row
-	sick      bool
-	harmless  bool // the last failure proved that nothing ran
-	trialAt   time.Duration
-	backoff   time.Duration
-	trial     bool          // a trial is out
-	coldFrom  time.Duration // start of the recovery; 0 none
-	struckAt  time.Duration // start of the outage
-	demand    float64       // this sender's messages for the route since then
-	busiest   float64       // most calls passed in a second, for want of any limit
-	passed    float64
-	passedAt  time.Duration
+	waitUntil       time.Duration // no call before that, by rule six of the contract: a retry-after or a pause after rejections
+	limit           float64       // calls a second, as last reported; 0 for none
+	limitReported   bool
+	limitLeft       float64 // remaining share of the limit as last reported, 0 if unknown
+	weight          float64 // calls a second that it can take according to the list; 0 if unknown
+	rateShare       float64 // part of the limit that this sender uses, in multiples of its share of the traffic
+	rateShareAt     time.Duration
+	rejections      int // number of rejections in a row for which rateShare was decreased
+	decreasedAt     time.Duration
+	maxRateShare    float64 // upper bound of rateShare
+	tokens          float64 // calls that may be made now
+	tokensAt        time.Duration
+	failures        int           // number of failures in a row
+	firstFailureAt  time.Duration // when the first of these was recorded
+	rejectionPause  time.Duration // pause after a rejection without a longer retry-after, doubled with each in a row
+	breakerOpen     bool
+	nothingRan      bool // the last failure proved that its attempt did not run
+	halfOpenAt      time.Duration
+	halfOpenBackoff time.Duration
+	halfOpenCallOut bool          // a half-open call is out
+	slowStartAt     time.Duration // start of the slow start; 0 if there is none
+	outageAt        time.Duration // start of the outage, which counts until the slow start ends
+	outageDemand    float64       // number of messages for the route at this sender since the outage began
+	peakRate        float64       // most successful calls a second so far; the capacity if there is neither limit nor weight
+	successes       float64       // number of successful calls since successesSince
+	successesSince  time.Duration
 }
 
+// endpoint is one address of a destination, with its health as this sender sees it.
 type endpoint struct {
-	id       string
-	zone     int
-	dest     *destination
-	route    *route
-	listed   bool // as serving
-	ready    bool
-	warming  *route        // its own budget, while it is cold after it was left out by hand
-	response float64       // smoothed seconds, failures counting slow
-	usual    float64       // smoothed seconds of passed calls
-	provenAt time.Duration // the latest send of a call that passed in the usual time
-	sentAt   time.Duration // last call
-	gap      float64       // smoothed seconds between calls
-	out      int           // calls out
+	id               string
+	zone             int
+	dest             *destination
+	route            *route
+	listedReady      bool // it is Ready in the list, whether disabled or not
+	ready            bool
+	slowStart        *route        // slow start budget of its own after it was enabled again; nil if there is none
+	responseTime     float64       // smoothed response time in seconds, where failures count as slow
+	typicalTime      float64       // smoothed response time of successful calls, in seconds
+	lastPromptCallAt time.Duration // latest start of a call that succeeded within slowFactor typical times
+	lastCallAt       time.Duration // start of the latest call
+	callGap          float64       // smoothed seconds between calls
+	callsOut         int           // number of calls out
 
-	// Its table of connections, once that was full.
-	crowdedAt time.Duration // the last sign of it
-	room      float64       // calls that fitted then; 0 if it never was
-	shyTil    time.Duration // with no call there it is left alone until then
+	// Its connection table, if that was ever full.
+	tableFullAt time.Duration // last sign of a full table
+	tableRoom   float64       // number of calls that had a place there when it was full; 0 if it never was
+	avoidUntil  time.Duration // until when it gets no call, because its table was full and no call of this sender was there
 }
 
+// message is a message from its arrival until it has ended and has no attempt out.
 type message struct {
-	id        string
-	class     *Class
-	key       string
-	worth     float64
-	dest      *destination
-	gate      *gate
-	arrived   time.Duration
-	born      time.Duration // first hand-in, as far as the deadline tells
-	aim       time.Duration
-	dropDead  time.Duration
-	attempts  int
-	out       int
-	mayRun    time.Duration // send time of the first attempt that may have run
-	touched   bool          // there is such an attempt
-	zone      int           // its endpoint's zone
-	notBefore time.Duration
-	waits     bool
-	over      bool
+	id              string
+	class           *Class
+	key             string
+	worth           float64
+	dest            *destination
+	gate            *gate
+	arrivedAt       time.Duration
+	submittedAt     time.Duration // time of the first submission, derived from the deadline
+	softDeadline    time.Duration // how long after submittedAt it has its full worth
+	deadline        time.Duration // clock time after which it can't be delivered
+	attempts        int           // number of attempts begun so far
+	attemptsOut     int           // number of these without an outcome
+	mayHaveRunSince time.Duration // start of the first attempt that may have run
+	mayHaveRun      bool          // an attempt may have run, and a second one would not be harmless
+	mayHaveRunZone  int           // zone of that attempt's endpoint
+	notBefore       time.Duration // no attempt before that
+	waiting         bool          // is among the waiting messages of its destination
+	ended           bool
 }
 
-// attempt names one Send.
+// attempt identifies a Send by its message and the number of earlier attempts.
 type attempt struct {
-	id string
-	n  int
+	id     string
+	number int
 }
 
-// sending is a message in a call.
-type sending struct {
+// pendingAttempt is an attempt that is out: its message and its call.
+type pendingAttempt struct {
 	m *message
 	c *call
 }
 
-// call is one call at an endpoint, with one or several messages.
+// call is one call to an endpoint, with one or several messages.
 type call struct {
-	ep         *endpoint
-	sentAt     time.Duration
-	left       int
-	trial      bool
-	sends      []attempt
-	called     bool // called off
-	repeatable bool // none of its messages is unsafe
+	endpoint     *endpoint
+	sentAt       time.Duration
+	outcomesLeft int  // number of its attempts without an outcome
+	halfOpen     bool // it tests an open circuit breaker
+	attempts     []attempt
+	canceled     bool // its attempts were canceled, and some may still be out
+	repeatable   bool // none of its messages is AtMostOnce
 }
 
-// do adds an action to the reply.
-func (s *Sender) do(a Action) { s.actions = append(s.actions, a) }
+// emit adds an action to the result of the step.
+func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
-// seconds and span convert between durations and seconds.
+// seconds converts a duration to seconds, and duration seconds to a duration.
 func seconds(t time.Duration) float64 { return t.Seconds() }
 
-func span(sec float64) time.Duration { return time.Duration(sec * float64(time.Second)) }
+func duration(sec float64) time.Duration { return time.Duration(sec * float64(time.Second)) }
 
-// destination returns the state of a destination, new if it was not mentioned before.
+// destination returns the state of a destination, and creates it at the first mention.
 func (s *Sender) destination(id int) *destination {
 	d := s.dests[id]
 	if d == nil {
-		d = &destination{id: id, emptied: s.now, shared: newRoute(), gates: make([]gate, len(s.cfg.Classes)+1)}
+		d = &destination{id: id, emptiedAt: s.now, sharedRoute: newRoute(), gates: make([]gate, len(s.cfg.Classes)+1)}
 		s.dests[id] = d
-		s.order = append(s.order, d)
+		s.destOrder = append(s.destOrder, d)
 	}
 	return d
 }
 
-// keepOnly drops the endpoints that a whole list does not have.
-func (s *Sender) keepOnly(entries []Entry) {
-	named := make(map[string]bool, len(entries))
+// removeUnlisted removes the endpoints that are not in a complete list.
+func (s *Sender) removeUnlisted(entries []Entry) {
+	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
-		named[entry.Endpoint] = true
+		listed[entry.Endpoint] = true
 	}
-	for _, d := range s.order {
+	for _, d := range s.destOrder {
 		for _, e := range slices.Clone(d.endpoints) {
-			if !named[e.id] {
-				s.drop(e)
+			if !listed[e.id] {
+				s.removeEndpoint(e)
 			}
 		}
 	}
 }
 
-// drop forgets an endpoint that has left the list. Calls out there keep it until they end. If its id comes back
-// it starts afresh, but for a wait that a route apart has told of.
-func (s *Sender) drop(e *endpoint) {
+// removeEndpoint removes an endpoint that has left the list. Calls that are out refer to it until they end.
+// If its ID comes back it starts without history, except for the wait of a separate route.
+func (s *Sender) removeEndpoint(e *endpoint) {
 	e.ready = false
-	delete(s.eps, e.id)
+	delete(s.endpoints, e.id)
 	e.dest.endpoints = slices.DeleteFunc(e.dest.endpoints, func(o *endpoint) bool { return o == e })
-	e.dest.emptied = s.now
-	s.inherit(e)
+	e.dest.emptiedAt = s.now
+	s.carryOverWait(e)
 }
 
-// inherit hands on a wait that was told after its endpoint had left the list: it binds whoever has the id.
-func (s *Sender) inherit(e *endpoint) {
-	heir := s.eps[e.id]
-	if heir == e || e.route == e.dest.shared || s.now >= e.route.waitUntil {
+// carryOverWait keeps the wait of a separate route that is not in the list any more, since calls that were
+// out may bring a wait after its removal: it applies to any later endpoint of the same ID.
+func (s *Sender) carryOverWait(e *endpoint) {
+	current := s.endpoints[e.id]
+	if current == e || e.route == e.dest.sharedRoute || s.now >= e.route.waitUntil {
 		return
 	}
-	if heir != nil {
-		heir.route.waitUntil = max(heir.route.waitUntil, e.route.waitUntil)
+	if current != nil {
+		current.route.waitUntil = max(current.route.waitUntil, e.route.waitUntil)
 	} else {
-		s.parted[e.id] = e.route.waitUntil
+		s.removedWaits[e.id] = e.route.waitUntil
 	}
 }
 
-// Pool counts the endpoints that are listed, and those of them that are avoided for now.
-func (s *Sender) Pool() (listed, avoided int) {
-	for _, e := range s.eps {
-		if e.route.sick || s.barred[e.id] {
+// EndpointCounts returns the number of listed endpoints, and how many of these get no ordinary calls for now:
+// their breaker is open or an operator has disabled them.
+func (s *Sender) EndpointCounts() (listed, avoided int) {
+	for _, e := range s.endpoints {
+		if e.route.breakerOpen || s.disabled[e.id] {
 			avoided++
 		}
 	}
-	return len(s.eps), avoided
+	return len(s.endpoints), avoided
 }
 
-// forget lets go of destinations that have had no endpoint for long and nothing under way, and of waits that are
-// over.
-func (s *Sender) forget() {
-	s.order = slices.DeleteFunc(s.order, func(d *destination) bool {
-		if len(d.endpoints) > 0 || d.active || s.now-d.emptied < forgetAfter || s.now < d.shared.waitUntil {
+// forgetUnused forgets destinations that have had no endpoint for forgetAfter and have neither messages,
+// calls nor a wait, and the waits of removed endpoints that have ended.
+func (s *Sender) forgetUnused() {
+	s.destOrder = slices.DeleteFunc(s.destOrder, func(d *destination) bool {
+		if len(d.endpoints) > 0 || d.active || s.now-d.emptiedAt < forgetAfter || s.now < d.sharedRoute.waitUntil {
 			return false
 		}
 		delete(s.dests, d.id)
 		return true
 	})
-	maps.DeleteFunc(s.parted, func(_ string, until time.Duration) bool { return s.now >= until })
+	maps.DeleteFunc(s.removedWaits, func(_ string, until time.Duration) bool { return s.now >= until })
 }
 
-// restKey lets a key rest from now on, and forgets the rests that are over.
-func (s *Sender) restKey(key string) {
-	until := s.now + s.cfg.OrderSettle
-	s.rests[key] = until
-	s.resting = append(s.resting, keyRest{key, until})
-	for s.resting[0].until <= s.now {
-		if s.rests[s.resting[0].key] <= s.now {
-			delete(s.rests, s.resting[0].key)
+// pauseKey starts the pause of an ordered key, and forgets the pauses that have ended.
+func (s *Sender) pauseKey(key string) {
+	until := s.now + s.cfg.KeyPause
+	s.keyPauses[key] = until
+	s.pausedKeys = append(s.pausedKeys, keyPause{key, until})
+	for s.pausedKeys[0].until <= s.now {
+		if s.keyPauses[s.pausedKeys[0].key] <= s.now {
+			delete(s.keyPauses, s.pausedKeys[0].key)
 		}
-		if s.resting = s.resting[1:]; len(s.resting) == 0 {
+		if s.pausedKeys = s.pausedKeys[1:]; len(s.pausedKeys) == 0 {
 			return
 		}
 	}
 }
 
-// gate is a destination's gate for the class of that number.
+// gate returns a destination's gate for the class with that index.
 func (s *Sender) gate(d *destination, i int) *gate {
 	if i < 0 || i >= len(s.cfg.Classes) {
 		i = len(s.cfg.Classes)
@@ -276,7 +284,7 @@
 	return &d.gates[i]
 }
 
-// class is the class of that number, one without any bounds for a number that is not known.
+// class returns the class with that index, or one without deadlines and worth for an unknown index.
 func (s *Sender) class(i int) *Class {
 	if i < 0 || i >= len(s.cfg.Classes) {
 		return &Class{}
@@ -284,32 +292,32 @@
 	return &s.cfg.Classes[i]
 }
 
-// apart tells that the endpoints are routes of their own.
-func (s *Sender) apart(d *destination) bool {
-	return d.kind >= 0 && d.kind < len(s.cfg.Kinds) && s.cfg.Kinds[d.kind].Apart
+// separateRoutes reports whether each endpoint of the destination is a route of its own.
+func (s *Sender) separateRoutes(d *destination) bool {
+	return d.kind >= 0 && d.kind < len(s.cfg.Kinds) && s.cfg.Kinds[d.kind].SeparateRoutes
 }
 
-// batch is the most messages in one call.
-func (s *Sender) batch(d *destination) int {
+// maxBatch returns the maximum number of messages in one call to the destination.
+func (s *Sender) maxBatch(d *destination) int {
 	if d.kind < 0 || d.kind >= len(s.cfg.Kinds) {
 		return 1
 	}
-	return max(s.cfg.Kinds[d.kind].Batch, 1)
+	return max(s.cfg.Kinds[d.kind].MaxBatch, 1)
 }
 
-// enqueue puts a message among its destination's waiting, in order of arrival.
+// enqueue adds a message to the waiting messages of its destination, in order of arrival.
 func (s *Sender) enqueue(m *message) {
-	if m.waits || m.over {
+	if m.waiting || m.ended {
 		return
 	}
 	d := m.dest
 	if !d.active {
 		d.active = true
-		s.active = append(s.active, d)
+		s.activeDests = append(s.activeDests, d)
 	}
-	m.waits = true
+	m.waiting = true
 	i := len(d.waiting)
-	for i > 0 && d.waiting[i-1].arrived > m.arrived {
+	for i > 0 && d.waiting[i-1].arrivedAt > m.arrivedAt {
 		i--
 	}
 	d.waiting = append(d.waiting, nil)
@@ -317,12 +325,12 @@
 	d.waiting[i] = m
 }
 
-// dequeue takes it out again.
+// dequeue removes a message from the waiting messages of its destination.
 func (d *destination) dequeue(m *message) {
-	if !m.waits {
+	if !m.waiting {
 		return
 	}
-	m.waits = false
+	m.waiting = false
 	for i, w := range d.waiting {
 		if w == m {
 			d.waiting = append(d.waiting[:i], d.waiting[i+1:]...)
@@ -331,11 +339,11 @@
 	}
 }
 
-// hangEnd gives back the slot of a call all of whose messages have their outcomes.
-func (s *Sender) hangEnd(c *call) {
-	s.busy--
-	c.ep.out--
-	d := c.ep.dest
+// finishCall removes a call whose messages all have their outcomes, and frees its slot.
+func (s *Sender) finishCall(c *call) {
+	s.callsOut--
+	c.endpoint.callsOut--
+	d := c.endpoint.dest
 	for i, o := range d.calls {
 		if o == c {
 			d.calls = append(d.calls[:i], d.calls[i+1:]...)
@@ -344,16 +352,16 @@
 	}
 }
 
-// trimLine drops ended messages from the head of a key's line; one with an attempt out still holds its turn.
-func (s *Sender) trimLine(key string) {
-	line := s.lines[key]
-	if len(line) == 0 {
+// trimKeyQueue removes ended messages from the head of a key's queue. One with an attempt out keeps its turn.
+func (s *Sender) trimKeyQueue(key string) {
+	queue := s.keyQueues[key]
+	if len(queue) == 0 {
 		return
 	}
-	for len(line) > 0 && line[0].over && line[0].out == 0 {
-		line = line[1:]
+	for len(queue) > 0 && queue[0].ended && queue[0].attemptsOut == 0 {
+		queue = queue[1:]
 	}
-	if s.lines[key] = line; len(line) == 0 {
-		delete(s.lines, key)
+	if s.keyQueues[key] = queue; len(queue) == 0 {
+		delete(s.keyQueues, key)
 	}
 }
--- a/fleet/catalog/keeper.go
+++ b/fleet/catalog/keeper.go
@@ -6,167 +6,170 @@
 	"time"
 )
 
-// Keeper is the leader's sense of time: it knows who has renewed, and asks for what time brings. It is not replicated;
-// a new leader begins by taking every lease as renewed, so that a change of leaders takes none away. Its times are those
-// of one clock that only grows, since any point. It is not safe for use by several goroutines at once.
-type Keeper struct {
-	Share float64       // of a partner's endpoints that may have lapsed at once
-	Drain time.Duration // from an endpoint's lapse until it goes
-	Stand time.Duration // after which what is held back happens unconfirmed; 0: never
+// LeaseManager is the part of the leader that depends on time: it tracks renewals and proposes commands for
+// leases that have expired and for a held write that is due. It is not replicated. A new leader treats every
+// lease as just renewed, so that a change of leaders expires none. Times are durations of one monotonic clock
+// since an arbitrary origin. It is not safe for concurrent use.
+type LeaseManager struct {
+	MaxExpiredShare float64       // of a partner's endpoints that may be expired at once
+	DrainTime       time.Duration // from the expiry of an endpoint's lease until its removal
+	ConfirmAfter    time.Duration // after which a held write is applied without confirmation; 0: never
 
-	renewed map[string]time.Duration // endpoints with leases, and when they came last
-	changed map[string]int64         // their revision when they were last looked at
-	lapsed  map[string]time.Duration // since when
-	held    map[string]heldSince     // records
-	ending  map[string]time.Duration // endpoints whose lapse was asked for, and when
-	waiting int64                    // number of what is held back
-	since   time.Duration
+	renewed        map[string]time.Duration // last renewal by endpoint, of those with a lease
+	revisions      map[string]int64         // entry revision by endpoint, at the last check
+	expiredSince   map[string]time.Duration // when each endpoint was first seen as expired
+	recordRenewals map[string]recordRenewal // last renewal by record
+	expiryProposed map[string]time.Duration // when the expiry of an endpoint's lease was last proposed
+	heldNumber     int64                    // number of the held write
+	heldSince      time.Duration
 }
 
-// endsWithin is how long the end of a lease that was asked for may be on its way. What was renewed meanwhile, and
-// acknowledged, would be taken away all the same.
-const endsWithin = 5 * time.Second
+// expiryInFlight bounds how long a proposed expiry may take to be applied. A renewal acknowledged during that
+// time would be lost, so it is refused.
+const expiryInFlight = 5 * time.Second
 
-type heldSince struct {
+type recordRenewal struct {
 	token int64
 	at    time.Duration
 }
 
-// NewKeeper begins at a time, with all leases of the state renewed.
-func NewKeeper(share float64, drain, stand time.Duration) *Keeper {
-	return &Keeper{
-		Share: share, Drain: drain, Stand: stand,
-		renewed: map[string]time.Duration{}, changed: map[string]int64{}, lapsed: map[string]time.Duration{}, held: map[string]heldSince{}, ending: map[string]time.Duration{},
+// NewLeaseManager treats all leases of the state as just renewed.
+func NewLeaseManager(maxExpiredShare float64, drainTime, confirmAfter time.Duration) *LeaseManager {
+	return &LeaseManager{
+		MaxExpiredShare: maxExpiredShare, DrainTime: drainTime, ConfirmAfter: confirmAfter,
+		renewed: map[string]time.Duration{}, revisions: map[string]int64{}, expiredSince: map[string]time.Duration{}, recordRenewals: map[string]recordRenewal{}, expiryProposed: map[string]time.Duration{},
 	}
 }
 
-// Renew notes that an endpoint is still there; of one that has no lease, or has lapsed, it is ErrUnknown: it registers
-// again.
-func (k *Keeper) Renew(s *State, id string, now time.Duration) error {
-	e, ok := s.i.Entries[id]
-	if !ok || e.TTL == 0 || e.Lapsed {
-		return fmt.Errorf("no lease of %.40q, register again: %w", id, ErrUnknown)
+// Renew records a renewal. If the endpoint has no lease, or it has expired, Renew returns ErrNotFound and the
+// endpoint must register again.
+func (m *LeaseManager) Renew(s *State, id string, now time.Duration) error {
+	e, ok := s.image.Entries[id]
+	if !ok || e.TTL == 0 || e.Expired {
+		return fmt.Errorf("endpoint %.40q has no lease, register again: %w", id, ErrNotFound)
 	}
-	if at, asked := k.ending[id]; asked && now < at+endsWithin {
-		return fmt.Errorf("the lease of %.40q has run out, register again: %w", id, ErrUnknown)
+	if at, proposed := m.expiryProposed[id]; proposed && now < at+expiryInFlight {
+		return fmt.Errorf("the lease of endpoint %.40q has expired, register again: %w", id, ErrNotFound)
 	}
-	k.renewed[id] = now
+	m.renewed[id] = now
 	return nil
 }
 
-// Registered notes that an endpoint has just registered: its lease counts from now.
-func (k *Keeper) Registered(id string, now time.Duration) {
-	k.renewed[id] = now
-	delete(k.ending, id)
+// NoteRegistration starts the lease of an endpoint that has just registered.
+func (m *LeaseManager) NoteRegistration(id string, now time.Duration) {
+	m.renewed[id] = now
+	delete(m.expiryProposed, id)
 }
 
-// RenewRecord notes that the holder of a record is still there; of a token that does not hold it, it is an error.
-func (k *Keeper) RenewRecord(s *State, name string, token int64, now time.Duration) error {
-	r, err := s.owned(Hold{Name: name, Token: token})
+// RenewRecord records that the holder of a record is alive. It fails for a token that does not hold the
+// record.
+func (m *LeaseManager) RenewRecord(s *State, name string, token int64, now time.Duration) error {
+	r, err := s.heldRecord(RecordOp{Name: name, Token: token})
 	if err != nil {
 		return err
 	}
-	if h, ok := k.held[name]; ok && h.token == token && r.TTL > 0 && now >= h.at+time.Duration(r.TTL)*time.Millisecond {
-		return fmt.Errorf("the lease of record %q has run out: %w", name, ErrTaken) // its end may be on its way
+	if h, ok := m.recordRenewals[name]; ok && h.token == token && r.TTL > 0 && now >= h.at+time.Duration(r.TTL)*time.Millisecond {
+		return fmt.Errorf("the lease of record %q has expired: %w", name, ErrNotHolder) // its expiry may already be in the log
 	}
-	k.held[name] = heldSince{r.Token, now}
+	m.recordRenewals[name] = recordRenewal{r.Token, now}
 	return nil
 }
 
-// Due tells what time has brought, as commands to propose, and how long to wait for more. What is not carried out is
-// asked for again.
-func (k *Keeper) Due(s *State, now time.Duration) ([]Command, time.Duration) {
-	l := Lapse{Share: k.Share}
-	next := time.Hour
-	until := func(at time.Duration) bool {
+// DueCommands returns the commands to propose now, and how long to wait before the next call. It returns a
+// command again until it has been applied.
+func (m *LeaseManager) DueCommands(s *State, now time.Duration) ([]Command, time.Duration) {
+	expiry := Expiry{MaxShare: m.MaxExpiredShare}
+	wait := time.Hour
+	isDue := func(at time.Duration) bool {
 		if at <= now {
 			return true
 		}
-		next = min(next, at-now)
+		wait = min(wait, at-now)
 		return false
 	}
-	alive := map[int]bool{} // partners of which an endpoint still renews
-	for id, e := range s.i.Entries {
+	renewing := map[int]bool{} // partners with an endpoint that still renews its lease
+	for id, e := range s.image.Entries {
 		if e.TTL == 0 {
 			continue
 		}
-		if _, ok := k.renewed[id]; !ok || k.changed[id] != e.Revision { // it has just registered
-			k.renewed[id], k.changed[id] = now, e.Revision
+		if _, ok := m.renewed[id]; !ok || m.revisions[id] != e.Revision { // just registered
+			m.renewed[id], m.revisions[id] = now, e.Revision
 		}
-		if e.Lapsed {
-			if _, ok := k.lapsed[id]; !ok {
-				k.lapsed[id] = now
+		if e.Expired {
+			if _, ok := m.expiredSince[id]; !ok {
+				m.expiredSince[id] = now
 			}
 			continue
 		}
-		delete(k.lapsed, id)
-		if until(k.renewed[id] + time.Duration(e.TTL)*time.Millisecond) {
-			l.Drain = append(l.Drain, id)
+		delete(m.expiredSince, id)
+		if isDue(m.renewed[id] + time.Duration(e.TTL)*time.Millisecond) {
+			expiry.Drain = append(expiry.Drain, id)
 		} else {
-			alive[e.Cell] = true
+			renewing[e.Cell] = true
 		}
 	}
-	for id := range k.renewed {
-		if _, ok := s.i.Entries[id]; !ok {
-			delete(k.renewed, id)
-			delete(k.changed, id)
-			delete(k.ending, id)
+	for id := range m.renewed {
+		if _, ok := s.image.Entries[id]; !ok {
+			delete(m.renewed, id)
+			delete(m.revisions, id)
+			delete(m.expiryProposed, id)
 		}
 	}
-	for id, at := range k.lapsed {
-		e, ok := s.i.Entries[id]
+	for id, at := range m.expiredSince {
+		e, ok := s.image.Entries[id]
 		if !ok {
-			delete(k.lapsed, id)
+			delete(m.expiredSince, id)
 			continue
 		}
-		// Where nobody of a partner renews, it is more likely that nobody can.
-		if until(at+k.Drain) && alive[e.Cell] {
-			l.Gone = append(l.Gone, id)
+		// If no endpoint of a partner renews, a common cause such as a broken network is more likely than
+		// that all are gone.
+		if isDue(at+m.DrainTime) && renewing[e.Cell] {
+			expiry.Remove = append(expiry.Remove, id)
 		}
 	}
-	for name, r := range s.i.Records {
+	for name, r := range s.image.Records {
 		if r.Holder == "" || r.TTL == 0 {
-			delete(k.held, name)
+			delete(m.recordRenewals, name)
 			continue
 		}
-		if h, ok := k.held[name]; !ok || h.token != r.Token {
-			k.held[name] = heldSince{r.Token, now}
+		if h, ok := m.recordRenewals[name]; !ok || h.token != r.Token {
+			m.recordRenewals[name] = recordRenewal{r.Token, now}
 		}
-		if until(k.held[name].at + time.Duration(r.TTL)*time.Millisecond) {
-			l.Records = append(l.Records, Hold{Name: name, Token: r.Token})
+		if isDue(m.recordRenewals[name].at + time.Duration(r.TTL)*time.Millisecond) {
+			expiry.Records = append(expiry.Records, RecordOp{Name: name, Token: r.Token})
 		}
 	}
-	var out []Command
-	slices.Sort(l.Drain)
-	slices.Sort(l.Gone)
-	if len(l.Drain)+len(l.Gone) > 0 {
-		next = min(next, time.Second)
+	var commands []Command
+	slices.Sort(expiry.Drain)
+	slices.Sort(expiry.Remove)
+	if len(expiry.Drain)+len(expiry.Remove) > 0 {
+		wait = min(wait, time.Second)
 	}
-	ends := s.lapses(l) // the others may not yet
-	l.Drain, l.Gone = nil, nil
-	for _, e := range ends {
+	expired := s.expiredEndpoints(expiry) // the others must wait because of the share
+	expiry.Drain, expiry.Remove = nil, nil
+	for _, e := range expired {
 		if e.Phase == Deleted {
-			l.Gone = append(l.Gone, e.ID)
+			expiry.Remove = append(expiry.Remove, e.ID)
 		} else {
-			l.Drain = append(l.Drain, e.ID)
-			k.ending[e.ID] = now
+			expiry.Drain = append(expiry.Drain, e.ID)
+			m.expiryProposed[e.ID] = now
 		}
 	}
-	if len(l.Drain)+len(l.Gone)+len(l.Records) > 0 {
-		slices.SortFunc(l.Records, func(a, b Hold) int { return int(a.Token - b.Token) })
-		out = append(out, Command{By: "leader", Lapse: &l})
-		next = min(next, time.Second)
+	if len(expiry.Drain)+len(expiry.Remove)+len(expiry.Records) > 0 {
+		slices.SortFunc(expiry.Records, func(a, b RecordOp) int { return int(a.Token - b.Token) })
+		commands = append(commands, Command{By: "leader", Expire: &expiry})
+		wait = min(wait, time.Second)
 	}
-	switch h := s.i.Held; {
-	case h == nil:
-		k.waiting = 0
-	case h.Number != k.waiting:
-		k.waiting, k.since = h.Number, now
+	switch held := s.image.Held; {
+	case held == nil:
+		m.heldNumber = 0
+	case held.Number != m.heldNumber:
+		m.heldNumber, m.heldSince = held.Number, now
 		fallthrough
 	default:
-		if k.Stand > 0 && until(k.since+k.Stand) {
-			out = append(out, Command{By: "leader", Confirm: &Confirm{Number: h.Number}})
+		if m.ConfirmAfter > 0 && isDue(m.heldSince+m.ConfirmAfter) {
+			commands = append(commands, Command{By: "leader", Confirm: &Confirm{Number: held.Number}})
 		}
 	}
-	return out, next
+	return commands, wait
 }
--- a/fleet/catalog/part.go
+++ b/fleet/catalog/part.go
@@ -7,24 +7,25 @@
 	"starlingusher/fleet/ownership"
 )
 
-// Move is an endpoint that has left its partner for another.
+// Move describes an endpoint that was moved to another partner.
 type Move struct {
-	Endpoint // as it was, Deleted
-	To       int
+	Endpoint     // as it was, with phase Deleted
+	ToCell   int `cbor:"To"`
 }
 
-// partIndex finds endpoints by the partition of their partner. It follows from the entries alone and is no part of an Image.
-type partIndex map[int]map[string]struct{}
+// partitionIndex finds endpoints by the partition of their partner. It is derived from the entries and not
+// part of an Image.
+type partitionIndex map[int]map[string]struct{}
 
-func newPartIndex(entries map[string]Entry) partIndex {
-	x := partIndex{}
+func newPartitionIndex(entries map[string]Entry) partitionIndex {
+	index := partitionIndex{}
 	for id, e := range entries {
-		x.add(id, e.Cell)
+		index.add(id, e.Cell)
 	}
-	return x
+	return index
 }
 
-func (x partIndex) add(id string, cell int) {
+func (x partitionIndex) add(id string, cell int) {
 	p := ownership.PartitionOf(cell)
 	ids := x[p]
 	if ids == nil {
@@ -34,106 +35,109 @@
 	ids[id] = struct{}{}
 }
 
-func (x partIndex) remove(id string, cell int) {
+func (x partitionIndex) remove(id string, cell int) {
 	p := ownership.PartitionOf(cell)
 	if delete(x[p], id); len(x[p]) == 0 {
 		delete(x, p)
 	}
 }
 
-// Part is the whole list of some partitions. Its work grows with what they hold, not with the list.
-func (s *State) Part(set ownership.Set) List {
-	l := List{Revision: s.i.Revision, Complete: true, Members: make([]Endpoint, 0, s.partSize(set))}
+// PartitionList returns the complete list of some partitions. Its cost grows with their size, not with the
+// whole list.
+func (s *State) PartitionList(set ownership.Set) List {
+	l := List{Revision: s.image.Revision, Complete: true, Members: make([]Endpoint, 0, s.partitionSize(set))}
 	for p := range set.All() {
-		for id := range s.parts[p] {
-			l.Members = append(l.Members, s.i.Entries[id].Endpoint)
+		for id := range s.partitions[p] {
+			l.Members = append(l.Members, s.image.Entries[id].Endpoint)
 		}
 	}
 	slices.SortFunc(l.Members, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return l
 }
 
-func (s *State) partSize(set ownership.Set) (n int) {
+func (s *State) partitionSize(set ownership.Set) (n int) {
 	for p := range set.All() {
-		n += len(s.parts[p])
+		n += len(s.partitions[p])
 	}
 	return n
 }
 
-// PartSince is what changed in some partitions after a revision, each endpoint once; one that has gone to a partner outside of
-// them is Deleted there. It is their whole list where that is not known or no longer. Its work grows with the kept changes
-// after the revision, not with the list.
-func (s *State) PartSince(after int64, set ownership.Set) List {
-	changes, all := s.Changes(after)
-	if !all || after > s.i.Revision {
-		return s.Part(set)
+// PartitionListSince returns what changed in some partitions after a revision, each endpoint once; an
+// endpoint that moved to a partner outside of them is Deleted. It returns their complete list if those
+// changes are unknown or no longer kept. Its cost grows with the number of kept changes after the revision,
+// not with the list.
+func (s *State) PartitionListSince(after int64, set ownership.Set) List {
+	changes, all := s.ChangesAfter(after)
+	if !all || after > s.image.Revision {
+		return s.PartitionList(set)
 	}
-	held := s.partSize(set)
-	at := map[string]int{}
-	l := List{Revision: s.i.Revision, Members: []Endpoint{}}
-	tell := func(m Endpoint) {
-		if n, ok := at[m.ID]; ok {
+	size := s.partitionSize(set)
+	indexByID := map[string]int{}
+	l := List{Revision: s.image.Revision, Members: []Endpoint{}}
+	add := func(m Endpoint) {
+		if n, ok := indexByID[m.ID]; ok {
 			l.Members[n] = m
 			return
 		}
-		at[m.ID] = len(l.Members)
+		indexByID[m.ID] = len(l.Members)
 		l.Members = append(l.Members, m)
 	}
 	for _, c := range changes {
 		if c.Moved == nil {
-			return s.Part(set)
+			return s.PartitionList(set)
 		}
 		for _, m := range c.Members {
 			if set.Has(ownership.PartitionOf(m.Cell)) {
-				tell(m)
+				add(m)
 			}
 		}
 		for _, m := range c.Moved {
-			if set.Has(ownership.PartitionOf(m.Cell)) && !set.Has(ownership.PartitionOf(m.To)) {
-				tell(m.Endpoint)
+			if set.Has(ownership.PartitionOf(m.Cell)) && !set.Has(ownership.PartitionOf(m.ToCell)) {
+				add(m.Endpoint)
 			}
 		}
-		if len(l.Members) > held+100 { // the whole list is shorter
-			return s.Part(set)
+		if len(l.Members) > size+100 { // the complete list is shorter
+			return s.PartitionList(set)
 		}
 	}
 	return l
 }
 
-// ChangePart is what a change means for one partition.
-type ChangePart struct {
-	Partition int
-	Unless    int // -1; or: not for those who follow this one too, for there the members are as they have become
-	Members   []Endpoint
+// PartitionChange is the effect of a change on one partition.
+type PartitionChange struct {
+	Partition       int
+	UnlessFollowing int // if not -1: not for readers of this partition, who see the moved endpoints there
+	Members         []Endpoint
 }
 
-// Parts is what a change means for each partition that it touches, in their order; false if that is not known.
-func (c Change) Parts() ([]ChangePart, bool) {
+// ByPartition splits a change by the partitions that it touches, in ascending order. It returns false if that
+// is unknown.
+func (c Change) ByPartition() ([]PartitionChange, bool) {
 	if c.Moved == nil {
 		return nil, false
 	}
-	var out []ChangePart
-	at := map[[2]int]int{}
-	tell := func(m Endpoint, unless int) {
-		key := [2]int{ownership.PartitionOf(m.Cell), unless}
-		n, ok := at[key]
+	var parts []PartitionChange
+	indexByKey := map[[2]int]int{}
+	add := func(m Endpoint, unlessFollowing int) {
+		key := [2]int{ownership.PartitionOf(m.Cell), unlessFollowing}
+		n, ok := indexByKey[key]
 		if !ok {
-			n = len(out)
-			at[key] = n
-			out = append(out, ChangePart{Partition: key[0], Unless: unless})
+			n = len(parts)
+			indexByKey[key] = n
+			parts = append(parts, PartitionChange{Partition: key[0], UnlessFollowing: unlessFollowing})
 		}
-		out[n].Members = append(out[n].Members, m)
+		parts[n].Members = append(parts[n].Members, m)
 	}
 	for _, m := range c.Members {
-		tell(m, -1)
+		add(m, -1)
 	}
 	for _, m := range c.Moved {
-		if to := ownership.PartitionOf(m.To); to != ownership.PartitionOf(m.Cell) {
-			tell(m.Endpoint, to)
+		if to := ownership.PartitionOf(m.ToCell); to != ownership.PartitionOf(m.Cell) {
+			add(m.Endpoint, to)
 		}
 	}
-	slices.SortFunc(out, func(a, b ChangePart) int {
-		return cmp.Or(cmp.Compare(a.Partition, b.Partition), cmp.Compare(a.Unless, b.Unless))
+	slices.SortFunc(parts, func(a, b PartitionChange) int {
+		return cmp.Or(cmp.Compare(a.Partition, b.Partition), cmp.Compare(a.UnlessFollowing, b.UnlessFollowing))
 	})
-	return out, true
+	return parts, true
 }
