--- a/fleet/catalog/part_test.go
+++ b/fleet/catalog/part_test.go
@@ -14,41 +14,42 @@
 	"starlingusher/fleet/ownership"
 )
 
-func setOf(cells ...int) (s ownership.Set) {
+func setOf(cells ...int) (set ownership.Set) {
 	for _, c := range cells {
-		s.Add(ownership.PartitionOf(c))
+		set.Add(ownership.PartitionOf(c))
 	}
-	return s
+	return set
 }
 
-// partFollower has what it was told of some partitions.
-type partFollower struct {
-	set  ownership.Set
-	at   int64
-	have map[string]Endpoint
+// partitionFollower holds what it has received of some partitions.
+type partitionFollower struct {
+	set       ownership.Set
+	revision  int64
+	endpoints map[string]Endpoint
 }
 
-func (f *partFollower) take(l List) {
+func (f *partitionFollower) apply(l List) {
 	if l.Complete {
-		clear(f.have)
+		clear(f.endpoints)
 	}
 	for _, m := range l.Members {
-		if f.have[m.ID] = m; m.Phase == Deleted {
-			delete(f.have, m.ID)
+		if f.endpoints[m.ID] = m; m.Phase == Deleted {
+			delete(f.endpoints, m.ID)
 		}
 	}
-	f.at = l.Revision
+	f.revision = l.Revision
 }
 
-// line is a change as a watch of partitions is told it; nil if it is not. It is the order of the pieces that must not matter.
-func (f *partFollower) line(c Change) *List {
-	parts, known := c.Parts()
+// update returns a change as a watch of the partitions receives it, or nil. The order of its members must not
+// matter.
+func (f *partitionFollower) update(c Change) *List {
+	parts, known := c.ByPartition()
 	if !known {
 		return nil
 	}
 	l := List{Revision: c.Revision}
 	for _, p := range parts {
-		if f.set.Has(p.Partition) && (p.Unless < 0 || !f.set.Has(p.Unless)) {
+		if f.set.Has(p.Partition) && (p.UnlessFollowing < 0 || !f.set.Has(p.UnlessFollowing)) {
 			l.Members = append(l.Members, p.Members...)
 		}
 	}
@@ -58,35 +59,35 @@
 	return &l
 }
 
-// check holds what a follower has against a scan of the whole list.
-func (f *partFollower) check(s *State) error {
+// check compares the follower with a scan of the whole list.
+func (f *partitionFollower) check(s *State) error {
 	want := map[string]Endpoint{}
-	for _, m := range s.Whole().Members {
+	for _, m := range s.FullList().Members {
 		if f.set.Has(ownership.PartitionOf(m.Cell)) {
 			want[m.ID] = m
 		}
 	}
-	if !maps.Equal(want, f.have) {
-		return fmt.Errorf("at revision %d the partitions %v hold %v, the follower %v", s.Revision(), f.set, want, f.have)
+	if !maps.Equal(want, f.endpoints) {
+		return fmt.Errorf("at revision %d the partitions %v contain %v, the follower has %v", s.Revision(), f.set, want, f.endpoints)
 	}
 	return nil
 }
 
-// drawWrite is some write over few endpoints of few partners, which change their partners often.
+// drawWrite draws a write on a few endpoints that often move between a few partners.
 func drawWrite(t *rapid.T, s *State) Write {
-	w := Write{Base: Base{Any: true}, Whole: rapid.IntRange(0, 7).Draw(t, "whole") == 0}
+	w := Write{Base: Base{Any: true}, Replace: rapid.IntRange(0, 7).Draw(t, "whole") == 0}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 7), 0, 4, rapid.ID[int]).Draw(t, "ids") {
 		e := endpoint(fmt.Sprint("e", i), rapid.IntRange(0, 5).Draw(t, "cell"))
 		e.Phase = rapid.SampledFrom([]string{Serving, Draining, Deleted}).Draw(t, "phase")
 		w.Members = append(w.Members, e)
 	}
-	w.Guard = rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "guard")
+	w.GuardShare = rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "guard")
 	w.TTL = rapid.SampledFrom([]int64{0, 1000}).Draw(t, "ttl")
 	return w
 }
 
-// reload takes a state through the bytes of a snapshot; without notes as an older build writes it.
-func reload(t fatal, s *State, notes bool) *State {
+// reload passes a state through an encoded snapshot; without moves as an older build writes it.
+func reload(t failer, s *State, moves bool) *State {
 	raw, err := cbor.Marshal(s.Image())
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -95,7 +96,7 @@
 	if err := cbor.Unmarshal(raw, &i); err != nil {
 		t.Fatalf("%v", err)
 	}
-	if !notes {
+	if !moves {
 		for n := range i.Changes {
 			i.Changes[n].Moved = nil
 		}
@@ -107,25 +108,25 @@
 	return next
 }
 
-// Whoever follows some partitions, change by change or resumed at any position, before and after a snapshot, has exactly what a
-// scan of the whole list finds in them.
-func TestEveryWayLeadsToTheSamePart(t *testing.T) {
+// A follower of some partitions must have exactly what a scan of the whole list finds in them, whether it
+// applies each change or resumes at any revision, before and after a snapshot.
+func TestFollowersConvergeOnPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		apply(t, s, Command{At: 1, Found: &Found{}})
+		apply(t, s, Command{At: 1, Bootstrap: &Bootstrap{}})
 		set := setOf(rapid.SliceOfN(rapid.IntRange(0, 5), 1, 4).Draw(t, "set")...)
-		live := &partFollower{set: set, have: map[string]Endpoint{}}
-		slow := &partFollower{set: set, have: map[string]Endpoint{}}
-		type past struct {
-			at   int64
-			have map[string]Endpoint
+		live := &partitionFollower{set: set, endpoints: map[string]Endpoint{}}
+		slow := &partitionFollower{set: set, endpoints: map[string]Endpoint{}}
+		type resumePoint struct {
+			revision  int64
+			endpoints map[string]Endpoint
 		}
-		var pasts []past
+		var resumePoints []resumePoint
 		for range rapid.IntRange(1, 40).Draw(t, "writes") {
 			before := s.Revision()
 			switch rapid.IntRange(0, 9).Draw(t, "command") {
 			case 0:
-				s.Apply(Command{Lapse: &Lapse{Share: 0.5, Drain: []string{"e0", "e1", "e2"}, Gone: []string{"e0", "e3"}}})
+				s.Apply(Command{Expire: &Expiry{MaxShare: 0.5, Drain: []string{"e0", "e1", "e2"}, Remove: []string{"e0", "e3"}}})
 			case 1:
 				if s.Held() != nil {
 					s.Apply(Command{Confirm: &Confirm{Number: s.Held().Number}})
@@ -134,10 +135,10 @@
 				w := drawWrite(t, s)
 				s.Apply(Command{Write: &w})
 			}
-			changes, _ := s.Changes(before)
+			changes, _ := s.ChangesAfter(before)
 			for _, c := range changes {
-				if l := live.line(c); l != nil {
-					live.take(*l)
+				if l := live.update(c); l != nil {
+					live.apply(*l)
 				}
 			}
 			if rapid.IntRange(0, 4).Draw(t, "snapshot") == 0 {
@@ -147,56 +148,56 @@
 				t.Fatal(err)
 			}
 			if rapid.Bool().Draw(t, "resumes") {
-				slow.take(s.PartSince(slow.at, set))
+				slow.apply(s.PartitionListSince(slow.revision, set))
 				if err := slow.check(s); err != nil {
 					t.Fatalf("resumed: %v", err)
 				}
 			}
-			pasts = append(pasts, past{s.Revision(), maps.Clone(live.have)})
+			resumePoints = append(resumePoints, resumePoint{s.Revision(), maps.Clone(live.endpoints)})
 		}
-		for _, p := range pasts {
-			f := &partFollower{set, p.at, p.have}
-			f.take(s.PartSince(p.at, set))
+		for _, p := range resumePoints {
+			f := &partitionFollower{set, p.revision, p.endpoints}
+			f.apply(s.PartitionListSince(p.revision, set))
 			if err := f.check(s); err != nil {
-				t.Fatalf("resumed from revision %d: %v", p.at, err)
+				t.Fatalf("resumed from revision %d: %v", p.revision, err)
 			}
 		}
-		whole := &partFollower{set: set, have: map[string]Endpoint{}}
-		whole.take(s.Part(set))
+		whole := &partitionFollower{set: set, endpoints: map[string]Endpoint{}}
+		whole.apply(s.PartitionList(set))
 		if err := whole.check(s); err != nil {
 			t.Fatal(err)
 		}
-		if want := newPartIndex(s.i.Entries); !reflect.DeepEqual(want, s.parts) {
-			t.Fatalf("the index is %v, anew it is %v", s.parts, want)
+		if want := newPartitionIndex(s.image.Entries); !reflect.DeepEqual(want, s.partitions) {
+			t.Fatalf("the index is %v, rebuilt it is %v", s.partitions, want)
 		}
 	})
 }
 
-// One change that is left out of the filtered lines is found, whichever it is.
-func TestAChangeLeftOutIsFound(t *testing.T) {
+// The check must notice any single change that the follower does not receive.
+func TestCheckNoticesMissingChange(t *testing.T) {
 	found := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		apply(t, s, Command{At: 1, Found: &Found{}})
-		f := &partFollower{set: setOf(0, 1, 2), have: map[string]Endpoint{}}
-		skip := rapid.IntRange(0, 5).Draw(t, "left out") // of the lines that change something for the follower
+		apply(t, s, Command{At: 1, Bootstrap: &Bootstrap{}})
+		f := &partitionFollower{set: setOf(0, 1, 2), endpoints: map[string]Endpoint{}}
+		skip := rapid.IntRange(0, 5).Draw(t, "left out") // counts updates that change something for the follower
 		for range 40 {
 			before := s.Revision()
 			w := drawWrite(t, s)
 			s.Apply(Command{Write: &w})
-			changes, _ := s.Changes(before)
+			changes, _ := s.ChangesAfter(before)
 			for _, c := range changes {
-				l := f.line(c)
+				l := f.update(c)
 				if l == nil {
 					continue
 				}
-				was := maps.Clone(f.have)
-				if f.take(*l); maps.Equal(was, f.have) {
+				was := maps.Clone(f.endpoints)
+				if f.apply(*l); maps.Equal(was, f.endpoints) {
 					continue
 				}
 				if skip--; skip < 0 {
-					if f.have = was; f.check(s) == nil {
-						t.Fatalf("change %+v was left out and not missed", c)
+					if f.endpoints = was; f.check(s) == nil {
+						t.Fatalf("the check did not notice that change %+v was left out", c)
 					}
 					found++
 					return
@@ -205,13 +206,14 @@
 		}
 	})
 	if found < 50 {
-		t.Errorf("only %d breaches were tried", found)
+		t.Errorf("only %d omitted changes were tried", found)
 	}
 }
 
-// An endpoint that goes to another partner is gone for those who follow the former one alone, also when they come back later.
-func TestMovedEndpointIsGoneWhereItWas(t *testing.T) {
-	s := founded(t, 1) // e0 of partner 0
+// An endpoint that moves to another partner must be deleted for followers of the former partner only, also if
+// they resume later.
+func TestMovedEndpointIsDeletedFromFormerPartition(t *testing.T) {
+	s := bootstrapped(t, 1) // e0 of partner 0
 	at := s.Revision()
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("e0", 1)}}})
 	gone := with(endpoint("e0", 0), Deleted)
@@ -224,73 +226,75 @@
 		{setOf(0, 1), []Endpoint{endpoint("e0", 1)}},
 		{setOf(2), []Endpoint{}},
 	} {
-		if l := s.PartSince(at, c.set); l.Complete || l.Revision != at+1 || !slices.Equal(l.Members, c.want) {
-			t.Errorf("%v is told %+v", c.set, l)
+		if l := s.PartitionListSince(at, c.set); l.Complete || l.Revision != at+1 || !slices.Equal(l.Members, c.want) {
+			t.Errorf("partitions %v get %+v", c.set, l)
 		}
-		if l := reload(t, s, true).PartSince(at, c.set); l.Complete || !slices.Equal(l.Members, c.want) {
-			t.Errorf("%v is told %+v after a snapshot", c.set, l)
+		if l := reload(t, s, true).PartitionListSince(at, c.set); l.Complete || !slices.Equal(l.Members, c.want) {
+			t.Errorf("partitions %v get %+v after a snapshot", c.set, l)
 		}
-		if l := reload(t, s, false).PartSince(at, c.set); !l.Complete {
-			t.Errorf("%v is told %+v after an older build's snapshot, which does not tell who left", c.set, l)
+		if l := reload(t, s, false).PartitionListSince(at, c.set); !l.Complete {
+			t.Errorf("partitions %v get %+v after an older build's snapshot, which has no moves", c.set, l)
 		}
 	}
-	// What has changed since is known again.
+	// Changes after the older build's snapshot are known again.
 	old := reload(t, s, false)
 	apply(t, old, Command{Write: &Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("e0", 2)}}})
-	if l := old.PartSince(at+1, setOf(1)); l.Complete || !slices.Equal(l.Members, []Endpoint{with(endpoint("e0", 1), Deleted)}) {
-		t.Errorf("told after a move behind an older build's snapshot: %+v", l)
+	if l := old.PartitionListSince(at+1, setOf(1)); l.Complete || !slices.Equal(l.Members, []Endpoint{with(endpoint("e0", 1), Deleted)}) {
+		t.Errorf("update after an older build's snapshot: %+v", l)
 	}
 }
 
-// asOlder is an image as an older build, which knows neither notes nor the bound in a write, has it. A slice of nothing is nil.
+// asOlder reduces an image to what an older build has, without moves and without the bound in a write. It
+// turns empty slices into nil.
 func asOlder(i Image) Image {
 	i.Changes = append([]Change(nil), i.Changes...)
 	for n := range i.Changes {
 		i.Changes[n].Moved = nil
 	}
 	if i.Held != nil {
-		i.Held.Write.Most = 0
+		i.Held.Write.MaxEndpoints = 0
 		i.Held.Write.Members = append([]Endpoint(nil), i.Held.Write.Members...)
 	}
 	return i
 }
 
-// A replica of an older build, which drops what it does not know of commands and of snapshots, has the same state. (What is held
-// back an older build itself loses with a restart, see TestSnapshotKeepsWhatIsHeldBack; here it does not.)
-func TestOlderBuildBesideHasTheSameState(t *testing.T) {
+// A replica of an older build, which ignores the newer fields of commands and snapshots, must have the same
+// state. (An older build loses a held write when it restarts, see TestSnapshotKeepsHeldWrite; that does not
+// occur here.)
+func TestOlderBuildHasSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(), New()
 		both := func(c Command) {
 			older := c
-			if c.Restore != nil { // each reads its own from the log
-				x, y := reload(t, a, true).i, reload(t, a, false).i
+			if c.Restore != nil { // each replica reads its own from the log
+				x, y := reload(t, a, true).image, reload(t, a, false).image
 				if rapid.Bool().Draw(t, "older") {
-					x, y = reload(t, b, false).i, reload(t, b, false).i
+					x, y = reload(t, b, false).image, reload(t, b, false).image
 				}
 				c.Restore, older.Restore = &x, &y
 			}
 			if c.Write != nil {
 				w := *c.Write
-				w.Most = 0
+				w.MaxEndpoints = 0
 				older.Write = &w
 			}
 			ra, rb := a.Apply(c), b.Apply(older)
 			if ra.Revision != rb.Revision || ra.Token != rb.Token || ra.Held != rb.Held || fmt.Sprint(ra.Err) != fmt.Sprint(rb.Err) {
-				t.Fatalf("they answer %+v and %+v", ra, rb)
+				t.Fatalf("the replicas respond %+v and %+v", ra, rb)
 			}
 		}
-		both(Command{At: 1, Found: &Found{}})
+		both(Command{At: 1, Bootstrap: &Bootstrap{}})
 		for range rapid.IntRange(1, 30).Draw(t, "commands") {
 			switch rapid.IntRange(0, 6).Draw(t, "command") {
 			case 0:
-				both(Command{Acquire: &Hold{Name: ownership.Record, Holder: "w", Value: []byte("no map"), SetsVal: rapid.Bool().Draw(t, "sets")}})
+				both(Command{Acquire: &RecordOp{Name: ownership.RecordName, Holder: "w", Value: []byte("no map"), SetValue: rapid.Bool().Draw(t, "sets")}})
 			case 1:
 				if h := a.Held(); h != nil {
 					both(Command{Confirm: &Confirm{Number: h.Number}})
 				}
 			case 2:
 				both(Command{At: 5, Restore: &Image{}})
-			case 3: // the newer one is sent the older one's snapshot, or the other way round
+			case 3: // one replica installs the other's snapshot
 				if rapid.Bool().Draw(t, "up") {
 					a = reload(t, b, false)
 				} else {
@@ -298,48 +302,49 @@
 				}
 			default:
 				w := drawWrite(t, a)
-				w.Most = UsualMembers
+				w.MaxEndpoints = DefaultMaxEndpoints
 				both(Command{Write: &w})
 			}
 			if x, y := asOlder(a.Image()), asOlder(b.Image()); !reflect.DeepEqual(x, y) {
-				t.Fatalf("their states differ: %+v %+v, %+v %+v", x, x.Held, y, y.Held)
+				t.Fatalf("the states differ: %+v %+v, %+v %+v", x, x.Held, y, y.Held)
 			}
 		}
 	})
 }
 
-func TestWriteCarriesTheListsBound(t *testing.T) {
-	s := founded(t, 3)
-	more := func(most int64, ids ...string) Write {
-		w := Write{Base: Base{Any: true}, Most: most}
+func TestWriteCarriesListBound(t *testing.T) {
+	s := bootstrapped(t, 3)
+	newWrite := func(bound int64, ids ...string) Write {
+		w := Write{Base: Base{Any: true}, MaxEndpoints: bound}
 		for _, id := range ids {
 			w.Members = append(w.Members, endpoint(id, 0))
 		}
 		return w
 	}
-	over := more(4, "e0", "e1", "e2", "x", "y")
-	refused(t, s, Command{Write: &over}, ErrFull)
-	if err := s.Fits(over); !errors.Is(err, ErrFull) {
-		t.Errorf("it fits: %v", err)
+	tooLarge := newWrite(4, "e0", "e1", "e2", "x", "y")
+	expectError(t, s, Command{Write: &tooLarge}, ErrFull)
+	if err := s.CheckCapacity(tooLarge); !errors.Is(err, ErrFull) {
+		t.Errorf("a write beyond the bound fits: %v", err)
 	}
-	at := more(4, "e0", "e1", "e2", "x")
-	if err := s.Fits(at); err != nil {
+	at := newWrite(4, "e0", "e1", "e2", "x")
+	if err := s.CheckCapacity(at); err != nil {
 		t.Error(err)
 	}
 	apply(t, s, Command{Write: &at})
-	less := Write{Base: Base{Any: true}, Most: 1, Members: []Endpoint{with(endpoint("x", 0), Draining), with(endpoint("e0", 0), Deleted)}}
-	apply(t, s, Command{Write: &less}) // a list over a bound that was lowered can still shrink
+	lowered := Write{Base: Base{Any: true}, MaxEndpoints: 1, Members: []Endpoint{with(endpoint("x", 0), Draining), with(endpoint("e0", 0), Deleted)}}
+	apply(t, s, Command{Write: &lowered}) // a list above a lowered bound can still shrink
 
-	// Without a bound it is what older builds have, so that an older log leads to the same state.
+	// Without a bound in the write, the one of older builds applies, so that an older log yields the same
+	// state.
 	var all []Endpoint
-	for i := range UsualMembers - s.Size() {
+	for i := range DefaultMaxEndpoints - s.Size() {
 		all = append(all, endpoint(fmt.Sprint("n", i), i))
 	}
 	apply(t, s, Command{Write: &Write{Base: Base{Any: true}, Members: all}})
-	one := Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("last", 0)}}
-	refused(t, s, Command{Write: &one}, ErrFull)
-	one.Most = UsualMembers + 1
-	apply(t, s, Command{Write: &one})
+	last := Write{Base: Base{Any: true}, Members: []Endpoint{endpoint("last", 0)}}
+	expectError(t, s, Command{Write: &last}, ErrFull)
+	last.MaxEndpoints = DefaultMaxEndpoints + 1
+	apply(t, s, Command{Write: &last})
 	if _, err := Load(s.Image()); err != nil {
 		t.Error(err)
 	}
--- a/fleet/judge/judge.go
+++ b/fleet/judge/judge.go
@@ -1,5 +1,6 @@
-// Package judge finds broken rules in a history: what a fleet of nodes did, as clients, partners and the platform saw
-// it. It takes no node's word for anything. A breach names the rule, the message, and the events that prove it.
+// Package judge finds broken rules in a history: what a fleet of nodes did, as seen by clients, partners and
+// the platform. It never relies on what a node says of itself. A violation names the rule, the message, and
+// the events that show it.
 package judge
 
 import (
@@ -15,272 +16,273 @@
 // Rule names a rule.
 type Rule string
 
-// The rules.
 const (
-	OneEnd   Rule = "one-end"  // one final answer for each message taken, in time
-	Over     Rule = "over"     // nothing is sent on after its final answer
-	OneCopy  Rule = "one-copy" // never two attempts of a message out at once
-	Once     Rule = "once"     // what must not run twice is not sent, handed back or run again once it may have run
-	Window   Rule = "window"   // keyed messages are repeated within their window or not at all
-	Drain    Rule = "drain"    // nothing new to an endpoint that drains or is gone, a second after it was told
-	Wait     Rule = "wait"     // a partner that asked to be left alone is
-	Cold     Rule = "cold"     // no cold partner is pushed over by those who saw its outage
-	Attempts Rule = "attempts" // so many for a message at most
-	Slots    Rule = "slots"    // so many calls of a node out at once at most
-	Foreign  Rule = "foreign"  // a partner gets only the messages that were handed in for it
-	Answer   Rule = "answer"   // a client that has handed in whole gets an answer
-	Alive    Rule = "alive"    // no crash, no failed start, no limit exceeded
+	OneFinalAnswer    Rule = "one-end"  // each accepted message has one final answer, in time
+	NothingAfterEnd   Rule = "over"     // a message is not sent after its final answer
+	OneAttemptAtATime Rule = "one-copy" // no two attempts of a message are in flight at once
+	AtMostOnce        Rule = "once"     // a message that must not run twice is not sent, returned or run again once it may have run
+	KeyWindow         Rule = "window"   // deduplicated messages are repeated within their window or not at all
+	Drain             Rule = "drain"    // no new calls to an endpoint from Config.DrainGrace after it was announced as draining or deleted
+	RetryAfter        Rule = "wait"     // a partner that told a retry-after gets no calls until it has passed
+	SlowStart         Rule = "cold"     // no partner in slow start collapses by calls from nodes that saw its outage
+	MaxAttempts       Rule = "attempts" // a message has at most Config.MaxAttempts attempts
+	Slots             Rule = "slots"    // a node has at most as many calls in flight as it has slots
+	WrongPartner      Rule = "foreign"  // a partner gets only messages that were submitted for it
+	AnswerGiven       Rule = "answer"   // a client that sent a complete request gets an answer
+	Alive             Rule = "alive"    // no crash, no failed start, no resource limit exceeded
 )
 
-// Rules are all rules.
-var Rules = []Rule{OneEnd, Over, OneCopy, Once, Window, Drain, Wait, Cold, Attempts, Slots, Foreign, Answer, Alive}
+// Rules lists all rules.
+var Rules = []Rule{OneFinalAnswer, NothingAfterEnd, OneAttemptAtATime, AtMostOnce, KeyWindow, Drain, RetryAfter, SlowStart, MaxAttempts, Slots, WrongPartner, AnswerGiven, Alive}
 
 // Effect is what a repeat of a message may do.
 type Effect uint8
 
-// The effects of a class.
 const (
-	Safe   Effect = iota // repeats are harmless
-	Keyed                // repeats are dropped for a window
-	Unsafe               // must never run twice
+	EffectIdempotent   Effect = iota // repeats are harmless
+	EffectDeduplicated               // repeats are dropped within a window
+	EffectAtMostOnce                 // must never run twice
 )
 
-// Class is what the rules need to know of a class.
+// Class holds the properties of a message class that the rules need.
 type Class struct {
 	Name   string
 	Effect Effect
-	Window time.Duration
+	Window time.Duration // in which the partner drops repeats; only for EffectDeduplicated
 }
 
-// Terms are the figures of the rules. The zero value of a slack is none.
-type Terms struct {
-	Classes      []Class
-	MaxAttempts  int // 0: any number
-	Slots        []int
-	DrainGrace   time.Duration // after a drain was told
-	Slack        time.Duration // on top of every time limit
-	EndSlack     time.Duration // after a message's time, for its end
-	RestartSlack time.Duration // after a restarted node is ready, for the ends that it owes
-	WaitGrace    time.Duration // calls that come so soon after a wait was told are let through
-	CopySlack    time.Duration // overlaps shorter than this may be the observer's own lateness
+// Config holds the parameters of the rules. A zero slack means none.
+type Config struct {
+	Classes          []Class
+	MaxAttempts      int           // 0: unlimited
+	Slots            []int         // calls that a node may have in flight, by node; 0: not checked
+	DrainGrace       time.Duration // after a drain was announced
+	Slack            time.Duration // added to every time limit
+	FinalAnswerSlack time.Duration // after a message's deadline, for its final answer
+	RestartSlack     time.Duration // after a restarted node is ready, for final answers that are overdue
+	RetryAfterGrace  time.Duration // calls that start so soon after a retry-after was told are allowed
+	OverlapSlack     time.Duration // shorter overlaps may come from delays of the observer
 }
 
-// DefaultTerms are the protocol's figures.
-func DefaultTerms() Terms {
+// DefaultConfig returns the values of the protocol.
+func DefaultConfig() Config {
 	const ms = time.Millisecond
-	return Terms{
-		MaxAttempts: 6, DrainGrace: 1000 * ms, Slack: 50 * ms, EndSlack: 300 * ms, RestartSlack: 1500 * ms, WaitGrace: 100 * ms,
-		CopySlack: 20 * ms,
+	return Config{
+		MaxAttempts: 6, DrainGrace: 1000 * ms, Slack: 50 * ms, FinalAnswerSlack: 300 * ms, RestartSlack: 1500 * ms, RetryAfterGrace: 100 * ms,
+		OverlapSlack: 20 * ms,
 	}
 }
 
-// Breach is a rule that was broken.
-type Breach struct {
-	Rule  Rule            `json:"rule"`
-	Node  int             `json:"node"`
-	ID    string          `json:"id,omitempty"`
-	At    time.Duration   `json:"at"`
-	Why   string          `json:"why"`
-	Proof []history.Event `json:"proof"`
+// Violation is a broken rule.
+type Violation struct {
+	Rule     Rule            `json:"rule"`
+	Node     int             `json:"node"`
+	ID       string          `json:"id,omitempty"`
+	At       time.Duration   `json:"at"`
+	Reason   string          `json:"why"`
+	Evidence []history.Event `json:"proof"`
 }
 
-func (b Breach) String() string {
-	s := fmt.Sprintf("%s: node %d at %v", b.Rule, b.Node, b.At.Round(time.Millisecond))
-	if b.ID != "" {
-		s += ", message " + b.ID
+func (v Violation) String() string {
+	s := fmt.Sprintf("%s: node %d at %v", v.Rule, v.Node, v.At.Round(time.Millisecond))
+	if v.ID != "" {
+		s += ", message " + v.ID
 	}
-	return s + ": " + b.Why
+	return s + ": " + v.Reason
 }
 
-// call is one call as it was seen.
+// call is one call as the observers saw it.
 type call struct {
-	began, ended history.Event
-	open         bool          // it never ended
-	over         time.Duration // the time of one of its messages was up then
+	started, ended history.Event
+	unfinished     bool          // no end was seen
+	firstDeadline  time.Duration // when the first of its messages reached its deadline
 }
 
-func (c *call) end() time.Duration {
-	if c.open {
+func (c *call) endTime() time.Duration {
+	if c.unfinished {
 		return 1<<63 - 1
 	}
 	return c.ended.At
 }
 
-// fate is how the call ended for a message, as the node was told; mayHaveRun unless the node has proof. What an answer to
-// several says when one of them is over counts for none.
-func (c *call) fate(id string) (delivered, mayHaveRun bool) {
-	if c.open {
+// outcome returns how the call ended for a message, as the node was told. mayHaveRun is true unless the node
+// has proof that the message did not run. An answer to a batch that comes after the deadline of one of its
+// messages counts as a delivery of none of them.
+func (c *call) outcome(id string) (delivered, mayHaveRun bool) {
+	if c.unfinished {
 		return false, true
 	}
 	switch c.ended.State {
 	case history.Accepted:
-		for i, f := range c.ended.Fates {
-			if i < len(c.began.IDs) && c.began.IDs[i] == id {
-				counts := len(c.began.IDs) == 1 || c.ended.At <= c.over
-				return f == history.FateAccepted && counts, f != history.FateDeferred
+		for i, f := range c.ended.Outcomes {
+			if i < len(c.started.IDs) && c.started.IDs[i] == id {
+				counts := len(c.started.IDs) == 1 || c.ended.At <= c.firstDeadline
+				return f == history.OutcomeAccepted && counts, f != history.OutcomeDeferred
 			}
 		}
 		return false, true
-	case history.Above, history.Turned, history.Full, history.Crowded:
+	case history.AboveLimit, history.Rejected, history.QueueFull, history.TooManyConns:
 		return false, false
 	}
 	return false, true
 }
 
+// message is what was seen of one submission; a message that is resubmitted under another id has several.
 type message struct {
-	in       history.Event
-	answered *history.Event // by the node; nil: not seen
-	calls    []*call
-	notices  []history.Event
-	ran      []history.Event
+	submitted history.Event
+	answered  *history.Event // by the node; nil: not seen
+	calls     []*call
+	notices   []history.Event
+	ran       []history.Event
 }
 
-func (m *message) taken() bool { return m.answered != nil && m.answered.State == history.Taken }
+func (m *message) accepted() bool { return m.answered != nil && m.answered.State == history.Taken }
 
-// span is a stretch of time in which nothing is asked of a node.
+// span is a period in which nothing is required of a node.
 type span struct{ from, to time.Duration }
 
-type judge struct {
-	terms    Terms
-	events   []history.Event
-	messages map[string]*message
-	ids      []string // of messages, in the order of their hand-in
-	calls    map[uint64]*call
-	order    []*call
-	excused  map[int][]span // restarts and stops, by node
-	starts   map[int][]time.Duration
-	lost     map[int][]time.Duration
-	end      time.Duration
-	found    []Breach
-}
-
-// Find judges a history, which must be in order of its times. Breaches come in the order of theirs.
-func Find(terms Terms, events []history.Event) []Breach {
-	j := &judge{
-		terms: terms, events: events, messages: map[string]*message{}, calls: map[uint64]*call{}, excused: map[int][]span{},
-		starts: map[int][]time.Duration{}, lost: map[int][]time.Duration{},
-	}
-	j.read()
-	j.processes()
-	for _, id := range j.ids {
+type checker struct {
+	config     Config
+	events     []history.Event
+	messages   map[string]*message
+	messageIDs []string // of messages, in the order of their submission
+	calls      map[uint64]*call
+	callOrder  []*call
+	excused    map[int][]span          // restarts and stops, by node
+	starts     map[int][]time.Duration // of processes, by node
+	stateLost  map[int][]time.Duration // when the state directory was lost, by node
+	end        time.Duration           // of the history
+	violations []Violation
+}
+
+// FindViolations checks a history, which must be in order of time. It returns the violations in order of time.
+func FindViolations(config Config, events []history.Event) []Violation {
+	j := &checker{
+		config: config, events: events, messages: map[string]*message{}, calls: map[uint64]*call{}, excused: map[int][]span{},
+		starts: map[int][]time.Duration{}, stateLost: map[int][]time.Duration{},
+	}
+	j.index()
+	j.checkProcesses()
+	for _, id := range j.messageIDs {
 		m := j.messages[id]
-		j.oneEnd(m)
-		j.over(m)
-		j.attempts(m)
-		j.effects(m)
-		j.answer(m)
+		j.checkOneFinalAnswer(m)
+		j.checkNothingAfterEnd(m)
+		j.checkAttempts(m)
+		j.checkRepeats(m)
+		j.checkAnswer(m)
 	}
-	j.cases()
-	j.foreign()
-	j.drains()
-	j.waits()
-	j.slots()
-	j.colds()
-	slices.SortStableFunc(j.found, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
-	return j.found
+	j.checkDoubleRuns()
+	j.checkPartners()
+	j.checkDrains()
+	j.checkRetryAfter()
+	j.checkSlots()
+	j.checkSlowStart()
+	slices.SortStableFunc(j.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return j.violations
 }
 
-func (j *judge) breach(rule Rule, node int, id string, at time.Duration, proof []history.Event, why string, args ...any) {
-	j.found = append(j.found, Breach{Rule: rule, Node: node, ID: id, At: at, Why: fmt.Sprintf(why, args...), Proof: proof})
+func (j *checker) report(rule Rule, node int, id string, at time.Duration, evidence []history.Event, reason string, args ...any) {
+	j.violations = append(j.violations, Violation{Rule: rule, Node: node, ID: id, At: at, Reason: fmt.Sprintf(reason, args...), Evidence: evidence})
 }
 
-// read sorts the events by message and call.
-func (j *judge) read() {
+// index groups the events by message and call.
+func (j *checker) index() {
 	if n := len(j.events); n > 0 {
 		j.end = j.events[n-1].At
 	}
-	// A call that was given up on its way ends before it begins at the partner, so beginnings are read first.
+	// A call that was abandoned on its way ends before it starts at the partner, so the starts are read
+	// first.
 	for _, e := range j.events {
-		if e.Kind == history.CallBegan {
-			c := &call{began: e, open: true}
+		if e.Kind == history.CallStarted {
+			c := &call{started: e, unfinished: true}
 			j.calls[e.Call] = c
-			j.order = append(j.order, c)
+			j.callOrder = append(j.callOrder, c)
 		}
 	}
 	for _, e := range j.events {
 		switch e.Kind {
-		case history.HandedIn:
+		case history.Submitted:
 			if j.messages[e.ID] == nil {
-				j.ids = append(j.ids, e.ID)
+				j.messageIDs = append(j.messageIDs, e.ID)
 			}
-			j.messages[e.ID] = &message{in: e}
+			j.messages[e.ID] = &message{submitted: e}
 		case history.Answered:
 			if m := j.messages[e.ID]; m != nil {
 				m.answered = &e
 			}
-		case history.CallBegan:
+		case history.CallStarted:
 			c := j.calls[e.Call]
 			for _, id := range e.IDs {
 				if m := j.messages[id]; m != nil {
 					m.calls = append(m.calls, c)
-					if up := m.in.At + m.in.Life + j.terms.Slack; c.over == 0 || up < c.over {
-						c.over = up
+					if deadline := m.submitted.At + m.submitted.ExpiresIn + j.config.Slack; c.firstDeadline == 0 || deadline < c.firstDeadline {
+						c.firstDeadline = deadline
 					}
 				}
 			}
 		case history.CallEnded:
-			if c := j.calls[e.Call]; c != nil && c.open {
-				c.ended, c.open = e, false
+			if c := j.calls[e.Call]; c != nil && c.unfinished {
+				c.ended, c.unfinished = e, false
 			}
-		case history.Ran:
+		case history.Executed:
 			if m := j.messages[e.ID]; m != nil {
 				m.ran = append(m.ran, e)
 			}
-		case history.Noticed:
+		case history.NoticeReceived:
 			if m := j.messages[e.ID]; m != nil {
 				m.notices = append(m.notices, e)
 			}
 		}
 	}
-	byFirst := func(a, b *call) int { return cmp.Compare(a.began.First, b.began.First) }
-	slices.SortStableFunc(j.order, byFirst)
+	byStart := func(a, b *call) int { return cmp.Compare(a.started.FirstAt, b.started.FirstAt) }
+	slices.SortStableFunc(j.callOrder, byStart)
 	for _, m := range j.messages {
-		slices.SortStableFunc(m.calls, byFirst)
+		slices.SortStableFunc(m.calls, byStart)
 	}
 }
 
-// processes finds crashes, and the times in which a node is excused: from the signal of a restart until it is ready
-// again, and while it is stopped, each with a little after it.
-func (j *judge) processes() {
-	asked, since := map[int]bool{}, map[int]time.Duration{} // the node was told to end, and has not been ready since
+// checkProcesses finds crashes, and the periods in which a node is excused: from the signal of a restart
+// until it is ready again, and while it is stopped, each with some slack.
+func (j *checker) checkProcesses() {
+	exitRequested, notReadySince := map[int]bool{}, map[int]time.Duration{} // the node was told to exit; time since which it has not been ready
 	stopped := map[int]time.Duration{}
 	for _, e := range j.events {
 		switch e.Kind {
 		case history.Started:
 			j.starts[e.Node] = append(j.starts[e.Node], e.At)
-			if !asked[e.Node] {
-				since[e.Node] = e.At
+			if !exitRequested[e.Node] {
+				notReadySince[e.Node] = e.At
 			}
-			asked[e.Node] = false
-		case history.Term, history.Killed:
-			if _, out := since[e.Node]; !out {
-				since[e.Node] = e.At
+			exitRequested[e.Node] = false
+		case history.TermSent, history.Killed:
+			if _, known := notReadySince[e.Node]; !known {
+				notReadySince[e.Node] = e.At
 			}
-			asked[e.Node] = true
+			exitRequested[e.Node] = true
 		case history.Ready:
-			if from, ok := since[e.Node]; ok {
-				j.excused[e.Node] = append(j.excused[e.Node], span{from, e.At + j.terms.RestartSlack})
-				delete(since, e.Node)
+			if from, ok := notReadySince[e.Node]; ok {
+				j.excused[e.Node] = append(j.excused[e.Node], span{from, e.At + j.config.RestartSlack})
+				delete(notReadySince, e.Node)
 			}
 		case history.Stopped:
 			stopped[e.Node] = e.At
 		case history.Resumed:
 			if from, ok := stopped[e.Node]; ok {
-				j.excused[e.Node] = append(j.excused[e.Node], span{from, e.At + j.terms.RestartSlack})
+				j.excused[e.Node] = append(j.excused[e.Node], span{from, e.At + j.config.RestartSlack})
 				delete(stopped, e.Node)
 			}
 		case history.Exited:
 			if e.State == history.Crashed {
-				j.breach(Alive, e.Node, "", e.At, []history.Event{e}, "the process ended unasked: %s", e.Note)
+				j.report(Alive, e.Node, "", e.At, []history.Event{e}, "the process exited without being told to: %s", e.Note)
 			}
-		case history.Exceeds:
-			j.breach(Alive, e.Node, "", e.At, []history.Event{e}, "%s", e.Note)
-		case history.Lost:
-			j.lost[e.Node] = append(j.lost[e.Node], e.At)
+		case history.LimitExceeded:
+			j.report(Alive, e.Node, "", e.At, []history.Event{e}, "%s", e.Note)
+		case history.StateLost:
+			j.stateLost[e.Node] = append(j.stateLost[e.Node], e.At)
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(since)) {
-		j.excused[n] = append(j.excused[n], span{since[n], j.end + time.Hour})
+	for _, n := range slices.Sorted(maps.Keys(notReadySince)) {
+		j.excused[n] = append(j.excused[n], span{notReadySince[n], j.end + time.Hour})
 	}
 	for n, from := range stopped {
 		j.excused[n] = append(j.excused[n], span{from, j.end + time.Hour})
@@ -290,8 +292,9 @@
 	}
 }
 
-// excusedUntil moves a time on to the end of the stretches in which the node is excused.
-func (j *judge) excusedUntil(node int, at time.Duration) time.Duration {
+// excusedUntil returns the end of the excused periods of a node that a time is in, or the time itself if it is in
+// none.
+func (j *checker) excusedUntil(node int, at time.Duration) time.Duration {
 	for _, s := range j.excused[node] {
 		if s.from <= at && at < s.to {
 			at = s.to
@@ -300,16 +303,17 @@
 	return at
 }
 
-func (j *judge) lostSince(node int, at time.Duration) bool {
-	return slices.ContainsFunc(j.lost[node], func(l time.Duration) bool { return l >= at })
+// stateLostSince reports whether the node lost its state directory at or after a time.
+func (j *checker) stateLostSince(node int, at time.Duration) bool {
+	return slices.ContainsFunc(j.stateLost[node], func(l time.Duration) bool { return l >= at })
 }
 
-// ended is the first of a message's ends, and what it was.
-func (j *judge) ended(m *message) (history.Event, bool) {
+// finalAnswer returns the first event that ended the message: a call that delivered it, or a notice.
+func (j *checker) finalAnswer(m *message) (history.Event, bool) {
 	var first history.Event
 	found := false
 	for _, c := range m.calls {
-		if ok, _ := c.fate(m.in.ID); ok && (!found || c.ended.At < first.At) {
+		if ok, _ := c.outcome(m.submitted.ID); ok && (!found || c.ended.At < first.At) {
 			first, found = c.ended, true
 		}
 	}
@@ -321,24 +325,25 @@
 	return first, found
 }
 
-func (j *judge) oneEnd(m *message) {
-	if !m.taken() || j.lostSince(m.in.Node, m.in.At) {
+func (j *checker) checkOneFinalAnswer(m *message) {
+	if !m.accepted() || j.stateLostSince(m.submitted.Node, m.submitted.At) {
 		return
 	}
-	// A call out at its time may end it then; the slack is for the way that the news takes.
-	due := j.excusedUntil(m.in.Node, m.in.At+m.in.Life+j.terms.EndSlack+j.terms.Slack)
-	end, ok := j.ended(m)
-	proof := []history.Event{m.in, *m.answered}
+	// A call that is in flight at the deadline may end the message then; the slack covers the delay of the
+	// notice.
+	due := j.excusedUntil(m.submitted.Node, m.submitted.At+m.submitted.ExpiresIn+j.config.FinalAnswerSlack+j.config.Slack)
+	end, ok := j.finalAnswer(m)
+	evidence := []history.Event{m.submitted, *m.answered}
 	switch {
 	case !ok && due < j.end:
-		j.breach(OneEnd, m.in.Node, m.in.ID, due, append(proof, callEvents(m)...), "it was taken and never had its end")
+		j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, due, append(evidence, callEvents(m)...), "it was accepted and never had a final answer")
 	case ok && end.At > due:
-		j.breach(OneEnd, m.in.Node, m.in.ID, end.At, append(proof, end), "its end came %v too late", (end.At - due).Round(time.Millisecond))
+		j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, end.At, append(evidence, end), "its final answer came %v too late", (end.At - due).Round(time.Millisecond))
 	}
 	// Delivered messages need no notice, and one does no harm. But two notices must not disagree.
 	for i := 1; i < len(m.notices); i++ {
 		if m.notices[i].State != m.notices[0].State {
-			j.breach(OneEnd, m.in.Node, m.in.ID, m.notices[i].At, append(proof, m.notices[0], m.notices[i]), "it ended as %s and then as %s",
+			j.report(OneFinalAnswer, m.submitted.Node, m.submitted.ID, m.notices[i].At, append(evidence, m.notices[0], m.notices[i]), "it ended as %s and then as %s",
 				m.notices[0].State, m.notices[i].State)
 			break
 		}
@@ -348,74 +353,74 @@
 func callEvents(m *message) []history.Event {
 	var out []history.Event
 	for _, c := range m.calls {
-		out = append(out, c.began)
-		if !c.open {
+		out = append(out, c.started)
+		if !c.unfinished {
 			out = append(out, c.ended)
 		}
 	}
 	return out
 }
 
-func (j *judge) over(m *message) {
-	end, ok := j.ended(m)
-	if !ok || !m.taken() {
+func (j *checker) checkNothingAfterEnd(m *message) {
+	end, ok := j.finalAnswer(m)
+	if !ok || !m.accepted() {
 		return
 	}
 	for _, c := range m.calls {
-		// A message delivered to a process that was killed before it wrote that down may be sent once more, as its class
-		// permits; effects looks at that. After a notice nothing may follow.
-		if c.began.First <= end.At+j.terms.CopySlack {
+		// If a process is killed before it has recorded a delivery, the message may be sent once more, as its
+		// class permits; checkRepeats covers that. After a notice no attempt may follow.
+		if c.started.FirstAt <= end.At+j.config.OverlapSlack {
 			continue
 		}
-		if end.Kind == history.Noticed || !j.restarted(m.in.Node, end.At, c.began.First) {
-			j.breach(Over, m.in.Node, m.in.ID, c.began.First, []history.Event{m.in, end, c.began}, "it was sent %v after its final answer",
-				(c.began.First - end.At).Round(time.Millisecond))
+		if end.Kind == history.NoticeReceived || !j.restarted(m.submitted.Node, end.At, c.started.FirstAt) {
+			j.report(NothingAfterEnd, m.submitted.Node, m.submitted.ID, c.started.FirstAt, []history.Event{m.submitted, end, c.started}, "it was sent %v after its final answer",
+				(c.started.FirstAt - end.At).Round(time.Millisecond))
 			return
 		}
 	}
 }
 
-func (j *judge) attempts(m *message) {
-	if most := j.terms.MaxAttempts; most > 0 && len(m.calls) > most {
-		j.breach(Attempts, m.in.Node, m.in.ID, m.calls[most].began.First, callEvents(m), "%d attempts, %d are allowed", len(m.calls), most)
+func (j *checker) checkAttempts(m *message) {
+	if limit := j.config.MaxAttempts; limit > 0 && len(m.calls) > limit {
+		j.report(MaxAttempts, m.submitted.Node, m.submitted.ID, m.calls[limit].started.FirstAt, callEvents(m), "%d attempts, %d are allowed", len(m.calls), limit)
 	}
 }
 
-// effects looks at each attempt against those before it.
-func (j *judge) effects(m *message) {
+// checkRepeats compares each attempt of a message with those before it.
+func (j *checker) checkRepeats(m *message) {
 	class := Class{}
-	if m.in.Class < len(j.terms.Classes) {
-		class = j.terms.Classes[m.in.Class]
+	if m.submitted.Class < len(j.config.Classes) {
+		class = j.config.Classes[m.submitted.Class]
 	}
-	copies, once, window := false, false, false
+	overlapFound, repeatFound, windowFound := false, false, false
 	for i, c := range m.calls {
 		for _, before := range m.calls[:i] {
-			if !copies && before.end() > c.began.First+j.terms.CopySlack {
-				copies = true
-				proof := []history.Event{m.in, before.began, c.began}
-				if !before.open {
-					proof = append(proof, before.ended)
+			if !overlapFound && before.endTime() > c.started.FirstAt+j.config.OverlapSlack {
+				overlapFound = true
+				evidence := []history.Event{m.submitted, before.started, c.started}
+				if !before.unfinished {
+					evidence = append(evidence, before.ended)
 				}
-				j.breach(OneCopy, m.in.Node, m.in.ID, c.began.First, proof, "call %d began while call %d was out", c.began.Call, before.began.Call)
+				j.report(OneAttemptAtATime, m.submitted.Node, m.submitted.ID, c.started.FirstAt, evidence, "call %d started while call %d was in flight", c.started.Call, before.started.Call)
 			}
-			if _, may := before.fate(m.in.ID); !may {
+			if _, mayHaveRun := before.outcome(m.submitted.ID); !mayHaveRun {
 				continue
 			}
-			proof := []history.Event{m.in, before.began, before.ended, c.began}
-			late := c.began.First - before.began.First - class.Window - j.terms.Slack
+			evidence := []history.Event{m.submitted, before.started, before.ended, c.started}
+			late := c.started.FirstAt - before.started.FirstAt - class.Window - j.config.Slack
 			switch {
-			case class.Effect == Unsafe && !once:
-				once = true
-				j.breach(Once, m.in.Node, m.in.ID, c.began.First, proof, "it was sent again though call %d may have run it (%s)", before.began.Call,
-					state(before))
-			case class.Effect == Keyed && late > 0 && !window:
-				window = true
-				j.breach(Window, m.in.Node, m.in.ID, c.began.First, proof, "it was sent again %v after its window",
+			case class.Effect == EffectAtMostOnce && !repeatFound:
+				repeatFound = true
+				j.report(AtMostOnce, m.submitted.Node, m.submitted.ID, c.started.FirstAt, evidence, "it was sent again although call %d may have run it (%s)", before.started.Call,
+					endState(before))
+			case class.Effect == EffectDeduplicated && late > 0 && !windowFound:
+				windowFound = true
+				j.report(KeyWindow, m.submitted.Node, m.submitted.ID, c.started.FirstAt, evidence, "it was sent again %v after its deduplication window",
 					late.Round(time.Millisecond))
 			}
 		}
 	}
-	if class.Effect != Unsafe {
+	if class.Effect != EffectAtMostOnce {
 		return
 	}
 	for _, n := range m.notices {
@@ -423,229 +428,233 @@
 			continue
 		}
 		for _, c := range m.calls {
-			if _, may := c.fate(m.in.ID); may && c.began.First < n.At {
-				j.breach(Once, m.in.Node, m.in.ID, n.At, []history.Event{m.in, c.began, c.ended, n}, "it was handed back though call %d may have run it (%s)",
-					c.began.Call, state(c))
+			if _, mayHaveRun := c.outcome(m.submitted.ID); mayHaveRun && c.started.FirstAt < n.At {
+				j.report(AtMostOnce, m.submitted.Node, m.submitted.ID, n.At, []history.Event{m.submitted, c.started, c.ended, n}, "it was returned although call %d may have run it (%s)",
+					c.started.Call, endState(c))
 				return
 			}
 		}
 	}
 }
 
-func state(c *call) string {
-	if c.open {
+func endState(c *call) string {
+	if c.unfinished {
 		return "no end seen"
 	}
 	return c.ended.State
 }
 
-// cases finds messages that must not run twice and did, be it under one id or, after a node said that coming again
-// is harmless, under two.
-func (j *judge) cases() {
+// checkDoubleRuns finds messages that must not run twice and did. Runs under all ids of a message count: a client
+// resubmits it under another id only after a node said that this is harmless.
+func (j *checker) checkDoubleRuns() {
 	type run struct {
-		m  *message
-		at history.Event
+		m     *message
+		event history.Event
 	}
-	byCase := map[int][]run{}
-	for _, id := range j.ids {
+	byMessage := map[int][]run{}
+	for _, id := range j.messageIDs {
 		m := j.messages[id]
-		if m.in.Class < len(j.terms.Classes) && j.terms.Classes[m.in.Class].Effect == Unsafe {
+		if m.submitted.Class < len(j.config.Classes) && j.config.Classes[m.submitted.Class].Effect == EffectAtMostOnce {
 			for _, r := range m.ran {
-				byCase[m.in.Case] = append(byCase[m.in.Case], run{m, r})
+				byMessage[m.submitted.MessageNumber] = append(byMessage[m.submitted.MessageNumber], run{m, r})
 			}
 		}
 	}
-	for _, c := range slices.Sorted(maps.Keys(byCase)) {
-		runs := byCase[c]
-		slices.SortStableFunc(runs, func(a, b run) int { return cmp.Compare(a.at.At, b.at.At) })
+	for _, number := range slices.Sorted(maps.Keys(byMessage)) {
+		runs := byMessage[number]
+		slices.SortStableFunc(runs, func(a, b run) int { return cmp.Compare(a.event.At, b.event.At) })
 		if len(runs) < 2 {
 			continue
 		}
 		a, b := runs[0], runs[1]
-		j.breach(Once, b.m.in.Node, b.m.in.ID, b.at.At, []history.Event{a.m.in, a.at, b.m.in, b.at}, "it took effect twice: in call %d and in call %d",
-			a.at.Call, b.at.Call)
+		j.report(AtMostOnce, b.m.submitted.Node, b.m.submitted.ID, b.event.At, []history.Event{a.m.submitted, a.event, b.m.submitted, b.event}, "it took effect twice: in call %d and in call %d",
+			a.event.Call, b.event.Call)
 	}
 }
 
-func (j *judge) answer(m *message) {
+// checkAnswer finds connections that ended without an answer while the node was not excused.
+func (j *checker) checkAnswer(m *message) {
 	e := m.answered
-	if e == nil || e.State != history.Broken || j.excusedUntil(m.in.Node, e.At) != e.At || j.excusedUntil(m.in.Node, m.in.At) != m.in.At {
+	if e == nil || e.State != history.ConnectionLost || j.excusedUntil(m.submitted.Node, e.At) != e.At || j.excusedUntil(m.submitted.Node, m.submitted.At) != m.submitted.At {
 		return
 	}
-	j.breach(Answer, m.in.Node, m.in.ID, e.At, []history.Event{m.in, *e}, "the connection ended with no answer")
+	j.report(AnswerGiven, m.submitted.Node, m.submitted.ID, e.At, []history.Event{m.submitted, *e}, "the connection ended without an answer")
 }
 
-func (j *judge) foreign() {
-	for _, c := range j.order {
-		for i, id := range c.began.IDs {
+// checkPartners finds messages in calls that the node or the partner should not have had, and duplicates in a call.
+func (j *checker) checkPartners() {
+	for _, c := range j.callOrder {
+		for i, id := range c.started.IDs {
 			m := j.messages[id]
 			switch {
 			case m == nil:
-				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{c.began}, "no client handed it in")
-			case m.in.Dest != c.began.Partner:
-				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it is for partner %d and was sent to %d", m.in.Dest,
-					c.began.Partner)
-			case m.in.Node != c.began.Node:
-				j.breach(Foreign, c.began.Node, id, c.began.At, []history.Event{m.in, c.began}, "it was handed in to node %d", m.in.Node)
-			case slices.Contains(c.began.IDs[:i], id):
-				j.breach(OneCopy, c.began.Node, id, c.began.At, []history.Event{c.began}, "it is in one call twice")
+				j.report(WrongPartner, c.started.Node, id, c.started.At, []history.Event{c.started}, "no client submitted it")
+			case m.submitted.Dest != c.started.Partner:
+				j.report(WrongPartner, c.started.Node, id, c.started.At, []history.Event{m.submitted, c.started}, "it is for partner %d but was sent to partner %d", m.submitted.Dest,
+					c.started.Partner)
+			case m.submitted.Node != c.started.Node:
+				j.report(WrongPartner, c.started.Node, id, c.started.At, []history.Event{m.submitted, c.started}, "it was submitted to node %d, but another node sent it", m.submitted.Node)
+			case slices.Contains(c.started.IDs[:i], id):
+				j.report(OneAttemptAtATime, c.started.Node, id, c.started.At, []history.Event{c.started}, "it is twice in one call")
 			}
 		}
 	}
 }
 
-func (j *judge) drains() {
-	type place struct {
+func (j *checker) checkDrains() {
+	type view struct { // an endpoint as one node is told of it
 		node     int
 		endpoint string
 	}
-	told := map[place]history.Event{}
-	at := map[place][]history.Event{}
+	announced := map[view]history.Event{}
+	at := map[view][]history.Event{}
 	for _, e := range j.events {
-		if e.Kind == history.Told {
-			p := place{e.Node, e.Endpoint}
+		if e.Kind == history.ChangeAnnounced {
+			p := view{e.Node, e.Endpoint}
 			at[p] = append(at[p], e)
 		}
 	}
-	for _, c := range j.order {
-		if len(c.began.IDs) == 0 {
-			continue // a probe is no send
+	for _, c := range j.callOrder {
+		if len(c.started.IDs) == 0 {
+			continue // a probe delivers no message
 		}
-		p := place{c.began.Node, c.began.Endpoint}
-		for len(at[p]) > 0 && at[p][0].At <= c.began.First {
+		p := view{c.started.Node, c.started.Endpoint}
+		for len(at[p]) > 0 && at[p][0].At <= c.started.FirstAt {
 			e := at[p][0]
 			at[p] = at[p][1:]
 			if e.State == history.Serving {
-				delete(told, p)
-			} else if _, before := told[p]; !before {
-				told[p] = e
+				delete(announced, p)
+			} else if _, before := announced[p]; !before {
+				announced[p] = e
 			}
 		}
-		e, ok := told[p]
+		e, ok := announced[p]
 		if !ok {
 			continue
 		}
-		// What was told to a process that does not run is told when it does.
-		heard := j.stoppedUntil(p.node, e.At)
-		if late := c.began.First - heard - j.terms.DrainGrace - j.terms.Slack; late > 0 {
-			j.breach(Drain, p.node, first(c.began.IDs), c.began.First, []history.Event{e, c.began}, "a call to %s %v too late after it was told to be %s",
+		// A process that is stopped learns of a change when it resumes.
+		knownAt := j.stoppedUntil(p.node, e.At)
+		if late := c.started.FirstAt - knownAt - j.config.DrainGrace - j.config.Slack; late > 0 {
+			j.report(Drain, p.node, firstID(c.started.IDs), c.started.FirstAt, []history.Event{e, c.started}, "a call to %s started %v after the end of the grace period; the endpoint had been announced as %s",
 				p.endpoint, late.Round(time.Millisecond), e.State)
 		}
 	}
 }
 
-// stoppedUntil is excusedUntil without the slack for ends.
-func (j *judge) stoppedUntil(node int, at time.Duration) time.Duration {
+// stoppedUntil is excusedUntil without the slack for final answers.
+func (j *checker) stoppedUntil(node int, at time.Duration) time.Duration {
 	for _, s := range j.excused[node] {
-		if to := s.to - j.terms.RestartSlack; s.from <= at && at < to {
+		if to := s.to - j.config.RestartSlack; s.from <= at && at < to {
 			at = to
 		}
 	}
 	return at
 }
 
-func first(ids []string) string {
+func firstID(ids []string) string {
 	if len(ids) == 0 {
 		return ""
 	}
 	return ids[0]
 }
 
-func (j *judge) waits() {
-	type place struct{ node, partner int }
-	told := map[place][]history.Event{}
+func (j *checker) checkRetryAfter() {
+	type pair struct{ node, partner int }
+	refusals := map[pair][]history.Event{}
 	for _, e := range j.events {
-		if e.Kind == history.CallEnded && e.Wait > 0 && e.State != history.GivenUp {
-			p := place{e.Node, e.Partner}
-			told[p] = append(told[p], e)
+		if e.Kind == history.CallEnded && e.RetryAfter > 0 && e.State != history.Abandoned {
+			p := pair{e.Node, e.Partner}
+			refusals[p] = append(refusals[p], e)
 		}
 	}
-	for _, c := range j.order {
-		if len(c.began.IDs) == 0 {
+	for _, c := range j.callOrder {
+		if len(c.started.IDs) == 0 {
 			continue
 		}
-		p := place{c.began.Node, c.began.Partner}
-		for _, e := range told[p] {
-			if e.At > c.began.First {
+		p := pair{c.started.Node, c.started.Partner}
+		for _, e := range refusals[p] {
+			if e.At > c.started.FirstAt {
 				break
 			}
-			heard := j.stoppedUntil(p.node, e.At)
-			if c.began.First <= heard+j.terms.WaitGrace || c.began.First >= e.At+e.Wait-j.terms.Slack || j.restarted(p.node, e.At, c.began.First) {
+			knownAt := j.stoppedUntil(p.node, e.At)
+			if c.started.FirstAt <= knownAt+j.config.RetryAfterGrace || c.started.FirstAt >= e.At+e.RetryAfter-j.config.Slack || j.restarted(p.node, e.At, c.started.FirstAt) {
 				continue
 			}
-			j.breach(Wait, p.node, first(c.began.IDs), c.began.First, []history.Event{e, c.began}, "partner %d asked %v before to be left alone for %v",
-				p.partner, (c.began.First - e.At).Round(time.Millisecond), e.Wait.Round(time.Millisecond))
+			j.report(RetryAfter, p.node, firstID(c.started.IDs), c.started.FirstAt, []history.Event{e, c.started}, "partner %d had answered %v before with a retry-after of %v",
+				p.partner, (c.started.FirstAt - e.At).Round(time.Millisecond), e.RetryAfter.Round(time.Millisecond))
 			break
 		}
 	}
 }
 
-func (j *judge) restarted(node int, from, to time.Duration) bool {
+// restarted reports whether a process of the node started after from and by to.
+func (j *checker) restarted(node int, from, to time.Duration) bool {
 	return slices.ContainsFunc(j.starts[node], func(at time.Duration) bool { return at > from && at <= to })
 }
 
-func (j *judge) slots() {
+func (j *checker) checkSlots() {
 	type edge struct {
-		at time.Duration
-		d  int
-		c  *call
+		at    time.Duration
+		delta int // of the calls in flight
+		call  *call
 	}
 	byNode := map[int][]edge{}
-	for _, c := range j.order {
-		if len(c.began.IDs) == 0 {
+	for _, c := range j.callOrder {
+		if len(c.started.IDs) == 0 {
 			continue // a probe takes no slot
 		}
-		n := c.began.Node
-		byNode[n] = append(byNode[n], edge{c.began.First + j.terms.CopySlack, 1, c})
-		if !c.open {
-			byNode[n] = append(byNode[n], edge{max(c.ended.At, c.began.First+j.terms.CopySlack), -1, c})
+		n := c.started.Node
+		byNode[n] = append(byNode[n], edge{c.started.FirstAt + j.config.OverlapSlack, 1, c})
+		if !c.unfinished {
+			byNode[n] = append(byNode[n], edge{max(c.ended.At, c.started.FirstAt+j.config.OverlapSlack), -1, c})
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(byNode)) {
-		if n >= len(j.terms.Slots) || n < 0 || j.terms.Slots[n] <= 0 {
+		if n >= len(j.config.Slots) || n < 0 || j.config.Slots[n] <= 0 {
 			continue
 		}
 		edges := byNode[n]
-		slices.SortStableFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.d, b.d)) })
-		out := 0
+		slices.SortStableFunc(edges, func(a, b edge) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.delta, b.delta)) })
+		inFlight := 0
 		for _, e := range edges {
-			if out += e.d; out > j.terms.Slots[n] {
-				j.breach(Slots, n, first(e.c.began.IDs), e.at, []history.Event{e.c.began}, "%d calls are out, the node has %d slots", out, j.terms.Slots[n])
+			if inFlight += e.delta; inFlight > j.config.Slots[n] {
+				j.report(Slots, n, firstID(e.call.started.IDs), e.at, []history.Event{e.call.started}, "%d calls are in flight, the node has %d slots", inFlight, j.config.Slots[n])
 				break
 			}
 		}
 	}
 }
 
-// colds finds partners that were pushed over mostly by nodes that had seen the outage.
-func (j *judge) colds() {
-	saw := map[int]map[int]history.Event{} // by partner and node: the first failure in its last outage
-	out := map[int]bool{}
+// checkSlowStart finds partners that collapsed in slow start when two thirds or more of the calls came from nodes
+// that had seen the outage, that is, that had a failed call or connection in it.
+func (j *checker) checkSlowStart() {
+	firstFailure := map[int]map[int]history.Event{} // by partner and node: the first failure in its last outage
+	inOutage := map[int]bool{}
 	for _, e := range j.events {
 		switch e.Kind {
 		case history.OutageBegan:
-			if !out[e.Partner] {
-				saw[e.Partner], out[e.Partner] = map[int]history.Event{}, true
+			if !inOutage[e.Partner] {
+				firstFailure[e.Partner], inOutage[e.Partner] = map[int]history.Event{}, true
 			}
 		case history.OutageEnded:
-			out[e.Partner] = false
-		case history.CallEnded, history.Unreached:
-			if good := e.State == history.Accepted; !good && out[e.Partner] {
-				if _, before := saw[e.Partner][e.Node]; !before {
-					saw[e.Partner][e.Node] = e
+			inOutage[e.Partner] = false
+		case history.CallEnded, history.ConnectFailed:
+			if good := e.State == history.Accepted; !good && inOutage[e.Partner] {
+				if _, before := firstFailure[e.Partner][e.Node]; !before {
+					firstFailure[e.Partner][e.Node] = e
 				}
 			}
-		case history.Fell:
-			proof, all, knew := []history.Event{e}, 0.0, 0.0
-			for _, n := range slices.Sorted(maps.Keys(e.Pushes)) {
-				all += e.Pushes[n]
-				if s, ok := saw[e.Partner][n]; ok {
-					knew += e.Pushes[n]
-					proof = append(proof, s)
+		case history.Collapsed:
+			evidence, total, fromWitnesses := []history.Event{e}, 0.0, 0.0
+			for _, n := range slices.Sorted(maps.Keys(e.CallsBySender)) {
+				total += e.CallsBySender[n]
+				if s, ok := firstFailure[e.Partner][n]; ok {
+					fromWitnesses += e.CallsBySender[n]
+					evidence = append(evidence, s)
 				}
 			}
-			if all > 0 && knew >= all*2/3 {
-				j.breach(Cold, -1, "", e.At, proof, "partner %d was pushed over, %.0f of %.0f calls from nodes that had seen its outage", e.Partner, knew, all)
+			if total > 0 && fromWitnesses >= total*2/3 {
+				j.report(SlowStart, -1, "", e.At, evidence, "partner %d collapsed in slow start, %.0f of %.0f calls came from nodes that had seen its outage", e.Partner, fromWitnesses, total)
 			}
 		}
 	}
--- a/fleet/ownership/make.go
+++ b/fleet/ownership/make.go
@@ -14,61 +14,63 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of what comes from outside.
+// Limits on input.
 const (
-	MaxCopies  = 5
-	MaxMembers = 4096 // past it a member's share is 3 parts, and no longer even
-	MaxName    = 200  // bytes of a name or a zone
+	MaxOwners    = 5
+	MaxMembers   = 4096 // beyond this, a member's fair share is 3 assignments and loads are no longer even
+	MaxNameBytes = 200  // of a member's name or a zone
 )
 
-// The bounds of a member's load, as multiples of its fair share; one part is added to each, for what can't be divided.
-// A member is given parts up to its share if that can be, else up to the first bound, and loses parts from the second
-// on. The second is what a node's memory and limits are reckoned with: 15% over the share, 18 parts where it is 15. The
-// gap between them is there so that a fleet may grow by a tenth before a part moves between members that stay; without
-// one, each member at the bound would have to give a part away whenever the share falls.
+// Bounds of a member's load, as multiples of its fair share; one assignment is added to each because
+// assignments can't be divided. A member is given assignments up to its fair share if possible, else up to
+// maxFillRatio, and loses assignments above maxKeepRatio. The memory and limits of a node are calculated with
+// maxKeepRatio: 15% over the share, 18 assignments where the share is 15. The gap between the two lets a
+// fleet grow by a tenth before an assignment moves between members that stay; without a gap, each member at
+// the bound would have to give one away whenever the share falls.
 const (
-	fillTo = 1.05
-	keepTo = 1.15
+	maxFillRatio = 1.05
+	maxKeepRatio = 1.15
 )
 
-// ErrBad says that members or a map can't be.
-var ErrBad = errors.New("no such map can be")
-
-// Make gives each partition its owners: copies of them, or all members if those are fewer, in as many zones as there
-// are. It ranks members for a partition by weighted rendezvous hashing and bounds what one is given, see fillTo. With
-// before, a partition keeps its owners but for those that left, those who share their zone while a zone has none, those
-// past their bound, and those above their share of whom a member takes that has come (or grown, or is in another zone
-// now), until it has its own share. The result does not hang on the order of members. Errors are ErrBad.
-func Make(number int64, copies int, members []Member, before *Map) (*Map, error) {
-	members = inOrder(members)
-	if err := check(number, copies, members); err != nil {
+// ErrInvalid says that no map can be made of the members, or that a map is invalid.
+var ErrInvalid = errors.New("invalid ownership map")
+
+// Make assigns owners to each partition: ownersPerPartition of them, or all members if there are fewer, in as many zones
+// as there are. It ranks the members for a partition by weighted rendezvous hashing and bounds the load of
+// each, see maxFillRatio. Given a previous map, a partition keeps its owners except: owners that left; owners
+// that share a zone while another zone has none; owners above their bound; and owners above their fair share
+// whose assignment is taken over by a new member (one that joined, gained weight or changed its zone) until
+// that member has its own share. The result does not depend on the order of members. Errors wrap ErrInvalid.
+func Make(number int64, ownersPerPartition int, members []Member, previous *Map) (*Map, error) {
+	members = sortedByName(members)
+	if err := validate(number, ownersPerPartition, members); err != nil {
 		return nil, err
 	}
-	if before != nil && before.Number >= number {
-		return nil, fmt.Errorf("%w: its number is %d, and the one before has %d", ErrBad, number, before.Number)
+	if previous != nil && previous.Number >= number {
+		return nil, fmt.Errorf("%w: number %d is not above the previous map's number %d", ErrInvalid, number, previous.Number)
 	}
-	k := newMaker(copies, members)
-	came := k.keep(before)
-	for p := range Partitions {
-		for len(k.owners[p]) < k.per && k.offer(p, came) {
+	mb := newMapBuilder(ownersPerPartition, members)
+	isNew := mb.keepOwners(previous)
+	for p := range PartitionCount {
+		for len(mb.owners[p]) < mb.ownersEach && mb.addOwnerWithinLimits(p, isNew) {
 		}
 	}
 	for m := range members {
-		if came[m] {
-			k.arrive(m, came)
+		if isNew[m] {
+			mb.fillNewMember(m, isNew)
 		}
 	}
-	for p := range Partitions { // where zones are all but full: rare
-		for len(k.owners[p]) < k.per {
-			k.force(p, came)
+	for p := range PartitionCount { // only where zones are nearly full
+		for len(mb.owners[p]) < mb.ownersEach {
+			mb.addOwner(p, isNew)
 		}
 	}
 	for m := range members {
-		k.shed(m, came)
+		mb.reduceToLimit(m, isNew)
 	}
-	out := &Map{Number: number, Copies: copies, Members: members, owners: make([]uint16, 0, Partitions*k.per)}
-	for p, owners := range k.owners {
-		slices.SortFunc(owners, func(a, b int) int { return k.compare(b, a, p) })
+	out := &Map{Number: number, OwnersPerPartition: ownersPerPartition, Members: members, owners: make([]uint16, 0, PartitionCount*mb.ownersEach)}
+	for p, owners := range mb.owners {
+		slices.SortFunc(owners, func(a, b int) int { return mb.compare(b, a, p) })
 		for _, o := range owners {
 			out.owners = append(out.owners, uint16(o))
 		}
@@ -76,60 +78,62 @@
 	return out, nil
 }
 
-// Check tells what is wrong with copies and members that a map is to be made of: ErrBad.
-func Check(copies int, members []Member) error { return check(1, copies, inOrder(members)) }
+// CheckMembers validates the input of Make. Errors wrap ErrInvalid.
+func CheckMembers(ownersPerPartition int, members []Member) error {
+	return validate(1, ownersPerPartition, sortedByName(members))
+}
 
-func inOrder(members []Member) []Member {
+func sortedByName(members []Member) []Member {
 	return slices.SortedFunc(slices.Values(members), func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// check tells what is wrong with the frame of a map whose members are in order.
-func check(number int64, copies int, members []Member) error {
+// validate checks the number, the owners per partition and the members, which must be sorted by name.
+func validate(number int64, ownersPerPartition int, members []Member) error {
 	switch {
 	case number < 1:
-		return fmt.Errorf("%w: its number is %d, and the first is 1", ErrBad, number)
-	case copies < 1 || copies > MaxCopies:
-		return fmt.Errorf("%w: %d owners of a partition, 1 to %d are possible", ErrBad, copies, MaxCopies)
+		return fmt.Errorf("%w: number %d is below 1", ErrInvalid, number)
+	case ownersPerPartition < 1 || ownersPerPartition > MaxOwners:
+		return fmt.Errorf("%w: %d owners for each partition, must be 1 to %d", ErrInvalid, ownersPerPartition, MaxOwners)
 	case len(members) == 0 || len(members) > MaxMembers:
-		return fmt.Errorf("%w: %d members, 1 to %d are possible", ErrBad, len(members), MaxMembers)
+		return fmt.Errorf("%w: %d members, must be 1 to %d", ErrInvalid, len(members), MaxMembers)
 	}
 	for i, m := range members {
 		if err := errors.Join(checkName("name", m.Name), checkName("zone", m.Zone)); err != nil {
-			return fmt.Errorf("%w: member %.40q: %w", ErrBad, m.Name, err)
+			return fmt.Errorf("%w: member %.40q: %w", ErrInvalid, m.Name, err)
 		}
 		if !(m.Weight > 0) || math.IsInf(m.Weight, 0) {
-			return fmt.Errorf("%w: member %q: weight %v is not finite and above 0", ErrBad, m.Name, m.Weight)
+			return fmt.Errorf("%w: member %q: weight %v must be finite and above 0", ErrInvalid, m.Name, m.Weight)
 		}
 		if i > 0 && members[i-1].Name >= m.Name {
-			return fmt.Errorf("%w: member %q is there twice or out of order", ErrBad, m.Name)
+			return fmt.Errorf("%w: member %q is listed twice or out of order", ErrInvalid, m.Name)
 		}
 	}
 	return nil
 }
 
 func checkName(what, s string) error {
-	if s == "" || len(s) > MaxName || strings.ContainsFunc(s, func(r rune) bool { return r == utf8.RuneError || unicode.IsSpace(r) || unicode.IsControl(r) }) {
-		return fmt.Errorf("%s %.40q: 1 to %d bytes without spaces and control characters", what, s, MaxName)
+	if s == "" || len(s) > MaxNameBytes || strings.ContainsFunc(s, func(r rune) bool { return r == utf8.RuneError || unicode.IsSpace(r) || unicode.IsControl(r) }) {
+		return fmt.Errorf("%s %.40q: must be 1 to %d bytes without spaces and control characters", what, s, MaxNameBytes)
 	}
 	return nil
 }
 
-// weights are the members' weights beside the largest. A weight below a thousand-millionth of it counts as that, so
-// that sums neither overflow nor vanish.
-func weights(members []Member) []float64 {
-	most := 0.0
+// relativeWeights returns the members' weights relative to the largest. A weight below 1e-9 of it counts as
+// 1e-9, so that sums neither overflow nor vanish.
+func relativeWeights(members []Member) []float64 {
+	largest := 0.0
 	for _, m := range members {
-		most = max(most, m.Weight)
+		largest = max(largest, m.Weight)
 	}
 	w := make([]float64, len(members))
 	for i, m := range members {
-		w[i] = max(m.Weight/most, 1e-9)
+		w[i] = max(m.Weight/largest, 1e-9)
 	}
 	return w
 }
 
-// zonesOf numbers the zones, and tells each member's.
-func zonesOf(members []Member) (zone []int, zones int) {
+// numberZones numbers the zones and returns the number of each member's zone.
+func numberZones(members []Member) (zone []int, zones int) {
 	number := map[string]int{}
 	for _, m := range members {
 		if _, ok := number[m.Zone]; !ok {
@@ -140,40 +144,43 @@
 	return zone, len(number)
 }
 
-// shares parts all parts among zones by their weights, and each zone's among its members. A zone has each partition
-// once at most if there are as many zones as owners, else once at least; a member has each once at most.
-func shares(members []Member, per int) []float64 {
-	w := weights(members)
-	zone, zones := zonesOf(members)
-	of := make([][]int, zones)
+// fairShares returns the fair share of each member, in assignments. It divides all assignments among the zones by
+// weight, and those of a zone among its members by weight. If
+// there are at least as many zones as owners of a partition, a zone has each partition at most once,
+// otherwise at least once; a member has each partition at most once.
+func fairShares(members []Member, ownersEach int) []float64 {
+	w := relativeWeights(members)
+	zone, zones := numberZones(members)
+	membersOf := make([][]int, zones)
 	for i, z := range zone {
-		of[z] = append(of[z], i)
+		membersOf[z] = append(membersOf[z], i)
 	}
-	zw, lo, hi := make([]float64, zones), make([]float64, zones), make([]float64, zones)
+	zoneWeights, lo, hi := make([]float64, zones), make([]float64, zones), make([]float64, zones)
 	for z := range zones {
-		for _, i := range of[z] {
-			zw[z] += w[i]
+		for _, i := range membersOf[z] {
+			zoneWeights[z] += w[i]
 		}
-		hi[z] = Partitions
-		if zones < per {
-			lo[z], hi[z] = Partitions, Partitions*float64(len(of[z]))
+		hi[z] = PartitionCount
+		if zones < ownersEach {
+			lo[z], hi[z] = PartitionCount, PartitionCount*float64(len(membersOf[z]))
 		}
 	}
 	out := make([]float64, len(members))
-	for z, share := range divide(Partitions*float64(per), zw, lo, hi) {
-		mw, lo, hi := make([]float64, len(of[z])), make([]float64, len(of[z])), make([]float64, len(of[z]))
-		for j, i := range of[z] {
-			mw[j], hi[j] = w[i], Partitions
+	for z, share := range divideBounded(PartitionCount*float64(ownersEach), zoneWeights, lo, hi) {
+		memberWeights, lo, hi := make([]float64, len(membersOf[z])), make([]float64, len(membersOf[z])), make([]float64, len(membersOf[z]))
+		for j, i := range membersOf[z] {
+			memberWeights[j], hi[j] = w[i], PartitionCount
 		}
-		for j, v := range divide(share, mw, lo, hi) {
-			out[of[z][j]] = v
+		for j, v := range divideBounded(share, memberWeights, lo, hi) {
+			out[membersOf[z][j]] = v
 		}
 	}
 	return out
 }
 
-// divide parts a total by weights, each part within its bounds; the total is between the sums of the bounds.
-func divide(total float64, weights, lo, hi []float64) []float64 {
+// divideBounded divides a total into parts in proportion to weights, each part between its lo and its hi; the
+// total must lie between the sums of these.
+func divideBounded(total float64, weights, lo, hi []float64) []float64 {
 	out := make([]float64, len(weights))
 	fixed := make([]bool, len(weights))
 	for {
@@ -188,7 +195,7 @@
 		if sum == 0 {
 			return out
 		}
-		// All that pass a bound are put to it, on the side on which more is passed: those stay there.
+		// Fix all parts that exceed a bound at that bound, on the side where the excess is larger.
 		over := 0.0
 		for i, w := range weights {
 			if !fixed[i] {
@@ -214,84 +221,86 @@
 	}
 }
 
-// maker is a map in the making.
-type maker struct {
-	members []Member
-	name    []uint64 // hashed
-	weight  []float64
-	zone    []int
-	unlike  int // zones that each partition's owners are in
-	per     int // owners of each partition
-	share   []float64
-	even    []int // a member is given parts while it has fewer,
-	fill    []int // or fewer than this if nobody else can be,
-	bound   []int // and loses parts while it has more than this
-	owners  [][]int
-	held    []Set
-	load    []int
-
-	ranked int // partition whose scores are at hand
-	scores []float64
-	key    [10]byte
+// mapBuilder holds a map while it is being made. Members and partitions are referred to by index.
+type mapBuilder struct {
+	members     []Member
+	nameHash    []uint64
+	weight      []float64
+	zone        []int
+	zonesNeeded int // zones that the owners of each partition must be in
+	ownersEach  int // owners of each partition
+	fairShare   []float64
+	shareLimit  []int   // a member is given assignments while it has fewer than this,
+	fillLimit   []int   // or fewer than this if no other member can be given one,
+	keepLimit   []int   // and loses assignments while it has more than this
+	owners      [][]int // by partition
+	held        []Set   // partitions, by member
+	load        []int   // number of assignments, by member
+
+	scoredPartition int // partition that scores was computed for
+	scores          []float64
+	hashInput       [10]byte
 }
 
-func newMaker(copies int, members []Member) *maker {
-	k := &maker{members: members, weight: weights(members), per: min(copies, len(members)), ranked: -1}
+func newMapBuilder(ownersPerPartition int, members []Member) *mapBuilder {
+	mb := &mapBuilder{members: members, weight: relativeWeights(members), ownersEach: min(ownersPerPartition, len(members)), scoredPartition: -1}
 	var zones int
-	k.zone, zones = zonesOf(members)
-	k.unlike = min(k.per, zones)
-	k.share = shares(members, k.per)
+	mb.zone, zones = numberZones(members)
+	mb.zonesNeeded = min(mb.ownersEach, zones)
+	mb.fairShare = fairShares(members, mb.ownersEach)
 	for _, m := range members {
-		k.name = append(k.name, xxhash.Sum64String(m.Name))
+		mb.nameHash = append(mb.nameHash, xxhash.Sum64String(m.Name))
 	}
-	for _, s := range k.share {
-		k.even = append(k.even, int(s))
-		k.fill = append(k.fill, min(int(fillTo*s+1), Partitions))
-		k.bound = append(k.bound, min(int(keepTo*s+1), Partitions))
+	for _, s := range mb.fairShare {
+		mb.shareLimit = append(mb.shareLimit, int(s))
+		mb.fillLimit = append(mb.fillLimit, min(int(maxFillRatio*s+1), PartitionCount))
+		mb.keepLimit = append(mb.keepLimit, min(int(maxKeepRatio*s+1), PartitionCount))
 	}
-	k.owners = make([][]int, Partitions)
-	k.held, k.load, k.scores = make([]Set, len(members)), make([]int, len(members)), make([]float64, len(members))
-	return k
+	mb.owners = make([][]int, PartitionCount)
+	mb.held, mb.load, mb.scores = make([]Set, len(members)), make([]int, len(members)), make([]float64, len(members))
+	return mb
 }
 
-// score is a member's for a partition; the highest ranks first. With u even on (0,1) by the hash, -w/ln(u) puts each
-// member first in proportion to its weight, and one that comes or goes changes nothing between the others.
-func (k *maker) score(m, p int) float64 {
-	binary.LittleEndian.PutUint64(k.key[:], k.name[m])
-	binary.LittleEndian.PutUint16(k.key[8:], uint16(p))
-	u := (float64(xxhash.Sum64(k.key[:])>>12) + 0.5) / (1 << 52) // neither 0 nor 1
-	return -k.weight[m] / math.Log(u)
+// score returns the rank value of a member for a partition; the highest ranks first. With u uniform on (0,1)
+// from the hash, -w/ln(u) puts each member first in proportion to its weight, and adding or removing a member
+// does not change the order of the others.
+func (mb *mapBuilder) score(m, p int) float64 {
+	binary.LittleEndian.PutUint64(mb.hashInput[:], mb.nameHash[m])
+	binary.LittleEndian.PutUint16(mb.hashInput[8:], uint16(p))
+	u := (float64(xxhash.Sum64(mb.hashInput[:])>>12) + 0.5) / (1 << 52) // neither 0 nor 1
+	return -mb.weight[m] / math.Log(u)
 }
 
 // compare orders two members by their rank for a partition, the lower one first.
-func (k *maker) compare(a, b, p int) int {
-	return cmp.Or(cmp.Compare(k.score(a, p), k.score(b, p)), cmp.Compare(b, a))
+func (mb *mapBuilder) compare(a, b, p int) int {
+	return cmp.Or(cmp.Compare(mb.score(a, p), mb.score(b, p)), cmp.Compare(b, a))
 }
 
-func (k *maker) give(p, m int) {
-	k.owners[p] = append(k.owners[p], m)
-	k.held[m].Add(p)
-	k.load[m]++
+func (mb *mapBuilder) assign(p, m int) {
+	mb.owners[p] = append(mb.owners[p], m)
+	mb.held[m].Add(p)
+	mb.load[m]++
 }
 
-func (k *maker) take(p, m int) {
-	i := slices.Index(k.owners[p], m)
-	k.owners[p] = slices.Delete(k.owners[p], i, i+1)
-	k.held[m].remove(p)
-	k.load[m]--
+func (mb *mapBuilder) unassign(p, m int) {
+	i := slices.Index(mb.owners[p], m)
+	mb.owners[p] = slices.Delete(mb.owners[p], i, i+1)
+	mb.held[m].remove(p)
+	mb.load[m]--
 }
 
-// zonesBut counts the zones of a partition's owners, without one of them (-1: with all) and with another (-1: none).
-func (k *maker) zonesBut(p, without, with int) int {
+// countZones counts the zones of a partition's owners, leaving out one owner (-1: none) and adding another
+// (-1: none).
+func (mb *mapBuilder) countZones(p, without, with int) int {
 	n := 0
-	var seen [MaxCopies + 1]int
+	var seen [MaxOwners + 1]int
 	count := func(m int) {
-		if !slices.Contains(seen[:n], k.zone[m]) {
-			seen[n] = k.zone[m]
+		if !slices.Contains(seen[:n], mb.zone[m]) {
+			seen[n] = mb.zone[m]
 			n++
 		}
 	}
-	for _, o := range k.owners[p] {
+	for _, o := range mb.owners[p] {
 		if o != without {
 			count(o)
 		}
@@ -302,193 +311,195 @@
 	return n
 }
 
-// fits tells whether a member may own a partition in another's place (-1: beside those that do), so that its owners
-// still come to as many zones as they must once all are there.
-func (k *maker) fits(p, m, without int) bool {
-	if k.held[m].Has(p) {
+// canOwn reports whether a member may own a partition in place of another (-1: in addition to the present
+// owners), so that the owners can still cover as many zones as they must once all of them are assigned.
+func (mb *mapBuilder) canOwn(p, m, without int) bool {
+	if mb.held[m].Has(p) {
 		return false
 	}
-	n := len(k.owners[p])
+	n := len(mb.owners[p])
 	if without < 0 {
 		n++
 	}
-	return k.zonesBut(p, without, m) >= k.unlike-(k.per-n)
+	return mb.countZones(p, without, m) >= mb.zonesNeeded-(mb.ownersEach-n)
 }
 
-// keep takes the owners before over, as far as they are there and in unlike zones, and tells which members have come
-// since, or are due more than before.
-func (k *maker) keep(before *Map) []bool {
-	came := make([]bool, len(k.members))
-	if before == nil {
-		return came // all have, and none takes from another
+// keepOwners takes over the owners of the previous map, as far as they are still members and in different
+// zones, and reports which members are new or are due more than before.
+func (mb *mapBuilder) keepOwners(previous *Map) []bool {
+	isNew := make([]bool, len(mb.members))
+	if previous == nil {
+		return isNew // no member counts as new, so none takes from another
 	}
-	now := make([]int, len(before.Members))
-	for i := range now {
-		now[i] = -1
+	newIndex := make([]int, len(previous.Members))
+	for i := range newIndex {
+		newIndex[i] = -1
 	}
-	for m, member := range k.members {
-		i, ok := before.find(member.Name)
-		came[m] = !ok || before.Members[i].Zone != member.Zone || before.Members[i].Weight < member.Weight
+	for m, member := range mb.members {
+		i, ok := previous.indexOf(member.Name)
+		isNew[m] = !ok || previous.Members[i].Zone != member.Zone || previous.Members[i].Weight < member.Weight
 		if ok {
-			now[i] = m
+			newIndex[i] = m
 		}
 	}
-	for p := range Partitions {
-		for _, o := range before.of(p) {
-			if now[o] >= 0 {
-				k.give(p, now[o])
+	for p := range PartitionCount {
+		for _, o := range previous.ownerIndexes(p) {
+			if newIndex[o] >= 0 {
+				mb.assign(p, newIndex[o])
 			}
 		}
-		for len(k.owners[p]) > k.per || k.zonesBut(p, -1, -1) < k.unlike-(k.per-len(k.owners[p])) {
-			k.take(p, k.spare(p))
+		for len(mb.owners[p]) > mb.ownersEach || mb.countZones(p, -1, -1) < mb.zonesNeeded-(mb.ownersEach-len(mb.owners[p])) {
+			mb.unassign(p, mb.leastNeededOwner(p))
 		}
 	}
-	return came
+	return isNew
 }
 
-// spare is the owner that a partition misses least: the lowest of those who share their zone with another, else of all.
-func (k *maker) spare(p int) int {
-	all := slices.Clone(k.owners[p])
-	slices.SortFunc(all, func(a, b int) int { return k.compare(a, b, p) })
+// leastNeededOwner returns the owner that a partition can best do without: the lowest ranked of those who
+// share their zone with another owner, else of all.
+func (mb *mapBuilder) leastNeededOwner(p int) int {
+	all := slices.Clone(mb.owners[p])
+	slices.SortFunc(all, func(a, b int) int { return mb.compare(a, b, p) })
 	for _, o := range all {
-		if k.zonesBut(p, o, -1) == k.zonesBut(p, -1, -1) {
+		if mb.countZones(p, o, -1) == mb.countZones(p, -1, -1) {
 			return o
 		}
 	}
 	return all[0]
 }
 
-// pick finds who may take a partition in another's place (-1: beside its owners), has less than its limit and ranks
-// highest; those who have come and lack a part of their share go first, so that a machine that is replaced gives its
-// parts to the one in its place. -1: nobody.
-func (k *maker) pick(p, without int, limit []int, came []bool) int {
-	if k.ranked != p {
-		for m := range k.members {
-			k.scores[m] = k.score(m, p)
+// bestCandidate finds the highest ranked member that may own a partition in place of another (-1: in addition
+// to its owners) and is below its limit. New members below their fair share go first, so that a replaced
+// machine hands its assignments to its replacement. -1: there is none.
+func (mb *mapBuilder) bestCandidate(p, without int, limit []int, isNew []bool) int {
+	if mb.scoredPartition != p {
+		for m := range mb.members {
+			mb.scores[m] = mb.score(m, p)
 		}
-		k.ranked = p
+		mb.scoredPartition = p
 	}
-	best, bestCame := -1, false
-	for m := range k.members {
-		if limit != nil && k.load[m] >= limit[m] {
+	best, bestIsDue := -1, false
+	for m := range mb.members {
+		if limit != nil && mb.load[m] >= limit[m] {
 			continue
 		}
-		due := came[m] && float64(k.load[m]+1) <= k.share[m]
-		if best >= 0 && (bestCame && !due || bestCame == due && k.scores[m] <= k.scores[best]) {
+		due := isNew[m] && float64(mb.load[m]+1) <= mb.fairShare[m]
+		if best >= 0 && (bestIsDue && !due || bestIsDue == due && mb.scores[m] <= mb.scores[best]) {
 			continue
 		}
-		if m != without && k.fits(p, m, without) {
-			best, bestCame = m, due
+		if m != without && mb.canOwn(p, m, without) {
+			best, bestIsDue = m, due
 		}
 	}
 	return best
 }
 
-// offer gives a partition one more owner, within the bounds, or tells that nobody can be.
-func (k *maker) offer(p int, came []bool) bool {
-	for _, limit := range [][]int{k.even, k.fill, k.bound} {
-		if m := k.pick(p, -1, limit, came); m >= 0 {
-			k.give(p, m)
+// addOwnerWithinLimits adds an owner to a partition, or returns false if no member is below its limits.
+func (mb *mapBuilder) addOwnerWithinLimits(p int, isNew []bool) bool {
+	for _, limit := range [][]int{mb.shareLimit, mb.fillLimit, mb.keepLimit} {
+		if m := mb.bestCandidate(p, -1, limit, isNew); m >= 0 {
+			mb.assign(p, m)
 			return true
 		}
 	}
 	return false
 }
 
-// force gives a partition one more owner, by a chain if it must.
-func (k *maker) force(p int, came []bool) {
+// addOwner adds an owner to a partition, by a chain of moves if needed.
+func (mb *mapBuilder) addOwner(p int, isNew []bool) {
 	for range maxChains {
-		if k.offer(p, came) {
+		if mb.addOwnerWithinLimits(p, isNew) {
 			return
 		}
-		if !k.chain(p, -1) {
+		if !mb.moveAlongChain(p, -1) {
 			break
 		}
-		if len(k.owners[p]) == k.per {
+		if len(mb.owners[p]) == mb.ownersEach {
 			return
 		}
 	}
-	k.give(p, k.pick(p, -1, nil, came)) // the zones count more than the bound
+	mb.assign(p, mb.bestCandidate(p, -1, nil, isNew)) // zone coverage takes precedence over the load limit
 }
 
-// arrive lets a member that has come take its fair share, from those who have more than theirs and first where it ranks
-// highest beside them.
-func (k *maker) arrive(m int, came []bool) {
-	type part struct {
-		p, from int
-		by      float64
+// fillNewMember lets a new member take its fair share from members above theirs, beginning where it ranks
+// highest relative to them.
+func (mb *mapBuilder) fillNewMember(m int, isNew []bool) {
+	type move struct {
+		partition, giver int
+		scoreRatio       float64
 	}
-	var parts []part
-	for p := range Partitions {
-		if k.held[m].Has(p) {
+	var moves []move
+	for p := range PartitionCount {
+		if mb.held[m].Has(p) {
 			continue
 		}
-		score := k.score(m, p)
-		for _, o := range k.owners[p] {
-			if !came[o] && float64(k.load[o]) > k.share[o] && k.fits(p, m, o) {
-				parts = append(parts, part{p, o, score / k.score(o, p)})
+		score := mb.score(m, p)
+		for _, o := range mb.owners[p] {
+			if !isNew[o] && float64(mb.load[o]) > mb.fairShare[o] && mb.canOwn(p, m, o) {
+				moves = append(moves, move{p, o, score / mb.score(o, p)})
 			}
 		}
 	}
-	slices.SortFunc(parts, func(a, b part) int {
-		return cmp.Or(cmp.Compare(b.by, a.by), cmp.Compare(a.p, b.p), cmp.Compare(a.from, b.from))
+	slices.SortFunc(moves, func(a, b move) int {
+		return cmp.Or(cmp.Compare(b.scoreRatio, a.scoreRatio), cmp.Compare(a.partition, b.partition), cmp.Compare(a.giver, b.giver))
 	})
-	for _, pastBound := range []bool{true, false} { // first what they would have to give to anybody
-		for _, c := range parts {
-			if float64(k.load[m]+1) > k.share[m] {
+	for _, overLimit := range []bool{true, false} { // first what they have to give away in any case
+		for _, c := range moves {
+			if float64(mb.load[m]+1) > mb.fairShare[m] {
 				return
 			}
-			load := k.load[c.from]
-			if !k.held[m].Has(c.p) && float64(load) > k.share[c.from] && (!pastBound || load > k.bound[c.from]) {
-				k.take(c.p, c.from)
-				k.give(c.p, m)
+			load := mb.load[c.giver]
+			if !mb.held[m].Has(c.partition) && float64(load) > mb.fairShare[c.giver] && (!overLimit || load > mb.keepLimit[c.giver]) {
+				mb.unassign(c.partition, c.giver)
+				mb.assign(c.partition, m)
 			}
 		}
 	}
 }
 
-// shed brings a member down to its bound.
-func (k *maker) shed(m int, came []bool) {
-	for _, limit := range [][]int{k.even, k.fill, k.bound} {
-		if k.load[m] <= k.bound[m] {
+// reduceToLimit hands assignments of a member to others until its load is within keepLimit, if that is possible.
+func (mb *mapBuilder) reduceToLimit(m int, isNew []bool) {
+	for _, limit := range [][]int{mb.shareLimit, mb.fillLimit, mb.keepLimit} {
+		if mb.load[m] <= mb.keepLimit[m] {
 			return
 		}
-		parts := slices.Collect(k.held[m].All())
+		parts := slices.Collect(mb.held[m].All())
 		slices.SortFunc(parts, func(a, b int) int {
-			return cmp.Or(cmp.Compare(k.score(m, a), k.score(m, b)), cmp.Compare(a, b))
+			return cmp.Or(cmp.Compare(mb.score(m, a), mb.score(m, b)), cmp.Compare(a, b))
 		})
 		for _, p := range parts {
-			if k.load[m] <= k.bound[m] {
+			if mb.load[m] <= mb.keepLimit[m] {
 				return
 			}
-			if to := k.pick(p, m, limit, came); to >= 0 {
-				k.take(p, m)
-				k.give(p, to)
+			if to := mb.bestCandidate(p, m, limit, isNew); to >= 0 {
+				mb.unassign(p, m)
+				mb.assign(p, to)
 			}
 		}
 	}
-	for i := 0; k.load[m] > k.bound[m] && i < Partitions && k.chain(-1, m); i++ {
+	for i := 0; mb.load[m] > mb.keepLimit[m] && i < PartitionCount && mb.moveAlongChain(-1, m); i++ {
 	}
 }
 
-// maxChains is how often room is sought for one part. Mostly once is enough; a chain may have to be cut short where
-// it comes to one partition twice.
+// maxChains bounds the attempts to make room for one assignment. One is usually enough; a chain may be cut
+// short if it meets one partition twice.
 const maxChains = 16
 
-// chain finds the shortest chain of members of which each takes a part from the one before and the last has room,
-// and carries it out: for one more owner of partition p, or for a member that has too much. False: there is none, and
-// the bounds can't be kept. Chains are rare: zones that are all but full.
-func (k *maker) chain(p, from int) bool {
+// moveAlongChain finds the shortest chain of members in which each takes an assignment from the one before
+// and the last has room, and carries it out: for one more owner of partition p, or for a member with too high
+// a load. It returns false if there is none and the limits can't be kept. Chains are rare: they are needed
+// only when zones are nearly full.
+func (mb *mapBuilder) moveAlongChain(p, from int) bool {
 	type link struct{ giver, p int }
-	links := map[int]link{}
+	linkTo := map[int]link{}
 	var queue []int
 	if from >= 0 {
-		links[from] = link{-1, -1}
+		linkTo[from] = link{-1, -1}
 		queue = append(queue, from)
 	} else {
-		for m := range k.members {
-			if k.fits(p, m, -1) {
-				links[m] = link{-1, p}
+		for m := range mb.members {
+			if mb.canOwn(p, m, -1) {
+				linkTo[m] = link{-1, p}
 				queue = append(queue, m)
 			}
 		}
@@ -496,16 +507,16 @@
 	for len(queue) > 0 {
 		at := queue[0]
 		queue = queue[1:]
-		if at != from && k.load[at] < k.bound[at] {
+		if at != from && mb.load[at] < mb.keepLimit[at] {
 			for at != from {
-				l := links[at]
-				if !k.fits(l.p, at, l.giver) {
-					return true // an earlier link took that partition's zone; room has come nearer all the same
+				l := linkTo[at]
+				if !mb.canOwn(l.p, at, l.giver) {
+					return true // an earlier link took that partition's zone; the chain still brought room closer
 				}
 				if l.giver >= 0 {
-					k.take(l.p, l.giver)
+					mb.unassign(l.p, l.giver)
 				}
-				k.give(l.p, at)
+				mb.assign(l.p, at)
 				if l.giver < 0 {
 					break
 				}
@@ -513,10 +524,10 @@
 			}
 			return true
 		}
-		for q := range k.held[at].All() {
-			for m := range k.members {
-				if _, ok := links[m]; !ok && k.fits(q, m, at) {
-					links[m] = link{at, q}
+		for q := range mb.held[at].All() {
+			for m := range mb.members {
+				if _, ok := linkTo[m]; !ok && mb.canOwn(q, m, at) {
+					linkTo[m] = link{at, q}
 					queue = append(queue, m)
 				}
 			}
--- a/internal/directory/admit.go
+++ b/internal/directory/admit.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// longestReturn is the most that one who is turned away is told to wait.
-const longestReturn = 60 * time.Second
+// maxRetryAfter bounds the delay that a refused client is told to wait.
+const maxRetryAfter = 60 * time.Second
 
-// admission lets in so many asks a second, and gives those that it turns away a time of their own to come back at, one
-// behind the other at that rate. It is safe for concurrent use.
+// admission is a token bucket. It also assigns each refused request its own time to retry, spaced by the same
+// rate. It is safe for concurrent use.
 type admission struct {
-	rate  float64 // a second
+	rate  float64 // per second
 	burst float64
 
-	mu     sync.Mutex
-	tokens float64
-	last   time.Time
-	booked time.Time // up to which returns have been given out
+	mu          sync.Mutex
+	tokens      float64
+	lastRefill  time.Time
+	bookedUntil time.Time // end of the retry times assigned so far
 }
 
 func newAdmission(rate float64, burst int) *admission {
 	return &admission{rate: rate, burst: float64(burst), tokens: float64(burst)}
 }
 
-// admit takes an ask of a cost in, or tells when to come back.
-func (a *admission) admit(cost float64, now time.Time) (ok bool, back time.Duration) {
+// admit admits a request of a given cost, or returns after which delay to retry.
+func (a *admission) admit(cost float64, now time.Time) (ok bool, retryIn time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tokens = min(a.burst, a.tokens+a.rate*max(now.Sub(a.last).Seconds(), 0))
-	a.last = now
+	a.tokens = min(a.burst, a.tokens+a.rate*max(now.Sub(a.lastRefill).Seconds(), 0))
+	a.lastRefill = now
 	if a.tokens >= min(cost, a.burst) {
 		a.tokens -= cost
 		return true, 0
 	}
-	if a.booked.Before(now) {
-		a.booked = now
+	if a.bookedUntil.Before(now) {
+		a.bookedUntil = now
 	}
-	a.booked = a.booked.Add(time.Duration(cost / a.rate * float64(time.Second)))
-	return false, min(a.booked.Sub(now), longestReturn)
+	a.bookedUntil = a.bookedUntil.Add(time.Duration(cost / a.rate * float64(time.Second)))
+	return false, min(a.bookedUntil.Sub(now), maxRetryAfter)
 }
 
-// retryAfter is the header's form of a pause: whole seconds, 1 at least.
-func retryAfter(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
+// retryAfterSeconds rounds a delay up to the whole seconds of a Retry-After header, at least 1.
+func retryAfterSeconds(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
--- a/internal/directory/code.go
+++ b/internal/directory/code.go
@@ -12,75 +12,79 @@
 	"starlingusher/fleet/catalog"
 )
 
-// What is kept on a disk stands behind a mark and the hash of its bytes, so that damage is seen as such.
+// Commands in the log, backups and snapshots begin with a mark that tells their type and a checksum of the rest,
+// so that damage is detected.
 const (
-	commandMark = "cmd1"
-	backupMark  = "bak1"
-	sealLen     = 4 + 8
-	maxBackup   = 1 << 30 // bytes; catalog.MaxMembers endpoints of some 170 bytes are a third of it
-	maxCommand  = 64 << 20
+	commandMark         = "cmd1"
+	backupMark          = "bak1"
+	checksumHeaderBytes = 4 + 8    // the mark and the checksum
+	maxBackupBytes      = 1 << 30  // bytes of an encoded backup; catalog.MaxEndpoints endpoints of about 170 bytes take a third of it
+	maxCommandBytes     = 64 << 20 // bytes of an encoded command
 )
 
 var errDamaged = errors.New("damaged")
 
-var decoding = func() cbor.DecMode {
+// decodeMode bounds the size and depth of the data that is decoded, and rejects duplicate keys.
+var decodeMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{
-		MaxNestedLevels: 16, MaxArrayElements: 2 * catalog.MaxMembers, MaxMapPairs: 2 * catalog.MaxMembers, DupMapKey: cbor.DupMapKeyEnforcedAPF,
+		MaxNestedLevels: 16, MaxArrayElements: 2 * catalog.MaxEndpoints, MaxMapPairs: 2 * catalog.MaxEndpoints, DupMapKey: cbor.DupMapKeyEnforcedAPF,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options stand above
+		panic(err) // the options are constants
 	}
 	return m
 }()
 
-func seal(mark string, v any) ([]byte, error) {
+// encodeWithChecksum encodes a value as CBOR, after the mark and the checksum.
+func encodeWithChecksum(mark string, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return nil, err
 	}
-	out := make([]byte, 0, sealLen+len(body))
+	out := make([]byte, 0, checksumHeaderBytes+len(body))
 	out = append(out, mark...)
 	out = binary.BigEndian.AppendUint64(out, xxhash.Sum64(body))
 	return append(out, body...), nil
 }
 
-func unseal(mark string, raw []byte, v any) error {
-	if len(raw) < sealLen || string(raw[:4]) != mark {
-		return fmt.Errorf("%w: it does not begin as one of ours", errDamaged)
+// decodeWithChecksum decodes what encodeWithChecksum has encoded with the same mark. All errors are errDamaged.
+func decodeWithChecksum(mark string, raw []byte, v any) error {
+	if len(raw) < checksumHeaderBytes || string(raw[:4]) != mark {
+		return fmt.Errorf("%w: the data does not begin with the mark of its type", errDamaged)
 	}
-	body := raw[sealLen:]
+	body := raw[checksumHeaderBytes:]
 	if binary.BigEndian.Uint64(raw[4:]) != xxhash.Sum64(body) {
-		return fmt.Errorf("%w: its bytes are not those that were written", errDamaged)
+		return fmt.Errorf("%w: checksum mismatch", errDamaged)
 	}
-	if err := decoding.Unmarshal(body, v); err != nil {
+	if err := decodeMode.Unmarshal(body, v); err != nil {
 		return fmt.Errorf("%w: %w", errDamaged, err)
 	}
 	return nil
 }
 
-// EncodeBackup writes a state's image as backups and snapshots hold it.
-func EncodeBackup(i catalog.Image) ([]byte, error) { return seal(backupMark, i) }
+// EncodeBackup encodes an image for a backup or a snapshot.
+func EncodeBackup(image catalog.Image) ([]byte, error) { return encodeWithChecksum(backupMark, image) }
 
-// DecodeBackup reads one. What is damaged, or can't be a state, is an error.
+// DecodeBackup decodes a backup. It rejects damaged data and images that no state can have produced.
 func DecodeBackup(r io.Reader) (catalog.Image, error) {
-	var i catalog.Image
-	raw, err := io.ReadAll(io.LimitReader(r, maxBackup+1))
+	var image catalog.Image
+	raw, err := io.ReadAll(io.LimitReader(r, maxBackupBytes+1))
 	if err != nil {
-		return i, fmt.Errorf("backup: %w", err)
+		return image, fmt.Errorf("backup: %w", err)
 	}
-	if len(raw) > maxBackup {
-		return i, fmt.Errorf("backup: more than %d MB", maxBackup>>20)
+	if len(raw) > maxBackupBytes {
+		return image, fmt.Errorf("backup: larger than %d MB", maxBackupBytes>>20)
 	}
-	if err := unseal(backupMark, raw, &i); err != nil {
-		return i, fmt.Errorf("backup: %w", err)
+	if err := decodeWithChecksum(backupMark, raw, &image); err != nil {
+		return image, fmt.Errorf("backup: %w", err)
 	}
-	if _, err := catalog.Load(i); err != nil {
-		return i, fmt.Errorf("backup: %w", err)
+	if _, err := catalog.Load(image); err != nil {
+		return image, fmt.Errorf("backup: %w", err)
 	}
-	return i, nil
+	return image, nil
 }
 
-// sealed tells whether a command is as it was written.
-func sealed(raw []byte) bool {
-	return len(raw) >= sealLen && string(raw[:4]) == commandMark && binary.BigEndian.Uint64(raw[4:]) == xxhash.Sum64(raw[sealLen:])
+// isIntactCommand reports whether the mark and the checksum of an encoded command are correct.
+func isIntactCommand(raw []byte) bool {
+	return len(raw) >= checksumHeaderBytes && string(raw[:4]) == commandMark && binary.BigEndian.Uint64(raw[4:]) == xxhash.Sum64(raw[checksumHeaderBytes:])
 }
--- a/internal/directory/replica.go
+++ b/internal/directory/replica.go
@@ -24,118 +24,119 @@
 )
 
 const (
-	proposeWait = 2 * time.Second // for room in the queue of writes
-	agreeWait   = 4 * time.Second // for a majority; who waits for an answer has given up by then
-	tick        = 100 * time.Millisecond
-	askPeers    = 300 * time.Millisecond
-	peerTimeout = 500 * time.Millisecond
-	raftTimeout = 2 * time.Second // of one call between replicas
-	nearEnough  = 64              // entries behind the leader, with which a replica may vote
-	keepLogs    = 2               // snapshots
+	enqueueTimeout    = 2 * time.Second // for a place in the queue of Raft
+	commitTimeout     = 4 * time.Second // for a majority to store the command; callers wait longer than this for the response
+	pollInterval      = 100 * time.Millisecond
+	joinRetryInterval = 300 * time.Millisecond
+	peerTimeout       = 500 * time.Millisecond
+	raftRPCTimeout    = 2 * time.Second // for one call between replicas
+	maxVoterLag       = 64              // log entries that a replica may be behind the leader when it becomes a voter
+	retainedSnapshots = 2
 )
 
-// Why a write has no result.
+// Errors of a write that has no result.
 var (
-	// ErrRefused says that it was surely not done.
+	// ErrRefused means that the write was certainly not done.
 	ErrRefused = errors.New("refused")
-	// ErrUnknown says that it may have been done, or may yet be.
-	ErrUnknown = errors.New("its outcome is not known")
-	// ErrRemoved ends a replica that is no longer part of the service.
+	// ErrAmbiguous means that the write may have been done, or may still be.
+	ErrAmbiguous = errors.New("the outcome is unknown")
+	// ErrRemoved ends a replica that was removed from the service.
 	ErrRemoved = errors.New("this replica was removed from the service")
 )
 
-// errForbidden says that the leader does not know this replica as one of the service.
-var errForbidden = errors.New("not one of the service")
+// errNotMember means that the leader does not know this replica as a member of the service.
+var errNotMember = errors.New("not a member of the service")
 
-// Replica is one process's part of the service. Open starts it, Close ends all that it started.
+// Replica is one process of the service. Open starts it, and Close ends everything that it started.
 type Replica struct {
-	cfg    Config
-	log    *slog.Logger
-	ledger *ledger
-	client *http.Client // to the other replicas
-	ctx    context.Context
-	cancel context.CancelFunc
-	parts  sync.WaitGroup
-	opened time.Time
-	stuck  atomic.Bool // the folder can't be written
-	failed chan error  // the first thing that it can't go on after
+	cfg        Config
+	log        *slog.Logger
+	fsm        *fsm
+	peerClient *http.Client // for the other replicas
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	openedAt   time.Time
+	unwritable atomic.Bool // the data folder can't be written
+	failed     chan error  // holds the first error that the replica can't recover from
 
-	mu        sync.Mutex // guards what follows
-	raft      *raft.Raft // nil until it is known what this replica is
-	store     *raftboltdb.BoltStore
-	transport raft.Transport
-	keeper    *catalog.Keeper // while it leads and has caught up
-	began     time.Time       // of the keeper's clock
+	mu          sync.Mutex // guards the fields below
+	raft        *raft.Raft // nil until the replica has joined or bootstrapped the service
+	store       *raftboltdb.BoltStore
+	transport   raft.Transport
+	leases      *catalog.LeaseManager // nil unless this replica leads and has caught up
+	leasesSince time.Time             // origin of the lease manager's clock
 }
 
-// Open makes a replica of its folder and starts it. One whose folder is empty founds the service if it is alone, or
-// the first of several that are all new; otherwise it joins what is there.
+// Open starts a replica on its data folder. A replica with an empty folder bootstraps the service if it is alone,
+// or if it is the first of several that are all new; otherwise it joins the existing service.
 func Open(cfg Config, log *slog.Logger) (*Replica, error) {
 	return open(cfg, log, func(s raft.LogStore) raft.LogStore { return s })
 }
 
-// open is Open with something between Raft and its log, for tests.
-func open(cfg Config, log *slog.Logger, between func(raft.LogStore) raft.LogStore) (*Replica, error) {
-	if err := cfg.Check(); err != nil {
+// open is Open with a wrapper around Raft's log, for tests.
+func open(cfg Config, log *slog.Logger, wrapLog func(raft.LogStore) raft.LogStore) (*Replica, error) {
+	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	if err := os.MkdirAll(cfg.Data, 0o700); err != nil {
-		return nil, fmt.Errorf("folder: %w", err)
+		return nil, fmt.Errorf("data folder: %w", err)
 	}
-	r := &Replica{cfg: cfg, log: log, opened: time.Now(), failed: make(chan error, 1), client: &http.Client{Transport: &http.Transport{
+	r := &Replica{cfg: cfg, log: log, openedAt: time.Now(), failed: make(chan error, 1), peerClient: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: peerTimeout}).DialContext,
 		MaxIdleConnsPerHost: 64, DisableCompression: true,
 	}}}
-	r.ledger = newLedger(int64(cfg.Watch.Lag)<<10, r.fail)
+	r.fsm = newFSM(int64(cfg.Watch.MaxLagKB)<<10, r.reportFailure)
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	path := filepath.Join(cfg.Data, "log.db")
 	store, err := openLog(path)
-	if errors.Is(err, errDamaged) && len(cfg.Peers) > 0 { // the others have it all
+	if errors.Is(err, errDamaged) && len(cfg.Peers) > 0 { // the other replicas have the data
 		aside := fmt.Sprintf("%s/damaged-%d", cfg.Data, time.Now().UnixMilli())
-		log.Error("the log is damaged; this replica begins anew from the others", "err", err, "kept", aside)
-		if store, err = beginAnew(cfg.Data, aside); err != nil {
+		log.Error("the log is damaged; starting over with the data of the other replicas", "err", err, "kept", aside)
+		if store, err = resetFolder(cfg.Data, aside); err != nil {
 			return nil, err
 		}
 	}
 	if errors.Is(err, errDamaged) {
-		return nil, fmt.Errorf("%w; move the folder %s away, start, and restore a backup (cottonrack directory restore)", err, cfg.Data)
+		return nil, fmt.Errorf("%w; move the folder %s away, start the replica, and restore a backup (cottonrack directory restore)", err, cfg.Data)
 	}
 	if err != nil {
 		return nil, err
 	}
 	r.store = store
-	r.parts.Go(func() {
-		if err := r.begin(between(store)); err != nil && r.ctx.Err() == nil {
-			r.fail(err)
+	r.goroutines.Go(func() {
+		if err := r.startRaft(wrapLog(store)); err != nil && r.ctx.Err() == nil {
+			r.reportFailure(err)
 		}
 	})
 	return r, nil
 }
 
-// beginAnew moves what a folder holds aside and opens a new log in it.
-func beginAnew(data, aside string) (*raftboltdb.BoltStore, error) {
+// resetFolder moves the log and the snapshots of the data folder to the folder aside, and creates an empty log.
+func resetFolder(folder, aside string) (*raftboltdb.BoltStore, error) {
 	if err := os.MkdirAll(aside, 0o700); err != nil {
-		return nil, fmt.Errorf("folder: %w", err)
+		return nil, fmt.Errorf("move damaged data aside: %w", err)
 	}
 	for _, name := range []string{"log.db", "snapshots"} {
-		if err := os.Rename(filepath.Join(data, name), filepath.Join(aside, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return nil, fmt.Errorf("folder: %w", err)
+		if err := os.Rename(filepath.Join(folder, name), filepath.Join(aside, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
+			return nil, fmt.Errorf("move damaged data aside: %w", err)
 		}
 	}
-	return openLog(filepath.Join(data, "log.db"))
+	return openLog(filepath.Join(folder, "log.db"))
 }
 
-func (r *Replica) fail(err error) {
+// reportFailure passes an error to Failed, unless there has been one before.
+func (r *Replica) reportFailure(err error) {
 	select {
 	case r.failed <- err:
 	default:
 	}
 }
 
-// Failed tells, once, why the replica can't go on.
+// Failed returns a channel that receives the error, if any, after which the replica can't continue.
 func (r *Replica) Failed() <-chan error { return r.failed }
 
-// Close ends the replica. Its folder may be used again afterwards.
+// Close ends the replica. Its folder may be reused afterwards.
 func (r *Replica) Close() error {
 	r.cancel()
 	r.mu.Lock()
@@ -147,64 +148,64 @@
 		go func() { done <- node.Shutdown().Error() }()
 		select {
 		case err = <-done:
-		case <-time.After(3 * time.Second): // a full disk may hold it
-			return errors.New("the replica could not end its work")
+		case <-time.After(3 * time.Second): // a full disk may block it
+			return errors.New("raft did not shut down within 3 s")
 		}
 	}
 	if t, ok := transport.(*raft.NetworkTransport); ok {
 		err = errors.Join(err, t.Close())
 		t.CloseStreams()
 	}
-	r.parts.Wait()
-	r.client.CloseIdleConnections()
+	r.goroutines.Wait()
+	r.peerClient.CloseIdleConnections()
 	return errors.Join(err, store.Close())
 }
 
-// begin finds out what this replica is, and starts Raft.
-func (r *Replica) begin(logs raft.LogStore) error {
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(r.cfg.Data, keepLogs, r.raftLog())
+// startRaft bootstraps or joins the service, if necessary, and starts Raft.
+func (r *Replica) startRaft(log raft.LogStore) error {
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(r.cfg.Data, retainedSnapshots, r.raftLogger())
 	if err != nil {
 		return fmt.Errorf("snapshots: %w", err)
 	}
-	existing, err := raft.HasExistingState(r.store, r.store, snaps)
+	existing, err := raft.HasExistingState(r.store, r.store, snapshots)
 	if err != nil {
 		return fmt.Errorf("log: %w", err)
 	}
-	found := false
+	bootstrap := false
 	if !existing {
-		if found, err = r.findPlace(); err != nil {
+		if bootstrap, err = r.decideBootstrap(); err != nil {
 			return err
 		}
 	}
-	conf := raft.DefaultConfig()
-	conf.LocalID = raft.ServerID(r.cfg.ID)
-	conf.HeartbeatTimeout, conf.ElectionTimeout = r.cfg.Election.Duration, r.cfg.Election.Duration
-	conf.LeaderLeaseTimeout = r.cfg.Election.Duration * 3 / 5
-	conf.CommitTimeout = 20 * time.Millisecond
-	conf.MaxAppendEntries, conf.BatchApplyCh = 256, true
-	conf.SnapshotThreshold, conf.TrailingLogs = uint64(r.cfg.Snapshot.Every), uint64(r.cfg.Snapshot.Trailing)
-	conf.SnapshotInterval = r.cfg.Snapshot.Interval.Duration
-	conf.Logger = r.raftLog()
-	conf.NoLegacyTelemetry = true
-	leads := make(chan bool, 16)
-	conf.NotifyCh = leads
+	config := raft.DefaultConfig()
+	config.LocalID = raft.ServerID(r.cfg.ID)
+	config.HeartbeatTimeout, config.ElectionTimeout = r.cfg.Election.Duration, r.cfg.Election.Duration
+	config.LeaderLeaseTimeout = r.cfg.Election.Duration * 3 / 5
+	config.CommitTimeout = 20 * time.Millisecond
+	config.MaxAppendEntries, config.BatchApplyCh = 256, true
+	config.SnapshotThreshold, config.TrailingLogs = uint64(r.cfg.Snapshot.Every), uint64(r.cfg.Snapshot.Trailing)
+	config.SnapshotInterval = r.cfg.Snapshot.Interval.Duration
+	config.Logger = r.raftLogger()
+	config.NoLegacyTelemetry = true
+	leadership := make(chan bool, 16)
+	config.NotifyCh = leadership
 	var transport raft.Transport
 	address := raft.ServerAddress(r.cfg.Raft)
 	if r.cfg.Raft == "" {
 		address = "alone"
 		_, transport = raft.NewInmemTransport(address)
-	} else if transport, err = r.listen(); err != nil {
+	} else if transport, err = r.newTransport(); err != nil {
 		return err
 	}
-	stable := patientStore{r.store, r.log, r.ctx.Done(), &r.stuck}
-	cached, err := raft.NewLogCache(512, logs)
+	stable := retryingStore{r.store, r.log, r.ctx.Done(), &r.unwritable}
+	cachedLog, err := raft.NewLogCache(512, log)
 	if err != nil {
 		return err
 	}
-	if found {
-		only := raft.Configuration{Servers: []raft.Server{{ID: conf.LocalID, Address: address}}}
-		if err := raft.BootstrapCluster(conf, cached, stable, snaps, transport, only); err != nil {
-			return fmt.Errorf("founding: %w", err)
+	if bootstrap {
+		single := raft.Configuration{Servers: []raft.Server{{ID: config.LocalID, Address: address}}}
+		if err := raft.BootstrapCluster(config, cachedLog, stable, snapshots, transport, single); err != nil {
+			return fmt.Errorf("bootstrap: %w", err)
 		}
 	}
 	r.mu.Lock()
@@ -213,27 +214,27 @@
 		return r.ctx.Err()
 	}
 	r.transport = transport
-	r.raft, err = raft.NewRaft(conf, r.ledger, cached, stable, snaps, transport)
+	r.raft, err = raft.NewRaft(config, r.fsm, cachedLog, stable, snapshots, transport)
 	r.mu.Unlock()
 	if err != nil {
 		return fmt.Errorf("raft: %w", err)
 	}
-	r.parts.Go(func() { r.watchLead(leads) })
-	if !found && len(r.cfg.Peers) > 0 {
-		r.parts.Go(r.stay)
+	r.goroutines.Go(func() { r.runLeadership(leadership) })
+	if !bootstrap && len(r.cfg.Peers) > 0 {
+		r.goroutines.Go(r.joinUntilVoter)
 	}
 	return nil
 }
 
-func (r *Replica) listen() (raft.Transport, error) {
+func (r *Replica) newTransport() (raft.Transport, error) {
 	advertise, err := net.ResolveTCPAddr("tcp", r.cfg.Raft)
 	if err != nil {
 		return nil, fmt.Errorf("raft: %w", err)
 	}
-	// One call at a time to each replica: with more, a follower that can't store what it is sent leaves the leader waiting
-	// for good (the sender for the decoder, which waits for a reader that has gone).
+	// Only one call at a time to each replica. With more, a follower that can't store entries blocks the
+	// leader for good: the sender waits for the decoder, which waits for a reader that has ended.
 	t, err := raft.NewTCPTransportWithConfig(cmp.Or(r.cfg.BindRaft, r.cfg.Raft), advertise, &raft.NetworkTransportConfig{
-		MaxPool: 3, Timeout: raftTimeout, Logger: r.raftLog(), MaxRPCsInFlight: 1,
+		MaxPool: 3, Timeout: raftRPCTimeout, Logger: r.raftLogger(), MaxRPCsInFlight: 1,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("raft: %w", err)
@@ -241,15 +242,16 @@
 	return t, nil
 }
 
-// raftLog hands Raft's lines on to the log.
-func (r *Replica) raftLog() hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, JSONFormat: true, Output: lineLog{r.log}})
+// raftLogger forwards Raft's log lines to the replica's log.
+func (r *Replica) raftLogger() hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, JSONFormat: true, Output: jsonLogWriter{r.log}})
 }
 
-type lineLog struct{ log *slog.Logger }
+// jsonLogWriter writes JSON log lines of Raft to the replica's log.
+type jsonLogWriter struct{ log *slog.Logger }
 
-// Write takes one line of JSON.
-func (l lineLog) Write(p []byte) (int, error) {
+// Write logs one line of JSON, or the bare text if it is not JSON.
+func (l jsonLogWriter) Write(p []byte) (int, error) {
 	var m map[string]any
 	if json.Unmarshal(p, &m) != nil {
 		l.log.Warn(string(bytes.TrimSpace(p)))
@@ -270,8 +272,8 @@
 	return len(p), nil
 }
 
-// node is Raft, or nil as long as it has not begun.
-func (r *Replica) node() *raft.Raft {
+// raftNode returns Raft, or nil if it has not started yet.
+func (r *Replica) raftNode() *raft.Raft {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.raft
--- a/internal/directory/writes.go
+++ b/internal/directory/writes.go
@@ -13,163 +13,172 @@
 	"starlingusher/fleet/catalog"
 )
 
-// reader makes a write of a request.
-type reader func(req *http.Request, raw []byte) (catalog.Write, error)
+// writeParser builds a write from a request and its body.
+type writeParser func(req *http.Request, raw []byte) (catalog.Write, error)
 
-// write serves the requests that change the list.
-func (s *Server) write(read reader) http.HandlerFunc {
+// serveWrite returns a handler for requests that change the list. The write is based on the revision in the
+// If-Match header.
+func (s *Server) serveWrite(parse writeParser) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
-		raw, ok := body(w, req, maxWrite)
+		raw, ok := readBody(w, req, maxBodyBytes)
 		if !ok {
 			return
 		}
-		if s.r.cfg.Follow.Discovery != "" {
-			wrong(w, http.StatusConflict, errors.New("this directory follows the platform's discovery; change the list there"))
+		if s.replica.cfg.Source.Discovery != "" {
+			writeError(w, http.StatusConflict, errors.New("this directory copies the list of the platform's discovery; change it there"))
 			return
 		}
 		match := req.Header.Get("If-Match")
 		if match == "" && req.PathValue("id") != "" && strings.HasPrefix(req.URL.Path, "/registry/registrations/") {
-			match = "*" // who registers speaks for itself alone
+			match = "*" // a registration changes only its own endpoint, so it may be based on any revision
 		}
 		if match == "" {
-			wrong(w, http.StatusPreconditionRequired, errors.New(`If-Match is missing: the revision that the write rests on, or "*"`))
+			writeError(w, http.StatusPreconditionRequired, errors.New(`the If-Match header is missing: base revision of the write, or "*"`))
 			return
 		}
-		base, err := readBase(match)
+		base, err := parseIfMatch(match)
 		if err != nil {
-			wrong(w, http.StatusBadRequest, err)
+			writeError(w, http.StatusBadRequest, err)
 			return
 		}
-		wr, err := read(req, raw)
-		if errors.Is(err, catalog.ErrUnknown) {
-			wrong(w, http.StatusNotFound, err)
+		write, err := parse(req, raw)
+		if errors.Is(err, catalog.ErrNotFound) {
+			writeError(w, http.StatusNotFound, err)
 			return
 		}
 		if err != nil {
-			wrong(w, http.StatusBadRequest, err)
+			writeError(w, http.StatusBadRequest, err)
 			return
 		}
-		wr.Base, wr.Guard, wr.Most = base, s.r.cfg.Guard.Share, int64(s.r.cfg.List.Most)
-		wr.Confirmed = req.URL.Query().Get("confirm") == "1"
-		wr.Why = strings.ToValidUTF8(first(req.Header.Get("Registry-Why"), 1000), "?")
-		s.command(w, req, raw, func() (c catalog.Command, err error) {
-			s.r.ledger.read(func(st *catalog.State) { err = st.Fits(wr) })
-			return catalog.Command{Write: &wr}, err
+		write.Base, write.GuardShare, write.MaxEndpoints = base, s.replica.cfg.Guard.MaxRemovedShare, int64(s.replica.cfg.List.MaxEndpoints)
+		write.Confirmed = req.URL.Query().Get("confirm") == "1"
+		write.Reason = strings.ToValidUTF8(truncate(req.Header.Get("Registry-Why"), 1000), "?")
+		s.runCommand(w, req, raw, func() (c catalog.Command, err error) {
+			s.replica.fsm.view(func(st *catalog.State) { err = st.CheckCapacity(write) })
+			return catalog.Command{Write: &write}, err
 		})
-		if wr.TTL > 0 && len(wr.Members) > 0 {
-			s.r.registered(wr.Members[0].ID)
+		if write.TTL > 0 && len(write.Members) > 0 {
+			s.replica.noteRegistration(write.Members[0].ID) // whatever the response; without effect at a follower
 		}
 	}
 }
 
-// readBase reads If-Match: "*", a revision, or a history and a revision with a point between, in quotes or not.
-func readBase(match string) (catalog.Base, error) {
+// parseIfMatch parses the If-Match header: "*" (any revision), REVISION (of the current history) or
+// HISTORY.REVISION, with or without quotes.
+func parseIfMatch(match string) (catalog.Base, error) {
 	match = strings.Trim(strings.TrimSpace(match), `"`)
 	if match == "*" {
 		return catalog.Base{Any: true}, nil
 	}
-	h, rev, both := strings.Cut(match, ".")
-	if !both {
+	h, rev, hasHistory := strings.Cut(match, ".")
+	if !hasHistory {
 		h, rev = "0", h
 	}
 	history, err := strconv.ParseInt(h, 10, 64)
 	revision, err2 := strconv.ParseInt(rev, 10, 64)
 	if err != nil || err2 != nil || history < 0 || revision < 0 {
-		return catalog.Base{}, fmt.Errorf("If-Match %.40q is neither * nor REVISION nor HISTORY.REVISION", match)
+		return catalog.Base{}, fmt.Errorf("If-Match %.40q is not *, REVISION or HISTORY.REVISION", match)
 	}
 	return catalog.Base{History: history, Revision: revision}, nil
 }
 
-// strict reads one JSON value and nothing else.
-func strict(raw []byte, v any) error {
+// decodeStrict decodes exactly one JSON value without unknown fields.
+func decodeStrict(raw []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
 		return fmt.Errorf("body: %w", err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return errors.New("body: something stands behind its end")
+		return errors.New("body: unexpected data after the JSON value")
 	}
 	return nil
 }
 
-func readMembers(raw []byte) ([]catalog.Endpoint, error) {
-	var l struct {
-		Members  *[]catalog.Endpoint `json:"members"`
-		Revision int64               `json:"revision"` // as a list that was read has them
-		Complete bool                `json:"complete"`
-	}
-	if err := strict(raw, &l); err != nil {
+// parseEndpoints parses a body that holds a list of endpoints, and validates each endpoint.
+func parseEndpoints(raw []byte) ([]catalog.Endpoint, error) {
+	var list struct {
+		Members *[]catalog.Endpoint `json:"members"`
+		// Accepted and ignored, so that a list can be sent back as it was read.
+		Revision int64 `json:"revision"`
+		Complete bool  `json:"complete"`
+	}
+	if err := decodeStrict(raw, &list); err != nil {
 		return nil, err
 	}
-	if l.Members == nil {
+	if list.Members == nil {
 		return nil, errors.New(`body: "members" is missing`)
 	}
-	return *l.Members, check(*l.Members)
+	return *list.Members, validateAll(*list.Members)
 }
 
-func check(all []catalog.Endpoint) error {
-	for _, m := range all {
-		if err := m.Check(); err != nil {
+func validateAll(endpoints []catalog.Endpoint) error {
+	for _, e := range endpoints {
+		if err := e.Validate(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func readChanges(_ *http.Request, raw []byte) (catalog.Write, error) {
-	all, err := readMembers(raw)
-	return catalog.Write{Members: all}, err
+// parsePartial parses a write that adds, changes or deletes the endpoints in the body and leaves all others.
+func parsePartial(_ *http.Request, raw []byte) (catalog.Write, error) {
+	endpoints, err := parseEndpoints(raw)
+	return catalog.Write{Members: endpoints}, err
 }
 
-func readWhole(_ *http.Request, raw []byte) (catalog.Write, error) {
-	all, err := readMembers(raw)
-	return catalog.Write{Members: all, Whole: true}, err
+// parseFull parses a write that replaces the whole list.
+func parseFull(_ *http.Request, raw []byte) (catalog.Write, error) {
+	endpoints, err := parseEndpoints(raw)
+	return catalog.Write{Members: endpoints, Replace: true}, err
 }
 
-func readOne(req *http.Request, raw []byte) (catalog.Write, error) {
-	var m catalog.Endpoint
-	if err := strict(raw, &m); err != nil {
+// parseEndpoint parses a write of the one endpoint in the path.
+func parseEndpoint(req *http.Request, raw []byte) (catalog.Write, error) {
+	var endpoint catalog.Endpoint
+	if err := decodeStrict(raw, &endpoint); err != nil {
 		return catalog.Write{}, err
 	}
-	if m.ID != req.PathValue("id") {
-		return catalog.Write{}, fmt.Errorf("the body's id is %.40q, the path's %.40q", m.ID, req.PathValue("id"))
+	if endpoint.ID != req.PathValue("id") {
+		return catalog.Write{}, fmt.Errorf("the id is %.40q in the body and %.40q in the path", endpoint.ID, req.PathValue("id"))
 	}
-	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Check()
+	return catalog.Write{Members: []catalog.Endpoint{endpoint}}, endpoint.Validate()
 }
 
-func readDelete(req *http.Request, _ []byte) (catalog.Write, error) {
-	m := catalog.Endpoint{ID: req.PathValue("id"), Phase: catalog.Deleted}
-	return catalog.Write{Members: []catalog.Endpoint{m}}, m.Check()
+func parseDelete(req *http.Request, _ []byte) (catalog.Write, error) {
+	endpoint := catalog.Endpoint{ID: req.PathValue("id"), Phase: catalog.Deleted}
+	return catalog.Write{Members: []catalog.Endpoint{endpoint}}, endpoint.Validate()
 }
 
-// readDrain drains an endpoint as it stands on the list here.
-func (s *Server) readDrain(req *http.Request, _ []byte) (catalog.Write, error) {
-	var m catalog.Endpoint
-	s.r.ledger.read(func(st *catalog.State) {
-		e, _ := st.Entry(req.PathValue("id"))
-		m = e.Endpoint
+// parseDrain parses a write that sets the phase of an endpoint to Draining. The other fields are those that
+// this replica has listed.
+func (s *Server) parseDrain(req *http.Request, _ []byte) (catalog.Write, error) {
+	var endpoint catalog.Endpoint
+	s.replica.fsm.view(func(st *catalog.State) {
+		entry, _ := st.Entry(req.PathValue("id"))
+		endpoint = entry.Endpoint
 	})
-	if m.ID == "" {
-		return catalog.Write{}, fmt.Errorf("endpoint %.40q is not on the list here: %w", req.PathValue("id"), catalog.ErrUnknown)
+	if endpoint.ID == "" {
+		return catalog.Write{}, fmt.Errorf("endpoint %.40q is not listed at this replica: %w", req.PathValue("id"), catalog.ErrNotFound)
 	}
-	m.Phase = catalog.Draining
-	return catalog.Write{Members: []catalog.Endpoint{m}}, nil
+	endpoint.Phase = catalog.Draining
+	return catalog.Write{Members: []catalog.Endpoint{endpoint}}, nil
 }
 
-func readRegistration(req *http.Request, raw []byte) (catalog.Write, error) {
+// parseRegistration parses a write of a serving endpoint with a lease of ttl_ms milliseconds.
+func parseRegistration(req *http.Request, raw []byte) (catalog.Write, error) {
 	var reg struct {
 		Member catalog.Endpoint `json:"member"`
 		TTL    int64            `json:"ttl_ms"`
 	}
-	if err := strict(raw, &reg); err != nil {
+	if err := decodeStrict(raw, &reg); err != nil {
 		return catalog.Write{}, err
 	}
 	if reg.Member.ID != req.PathValue("id") || reg.Member.Phase != catalog.Serving {
-		return catalog.Write{}, fmt.Errorf("the member has the path's id and phase %s", catalog.Serving)
+		return catalog.Write{}, fmt.Errorf("the member must have the id of the path and phase %s", catalog.Serving)
 	}
-	if reg.TTL < catalog.MinTTL || reg.TTL > catalog.MaxTTL {
-		return catalog.Write{}, fmt.Errorf("ttl_ms is %d to %d", int64(catalog.MinTTL), int64(catalog.MaxTTL))
+	if reg.TTL < catalog.MinTTLMS || reg.TTL > catalog.MaxTTLMS {
+		return catalog.Write{}, fmt.Errorf("ttl_ms must be %d to %d", int64(catalog.MinTTLMS), int64(catalog.MaxTTLMS))
 	}
-	return catalog.Write{Members: []catalog.Endpoint{reg.Member}, TTL: reg.TTL}, reg.Member.Check()
+	return catalog.Write{Members: []catalog.Endpoint{reg.Member}, TTL: reg.TTL}, reg.Member.Validate()
 }
--- a/internal/lab/relay/udp.go
+++ b/internal/lab/relay/udp.go
@@ -13,64 +13,68 @@
 
 const (
 	maxDatagram = 64 << 10
-	maxPeers    = 4096 // senders that a UDP link knows at once
-	maxFlying   = 4096 // datagrams that it holds back at once; more are lost, as in any full queue
+	maxPeers    = 4096 // senders that a UDP link ever forwards for; it keeps their sockets until it is closed, and ignores further senders
+	maxDelayed  = 4096 // delayed datagrams at the same time; more are dropped, as in any full queue
 )
 
-// Datagrams is a link for UDP: what comes to its address goes on to the target, from a socket for each sender, and
-// what comes back there goes back to that sender. Close ends it.
-type Datagrams struct {
-	conn   *net.UDPConn
-	target netip.AddrPort
-	done   chan struct{}
-	wg     sync.WaitGroup
-	flying chan struct{}
-	lost   atomic.Int64
+// DatagramLink is a UDP link. It forwards the datagrams that arrive at its address to the target, from a
+// socket of its own for each sender. Answers to that socket go back to the sender.
+type DatagramLink struct {
+	conn     *net.UDPConn
+	target   netip.AddrPort
+	done     chan struct{}
+	wg       sync.WaitGroup
+	inFlight chan struct{} // holds a value for each delayed datagram
+	dropped  atomic.Int64
 
-	mu      sync.Mutex
-	weather Weather
-	rand    *rand.Rand
-	peers   map[netip.AddrPort]*net.UDPConn
-	closed  bool
+	mu         sync.Mutex
+	conditions Conditions
+	rand       *rand.Rand
+	peers      map[netip.AddrPort]*net.UDPConn // by sender: the socket that forwards to the target
+	closed     bool
 }
 
-// ListenDatagrams makes a UDP link from an address to a target.
-func ListenDatagrams(addr, target string, seed uint64) (*Datagrams, error) {
+// ListenDatagrams creates a UDP link from an address to a target, both as IP:PORT. The seed is for jitter and
+// loss.
+func ListenDatagrams(addr, target string, seed uint64) (*DatagramLink, error) {
 	to, err := netip.ParseAddrPort(target)
 	if err != nil {
-		return nil, fmt.Errorf("UDP link: %w", err)
+		return nil, fmt.Errorf("listen on UDP link: %w", err)
 	}
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return nil, fmt.Errorf("UDP link: %w", err)
+		return nil, fmt.Errorf("listen on UDP link: %w", err)
 	}
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
-		return nil, fmt.Errorf("UDP link: %w", err)
+		return nil, fmt.Errorf("listen on UDP link: %w", err)
 	}
-	d := &Datagrams{
-		conn: conn, target: to, done: make(chan struct{}), flying: make(chan struct{}, maxFlying), rand: rand.New(rand.NewPCG(seed, 2)),
+	d := &DatagramLink{
+		conn: conn, target: to, done: make(chan struct{}), inFlight: make(chan struct{}, maxDelayed), rand: rand.New(rand.NewPCG(seed, 2)),
 		peers: map[netip.AddrPort]*net.UDPConn{},
 	}
-	d.wg.Go(d.out)
+	d.wg.Go(d.forwardOutbound)
 	return d, nil
 }
 
-// Addr is where it listens.
-func (d *Datagrams) Addr() string { return d.conn.LocalAddr().String() }
+// Addr returns the address at which the link listens.
+func (d *DatagramLink) Addr() string { return d.conn.LocalAddr().String() }
 
-// Lost counts the datagrams that were not sent on.
-func (d *Datagrams) Lost() int64 { return d.lost.Load() }
+// Dropped returns the number of datagrams, in both directions, that were dropped because of the conditions or
+// because too many were delayed. It does not count the datagrams of ignored senders.
+func (d *DatagramLink) Dropped() int64 { return d.dropped.Load() }
 
-// Set changes the weather.
-func (d *Datagrams) Set(w Weather) {
+// SetConditions changes the conditions for datagrams that arrive from now on. Of the conditions only Delay,
+// Jitter, Loss, CutOutbound and CutReturn apply to a UDP link.
+func (d *DatagramLink) SetConditions(conditions Conditions) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.weather = w
+	d.conditions = conditions
 }
 
-// Close ends the link and returns when nothing of it is left.
-func (d *Datagrams) Close() {
+// Close closes the link and returns when all its goroutines have ended; delayed datagrams are dropped. It
+// must be called only once.
+func (d *DatagramLink) Close() {
 	d.mu.Lock()
 	d.closed = true
 	for _, c := range d.peers {
@@ -82,7 +86,8 @@
 	d.wg.Wait()
 }
 
-func (d *Datagrams) out() {
+// forwardOutbound forwards datagrams from the senders to the target until the link is closed.
+func (d *DatagramLink) forwardOutbound() {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
@@ -96,12 +101,13 @@
 		if peer == nil {
 			continue
 		}
-		d.carry(append([]byte(nil), buf[:n]...), func(w Weather) bool { return w.CutOut }, func(b []byte) { peer.Write(b) })
+		d.forward(append([]byte(nil), buf[:n]...), func(cond Conditions) bool { return cond.CutOutbound }, func(b []byte) { peer.Write(b) })
 	}
 }
 
-// peer is the socket for a sender, made when it first speaks.
-func (d *Datagrams) peer(from netip.AddrPort) *net.UDPConn {
+// peer returns the socket for a sender and creates it for the sender's first datagram. It returns nil if the
+// link is closed, has maxPeers senders already, or can't open a socket.
+func (d *DatagramLink) peer(from netip.AddrPort) *net.UDPConn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c := d.peers[from]; c != nil || d.closed || len(d.peers) >= maxPeers {
@@ -120,37 +126,38 @@
 				return
 			}
 			if err != nil {
-				continue // an ICMP error: the target is not there now
+				continue // an ICMP error: nothing listens at the target now
 			}
-			d.carry(append([]byte(nil), buf[:n]...), func(w Weather) bool { return w.CutBack }, func(b []byte) { d.conn.WriteToUDPAddrPort(b, from) })
+			d.forward(append([]byte(nil), buf[:n]...), func(cond Conditions) bool { return cond.CutReturn }, func(b []byte) { d.conn.WriteToUDPAddrPort(b, from) })
 		}
 	})
 	return c
 }
 
-// carry sends a datagram on after its delay, unless it is lost.
-func (d *Datagrams) carry(data []byte, cut func(Weather) bool, send func([]byte)) {
+// forward passes a datagram to send after the link's delay. It drops the datagram if its direction is cut, at
+// random with the probability Loss, and if maxDelayed others are being delayed.
+func (d *DatagramLink) forward(data []byte, cut func(Conditions) bool, send func([]byte)) {
 	d.mu.Lock()
-	w := d.weather
-	lost := cut(w) || (w.Loss > 0 && d.rand.Float64() < w.Loss)
-	delay := time.Duration(float64(w.Delay) * (1 + w.Jitter*d.rand.Float64()))
+	cond := d.conditions
+	drop := cut(cond) || (cond.Loss > 0 && d.rand.Float64() < cond.Loss)
+	delay := time.Duration(float64(cond.Delay) * (1 + cond.Jitter*d.rand.Float64()))
 	d.mu.Unlock()
 	switch {
-	case lost:
-		d.lost.Add(1)
+	case drop:
+		d.dropped.Add(1)
 		return
 	case delay <= 0:
 		send(data)
 		return
 	}
 	select {
-	case d.flying <- struct{}{}:
+	case d.inFlight <- struct{}{}:
 	default:
-		d.lost.Add(1)
+		d.dropped.Add(1)
 		return
 	}
 	d.wg.Go(func() {
-		defer func() { <-d.flying }()
+		defer func() { <-d.inFlight }()
 		t := time.NewTimer(delay)
 		defer t.Stop()
 		select {
--- a/internal/lab/scale/file.go
+++ b/internal/lab/scale/file.go
@@ -16,59 +16,60 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// Bounds of a file.
+// Bounds of a run file's values.
 const (
-	mostPoints = 100
-	mostPlays  = 100
-	mostLimit  = time.Hour
+	maxPoints      = 100
+	maxPlays       = 100
+	maxPlayTimeout = time.Hour
 )
 
-// File is a scale run as its author wrote it.
-type File struct {
-	Name   string
-	About  string
-	Axis   play.Axis
-	Points []float64 // rising
-	Plays  int       // of each point
-	Seed   uint64    // of the first play; each further one has the next
-	Limit  time.Duration
-	Set    map[string]float64 // all settings of the axis
-	Expect []Expect
-	Hash   string // of the text
+// RunFile is a parsed run file: the TOML file that says which axis a scale run plays, at which points and
+// with which settings.
+type RunFile struct {
+	Name         string
+	Description  string
+	Axis         play.Axis
+	Points       []float64 // in rising order
+	Plays        int       // plays of each point
+	Seed         uint64    // of the first play; each further play gets the next number
+	PlayTimeout  time.Duration
+	Settings     map[string]float64 // the axis' settings, with defaults filled in
+	Expectations []Expectation
+	Hash         string // SHA-256 of the file's text, in hex
 }
 
-// Expect is a bound that an exact figure of each play has to keep.
-type Expect struct {
-	ID          string   `toml:"id"`
-	At          *float64 `toml:"at"` // a point; nil: at each
-	Least, Most *float64
+// Expectation bounds an exact figure. Each play of the point has to meet it.
+type Expectation struct {
+	ID       string   `toml:"id"`
+	X        *float64 `toml:"at"` // the point; nil: all points
+	Min, Max *float64
 }
 
-func (e Expect) String() string {
+func (e Expectation) String() string {
 	s := e.ID
-	if e.At != nil {
-		s += fmt.Sprintf(" at %v", number(*e.At))
+	if e.X != nil {
+		s += fmt.Sprintf(" at %v", formatNumber(*e.X))
 	}
-	if e.Least != nil {
-		s += fmt.Sprintf(", %v at least", number(*e.Least))
+	if e.Min != nil {
+		s += fmt.Sprintf(", %v at least", formatNumber(*e.Min))
 	}
-	if e.Most != nil {
-		s += fmt.Sprintf(", %v at most", number(*e.Most))
+	if e.Max != nil {
+		s += fmt.Sprintf(", %v at most", formatNumber(*e.Max))
 	}
 	return s
 }
 
-// text is the form of a file.
-type text struct {
-	Name   string             `toml:"name"`
-	About  string             `toml:"about"`
-	Axis   string             `toml:"axis"`
-	Points []float64          `toml:"points"`
-	Plays  int                `toml:"plays"`
-	Seed   int64              `toml:"seed"`
-	Limit  span               `toml:"limit"`
-	Set    map[string]float64 `toml:"set"`
-	Expect []struct {
+// runFileTOML has the keys of a run file.
+type runFileTOML struct {
+	Name         string             `toml:"name"`
+	Description  string             `toml:"about"`
+	Axis         string             `toml:"axis"`
+	Points       []float64          `toml:"points"`
+	Plays        int                `toml:"plays"`
+	Seed         int64              `toml:"seed"`
+	PlayTimeout  durationText       `toml:"limit"`
+	Settings     map[string]float64 `toml:"set"`
+	Expectations []struct {
 		ID    string   `toml:"id"`
 		At    *float64 `toml:"at"`
 		Least *float64 `toml:"least"`
@@ -76,102 +77,103 @@
 	} `toml:"expect"`
 }
 
-// span is a time, as "90s".
-type span time.Duration
+// durationText is a duration in the form "90s".
+type durationText time.Duration
 
-func (s *span) UnmarshalText(raw []byte) error {
+func (s *durationText) UnmarshalText(raw []byte) error {
 	d, err := time.ParseDuration(string(raw))
-	*s = span(d)
+	*s = durationText(d)
 	return err
 }
 
-// Parse reads and checks a file against the axes that there are. Its errors are of type *tomlfile.Error, all that were found, joined.
-func Parse(raw []byte, axes []play.Axis) (File, error) {
-	t := text{Plays: 3, Seed: 1, Limit: span(2 * time.Minute)}
-	if err := tomlfile.Decode(raw, &t, unknown); err != nil {
-		return File{}, err
+// Parse reads a run file and checks it against the known axes. It returns all errors found, joined; each is a
+// *tomlfile.Error.
+func Parse(raw []byte, axes []play.Axis) (RunFile, error) {
+	text := runFileTOML{Plays: 3, Seed: 1, PlayTimeout: durationText(2 * time.Minute)}
+	if err := tomlfile.Decode(raw, &text, unknownKeyMessage); err != nil {
+		return RunFile{}, err
 	}
 	sum := sha256.Sum256(raw)
-	f := File{
-		Name: t.Name, About: t.About, Points: t.Points, Plays: t.Plays, Seed: uint64(t.Seed), Limit: time.Duration(t.Limit), Hash: hex.EncodeToString(sum[:]),
-	}
-	where := tomlfile.Lines(raw)
-	var found []error
-	bad := func(key, form string, args ...any) {
-		line := where[key]
-		for line == 0 && strings.Contains(key, ".") { // the table that it is missing from
+	f := RunFile{
+		Name: text.Name, Description: text.Description, Points: text.Points, Plays: text.Plays, Seed: uint64(text.Seed), PlayTimeout: time.Duration(text.PlayTimeout), Hash: hex.EncodeToString(sum[:]),
+	}
+	keyLines := tomlfile.KeyLines(raw)
+	var errs []error
+	addError := func(key, format string, args ...any) {
+		line := keyLines[key]
+		for line == 0 && strings.Contains(key, ".") { // report a missing key at its table
 			key = key[:strings.LastIndex(key, ".")]
-			line = where[key]
+			line = keyLines[key]
 		}
-		found = append(found, &tomlfile.Error{Line: line, Text: fmt.Sprintf(form, args...)})
+		errs = append(errs, &tomlfile.Error{Line: line, Message: fmt.Sprintf(format, args...)})
 	}
-	if !nameForm.MatchString(t.Name) {
-		bad("name", "name is of small letters, digits and dashes, since the results' files are called so")
+	if !namePattern.MatchString(text.Name) {
+		addError("name", "name must consist of small letters, digits and dashes, as the result files are named after it")
 	}
-	if t.Plays < 1 || t.Plays > mostPlays {
-		bad("plays", "plays is from 1 to %d", mostPlays)
+	if text.Plays < 1 || text.Plays > maxPlays {
+		addError("plays", "plays must be from 1 to %d", maxPlays)
 	}
-	if t.Seed < 1 {
-		bad("seed", "seed is 1 or more")
+	if text.Seed < 1 {
+		addError("seed", "seed must be 1 or more")
 	}
-	if f.Limit < time.Second || f.Limit > mostLimit {
-		bad("limit", "limit is from 1s to %v", mostLimit)
+	if f.PlayTimeout < time.Second || f.PlayTimeout > maxPlayTimeout {
+		addError("limit", "limit must be from 1s to %v", maxPlayTimeout)
 	}
-	if len(t.Points) == 0 || len(t.Points) > mostPoints {
-		bad("points", "points are from 1 to %d values of the axis", mostPoints)
+	if len(text.Points) == 0 || len(text.Points) > maxPoints {
+		addError("points", "points must have from 1 to %d values of the axis", maxPoints)
 	}
-	for i, x := range t.Points {
-		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 || i > 0 && x <= t.Points[i-1] {
-			bad("points", "points are 0 or more, each larger than the one before it; %v is not", number(x))
+	for i, x := range text.Points {
+		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 || i > 0 && x <= text.Points[i-1] {
+			addError("points", "points must be 0 or more, each larger than the one before it; %v is not", formatNumber(x))
 		}
 	}
-	i := slices.IndexFunc(axes, func(a play.Axis) bool { return a.Name == t.Axis })
+	i := slices.IndexFunc(axes, func(a play.Axis) bool { return a.Name == text.Axis })
 	if i < 0 {
 		var names []string
 		for _, a := range axes {
 			names = append(names, a.Name)
 		}
-		bad("axis", "there is no axis %q; there are %s", t.Axis, strings.Join(names, ", "))
-		return f, errors.Join(found...)
+		addError("axis", "unknown axis %q; known axes: %s", text.Axis, strings.Join(names, ", "))
+		return f, errors.Join(errs...)
 	}
 	f.Axis = axes[i]
 	var err error
-	if f.Set, err = f.Axis.Fill(t.Set); err != nil {
-		// All of them, so that no mistake hides behind another.
-		for _, name := range slices.Sorted(maps.Keys(t.Set)) {
-			if _, err := f.Axis.Fill(map[string]float64{name: t.Set[name]}); err != nil {
-				bad("set."+name, "%v", err)
+	if f.Settings, err = f.Axis.FillSettings(text.Settings); err != nil {
+		// FillSettings stops at the first error; check each setting alone to report them all.
+		for _, name := range slices.Sorted(maps.Keys(text.Settings)) {
+			if _, err := f.Axis.FillSettings(map[string]float64{name: text.Settings[name]}); err != nil {
+				addError("set."+name, "%v", err)
 			}
 		}
 	}
-	for i, e := range t.Expect {
+	for i, e := range text.Expectations {
 		key := fmt.Sprintf("expect[%d]", i)
-		m, ok := f.Axis.Measure(e.ID)
+		m, ok := f.Axis.FindMeasure(e.ID)
 		switch {
 		case !ok:
-			bad(key+".id", "the axis %s reads no figure %q", t.Axis, e.ID)
+			addError(key+".id", "axis %s has no figure %q", text.Axis, e.ID)
 		case !m.Exact:
-			bad(key+".id", "%s hangs on the machine's speed; bounds are for bytes and counts that don't", e.ID)
+			addError(key+".id", "%s depends on the machine's speed; only bytes and counts that do not can have bounds", e.ID)
 		}
 		if e.Least == nil && e.Most == nil {
-			bad(key, "a bound is missing: least, most or both")
+			addError(key, "a bound is missing: least, most or both")
 		}
 		if e.Least != nil && e.Most != nil && *e.Least > *e.Most {
-			bad(key+".least", "least is more than most")
+			addError(key+".least", "least is more than most")
 		}
-		if e.At != nil && !slices.Contains(t.Points, *e.At) {
-			bad(key+".at", "%v is no point of this file", number(*e.At))
+		if e.At != nil && !slices.Contains(text.Points, *e.At) {
+			addError(key+".at", "%v is not a point of this file", formatNumber(*e.At))
 		}
-		f.Expect = append(f.Expect, Expect{ID: e.ID, At: e.At, Least: e.Least, Most: e.Most})
+		f.Expectations = append(f.Expectations, Expectation{ID: e.ID, X: e.At, Min: e.Least, Max: e.Most})
 	}
-	return f, errors.Join(found...)
+	return f, errors.Join(errs...)
 }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]*$`)
 
-func unknown(name string) string {
+func unknownKeyMessage(name string) string {
 	if name == "form" {
-		return "the form of a slope is tested, not given"
+		return "the form of a slope can't be set; the fit finds it"
 	}
-	return fmt.Sprintf("the name %q is not known here; see docs/scale.md", name)
+	return fmt.Sprintf("unknown name %q; see docs/scale.md", name)
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -12,124 +12,126 @@
 	"starlingusher/fleet/capacity"
 )
 
-// Forms of a slope, from the simplest on.
+// Forms of a slope, from the simplest to the richest.
 const (
 	Constant  = capacity.Constant
 	Linear    = capacity.Linear
 	Quadratic = capacity.Quadratic
 )
 
-var forms = []string{Constant, Linear, Quadratic} // each has one coefficient more than its place
+var forms = []string{Constant, Linear, Quadratic} // indexed by degree
 
-// What a fit is held to.
+// Thresholds of a fit.
 const (
-	leastPlays   = 3    // of a point, that it is fitted
-	leastPoints  = 3    // of a slope
-	leastScatter = 5e-3 // relative; less than this is told apart by no run
-	tinyShare    = 1e-2 // of the largest figure: what lies below is judged as if it were so large, since nothing is relative to zero
-	trendChance  = 0.01 // a trend in the residuals is one that scatter alone shows less often than this
-	trendMatters = 0.02 // and that the simpler form misses some point by more than this share for it
-	missBound    = 0.10 // by how much of it a form may miss the last point when it is fitted to the others
-	missErrors   = 3    // a miss is one when it is more than so many standard errors
+	minPlaysToFit      = 3    // plays of a point; one with fewer is left out of the fit
+	minPointsToFit     = 3    // points of a slope
+	minRelativeScatter = 5e-3 // lower bound of the relative scatter; no run can tell a smaller one
+	minRelativeSize    = 1e-2 // share of the largest value: a smaller value counts as this large where errors are relative to it, since nothing is relative to zero
+	trendPValue        = 0.01 // residuals have a trend if scatter alone causes one with a probability below this
+	minTrendResidual   = 0.02 // and if the simpler form misses some point by more than this share
+	maxPredictionError = 0.10 // share by which a form may miss the last point when fitted to the others
+	minMissStdErrors   = 3    // it has missed the point only if the miss is also more than this many standard errors
 )
 
-// sample is what the plays of one point read of one figure.
+// sample holds the values of one figure at one point.
 type sample struct {
-	x  float64
-	ys []float64 // one of each play that is fitted
+	x      float64
+	values []float64 // one for each play that is fitted
 }
 
-// curve is a fitted form: y = c[0] + c[1]*x + c[2]*x*x.
+// curve is a fitted polynomial: y = coefs[0] + coefs[1]*x + coefs[2]*x*x.
 type curve struct {
-	c      [3]float64
-	errors [3]float64 // standard errors, from the plays' scatter
-	order  int        // 0 constant, 1 linear, 2 quadratic
-	chi    float64    // sum of the squares of the residuals, each in standard errors
-	cov    *mat.SymDense
-	scale  float64 // of x, for cov
+	coefs     [3]float64
+	stdErrors [3]float64 // of the coefficients, from the scatter of the plays
+	degree    int        // 0 constant, 1 linear, 2 quadratic
+	chiSquare float64    // sum of the squared residuals, each in standard errors
+	cov       *mat.SymDense
+	xScale    float64 // cov is the covariance of the coefficients of x/xScale
 }
 
-func (f curve) at(x float64) float64 { return f.c[0] + x*(f.c[1]+x*f.c[2]) }
+func (f curve) valueAt(x float64) float64 { return f.coefs[0] + x*(f.coefs[1]+x*f.coefs[2]) }
 
-// errorAt is the standard error of what the curve tells at x.
-func (f curve) errorAt(x float64) float64 {
-	v := powers(x/f.scale, f.order)
+// stdErrorAt returns the standard error of valueAt(x).
+func (f curve) stdErrorAt(x float64) float64 {
+	v := powers(x/f.xScale, f.degree)
 	return math.Sqrt(max(0, mat.Inner(v, f.cov, v)))
 }
 
-func powers(x float64, order int) *mat.VecDense {
-	v := mat.NewVecDense(order+1, nil)
+func powers(x float64, degree int) *mat.VecDense {
+	v := mat.NewVecDense(degree+1, nil)
 	p := 1.0
-	for i := range order + 1 {
+	for i := range degree + 1 {
 		v.SetVec(i, p)
 		p *= x
 	}
 	return v
 }
 
-// point is a sample's mean with its standard error.
-type point struct{ x, y, err, size float64 }
+// weightedPoint is a sample's mean with its standard error. size is the mean's magnitude, to which errors are
+// relative.
+type weightedPoint struct{ x, y, stdErr, size float64 }
 
-// weigh works out each point's mean and its standard error. A point's relative scatter is drawn to that of all points, since few plays
-// tell little of it.
-func weigh(samples []sample) (points []point, freedom int) {
-	biggest := 0.0
+// weightPoints returns each point's mean and standard error, and the degrees of freedom of all points
+// together. Few plays tell little of a point's scatter, so its relative scatter is shrunk towards the pooled
+// one.
+func weightPoints(samples []sample) (points []weightedPoint, degreesOfFreedom int) {
+	largest := 0.0
 	for _, s := range samples {
-		biggest = max(biggest, math.Abs(mean(s.ys)))
+		largest = max(largest, math.Abs(mean(s.values)))
 	}
 	type scatter struct {
-		squares float64 // relative
+		squares float64 // sum of squared relative deviations
 		freedom int
 	}
-	each := make([]scatter, len(samples))
+	scatters := make([]scatter, len(samples))
 	var all scatter
 	for i, s := range samples {
-		m := mean(s.ys)
-		size := max(math.Abs(m), tinyShare*biggest)
-		p := point{x: s.x, y: m, size: size}
-		for _, y := range s.ys {
+		m := mean(s.values)
+		size := max(math.Abs(m), minRelativeSize*largest)
+		p := weightedPoint{x: s.x, y: m, size: size}
+		for _, y := range s.values {
 			if size > 0 {
-				each[i].squares += (y - m) / size * (y - m) / size
+				scatters[i].squares += (y - m) / size * (y - m) / size
 			}
 		}
-		each[i].freedom = len(s.ys) - 1
-		all.squares += each[i].squares
-		all.freedom += each[i].freedom
+		scatters[i].freedom = len(s.values) - 1
+		all.squares += scatters[i].squares
+		all.freedom += scatters[i].freedom
 		points = append(points, p)
 	}
 	pooled := 0.0
 	if all.freedom > 0 {
 		pooled = all.squares / float64(all.freedom)
 	}
-	const asMuchAs = 2 // plays
+	const pooledWeight = 2 // weight of the pooled scatter, in degrees of freedom
 	for i := range points {
-		square := (each[i].squares + asMuchAs*pooled) / float64(each[i].freedom+asMuchAs)
-		r := max(math.Sqrt(square), leastScatter)
-		points[i].err = r * points[i].size / math.Sqrt(float64(len(samples[i].ys)))
+		square := (scatters[i].squares + pooledWeight*pooled) / float64(scatters[i].freedom+pooledWeight)
+		r := max(math.Sqrt(square), minRelativeScatter)
+		points[i].stdErr = r * points[i].size / math.Sqrt(float64(len(samples[i].values)))
 	}
 	return points, all.freedom
 }
 
-// leastSquares fits a form to the points, each weighted by its standard error.
-func leastSquares(points []point, order int) (curve, error) {
-	n := order + 1
-	f := curve{order: order, scale: 1}
+// leastSquares fits a polynomial of a degree to the points, each weighted by its standard error.
+func leastSquares(points []weightedPoint, degree int) (curve, error) {
+	n := degree + 1
+	f := curve{degree: degree, xScale: 1}
 	if len(points) < n {
 		return f, errors.New("fewer points than coefficients")
 	}
 	for _, p := range points {
-		f.scale = max(f.scale, math.Abs(p.x))
+		f.xScale = max(f.xScale, math.Abs(p.x))
 	}
 	normal, right := mat.NewSymDense(n, nil), mat.NewVecDense(n, nil)
 	for _, p := range points {
-		v := powers(p.x/f.scale, order)
-		w := 1 / (p.err * p.err)
+		v := powers(p.x/f.xScale, degree)
+		w := 1 / (p.stdErr * p.stdErr)
 		normal.SymRankOne(normal, w, v)
 		right.AddScaledVec(right, w*p.y, v)
 	}
 	var chol mat.Cholesky
 	if !chol.Factorize(normal) {
-		return f, errors.New("the points don't tell the coefficients apart")
+		return f, errors.New("the points do not determine the coefficients")
 	}
 	var c mat.VecDense
 	if err := chol.SolveVecTo(&c, right); err != nil {
@@ -141,110 +143,113 @@
 	}
 	s := 1.0
 	for i := range n {
-		f.c[i] = c.AtVec(i) / s
-		f.errors[i] = math.Sqrt(f.cov.At(i, i)) / s
-		s *= f.scale
+		f.coefs[i] = c.AtVec(i) / s
+		f.stdErrors[i] = math.Sqrt(f.cov.At(i, i)) / s
+		s *= f.xScale
 	}
 	for _, p := range points {
-		d := (p.y - f.at(p.x)) / p.err
-		f.chi += d * d
+		d := (p.y - f.valueAt(p.x)) / p.stdErr
+		f.chiSquare += d * d
 	}
 	return f, nil
 }
 
-// fitted is a slope's form and figures, and how the form was found.
-type fitted struct {
+// slopeFit is the chosen form with its coefficients, and how it was chosen.
+type slopeFit struct {
 	curve
-	worst float64  // largest relative residual, or how far the others' fit missed the last point
-	why   []string // what spoke against each simpler form, and what else is to be known
+	maxResidual float64  // largest relative residual, or the relative error of predicting the last point from the others if that is larger
+	reasons     []string // why each simpler form was rejected, and other remarks
 }
 
-// errNotFitted says that there is too little to fit.
+// errNotFitted says that there is too little data for a fit.
 var errNotFitted = errors.New("not fitted")
 
-// fitSamples finds the simplest form that the samples, rising in x, don't speak against.
-func fitSamples(samples []sample) (fitted, error) {
-	samples = slices.DeleteFunc(slices.Clone(samples), func(s sample) bool { return len(s.ys) < leastPlays })
-	if len(samples) < leastPoints {
-		return fitted{}, fmt.Errorf("%w: %d points with %d plays or more, %d are needed", errNotFitted, len(samples), leastPlays, leastPoints)
+// fitSamples returns the simplest form that the samples, in rising x, do not contradict.
+func fitSamples(samples []sample) (slopeFit, error) {
+	samples = slices.DeleteFunc(slices.Clone(samples), func(s sample) bool { return len(s.values) < minPlaysToFit })
+	if len(samples) < minPointsToFit {
+		return slopeFit{}, fmt.Errorf("%w: %d points with %d plays or more, %d are needed", errNotFitted, len(samples), minPlaysToFit, minPointsToFit)
 	}
-	points, freedom := weigh(samples)
-	if !slices.ContainsFunc(points, func(p point) bool { return p.size > 0 }) { // all zero
-		return fitted{curve: curve{order: 0, scale: 1, cov: mat.NewSymDense(1, nil)}}, nil
+	points, degreesOfFreedom := weightPoints(samples)
+	if !slices.ContainsFunc(points, func(p weightedPoint) bool { return p.size > 0 }) { // all values are zero
+		return slopeFit{curve: curve{degree: 0, xScale: 1, cov: mat.NewSymDense(1, nil)}}, nil
 	}
-	var found fitted
-	for order := range forms {
-		f, err := leastSquares(points, order)
+	var found slopeFit
+	for degree := range forms {
+		f, err := leastSquares(points, degree)
 		if err != nil {
-			return fitted{}, fmt.Errorf("%w: %w", errNotFitted, err)
+			return slopeFit{}, fmt.Errorf("%w: %w", errNotFitted, err)
 		}
-		found = fitted{curve: f, why: found.why}
-		found.worst = worstResidual(f, points)
-		miss, missErr, foretold := foretell(points, order)
-		if foretold {
-			found.worst = max(found.worst, math.Abs(miss))
+		found = slopeFit{curve: f, reasons: found.reasons}
+		found.maxResidual = maxRelativeResidual(f, points)
+		miss, missErr, predicted := predictLast(points, degree)
+		if predicted {
+			found.maxResidual = max(found.maxResidual, math.Abs(miss))
 		}
-		missed := foretold && math.Abs(miss) > missBound && missErr > missErrors
-		if order+1 == len(forms) || len(points) < order+3 { // a richer form would have no point left to be tested by
+		missed := predicted && math.Abs(miss) > maxPredictionError && missErr > minMissStdErrors
+		if degree+1 == len(forms) || len(points) < degree+3 { // a richer form would leave no point to test it with
 			return found, nil
 		}
-		richer, err := leastSquares(points, order+1)
+		richer, err := leastSquares(points, degree+1)
 		if err != nil {
 			return found, nil
 		}
-		var against []string
-		// Where the richer form leaves more than scatter, too, it has to lower the sum by as much more: steps are no trend.
-		left := max(1, richer.chi/float64(len(points)-order-2))
-		if p := chance((f.chi-richer.chi)/left, freedom); worstResidual(f, points) > trendMatters && p < trendChance {
-			against = append(against, fmt.Sprintf("the residuals of the %s form have a trend (chance %.1g)", forms[order], p))
+		var objections []string
+		// If the richer form too leaves more than scatter, it has to lower the sum of squares by as much
+		// more: a step in the values is not a trend.
+		unexplained := max(1, richer.chiSquare/float64(len(points)-degree-2))
+		if p := fTestPValue((f.chiSquare-richer.chiSquare)/unexplained, degreesOfFreedom); maxRelativeResidual(f, points) > minTrendResidual && p < trendPValue {
+			objections = append(objections, fmt.Sprintf("the residuals of the %s form have a trend (p = %.1g)", forms[degree], p))
 		}
-		if better, _, _ := foretell(points, order+1); missed && math.Abs(better) < math.Abs(miss) {
-			against = append(against, fmt.Sprintf("the %s form of the others misses the last point by %.0f%%", forms[order], 100*math.Abs(miss)))
+		if richerMiss, _, _ := predictLast(points, degree+1); missed && math.Abs(richerMiss) < math.Abs(miss) {
+			objections = append(objections, fmt.Sprintf("the %s form fitted to the other points misses the last one by %.0f%%", forms[degree], 100*math.Abs(miss)))
 		}
 		switch {
-		case order == 1 && (len(against) > 0 && richer.c[2] <= 0 || missed && miss > 0):
-			// Bent down, a parabola falls past its top; the line lies above the measured end.
-			found.why = append(found.why, "grows slower than a line: past the range the line is an upper estimate")
+		case degree == 1 && (len(objections) > 0 && richer.coefs[2] <= 0 || missed && miss > 0):
+			// A parabola that bends down falls beyond its vertex. The line lies above the last measured
+			// point.
+			found.reasons = append(found.reasons, "grows more slowly than a line: beyond the measured range the line is an upper estimate")
 			return found, nil
-		case len(against) == 0 && missed:
-			found.why = append(found.why, fmt.Sprintf("no form tells the last point from the others; the %s one misses it by %.0f%%", forms[order], 100*math.Abs(miss)))
+		case len(objections) == 0 && missed:
+			found.reasons = append(found.reasons, fmt.Sprintf("no form predicts the last point from the others; the %s form misses it by %.0f%%", forms[degree], 100*math.Abs(miss)))
 			return found, nil
-		case len(against) == 0:
+		case len(objections) == 0:
 			return found, nil
 		}
-		found.why = append(found.why, against...)
+		found.reasons = append(found.reasons, objections...)
 	}
 	return found, nil
 }
 
-// chance is that of scatter alone lowering the sum of squares by so much with one coefficient more.
-func chance(gain float64, freedom int) float64 {
+// fTestPValue returns the probability that scatter alone lowers the sum of squares by this much when one
+// coefficient is added (an F test).
+func fTestPValue(gain float64, degreesOfFreedom int) float64 {
 	if gain <= 0 {
 		return 1
 	}
-	return distuv.F{D1: 1, D2: float64(max(freedom, 1))}.Survival(gain)
+	return distuv.F{D1: 1, D2: float64(max(degreesOfFreedom, 1))}.Survival(gain)
 }
 
-func worstResidual(f curve, points []point) float64 {
-	worst := 0.0
+func maxRelativeResidual(f curve, points []weightedPoint) float64 {
+	largest := 0.0
 	for _, p := range points {
 		if p.size > 0 {
-			worst = max(worst, math.Abs(p.y-f.at(p.x))/p.size)
+			largest = max(largest, math.Abs(p.y-f.valueAt(p.x))/p.size)
 		}
 	}
-	return worst
+	return largest
 }
 
-// foretell fits a form to all points but the last, and tells by which share of it the last one is missed (above 0: more was foretold), and
-// by how many standard errors.
-func foretell(points []point, order int) (share, errs float64, ok bool) {
+// predictLast fits a polynomial to all points but the last and predicts that one. It returns the relative
+// error, above 0 if the prediction is too high, and the error in standard errors.
+func predictLast(points []weightedPoint, degree int) (relativeError, stdErrors float64, ok bool) {
 	last := points[len(points)-1]
-	f, err := leastSquares(points[:len(points)-1], order)
+	f, err := leastSquares(points[:len(points)-1], degree)
 	if err != nil || last.size == 0 {
 		return 0, 0, false
 	}
-	d := f.at(last.x) - last.y
-	return d / last.size, math.Abs(d) / math.Hypot(last.err, f.errorAt(last.x)), true
+	d := f.valueAt(last.x) - last.y
+	return d / last.size, math.Abs(d) / math.Hypot(last.stdErr, f.stdErrorAt(last.x)), true
 }
 
 func mean(ys []float64) float64 {
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -17,27 +17,27 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// page is the result as a page of Markdown.
-func (res *Result) page() string {
+// markdown returns the result as a page of Markdown.
+func (res *Result) markdown() string {
 	var b strings.Builder
 	table, _, plots := res.Files()
-	fmt.Fprintf(&b, "# Scale run: %s\n\n%s\n\nThe axis `%s`: %s.\n\n", res.Name, res.About, res.Axis, strings.TrimSuffix(res.Grows, "."))
-	fmt.Fprintf(&b, "Written by `cottonrack lab scale`; all plays are in `%s`. Build %s, begun %s, %d cores, %d plays a point, seeds from %d on, %v of plays.\n",
-		table, res.Build, res.Began.Format(time.RFC3339), res.Cores, res.Plays, res.Seed, seconds(res.Played))
-	if len(res.Set) > 0 {
+	fmt.Fprintf(&b, "# Scale run: %s\n\n%s\n\nThe axis `%s`: %s.\n\n", res.Name, res.Description, res.Axis, strings.TrimSuffix(res.AxisDescription, "."))
+	fmt.Fprintf(&b, "Written by `cottonrack lab scale`; all plays are in `%s`. Build %s, started %s, %d cores, %d plays per point, seeds from %d, %v of play time.\n",
+		table, res.Build, res.StartedAt.Format(time.RFC3339), res.Cores, res.Plays, res.Seed, roundSeconds(res.PlaySeconds))
+	if len(res.Settings) > 0 {
 		b.WriteString("\nSettings:")
-		for i, name := range slices.Sorted(maps.Keys(res.Set)) {
+		for i, name := range slices.Sorted(maps.Keys(res.Settings)) {
 			if i > 0 {
 				b.WriteString(",")
 			}
-			fmt.Fprintf(&b, " %s %s", name, number(res.Set[name]))
+			fmt.Fprintf(&b, " %s %s", name, formatNumber(res.Settings[name]))
 		}
 		b.WriteString(".\n")
 	}
-	fmt.Fprintf(&b, "\n![each figure by %s](%s)\n\n## Points\n\nMedian, and the range of the plays behind it. Plays that were spoilt, failed or met an end are not in it.\n\n", res.Per, plots)
+	fmt.Fprintf(&b, "\n![each figure by %s](%s)\n\n## Points\n\nMedian, with the range of the plays in parentheses. Plays that failed, are invalid or reached a limit are left out.\n\n", res.XUnit, plots)
 	b.WriteString("| figure | unit |")
 	for _, p := range res.Points {
-		fmt.Fprintf(&b, " %s |", number(p.X))
+		fmt.Fprintf(&b, " %s |", formatNumber(p.X))
 	}
 	b.WriteString("\n|" + strings.Repeat(" --- |", 2+len(res.Points)) + "\n| plays | |")
 	for _, p := range res.Points {
@@ -51,65 +51,65 @@
 		}
 		b.WriteString("\n")
 	}
-	b.WriteString("\n## Slopes\n\ny = at 0 + slope x + square x²; the spread is the standard error of the last of them, from the plays' scatter.\n\n")
+	b.WriteString("\n## Slopes\n\ny = at 0 + slope x + square x²; the spread is the standard error of the last coefficient, from the scatter of the plays.\n\n")
 	b.WriteString("| figure | what | form | at 0 | slope | square | spread | from | to | points | worst |\n|" + strings.Repeat(" --- |", 11) + "\n")
 	for _, f := range res.Fits {
 		if s := f.Slope; s != nil {
-			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | %s | %.4g | %.4g | %.4g | %.2g | %s | %s | %d | %.1f%% |\n", f.ID, f.What, f.Unit, s.Per, s.Form, s.At0, s.Slope,
-				s.Square, s.Spread, number(s.From), number(s.To), s.Points, 100*s.Worst)
+			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | %s | %.4g | %.4g | %.4g | %.2g | %s | %s | %d | %.1f%% |\n", f.ID, f.Description, f.Unit, s.XUnit, s.Form, s.Intercept, s.LinearCoef,
+				s.QuadraticCoef, s.StdErr, formatNumber(s.From), formatNumber(s.To), s.Points, 100*s.MaxResidual)
 		} else {
-			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | none |%s\n", f.ID, f.What, f.Unit, res.Per, strings.Repeat(" |", 8))
+			fmt.Fprintf(&b, "| `%s` | %s, %s by %s | none |%s\n", f.ID, f.Description, f.Unit, res.XUnit, strings.Repeat(" |", 8))
 		}
 	}
-	if slices.ContainsFunc(res.Fits, func(f Fit) bool { return len(f.Why) > 0 }) {
-		b.WriteString("\nWhy these forms and no simpler ones, or none:\n\n")
+	if slices.ContainsFunc(res.Fits, func(f Fit) bool { return len(f.Reasons) > 0 }) {
+		b.WriteString("\nWhy these forms and no simpler ones, or why there is none:\n\n")
 		for _, f := range res.Fits {
-			if len(f.Why) > 0 {
-				fmt.Fprintf(&b, "- `%s`: %s\n", f.ID, strings.Join(f.Why, "; "))
+			if len(f.Reasons) > 0 {
+				fmt.Fprintf(&b, "- `%s`: %s\n", f.ID, strings.Join(f.Reasons, "; "))
 			}
 		}
 	}
-	if len(res.Ends) > 0 {
-		b.WriteString("\n## Ends of today's program\n\nNot fitted.\n\n")
-		for _, e := range res.Ends {
-			fmt.Fprintf(&b, "- at %s: %s\n", number(e.X), strings.Join(e.Reasons, "; "))
+	if len(res.Limits) > 0 {
+		b.WriteString("\n## Limits of today's program\n\nNot fitted.\n\n")
+		for _, e := range res.Limits {
+			fmt.Fprintf(&b, "- at %s: %s\n", formatNumber(e.X), strings.Join(e.Reasons, "; "))
 		}
 	}
-	if len(res.Expects) > 0 {
+	if len(res.Expectations) > 0 {
 		b.WriteString("\n## Expected\n\n| expected | got | |\n| --- | --- | --- |\n")
-		for _, k := range res.Expects {
-			fmt.Fprintf(&b, "| %s | %s | %s |\n", k.What, k.Got, map[bool]string{true: "kept", false: "**not kept**"}[k.Kept])
+		for _, e := range res.Expectations {
+			fmt.Fprintf(&b, "| %s | %s | %s |\n", e.Expected, e.Got, map[bool]string{true: "met", false: "**not met**"}[e.Met])
 		}
 	}
-	res.plainLists(&b)
+	res.writeLists(&b)
 	return b.String()
 }
 
-// plainLists tells of the plays what is no figure: those that aren't fitted, notes, and facts beside.
-func (res *Result) plainLists(b *strings.Builder) {
-	var bad, notes []string
+// writeLists writes what is not a figure: the plays that were not fitted, the notes, and the counts.
+func (res *Result) writeLists(b *strings.Builder) {
+	var notFitted, notes []string
 	counts := map[string]map[float64][]float64{}
-	for _, k := range res.Records {
-		at := fmt.Sprintf("at %s, play %d: ", number(k.X), k.Play)
-		if k.Failed != "" {
-			bad = append(bad, at+"failed: "+k.Failed)
+	for _, rec := range res.Records {
+		prefix := fmt.Sprintf("at %s, play %d: ", formatNumber(rec.X), rec.Play)
+		if rec.Failure != "" {
+			notFitted = append(notFitted, prefix+"failed: "+rec.Failure)
 		}
-		for _, why := range k.Spoilt() {
-			bad = append(bad, at+"spoilt: "+why)
+		for _, reason := range rec.InvalidReasons() {
+			notFitted = append(notFitted, prefix+"invalid: "+reason)
 		}
-		for _, n := range k.Reading.Notes {
-			if n = "at " + number(k.X) + ": " + n; !slices.Contains(notes, n) {
+		for _, n := range rec.Reading.Notes {
+			if n = "at " + formatNumber(rec.X) + ": " + n; !slices.Contains(notes, n) {
 				notes = append(notes, n)
 			}
 		}
-		for name, v := range k.Reading.Counts {
+		for name, v := range rec.Reading.Counts {
 			if counts[name] == nil {
 				counts[name] = map[float64][]float64{}
 			}
-			counts[name][k.X] = append(counts[name][k.X], v)
+			counts[name][rec.X] = append(counts[name][rec.X], v)
 		}
 	}
-	list := func(title string, lines []string) {
+	writeList := func(title string, lines []string) {
 		if len(lines) == 0 {
 			return
 		}
@@ -118,21 +118,21 @@
 			fmt.Fprintf(b, "- %s\n", strings.ReplaceAll(l, "\n", " "))
 		}
 	}
-	list("Not fitted", bad)
-	list("Notes", notes)
+	writeList("Not fitted", notFitted)
+	writeList("Notes", notes)
 	if len(counts) == 0 {
 		return
 	}
-	b.WriteString("\n## Beside\n\nMedian of all plays.\n\n| |")
+	b.WriteString("\n## Counts\n\nMedian of all plays.\n\n| |")
 	for _, p := range res.Points {
-		fmt.Fprintf(b, " %s |", number(p.X))
+		fmt.Fprintf(b, " %s |", formatNumber(p.X))
 	}
 	b.WriteString("\n|" + strings.Repeat(" --- |", 1+len(res.Points)) + "\n")
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(b, "| %s |", name)
 		for _, p := range res.Points {
 			if v := counts[name][p.X]; len(v) > 0 {
-				fmt.Fprintf(b, " %s |", number(median(v)))
+				fmt.Fprintf(b, " %s |", formatNumber(median(v)))
 			} else {
 				b.WriteString(" |")
 			}
@@ -141,34 +141,34 @@
 	}
 }
 
-// String is the median and, if there is one, the range; nothing when nothing was read.
+// String returns the median with the range, if there is one; it is empty if there is no value.
 func (f Figure) String() string {
 	switch {
 	case f.Plays == 0:
 		return ""
-	case f.Least == f.Most:
-		return number(f.Median)
+	case f.Min == f.Max:
+		return formatNumber(f.Median)
 	}
-	return fmt.Sprintf("%.4g (%.4g to %.4g)", f.Median, f.Least, f.Most)
+	return fmt.Sprintf("%.4g (%.4g to %.4g)", f.Median, f.Min, f.Max)
 }
 
 func (b Build) String() string {
 	if b.Commit == "" {
-		return "not known"
+		return "unknown"
 	}
 	return b.Commit
 }
 
-func seconds(s float64) time.Duration {
+func roundSeconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second)).Round(time.Second / 10)
 }
 
-// The sheet of plots.
+// Layout of the plots.
 const (
-	plotColumns = 2
-	plotWidth   = 12 * vg.Centimeter
-	plotHeight  = 8 * vg.Centimeter
-	logFrom     = 20 // the scales are logarithmic where x grows by more than this
+	plotColumns   = 2
+	plotWidth     = 12 * vg.Centimeter
+	plotHeight    = 8 * vg.Centimeter
+	logScaleRatio = 20 // axes are logarithmic where the last x is more than this many times the first
 )
 
 var (
@@ -176,7 +176,7 @@
 	lineColor = color.RGBA{R: 0xc0, G: 0x40, B: 0x20, A: 0xff}
 )
 
-// plots draws each figure: a dot for each play that is fitted, and the slope.
+// plots draws each figure as SVG: a dot for each fitted play, and the slope's curve.
 func (res *Result) plots() ([]byte, error) {
 	var plots []*plot.Plot
 	for _, f := range res.Fits {
@@ -203,35 +203,35 @@
 func (res *Result) plot(f Fit) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = f.ID
-	p.X.Label.Text, p.Y.Label.Text = res.Per, f.Unit
+	p.X.Label.Text, p.Y.Label.Text = res.XUnit, f.Unit
 	var dots plotter.XYs
 	for _, pt := range res.Points {
-		for _, y := range res.values(f.ID, pt.X) {
+		for _, y := range res.fittedValues(f.ID, pt.X) {
 			dots = append(dots, plotter.XY{X: pt.X, Y: y})
 		}
 	}
 	if len(dots) == 0 {
-		p.Title.Text += " (nothing read)"
+		p.Title.Text += " (no values)"
 		return p, nil
 	}
 	first, last := dots[0].X, dots[len(dots)-1].X
-	logs := first > 0 && last/first > logFrom && !slices.ContainsFunc(dots, func(d plotter.XY) bool { return d.Y <= 0 })
-	sc, err := plotter.NewScatter(dots)
+	logScale := first > 0 && last/first > logScaleRatio && !slices.ContainsFunc(dots, func(d plotter.XY) bool { return d.Y <= 0 })
+	scatter, err := plotter.NewScatter(dots)
 	if err != nil {
 		return nil, err
 	}
-	sc.GlyphStyle = draw.GlyphStyle{Color: dotColor, Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
+	scatter.GlyphStyle = draw.GlyphStyle{Color: dotColor, Radius: vg.Points(2.5), Shape: draw.CircleGlyph{}}
 	if s := f.Slope; s != nil {
 		p.Title.Text += ", " + s.Form
 		var line plotter.XYs
 		const steps = 60
 		for i := range steps + 1 {
-			part := float64(i) / steps
-			x := s.From + part*(s.To-s.From)
-			if logs {
-				x = s.From * math.Pow(s.To/s.From, part)
+			share := float64(i) / steps
+			x := s.From + share*(s.To-s.From)
+			if logScale {
+				x = s.From * math.Pow(s.To/s.From, share)
 			}
-			if y := s.At(x); !logs || y > 0 {
+			if y := s.ValueAt(x); !logScale || y > 0 {
 				line = append(line, plotter.XY{X: x, Y: y})
 			}
 		}
@@ -244,15 +244,15 @@
 			p.Add(l)
 		}
 	}
-	p.Add(sc)
-	if !logs {
+	p.Add(scatter)
+	if !logScale {
 		p.Y.Min = min(0, p.Y.Min)
 		if p.Y.Max <= p.Y.Min {
 			p.Y.Max = p.Y.Min + 1
 		}
 		return p, nil
 	}
-	if p.Y.Max < 2*p.Y.Min { // a flat figure is to look flat
+	if p.Y.Max < 2*p.Y.Min { // keep a constant figure from filling the whole height with its scatter
 		p.Y.Min, p.Y.Max = p.Y.Min/3, 3*p.Y.Max
 	}
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -15,198 +15,200 @@
 	"starlingusher/fleet/capacity"
 )
 
-// Result is what came of a run. It holds no path of the machine that it ran on, but for what a failed play may have said.
+// Result is the outcome of a scale run. It holds no path of the machine, except where the error text of a
+// failed play has one.
 type Result struct {
-	Name   string             `json:"name"`
-	About  string             `json:"about,omitempty"`
-	Axis   string             `json:"axis"`
-	Grows  string             `json:"grows"` // what the axis is, in words
-	Per    string             `json:"per"`   // unit of x
-	Set    map[string]float64 `json:"set,omitempty"`
-	Plays  int                `json:"plays"` // of each point
-	Seed   uint64             `json:"seed"`
-	File   string             `json:"file"` // SHA-256 of its text
-	Build  Build              `json:"build"`
-	Began  time.Time          `json:"began"`
-	Played float64            `json:"played_s"` // all plays together
-	Cores  int                `json:"cores"`    // of the machine
-
-	Points  []Point  `json:"points"`
-	Fits    []Fit    `json:"fits"`
-	Ends    []End    `json:"ends,omitempty"` // points where today's program ended
-	Failed  int      `json:"failed"`         // plays that went wrong themselves
-	Spoilt  int      `json:"spoilt"`         // plays that the machine spoilt
-	Expects []Kept   `json:"expected,omitempty"`
-	Kept    bool     `json:"kept"` // no play failed, and all that was expected was kept
-	Records []Record `json:"plays_of_points"`
+	Name            string             `json:"name"`
+	Description     string             `json:"about,omitempty"`
+	Axis            string             `json:"axis"`
+	AxisDescription string             `json:"grows"` // what the axis grows
+	XUnit           string             `json:"per"`   // unit of x
+	Settings        map[string]float64 `json:"set,omitempty"`
+	Plays           int                `json:"plays"` // plays of each point
+	Seed            uint64             `json:"seed"`
+	FileHash        string             `json:"file"` // SHA-256 of the run file's text
+	Build           Build              `json:"build"`
+	StartedAt       time.Time          `json:"began"`
+	PlaySeconds     float64            `json:"played_s"` // of all plays together
+	Cores           int                `json:"cores"`    // of the machine
+
+	Points       []Point             `json:"points"`
+	Fits         []Fit               `json:"fits"`
+	Limits       []ReachedLimit      `json:"ends,omitempty"` // points past which today's program can't go
+	Failed       int                 `json:"failed"`         // number of plays that failed
+	Invalid      int                 `json:"spoilt"`         // number of plays that the machine or other programs disturbed
+	Expectations []ExpectationResult `json:"expected,omitempty"`
+	Passed       bool                `json:"kept"` // no play failed, and each expectation was met
+	Records      []Record            `json:"plays_of_points"`
 }
 
-// Point is what the plays of one point read, without those that aren't fitted.
+// Point summarizes the plays of one point that are fitted.
 type Point struct {
 	X       float64           `json:"x"`
-	Plays   int               `json:"plays"` // that are fitted
+	Plays   int               `json:"plays"` // number of fitted plays
 	Figures map[string]Figure `json:"figures"`
 }
 
-// Figure is one figure at one point.
+// Figure summarizes one figure at one point.
 type Figure struct {
 	Plays  int     `json:"plays"`
 	Median float64 `json:"median"`
-	Least  float64 `json:"least"`
-	Most   float64 `json:"most"`
+	Min    float64 `json:"least"`
+	Max    float64 `json:"most"`
 }
 
-// Fit is what came of one figure.
+// Fit is what was found of one figure over all points.
 type Fit struct {
-	ID    string          `json:"id"`
-	What  string          `json:"what"`
-	Unit  string          `json:"unit"`
-	Exact bool            `json:"exact"` // hangs on no machine's speed
-	Slope *capacity.Slope `json:"slope,omitempty"`
-	Why   []string        `json:"why,omitempty"` // what spoke against simpler forms; why there is no slope
+	ID          string          `json:"id"`
+	Description string          `json:"what"`
+	Unit        string          `json:"unit"`
+	Exact       bool            `json:"exact"` // does not depend on the machine's speed
+	Slope       *capacity.Slope `json:"slope,omitempty"`
+	Reasons     []string        `json:"why,omitempty"` // why simpler forms were rejected, or why there is no slope
 }
 
-// End is a point at which today's program ended, with the reasons that the plays gave.
-type End struct {
+// ReachedLimit is a point past which today's program can't go, with the reasons that the plays gave.
+type ReachedLimit struct {
 	X       float64  `json:"x"`
 	Reasons []string `json:"reasons"`
 }
 
-// Kept is one thing that was expected, and what came.
-type Kept struct {
-	What string `json:"what"`
-	Got  string `json:"got"`
-	Kept bool   `json:"kept"`
+// ExpectationResult is an expectation at one point, and what was read.
+type ExpectationResult struct {
+	Expected string `json:"what"`
+	Got      string `json:"got"`
+	Met      bool   `json:"kept"`
 }
 
-// result fits a run's records.
-func result(f File, h head, records []Record) *Result {
+// newResult summarizes and fits a run's records.
+func newResult(f RunFile, h runHeader, records []Record) *Result {
 	res := &Result{
-		Name: f.Name, About: f.About, Axis: f.Axis.Name, Grows: f.Axis.About, Per: f.Axis.Per, Set: f.Set, Plays: f.Plays, Seed: f.Seed, File: f.Hash,
-		Build: h.Build, Began: h.Began, Cores: runtime.NumCPU(), Records: sorted(records),
+		Name: f.Name, Description: f.Description, Axis: f.Axis.Name, AxisDescription: f.Axis.Description, XUnit: f.Axis.XUnit, Settings: f.Settings, Plays: f.Plays, Seed: f.Seed, FileHash: f.Hash,
+		Build: h.Build, StartedAt: h.StartedAt, Cores: runtime.NumCPU(), Records: sortedRecords(records),
 	}
-	for _, k := range res.Records {
-		res.Played += k.Took
-		if k.Failed != "" {
+	for _, rec := range res.Records {
+		res.PlaySeconds += rec.TookSeconds
+		if rec.Failure != "" {
 			res.Failed++
-		} else if len(k.Spoilt()) > 0 {
-			res.Spoilt++
+		} else if len(rec.InvalidReasons()) > 0 {
+			res.Invalid++
 		}
 	}
-	res.Played = math.Round(10*res.Played) / 10
+	res.PlaySeconds = math.Round(10*res.PlaySeconds) / 10
 	for _, x := range f.Points {
-		res.point(x)
+		res.addPoint(x)
 	}
 	for _, m := range f.Axis.Measures {
-		fit := Fit{ID: m.ID, What: m.What, Unit: m.Unit, Exact: m.Exact}
+		fit := Fit{ID: m.ID, Description: m.Description, Unit: m.Unit, Exact: m.Exact}
 		var samples []sample
 		for _, x := range f.Points {
-			if ys := res.values(m.ID, x); len(ys) >= leastPlays {
+			if ys := res.fittedValues(m.ID, x); len(ys) >= minPlaysToFit {
 				samples = append(samples, sample{x, ys})
 			}
 		}
-		if fd, err := fitSamples(samples); err != nil {
-			fit.Why = []string{err.Error()}
+		if fitted, err := fitSamples(samples); err != nil {
+			fit.Reasons = []string{err.Error()}
 		} else {
-			fewest := math.MaxInt
+			minPlays := math.MaxInt
 			for _, s := range samples {
-				fewest = min(fewest, len(s.ys))
+				minPlays = min(minPlays, len(s.values))
 			}
-			fit.Why = fd.why
+			fit.Reasons = fitted.reasons
 			fit.Slope = &capacity.Slope{
-				ID: m.ID, What: m.What, Per: f.Axis.Per, Unit: m.Unit, Form: forms[fd.order], At0: fd.c[0], Slope: fd.c[1], Square: fd.c[2],
-				Spread: fd.errors[fd.order], From: samples[0].x, To: samples[len(samples)-1].x, Points: len(samples), Plays: fewest, Worst: fd.worst,
+				ID: m.ID, Description: m.Description, XUnit: f.Axis.XUnit, Unit: m.Unit, Form: forms[fitted.degree], Intercept: fitted.coefs[0], LinearCoef: fitted.coefs[1], QuadraticCoef: fitted.coefs[2],
+				StdErr: fitted.stdErrors[fitted.degree], From: samples[0].x, To: samples[len(samples)-1].x, Points: len(samples), Repeats: minPlays, MaxResidual: fitted.maxResidual,
 				Commit: h.Build.Commit,
 			}
 		}
 		res.Fits = append(res.Fits, fit)
 	}
-	res.Kept = res.Failed == 0
-	for _, e := range f.Expect {
+	res.Passed = res.Failed == 0
+	for _, e := range f.Expectations {
 		for _, x := range f.Points {
-			if e.At == nil || *e.At == x {
-				res.expect(e, x, f.Plays)
+			if e.X == nil || *e.X == x {
+				res.checkExpectation(e, x, f.Plays)
 			}
 		}
 	}
 	return res
 }
 
-// values are the figures of one point that are fitted.
-func (res *Result) values(id string, x float64) (ys []float64) {
-	for _, k := range res.Records {
-		if y, ok := k.Reading.Values[id]; ok && k.X == x && k.counts() {
+// fittedValues returns the values of a figure at one point, of the plays that are fitted.
+func (res *Result) fittedValues(id string, x float64) (ys []float64) {
+	for _, rec := range res.Records {
+		if y, ok := rec.Reading.Values[id]; ok && rec.X == x && rec.isFitted() {
 			ys = append(ys, y)
 		}
 	}
 	return ys
 }
 
-func (res *Result) point(x float64) {
+func (res *Result) addPoint(x float64) {
 	p := Point{X: x, Figures: map[string]Figure{}}
 	var reasons []string
 	ids := map[string]bool{}
-	for _, k := range res.Records {
-		if k.X != x {
+	for _, rec := range res.Records {
+		if rec.X != x {
 			continue
 		}
-		for _, why := range k.Reading.Ended() {
-			if !slices.Contains(reasons, why) {
-				reasons = append(reasons, why)
+		for _, reason := range rec.Reading.Limits() {
+			if !slices.Contains(reasons, reason) {
+				reasons = append(reasons, reason)
 			}
 		}
-		if k.counts() {
+		if rec.isFitted() {
 			p.Plays++
-			for id := range k.Reading.Values {
+			for id := range rec.Reading.Values {
 				ids[id] = true
 			}
 		}
 	}
 	for id := range ids {
-		ys := res.values(id, x)
+		ys := res.fittedValues(id, x)
 		p.Figures[id] = Figure{len(ys), median(ys), slices.Min(ys), slices.Max(ys)}
 	}
 	res.Points = append(res.Points, p)
 	if len(reasons) > 0 {
-		res.Ends = append(res.Ends, End{x, reasons})
+		res.Limits = append(res.Limits, ReachedLimit{x, reasons})
 	}
 }
 
-// expect holds each play of a point to a bound. That the machine was busy excuses nothing: the figure doesn't hang on it.
-func (res *Result) expect(e Expect, x float64, plays int) {
-	e.At = &x
-	kept := Kept{What: e.String(), Kept: true}
+// checkExpectation checks an expectation at one point against each of its plays, also the invalid ones: an
+// exact figure does not depend on the load of the machine.
+func (res *Result) checkExpectation(e Expectation, x float64, plays int) {
+	e.X = &x
+	result := ExpectationResult{Expected: e.String(), Met: true}
 	n := 0
 	var got []float64
-	for _, k := range res.Records {
-		y, ok := k.Reading.Values[e.ID]
-		if k.X != x || !ok {
+	for _, rec := range res.Records {
+		y, ok := rec.Reading.Values[e.ID]
+		if rec.X != x || !ok {
 			continue
 		}
 		n++
 		got = append(got, y)
-		if e.Least != nil && y < *e.Least || e.Most != nil && y > *e.Most {
-			kept.Kept = false
+		if e.Min != nil && y < *e.Min || e.Max != nil && y > *e.Max {
+			result.Met = false
 		}
 	}
 	switch {
 	case n < plays:
-		kept.Kept, kept.Got = false, fmt.Sprintf("read in %d of %d plays", n, plays)
+		result.Met, result.Got = false, fmt.Sprintf("read in %d of %d plays", n, plays)
 	case slices.Min(got) == slices.Max(got):
-		kept.Got = number(got[0])
+		result.Got = formatNumber(got[0])
 	default:
-		kept.Got = number(slices.Min(got)) + " to " + number(slices.Max(got))
+		result.Got = formatNumber(slices.Min(got)) + " to " + formatNumber(slices.Max(got))
 	}
-	res.Expects = append(res.Expects, kept)
-	res.Kept = res.Kept && kept.Kept
+	res.Expectations = append(res.Expectations, result)
+	res.Passed = res.Passed && result.Met
 }
 
-// Files of a result in its folder.
+// Files returns the names of the result's files in its folder.
 func (res *Result) Files() (table, page, plots string) {
 	return res.Name + ".json", res.Name + ".md", res.Name + ".svg"
 }
 
-// Write writes the result's three files into a folder, which it makes if need be.
+// Write writes the result's three files into a folder, and makes the folder if it does not exist.
 func (res *Result) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("results: %w", err)
@@ -220,16 +222,16 @@
 		return err
 	}
 	table, page, plots := res.Files()
-	err = errors.Join(writeWhole(filepath.Join(dir, table), append(raw, '\n')), writeWhole(filepath.Join(dir, page), []byte(res.page())),
-		writeWhole(filepath.Join(dir, plots), svg))
+	err = errors.Join(writeFileAtomically(filepath.Join(dir, table), append(raw, '\n')), writeFileAtomically(filepath.Join(dir, page), []byte(res.markdown())),
+		writeFileAtomically(filepath.Join(dir, plots), svg))
 	if err != nil {
 		return fmt.Errorf("results: %w", err)
 	}
 	return nil
 }
 
-// number writes a figure with four digits or, if it is whole, with all of them.
-func number(v float64) string {
+// formatNumber returns a whole number with all its digits, and any other with four.
+func formatNumber(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e15 {
 		return strconv.FormatFloat(v, 'f', -1, 64)
 	}
