--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -1,5 +1,9 @@
-// Package scale plays one axis of the fleet's size point by point, each play in a process of its own, and fits what the plays read:
-// the slopes of the page of capacities. What is played stands in its folders (hollow, burden); what they and the run agree on in play.
+// Package scale measures how the costs of a fleet grow along one axis: it plays each point of the axis
+// several times, each play in a process of its own, and fits a slope to each figure that the plays read.
+// Package capacity computes the costs of fleets of other sizes from the slopes.
+//
+// The terms axis, point and play are explained in package play, which holds the types that a run and its axes
+// share. The axes themselves are in the packages hollow and burden.
 package scale
 
 import (
@@ -24,59 +28,60 @@
 	"starlingusher/internal/lab/scale/play"
 )
 
-// Times of a run.
+// Intervals of a run.
 const (
-	lookEvery  = 250 * time.Millisecond // at the machine, while a play runs
-	graceToEnd = 5 * time.Second        // of a play that is to end early
+	snapshotInterval = 250 * time.Millisecond // between snapshots of the machine while a play runs
+	stopTimeout      = 5 * time.Second        // time that a play has to stop by itself before it is killed
 )
 
-// Files beside PointsFile while a run goes on.
+// Names in the folder of a run, beside PointsFile.
 const (
-	playFolder = "play"     // of the play that runs now
-	LogFile    = "play.log" // what the plays said on their standard error
+	playDir = "play"     // folder of the current play; removed when the run ends
+	LogFile = "play.log" // standard error of all plays; kept
 )
 
-// Options say how a file is played.
+// Options say how Run plays a run file.
 type Options struct {
-	Dir      string   // of the results; it's there, and empty unless Resume
-	Resume   bool     // go on with the run in Dir that was cut short
-	Command  []string // a process that is PlayOne
-	Env      []string // of it, all
-	Node     string   // path of the coralyard program
-	Self     string   // path of the cottonrack program
-	Build    Build
-	Machine  Machine // nil: this one
-	Progress func(Progress)
-	Log      *slog.Logger
+	Dir         string   // for the points file and the log; must exist, and hold no points file unless Resume is set
+	Resume      bool     // continue the interrupted run in Dir
+	Command     []string // program and arguments of the process of a play, which must call RunPlay
+	Env         []string // complete environment of that process
+	NodeProgram string   // path of the node's program, coralyard
+	LabProgram  string   // path of the lab's program, cottonrack
+	Build       Build
+	Machine     Machine        // nil: Linux{}
+	Progress    func(Progress) // called during each play, every snapshotInterval; nil: none
+	Log         *slog.Logger   // nil: none
 }
 
-// Progress is how far a run has come.
+// Progress is the state of a run while a play is under way.
 type Progress struct {
-	Done, All int     // plays
-	X         float64 // point of the play that runs now
-	Play      int     // its number
-	For       time.Duration
-	Left      time.Duration // of the whole run, guessed from the plays that are done
-	Guessed   bool          // that Left is known
-	RSS       int64         // of all processes
-	Procs     int
+	Done, Total    int           // number of finished plays, and of all plays
+	X              float64       // point of the current play
+	Play           int           // number of the current play among those of its point, from 0
+	Elapsed        time.Duration // of the current play
+	Remaining      time.Duration // of the whole run, estimated from the plays done before
+	RemainingKnown bool          // whether there is an estimate
+	RSS            int64         // peak during the current play, of all processes together, in bytes
+	Processes      int           // peak number during the current play
 }
 
-// run is a file being played.
+// run is the state of one call of Run.
 type run struct {
-	file    File
-	opts    Options
-	sup     *proc.Supervisor
-	store   *store
-	log     *os.File
-	head    head
-	records []Record // those that were kept, the last one of each play
-	todo    []Record // plays that are to come, the one that runs now first
+	file       RunFile
+	opts       Options
+	supervisor *proc.Supervisor
+	store      *store
+	log        *os.File
+	header     runHeader
+	records    []Record // of each play the last one only
+	pending    []Record // plays still to do, the current one first; only X, Play and Seed are set
 }
 
-// Run plays a file and returns its results. When the context ends, so does the run, with what it has kept in its points file, and with
-// nothing left behind.
-func Run(ctx context.Context, f File, opts Options) (*Result, error) {
+// Run plays a run file and returns the results. When the context ends, Run stops all processes that it has
+// started and returns an error. The plays that are already in the points file are then kept, and a run with
+// Options.Resume continues after them.
+func Run(ctx context.Context, f RunFile, opts Options) (*Result, error) {
 	if opts.Log == nil {
 		opts.Log = slog.New(slog.DiscardHandler)
 	}
@@ -86,307 +91,315 @@
 	if opts.Progress == nil {
 		opts.Progress = func(Progress) {}
 	}
-	r := &run{file: f, opts: opts, head: head{Name: f.Name, Axis: f.Axis.Name, File: f.Hash, Build: opts.Build, Began: time.Now().UTC().Round(time.Second)}}
+	r := &run{file: f, opts: opts, header: runHeader{Name: f.Name, Axis: f.Axis.Name, FileHash: f.Hash, Build: opts.Build, StartedAt: time.Now().UTC().Round(time.Second)}}
 	if err := r.open(); err != nil {
 		return nil, err
 	}
-	err := r.plays(ctx)
+	err := r.playAll(ctx)
 	if err = errors.Join(err, r.close()); err != nil {
 		return nil, err
 	}
-	return result(f, r.head, r.records), nil
+	return newResult(f, r.header, r.records), nil
 }
 
 func (r *run) open() (err error) {
-	var kept []Record
+	var records []Record
 	if r.opts.Resume {
-		if r.store, r.head, kept, err = resumeStore(r.opts.Dir, r.head); err != nil {
+		if r.store, r.header, records, err = resumeStore(r.opts.Dir, r.header); err != nil {
 			return err
 		}
-	} else if r.store, err = createStore(r.opts.Dir, r.head); err != nil {
+	} else if r.store, err = createStore(r.opts.Dir, r.header); err != nil {
 		return err
 	}
-	for _, k := range kept {
-		r.keep(k)
+	for _, rec := range records {
+		r.addRecord(rec)
 	}
 	if r.log, err = os.OpenFile(filepath.Join(r.opts.Dir, LogFile), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644); err != nil {
-		return errors.Join(fmt.Errorf("log: %w", err), r.store.close())
+		return errors.Join(fmt.Errorf("open the log of the plays: %w", err), r.store.close())
 	}
-	r.sup = proc.NewSupervisor()
+	r.supervisor = proc.NewSupervisor()
 	return nil
 }
 
 func (r *run) close() error {
-	r.sup.Close()
-	return errors.Join(r.store.close(), r.log.Close(), os.RemoveAll(filepath.Join(r.opts.Dir, playFolder)))
+	r.supervisor.Close()
+	return errors.Join(r.store.close(), r.log.Close(), os.RemoveAll(filepath.Join(r.opts.Dir, playDir)))
 }
 
-// keep takes in a record, in place of an earlier one of the same play.
-func (r *run) keep(k Record) {
-	r.records = slices.DeleteFunc(r.records, func(o Record) bool { return o.X == k.X && o.Play == k.Play })
-	r.records = append(r.records, k)
+// addRecord adds a record; it replaces an earlier record of the same play.
+func (r *run) addRecord(rec Record) {
+	r.records = slices.DeleteFunc(r.records, func(other Record) bool { return other.X == rec.X && other.Play == rec.Play })
+	r.records = append(r.records, rec)
 }
 
-// plays plays what is not done yet: each point once, then each again, so that a change of the machine's mood meets all points alike.
-func (r *run) plays(ctx context.Context) error {
-	for n := range r.file.Plays {
+// playAll does the plays that are not done yet. It plays each point once before it plays any of them again,
+// so that a change in the machine's speed affects all points alike.
+func (r *run) playAll(ctx context.Context) error {
+	for number := range r.file.Plays {
 		for i, x := range r.file.Points {
-			if !slices.ContainsFunc(r.records, func(k Record) bool { return k.X == x && k.Play == n && k.done() }) {
-				r.todo = append(r.todo, Record{X: x, Play: n, Seed: r.file.Seed + uint64(n*len(r.file.Points)+i)})
+			if !slices.ContainsFunc(r.records, func(rec Record) bool { return rec.X == x && rec.Play == number && rec.isDone() }) {
+				r.pending = append(r.pending, Record{X: x, Play: number, Seed: r.file.Seed + uint64(number*len(r.file.Points)+i)})
 			}
 		}
 	}
-	for len(r.todo) > 0 {
-		k, err := r.play(ctx, r.todo[0])
+	for len(r.pending) > 0 {
+		rec, err := r.playOnce(ctx, r.pending[0])
 		if err != nil {
 			return err
 		}
-		if err := r.store.line(k); err != nil {
+		if err := r.store.appendLine(rec); err != nil {
 			return err
 		}
-		r.keep(k)
-		r.todo = r.todo[1:]
+		r.addRecord(rec)
+		r.pending = r.pending[1:]
 	}
 	return nil
 }
 
-// play plays one point once. Its error ends the run; what went wrong with the play alone stands in the record.
-func (r *run) play(ctx context.Context, k Record) (Record, error) {
-	dir := filepath.Join(r.opts.Dir, playFolder)
-	if err := errors.Join(os.RemoveAll(dir), os.Mkdir(dir, 0o755)); err != nil { // an earlier run may have been killed
-		return k, fmt.Errorf("folder of a play: %w", err)
+// playOnce plays one point once and returns its completed record. It returns an error if the run can't go on;
+// a failure of the play alone goes into the record.
+func (r *run) playOnce(ctx context.Context, rec Record) (Record, error) {
+	dir := filepath.Join(r.opts.Dir, playDir)
+	if err := errors.Join(os.RemoveAll(dir), os.Mkdir(dir, 0o755)); err != nil { // a run that was killed may have left the folder
+		return rec, fmt.Errorf("create the folder of a play: %w", err)
 	}
 	dir, err := filepath.Abs(dir)
 	if err != nil {
-		return k, fmt.Errorf("folder of a play: %w", err)
+		return rec, fmt.Errorf("absolute path of the folder of a play: %w", err)
 	}
-	spec, err := json.Marshal(play.Spec{Axis: r.file.Axis.Name, X: k.X, Seed: k.Seed, Dir: dir, Node: r.opts.Node, Self: r.opts.Self, Set: r.file.Set})
+	spec, err := json.Marshal(play.Spec{Axis: r.file.Axis.Name, X: rec.X, Seed: rec.Seed, Dir: dir, NodeProgram: r.opts.NodeProgram, LabProgram: r.opts.LabProgram, Settings: r.file.Settings})
 	if err != nil {
-		return k, fmt.Errorf("spec of a play: %w", err)
+		return rec, fmt.Errorf("encode the spec of a play: %w", err)
 	}
-	before, err := r.opts.Machine.Look(os.Getpid())
+	before, err := r.opts.Machine.Snapshot(os.Getpid())
 	if err != nil {
-		return k, err
+		return rec, err
 	}
-	w := watch{record: &k, before: before, seen: map[Proc]bool{}}
-	if w.look(before); len(k.Machine) > 0 { // short before anything has begun
-		return k, nil
+	monitor := playMonitor{record: &rec, before: before, seen: map[Process]bool{}}
+	if monitor.observe(before); len(rec.MachineReasons) > 0 { // the machine is over a bound, for example short of memory, before the play has started
+		return rec, nil
 	}
-	fmt.Fprintf(r.log, "--- %s at %v, play %d, seed %d\n", r.file.Axis.Name, number(k.X), k.Play, k.Seed)
-	var out limited
-	tail := &tail{to: r.log}
-	began := time.Now()
-	p, err := r.sup.Start(proc.Spec{Name: "play", Command: r.opts.Command, Env: r.opts.Env, In: bytes.NewReader(spec), Out: &out, Log: tail})
+	fmt.Fprintf(r.log, "--- %s at %v, play %d, seed %d\n", r.file.Axis.Name, formatNumber(rec.X), rec.Play, rec.Seed)
+	var out cappedBuffer
+	stderr := &tailWriter{out: r.log}
+	startedAt := time.Now()
+	process, err := r.supervisor.Start(proc.Spec{Name: "play", Command: r.opts.Command, Env: r.opts.Env, Stdin: bytes.NewReader(spec), Stdout: &out, Output: stderr})
 	if err != nil {
-		return k, err
+		return rec, err
 	}
-	limit := time.NewTimer(r.file.Limit)
-	defer limit.Stop()
-	ticker := time.NewTicker(lookEvery)
+	timeout := time.NewTimer(r.file.PlayTimeout)
+	defer timeout.Stop()
+	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
-	stop := "" // why it is to end early
-	for running := true; running && stop == ""; {
-		r.progress(&k, time.Since(began))
+	stopReason := "" // why the play is stopped early; empty: it is not
+	for running := true; running && stopReason == ""; {
+		r.reportProgress(&rec, time.Since(startedAt))
 		select {
-		case <-p.Done():
+		case <-process.Done():
 			running = false
 		case <-ctx.Done():
-			stop = "the run was ended"
-		case <-limit.C:
-			stop = fmt.Sprintf("it didn't end within its limit of %v", r.file.Limit)
-			k.Failed = stop
+			stopReason = "the run was canceled"
+		case <-timeout.C:
+			stopReason = fmt.Sprintf("the play did not end within the run file's limit of %v", r.file.PlayTimeout)
+			rec.Failure = stopReason
 		case <-ticker.C:
-			now, err := r.opts.Machine.Look(os.Getpid())
+			snapshot, err := r.opts.Machine.Snapshot(os.Getpid())
 			if err != nil {
-				stop = err.Error()
-				k.Failed = stop
+				stopReason = err.Error()
+				rec.Failure = stopReason
 				break
 			}
-			if past := w.look(now); past != "" {
-				stop = past
+			if exceeded := monitor.observe(snapshot); exceeded != "" {
+				stopReason = exceeded
 			}
 		}
 	}
-	if stop != "" {
-		r.opts.Log.Info("play ended early", "axis", r.file.Axis.Name, "x", k.X, "play", k.Play, "why", stop)
-		if err := p.End(context.WithoutCancel(ctx), graceToEnd); err != nil {
-			return k, err
+	if stopReason != "" {
+		r.opts.Log.Info("play stopped early", "axis", r.file.Axis.Name, "x", rec.X, "play", rec.Play, "reason", stopReason)
+		if err := process.Terminate(context.WithoutCancel(ctx), stopTimeout); err != nil {
+			return rec, err
 		}
 	}
-	k.Took = time.Since(began).Seconds()
-	if left := w.endLeft(); left > 0 && stop == "" {
-		k.Failed = fmt.Sprintf("it left %d processes behind; they were ended", left)
+	rec.TookSeconds = time.Since(startedAt).Seconds()
+	if killed := monitor.killLeftProcesses(); killed > 0 && stopReason == "" {
+		rec.Failure = fmt.Sprintf("the play left %d processes running; they were killed", killed)
 	}
 	if err := ctx.Err(); err != nil {
-		return k, fmt.Errorf("the run was ended in play %d at %v: %w", k.Play, number(k.X), context.Cause(ctx))
+		return rec, fmt.Errorf("the run was canceled in play %d at %v: %w", rec.Play, formatNumber(rec.X), context.Cause(ctx))
 	}
-	if stop != "" || k.Failed != "" {
-		return k, nil
+	if stopReason != "" || rec.Failure != "" {
+		return rec, nil
 	}
-	after, err := r.opts.Machine.Look(os.Getpid())
+	after, err := r.opts.Machine.Snapshot(os.Getpid())
 	if err != nil {
-		return k, err
+		return rec, err
 	}
-	w.end(after)
-	if e := p.Exit(); e.Code != 0 {
-		k.Failed = strings.TrimSpace(fmt.Sprintf("its process ended %v: %s", e, tail))
-		return k, nil
+	monitor.checkCPUShares(after)
+	if exit := process.Wait(); exit.Code != 0 {
+		rec.Failure = strings.TrimSpace(fmt.Sprintf("the play's process ended %v: %s", exit, stderr))
+		return rec, nil
 	}
 	dec := json.NewDecoder(bytes.NewReader(out.Bytes()))
 	dec.DisallowUnknownFields()
-	err = dec.Decode(&k.Reading)
-	if err == nil && out.over {
-		err = errors.New("it is too long")
+	err = dec.Decode(&rec.Reading)
+	if err == nil && out.truncated {
+		err = errors.New("the play wrote too much to standard output")
 	}
 	if err == nil {
-		err = check(r.file.Axis, k.Reading)
+		err = checkReading(r.file.Axis, rec.Reading)
 	}
 	if err != nil {
-		k.Reading, k.Failed = play.Reading{}, fmt.Sprintf("its reading: %v", err)
+		rec.Reading, rec.Failure = play.Reading{}, fmt.Sprintf("read the play's reading: %v", err)
 	}
-	return k, nil
+	return rec, nil
 }
 
-// progress tells how far the run is.
-func (r *run) progress(k *Record, since time.Duration) {
-	all := len(r.file.Points) * r.file.Plays
-	p := Progress{Done: all - len(r.todo), All: all, X: k.X, Play: k.Play, For: since, RSS: k.RSS, Procs: k.Procs}
-	p.Left, p.Guessed = r.left(since)
+// reportProgress calls Options.Progress with the state of the run.
+func (r *run) reportProgress(rec *Record, elapsed time.Duration) {
+	total := len(r.file.Points) * r.file.Plays
+	p := Progress{Done: total - len(r.pending), Total: total, X: rec.X, Play: rec.Play, Elapsed: elapsed, RSS: rec.PeakRSS, Processes: rec.PeakProcesses}
+	p.Remaining, p.RemainingKnown = r.remainingTime(elapsed)
 	r.opts.Progress(p)
 }
 
-// left guesses the time that the rest takes: a point takes as long as it took before, a new one as long as the next smaller one and more
-// by the root of x: much of a play hangs on no x.
-func (r *run) left(since time.Duration) (time.Duration, bool) {
-	took := map[float64][]float64{} // by point
-	for _, k := range r.records {
-		took[k.X] = append(took[k.X], k.Took)
-	}
-	left := 0.0
-	for i, t := range r.todo {
-		near := -1.0
-		for x := range took {
-			if x <= t.X {
-				near = max(near, x)
+// remainingTime estimates the time that the rest of the run takes, and reports whether it can. A play is
+// expected to take as long as the mean of the finished plays of its point. If there are none, those of the
+// next smaller point are taken, scaled by the square root of the ratio of the two x, because much of a play's
+// time does not depend on x. There is no estimate while no play of this or a smaller point is finished.
+func (r *run) remainingTime(elapsed time.Duration) (time.Duration, bool) {
+	secondsByPoint := map[float64][]float64{} // durations of finished plays
+	for _, rec := range r.records {
+		secondsByPoint[rec.X] = append(secondsByPoint[rec.X], rec.TookSeconds)
+	}
+	remaining := 0.0
+	for i, next := range r.pending {
+		nearest := -1.0
+		for x := range secondsByPoint {
+			if x <= next.X {
+				nearest = max(nearest, x)
 			}
 		}
-		if near < 0 {
+		if nearest < 0 {
 			return 0, false
 		}
-		guess := mean(took[near])
-		if near > 0 {
-			guess *= math.Sqrt(t.X / near)
+		estimate := mean(secondsByPoint[nearest])
+		if nearest > 0 {
+			estimate *= math.Sqrt(next.X / nearest)
 		}
 		if i == 0 {
-			guess = max(0, guess-since.Seconds())
+			estimate = max(0, estimate-elapsed.Seconds())
 		}
-		left += guess
+		remaining += estimate
 	}
-	return time.Duration(left * float64(time.Second)), true
+	return time.Duration(remaining * float64(time.Second)), true
 }
 
-// watch follows one play on the machine.
-type watch struct {
+// playMonitor watches the resources that one play uses, and notes in its record where they exceed a bound.
+type playMonitor struct {
 	record *Record
-	before Look
-	seen   map[Proc]bool // processes of the play, without their memory
+	before Snapshot         // before the play
+	seen   map[Process]bool // all processes that the play was seen to have; RSS stays 0, so that each process is one key
 }
 
-// look takes in one look, and tells a bound that has been passed, if one has.
-func (w *watch) look(l Look) (past string) {
-	k := w.record
-	k.RSS, k.Procs = max(k.RSS, l.RSS()), max(k.Procs, len(l.Tree))
-	if k.Free == 0 || l.Free < k.Free {
-		k.Free = l.Free
-	}
-	for _, p := range l.Tree {
+// observe updates the record's peaks from a snapshot. If the snapshot exceeds a bound, it adds the reason to
+// the record's MachineReasons and returns it.
+func (m *playMonitor) observe(s Snapshot) (exceeded string) {
+	rec := m.record
+	rec.PeakRSS, rec.PeakProcesses = max(rec.PeakRSS, s.RSS()), max(rec.PeakProcesses, len(s.Processes))
+	if rec.MinAvailableMemory == 0 || s.AvailableMemory < rec.MinAvailableMemory {
+		rec.MinAvailableMemory = s.AvailableMemory
+	}
+	for _, p := range s.Processes {
 		if p.PID != os.Getpid() {
-			w.seen[Proc{PID: p.PID, Began: p.Began}] = true
+			m.seen[Process{PID: p.PID, StartTicks: p.StartTicks}] = true
 		}
 	}
 	switch {
-	case l.RSS() > MostMemory:
-		past = fmt.Sprintf("its processes held more than %d GB together", MostMemory>>30)
-	case len(l.Tree) > MostProcesses:
-		past = fmt.Sprintf("there were more than %d processes", MostProcesses)
-	case l.Free < leastFree:
-		past = fmt.Sprintf("memory was short: %d MB left", l.Free>>20)
+	case s.RSS() > MaxMemory:
+		exceeded = fmt.Sprintf("the processes of the run used more than %d GB of memory", MaxMemory>>30)
+	case len(s.Processes) > MaxProcesses:
+		exceeded = fmt.Sprintf("the run had more than %d processes", MaxProcesses)
+	case s.AvailableMemory < minAvailableMemory:
+		exceeded = fmt.Sprintf("the machine had only %d MB of memory available", s.AvailableMemory>>20)
 	}
-	if past != "" {
-		k.Machine = append(k.Machine, past)
+	if exceeded != "" {
+		rec.MachineReasons = append(rec.MachineReasons, exceeded)
 	}
-	return past
+	return exceeded
 }
 
-// end judges the whole play by the look after it.
-func (w *watch) end(after Look) {
-	k := w.record
-	k.Cores = shares(w.before, after)
-	all := after.Cores.All - w.before.Cores.All
-	if k.Cores.Others*all-rounding > mostOthers*all {
-		k.Machine = append(k.Machine, fmt.Sprintf("others took %.0f%% of the cores (%.0f%% at most)", 100*k.Cores.Others, 100*mostOthers))
-	}
-	if k.Cores.Idle < leastIdle {
-		k.Machine = append(k.Machine, fmt.Sprintf("the cores were full: %.1f%% idle (%.0f%% at least)", 100*k.Cores.Idle, 100*leastIdle))
+// checkCPUShares computes how the CPU time of the whole play was shared, given the snapshot after it, and
+// adds a reason to the record's MachineReasons if other processes took too much or the cores were saturated.
+func (m *playMonitor) checkCPUShares(after Snapshot) {
+	rec := m.record
+	rec.CPUShares = cpuShares(m.before, after)
+	total := after.CPU.Total - m.before.CPU.Total
+	if rec.CPUShares.Others*total-othersTickError > maxOthersShare*total {
+		rec.MachineReasons = append(rec.MachineReasons, fmt.Sprintf("other processes took %.0f%% of the CPU time (allowed: at most %.0f%%)", 100*rec.CPUShares.Others, 100*maxOthersShare))
+	}
+	if rec.CPUShares.Idle < minIdleShare {
+		rec.MachineReasons = append(rec.MachineReasons, fmt.Sprintf("the cores were idle for only %.1f%% of the time (required: at least %.0f%%)", 100*rec.CPUShares.Idle, 100*minIdleShare))
 	}
 }
 
-// endLeft ends those processes of the play that have outlived it, and tells how many there were.
-func (w *watch) endLeft() (n int) {
-	for p := range w.seen {
+// killLeftProcesses kills the processes that the play was seen to have and that still run, and returns their
+// number.
+func (m *playMonitor) killLeftProcesses() (killed int) {
+	for p := range m.seen {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID))
 		if err != nil {
-			continue // gone
+			continue // the process has ended
 		}
-		if s, err := parseStat(raw); err != nil || s.ended || s.began != p.Began {
+		if s, err := parseStat(raw); err != nil || s.zombie || s.startTicks != p.StartTicks {
 			continue
 		}
 		if syscall.Kill(p.PID, syscall.SIGKILL) == nil {
-			n++
+			killed++
 		}
 	}
-	return n
+	return killed
 }
 
-// limited keeps what a play writes, up to a bound.
-type limited struct {
+// cappedBuffer is a buffer for what a play writes. A write that would make it longer than maxBytes is
+// dropped, and sets truncated.
+type cappedBuffer struct {
 	bytes.Buffer
-	over bool
+	truncated bool
 }
 
-func (l *limited) Write(p []byte) (int, error) {
-	const most = 4 << 20
-	if l.Len()+len(p) > most {
-		l.over = true
+func (b *cappedBuffer) Write(p []byte) (int, error) {
+	const maxBytes = 4 << 20
+	if b.Len()+len(p) > maxBytes {
+		b.truncated = true
 		return len(p), nil
 	}
-	return l.Buffer.Write(p)
+	return b.Buffer.Write(p)
 }
 
-// tail hands on what is written, and remembers the end of it.
-type tail struct {
-	to io.Writer
+// tailWriter passes on what is written, and keeps the last maxBytes of it for an error message.
+type tailWriter struct {
+	out io.Writer
 
-	mu  sync.Mutex
-	end []byte
+	mu   sync.Mutex
+	last []byte
 }
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *tailWriter) Write(p []byte) (int, error) {
 	t.mu.Lock()
-	const most = 1000
-	t.end = append(t.end, p...)
-	t.end = t.end[max(0, len(t.end)-most):]
+	const maxBytes = 1000
+	t.last = append(t.last, p...)
+	t.last = t.last[max(0, len(t.last)-maxBytes):]
 	t.mu.Unlock()
-	return t.to.Write(p)
+	return t.out.Write(p)
 }
 
-func (t *tail) String() string {
+func (t *tailWriter) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return strings.ToValidUTF8(strings.TrimSpace(string(t.end)), "?")
+	return strings.ToValidUTF8(strings.TrimSpace(string(t.last)), "?")
 }
 
-// sorted are the records by point and play.
-func sorted(records []Record) []Record {
+// sortedRecords returns the records in the order of their points and play numbers.
+func sortedRecords(records []Record) []Record {
 	return slices.SortedFunc(slices.Values(records), func(a, b Record) int { return cmp.Or(cmp.Compare(a.X, b.X), cmp.Compare(a.Play, b.Play)) })
 }
--- a/internal/lab/scale/slopes.go
+++ b/internal/lab/scale/slopes.go
@@ -10,8 +10,9 @@
 	"starlingusher/fleet/capacity"
 )
 
-// MergeSlopes writes the result's slopes into a file, in place of those of the same id, and leaves the others as they are. run is the path
-// of the committed table that they come from. The file is made if it isn't there, and is whole at any moment.
+// MergeSlopes writes the result's slopes into a file, replaces those with the same id and keeps the others.
+// run is the path of the committed table that they come from. The file is created if it does not exist, and
+// replaced atomically.
 func (res *Result) MergeSlopes(path, run string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -30,20 +31,20 @@
 		s.Run = run
 		measured = append(measured, s)
 	}
-	if raw, err = capacity.FormatSlopes(capacity.Replaced(all, measured)); err != nil {
+	if raw, err = capacity.FormatSlopes(capacity.MergeSlopes(all, measured)); err != nil {
 		return err
 	}
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return fmt.Errorf("slopes: %w", err)
 	}
-	if err := writeWhole(path, raw); err != nil {
+	if err := writeFileAtomically(path, raw); err != nil {
 		return fmt.Errorf("slopes: %w", err)
 	}
 	return nil
 }
 
-// writeWhole replaces a file by a new one in one step.
-func writeWhole(path string, raw []byte) error {
+// writeFileAtomically replaces a file in one step, so that it is complete at any moment.
+func writeFileAtomically(path string, raw []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+"-")
 	if err != nil {
 		return err
--- a/internal/lab/scale/slopes_test.go
+++ b/internal/lab/scale/slopes_test.go
@@ -12,17 +12,17 @@
 func TestMergeSlopes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "capacity", "slopes.toml")
 	res := &Result{Fits: []Fit{
-		{ID: "b", Slope: &capacity.Slope{ID: "b", What: "bytes", Per: "thing", Unit: "B", Form: Linear, At0: 1234, Slope: 910, Spread: 35, From: 1000, To: 380000, Points: 5, Plays: 3, Worst: 0.06, Commit: "8af6f88"}},
+		{ID: "b", Slope: &capacity.Slope{ID: "b", Description: "bytes", XUnit: "thing", Unit: "B", Form: Linear, Intercept: 1234, LinearCoef: 910, StdErr: 35, From: 1000, To: 380000, Points: 5, Repeats: 3, MaxResidual: 0.06, Commit: "8af6f88"}},
 		{ID: "none"},
 	}}
 	if err := res.MergeSlopes(path, "docs/scale/one.json"); err != nil {
 		t.Fatal(err)
 	}
-	other := &Result{Fits: []Fit{{ID: "a", Slope: &capacity.Slope{ID: "a", What: "a", Per: "thing", Unit: "B", Form: Constant, From: 1, To: 2, Points: 1, Plays: 1, Commit: "c0ffee"}}, {ID: "c", Slope: &capacity.Slope{ID: "c", What: "c", Per: "thing", Unit: "B", Form: Constant, From: 1, To: 2, Points: 1, Plays: 1, Commit: "c0ffee"}}}}
+	other := &Result{Fits: []Fit{{ID: "a", Slope: &capacity.Slope{ID: "a", Description: "a", XUnit: "thing", Unit: "B", Form: Constant, From: 1, To: 2, Points: 1, Repeats: 1, Commit: "c0ffee"}}, {ID: "c", Slope: &capacity.Slope{ID: "c", Description: "c", XUnit: "thing", Unit: "B", Form: Constant, From: 1, To: 2, Points: 1, Repeats: 1, Commit: "c0ffee"}}}}
 	if err := other.MergeSlopes(path, "docs/scale/two.json"); err != nil {
 		t.Fatal(err)
 	}
-	res.Fits[0].Slope.Slope = 911
+	res.Fits[0].Slope.LinearCoef = 911
 	if err := res.MergeSlopes(path, "docs/scale/one.json"); err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	text := string(raw)
 	a, b, c := strings.Index(text, "id = 'a'"), strings.Index(text, "id = 'b'"), strings.Index(text, "id = 'c'")
 	if a < 0 || b < a || c < b || strings.Count(text, "[[slope]]") != 3 {
-		t.Errorf("not each once and in order:\n%s", text)
+		t.Errorf("not every slope once and in order:\n%s", text)
 	}
 	for _, want := range []string{"at0 = 1234.0\n", "slope = 911.0\n", "run = 'docs/scale/one.json'\n", "run = 'docs/scale/two.json'\n", "worst = 0.06\n"} {
 		if !strings.Contains(text, want) {
@@ -41,12 +41,12 @@
 		}
 	}
 	if strings.Contains(text, "910") || strings.Contains(text, "none") {
-		t.Errorf("too much in\n%s", text)
+		t.Errorf("unexpected text in\n%s", text)
 	}
 	if in, err := os.ReadDir(filepath.Dir(path)); err != nil || len(in) != 1 {
-		t.Errorf("beside it there are %v, %v", in, err)
+		t.Errorf("files in the folder: %v, %v", in, err)
 	}
-	// What isn't understood is left as it is.
+	// A file that can't be parsed is left unchanged.
 	if err := os.WriteFile(path, []byte("[[slope]]\nid = \"a\"\nsteep = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/trial/ownership.go
+++ b/internal/lab/trial/ownership.go
@@ -29,166 +29,172 @@
 )
 
 const (
-	ownNodes    = 8
-	ownZones    = 6
-	ownRegions  = 3
-	copies      = 3
-	steadyDests = 40  // whose first endpoint is never changed
-	otherDests  = 8   // which have endpoints at times
-	wildDests   = 8   // which never have any
-	firstWild   = 900 // and the first of those
-	changing    = 14  // endpoints that come, go and move
-	controllers = 2
+	nodeCount                = 8
+	zoneCount                = 6
+	regionCount              = 3
+	ownersPerPartition       = 3
+	steadyDestinations       = 40  // always have the endpoint that they start with
+	intermittentDestinations = 8   // have endpoints at times
+	unlistedDestinations     = 8   // never have an endpoint
+	firstUnlisted            = 900 // the number of the first unlisted destination
+	changingEndpoints        = 14  // endpoints that are added, removed and moved
+	controllerCount          = 2
 
-	// heardWithin is the bound for a node that is not disturbed to have a new map, and to act by it: the target's 8 s. It is a promise
-	// that a busy machine must not break, so what the machine holds up is not judged; see lateBy.
-	heardWithin = 8 * time.Second
-	askSlack    = 2 * time.Second // in which an older ask may cross a newer one
-	endSlack    = 4 * time.Second
-	lateBy      = 500 * time.Millisecond // the machine is no judge's witness while the trial's own clock is so late
-	lateEvery   = 10 * time.Millisecond
-	pollPause   = 30 * time.Millisecond
-	handPause   = 25 * time.Millisecond // between two messages for a node, on the average
-	listPause   = 60 * time.Millisecond // between two changes of the list, on the average
-	quietWait   = 25 * time.Second
+	// mapAdoptionLimit is the time in which an undisturbed node must have a new map and act by it: the
+	// target's 8 s. A slow machine must not cause a violation of it, so times in which the machine stalled
+	// the trial are not judged; see stallThreshold.
+	mapAdoptionLimit       = 8 * time.Second
+	watchCrossingSlack     = 2 * time.Second // in which an older watch request may arrive after a newer one
+	messageEndSlack        = 4 * time.Second
+	stallThreshold         = 500 * time.Millisecond // the checks do not judge a time in which the trial's own timer was later than this
+	stallCheckInterval     = 10 * time.Millisecond
+	pollInterval           = 30 * time.Millisecond
+	meanSubmitInterval     = 25 * time.Millisecond // between two messages for one node
+	meanListChangeInterval = 60 * time.Millisecond // between two changes of the list
+	convergenceTimeout     = 25 * time.Second
 )
 
-// The seeded breaches.
+// The violations that a trial can inject.
 const (
-	BreachAccept = "accept" // a node goes on accepting what it lost
-	BreachNumber = "number" // a number is given twice
-	BreachChange = "change" // a change is left out of a filtered watch
+	InjectLateAccept      = "accept" // one node seems to accept messages for partitions that it has lost
+	InjectDuplicateNumber = "number" // a map number is used twice
+	InjectDroppedChange   = "change" // a change is dropped from a filtered watch
 )
 
-// Breaches are the seeded breaches, with the rule by which each must be found.
-var Breaches = map[string]OwnershipRule{BreachAccept: InTime, BreachNumber: OneMap, BreachChange: Listed}
+// InjectedViolations maps each injected violation to the rule that must find it.
+var InjectedViolations = map[string]OwnershipRule{InjectLateAccept: RuleTimelyRelease, InjectDuplicateNumber: RuleUniqueMaps,
+	InjectDroppedChange: RuleFilteredLists}
 
-// OwnershipOptions say how a trial of ownership is run.
+// OwnershipOptions configure a trial of ownership.
 type OwnershipOptions struct {
-	Directory []string // command of a replica; `--config FILE` is put behind it
-	Node      []string // command of a delivery node; its environment tells it what it is
-	Dir       string   // an empty folder; it stays
-	Seed      uint64
-	Length    time.Duration // of the faults
-	Only      []string      // kinds of faults; none: all
-	Breach    string        // a seeded breach, or none
-	Log       *slog.Logger
+	Directory  []string // of a replica; `--config FILE` is appended
+	Node       []string // of a delivery node, which is configured by its environment
+	Dir        string   // must be empty; it is not removed
+	Seed       uint64
+	Duration   time.Duration // how long faults are injected
+	FaultKinds []string      // names of the faults to inject; empty: all
+	Inject     string        // the violation to inject, one of the Inject constants; empty: none
+	Log        *slog.Logger
 }
 
-// OwnershipResult is what a trial has found.
+// OwnershipResult is the outcome of a trial.
 type OwnershipResult struct {
-	Seed    uint64         `json:"seed"`
-	Faults  []string       `json:"faults"`
-	Changes map[string]int `json:"changes"` // of the map, by where their controller ended, and how
-	Maps    int64          `json:"maps"`    // number of the last one
-	Handed  map[string]int `json:"handed"`  // messages, by answer
-	Asks    int            `json:"asks"`    // watches that nodes asked for
-	Lines   int            `json:"lines"`   // that they were told
-	Again   int            `json:"again"`   // messages handed in once more while they were held, and taken for such
-	// Outlived counts the messages that ended after their node had been told a map by which it does not own them any more.
-	Outlived int `json:"outlived"`
-	GoneOn   int `json:"gone_on"` // times in which a node was seen to accept without a directory
-	// Over is the longest time after a new map, or the end of what kept a node from it, in which the node still accepted what it had lost.
-	Over time.Duration `json:"over"`
-	// Quiet is how long after the last map all nodes acted by it.
-	Quiet    time.Duration `json:"quiet"`
-	Late     int           `json:"late"`      // times in which the machine held the trial itself up, which are not judged
-	LateMost time.Duration `json:"late_most"` // the longest
-	Breach   string        `json:"breach,omitempty"`
-	Found    bool          `json:"found,omitempty"` // the seeded breach, by its rule
-	Breaches []Breach      `json:"breaches"`
+	Seed            uint64         `json:"seed"`
+	Faults          []string       `json:"faults"`
+	MapChanges      map[string]int `json:"changes"` // changes of the map, by their interruption; "given up" for those that failed
+	LastMapNumber   int64          `json:"maps"`    // number of the last map
+	Submissions     map[string]int `json:"handed"`  // messages by answer
+	WatchRequests   int            `json:"asks"`    // watches that nodes requested
+	WatchLines      int            `json:"lines"`   // updates sent on these watches
+	AcceptedRepeats int            `json:"again"`   // repeats of a message in progress that the node recognized and accepted
+	// EndedAfterLoss counts the messages that ended after a map had taken their partition from the node.
+	EndedAfterLoss           int `json:"outlived"`
+	AcceptedWithoutDirectory int `json:"gone_on"` // how often a node was seen to accept messages without a directory
+	// LongestLateAccept is the longest time for which a node still accepted messages for a partition that it
+	// had lost, counted from the new map, or from the end of the disturbance that kept the node from it.
+	LongestLateAccept time.Duration `json:"over"`
+	// ConvergenceTime is the time from the last map until all nodes acted by it.
+	ConvergenceTime  time.Duration `json:"quiet"`
+	HostStalls       int           `json:"late"`      // how often the machine stalled the trial itself; these times are not judged
+	LongestHostStall time.Duration `json:"late_most"` // the longest of these stalls
+	Injected         string        `json:"breach,omitempty"`
+	InjectedFound    bool          `json:"found,omitempty"` // the rule of the injected violation was reported as broken
+	Violations       []Violation   `json:"breaches"`
 }
 
-// Kept tells that all was kept; with a seeded breach, that the checker found it.
-func (r *OwnershipResult) Kept() bool {
-	if r.Breach != "" {
-		return r.Found
+// Passed tells whether no violation was found, or, with an injected violation, whether that was found.
+func (r *OwnershipResult) Passed() bool {
+	if r.Injected != "" {
+		return r.InjectedFound
 	}
-	return len(r.Breaches) == 0
+	return len(r.Violations) == 0
 }
 
-// ownershipTrial is a trial's replicas with nodes, fronts, partners and controllers around them.
+// ownershipTrial is a trial with nodes, fronts, partners and controllers around the replicas.
 type ownershipTrial struct {
 	*trial
-	own      OwnershipOptions
-	zones    []string
-	nodes    []*ownedNode
-	partners *partners
-	asking   *http.Client
-	older    [replicas]atomic.Bool // fronts play an older build of that replica
-	ids      atomic.Int64
-	killed   chan killed
+	ownershipOptions OwnershipOptions
+	zones            []string
+	nodes            []*deliveryNode
+	partners         *partners
+	pollClient       *http.Client
+	olderBuilds      [replicaCount]atomic.Bool // fronts answer as an older build of that replica would
+	lastMessage      atomic.Int64
+	killedNodes      chan killedNode
 
-	// What was seen, and what is to be done; under the trial's lock.
-	sights    []MapSight
-	written   []MapWrite
-	eras      []*Era
-	handed    []Handed
-	asks      []*Ask
-	ends      []End
-	disturbed []*Disturbed
-	holds     map[string]time.Duration // by message, that a partner holds its answer
-	result    OwnershipResult
-	leaveOut  bool         // the next change that comes to a node by a filtered watch
-	killAt    map[int]bool // nodes that are killed when they next fetch the map; true: after it has been sent to them
-	stubborn  int          // the node that goes on accepting what it lost; -1: none
+	// What was recorded, and what is to be injected; guarded by mu.
+	mapObservations []MapObservation
+	mapWrites       []MapWrite
+	published       []*PublishedMap
+	submissions     []Submission
+	watchRequests   []*WatchRequest
+	messageEnds     []MessageEnd
+	disturbances    []*Disturbance
+	answerDelays    map[string]time.Duration // by message: for how long the partner delays its answer
+	result          OwnershipResult
+	dropNextChange  bool         // drop the next change that a node is sent on a filtered watch
+	killOnFetch     map[int]bool // nodes to kill when they next fetch the map; true: after the map was sent to them
+	lateAcceptor    int          // the node whose refusals are recorded as acceptances of what it lost; -1: none
 }
 
-type killed struct {
-	node int
-	back func() // ends its disturbance
+type killedNode struct {
+	node           int
+	endDisturbance func()
 }
 
 // RunOwnership runs a trial of ownership.
-func RunOwnership(ctx context.Context, o OwnershipOptions) (*OwnershipResult, error) {
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+func RunOwnership(ctx context.Context, options OwnershipOptions) (*OwnershipResult, error) {
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
-	base := Options{Command: o.Directory, Dir: o.Dir, Seed: o.Seed, Length: o.Length, Log: o.Log}
+	base := Options{Command: options.Directory, Dir: options.Dir, Seed: options.Seed, Duration: options.Duration, Log: options.Log}
 	t := &ownershipTrial{
-		trial: &trial{opts: base, sup: proc.NewSupervisor(), r: rand.New(rand.NewPCG(o.Seed, 1))}, own: o, killed: make(chan killed, ownNodes),
-		asking: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
-		holds:  map[string]time.Duration{}, killAt: map[int]bool{}, stubborn: -1,
-		result: OwnershipResult{Seed: o.Seed, Breach: o.Breach, Changes: map[string]int{}, Handed: map[string]int{}, Faults: []string{}, Breaches: []Breach{}},
-	}
-	for z := range ownZones {
+		trial:            &trial{options: base, supervisor: proc.NewSupervisor(), random: rand.New(rand.NewPCG(options.Seed, 1))},
+		ownershipOptions: options, killedNodes: make(chan killedNode, nodeCount),
+		pollClient:   &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}},
+		answerDelays: map[string]time.Duration{}, killOnFetch: map[int]bool{}, lateAcceptor: -1,
+		result: OwnershipResult{Seed: options.Seed, Injected: options.Inject, MapChanges: map[string]int{},
+			Submissions: map[string]int{}, Faults: []string{}, Violations: []Violation{}},
+	}
+	for z := range zoneCount {
 		t.zones = append(t.zones, fmt.Sprint("z", z))
 	}
 	defer t.close()
 	if err := t.build(); err != nil {
 		return nil, err
 	}
-	if err := t.play(ctx); err != nil {
+	if err := t.run(ctx); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := &t.result
-	for _, b := range r.Breaches {
-		r.Found = r.Found || o.Breach != "" && b.Rule == Breaches[o.Breach]
+	result := &t.result
+	for _, violation := range result.Violations {
+		result.InjectedFound = result.InjectedFound || options.Inject != "" && violation.Rule == InjectedViolations[options.Inject]
 	}
-	if len(r.Breaches) == 0 || r.Found {
-		return r, nil
+	if len(result.Violations) == 0 || result.InjectedFound {
+		return result, nil
 	}
-	for _, n := range t.nodes { // where each one stands may tell why
-		n.process().Signal(syscall.SIGQUIT)
+	for _, node := range t.nodes { // the dump of each node's goroutines may tell the cause
+		node.process().Signal(syscall.SIGQUIT)
 	}
-	raw, err := json.Marshal(map[string]any{"sights": t.sights, "writes": t.written, "eras": t.eras, "handed": t.handed, "asks": t.asks, "ends": t.ends, "disturbed": t.disturbed})
+	raw, err := json.Marshal(map[string]any{"sights": t.mapObservations, "writes": t.mapWrites, "eras": t.published,
+		"handed": t.submissions, "asks": t.watchRequests, "ends": t.messageEnds, "disturbed": t.disturbances})
 	if err != nil {
 		return nil, err
 	}
-	return r, os.WriteFile(filepath.Join(o.Dir, "seen.json"), raw, 0o600)
+	return result, os.WriteFile(filepath.Join(options.Dir, "seen.json"), raw, 0o600)
 }
 
 func (t *ownershipTrial) build() error {
-	if err := t.buildOf(replicas, false); err != nil {
+	if err := t.buildReplicas(replicaCount, false); err != nil {
 		return err
 	}
 	var err error
-	if t.partners, err = t.openPartners(steadyDests + changing); err != nil {
+	if t.partners, err = t.openPartners(steadyDestinations + changingEndpoints); err != nil {
 		return err
 	}
-	for i := range ownNodes {
+	for i := range nodeCount {
 		n, err := t.newNode(i)
 		if n != nil {
 			t.nodes = append(t.nodes, n)
@@ -201,7 +207,7 @@
 }
 
 func (t *ownershipTrial) close() {
-	t.sup.Close()
+	t.supervisor.Close()
 	for _, n := range t.nodes {
 		n.close()
 	}
@@ -211,82 +217,83 @@
 	t.trial.close()
 }
 
-// members are all nodes as members of a map.
+// members returns all nodes as members of a map.
 func (t *ownershipTrial) members() []ownership.Member {
-	var all []ownership.Member
-	for i := range ownNodes {
-		all = append(all, ownership.Member{Name: nodeName(i), Zone: t.zones[i%ownZones], Weight: 1})
+	var members []ownership.Member
+	for i := range nodeCount {
+		members = append(members, ownership.Member{Name: nodeName(i), Zone: t.zones[i%zoneCount], Weight: 1})
 	}
-	return all
+	return members
 }
 
-func region(node int) int { return node % ownZones * ownRegions / ownZones }
+func regionOf(node int) int { return node % zoneCount * regionCount / zoneCount }
 
-func (t *ownershipTrial) play(ctx context.Context) error {
-	for _, r := range t.all {
+func (t *ownershipTrial) run(ctx context.Context) error {
+	for _, r := range t.replicas {
 		if err := r.Start(); err != nil {
 			return err
 		}
 	}
-	if err := await(ctx, "a service of three", func() bool { return t.voters(ctx, replicas) }); err != nil {
+	if err := await(ctx, "a service with three voters", func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 		return err
 	}
-	t.began = time.Now()
-	if err := t.begin(ctx); err != nil {
+	t.startedAt = time.Now()
+	if err := t.startNodes(ctx); err != nil {
 		return err
 	}
-	var background, chaos sync.WaitGroup
-	watching, unwatch := context.WithCancel(ctx)
-	defer background.Wait()
-	defer unwatch()
-	for _, r := range t.all {
-		background.Go(func() { t.looks(watching, r) })
-	}
-	background.Go(func() { t.lateness(watching) })
-	faulty, calmDown := context.WithCancel(ctx)
-	defer chaos.Wait()
-	defer calmDown()
+	var observers, load sync.WaitGroup
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	defer observers.Wait()
+	defer stopWatching()
+	for _, r := range t.replicas {
+		observers.Go(func() { t.pollMap(watchCtx, r) })
+	}
+	observers.Go(func() { t.detectStalls(watchCtx) })
+	loadCtx, stopLoad := context.WithCancel(ctx)
+	defer load.Wait()
+	defer stopLoad()
 	for _, n := range t.nodes {
-		chaos.Go(func() { t.hands(faulty, n) })
+		load.Go(func() { t.submitMessages(loadCtx, n) })
 	}
-	chaos.Go(func() { t.changesList(faulty) })
-	for i := range controllers {
-		chaos.Go(func() { t.newController(i).run(faulty) })
+	load.Go(func() { t.changeList(loadCtx) })
+	for i := range controllerCount {
+		load.Go(func() { t.newController(i).run(loadCtx) })
 	}
-	if t.own.Breach == BreachChange {
+	if t.ownershipOptions.Inject == InjectDroppedChange {
 		t.mu.Lock()
-		t.leaveOut = true
+		t.dropNextChange = true
 		t.mu.Unlock()
 	}
-	err := t.faults(ctx)
-	calmDown()
-	chaos.Wait()
+	err := t.injectFaults(ctx)
+	stopLoad()
+	load.Wait()
 	if err != nil {
 		return err
 	}
-	t.own.Log.Info("faults over", "at", t.now())
-	if err := t.heal(ctx); err != nil {
+	t.ownershipOptions.Log.Info("end of the faults", "at", t.elapsed())
+	if err := t.restoreAll(ctx); err != nil {
 		return err
 	}
-	t.own.Log.Info("healed", "at", t.now())
-	return t.settle(ctx)
+	t.ownershipOptions.Log.Info("healed", "at", t.elapsed())
+	return t.converge(ctx)
 }
 
-// begin writes the first list and the first map, and starts the nodes.
-func (t *ownershipTrial) begin(ctx context.Context) error {
+// startNodes writes the first list and the first map, and starts the nodes.
+func (t *ownershipTrial) startNodes(ctx context.Context) error {
 	var members []catalog.Endpoint
-	for d := range steadyDests {
-		members = append(members, t.endpointAt(fmt.Sprint("s", d), d, d))
+	for destination := range steadyDestinations {
+		members = append(members, t.destinationEndpoint(fmt.Sprint("s", destination), destination, destination))
 	}
-	op := t.client(99)
-	op.Wait = settleWait
-	if _, err := op.Put(ctx, members, true, true, "*"); err != nil {
-		return fmt.Errorf("the first list: %w", err)
+	admin := t.newClient(99)
+	admin.RetryFor = settleTimeout
+	if _, err := admin.Put(ctx, members, true, true, "*"); err != nil {
+		return fmt.Errorf("write the first list: %w", err)
 	}
-	first := t.newController(controllers)
-	first.op.Wait = settleWait
-	if _, err := first.change(ctx, whole, func([]ownership.Member) []ownership.Member { return t.members() }); err != nil {
-		return fmt.Errorf("the first map: %w", err)
+	firstController := t.newController(controllerCount)
+	firstController.admin.RetryFor = settleTimeout
+	if _, err := firstController.publishMap(ctx, uninterrupted,
+		func([]ownership.Member) []ownership.Member { return t.members() }); err != nil {
+		return fmt.Errorf("publish the first map: %w", err)
 	}
 	errs := make([]error, len(t.nodes))
 	var starts sync.WaitGroup
@@ -298,62 +305,64 @@
 		return err
 	}
 	for _, n := range t.nodes {
-		var why string
-		ready := func() (ok bool) { ok, why = n.ready(ctx); return ok }
-		if err := await(ctx, n.name+" ready", ready); err != nil {
-			return fmt.Errorf("%w: %s", err, why)
+		var reason string
+		ready := func() (ok bool) { ok, reason = n.ready(ctx); return ok }
+		if err := await(ctx, n.name+" to be ready", ready); err != nil {
+			return fmt.Errorf("%w: %s", err, reason)
 		}
 	}
 	return nil
 }
 
-func (t *ownershipTrial) endpointAt(id string, dest, address int) catalog.Endpoint {
-	return catalog.Endpoint{ID: id, Addr: t.partners.at[address], Locality: t.zones[address%ownZones], Flavor: "hook", Cell: dest, Phase: catalog.Serving, Size: 1}
+func (t *ownershipTrial) destinationEndpoint(id string, destination, address int) catalog.Endpoint {
+	return catalog.Endpoint{ID: id, Addr: t.partners.addresses[address], Locality: t.zones[address%zoneCount], Flavor: "hook",
+		Cell: destination, Phase: catalog.Serving, Size: 1}
 }
 
-// changesList changes the list until the context ends.
-func (t *ownershipTrial) changesList(ctx context.Context) {
-	r := rand.New(rand.NewPCG(t.opts.Seed, 4000))
-	op := t.client(400)
-	for registry.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(listPause))) {
-		i := r.IntN(changing)
-		e := t.endpointAt(fmt.Sprint("c", i), r.IntN(steadyDests+otherDests), steadyDests+i)
-		e.Size = float64(1 + r.IntN(4))
-		switch r.IntN(6) {
+// changeList changes the list at random until the context ends.
+func (t *ownershipTrial) changeList(ctx context.Context) {
+	random := rand.New(rand.NewPCG(t.options.Seed, 4000))
+	admin := t.newClient(400)
+	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(meanListChangeInterval))) {
+		i := random.IntN(changingEndpoints)
+		endpoint := t.destinationEndpoint(fmt.Sprint("c", i), random.IntN(steadyDestinations+intermittentDestinations),
+			steadyDestinations+i)
+		endpoint.Size = float64(1 + random.IntN(4))
+		switch random.IntN(6) {
 		case 0:
-			e.Phase = catalog.Draining
+			endpoint.Phase = catalog.Draining
 		case 1:
-			e.Phase = catalog.Deleted
+			endpoint.Phase = catalog.Deleted
 		}
-		op.Addresses = t.addresses(r.Uint64())
-		if _, err := op.Put(context.WithoutCancel(ctx), []catalog.Endpoint{e}, false, true, "*"); err != nil {
-			t.own.Log.Debug("a change of the list", "err", err) // its outcome stands in the history
+		admin.Addresses = t.shuffledAddresses(random.Uint64())
+		if _, err := admin.Put(context.WithoutCancel(ctx), []catalog.Endpoint{endpoint}, false, true, "*"); err != nil {
+			t.ownershipOptions.Log.Debug("list change failed", "err", err) // the history of the list tells the outcome
 		}
 	}
 }
 
-// looks reads the map at one replica again and again.
-func (t *ownershipTrial) looks(ctx context.Context, r *replica.Replica) {
-	for registry.Sleep(ctx, pollPause) {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.Own(replica.HTTP)+mapPath, nil)
+// pollMap reads the map from one replica again and again, until the context ends.
+func (t *ownershipTrial) pollMap(ctx context.Context, r *replica.Replica) {
+	for registry.Sleep(ctx, pollInterval) {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.OwnAddr(replica.HTTP)+mapPath, nil)
 		if err != nil {
 			return
 		}
-		resp, err := t.asking.Do(req)
+		resp, err := t.pollClient.Do(req)
 		if err != nil {
 			continue
 		}
-		var a recordAnswer
-		err = json.NewDecoder(resp.Body).Decode(&a)
+		var answer recordAnswer
+		err = json.NewDecoder(resp.Body).Decode(&answer)
 		resp.Body.Close()
 		if err == nil && resp.StatusCode == http.StatusOK {
-			t.saw(r.ID, a.Value)
+			t.recordObservation(r.ID, answer.Value)
 		}
 	}
 }
 
-// saw notes that somebody has a map.
-func (t *ownershipTrial) saw(by string, value []byte) {
+// recordObservation records that a process has a map.
+func (t *ownershipTrial) recordObservation(observer string, value []byte) {
 	if len(value) == 0 {
 		return
 	}
@@ -361,62 +370,64 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		t.result.Breaches = append(t.result.Breaches, Breach{OneMap, fmt.Sprintf("%s has a map that can't be read: %v", by, err)})
+		t.result.Violations = append(t.result.Violations,
+			Violation{RuleUniqueMaps, fmt.Sprintf("%s has a map that does not decode: %v", observer, err)})
 		return
 	}
-	now, s := t.now(), sum(value)
-	for _, e := range t.eras {
-		if e.Number == m.Number && e.Sum == s {
-			e.Known = min(e.Known, now)
+	at, sum := t.elapsed(), checksum(value)
+	for _, published := range t.published {
+		if published.Number == m.Number && published.Checksum == sum {
+			published.CommittedBy = min(published.CommittedBy, at)
 		}
 	}
-	for _, before := range slices.Backward(t.sights) {
-		if before.By == by {
-			if before.Number == m.Number && before.Sum == s {
+	for _, previous := range slices.Backward(t.mapObservations) {
+		if previous.Observer == observer {
+			if previous.Number == m.Number && previous.Checksum == sum {
 				return
 			}
 			break
 		}
 	}
-	t.sights = append(t.sights, MapSight{now, by, m.Number, s})
+	t.mapObservations = append(t.mapObservations, MapObservation{at, observer, m.Number, sum})
 }
 
-// begun notes that a map is about to be written.
-func (t *ownershipTrial) begun(m *ownership.Map, w MapWrite) *Era {
-	e := &Era{Number: w.Number, Sum: w.Sum, Asked: w.Call, Known: never, Owned: map[int]ownership.Set{}}
-	for i := range ownNodes {
-		if s, ok := m.Of(nodeName(i)); ok {
-			e.Owned[i] = s
+// recordMapIntent records that a map is about to be written.
+func (t *ownershipTrial) recordMapIntent(m *ownership.Map, write MapWrite) *PublishedMap {
+	published := &PublishedMap{Number: write.Number, Checksum: write.Checksum, WrittenAfter: write.Call, CommittedBy: never,
+		Owned: map[int]ownership.Set{}}
+	for i := range nodeCount {
+		if owned, ok := m.PartitionsOf(nodeName(i)); ok {
+			published.Owned[i] = owned
 		}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.eras = append(t.eras, e)
-	return e
+	t.published = append(t.published, published)
+	return published
 }
 
-// dropped notes that it was surely not written.
-func (t *ownershipTrial) dropped(e *Era) {
+// forgetMap removes a map that was certainly not written.
+func (t *ownershipTrial) forgetMap(published *PublishedMap) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.eras = slices.DeleteFunc(t.eras, func(o *Era) bool { return o == e })
+	t.published = slices.DeleteFunc(t.published, func(other *PublishedMap) bool { return other == published })
 }
 
-func (t *ownershipTrial) wrote(e *Era, w MapWrite) {
+func (t *ownershipTrial) recordMapWrite(published *PublishedMap, write MapWrite) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.written = append(t.written, w)
-	if w.Outcome == Done {
-		e.Known = min(e.Known, w.Return)
-		t.result.Maps = max(t.result.Maps, w.Number)
+	t.mapWrites = append(t.mapWrites, write)
+	if write.Outcome == Done {
+		published.CommittedBy = min(published.CommittedBy, write.Return)
+		t.result.LastMapNumber = max(t.result.LastMapNumber, write.Number)
 	}
 }
 
-// changed counts a change of the map.
-func (t *ownershipTrial) changed(by string, at boundary, m *ownership.Map, err error) {
-	what := string(at)
-	if err != nil && !errors.Is(err, errKilled) {
-		what = "given up"
+// countMapChange counts a change of the map by its interruption.
+func (t *ownershipTrial) countMapChange(controller string, interrupted interruption, m *ownership.Map, err error) {
+	outcome := string(interrupted)
+	if err != nil && !errors.Is(err, errControllerKilled) {
+		outcome = "given up"
 	}
 	number := int64(0)
 	if m != nil {
@@ -424,248 +435,255 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.result.Changes[what]++
-	t.own.Log.Debug("map", "by", by, "number", number, "how", at, "err", err)
+	t.result.MapChanges[outcome]++
+	t.ownershipOptions.Log.Debug("controller changed the map", "by", controller, "number", number, "how", interrupted, "err", err)
 }
 
-// fetched is told that a node fetches the map; pass sends it on.
-func (t *ownershipTrial) fetched(node int, raw []byte, pass func()) {
+// handleMapFetch runs when a node fetches the map; forward sends the map on to the node. If the node is to be
+// killed, it is killed before or after that.
+func (t *ownershipTrial) handleMapFetch(node int, raw []byte, forward func()) {
 	t.mu.Lock()
-	after, armed := t.killAt[node]
-	delete(t.killAt, node)
+	afterForward, armed := t.killOnFetch[node]
+	delete(t.killOnFetch, node)
 	t.mu.Unlock()
-	var a recordAnswer
-	if json.Unmarshal(raw, &a) == nil {
-		t.saw(nodeName(node), a.Value)
+	var answer recordAnswer
+	if json.Unmarshal(raw, &answer) == nil {
+		t.recordObservation(nodeName(node), answer.Value)
 	}
-	if armed && after { // it has a moment to begin with what it does then
-		pass()
+	if armed && afterForward { // the node gets a moment to start acting by the map
+		forward()
 		time.Sleep(time.Duration(rand.Int64N(int64(20 * time.Millisecond))))
 	}
 	if armed {
-		back := t.disturb(node, "killed as it fetched the map")
+		endDisturbance := t.beginDisturbance(node, "killed as it fetched the map")
 		t.nodes[node].kill()
-		t.killed <- killed{node, back}
+		t.killedNodes <- killedNode{node, endDisturbance}
 		return
 	}
-	pass()
+	forward()
 }
 
-// leavesOut tells that the change that is about to be told to a node is to be left out.
-func (t *ownershipTrial) leavesOut(int) bool {
+// claimChangeDrop tells whether the change that is about to be sent to a node is to be dropped. Only one is.
+func (t *ownershipTrial) claimChangeDrop(int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.leaveOut
-	t.leaveOut = false
-	return now
+	drop := t.dropNextChange
+	t.dropNextChange = false
+	return drop
 }
 
-// noticed notes the notices of a body that a replica has taken.
-func (t *ownershipTrial) noticed(body []byte) {
+// recordNotices records the notices in the body of a report that a replica has accepted.
+func (t *ownershipTrial) recordNotices(body []byte) {
 	for line := range bytes.Lines(body) {
-		var n struct{ ID, State string }
-		if json.Unmarshal(line, &n) == nil && n.ID != "" {
-			t.ended(n.ID, n.State)
+		var notice struct{ ID, State string }
+		if json.Unmarshal(line, &notice) == nil && notice.ID != "" {
+			t.recordEnd(notice.ID, notice.State)
 		}
 	}
 }
 
-func (t *ownershipTrial) ended(id, kind string) {
+func (t *ownershipTrial) recordEnd(id, kind string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ends = append(t.ends, End{id, t.now(), kind})
+	t.messageEnds = append(t.messageEnds, MessageEnd{id, t.elapsed(), kind})
 }
 
-// hold is for how long a partner keeps the answer to a message.
-func (t *ownershipTrial) hold(id string) time.Duration {
+// answerDelay returns for how long a partner delays the answer to a message.
+func (t *ownershipTrial) answerDelay(id string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(t.holds[id], shortAnswer)
+	return max(t.answerDelays[id], minAnswerDelay)
 }
 
-// disturb notes that a node (-1: all) can't do as it would, until what it returns is called.
-func (t *ownershipTrial) disturb(node int, why string) (back func()) {
+// beginDisturbance records that a node (-1: all) can't be held to the limits until the returned function is
+// called.
+func (t *ownershipTrial) beginDisturbance(node int, reason string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	d := &Disturbed{node, t.now(), never, why}
-	t.disturbed = append(t.disturbed, d)
+	disturbance := &Disturbance{node, t.elapsed(), never, reason}
+	t.disturbances = append(t.disturbances, disturbance)
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		d.Until = t.now()
+		disturbance.Until = t.elapsed()
 	}
 }
 
-// lateness notes when the machine held this process up: it may have held up all others as well.
-func (t *ownershipTrial) lateness(ctx context.Context) {
+// detectStalls records when the machine stalled this process: it may have stalled all others as well.
+func (t *ownershipTrial) detectStalls(ctx context.Context) {
 	for {
-		from := t.now()
-		if !registry.Sleep(ctx, lateEvery) {
+		before := t.elapsed()
+		if !registry.Sleep(ctx, stallCheckInterval) {
 			return
 		}
-		if late := t.now() - from - lateEvery; late > lateBy {
+		if stall := t.elapsed() - before - stallCheckInterval; stall > stallThreshold {
 			t.mu.Lock()
-			t.disturbed = append(t.disturbed, &Disturbed{-1, from, t.now(), "the machine"})
-			t.result.Late++
-			t.result.LateMost = max(t.result.LateMost, late)
+			t.disturbances = append(t.disturbances, &Disturbance{-1, before, t.elapsed(), "the machine"})
+			t.result.HostStalls++
+			t.result.LongestHostStall = max(t.result.LongestHostStall, stall)
 			t.mu.Unlock()
 		}
 	}
 }
 
-// hands hands messages in at a node until the context ends, and some of those that it took on once more.
-func (t *ownershipTrial) hands(ctx context.Context, n *ownedNode) {
-	r := rand.New(rand.NewPCG(t.opts.Seed, uint64(5000+n.number)))
-	var open []Handed
-	for registry.Sleep(ctx, time.Duration(r.ExpFloat64()*float64(handPause))) {
-		if len(open) > 0 && r.IntN(4) == 0 {
-			h := open[0]
-			open = open[1:]
-			if t.now() < h.By-life/4 {
-				t.hand(n, h.ID, classKeyed, h.Dest, h.By, true)
+// submitMessages submits messages to a node until the context ends, and repeats some of those that the node
+// accepted.
+func (t *ownershipTrial) submitMessages(ctx context.Context, node *deliveryNode) {
+	random := rand.New(rand.NewPCG(t.options.Seed, uint64(5000+node.number)))
+	var accepted []Submission
+	for registry.Sleep(ctx, time.Duration(random.ExpFloat64()*float64(meanSubmitInterval))) {
+		if len(accepted) > 0 && random.IntN(4) == 0 {
+			submission := accepted[0]
+			accepted = accepted[1:]
+			if t.elapsed() < submission.Deadline-messageLifetime/4 {
+				t.submit(node, submission.ID, classDeduplicated, submission.Destination, submission.Deadline, true)
 			}
 			continue
 		}
-		dest := r.IntN(steadyDests)
-		switch k := r.IntN(20); k {
+		destination := random.IntN(steadyDestinations)
+		switch choice := random.IntN(20); choice {
 		case 0:
-			dest = firstWild + r.IntN(wildDests)
+			destination = firstUnlisted + random.IntN(unlistedDestinations)
 		case 1, 2:
-			dest = steadyDests + r.IntN(otherDests)
+			destination = steadyDestinations + random.IntN(intermittentDestinations)
 		}
-		class, id := r.IntN(len(classNames)), t.newID()
-		if class == classKeyed {
+		class, id := random.IntN(len(classNames)), t.newMessageID()
+		if class == classDeduplicated {
 			t.mu.Lock()
-			t.holds[id] = longestHold/3 + time.Duration(r.Int64N(int64(longestHold*2/3)))
+			t.answerDelays[id] = maxAnswerDelay/3 + time.Duration(random.Int64N(int64(maxAnswerDelay*2/3)))
 			t.mu.Unlock()
 		}
-		if h := t.hand(n, id, class, dest, t.now()+life, false); class == classKeyed && h.State == history.Taken {
-			open = append(open, h)
+		if submission := t.submit(node, id, class, destination, t.elapsed()+messageLifetime, false); class == classDeduplicated && submission.Answer == history.Taken {
+			accepted = append(accepted, submission)
 		}
 	}
 }
 
-func (t *ownershipTrial) newID() string { return fmt.Sprint("m", t.ids.Add(1)) }
+func (t *ownershipTrial) newMessageID() string { return fmt.Sprint("m", t.lastMessage.Add(1)) }
 
-// hand hands a message in, and notes the answer.
-func (t *ownershipTrial) hand(n *ownedNode, id string, class, dest int, by time.Duration, again bool) Handed {
-	h := Handed{Node: n.number, Dest: dest, ID: id, Unsafe: class == classUnsafe, Again: again, By: by, Call: t.now()}
-	h.State, h.Wait, h.Why = n.handIn(id, class, dest, by-h.Call)
-	h.Return = t.now()
+// submit submits a message to a node and records the answer.
+func (t *ownershipTrial) submit(node *deliveryNode, id string, class, destination int, deadline time.Duration, repeat bool) Submission {
+	submission := Submission{Node: node.number, Destination: destination, ID: id, AtMostOnce: class == classAtMostOnce,
+		Repeat: repeat, Deadline: deadline, Call: t.elapsed()}
+	submission.Answer, submission.RetryAfter, submission.Reason = node.submit(id, class, destination, deadline-submission.Call)
+	submission.Return = t.elapsed()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if n.number == t.stubborn && h.State == history.Refused && slices.ContainsFunc(t.eras, func(e *Era) bool { return e.Owned[n.number].Has(ownership.PartitionOf(dest)) }) {
-		h.State, h.Wait = history.Taken, 0
+	if node.number == t.lateAcceptor && submission.Answer == history.Refused &&
+		slices.ContainsFunc(t.published, func(m *PublishedMap) bool { return m.Owned[node.number].Has(ownership.PartitionOf(destination)) }) {
+		submission.Answer, submission.RetryAfter = history.Taken, 0
 	}
-	t.handed = append(t.handed, h)
-	t.result.Handed[h.State]++
-	return h
+	t.submissions = append(t.submissions, submission)
+	t.result.Submissions[submission.Answer]++
+	return submission
 }
 
-// ownFault is one kind of what may happen to the parts of the trial.
-type ownFault struct {
-	name string
-	do   func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error)
+// ownershipFault is one kind of fault that a trial of ownership injects.
+type ownershipFault struct {
+	name   string
+	inject func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error)
 }
 
-var ownFaults = []ownFault{
-	{"node killed", onNode(func(t *ownershipTrial, ctx context.Context, n *ownedNode, d time.Duration) error {
+var ownershipFaults = []ownershipFault{
+	{"node killed", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
 		n.kill()
 		registry.Sleep(ctx, d)
 		return n.start(ctx)
 	})},
-	{"node ended", onNode(func(t *ownershipTrial, ctx context.Context, n *ownedNode, d time.Duration) error {
-		n.process().End(ctx, termWait)
+	{"node ended", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
+		n.process().Terminate(ctx, stopTimeout)
 		registry.Sleep(ctx, d/4)
 		return n.start(ctx)
 	})},
-	{"node stopped", onNode(func(t *ownershipTrial, ctx context.Context, n *ownedNode, d time.Duration) error {
+	{"node stopped", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
 		p := n.process()
 		p.Signal(syscall.SIGSTOP)
 		registry.Sleep(ctx, d)
 		return p.Signal(syscall.SIGCONT)
 	})},
-	{"node handed over", onNode(func(t *ownershipTrial, ctx context.Context, n *ownedNode, d time.Duration) error {
+	{"node handed over", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
 		return n.handOver(ctx, d)
 	})},
-	{"node killed and started while cut off", onNode(func(t *ownershipTrial, ctx context.Context, n *ownedNode, d time.Duration) error {
-		t.cut(n.fronts, relay.Weather{CutOut: true, CutBack: true})
-		defer t.cut(n.fronts, calm)
-		n.kill()
-		kept, _ := n.list() // it may not have had the time to keep one
-		registry.Sleep(ctx, d/2)
-		if err := n.start(ctx); err != nil {
-			return err
-		}
-		t.goesOn(ctx, n, func(dest int) bool {
-			return slices.ContainsFunc(slices.Collect(maps.Values(kept)), func(e catalog.Endpoint) bool { return e.Cell == dest })
-		})
-		return nil
-	})},
-	{"node cut off", onNode(func(t *ownershipTrial, ctx context.Context, n *ownedNode, d time.Duration) error {
-		t.cut(n.fronts, relay.Weather{CutOut: t.r.IntN(2) == 0, CutBack: true})
+	{"node killed and started while cut off",
+		nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
+			t.setLinks(n.fronts, relay.Conditions{CutOutbound: true, CutReturn: true})
+			defer t.setLinks(n.fronts, healthyLink)
+			n.kill()
+			saved, _ := n.savedList() // the node may have been killed before it stored a list
+			registry.Sleep(ctx, d/2)
+			if err := n.start(ctx); err != nil {
+				return err
+			}
+			t.checkAcceptsWithoutDirectory(ctx, n, func(destination int) bool {
+				return slices.ContainsFunc(slices.Collect(maps.Values(saved)),
+					func(endpoint catalog.Endpoint) bool { return endpoint.Cell == destination })
+			})
+			return nil
+		})},
+	{"node cut off", nodeFault(func(t *ownershipTrial, ctx context.Context, n *deliveryNode, d time.Duration) error {
+		t.setLinks(n.fronts, relay.Conditions{CutOutbound: t.random.IntN(2) == 0, CutReturn: true})
 		registry.Sleep(ctx, d)
-		t.cut(n.fronts, calm)
+		t.setLinks(n.fronts, healthyLink)
 		return nil
 	})},
 	{"node killed as it fetches a map", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
 		t.mu.Lock()
-		for _, n := range t.nodes { // whoever comes first; the others go on
-			t.killAt[n.number] = t.r.IntN(2) == 0
+		for _, n := range t.nodes { // whichever fetches the map first; the others keep running
+			t.killOnFetch[n.number] = t.random.IntN(2) == 0
 		}
 		t.mu.Unlock()
-		wait := time.NewTimer(4 * controlRest)
-		defer wait.Stop()
-		var gone []killed
+		timer := time.NewTimer(4 * meanMapChangeInterval)
+		defer timer.Stop()
+		var killed []killedNode
 		select {
-		case k := <-t.killed:
-			gone = append(gone, k)
-		case <-wait.C:
+		case k := <-t.killedNodes:
+			killed = append(killed, k)
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 		t.mu.Lock()
-		clear(t.killAt)
+		clear(t.killOnFetch)
 		t.mu.Unlock()
 		registry.Sleep(ctx, d/4)
-		for len(t.killed) > 0 {
-			gone = append(gone, <-t.killed)
+		for len(t.killedNodes) > 0 {
+			killed = append(killed, <-t.killedNodes)
 		}
 		var errs []error
 		var names []string
-		for _, k := range gone {
+		for _, k := range killed {
 			errs = append(errs, t.nodes[k.node].start(ctx))
-			k.back()
+			k.endDisturbance()
 			names = append(names, nodeName(k.node))
 		}
 		return strings.Join(names, " "), errors.Join(errs...)
 	}},
 	{"region cut off", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		of := t.r.IntN(ownRegions)
-		var away []*front
+		region := t.random.IntN(regionCount)
+		var severed []*front
 		for _, n := range t.nodes {
 			for i, f := range n.fronts {
-				if (region(n.number) == of) != (i == of) {
-					away = append(away, f)
+				if (regionOf(n.number) == region) != (i == region) {
+					severed = append(severed, f)
 				}
 			}
 		}
-		defer t.disturb(-1, "region cut off")()
-		cutOff := relay.Weather{CutOut: true, CutBack: true}
-		t.all[of].Links[replica.Raft].Set(cutOff)
-		t.cut(away, cutOff)
+		defer t.beginDisturbance(-1, "region cut off")()
+		cutOff := relay.Conditions{CutOutbound: true, CutReturn: true}
+		t.replicas[region].Links[replica.Raft].SetConditions(cutOff)
+		t.setLinks(severed, cutOff)
 		registry.Sleep(ctx, d)
-		t.all[of].Links[replica.Raft].Set(calm)
-		t.all[of].Links[replica.Raft].Reset()
-		t.cut(away, calm)
-		return fmt.Sprint("region ", of), nil
+		t.replicas[region].Links[replica.Raft].SetConditions(healthyLink)
+		t.replicas[region].Links[replica.Raft].ResetConnections()
+		t.setLinks(severed, healthyLink)
+		return fmt.Sprint("region ", region), nil
 	}},
 	{"region killed", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		of := t.r.IntN(ownRegions)
-		defer t.disturb(-1, "region killed")()
-		t.all[of].Kill()
+		region := t.random.IntN(regionCount)
+		defer t.beginDisturbance(-1, "region killed")()
+		t.replicas[region].Kill()
 		var errs []error
 		for _, n := range t.nodes {
-			if region(n.number) == of {
+			if regionOf(n.number) == region {
 				n.kill()
 			}
 		}
@@ -673,408 +691,432 @@
 		for _, n := range t.nodes {
 			errs = append(errs, n.start(ctx))
 		}
-		return fmt.Sprint("region ", of), errors.Join(append(errs, t.all[of].Start())...)
+		return fmt.Sprint("region ", region), errors.Join(append(errs, t.replicas[region].Start())...)
 	}},
 	{"directory gone", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		defer t.disturb(-1, "directory gone")()
-		for _, r := range t.all {
+		defer t.beginDisturbance(-1, "directory gone")()
+		for _, r := range t.replicas {
 			r.Kill()
 		}
 		registry.Sleep(ctx, d/2)
-		var going sync.WaitGroup
+		var checks sync.WaitGroup
 		for _, n := range t.nodes {
-			going.Go(func() { t.goesOn(ctx, n, func(int) bool { return true }) })
+			checks.Go(func() { t.checkAcceptsWithoutDirectory(ctx, n, func(int) bool { return true }) })
 		}
-		going.Wait()
+		checks.Wait()
 		var errs []error
-		for _, r := range t.all {
+		for _, r := range t.replicas {
 			errs = append(errs, r.Start())
 		}
 		return "", errors.Join(errs...)
 	}},
-	{"replica killed", onReplica("kill", false)},
-	{"replica stopped", onReplica("stop", false)},
-	{"replica cut from callers", onReplica("cut from callers", false)},
-	{"replica cut off", onReplica("cut both ways", true)},
+	{"replica killed", replicaFault("kill", false)},
+	{"replica stopped", replicaFault("stop", false)},
+	{"replica cut from callers", replicaFault("cut from callers", false)},
+	{"replica cut off", replicaFault("cut both ways", true)},
 	{"older build beside", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		r := t.r.IntN(replicas)
-		t.playOlder(ctx, d, r)
-		return t.all[r].ID, nil
+		r := t.random.IntN(replicaCount)
+		t.playOlderBuild(ctx, d, r)
+		return t.replicas[r].ID, nil
 	}},
 	{"older builds alone", func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		defer t.disturb(-1, "older builds alone")()
-		t.playOlder(ctx, d, 0, 1, 2)
+		defer t.beginDisturbance(-1, "older builds alone")()
+		t.playOlderBuild(ctx, d, 0, 1, 2)
 		return "", nil
 	}},
 }
 
-func onNode(do func(t *ownershipTrial, ctx context.Context, n *ownedNode, d time.Duration) error) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
+func nodeFault(
+	inject func(t *ownershipTrial, ctx context.Context, node *deliveryNode, duration time.Duration) error,
+) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
 	return func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		n := t.nodes[t.r.IntN(len(t.nodes))]
-		defer t.disturb(n.number, "a fault of its own")()
-		return n.name, do(t, ctx, n, d)
+		n := t.nodes[t.random.IntN(len(t.nodes))]
+		defer t.beginDisturbance(n.number, "a fault of its own")()
+		return n.name, inject(t, ctx, n, d)
 	}
 }
 
-// onReplica plays a fault of the list service's own trial. Who watches there goes to another replica, unless this one goes on
-// answering and hears nothing itself.
-func onReplica(name string, deaf bool) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
-	return func(t *ownershipTrial, ctx context.Context, d time.Duration) (string, error) {
-		r := t.all[t.r.IntN(replicas)]
-		if t.r.IntN(2) == 0 {
-			r = t.leader(ctx)
+// replicaFault injects a fault of the list service's own trial at a replica. Nodes that watch there turn to
+// another replica. A replica that goes on answering while it is cut off from the others (cutsOffWatchers)
+// leaves its watchers without news, so that is recorded as a disturbance of all nodes.
+func replicaFault(name string, cutsOffWatchers bool) func(*ownershipTrial, context.Context, time.Duration) (string, error) {
+	return func(t *ownershipTrial, ctx context.Context, duration time.Duration) (string, error) {
+		target := t.replicas[t.random.IntN(replicaCount)]
+		if t.random.IntN(2) == 0 {
+			target = t.leader(ctx)
 		}
-		if deaf {
-			defer t.disturb(-1, "a replica cut off")()
+		if cutsOffWatchers {
+			defer t.beginDisturbance(-1, "a replica cut off")()
 		}
-		i := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
-		return r.ID, faults[i].do(t.trial, ctx, r, d)
+		index := slices.IndexFunc(faults, func(f fault) bool { return f.name == name })
+		return target.ID, faults[index].inject(t.trial, ctx, target, duration)
 	}
 }
 
-// goesOn holds a node without a directory to its map and list: it accepts what it owns by all maps of late, whichever of them it
-// has, and what is on its list.
-func (t *ownershipTrial) goesOn(ctx context.Context, n *ownedNode, listed func(dest int) bool) {
-	s := t.seen()
-	since := int64(0)
-	for _, e := range s.eras {
-		if e.Known < t.now()-2*heardWithin {
-			since = max(since, e.Number)
+// checkAcceptsWithoutDirectory requires a node without a directory to go on by its map and list: it accepts
+// messages for what it owns by all recent maps, whichever of them it has, as far as it is on its list.
+func (t *ownershipTrial) checkAcceptsWithoutDirectory(ctx context.Context, node *deliveryNode, isListed func(destination int) bool) {
+	observed := t.copyObservations()
+	oldest := int64(0)
+	for _, m := range observed.published {
+		if m.CommittedBy < t.elapsed()-2*mapAdoptionLimit {
+			oldest = max(oldest, m.Number)
 		}
 	}
-	var dests []int
-	for d := range steadyDests {
-		if listed(d) && !slices.ContainsFunc(s.eras, func(e Era) bool { return e.Number >= since && !e.Owned[n.number].Has(ownership.PartitionOf(d)) }) {
-			dests = append(dests, d)
+	var destinations []int
+	for d := range steadyDestinations {
+		if isListed(d) && !slices.ContainsFunc(observed.published, func(m PublishedMap) bool {
+			return m.Number >= oldest && !m.Owned[node.number].Has(ownership.PartitionOf(d))
+		}) {
+			destinations = append(destinations, d)
 		}
 	}
-	if len(dests) == 0 {
-		return // it may be in none of them
+	if len(destinations) == 0 {
+		return // the node may own none of the destinations in all recent maps
 	}
-	i := 0
+	next := 0
 	accepts := func() bool {
-		i++
-		return t.hand(n, t.newID(), classSafe, dests[i%len(dests)], t.now()+life, false).State == history.Taken
+		next++
+		return t.submit(node, t.newMessageID(), classIdempotent, destinations[next%len(destinations)],
+			t.elapsed()+messageLifetime, false).Answer == history.Taken
 	}
-	if err := await(ctx, n.name+" accepting without a directory", accepts); err != nil && ctx.Err() == nil {
-		t.fail(Returns, "%v, of %d destinations that it owned all the time", err, len(dests))
+	if err := await(ctx, node.name+" to accept without a directory", accepts); err != nil && ctx.Err() == nil {
+		t.addViolation(RuleRecovery, "%v, for any of %d destinations that it owned all the time", err, len(destinations))
 		return
 	}
 	t.mu.Lock()
-	t.result.GoneOn++
+	t.result.AcceptedWithoutDirectory++
 	t.mu.Unlock()
 }
 
-// cut sets the weather of the links to fronts. A path that is whole again comes back with its connections broken.
-func (t *ownershipTrial) cut(all []*front, w relay.Weather) {
-	for _, f := range all {
-		f.link.Set(w)
-		if w == calm {
-			f.link.Reset()
+// setLinks sets the conditions of the links to fronts. A link that is healthy again has its connections
+// reset.
+func (t *ownershipTrial) setLinks(fronts []*front, conditions relay.Conditions) {
+	for _, f := range fronts {
+		f.link.SetConditions(conditions)
+		if conditions == healthyLink {
+			f.link.ResetConnections()
 		}
 	}
 }
 
-// playOlder lets the fronts of some replicas answer as an older build would.
-func (t *ownershipTrial) playOlder(ctx context.Context, d time.Duration, which ...int) {
-	for _, on := range []bool{true, false} {
-		for _, r := range which {
-			t.older[r].Store(on)
-			for _, n := range t.nodes { // the replica was started anew
-				n.fronts[r].link.Reset()
+// playOlderBuild lets the fronts of some replicas answer for a time as an older build would.
+func (t *ownershipTrial) playOlderBuild(ctx context.Context, duration time.Duration, replicas ...int) {
+	for _, older := range []bool{true, false} {
+		for _, replica := range replicas {
+			t.olderBuilds[replica].Store(older)
+			for _, node := range t.nodes { // the change of build is a restart of the replica, which breaks its connections
+				node.fronts[replica].link.ResetConnections()
 			}
 		}
-		if on {
-			registry.Sleep(ctx, d)
+		if older {
+			registry.Sleep(ctx, duration)
 		}
 	}
 }
 
-// faults plays all kinds in an order of the seed, and again, with a moment between two of them.
-func (t *ownershipTrial) faults(ctx context.Context) error {
-	kinds := slices.DeleteFunc(slices.Clone(ownFaults), func(f ownFault) bool {
-		return len(t.own.Only) > 0 && !slices.Contains(t.own.Only, f.name)
+// injectFaults injects all kinds of faults in a random order, again and again, with a pause between two
+// faults.
+func (t *ownershipTrial) injectFaults(ctx context.Context) error {
+	kinds := slices.DeleteFunc(slices.Clone(ownershipFaults), func(f ownershipFault) bool {
+		return len(t.ownershipOptions.FaultKinds) > 0 && !slices.Contains(t.ownershipOptions.FaultKinds, f.name)
 	})
 	if len(kinds) == 0 {
-		return fmt.Errorf("none of the faults is called %q", t.own.Only)
+		return fmt.Errorf("no fault has any of the names %q", t.ownershipOptions.FaultKinds)
 	}
-	var deck []ownFault
-	for until := t.now() + t.opts.Length; t.now() < until; {
-		if !registry.Sleep(ctx, time.Duration(100+t.r.IntN(400))*time.Millisecond) {
+	var remaining []ownershipFault
+	for end := t.elapsed() + t.options.Duration; t.elapsed() < end; {
+		if !registry.Sleep(ctx, time.Duration(100+t.random.IntN(400))*time.Millisecond) {
 			return ctx.Err()
 		}
-		if len(deck) == 0 {
-			deck = slices.Clone(kinds)
-			t.r.Shuffle(len(deck), func(i, j int) { deck[i], deck[j] = deck[j], deck[i] })
+		if len(remaining) == 0 {
+			remaining = slices.Clone(kinds)
+			t.random.Shuffle(len(remaining), func(i, j int) { remaining[i], remaining[j] = remaining[j], remaining[i] })
 		}
-		f, d := deck[0], time.Duration(200+t.r.IntN(1000))*time.Millisecond
-		deck = deck[1:]
-		at := t.now()
-		who, err := f.do(t, ctx, d)
-		name := fmt.Sprintf("%v %s: %s for %v", at.Round(time.Millisecond), f.name, who, d)
-		t.own.Log.Info("fault", "what", name)
-		t.result.Faults = append(t.result.Faults, name)
+		f, duration := remaining[0], time.Duration(200+t.random.IntN(1000))*time.Millisecond
+		remaining = remaining[1:]
+		start := t.elapsed()
+		target, err := f.inject(t, ctx, duration)
+		description := fmt.Sprintf("%v %s: %s for %v", start.Round(time.Millisecond), f.name, target, duration)
+		t.ownershipOptions.Log.Info("fault", "what", description)
+		t.result.Faults = append(t.result.Faults, description)
 		if err != nil {
-			return fmt.Errorf("%s: %w", name, err)
+			return fmt.Errorf("%s: %w", description, err)
 		}
-		if err := await(ctx, "the service after "+f.name, func() bool { return t.voters(ctx, replicas) }); err != nil {
+		if err := await(ctx, "three voters after the fault "+f.name,
+			func() bool { return t.hasVoters(ctx, replicaCount) }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// heal ends what may be left of the faults.
-func (t *ownershipTrial) heal(ctx context.Context) error {
-	for len(t.killed) > 0 { // by a fetch that was under way when the fault ended
-		k := <-t.killed
-		defer k.back()
+// restoreAll ends what may be left of the faults.
+func (t *ownershipTrial) restoreAll(ctx context.Context) error {
+	for len(t.killedNodes) > 0 { // nodes killed by a fetch that was in flight when the fault ended
+		k := <-t.killedNodes
+		defer k.endDisturbance()
 	}
 	for _, n := range t.nodes {
 		if err := n.start(ctx); err != nil {
 			return err
 		}
 	}
-	for _, r := range t.all {
+	for _, r := range t.replicas {
 		if err := r.Start(); err != nil {
 			return err
 		}
 	}
-	return await(ctx, "the service after the faults", func() bool { return t.voters(ctx, replicas) })
+	return await(ctx, "three voters after the faults", func() bool { return t.hasVoters(ctx, replicaCount) })
 }
 
-// lastMap makes the map that stays: one node is not in it.
-func (t *ownershipTrial) lastMap(ctx context.Context, c *controller, out int) (Era, error) {
-	m, err := c.change(ctx, whole, func([]ownership.Member) []ownership.Member {
-		return slices.DeleteFunc(t.members(), func(m ownership.Member) bool { return m.Name == nodeName(out) })
+// publishLastMap publishes the map that stays; the node excluded is not a member.
+func (t *ownershipTrial) publishLastMap(ctx context.Context, controller *controller, excluded int) (PublishedMap, error) {
+	m, err := controller.publishMap(ctx, uninterrupted, func([]ownership.Member) []ownership.Member {
+		return slices.DeleteFunc(t.members(), func(m ownership.Member) bool { return m.Name == nodeName(excluded) })
 	})
 	if err != nil {
-		return Era{}, fmt.Errorf("the last map: %w", err)
+		return PublishedMap{}, fmt.Errorf("publish the last map: %w", err)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, e := range slices.Backward(t.eras) {
-		if e.Number == m.Number {
-			return *e, nil
+	for _, published := range slices.Backward(t.published) {
+		if published.Number == m.Number {
+			return *published, nil
 		}
 	}
-	return Era{}, fmt.Errorf("the last map, %d, is not among those that were made", m.Number)
+	return PublishedMap{}, fmt.Errorf("the last map, number %d, is not among the recorded maps", m.Number)
 }
 
-// settle makes the last map, waits until all act by it, and checks all that was seen.
-func (t *ownershipTrial) settle(ctx context.Context) error {
-	out := t.r.IntN(ownNodes)
-	c := t.newController(controllers + 1)
-	c.op.Wait = settleWait
-	if t.own.Breach == BreachAccept {
+// converge publishes the last map, waits until all nodes act by it, and checks everything that was recorded.
+func (t *ownershipTrial) converge(ctx context.Context) error {
+	excluded := t.random.IntN(nodeCount)
+	controller := t.newController(controllerCount + 1)
+	controller.admin.RetryFor = settleTimeout
+	if t.ownershipOptions.Inject == InjectLateAccept {
 		t.mu.Lock()
-		t.stubborn = out
+		t.lateAcceptor = excluded
 		t.mu.Unlock()
 	}
-	var saved []byte
+	var backup []byte
 	var err error
-	if t.own.Breach == BreachNumber {
-		if saved, _, err = c.op.Backup(ctx, true); err != nil {
+	if t.ownershipOptions.Inject == InjectDuplicateNumber {
+		if backup, _, err = controller.admin.Backup(ctx, true); err != nil {
 			return err
 		}
 	}
-	last, err := t.lastMap(ctx, c, out)
+	lastMap, err := t.publishLastMap(ctx, controller, excluded)
 	if err != nil {
 		return err
 	}
-	if t.own.Breach == BreachNumber {
-		if _, err := c.op.Restore(ctx, saved); err != nil {
+	if t.ownershipOptions.Inject == InjectDuplicateNumber {
+		if _, err := controller.admin.Restore(ctx, backup); err != nil {
 			return err
 		}
-		if _, err := t.lastMap(ctx, c, (out+1)%ownNodes); err != nil {
+		if _, err := t.publishLastMap(ctx, controller, (excluded+1)%nodeCount); err != nil {
 			return err
 		}
-		return t.judge(ctx)
+		return t.check(ctx)
 	}
-	t.own.Log.Info("the last map", "number", last.Number, "at", t.now())
-	t.quiet(ctx, last, out)
-	t.own.Log.Info("judging", "at", t.now())
+	t.ownershipOptions.Log.Info("published the last map", "number", lastMap.Number, "at", t.elapsed())
+	t.awaitConvergence(ctx, lastMap, excluded)
+	t.ownershipOptions.Log.Info("judging", "at", t.elapsed())
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return t.judge(ctx)
+	return t.check(ctx)
 }
 
-// fail notes a breach that the trial itself has seen.
-func (t *ownershipTrial) fail(rule OwnershipRule, format string, args ...any) {
+// addViolation reports a violation that the trial itself has seen.
+func (t *ownershipTrial) addViolation(rule OwnershipRule, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.result.Breaches = append(t.result.Breaches, Breach{rule, fmt.Sprintf(format, args...)})
+	t.result.Violations = append(t.result.Violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// quiet waits until each node acts by the last map, and then looks once more that all do.
-func (t *ownershipTrial) quiet(ctx context.Context, last Era, out int) {
-	ctx, cancel := context.WithTimeout(ctx, quietWait)
+// awaitConvergence waits until each node acts by the last map, and then verifies once more that all of them
+// do.
+func (t *ownershipTrial) awaitConvergence(ctx context.Context, lastMap PublishedMap, excluded int) {
+	ctx, cancel := context.WithTimeout(ctx, convergenceTimeout)
 	defer cancel()
-	now, _, _, err := t.client(99).List(ctx, true)
+	current, _, _, err := t.newClient(99).List(ctx, true)
 	if err != nil {
-		t.fail(Returns, "the list after the faults: %v", err)
+		t.addViolation(RuleRecovery, "read the list after the faults: %v", err)
 		return
 	}
 	serving := map[int]bool{}
-	for _, m := range now.Members {
-		serving[m.Cell] = serving[m.Cell] || m.Phase == catalog.Serving
+	for _, member := range current.Members {
+		serving[member.Cell] = serving[member.Cell] || member.Phase == catalog.Serving
 	}
-	dests := slices.DeleteFunc(slices.Sorted(maps.Keys(serving)), func(d int) bool { return !serving[d] })
-	for i := range wildDests {
-		dests = append(dests, firstWild+i)
+	destinations := slices.DeleteFunc(slices.Sorted(maps.Keys(serving)), func(d int) bool { return !serving[d] })
+	for i := range unlistedDestinations {
+		destinations = append(destinations, firstUnlisted+i)
 	}
-	exists := func(d int) bool { return serving[d] }
+	isListed := func(d int) bool { return serving[d] }
 
-	var pass []Handed
-	for _, first := range []bool{true, false} {
-		answers := make([][]Handed, len(t.nodes))
-		var all sync.WaitGroup
-		for i, n := range t.nodes {
-			all.Go(func() { answers[i] = t.askAll(ctx, n, last, dests, exists, first) })
+	var submissions []Submission
+	for _, firstPass := range []bool{true, false} {
+		answers := make([][]Submission, len(t.nodes))
+		var submitters sync.WaitGroup
+		for i, node := range t.nodes {
+			submitters.Go(func() { answers[i] = t.submitToAll(ctx, node, lastMap, destinations, isListed, firstPass) })
 		}
-		all.Wait()
-		if first {
-			t.result.Quiet = t.now() - last.Known
+		submitters.Wait()
+		if firstPass {
+			t.result.ConvergenceTime = t.elapsed() - lastMap.CommittedBy
 		}
-		pass = slices.Concat(answers...)
-		if bad := AfterQuiet(last, len(t.nodes), dests, exists, pass); len(bad) > 0 {
+		submissions = slices.Concat(answers...)
+		if violations := CheckConverged(lastMap, len(t.nodes), destinations, isListed, submissions); len(violations) > 0 {
 			t.mu.Lock()
-			t.result.Breaches = append(t.result.Breaches, bad...)
+			t.result.Violations = append(t.result.Violations, violations...)
 			t.mu.Unlock()
 			return
 		}
 	}
-	t.own.Log.Info("all accept as they should", "at", t.now())
-	t.quietLists(ctx, last, out, now)
+	t.ownershipOptions.Log.Info("all nodes answer as the last map demands", "at", t.elapsed())
+	t.awaitLists(ctx, lastMap, excluded, current)
 }
 
-// askAll hands in a message for each destination at a node. With wait it asks again until the answer is as it should be; without, only
-// an owner that is busy is.
-func (t *ownershipTrial) askAll(ctx context.Context, n *ownedNode, last Era, dests []int, exists func(int) bool, wait bool) []Handed {
-	var out []Handed
-	for _, d := range dests {
+// submitToAll submits a message for each destination to a node. With untilCorrect it tries again until the
+// answer is correct; without, only while an owner refuses with a retry-after.
+func (t *ownershipTrial) submitToAll(
+	ctx context.Context, node *deliveryNode, lastMap PublishedMap, destinations []int, isListed func(int) bool, untilCorrect bool,
+) []Submission {
+	var submissions []Submission
+	for _, destination := range destinations {
 		for {
-			h := t.hand(n, t.newID(), classSafe, d, t.now()+life, false)
-			right := h.right(last, exists(d))
-			busy := h.State == history.Refused && h.Wait > 0
-			if !right {
-				t.own.Log.Debug("not yet", "node", n.name, "dest", d, "state", h.State, "wait", h.Wait, "why", h.Why, "took", h.Return-h.Call)
+			submission := t.submit(node, t.newMessageID(), classIdempotent, destination, t.elapsed()+messageLifetime, false)
+			correct := submission.isCorrect(lastMap, isListed(destination))
+			busy := submission.Answer == history.Refused && submission.RetryAfter > 0
+			if !correct {
+				t.ownershipOptions.Log.Debug("answer does not match the last map yet", "node", node.name, "dest", destination,
+					"state", submission.Answer, "wait", submission.RetryAfter, "why", submission.Reason, "took",
+					submission.Return-submission.Call)
 			}
-			if right || !wait && !busy || t.found() || !registry.Sleep(ctx, pollPause) {
-				out = append(out, h)
+			if correct || !untilCorrect && !busy || t.hasFoundInjected() || !registry.Sleep(ctx, pollInterval) {
+				submissions = append(submissions, submission)
 				break
 			}
 		}
 	}
-	return out
+	return submissions
 }
 
-// found tells that a seeded breach has shown in what was accepted, so that nothing more needs to be waited for.
-func (t *ownershipTrial) found() bool {
-	if t.own.Breach != BreachAccept {
+// hasFoundInjected tells whether the recorded submissions already show the injected violation, so that there is
+// nothing to wait for.
+func (t *ownershipTrial) hasFoundInjected() bool {
+	if t.ownershipOptions.Inject != InjectLateAccept {
 		return false
 	}
-	s := t.seen()
-	bad, _ := Accepts(s.eras, s.handed, s.disturbed, heardWithin)
-	return slices.ContainsFunc(bad, func(b Breach) bool { return b.Rule == Breaches[BreachAccept] })
+	observed := t.copyObservations()
+	violations, _ := CheckAccepts(observed.published, observed.submissions, observed.disturbances, mapAdoptionLimit)
+	return slices.ContainsFunc(violations,
+		func(violation Violation) bool { return violation.Rule == InjectedViolations[InjectLateAccept] })
 }
 
-// quietLists waits until each node is told, and keeps, the list of its partitions alone, and until what it accepted has ended.
-func (t *ownershipTrial) quietLists(ctx context.Context, last Era, out int, now catalog.List) {
-	for i, n := range t.nodes {
-		want := map[string]catalog.Endpoint{}
-		for id, e := range listed(now) {
-			if last.Owned[i].Has(ownership.PartitionOf(e.Cell)) {
-				want[id] = e
+// awaitLists waits until each node requests and stores the list of its own partitions only, and until all
+// messages that were accepted have ended.
+func (t *ownershipTrial) awaitLists(ctx context.Context, lastMap PublishedMap, excluded int, current catalog.List) {
+	for i, node := range t.nodes {
+		expected := map[string]catalog.Endpoint{}
+		for id, endpoint := range endpointsByID(current) {
+			if lastMap.Owned[i].Has(ownership.PartitionOf(endpoint.Cell)) {
+				expected[id] = endpoint
 			}
 		}
-		why := ""
-		is := func() bool {
-			ready, says := n.ready(ctx)
-			if ready != (i != out) || i == out && !strings.Contains(says, "map") {
-				why = fmt.Sprintf("ready: %v, %s", ready, says)
+		problem := ""
+		isDone := func() bool {
+			ready, body := node.ready(ctx)
+			if ready != (i != excluded) || i == excluded && !strings.Contains(body, "map") {
+				problem = fmt.Sprintf("ready: %v, %s", ready, body)
 				return false
 			}
-			has, err := n.list()
-			if err != nil || !maps.Equal(has, want) {
-				why = fmt.Sprintf("it keeps %s, %v", difference(has, want), err)
+			actual, err := node.savedList()
+			if err != nil || !maps.Equal(actual, expected) {
+				problem = fmt.Sprintf("it stores %s, %v", describeDifference(actual, expected), err)
 				return false
 			}
-			s := t.seen()
-			for _, a := range slices.Backward(s.asks) {
-				if a.Node == i {
-					why = "it asks for " + brief(a.Partitions)
-					return a.Partitions == last.Owned[i] || i == out && a.Partitions.Len() == 1
+			observed := t.copyObservations()
+			for _, request := range slices.Backward(observed.watchRequests) {
+				if request.Node == i {
+					problem = "it requests " + summarize(request.Partitions)
+					return request.Partitions == lastMap.Owned[i] || i == excluded && request.Partitions.Len() == 1
 				}
 			}
 			return false
 		}
-		if await(ctx, n.name, is) != nil {
-			t.fail(Listed, "node %d, %d of whose partitions have endpoints, is not as map %d has it: %s", i, len(want), last.Number, why)
+		if await(ctx, node.name, isDone) != nil {
+			t.addViolation(RuleFilteredLists, "node %d, whose partitions have %d endpoints, does not follow map %d: %s", i,
+				len(expected), lastMap.Number, problem)
 		}
 	}
-	await(ctx, "the ends of all messages", func() bool { // what has none is told by judge
-		s := t.seen()
-		return Open(s.handed, s.ends) == 0
+	await(ctx, "the end of all messages", func() bool { // check reports messages without an end
+		observed := t.copyObservations()
+		return CountPending(observed.submissions, observed.messageEnds) == 0
 	})
 }
 
-// seen is a copy of what was seen so far.
-type seen struct {
-	sights    []MapSight
-	written   []MapWrite
-	eras      []Era
-	handed    []Handed
-	asks      []Ask
-	ends      []End
-	disturbed []Disturbed
+// observations is a copy of what was recorded so far.
+type observations struct {
+	mapObservations []MapObservation
+	mapWrites       []MapWrite
+	published       []PublishedMap
+	submissions     []Submission
+	watchRequests   []WatchRequest
+	messageEnds     []MessageEnd
+	disturbances    []Disturbance
 }
 
-func (t *ownershipTrial) seen() seen {
+func (t *ownershipTrial) copyObservations() observations {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := seen{sights: slices.Clone(t.sights), written: slices.Clone(t.written), handed: slices.Clone(t.handed), ends: slices.Clone(t.ends)}
-	for _, e := range t.eras {
-		s.eras = append(s.eras, *e)
+	observed := observations{mapObservations: slices.Clone(t.mapObservations), mapWrites: slices.Clone(t.mapWrites),
+		submissions: slices.Clone(t.submissions), messageEnds: slices.Clone(t.messageEnds)}
+	for _, m := range t.published {
+		observed.published = append(observed.published, *m)
 	}
-	for _, a := range t.asks {
-		s.asks = append(s.asks, *a)
+	for _, request := range t.watchRequests {
+		observed.watchRequests = append(observed.watchRequests, *request)
 	}
-	for _, d := range t.disturbed {
-		s.disturbed = append(s.disturbed, *d)
+	for _, disturbance := range t.disturbances {
+		observed.disturbances = append(observed.disturbances, *disturbance)
 	}
-	return s
+	return observed
 }
 
-// judge checks all that was seen.
-func (t *ownershipTrial) judge(ctx context.Context) error {
-	s := t.seen()
-	at := t.now()
-	var bad []Breach
-	accepts, over := Accepts(s.eras, s.handed, s.disturbed, heardWithin)
-	bad = slices.Concat(bad, Numbers(s.sights, s.written), accepts, Follows(s.eras, s.asks, askSlack), Ends(s.handed, s.ends, s.disturbed, endSlack, at),
-		Given(s.handed, s.ends, func(d int) bool { return d < steadyDests }))
-	if t.own.Breach != BreachNumber { // which makes another history
-		op := t.client(99)
-		op.Wait = settleWait
-		truth, err := t.truth(ctx, op)
+// check checks everything that was recorded.
+func (t *ownershipTrial) check(ctx context.Context) error {
+	observed := t.copyObservations()
+	checkedAt := t.elapsed()
+	var violations []Violation
+	acceptViolations, longestLateAccept := CheckAccepts(observed.published, observed.submissions, observed.disturbances,
+		mapAdoptionLimit)
+	violations = slices.Concat(violations, CheckMapNumbers(observed.mapObservations, observed.mapWrites), acceptViolations,
+		CheckWatchRequests(observed.published, observed.watchRequests, watchCrossingSlack),
+		CheckEnds(observed.submissions, observed.messageEnds, observed.disturbances, messageEndSlack, checkedAt),
+		CheckAnswers(observed.submissions, observed.messageEnds,
+			func(destination int) bool { return destination < steadyDestinations }))
+	if t.ownershipOptions.Inject != InjectDuplicateNumber { // that one restores a backup, which starts another history
+		admin := t.newClient(99)
+		admin.RetryFor = settleTimeout
+		committed, err := t.readHistory(ctx, admin)
 		if err != nil {
 			return err
 		}
-		bad = append(bad, FilteredWatches(map[int64]Truth{truth.history: truth.Truth}, s.asks)...)
+		violations = append(violations, CheckFilteredWatches(map[int64]CommittedHistory{committed.number: committed.CommittedHistory}, observed.watchRequests)...)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.result.Breaches = append(t.result.Breaches, bad...)
-	t.result.Over, t.result.Asks, t.result.Outlived = over, len(s.asks), Outlived(s.eras, s.handed, s.ends)
-	for _, h := range s.handed {
-		if h.Again && h.State == history.Taken {
-			t.result.Again++
+	t.result.Violations = append(t.result.Violations, violations...)
+	t.result.LongestLateAccept, t.result.WatchRequests, t.result.EndedAfterLoss =
+		longestLateAccept, len(observed.watchRequests), CountEndedAfterLoss(observed.published, observed.submissions, observed.messageEnds)
+	for _, submission := range observed.submissions {
+		if submission.Repeat && submission.Answer == history.Taken {
+			t.result.AcceptedRepeats++
 		}
 	}
-	for _, a := range s.asks {
-		t.result.Lines += len(a.Lines)
+	for _, request := range observed.watchRequests {
+		t.result.WatchLines += len(request.Lines)
 	}
 	return nil
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	adminHeaderTimeout = 2 * time.Second // for a whole call
-	adminTimeout       = 3 * time.Second
-	adminHeader        = 8 << 10
-	orderTimeout       = 800 * time.Millisecond // answers are due within 1 s
+	adminHeaderTimeout  = 2 * time.Second        // to read a request's header
+	adminTimeout        = 3 * time.Second        // to read a whole request, and to write its answer
+	adminMaxHeaderSize  = 8 << 10                // bytes
+	adminCommandTimeout = 800 * time.Millisecond // an operator's command must be answered within 1 s
 )
 
-// Admin is the operators' address: one call a connection. It is there before its node is, and outlasts it.
+// Admin serves the operators' address with one request on each connection. It starts before its node and
+// stops after it.
 type Admin struct {
-	srv     *http.Server
-	ln      net.Listener // nil: the node runs without
-	node    atomic.Pointer[Node]
-	figures *figures // of the process, whatever nodes it has been
+	server   *http.Server
+	listener net.Listener // nil if there is no operators' address
+	node     atomic.Pointer[Node]
+	metrics  *metrics // of the process, used by each node that it runs
 }
 
-// ListenAdmin opens the operators' address, if the configuration names one, and answers there until Close.
+// ListenAdmin opens the operators' address, if the configuration names one, and serves it until Close.
 func ListenAdmin(cfg Config, log *slog.Logger) (*Admin, error) {
-	a := &Admin{figures: newFigures(cfg.Names.Classes)}
+	a := &Admin{metrics: newMetrics(cfg.Names.Classes)}
 	if cfg.AdminAddr == "" {
 		return a, nil
 	}
@@ -40,62 +41,64 @@
 	if err != nil {
 		return nil, fmt.Errorf("operators' address: %w", err)
 	}
-	a.ln = &callers{Listener: ln, most: max(cfg.Limits.Sockets/operatorsPart, 4), open: map[*caller]bool{}}
-	a.srv = &http.Server{
-		Handler: a.handler(), MaxHeaderBytes: adminHeader,
+	a.listener = &cappedListener{Listener: ln, maxConns: max(cfg.Limits.Sockets/operatorSocketsDivisor, 4), conns: map[*operatorConn]bool{}}
+	a.server = &http.Server{
+		Handler: a.handler(), MaxHeaderBytes: adminMaxHeaderSize,
 		ReadHeaderTimeout: adminHeaderTimeout, ReadTimeout: adminTimeout, WriteTimeout: adminTimeout,
-		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug), // callers that come and go are no news
-		ConnContext: func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, callerKey{}, nc) },
+		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug), // errors of single connections are routine
+		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
+			return context.WithValue(ctx, operatorConnKey{}, nc)
+		},
 	}
-	a.srv.SetKeepAlivesEnabled(false)
+	a.server.SetKeepAlivesEnabled(false)
 	go func() { // until Close
-		if err := a.srv.Serve(a.ln); !errors.Is(err, http.ErrServerClosed) {
-			log.Error("operators' address", "err", err)
+		if err := a.server.Serve(a.listener); !errors.Is(err, http.ErrServerClosed) {
+			log.Error("operators' address is no longer served", "err", err)
 		}
 	}()
 	return a, nil
 }
 
-// Serve answers for a node from now on. The node must not run yet.
-func (a *Admin) Serve(n *Node) {
-	n.figures = a.figures
+// SetNode sets the node that further requests are answered for. It must be called before the node runs.
+func (a *Admin) SetNode(n *Node) {
+	n.metrics = a.metrics
 	a.node.Store(n)
 }
 
-// Close ends the address, calls that are open included.
+// Close closes the address and all its connections, even while requests are being answered.
 func (a *Admin) Close() error {
-	if a.srv == nil {
+	if a.server == nil {
 		return nil
 	}
-	return a.srv.Close()
+	return a.server.Close()
 }
 
 func (a *Admin) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/ready", func(w http.ResponseWriter, _ *http.Request) {
-		why := "starting"
+		reason := "starting"
 		if n := a.node.Load(); n != nil {
-			why = n.Unready()
+			reason = n.NotReadyReason()
 		}
-		if why != "" {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if reason != "" {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprintln(w, "ready")
 	})
 	mux.HandleFunc("GET /-/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		var b bytes.Buffer
-		a.figures.write(&b)
+		a.metrics.write(&b)
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Write(b.Bytes())
 	})
-	mux.HandleFunc("POST /-/endpoints/{id}/disable", func(w http.ResponseWriter, req *http.Request) { a.order(w, req, false) })
-	mux.HandleFunc("POST /-/endpoints/{id}/enable", func(w http.ResponseWriter, req *http.Request) { a.order(w, req, true) })
+	mux.HandleFunc("POST /-/endpoints/{id}/disable", func(w http.ResponseWriter, req *http.Request) { a.setEndpointEnabled(w, req, false) })
+	mux.HandleFunc("POST /-/endpoints/{id}/enable", func(w http.ResponseWriter, req *http.Request) { a.setEndpointEnabled(w, req, true) })
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if c, ok := req.Context().Value(callerKey{}).(*caller); ok {
-			c.called()
+		if c, ok := req.Context().Value(operatorConnKey{}).(*operatorConn); ok {
+			c.markRequestReceived()
 		}
-		// ServeMux would redirect, which is neither a yes nor a no.
+		// ServeMux would redirect such a path, which neither confirms nor refuses a command.
 		if p := req.URL.Path; p != path.Clean(p) {
 			http.NotFound(w, req)
 			return
@@ -104,64 +107,65 @@
 	})
 }
 
-// order passes on what is said of an endpoint. Its yes says that it is so, and stays so over a restart.
-func (a *Admin) order(w http.ResponseWriter, req *http.Request, lift bool) {
+// setEndpointEnabled passes an operator's command for an endpoint to the node. Success in the answer means
+// that the command is in effect and outlasts a restart.
+func (a *Admin) setEndpointEnabled(w http.ResponseWriter, req *http.Request, enable bool) {
 	n := a.node.Load()
 	if n == nil {
 		http.Error(w, "starting", http.StatusServiceUnavailable)
 		return
 	}
-	ctx, cancel := context.WithTimeout(req.Context(), orderTimeout)
+	ctx, cancel := context.WithTimeout(req.Context(), adminCommandTimeout)
 	defer cancel()
-	switch err := n.Bar(ctx, req.PathValue("id"), lift); {
-	case errors.Is(err, ErrUnknown):
+	switch err := n.SetEndpointEnabled(ctx, req.PathValue("id"), enable); {
+	case errors.Is(err, ErrUnknownEndpoint):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case err != nil:
 		http.Error(w, "not confirmed in time, it may yet be done: say it again", http.StatusServiceUnavailable)
-	case lift:
+	case enable:
 		fmt.Fprintln(w, "serves again")
 	default:
 		fmt.Fprintln(w, "left out")
 	}
 }
 
-type callerKey struct{}
+type operatorConnKey struct{}
 
-// callers is a listener with a cap on its connections. At the cap the one that has been there longest without a
-// whole call gives way, so that those who only hold theirs shut nobody out.
-type callers struct {
+// cappedListener limits the number of open connections. At the limit it closes the one that has been open
+// longest without a complete request, so that clients that only hold connections can't shut others out.
+type cappedListener struct {
 	net.Listener
-	most int
+	maxConns int
 
-	mu     sync.Mutex
-	open   map[*caller]bool
-	silent queue.List // those with no whole call yet, oldest first
+	mu         sync.Mutex
+	conns      map[*operatorConn]bool
+	incomplete queue.List // connections that have not sent a complete request, oldest first
 }
 
-type caller struct {
+type operatorConn struct {
 	net.Conn
-	of    *callers
-	place *queue.Element // among the silent
+	listener *cappedListener
+	element  *queue.Element // its element of incomplete; nil once its request is complete
 }
 
-func (l *callers) Accept() (net.Conn, error) {
+func (l *cappedListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		c := &caller{Conn: nc, of: l}
+		c := &operatorConn{Conn: nc, listener: l}
 		l.mu.Lock()
-		var oldest *caller
-		full := len(l.open) >= l.most
-		if e := l.silent.Front(); full && e != nil {
-			oldest = e.Value.(*caller)
-			oldest.leave()
+		var oldest *operatorConn
+		full := len(l.conns) >= l.maxConns
+		if e := l.incomplete.Front(); full && e != nil {
+			oldest = e.Value.(*operatorConn)
+			oldest.release()
 			full = false
 		}
 		if !full {
-			l.open[c] = true
-			c.place = l.silent.PushBack(c)
+			l.conns[c] = true
+			c.element = l.incomplete.PushBack(c)
 		}
 		l.mu.Unlock()
 		if oldest != nil {
@@ -170,34 +174,34 @@
 		if !full {
 			return c, nil
 		}
-		nc.Close() // all others are being answered
+		nc.Close() // the request of every other connection is complete and being answered
 	}
 }
 
-// called says that the caller's call has come whole.
-func (c *caller) called() {
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
-	c.speak()
+// markRequestReceived records that the connection has sent a complete request.
+func (c *operatorConn) markRequestReceived() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.removeFromIncomplete()
 }
 
-// speak takes it out of the silent ones; the lock is held.
-func (c *caller) speak() {
-	if c.place != nil {
-		c.of.silent.Remove(c.place)
-		c.place = nil
+// removeFromIncomplete removes the connection from incomplete. The lock must be held.
+func (c *operatorConn) removeFromIncomplete() {
+	if c.element != nil {
+		c.listener.incomplete.Remove(c.element)
+		c.element = nil
 	}
 }
 
-// leave gives its place back; the lock is held.
-func (c *caller) leave() {
-	c.speak()
-	delete(c.of.open, c)
+// release removes the connection from those that count against the limit. The lock must be held.
+func (c *operatorConn) release() {
+	c.removeFromIncomplete()
+	delete(c.listener.conns, c)
 }
 
-func (c *caller) Close() error {
-	c.of.mu.Lock()
-	c.leave()
-	c.of.mu.Unlock()
+func (c *operatorConn) Close() error {
+	c.listener.mu.Lock()
+	c.release()
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -31,34 +31,35 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// registry is discovery on a loopback socket: lists go to whoever watches, notices are kept.
+// fakeRegistry is a discovery server on a loopback socket. It sends lists to all watches and keeps the
+// notices.
 type fakeRegistry struct {
 	srv *httptest.Server
 
-	mu      sync.Mutex
-	lists   []string
-	more    chan struct{} // closed when lists grows
-	watches int
-	posts   int
-	refuse  int // so many posts of notices are answered 503
-	notices []map[string]any
-	cut     context.Context // ends the watches that are open
-	cutNow  context.CancelFunc
+	mu          sync.Mutex
+	lists       []string
+	changed     chan struct{} // closed when lists grows
+	watches     int
+	posts       int
+	refusePosts int // number of posts of notices to answer with 503
+	notices     []map[string]any
+	watchCtx    context.Context // ends the open watches
+	endWatches  context.CancelFunc
 }
 
-func newRegistry(t *testing.T) *fakeRegistry {
+func newFakeRegistry(t *testing.T) *fakeRegistry {
 	t.Helper()
-	r := &fakeRegistry{more: make(chan struct{})}
-	r.cut, r.cutNow = context.WithCancel(context.Background())
+	r := &fakeRegistry{changed: make(chan struct{})}
+	r.watchCtx, r.endWatches = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", func(w http.ResponseWriter, req *http.Request) {
 		r.mu.Lock()
 		r.watches++
-		cut := r.cut
+		cut := r.watchCtx
 		r.mu.Unlock()
 		for sent := 0; ; {
 			r.mu.Lock()
-			news, more := r.lists[sent:], r.more
+			news, more := r.lists[sent:], r.changed
 			sent = len(r.lists)
 			r.mu.Unlock()
 			for _, l := range news {
@@ -78,7 +79,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.posts++
-		if r.posts <= r.refuse {
+		if r.posts <= r.refusePosts {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -95,7 +96,7 @@
 	})
 	r.srv = httptest.NewServer(mux)
 	t.Cleanup(func() {
-		r.cutNow()
+		r.endWatches()
 		r.srv.CloseClientConnections()
 		r.srv.Close()
 	})
@@ -104,16 +105,16 @@
 
 func (r *fakeRegistry) addr() string { return r.srv.Listener.Addr().String() }
 
-func (r *fakeRegistry) tell(l string) {
+func (r *fakeRegistry) publish(l string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lists = append(r.lists, l)
-	close(r.more)
-	r.more = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-// state is what the notices said of a message, "" while there was none.
-func (r *fakeRegistry) state(id string) string {
+// noticeState returns what the notices say of a message, "" if there is none.
+func (r *fakeRegistry) noticeState(id string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, n := range r.notices {
@@ -124,11 +125,11 @@
 	return ""
 }
 
-func listOf(revision int, complete bool, members ...string) string {
+func listJSON(revision int, complete bool, members ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-func serving(id, addr string, dest int, phase string) string {
+func memberJSON(id, addr string, dest int, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"z","flavor":"m","cell":%d,"phase":%q,"size":1000}`, id, addr, dest, phase)
 }
 
@@ -148,7 +149,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":256,"disk_mb":3},"known":%s,"settings":%s}`,
-		listen, discovery, listOf(1, true, known...), testSettings)
+		listen, discovery, listJSON(1, true, known...), testSettings)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -158,25 +159,25 @@
 // startNode runs a node in this process until the test ends or stop is called.
 func startNode(t *testing.T, r *fakeRegistry, state string, known ...string) (addr string, stop func()) {
 	t.Helper()
-	return startWith(t, r, state, nil, nil, known...)
+	return startNodeWith(t, r, state, nil, nil, known...)
 }
 
-// startSeen is startNode with the node shown to see before it runs.
-func startSeen(t *testing.T, r *fakeRegistry, state string, see func(*Node), known ...string) (addr string, stop func()) {
+// startInspectedNode is startNode, but passes the node to inspect before it runs.
+func startInspectedNode(t *testing.T, r *fakeRegistry, state string, inspect func(*Node), known ...string) (addr string, stop func()) {
 	t.Helper()
-	return startWith(t, r, state, nil, see, known...)
+	return startNodeWith(t, r, state, nil, inspect, known...)
 }
 
-// startAltered is startNode with something changed in the configuration.
-func startAltered(
+// startConfiguredNode is startNode with a changed configuration.
+func startConfiguredNode(
 	t *testing.T, r *fakeRegistry, state string, alter func(*Config), known ...string,
 ) (addr string, stop func()) {
 	t.Helper()
-	return startWith(t, r, state, alter, nil, known...)
+	return startNodeWith(t, r, state, alter, nil, known...)
 }
 
-func startWith(
-	t *testing.T, r *fakeRegistry, state string, alter func(*Config), see func(*Node), known ...string,
+func startNodeWith(
+	t *testing.T, r *fakeRegistry, state string, alter func(*Config), inspect func(*Node), known ...string,
 ) (addr string, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -195,8 +196,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if see != nil {
-		see(n)
+	if inspect != nil {
+		inspect(n)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -211,87 +212,88 @@
 	return addr, stop
 }
 
-const ofStatus, ofOrder, ofPayout = "c=status,d=50000,dest=7", "c=order,d=50000,dest=7,k=key", "c=payout,d=50000,dest=7"
+const statusFields, orderFields, payoutFields = "c=status,d=50000,dest=7", "c=order,d=50000,dest=7,k=key", "c=payout,d=50000,dest=7"
 
 func mustAnswer(t *testing.T, addr, text, want string) {
 	t.Helper()
-	if got := ask(t, addr, text); got != want {
+	if got := roundTrip(t, addr, text); got != want {
 		t.Fatalf("got %q, want %q", got, want)
 	}
 }
 
-func TestDeliversAndForgets(t *testing.T) {
+func TestDeliveredMessageLeavesJournal(t *testing.T) {
 	t.Parallel()
-	p, state := newPartner(t, says(delivered)), t.TempDir()
-	r := newRegistry(t)
-	addr, stop := startNode(t, r, state, serving("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, resp("PING"), "+PONG")
-	mustAnswer(t, addr, enqueue("a", ofOrder, "body"), "+OK")
-	if req := p.next(t); req.Header.Get("X-Trace-Id") != "a" || req.Header.Get("Idempotency-Key") != "key" {
+	p, state := newFakeEndpoint(t, respondWith(okResponse)), t.TempDir()
+	r := newFakeRegistry(t)
+	addr, stop := startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, addr, encodeCommand("PING"), "+PONG")
+	mustAnswer(t, addr, enqueueCommand("a", orderFields, "body"), "+OK")
+	if req := p.nextRequest(t); req.Header.Get("X-Trace-Id") != "a" || req.Header.Get("Idempotency-Key") != "key" {
 		t.Errorf("got %v", req.Header)
 	}
-	if got := ask(t, addr, enqueue("b", "c=status,d=5000,dest=99", "")); !strings.HasPrefix(got, "-ERR ") {
+	if got := roundTrip(t, addr, enqueueCommand("b", "c=status,d=5000,dest=99", "")); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("an unknown destination: %q", got)
 	}
 	stop()
-	if j := openTest(t, state, 3); len(j.live) != 0 {
-		t.Errorf("%d live after delivery", len(j.live))
+	if j := openTestJournal(t, state, 3); len(j.live) != 0 {
+		t.Errorf("%d live messages after delivery", len(j.live))
 	}
 }
 
-// held is the list of a destination that is known and has no endpoint to send to.
-func held() string { return serving("e0", "127.0.0.1:9", 7, "DRAINING") }
+// drainingMember makes a destination known without an endpoint that takes calls.
+func drainingMember() string { return memberJSON("e0", "127.0.0.1:9", 7, "DRAINING") }
 
-func TestHeldMessageIsTakenOnOnceAndRoomIsBounded(t *testing.T) {
+func TestHeldMessagesAreDeduplicatedAndLimited(t *testing.T) {
 	t.Parallel()
-	p, r := newPartner(t, says(delivered)), newRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), held())
-	mustAnswer(t, addr, enqueue("a", ofStatus, "x"), "+OK")
-	mustAnswer(t, addr, enqueue("a", ofStatus, "x"), "+OK") // the same one again
+	p, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
+	addr, _ := startNode(t, r, t.TempDir(), drainingMember())
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, "x"), "+OK")
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, "x"), "+OK") // the same message again
 	answers := map[string]int{}
 	for i := range 6 {
-		answers[strings.Fields(ask(t, addr, enqueue("m"+itoa(i), ofStatus, "x")))[0]]++
+		answers[strings.Fields(roundTrip(t, addr, enqueueCommand("m"+itoa(i), statusFields, "x")))[0]]++
 	}
-	if answers["-BUSY"] < 3 || answers["+OK"] < 1 { // four may be held in all
+	if answers["-BUSY"] < 3 || answers["+OK"] < 1 { // the limit is four messages
 		t.Errorf("got %v", answers)
 	}
-	r.tell(listOf(2, false, serving("e", p.addr(), 7, "SERVING")))
+	r.publish(listJSON(2, false, memberJSON("e", p.addr(), 7, "SERVING")))
 	seen := map[string]int{}
 	for range 1 + answers["+OK"] {
-		seen[p.next(t).Header.Get("X-Trace-Id")]++
+		seen[p.nextRequest(t).Header.Get("X-Trace-Id")]++
 	}
 	if len(seen) != 1+answers["+OK"] {
 		t.Errorf("got %v", seen)
 	}
 }
 
-func TestDrainAndWholeList(t *testing.T) {
+func TestDrainAndCompleteList(t *testing.T) {
 	t.Parallel()
-	first, second, r := newPartner(t, says(delivered)), newPartner(t, says(delivered)), newRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), serving("e1", first.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("a", ofStatus, ""), "+OK")
-	first.next(t)
+	first, second, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
+	addr, _ := startNode(t, r, t.TempDir(), memberJSON("e1", first.addr(), 7, "SERVING"))
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, ""), "+OK")
+	first.nextRequest(t)
 	for i, l := range []string{
-		listOf(2, false, serving("e1", first.addr(), 7, "DRAINING"), serving("e2", second.addr(), 7, "SERVING")),
-		listOf(3, true, serving("e1", first.addr(), 7, "SERVING")), // e2 is not in it, and so gone
+		listJSON(2, false, memberJSON("e1", first.addr(), 7, "DRAINING"), memberJSON("e2", second.addr(), 7, "SERVING")),
+		listJSON(3, true, memberJSON("e1", first.addr(), 7, "SERVING")), // e2 is not in it, and so gone
 	} {
-		from, other := []*partner{second, first}[i], []*partner{first, second}[i]
+		from, other := []*fakeEndpoint{second, first}[i], []*fakeEndpoint{first, second}[i]
 		before, _ := other.counts()
-		r.tell(l)
+		r.publish(l)
 		sentOn := func() bool {
-			// Until the list has come the other one is right; from the first call on the new one only it is.
-			mustAnswer(t, addr, enqueue(fmt.Sprintf("m%d", time.Now().UnixNano()), ofStatus, ""), "+OK")
+			// Until the node has the list the other endpoint may get calls; after the first call to the new
+			// one only that may.
+			mustAnswer(t, addr, enqueueCommand(fmt.Sprintf("m%d", time.Now().UnixNano()), statusFields, ""), "+OK")
 			select {
-			case <-from.came:
+			case <-from.requests:
 				return true
-			case <-other.came:
+			case <-other.requests:
 				return false
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatal("no call came")
 				return false
 			}
 		}
-		eventually(t, "the new list is followed", sentOn)
+		eventually(t, "the new list is applied", sentOn)
 		after, _ := other.counts()
 		for range 5 {
 			if !sentOn() {
@@ -304,37 +306,37 @@
 	}
 }
 
-func TestToldWaitIsKept(t *testing.T) {
+func TestRetryAfterIsHonored(t *testing.T) {
 	t.Parallel()
 	const wait = 700 * time.Millisecond
 	var mu sync.Mutex
-	var told time.Time
-	p := newPartner(t, func(nc net.Conn, _ *http.Request) bool {
+	var rejectedAt time.Time
+	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		if told.IsZero() {
+		if rejectedAt.IsZero() {
 			io.WriteString(nc, "HTTP/1.1 429 No\r\nRetry-After: 0.7\r\nContent-Length: 0\r\n\r\n")
-			told = time.Now()
+			rejectedAt = time.Now()
 			return true
 		}
-		if early := wait - 100*time.Millisecond - time.Since(told); early > 0 { // calls that cross the answer are let through
+		if early := wait - 100*time.Millisecond - time.Since(rejectedAt); early > 0 { // tolerates calls that cross the answer on their way
 			t.Errorf("a call came %v early", early)
 		}
-		return says(delivered)(nc, nil)
+		return respondWith(okResponse)(nc, nil)
 	})
-	r := newRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), serving("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("a", ofPayout, ""), "+OK")
-	p.next(t)
-	mustAnswer(t, addr, enqueue("b", ofStatus, ""), "+OK")
-	p.next(t)
-	p.next(t)
+	r := newFakeRegistry(t)
+	addr, _ := startNode(t, r, t.TempDir(), memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, addr, enqueueCommand("a", payoutFields, ""), "+OK")
+	p.nextRequest(t)
+	mustAnswer(t, addr, enqueueCommand("b", statusFields, ""), "+OK")
+	p.nextRequest(t)
+	p.nextRequest(t)
 }
 
-func TestDiscoverySilentAndBack(t *testing.T) {
+func TestDiscoveryOutage(t *testing.T) {
 	t.Parallel()
-	p, r := newPartner(t, says(delivered)), newRegistry(t)
-	addr, _ := startNode(t, r, t.TempDir(), held())
+	p, r := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t)
+	addr, _ := startNode(t, r, t.TempDir(), drainingMember())
 	watching := func(least int) func() bool {
 		return func() bool {
 			r.mu.Lock()
@@ -343,30 +345,30 @@
 		}
 	}
 	eventually(t, "a watch", watching(1))
-	mustAnswer(t, addr, enqueue("a", ofStatus, ""), "+OK") // without discovery all goes on
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, ""), "+OK") // messages are accepted without discovery
 	r.mu.Lock()
-	r.cutNow()
-	r.cut, r.cutNow = context.WithCancel(context.Background())
+	r.endWatches()
+	r.watchCtx, r.endWatches = context.WithCancel(context.Background())
 	r.mu.Unlock()
-	eventually(t, "the watch is taken up again", watching(2))
-	r.tell(listOf(2, true, serving("e", p.addr(), 7, "SERVING")))
-	p.next(t)
+	eventually(t, "the watch is opened again", watching(2))
+	r.publish(listJSON(2, true, memberJSON("e", p.addr(), 7, "SERVING")))
+	p.nextRequest(t)
 }
 
-// Another server may be behind the one before: its older list must not undo a drain, and the newer one must come. One
-// whose revisions count something else is believed after a while.
-func TestAnotherDiscoveryThatIsBehind(t *testing.T) {
+// A new discovery server may be behind the previous one. Its older list must not undo a drain, and its newer
+// one must be applied. If its revisions belong to another count it is believed after a while.
+func TestNewDiscoveryServerIsBehind(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
-		lists []int // revisions, one a watch; the last one again and again
+		lists []int // revisions, one a watch; the last one is repeated
 		want  []int64
-		count string // the history that both tell
+		count string // the history that both name
 	}{
 		{"behind, then not", []int{4, 4, 6}, []int64{5, 6}, ""},
-		{"of its own counting", []int{1}, []int64{5, 1}, ""},
-		// One of ours is known to count the same, so it is behind for as long as it takes: the last try is after the time
-		// that others are given.
+		{"another history", []int{1}, []int64{5, 1}, ""},
+		// A replica of the same history may stay behind for any time: its last list comes after the time that
+		// other servers are given.
 		{"a replica that is behind", []int{4, 4, 4, 4, 4, 4, 4, 4, 4, 6}, []int64{5, 6}, "3"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -377,24 +379,24 @@
 					if c.count != "" {
 						w.Header().Set("Registry-History", c.count)
 					}
-					fmt.Fprintln(w, listOf(revision(), false))
+					fmt.Fprintln(w, listJSON(revision(), false))
 					w.(http.Flusher).Flush()
 					<-req.Context().Done()
 				}))
 				t.Cleanup(srv.Close)
 				return srv.Listener.Addr().String()
 			}
-			n := bareNode(t, held())
+			n := newIdleNode(t, drainingMember())
 			n.cfg.Discovery = serve(func() int { return 5 })
 			ctx, cancel := context.WithCancel(t.Context())
 			var ended sync.WaitGroup
-			ended.Go(func() { n.consult(ctx) })
+			ended.Go(func() { n.followDiscovery(ctx) })
 			for i, want := range c.want {
-				if l := (<-n.events).(registry.News); l.Revision != want {
+				if l := (<-n.events).(registry.Update); l.Revision != want {
 					t.Errorf("list %d: got revision %d, want %d", i, l.Revision, want)
 				}
 				if i == 0 {
-					n.Move(serve(func() int { return c.lists[min(int(watches.Add(1)), len(c.lists))-1] }))
+					n.MoveDiscovery(serve(func() int { return c.lists[min(int(watches.Add(1)), len(c.lists))-1] }))
 				}
 			}
 			cancel()
@@ -403,76 +405,79 @@
 	}
 }
 
-// Payouts that get no answer are out for all their time. While others pass at their partner they must not hold those
-// up: once they looked slow, they took all the slots that slow partners may have, and nothing more was sent.
-func TestLostCallsHoldNobodyUp(t *testing.T) {
+// Payouts without an answer stay in flight until their deadline. They must not hold up the other messages of
+// their partner: once they counted as slow, they took all the slots that slow partners may have, and nothing
+// more was sent.
+func TestUnansweredCallsDoNotBlockOthers(t *testing.T) {
 	t.Parallel()
-	answer := says(delivered)
-	p := newPartner(t, func(nc net.Conn, req *http.Request) bool {
+	answer := respondWith(okResponse)
+	p := newFakeEndpoint(t, func(nc net.Conn, req *http.Request) bool {
 		if strings.HasPrefix(req.Header.Get("X-Trace-Id"), "lost") {
-			return silent(nc, req)
+			return neverAnswer(nc, req)
 		}
 		return answer(nc, req)
 	})
-	addr, _ := startAltered(t, newRegistry(t), t.TempDir(), func(c *Config) { c.Settings.Slots = 4 },
-		serving("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("first", ofStatus, ""), "+OK")
-	p.next(t)
+	addr, _ := startConfiguredNode(t, newFakeRegistry(t), t.TempDir(), func(c *Config) { c.Settings.Slots = 4 },
+		memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, addr, enqueueCommand("first", statusFields, ""), "+OK")
+	p.nextRequest(t)
 	for _, id := range []string{"lost1", "lost2"} {
-		mustAnswer(t, addr, enqueue(id, ofPayout, ""), "+OK")
-		p.next(t)
+		mustAnswer(t, addr, enqueueCommand(id, payoutFields, ""), "+OK")
+		p.nextRequest(t)
 	}
-	// Well past the time after which a call looks slow each message still goes out at once: its payouts have 50 s.
+	// Each message goes out at once, well past the time after which a call counts as slow: the payouts have
+	// 50 s.
 	began, every := time.Now(), time.NewTicker(20*time.Millisecond)
 	defer every.Stop()
 	for i := 0; time.Since(began) < 2*time.Second; i++ {
-		mustAnswer(t, addr, enqueue("m"+itoa(i), ofStatus, ""), "+OK")
-		p.next(t)
+		mustAnswer(t, addr, enqueueCommand("m"+itoa(i), statusFields, ""), "+OK")
+		p.nextRequest(t)
 		<-every.C
 	}
 }
 
-// A partner whose table of connections others fill refuses new ones and closes them. That is no limit, for which the
-// rests would grow to half a minute here: one connection is tried every now and then until there is room.
+// A partner whose connection table is filled by others refuses new connections and closes them. That is no
+// rate limit, for which the pauses would grow to half a minute here: the node tries one connection now and
+// then until there is room.
 func TestFullConnectionTable(t *testing.T) {
 	t.Parallel()
 	const refusals = 9
 	var conns atomic.Int32
-	p := newPartner(t, func(nc net.Conn, req *http.Request) bool {
+	p := newFakeEndpoint(t, func(nc net.Conn, req *http.Request) bool {
 		if conns.Add(1) <= refusals {
-			says("HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")(nc, req)
+			respondWith("HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")(nc, req)
 			return false
 		}
-		return says(delivered)(nc, req)
+		return respondWith(okResponse)(nc, req)
 	})
-	addr, _ := startNode(t, newRegistry(t), t.TempDir(), serving("e", p.addr(), 7, "SERVING"))
-	mustAnswer(t, addr, enqueue("a", ofStatus, ""), "+OK")
+	addr, _ := startNode(t, newFakeRegistry(t), t.TempDir(), memberJSON("e", p.addr(), 7, "SERVING"))
+	mustAnswer(t, addr, enqueueCommand("a", statusFields, ""), "+OK")
 	eventually(t, "it is delivered", func() bool {
 		calls, _ := p.counts()
 		return calls > refusals
 	})
 }
 
-func TestNoticeIsRetriedUntilTaken(t *testing.T) {
+func TestNoticeIsRetriedUntilAccepted(t *testing.T) {
 	t.Parallel()
-	p, r := newPartner(t, says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), newRegistry(t)
-	r.refuse = 2
+	p, r := newFakeEndpoint(t, respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), newFakeRegistry(t)
+	r.refusePosts = 2
 	state := t.TempDir()
-	addr, stop := startNode(t, r, state, serving("e", p.addr(), 7, "SERVING"), serving("h", "127.0.0.1:9", 8, "DRAINING"))
-	mustAnswer(t, addr, enqueue("unsafe", ofPayout, ""), "+OK") // it may have run: failed
-	mustAnswer(t, addr, enqueue("short", "c=status,d=300,dest=8", ""), "+OK")
-	eventually(t, "the notice of a failure", func() bool { return r.state("unsafe") == "failed" })
-	eventually(t, "the notice of a refusal", func() bool { return r.state("short") == "returned" })
+	addr, stop := startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"), memberJSON("h", "127.0.0.1:9", 8, "DRAINING"))
+	mustAnswer(t, addr, enqueueCommand("unsafe", payoutFields, ""), "+OK") // it may have run, so it fails
+	mustAnswer(t, addr, enqueueCommand("short", "c=status,d=300,dest=8", ""), "+OK")
+	eventually(t, "the notice of a failure", func() bool { return r.noticeState("unsafe") == "failed" })
+	eventually(t, "the notice of a refusal", func() bool { return r.noticeState("short") == "returned" })
 	stop()
 	if calls, _ := p.counts(); calls != 1 {
 		t.Errorf("%d calls", calls)
 	}
-	if j := openTest(t, state, 3); len(j.live) != 0 {
-		t.Errorf("%d live after their notices", len(j.live))
+	if j := openTestJournal(t, state, 3); len(j.live) != 0 {
+		t.Errorf("%d live messages after their notices", len(j.live))
 	}
 }
 
-// TestMain is the node itself when a test starts this binary as a child.
+// TestMain runs a node instead of the tests when a test starts this binary as a child.
 func TestMain(m *testing.M) {
 	if os.Getenv("CORALYARD_TEST_CHILD") == "" {
 		os.Exit(m.Run())
@@ -496,7 +501,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println(ln.Addr()) // the parent reads where to connect
+	fmt.Println(ln.Addr()) // the parent reads the address from stdout
 	ctx, cancel := context.WithCancel(context.Background())
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
@@ -531,7 +536,7 @@
 		t.Fatal(err)
 	}
 	c := &child{cmd, strings.TrimSpace(addr)}
-	mustAnswer(t, c.addr, resp("PING"), "+PONG")
+	mustAnswer(t, c.addr, encodeCommand("PING"), "+PONG")
 	return c
 }
 
@@ -540,57 +545,58 @@
 	if err := c.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	c.cmd.Wait() // its error says that it was killed
+	c.cmd.Wait() // the error says that it was killed
 }
 
-// Killed with a call of each effect out: what may be repeated is delivered by the next life, what may not fails
-// without another call.
-func TestKilledWhileCallsAreOut(t *testing.T) {
+// A node is killed with a call of each effect in flight. The next process delivers the messages that may be
+// repeated, and fails the other one without a call.
+func TestKillWithCallsInFlight(t *testing.T) {
 	t.Parallel()
-	p, r, state := newPartner(t, silent), newRegistry(t), t.TempDir()
-	known := serving("e", p.addr(), 7, "SERVING")
+	p, r, state := newFakeEndpoint(t, neverAnswer), newFakeRegistry(t), t.TempDir()
+	known := memberJSON("e", p.addr(), 7, "SERVING")
 	c := startChild(t, r, state, known)
-	for id, fields := range map[string]string{"safe": ofStatus, "keyed": ofOrder, "unsafe": ofPayout} {
-		mustAnswer(t, c.addr, enqueue(id, fields, "body of "+id), "+OK")
-		if got := p.next(t).Header.Get("X-Trace-Id"); got != id {
+	for id, fields := range map[string]string{"safe": statusFields, "keyed": orderFields, "unsafe": payoutFields} {
+		mustAnswer(t, c.addr, enqueueCommand(id, fields, "body of "+id), "+OK")
+		if got := p.nextRequest(t).Header.Get("X-Trace-Id"); got != id {
 			t.Fatalf("got a call for %q", got)
 		}
 	}
 	c.kill(t)
 
-	q := newPartner(t, says(delivered))
-	startChild(t, r, state, serving("e", q.addr(), 7, "SERVING"))
+	q := newFakeEndpoint(t, respondWith(okResponse))
+	startChild(t, r, state, memberJSON("e", q.addr(), 7, "SERVING"))
 	seen := map[string]string{}
 	for range 2 {
-		req := q.next(t)
+		req := q.nextRequest(t)
 		seen[req.Header.Get("X-Trace-Id")] = req.Header.Get("Idempotency-Key")
 	}
 	if key, ok := seen["keyed"]; !ok || key != "key" || len(seen) != 2 {
 		t.Errorf("delivered: %v", seen)
 	}
-	eventually(t, "the unsafe one fails", func() bool { return r.state("unsafe") == "failed" })
+	eventually(t, "the unsafe one fails", func() bool { return r.noticeState("unsafe") == "failed" })
 	if calls, _ := q.counts(); calls != 2 {
 		t.Errorf("%d calls", calls)
 	}
 }
 
-// Killed before anything was sent: all three effects are delivered, once each, in their order.
-func TestKilledWhileMessagesAreHeld(t *testing.T) {
+// A node is killed before it has sent anything. The next process delivers each message once, of all three
+// effects.
+func TestKillWithHeldMessages(t *testing.T) {
 	t.Parallel()
-	p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
-	c := startChild(t, r, state, held())
+	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
+	c := startChild(t, r, state, drainingMember())
 	ids := []string{"safe", "keyed", "unsafe"}
-	for i, fields := range []string{ofStatus, ofOrder, ofPayout} {
-		mustAnswer(t, c.addr, enqueue(ids[i], fields, ""), "+OK")
+	for i, fields := range []string{statusFields, orderFields, payoutFields} {
+		mustAnswer(t, c.addr, enqueueCommand(ids[i], fields, ""), "+OK")
 	}
 	c.kill(t)
-	c = startChild(t, r, state, held())
-	mustAnswer(t, c.addr, enqueue("safe", ofStatus, ""), "+OK") // handed in again: no second effect
+	c = startChild(t, r, state, drainingMember())
+	mustAnswer(t, c.addr, enqueueCommand("safe", statusFields, ""), "+OK") // submitted again, it has no second effect
 	c.kill(t)
-	startChild(t, r, state, serving("e", p.addr(), 7, "SERVING"))
+	startChild(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
 	seen := map[string]int{}
 	for range ids {
-		seen[p.next(t).Header.Get("X-Trace-Id")]++
+		seen[p.nextRequest(t).Header.Get("X-Trace-Id")]++
 	}
 	if len(seen) != 3 {
 		t.Errorf("got %v", seen)
@@ -600,35 +606,35 @@
 	}
 }
 
-// A journal as a kill between two records leaves it, for each effect and each record.
-func TestEveryPointOfAKill(t *testing.T) {
+// Starts from a journal as a kill between two records leaves it, for each effect and each record.
+func TestKillBetweenRecords(t *testing.T) {
 	t.Parallel()
 	for class, name := range []string{"safe", "keyed", "unsafe"} {
 		for point, records := range []string{"accepted", "attempt", "not run", "ended"} {
 			t.Run(name+" "+records, func(t *testing.T) {
 				t.Parallel()
-				p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
-				j := openTest(t, state, 3)
-				m, err := j.accept(&past{id: "a", key: "k", class: class, dest: 7, deadline: time.Now().Add(50 * time.Second)})
+				p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
+				j := openTestJournal(t, state, 3)
+				m, err := j.accept(&pendingMessage{id: "a", key: "k", class: class, dest: 7, deadline: time.Now().Add(50 * time.Second)})
 				if err != nil {
 					t.Fatal(err)
 				}
 				for i, rec := range [][]byte{
-					attemptRecord(m.seq, time.Now(), 0), outcomeRecord(recNotRun, m.seq, 0), endedRecord(m.seq, ending{after: time.Second}),
+					attemptRecord(m.seq, time.Now(), 0), outcomeRecord(recordNotRun, m.seq, 0), finalRecord(m.seq, finalAnswer{retryAfter: time.Second}),
 				} {
 					if i < point {
 						j.add(rec)
 					}
 				}
 				mustFlush(t, j)
-				startNode(t, r, state, serving("e", p.addr(), 7, "SERVING"))
+				startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
 				switch {
 				case records == "ended":
-					eventually(t, "the owed notice", func() bool { return r.state("a") == "returned" })
+					eventually(t, "the owed notice", func() bool { return r.noticeState("a") == "returned" })
 				case name == "unsafe" && records == "attempt":
-					eventually(t, "the failure", func() bool { return r.state("a") == "failed" })
+					eventually(t, "the failure", func() bool { return r.noticeState("a") == "failed" })
 				default:
-					p.next(t)
+					p.nextRequest(t)
 					return
 				}
 				if calls, _ := p.counts(); calls != 0 {
@@ -639,121 +645,122 @@
 	}
 }
 
-// The module must hear after a restart that a destination failed before it, or it would meet one that is coming
-// back cold with the whole backlog. A call that was merely out when the process died is no such sign.
-func TestFailuresAreRememberedAcrossARestart(t *testing.T) {
+// After a restart the module must learn that a destination failed before, or it would send the whole backlog
+// to one in slow start. A call that was only in flight when the process died is no such failure.
+func TestFailuresSurviveRestart(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name            string
 		records         func(seq uint64) []byte
 		failed, touched bool
 	}{
-		{"out at the kill", func(seq uint64) []byte { return nil }, false, true},
-		{"timed out", func(seq uint64) []byte { return outcomeRecord(recFailed, seq, 0) }, true, true},
-		{"no route", func(seq uint64) []byte { return outcomeRecord(recNotRun, seq, 0) }, true, false},
-		{"over a limit", func(seq uint64) []byte { return outcomeRecord(recTurnedAway, seq, 0) }, false, false},
+		{"in flight at the kill", func(seq uint64) []byte { return nil }, false, true},
+		{"timed out", func(seq uint64) []byte { return outcomeRecord(recordFailed, seq, 0) }, true, true},
+		{"no route", func(seq uint64) []byte { return outcomeRecord(recordNotRun, seq, 0) }, true, false},
+		{"over a limit", func(seq uint64) []byte { return outcomeRecord(recordRejected, seq, 0) }, false, false},
 	} {
 		dir := t.TempDir()
-		j := openTest(t, dir, 3)
+		j := openTestJournal(t, dir, 3)
 		m := mustAccept(t, j, "a", nil)
 		j.add(attemptRecord(m.seq, time.Now(), 0))
 		if rec := c.records(m.seq); rec != nil {
 			j.add(rec)
 		}
 		mustFlush(t, j)
-		if err := j.compact(); err != nil { // keeps them apart as well
+		if err := j.compact(); err != nil { // compaction keeps the difference
 			t.Fatal(err)
 		}
-		n := &Node{start: time.Now()}
-		for _, p := range openTest(t, dir, 3).live {
-			r := n.resumed(p)
-			if r.Failed != c.failed || r.Touched != c.touched || r.Attempts != 1 || (r.Touched && r.MayRun > n.now()) {
+		n := &Node{clockStart: time.Now()}
+		for _, m := range openTestJournal(t, dir, 3).live {
+			r := n.resumedEvent(m)
+			if r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 || (r.MayHaveRun && r.MayHaveRunSince > n.now()) {
 				t.Errorf("%s: got %+v", c.name, r)
 			}
 		}
 	}
 }
 
-func TestOverdueAndPastTheWindowEndAtOnce(t *testing.T) {
+func TestExpiredMessagesEndAtOnce(t *testing.T) {
 	t.Parallel()
-	p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
-	j := openTest(t, state, 3)
-	late, err := j.accept(&past{id: "late", class: 0, dest: 7, deadline: time.Now().Add(-time.Second)})
+	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
+	j := openTestJournal(t, state, 3)
+	late, err := j.accept(&pendingMessage{id: "late", class: 0, dest: 7, deadline: time.Now().Add(-time.Second)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	forgotten, err := j.accept(&past{id: "forgotten", key: "k", class: 1, dest: 7, deadline: time.Now().Add(time.Minute)})
+	forgotten, err := j.accept(&pendingMessage{id: "forgotten", key: "k", class: 1, dest: 7, deadline: time.Now().Add(time.Minute)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.add(attemptRecord(late.seq, time.Now().Add(-time.Minute), 0))
-	j.add(attemptRecord(forgotten.seq, time.Now().Add(-2*time.Minute), 0)) // its key is remembered for one
+	j.add(attemptRecord(forgotten.seq, time.Now().Add(-2*time.Minute), 0)) // its dedup window is one minute
 	mustFlush(t, j)
-	startNode(t, r, state, serving("e", p.addr(), 7, "SERVING"))
-	eventually(t, "the overdue one's end", func() bool { return r.state("late") == "returned" })
-	eventually(t, "the forgotten key's end", func() bool { return r.state("forgotten") == "failed" })
+	startNode(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
+	eventually(t, "the end of the overdue message", func() bool { return r.noticeState("late") == "returned" })
+	eventually(t, "the end of the message with the forgotten key", func() bool { return r.noticeState("forgotten") == "failed" })
 	if calls, _ := p.counts(); calls != 0 {
 		t.Errorf("%d calls", calls)
 	}
 }
 
-// A journal that can't be written guards nothing that a later life could do wrong once a message's time is up: the
-// platform hears of its end all the same, be it held or about to be sent. Nothing is sent that was not written down.
-func TestEndsInTimeOnAFullDisk(t *testing.T) {
+// While the journal can't be written, the platform still gets the notice of a message past its deadline,
+// whether the message was held or about to be sent: no later process could do anything wrong with it. Nothing
+// is sent without a record.
+func TestMessagesEndOnAFullDisk(t *testing.T) {
 	t.Parallel()
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
-	p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
-	j := openTest(t, state, 3)
+	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
+	j := openTestJournal(t, state, 3)
 	for id, life := range map[string]time.Duration{"late": -time.Second, "soon": 300 * time.Millisecond} {
-		if _, err := j.accept(&past{id: id, class: 0, dest: 7, deadline: time.Now().Add(life)}); err != nil {
+		if _, err := j.accept(&pendingMessage{id: id, class: 0, dest: 7, deadline: time.Now().Add(life)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	mustFlush(t, j)
-	addr, _ := startSeen(t, r, state, func(n *Node) {
-		n.journal.f = full
-		if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // no compaction either
+	addr, _ := startInspectedNode(t, r, state, func(n *Node) {
+		n.journal.file = full
+		if err := os.Mkdir(j.path()+".new", 0o700); err != nil { // prevents compaction as well
 			t.Error(err)
 		}
-	}, serving("e", p.addr(), 7, "SERVING"))
-	eventually(t, "the end of the one whose time was up", func() bool { return r.state("late") != "" })
-	eventually(t, "the end of the one that could not be sent", func() bool { return r.state("soon") != "" })
+	}, memberJSON("e", p.addr(), 7, "SERVING"))
+	eventually(t, "the end of the message past its deadline", func() bool { return r.noticeState("late") != "" })
+	eventually(t, "the end of the message that could not be sent", func() bool { return r.noticeState("soon") != "" })
 	if calls, _ := p.counts(); calls != 0 {
-		t.Errorf("%d calls that no record guarded", calls)
+		t.Errorf("%d calls without a record", calls)
 	}
 	if err := os.Remove(j.path() + ".new"); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "messages are taken on again", func() bool { return ask(t, addr, enqueue("a", ofStatus, "x")) == "+OK" })
+	eventually(t, "messages are accepted again", func() bool { return roundTrip(t, addr, enqueueCommand("a", statusFields, "x")) == "+OK" })
 }
 
-// However often a journal can't be written, the log has one line when that begins and one when it ends.
-func TestOneLineForAJournalThatIsStuck(t *testing.T) {
-	n := bareNode(t, held())
+// However often writing the journal fails, the log has one line when that begins and one when it ends.
+func TestUnwritableJournalIsLoggedOnce(t *testing.T) {
+	n := newIdleNode(t, drainingMember())
 	var lines bytes.Buffer
 	n.log = slog.New(slog.NewTextHandler(&lines, nil))
-	good, block := n.journal.f, n.journal.path()+".new"
+	good, block := n.journal.file, n.journal.path()+".new"
 	t.Cleanup(func() { good.Close() })
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
-	if err := os.Mkdir(block, 0o700); err != nil { // no compaction either
+	if err := os.Mkdir(block, 0o700); err != nil { // prevents compaction as well
 		t.Fatal(err)
 	}
-	n.journal.f = full
+	n.journal.file = full
 	for i := range 20 {
-		n.take(t.Context(), []any{handIn("a"+itoa(i), time.Minute)})
+		n.handleBatch(t.Context(), []any{newArrival("a"+itoa(i), time.Minute)})
 	}
 	if err := os.Remove(block); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the journal is written again", func() bool {
-		n.take(t.Context(), nil)
-		return !n.journal.broken
+		n.handleBatch(t.Context(), nil)
+		return !n.journal.incomplete
 	})
 	got := lines.String()
 	if strings.Count(got, "can't be written") != 1 || strings.Count(got, "written again") != 1 || strings.Count(got, "\n") != 2 {
@@ -761,16 +768,17 @@
 	}
 }
 
-// After SIGTERM clients are answered as ever, the process ends well by itself, and the next one has what was held.
+// After SIGTERM clients are still answered, the process ends by itself without an error, and the next one has
+// the held messages.
 func TestSIGTERM(t *testing.T) {
 	t.Parallel()
-	p, r, state := newPartner(t, says(delivered)), newRegistry(t), t.TempDir()
-	c := startChild(t, r, state, held())
-	nc, br := dialTest(t, c.addr)
+	p, r, state := newFakeEndpoint(t, respondWith(okResponse)), newFakeRegistry(t), t.TempDir()
+	c := startChild(t, r, state, drainingMember())
+	nc, br := dialClient(t, c.addr)
 	if err := c.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for _, m := range []string{enqueue("a", ofStatus, ""), enqueue("b", ofPayout, "")} { // on an old connection
+	for _, m := range []string{enqueueCommand("a", statusFields, ""), enqueueCommand("b", payoutFields, "")} { // on an open connection
 		if _, err := io.WriteString(nc, m); err != nil {
 			t.Fatal(err)
 		}
@@ -778,28 +786,28 @@
 			t.Fatalf("got %q, %v", line, err)
 		}
 	}
-	mustAnswer(t, c.addr, enqueue("c", ofOrder, ""), "+OK") // and on a new one
+	mustAnswer(t, c.addr, enqueueCommand("c", orderFields, ""), "+OK") // on a new connection
 	if err := c.cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	startChild(t, r, state, serving("e", p.addr(), 7, "SERVING"))
+	startChild(t, r, state, memberJSON("e", p.addr(), 7, "SERVING"))
 	seen := map[string]bool{}
 	for range 3 {
-		seen[p.next(t).Header.Get("X-Trace-Id")] = true
+		seen[p.nextRequest(t).Header.Get("X-Trace-Id")] = true
 	}
 	if len(seen) != 3 {
 		t.Errorf("got %v", seen)
 	}
 }
 
-// bareNode is a node of which the test itself is the loop.
-func bareNode(t *testing.T, known ...string) *Node {
+// newIdleNode returns a node whose loop does not run: the test handles its events.
+func newIdleNode(t *testing.T, known ...string) *Node {
 	t.Helper()
-	return bareAltered(t, nil, known...)
+	return newConfiguredIdleNode(t, nil, known...)
 }
 
-// bareAltered is bareNode with something changed in the configuration.
-func bareAltered(t *testing.T, alter func(*Config), known ...string) *Node {
+// newConfiguredIdleNode is newIdleNode with a changed configuration.
+func newConfiguredIdleNode(t *testing.T, alter func(*Config), known ...string) *Node {
 	t.Helper()
 	cfg, err := LoadConfig(writeConfig(t, "127.0.0.1:0", "127.0.0.1:9", known...), t.TempDir())
 	if err != nil {
@@ -812,31 +820,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.step(t.Context(), n.replayed(), nil)
+	n.step(t.Context(), n.replayJournal(), nil)
 	return n
 }
 
-func handIn(id string, life time.Duration) arrival {
-	return arrival{request{id: id, class: 0, dest: 7, life: life, came: time.Now()}, make(chan answer, 1)}
+func newArrival(id string, life time.Duration) arrival {
+	return arrival{request{id: id, class: 0, dest: 7, ttl: life, receivedAt: time.Now()}, make(chan answer, 1)}
 }
 
-// An id handed in twice at once must not be taken on for the one and refused for the other, nor before it is written.
-func TestOneIDTwiceInABatchHasOneFate(t *testing.T) {
+// An ID submitted several times at once must get one answer for all, and not before its record is written.
+func TestRepeatedIDInABatchHasOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		life time.Duration
 		down bool
 		want answer
 	}{
-		"taken on":            {50 * time.Second, false, answer{}},
-		"refused":             {0, false, answer{refused: true, after: 3 * time.Second}}, // by the module, out of time
-		"the journal is down": {50 * time.Second, true, answer{refused: true, after: 3 * time.Second}},
+		"accepted":            {50 * time.Second, false, answer{}},
+		"refused":             {0, false, answer{refused: true, retryAfter: 3 * time.Second}}, // by the module, as its deadline has passed
+		"the journal is down": {50 * time.Second, true, answer{refused: true, retryAfter: 3 * time.Second}},
 	} {
-		n := bareNode(t, held())
+		n := newIdleNode(t, drainingMember())
 		if c.down {
-			n.journal.f.Close()
+			n.journal.file.Close()
 		}
-		all := []arrival{handIn("a", c.life), handIn("a", c.life), handIn("a", c.life)}
-		n.take(t.Context(), []any{all[0], all[1], all[2]})
+		all := []arrival{newArrival("a", c.life), newArrival("a", c.life), newArrival("a", c.life)}
+		n.handleBatch(t.Context(), []any{all[0], all[1], all[2]})
 		for _, a := range all {
 			select {
 			case got := <-a.reply:
@@ -847,66 +855,66 @@
 				t.Errorf("%s: no answer", name)
 			}
 		}
-		if taken := len(n.messages) == 1; taken != (c.want == answer{}) || n.held != len(n.messages) {
-			t.Errorf("%s: %d messages, %d held", name, len(n.messages), n.held)
+		if taken := len(n.messages) == 1; taken != (c.want == answer{}) || n.openMessages != len(n.messages) {
+			t.Errorf("%s: %d messages, %d held", name, len(n.messages), n.openMessages)
 		}
 	}
 }
 
-// An id may come again while a call under it is still out. The two must not be taken for one another.
-func TestAnIDUsedAgainWhileItsCallIsOut(t *testing.T) {
-	p := newPartner(t, silent)
-	n := bareNode(t, serving("e", p.addr(), 7, "SERVING"))
-	n.take(t.Context(), []any{handIn("a", 50*time.Second)})
-	p.next(t)
-	n.step(t.Context(), []choice.Event{choice.Dropped{ID: n.messages["a"].name()}}, nil)
+// An ID may be used again while a call under it is still in flight. The two messages must not be confused.
+func TestIDReusedDuringItsCall(t *testing.T) {
+	p := newFakeEndpoint(t, neverAnswer)
+	n := newIdleNode(t, memberJSON("e", p.addr(), 7, "SERVING"))
+	n.handleBatch(t.Context(), []any{newArrival("a", 50*time.Second)})
+	p.nextRequest(t)
+	n.step(t.Context(), []choice.Event{choice.MessageAbandoned{ID: n.messages["a"].choiceID()}}, nil)
 	n.forget(n.messages["a"])
-	n.take(t.Context(), []any{handIn("a", 50*time.Second)})
-	p.next(t)
-	if len(n.out) != 2 {
-		t.Fatalf("%d calls out", len(n.out))
+	n.handleBatch(t.Context(), []any{newArrival("a", 50*time.Second)})
+	p.nextRequest(t)
+	if len(n.outstanding) != 2 {
+		t.Fatalf("%d calls in flight", len(n.outstanding))
 	}
-	for _, c := range n.out {
+	for _, c := range n.outstanding {
 		c.cancel()
 	}
 	for range 2 {
-		n.take(t.Context(), []any{<-n.events})
+		n.handleBatch(t.Context(), []any{<-n.events})
 	}
-	if n.messages["a"] == nil || n.held != 1 {
+	if n.messages["a"] == nil || n.openMessages != 1 {
 		t.Error("the first one's call has ended the second message")
 	}
-	for a, c := range n.out { // a second attempt of the second message, by then
+	for a, c := range n.outstanding { // by then a second attempt of the second message
 		if a.seq != n.messages["a"].seq {
-			t.Errorf("a call of message %d is out", a.seq)
+			t.Errorf("a call of message %d is in flight", a.seq)
 		}
 		c.cancel()
 	}
 	n.calls.Wait()
 }
 
-// A call that the leaving node cuts off, and a refusal over a limit, must not make the next life hold its destination
-// for one that comes back cold.
-func TestLeavingIsNoOutage(t *testing.T) {
+// A call that is cut off as the node stops, or rejected over a limit, must not make the next process treat
+// the destination as one after an outage.
+func TestStoppingIsNoOutage(t *testing.T) {
 	for name, c := range map[string]struct {
 		serve           func(net.Conn, *http.Request) bool
 		failed, touched bool
 	}{
-		"cut off":      {silent, false, true},
-		"over a limit": {says("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), false, false},
-		"error":        {says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), true, true},
+		"cut off":      {neverAnswer, false, true},
+		"over a limit": {respondWith("HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"), false, false},
+		"error":        {respondWith("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), true, true},
 	} {
-		p := newPartner(t, c.serve)
-		n := bareNode(t, serving("e", p.addr(), 7, "SERVING"))
-		n.take(t.Context(), []any{handIn("a", 50*time.Second)})
-		p.next(t)
-		n.take(t.Context(), []any{choice.Leaving{By: 1}})
-		for _, out := range n.out {
+		p := newFakeEndpoint(t, c.serve)
+		n := newIdleNode(t, memberJSON("e", p.addr(), 7, "SERVING"))
+		n.handleBatch(t.Context(), []any{newArrival("a", 50*time.Second)})
+		p.nextRequest(t)
+		n.handleBatch(t.Context(), []any{choice.Stopping{By: 1}})
+		for _, out := range n.outstanding {
 			if name == "cut off" {
 				out.cancel()
 			}
 		}
-		n.take(t.Context(), []any{<-n.events})
-		if r := n.resumed(n.messages["a"]); r.Failed != c.failed || r.Touched != c.touched || r.Attempts != 1 {
+		n.handleBatch(t.Context(), []any{<-n.events})
+		if r := n.resumedEvent(n.messages["a"]); r.Failed != c.failed || r.MayHaveRun != c.touched || r.Attempts != 1 {
 			t.Errorf("%s: got %+v", name, r)
 		}
 		n.pool.close()
@@ -914,13 +922,13 @@
 	}
 }
 
-// -BUSY tells when to come back, also where the module is not asked.
-func TestTurnedAwayWithATime(t *testing.T) {
-	n := bareNode(t, held())
+// -BUSY carries a retry-after also where the module is not asked.
+func TestRefusalHasRetryAfter(t *testing.T) {
+	n := newIdleNode(t, drainingMember())
 	for i := range 8 {
-		a := handIn(itoa(i), 50*time.Second)
-		n.take(t.Context(), []any{a})
-		if got := <-a.reply; got.refused && got.after <= 0 {
+		a := newArrival(itoa(i), 50*time.Second)
+		n.handleBatch(t.Context(), []any{a})
+		if got := <-a.reply; got.refused && got.retryAfter <= 0 {
 			t.Errorf("got %+v", got)
 		} else if i == 7 && !got.refused {
 			t.Errorf("there is room for %d", i)
@@ -928,42 +936,42 @@
 	}
 }
 
-// Endpoints, destinations and ids come and go; what the node keeps of them must not grow.
-func TestNodeForgetsWhatHasGone(t *testing.T) {
-	p := newPartner(t, says(delivered))
-	n := bareNode(t, held())
+// Endpoints, destinations and IDs come and go; the node's memory of them must not grow.
+func TestNodeStateDoesNotGrow(t *testing.T) {
+	p := newFakeEndpoint(t, respondWith(okResponse))
+	n := newIdleNode(t, drainingMember())
 	for i := range 2000 {
 		members := []catalog.Endpoint{{ID: "e" + itoa(i), Addr: p.addr(), Cell: i, Phase: "SERVING"}, {ID: "e" + itoa(i-1), Cell: i - 1, Phase: "DELETED"}}
-		a := handIn("m"+itoa(i), 50*time.Second)
+		a := newArrival("m"+itoa(i), 50*time.Second)
 		a.dest = i
-		n.take(t.Context(), []any{registry.News{List: catalog.List{Revision: int64(i), Members: members}}})
-		n.take(t.Context(), []any{a})
-		for len(n.out) > 0 {
-			n.take(t.Context(), []any{<-n.events})
-			p.next(t)
+		n.handleBatch(t.Context(), []any{registry.Update{List: catalog.List{Revision: int64(i), Members: members}}})
+		n.handleBatch(t.Context(), []any{a})
+		for len(n.outstanding) > 0 {
+			n.handleBatch(t.Context(), []any{<-n.events})
+			p.nextRequest(t)
 		}
 	}
 	for what, size := range map[string]int{
-		"endpoints": len(n.eps), "messages": len(n.messages), "live": len(n.journal.live), "held": n.held, "kept": keptBy(n.pool),
+		"endpoints": len(n.endpoints), "messages": len(n.messages), "live": len(n.journal.live), "held": n.openMessages, "kept": idleConns(n.pool),
 	} {
 		if size > 2 {
 			t.Errorf("%s: %d", what, size)
 		}
 	}
-	n.start = n.start.Add(-time.Hour) // all windows pass
+	n.clockStart = n.clockStart.Add(-time.Hour) // all time windows pass
 	for range 2 {
-		n.take(t.Context(), []any{registry.News{List: catalog.List{Complete: true, Members: []catalog.Endpoint{{ID: "last", Addr: p.addr(), Cell: 1e6, Phase: "SERVING"}}}}})
+		n.handleBatch(t.Context(), []any{registry.Update{List: catalog.List{Complete: true, Members: []catalog.Endpoint{{ID: "last", Addr: p.addr(), Cell: 1e6, Phase: "SERVING"}}}}})
 	}
-	if len(n.waits) > 2 || n.sender.Knows(3) {
-		t.Errorf("%d waits", len(n.waits))
+	if len(n.destinationWaits) > 2 || n.sender.KnowsDestination(3) {
+		t.Errorf("%d waits", len(n.destinationWaits))
 	}
 	n.pool.close()
 	n.calls.Wait()
 }
 
-// What the module sends in one step to one endpoint is one call there and takes one slot, up to the kind's size of a
-// batch and to what a body holds.
-func TestSendsOfAStepTravelTogether(t *testing.T) {
+// Messages that the module sends to one endpoint in one step share a call and a slot there, up to the batch
+// size of their kind and the size of a body.
+func TestSendsOfAStepShareACall(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
 		batch, messages, body, calls int
@@ -974,87 +982,88 @@
 		{"large bodies", 10, 3, 30 << 10, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPartner(t, silent)
-			n := bareAltered(t, func(cfg *Config) {
+			p := newFakeEndpoint(t, neverAnswer)
+			n := newConfiguredIdleNode(t, func(cfg *Config) {
 				cfg.Settings.MaxOpen = 100
-				cfg.Settings.Kinds = []choice.Kind{{Batch: c.batch}}
+				cfg.Settings.Kinds = []choice.Kind{{MaxBatch: c.batch}}
 				cfg.Settings.Slots = 100
-			}, serving("e", p.addr(), 7, "SERVING"))
+			}, memberJSON("e", p.addr(), 7, "SERVING"))
 			var batch []any
 			for i := range c.messages {
-				a := handIn("m"+itoa(i), 50*time.Second)
+				a := newArrival("m"+itoa(i), 50*time.Second)
 				a.body = make([]byte, c.body)
 				batch = append(batch, a)
 			}
-			n.take(t.Context(), batch)
+			n.handleBatch(t.Context(), batch)
 			for range c.calls {
-				p.next(t)
+				p.nextRequest(t)
 			}
-			if len(n.out) != c.messages {
-				t.Errorf("%d attempts out", len(n.out))
+			if len(n.outstanding) != c.messages {
+				t.Errorf("%d attempts in flight", len(n.outstanding))
 			}
-			for _, out := range n.out {
+			for _, out := range n.outstanding {
 				out.cancel()
 			}
-			n.calls.Wait() // each has put its end among the events
+			n.calls.Wait() // each call has sent its end event
 			if ended := len(n.events); ended != c.calls {
 				t.Errorf("%d calls, want %d", ended, c.calls)
 			}
 			for len(n.events) > 0 {
-				e := (<-n.events).(called)
-				if len(n.called(e)) != len(e.attempts) {
+				e := (<-n.events).(callEnd)
+				if len(n.callEnded(e)) != len(e.attempts) {
 					t.Error("an attempt without its outcome")
 				}
 			}
-			if len(n.out) != 0 {
-				t.Errorf("%d attempts out after their calls", len(n.out))
+			if len(n.outstanding) != 0 {
+				t.Errorf("%d attempts in flight after their calls", len(n.outstanding))
 			}
 		})
 	}
 }
 
-// Nothing in a node is cut to a number of endpoints or partners: each of a thousand and more gets its messages, and the
-// next life knows them all.
+// A node has no built-in limit on endpoints or partners: with more than a thousand endpoints each partner
+// gets its message, and the next process knows all of them.
 func TestManyEndpoints(t *testing.T) {
 	const partners, each = 512, 3
-	p := newPartner(t, func(nc net.Conn, _ *http.Request) bool { _, err := io.WriteString(nc, delivered); return err == nil })
+	p := newFakeEndpoint(t, func(nc net.Conn, _ *http.Request) bool { _, err := io.WriteString(nc, okResponse); return err == nil })
 	var members []catalog.Endpoint
 	for i := range partners * each {
 		members = append(members, catalog.Endpoint{ID: "e" + itoa(i), Addr: p.addr(), Locality: "z", Flavor: "m", Cell: i % partners, Phase: "SERVING", Size: 1000})
 	}
-	n := bareAltered(t, func(cfg *Config) { cfg.Settings.MaxOpen, cfg.Settings.Slots = partners, 50 })
-	n.take(t.Context(), []any{registry.News{List: catalog.List{Complete: true, Members: members}}})
+	n := newConfiguredIdleNode(t, func(cfg *Config) { cfg.Settings.MaxOpen, cfg.Settings.Slots = partners, 50 })
+	n.handleBatch(t.Context(), []any{registry.Update{List: catalog.List{Complete: true, Members: members}}})
 	var batch []any
 	for i := range partners {
-		a := handIn("m"+itoa(i), 50*time.Second)
+		a := newArrival("m"+itoa(i), 50*time.Second)
 		a.dest = i
 		batch = append(batch, a)
 	}
-	n.take(t.Context(), batch)
+	n.handleBatch(t.Context(), batch)
 	reached := map[string]bool{}
 	for len(n.messages) > 0 {
-		e := (<-n.events).(called)
+		e := (<-n.events).(callEnd)
 		reached[e.endpoint.id] = true
-		n.take(t.Context(), []any{e})
+		n.handleBatch(t.Context(), []any{e})
 	}
 	if len(reached) != partners {
 		t.Errorf("%d endpoints had the messages of %d partners", len(reached), partners)
 	}
 	n.pool.close()
 	n.calls.Wait()
-	if again := openTest(t, n.cfg.State, 3); len(again.known) != len(members) {
-		t.Errorf("the next life knows %d endpoints of %d", len(again.known), len(members))
+	if again := openTestJournal(t, n.cfg.StateDir, 3); len(again.knownEndpoints) != len(members) {
+		t.Errorf("the next process knows %d endpoints of %d", len(again.knownEndpoints), len(members))
 	}
 }
 
-// The module weighs a message by its tenant's share, before a restart and after it. A tenant that the settings don't
-// name is nobody's share, least of all the first one's; a journal of before tenants were told names none.
-func TestTheTenantReachesTheModule(t *testing.T) {
+// The module weighs a message by its tenant's share, before and after a restart. A tenant that is not in the
+// settings has no share, above all not the first tenant's. Journal records from before there were tenants
+// name none.
+func TestTenantReachesModule(t *testing.T) {
 	names := wire.Names{Classes: []string{"status"}, Tenants: []string{"acme", "zen"}}
 	dir := t.TempDir()
-	j := openTest(t, dir, 3)
-	n := &Node{start: time.Now(), journal: j, messages: map[string]*past{}, sender: choice.New(choice.Settings{}, 1)}
-	n.sender.Step(n.now(), []choice.Event{choice.Listed{Entries: []choice.Entry{{Endpoint: "e", Dest: 7}}}})
+	j := openTestJournal(t, dir, 3)
+	n := &Node{clockStart: time.Now(), journal: j, messages: map[string]*pendingMessage{}, sender: choice.New(choice.Settings{}, 1)}
+	n.sender.Step(n.now(), []choice.Event{choice.ListUpdate{Entries: []choice.Entry{{Endpoint: "e", Dest: 7}}}})
 	want := map[string]int{"acme": 0, "zen": 1, "": -1, "other": -1}
 	for tenant, place := range want {
 		args := [][]byte{[]byte("ENQUEUE"), []byte("0"), []byte("of:" + tenant), []byte("c=status,d=9000,dest=7,t=" + tenant), nil}
@@ -1062,19 +1071,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := n.accept(arrival{request: q}, newcomers{})
-		if got := n.arrived(p, p.deadline).Tenant; got != place {
+		p := n.accept(arrival{request: q}, newMessages{})
+		if got := n.arrivedEvent(p, p.deadline).Tenant; got != place {
 			t.Errorf("%q: got %d, want %d", tenant, got, place)
 		}
 	}
-	old := acceptedRecord(&past{seq: j.next, id: "of:old", deadline: time.Now()})
+	old := acceptedRecord(&pendingMessage{seq: j.nextSeq, id: "of:old", deadline: time.Now()})
 	j.add(old[:len(old)-1])
 	want["old"] = -1
 	mustFlush(t, j)
-	again := openTest(t, dir, 3)
-	for _, p := range again.live {
-		if got, place := n.resumed(p).Tenant, want[strings.TrimPrefix(p.id, "of:")]; got != place {
-			t.Errorf("%q after a restart: got %d, want %d", p.id, got, place)
+	again := openTestJournal(t, dir, 3)
+	for _, m := range again.live {
+		if got, place := n.resumedEvent(m).Tenant, want[strings.TrimPrefix(m.id, "of:")]; got != place {
+			t.Errorf("%q after a restart: got %d, want %d", m.id, got, place)
 		}
 	}
 	if len(again.live) != len(want) {
@@ -1082,10 +1091,10 @@
 	}
 }
 
-// Without the folder that lasts the journal stood in whatever folder the process was started from, and the next start
-// might not find it.
-func TestConfigurationNamesItsFolder(t *testing.T) {
-	path := writeConfig(t, "127.0.0.1:0", "127.0.0.1:9", held())
+// Without a state folder the journal used to land in the working directory, where the next start might not
+// find it.
+func TestConfigNeedsStateFolder(t *testing.T) {
+	path := writeConfig(t, "127.0.0.1:0", "127.0.0.1:9", drainingMember())
 	if _, err := LoadConfig(path, t.TempDir()); err != nil {
 		t.Error(err)
 	}
@@ -1096,13 +1105,13 @@
 	}
 }
 
-// Whatever the limit and the slots, clients, operators, calls, kept connections and the node's own descriptors fit in it
-// together.
-func TestDescriptorsAreShared(t *testing.T) {
+// Whatever the limit and the slots, the descriptors of clients, operators, calls, idle connections and the
+// node itself fit the limit together.
+func TestSplitDescriptors(t *testing.T) {
 	for _, sockets := range []int{256, 384, 512, 1024, 4096} {
 		for _, slots := range []int{0, 1, 8, 60, 300, 5000} {
-			calls, idle := descriptors(sockets, slots)
-			if all := sockets/clientsPart + sockets/operatorsPart + ownDescriptors + calls + idle; calls < 1 || idle < 1 || all > sockets {
+			calls, idle := splitDescriptors(sockets, slots)
+			if all := sockets/clientSocketsDivisor + sockets/operatorSocketsDivisor + nodeDescriptors + calls + idle; calls < 1 || idle < 1 || all > sockets {
 				t.Errorf("%d sockets, %d slots: %d calls and %d kept make %d in all", sockets, slots, calls, idle, all)
 			}
 		}
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -14,83 +14,85 @@
 )
 
 const (
-	maxReport     = maxBody         // of one post: the protocol's bodies hold no more
-	reportTimeout = 2 * time.Second // the agent answers at once, so one that does not has gone
-	// Of several that take notices each is given so long at first, for a notice is due within 300 ms of its message's end;
-	// twice that when none of them has answered.
-	firstPatience = 100 * time.Millisecond
+	maxNoticePostSize = maxBody         // bytes of one post; the protocol allows no larger body
+	noticePostTimeout = 2 * time.Second // discovery answers at once, so an address that does not is taken to be down
+	// With several addresses each gets this long at first, because a notice is due within 300 ms of the end
+	// of its message. The timeout is doubled whenever none of them has answered.
+	firstNoticePostTimeout = 100 * time.Millisecond
 )
 
-// notice tells the platform of the end of a message that was taken on and not delivered.
+// notice tells the platform how a message ended that was accepted and not delivered. One line of a post holds
+// it as JSON.
 type notice struct {
-	of *past
+	message *pendingMessage
 
 	ID      string `json:"id"`
 	State   string `json:"state"`
 	AfterMS int64  `json:"after_ms,omitempty"`
 }
 
-// newNotice makes the notice of a message that has had its final answer.
-func newNotice(p *past) notice {
-	if p.ended.failed {
-		return notice{of: p, ID: p.id, State: "failed"}
+// newNotice returns the notice of a message that has its final answer.
+func newNotice(m *pendingMessage) notice {
+	if m.final.failed {
+		return notice{message: m, ID: m.id, State: "failed"}
 	}
-	return notice{of: p, ID: p.id, State: "returned", AfterMS: p.ended.after.Milliseconds()}
+	return notice{message: m, ID: m.id, State: "returned", AfterMS: m.final.retryAfter.Milliseconds()}
 }
 
-// report posts the notices that come until the context ends, unanswered ones first, and returns those that were
-// not answered. One that is answered is handed to done, for the journal may forget its message then. A post that
-// is not answered may have been taken all the same; telling it again does no harm.
-func report(
+// reportNotices posts notices to discovery's addresses until ctx ends: the unanswered ones first, then those
+// from more. It passes answered ones to done, because the journal may then forget their messages, and returns
+// those without an answer. A post without an answer may have been accepted all the same; posting a notice
+// again does no harm.
+func reportNotices(
 	ctx context.Context, log *slog.Logger, client *http.Client, addrs []string,
 	unanswered []notice, more <-chan []notice, done func([]notice),
 ) []notice {
-	var pause registry.Backoff
-	patience := reportTimeout
+	var backoff registry.Backoff
+	firstTimeout := noticePostTimeout
 	if len(addrs) > 1 {
-		patience = firstPatience
+		firstTimeout = firstNoticePostTimeout
 	}
-	wait := patience
-	for at, failed := 0, 0; ctx.Err() == nil; {
-		if len(unanswered) == 0 { // while some are not answered the loop keeps what comes
+	timeout := firstTimeout
+	for next, failures := 0, 0; ctx.Err() == nil; {
+		if len(unanswered) == 0 { // while some are unanswered, the node's event loop holds new ones back
 			select {
 			case unanswered = <-more:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		addr := addrs[at%len(addrs)]
-		n, err := post(ctx, client, addr, wait, unanswered)
+		addr := addrs[next%len(addrs)]
+		n, err := postNotices(ctx, client, addr, timeout, unanswered)
 		if err != nil {
 			if ctx.Err() == nil {
-				log.Warn("notices not answered", "discovery", addr, "owed", len(unanswered), "err", err)
-				at++ // the next one may take them, and telling them again does no harm
-				if failed++; failed%len(addrs) == 0 {
-					wait = min(2*wait, reportTimeout)
-					registry.Sleep(ctx, pause.Next())
+				log.Warn("notices could not be posted; trying the next address", "discovery", addr, "owed", len(unanswered), "err", err)
+				next++ // the next address may accept them
+				if failures++; failures%len(addrs) == 0 {
+					timeout = min(2*timeout, noticePostTimeout)
+					registry.Sleep(ctx, backoff.Next())
 				}
 			}
 			continue
 		}
-		pause, failed, wait = 0, 0, patience
+		backoff, failures, timeout = 0, 0, firstTimeout
 		done(unanswered[:n])
 		unanswered = unanswered[n:]
 	}
 	return unanswered
 }
 
-// post sends as many of the notices as one body holds, and tells how many.
-func post(ctx context.Context, client *http.Client, addr string, wait time.Duration, notices []notice) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+// postNotices posts as many of the notices as fit into one body, and returns how many these are.
+func postNotices(ctx context.Context, client *http.Client, addr string, timeout time.Duration, notices []notice) (int, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var body bytes.Buffer
 	n := 0
 	for _, one := range notices {
 		line, err := json.Marshal(one)
 		if err != nil {
-			return 0, fmt.Errorf("notices: %w", err)
+			return 0, fmt.Errorf("post notices: %w", err)
 		}
-		if n > 0 && body.Len()+len(line) >= maxReport {
+		if n > 0 && body.Len()+len(line) >= maxNoticePostSize {
 			break
 		}
 		body.Write(append(line, '\n'))
@@ -98,18 +100,18 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/reports", &body)
 	if err != nil {
-		return 0, fmt.Errorf("notices: %w", err)
+		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("notices: %w", err)
+		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	defer resp.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxReport)); err != nil {
-		return 0, fmt.Errorf("notices: %w", err)
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxNoticePostSize)); err != nil {
+		return 0, fmt.Errorf("post notices: %w", err)
 	}
 	if resp.StatusCode/100 != 2 {
-		return 0, fmt.Errorf("notices: %s", resp.Status)
+		return 0, fmt.Errorf("post notices: status %s", resp.Status)
 	}
 	return n, nil
 }
--- a/internal/registry/kept.go
+++ b/internal/registry/kept.go
@@ -14,22 +14,22 @@
 	"starlingusher/fleet/catalog"
 )
 
-const keptName = "list.json"
+const cacheFileName = "list.json"
 
-// Kept is the last list in a folder that lasts, for a process that starts while no service can be reached. It is
-// not safe for use by several goroutines at once.
-type Kept struct {
-	path string
-	most int64 // bytes of the file; while it is replaced there are two
+// ListCache keeps the latest list in a file, for a node that starts while no discovery service is reachable. It is not safe for concurrent use.
+type ListCache struct {
+	path     string
+	maxBytes int64 // of the file; the folder holds two such files while one replaces the other
 
-	members map[string]catalog.Endpoint
-	at      Position
-	heard   time.Time
-	due     bool
+	members     map[string]catalog.Endpoint
+	position    Position
+	confirmedAt time.Time
+	dirty       bool // the list differs from the one in the file
 }
 
-// keptFile is the file's form.
-type keptFile struct {
+// cacheFile is the format of the file. HeardAt is when the service had last confirmed the list at the time of
+// writing, and From is the address of the server that sent it.
+type cacheFile struct {
 	HeardAt  time.Time          `json:"heard_at"`
 	History  int64              `json:"history"`
 	Revision int64              `json:"revision"`
@@ -37,87 +37,90 @@
 	Members  []catalog.Endpoint `json:"members"`
 }
 
-// OpenKept reads what a folder keeps; nothing is no error, and neither is what can't be read: it is as if lost. The
-// file will hold so many bytes at most.
-func OpenKept(dir string, most int64) (*Kept, error) {
-	k := &Kept{path: filepath.Join(dir, keptName), most: most, members: map[string]catalog.Endpoint{}}
-	os.Remove(k.path + ".new") // of a process that ended while it wrote
-	raw, err := os.ReadFile(k.path)
+// OpenListCache reads the cache in a folder. A missing file is not an error. If the file is unreadable, it
+// returns the reason and an empty cache that can be used. maxBytes limits the size of the file.
+func OpenListCache(dir string, maxBytes int64) (*ListCache, error) {
+	c := &ListCache{path: filepath.Join(dir, cacheFileName), maxBytes: maxBytes, members: map[string]catalog.Endpoint{}}
+	os.Remove(c.path + ".new") // left by a process that ended while writing
+	raw, err := os.ReadFile(c.path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return k, nil
+		return c, nil
 	}
 	if err != nil {
-		return k, fmt.Errorf("kept list: %w", err)
+		return c, fmt.Errorf("list cache: %w", err)
 	}
-	var f keptFile
-	if err := json.Unmarshal(raw, &f); err != nil {
-		return k, fmt.Errorf("kept list: %w", err)
+	var file cacheFile
+	if err := json.Unmarshal(raw, &file); err != nil {
+		return c, fmt.Errorf("list cache: %w", err)
 	}
-	for _, m := range f.Members {
-		if m.Check() != nil || m.Phase == catalog.Deleted {
-			return k, fmt.Errorf("kept list: endpoint %.40q is not well formed", m.ID)
+	for _, m := range file.Members {
+		if m.Validate() != nil || m.Phase == catalog.Deleted {
+			return c, fmt.Errorf("list cache: invalid endpoint %.40q", m.ID)
 		}
 	}
-	for _, m := range f.Members {
-		k.members[m.ID] = m
+	for _, m := range file.Members {
+		c.members[m.ID] = m
 	}
-	k.at, k.heard = Position{f.History, f.Revision, f.From}, f.HeardAt
-	return k, nil
+	c.position, c.confirmedAt = Position{file.History, file.Revision, file.From}, file.HeardAt
+	return c, nil
 }
 
-// List is the kept list, whole, where it was told, and when; false if there is none.
-func (k *Kept) List() (catalog.List, Position, time.Time, bool) {
-	l := catalog.List{Revision: k.at.Revision, Complete: true, Members: []catalog.Endpoint{}}
-	for _, m := range k.members {
-		l.Members = append(l.Members, m)
+// List returns the cached list sorted by ID, its position, and when the service last confirmed it, or false if
+// there is no list.
+func (c *ListCache) List() (catalog.List, Position, time.Time, bool) {
+	list := catalog.List{Revision: c.position.Revision, Complete: true, Members: []catalog.Endpoint{}}
+	for _, m := range c.members {
+		list.Members = append(list.Members, m)
 	}
-	slices.SortFunc(l.Members, func(a, b catalog.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
-	return l, k.at, k.heard, !k.heard.IsZero()
+	slices.SortFunc(list.Members, func(a, b catalog.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	return list, c.position, c.confirmedAt, !c.confirmedAt.IsZero()
 }
 
-// Take notes what was told. The file follows by Flush.
-func (k *Kept) Take(n News, now time.Time) {
-	if n.Complete {
-		clear(k.members)
+// Apply applies an update in memory; Flush writes the result to the file.
+func (c *ListCache) Apply(update Update, now time.Time) {
+	if update.Complete {
+		clear(c.members)
 	}
-	for _, m := range n.Members {
-		if k.members[m.ID] = m; m.Phase == catalog.Deleted {
-			delete(k.members, m.ID)
+	for _, m := range update.Members {
+		if c.members[m.ID] = m; m.Phase == catalog.Deleted {
+			delete(c.members, m.ID)
 		}
 	}
-	k.at, k.heard, k.due = n.Position(), now, true
+	c.position, c.confirmedAt, c.dirty = update.Position(), now, true
 }
 
-// Heard notes that the service still stands by the list.
-func (k *Kept) Heard(now time.Time) {
-	if !k.heard.IsZero() {
-		k.heard = now
+// MarkConfirmed records that the service has confirmed the list. The time reaches the file with the next change
+// of the list only.
+func (c *ListCache) MarkConfirmed(now time.Time) {
+	if !c.confirmedAt.IsZero() {
+		c.confirmedAt = now
 	}
 }
 
-// Flush writes the file if there is something new. The file is whole at any time. What can't be written stays due; what is
-// too large does not.
-func (k *Kept) Flush() error {
-	if !k.due {
+// Flush replaces the file atomically if there was an update since the last write. After a write error the next
+// call tries again. A list that is too large is not written, and the file keeps the older one; only the next
+// update causes another attempt.
+func (c *ListCache) Flush() error {
+	if !c.dirty {
 		return nil
 	}
-	l, at, heard, _ := k.List()
-	raw, err := json.Marshal(keptFile{heard, at.History, at.Revision, at.From, l.Members})
+	list, position, confirmedAt, _ := c.List()
+	raw, err := json.Marshal(cacheFile{confirmedAt, position.History, position.Revision, position.Server, list.Members})
 	if err != nil {
-		return fmt.Errorf("kept list: %w", err)
+		return fmt.Errorf("list cache: %w", err)
 	}
-	if int64(len(raw)) > k.most {
-		k.due = false
-		return fmt.Errorf("kept list: %d bytes, %d at most; the older one stays", len(raw), k.most)
+	if int64(len(raw)) > c.maxBytes {
+		c.dirty = false
+		return fmt.Errorf("list cache: the list takes %d bytes, the limit is %d; keeping the older file", len(raw), c.maxBytes)
 	}
-	next := k.path + ".new"
-	if err = os.WriteFile(next, raw, 0o600); err == nil {
-		err = os.Rename(next, k.path)
+	newPath := c.path + ".new"
+	if err = os.WriteFile(newPath, raw, 0o600); err == nil {
+		err = os.Rename(newPath, c.path)
 	}
 	if err != nil {
-		os.Remove(next)
-		return fmt.Errorf("kept list: %w", err)
+		os.Remove(newPath)
+		return fmt.Errorf("list cache: %w", err)
 	}
-	k.due = false
+	c.dirty = false
 	return nil
 }
