--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry is the client of a list service, the platform's discovery or our own directory: it follows the list
-// at one of several addresses, never goes back in revisions, and outlives the service. It serves the node and
-// everything else that needs the list.
+// Package registry is the client of a list service, either the platform's discovery or the directory of
+// package directory. It follows the list at one of several addresses, never goes back to an older revision,
+// and survives the loss of any server. The node uses it, as does everything else that needs the list.
 package registry
 
 import (
@@ -20,165 +20,173 @@
 	"starlingusher/fleet/ownership"
 )
 
-// A change counts as told to a node 6 s after the service had it and could be reached, whatever call failed. These add up to
-// less than that at any size of the fleet: see pauses.
+// A node must know a change within 6 s of when the service had it and was reachable, whichever request
+// failed. These times add up to less than that at any fleet size; see retryPolicy.
 const (
-	maxList = 16 << 20 // bytes of one list
-	// An empty line comes every 2 s. A watch without one has died, though its connection may not show it.
-	watchSilence = 2500 * time.Millisecond
-	// A new watch is answered at once. One that does not come so far as its answer's head in this time is asked for anew;
-	// some services say 503 only after 2 s.
-	answerTime = 2200 * time.Millisecond
-	// For so long another server that tells no history is given to catch up with what was told; then its revisions are
-	// taken to count something else. What changes counts as told 4 s after a move.
+	maxListBytes = 16 << 20
+	// Servers send an empty line every 2 s. A watch without one is dead, even if its connection does not show
+	// it.
+	watchTimeout = 2500 * time.Millisecond
+	// Servers respond to a new watch at once. A request without response headers within this time is retried;
+	// some services take 2 s to answer 503.
+	responseTimeout = 2200 * time.Millisecond
+	// Another server that reports no history has this long to catch up with the revision known here. After
+	// that its revisions are taken to count something else. Changes are expected within 4 s of a change of
+	// servers.
 	catchUpTime = 2 * time.Second
-	// A service that cuts watches or refuses asks has more of them than it can answer, and most nodes of the fleet ask
-	// again then. Between them that should be some asks a second, as far as the 6 s have room for it.
-	askEvery     = 200 * time.Millisecond // of all nodes together
-	afterCut     = 1500 * time.Millisecond
-	afterSilence = 500 * time.Millisecond // its end is known late enough
-	firstRefusal = 2 * time.Second        // at most after one refusal; it may be a passing one
-	nextRefusal  = 5 * time.Second        // after more of them the service is past its room
-	longestBack  = 3 * time.Second        // that a service may tell to wait; a second is added at random
-	firstBackoff = 50 * time.Millisecond
-	lastBackoff  = time.Second
+	// A service that cuts watches or refuses requests has more of them than it can serve, and most nodes of
+	// the fleet then retry. All nodes together should send a few requests a second, as far as the 6 s allow.
+	fleetRequestInterval = 200 * time.Millisecond // across all nodes
+	maxPauseAfterCut     = 1500 * time.Millisecond
+	maxPauseAfterTimeout = 500 * time.Millisecond // short, because the timeout has already cost time
+	maxFirstRefusalPause = 2 * time.Second        // at most after one refusal, which may be transient
+	maxRefusalPause      = 5 * time.Second        // after several refusals the service is overloaded
+	maxRetryAfter        = 3 * time.Second        // upper limit of a service's Retry-After; up to a second is added at random
+	minBackoff           = 50 * time.Millisecond
+	maxBackoff           = time.Second
 )
 
-// The headers by which a directory of ours tells more than the platform does. historyOf also tells it apart.
+// Headers in which the directory reports more than the platform does. The history header also tells the two
+// apart.
 const (
-	historyOf    = "Registry-History"
-	vouchedOf    = "Registry-Vouched"
-	partitionsOf = "Registry-Partitions" // by how many partitions an answer was filtered
+	headerHistory    = "Registry-History"
+	headerVouched    = "Registry-Vouched"
+	headerPartitions = "Registry-Partitions" // number of partitions that a filtered answer is based on
 )
 
 var (
-	// ErrBehind says that a server has not yet been sent what another one has told.
-	ErrBehind = errors.New("the list is older than what was told before")
-	// ErrRefused says that a server had no room for the ask.
+	// ErrStale reports a server that does not have a revision yet that another server has sent.
+	ErrStale = errors.New("the list is older than the known one")
+	// ErrRefused reports a server that had no capacity for the request.
 	ErrRefused = errors.New("refused")
-	// ErrCannotPart says that a server does not tell the list of some partitions alone, but would send all of it: it is a
-	// replica of an older build, or counts other partitions.
-	ErrCannotPart = errors.New("it does not part the list by partitions")
-	// errSilent says that a server said nothing for longer than a living one does.
-	errSilent = errors.New("silent")
+	// ErrNoPartitionFilter reports a server that would send the whole list instead of some partitions: a
+	// replica of an older build, or one with another number of partitions.
+	ErrNoPartitionFilter = errors.New("the server does not filter the list by partitions")
+	// errSilent reports a watch on which a server sent nothing for longer than a live one does.
+	errSilent = errors.New("no heartbeat")
 )
 
-// Position is how far a caller has been told, and by whose count.
+// Position is the revision that a caller has, and the server and history that it belongs to.
 type Position struct {
-	History  int64 // 0: by a service that tells none
+	History  int64 // 0: the server reports none
 	Revision int64
-	From     string // the address that told it
+	Server   string // its address
 }
 
-// News is a list that was told, or what changed of one. Its Map is the number of the newest map of partitions that the server
-// has, 0 where there is none or the ask was for the whole list. It may have no members: then it carries on the revision, or a
-// new number of the map.
-type News struct {
+// Update is a list, or the changes to one. Map is the number of the newest ownership map that the server has,
+// 0 if there is none or the whole list was requested. An update without members only reports a new revision
+// or map number.
+type Update struct {
 	catalog.List
-	History int64  // as in Position
-	From    string // the address that told it
-	Vouched bool   // its service stands by it; the platform's always does
+	History     int64  // as in Position
+	Server      string // its address
+	SourceAlive bool   // the directory's own source is alive; always true for the platform
 }
 
-// Position is how far a caller is who has taken the news.
-func (n News) Position() Position { return Position{n.History, n.Revision, n.From} }
+// Position returns the position after the update.
+func (u Update) Position() Position { return Position{u.History, u.Revision, u.Server} }
 
-// Track keeps a caller from going back: it knows what was told, and decides what may be taken. It is not safe for use
-// by several goroutines at once.
-type Track struct {
-	at    Position
-	until time.Time // for so long another server's older revisions are only late
-	left  bool      // the server that told last, by the watch's own choice
+// Cursor prevents a caller from going back: it holds the position, and decides which updates are accepted. It
+// is not safe for concurrent use.
+type Cursor struct {
+	position   Position
+	graceUntil time.Time // until then, an older revision of another server only means that the server lags
+	searching  bool      // the watch is trying servers and has received no update since it left the last one
 }
 
-// NewTrack begins where the caller is.
-func NewTrack(at Position) *Track { return &Track{at: at} }
+// NewCursor returns a cursor at a position.
+func NewCursor(at Position) *Cursor { return &Cursor{position: at} }
 
-// At is how far the caller has been told.
-func (t *Track) At() Position { return t.at }
+// Position returns the position of the last accepted update.
+func (c *Cursor) Position() Position { return c.position }
 
-// After is what to ask an address for: nothing but the history where its revisions may count something else.
-func (t *Track) After(addr string) (history, revision int64) {
-	if t.at.History > 0 || t.at.From == "" || t.at.From == addr {
-		return t.at.History, t.at.Revision
+// ResumeFrom returns the position from which to request changes of a server. Without a history, revisions of
+// another server may count something else, and the position is 0.
+func (c *Cursor) ResumeFrom(addr string) (history, revision int64) {
+	if c.position.History > 0 || c.position.Server == "" || c.position.Server == addr {
+		return c.position.History, c.position.Revision
 	}
 	return 0, 0
 }
 
-// Moved says that another server is asked from now on. One that tells no history has some time to catch up.
-func (t *Track) Moved(now time.Time) { t.until = now.Add(catchUpTime) }
+// ServerChanged notes that another server is asked from now on. A server that reports no history gets time to
+// catch up.
+func (c *Cursor) ServerChanged(now time.Time) { c.graceUntil = now.Add(catchUpTime) }
 
-// tryNext is Moved for a watch that goes from server to server until one tells it something: that takes no time away.
-func (t *Track) tryNext(now time.Time) {
-	if !t.left {
-		t.left = true
-		t.Moved(now)
+// tryNextServer is ServerChanged for a watch that tries server after server until one sends an update; the
+// time to catch up starts only once.
+func (c *Cursor) tryNextServer(now time.Time) {
+	if !c.searching {
+		c.searching = true
+		c.ServerChanged(now)
 	}
 }
 
-// Take takes a list, or says that it is old news.
-func (t *Track) Take(n News, now time.Time) error {
+// Advance accepts an update, or returns ErrStale.
+func (c *Cursor) Advance(update Update, now time.Time) error {
 	switch {
-	case n.History > t.at.History && t.at.History > 0: // restored from a backup since; its revisions begin anew
-		if !n.Complete {
-			return fmt.Errorf("%w: changes of another history, without its list", ErrBehind)
+	case update.History > c.position.History && c.position.History > 0: // restored from a backup; revisions start anew
+		if !update.Complete {
+			return fmt.Errorf("%w: changes of another history without its complete list", ErrStale)
 		}
-	case n.History > 0 && n.History < t.at.History, n.History == t.at.History && n.History > 0 && n.Revision < t.at.Revision:
-		return fmt.Errorf("%w: %d.%d after %d.%d", ErrBehind, n.History, n.Revision, t.at.History, t.at.Revision)
-	case n.History != t.at.History || n.History == 0: // nothing but time tells whether they count the same
-		if n.Revision < t.at.Revision && now.Before(t.until) {
-			return fmt.Errorf("%w: %d after %d", ErrBehind, n.Revision, t.at.Revision)
+	case update.History > 0 && update.History < c.position.History, update.History == c.position.History && update.History > 0 && update.Revision < c.position.Revision:
+		return fmt.Errorf("%w: position %d.%d after %d.%d", ErrStale, update.History, update.Revision, c.position.History, c.position.Revision)
+	case update.History != c.position.History || update.History == 0: // only time can tell whether the revisions are comparable
+		if update.Revision < c.position.Revision && now.Before(c.graceUntil) {
+			return fmt.Errorf("%w: revision %d after %d", ErrStale, update.Revision, c.position.Revision)
 		}
 	}
-	t.at, t.left = n.Position(), false
+	c.position, c.searching = update.Position(), false
 	return nil
 }
 
-// Backoff is a pause that doubles, with half of it left to chance so that callers don't return in step.
+// Backoff is an exponential backoff. Half of each pause is random, so that callers do not retry in step.
 type Backoff time.Duration
 
-// Next is the next pause, from 25 ms to 1 s.
+// Next returns the next pause, between 25 ms and 1 s.
 func (b *Backoff) Next() time.Duration {
-	*b = min(max(2**b, Backoff(firstBackoff)), Backoff(lastBackoff))
+	*b = min(max(2**b, Backoff(minBackoff)), Backoff(maxBackoff))
 	return time.Duration(*b)/2 + rand.N(time.Duration(*b)/2)
 }
 
-// pauses are those between a watch's end and the ask for the next one. The longest chains, with the time that an ask may
-// hang: a silence, its pause, an ask that hangs and the first backoff take 5.25 s; a silence, its pause, a refusal and its pause 5 s;
-// a cut, a refusal and theirs 3.5 s. Of a service that went on refusing the news comes 5 s after it has room again, of one that hung or
-// could not be connected to 3.2 s after it can be reached.
-type pauses struct {
-	nodes    int
-	failed   Backoff
-	refusals int // in a row
+// retryPolicy chooses the pause between the end of a watch and the next request. The longest sequences,
+// including the time for which a request may hang: timeout, pause, hanging request and first backoff take
+// 5.25 s; timeout, pause, refusal and its pause 5 s; cut, pause, refusal and its pause 3.5 s. After a series
+// of refusals the update arrives within 5 s of when the service has capacity again; after hanging or failed
+// connections, within 3.2 s of when it is reachable.
+type retryPolicy struct {
+	fleetSize int
+	backoff   Backoff
+	refusals  int // consecutive
 }
 
-// after is the pause after a watch that ended by err; told tells that it had brought something.
-func (p *pauses) after(err error, told bool) time.Duration {
-	apart := time.Duration(p.nodes) * askEvery
-	var back *backError
+// pauseAfter returns the pause after a watch that ended with err. gotUpdate tells whether it had delivered an
+// update.
+func (p *retryPolicy) pauseAfter(err error, gotUpdate bool) time.Duration {
+	interval := time.Duration(p.fleetSize) * fleetRequestInterval
+	var retry *retryAfterError
 	switch {
-	case errors.As(err, &back):
-		return back.after + rand.N(time.Second) // they say whole seconds
+	case errors.As(err, &retry):
+		return retry.after + rand.N(time.Second) // the header has whole seconds only
 	case errors.Is(err, ErrRefused):
 		p.refusals++
-		most := min(2*apart, firstRefusal)
+		limit := min(2*interval, maxFirstRefusalPause)
 		if p.refusals > 1 {
-			most = min(apart<<min(p.refusals, 8), nextRefusal)
+			limit = min(interval<<min(p.refusals, 8), maxRefusalPause)
 		}
-		return most/2 + rand.N(most/2)
-	case told && errors.Is(err, errSilent):
-		return rand.N(min(apart, afterSilence))
-	case told: // it was cut, and the others' with it
-		return rand.N(min(apart, afterCut))
+		return limit/2 + rand.N(limit/2)
+	case gotUpdate && errors.Is(err, errSilent):
+		return rand.N(min(interval, maxPauseAfterTimeout))
+	case gotUpdate: // the watch was cut, probably together with those of other nodes
+		return rand.N(min(interval, maxPauseAfterCut))
 	}
-	return p.failed.Next()
+	return p.backoff.Next()
 }
 
-// news ends what failures have added up to.
-func (p *pauses) news() { p.failed, p.refusals = 0, 0 }
+// reset clears the failure counts.
+func (p *retryPolicy) reset() { p.backoff, p.refusals = 0, 0 }
 
-// Sleep waits, and tells whether the context is still alive after it.
+// Sleep waits, and reports whether the context is still alive afterwards.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -190,123 +198,126 @@
 	}
 }
 
-// Watcher follows the list.
+// Watcher follows the list of endpoints.
 type Watcher struct {
-	Addresses []string // at least one; they serve the same list
-	Nodes     int      // that follow it in all
+	Addresses []string // at least one; all serve the same list
+	FleetSize int      // number of watchers in total
 	Client    *http.Client
 	Log       *slog.Logger
-	Track     *Track
-	Heard     func() // called for each line that a server sends, also an empty one; may be nil
+	Cursor    *Cursor
+	OnLine    func() // called for each line that a server sends, including empty ones; may be nil
 
-	// Partitions are those whose list is followed; nil: the whole list. It is not changed while Watch runs: who wants others
-	// calls it anew. The first list of a call is whole, the later ones are as Track has them. A server refuses an empty set;
-	// who owns none follows any one partition, for the map's number.
+	// Partitions selects the partitions to follow; nil: the whole list. It must not be modified while Watch
+	// runs; to follow others, call Watch again. The first list of each call is complete, later ones continue
+	// from Cursor. Servers reject an empty set; a node that owns no partition follows an arbitrary one, for
+	// the map number.
 	Partitions *ownership.Set
 }
 
-// Watch follows the list until the context ends, and hands on what it is told. What is not taken ends its watch, and
-// is asked for again. With several addresses it begins at any of them, and goes on to the next when one fails.
-func (w *Watcher) Watch(ctx context.Context, tell func(News) error) {
-	pause := pauses{nodes: w.Nodes}
-	n := 0
+// Watch follows the list until the context ends, and passes each update to handle. If handle returns an
+// error, Watch ends that watch and requests the update again. It starts at a random address, and moves to the
+// next one on failure.
+func (w *Watcher) Watch(ctx context.Context, handle func(Update) error) {
+	pause := retryPolicy{fleetSize: w.FleetSize}
+	next := 0
 	if len(w.Addresses) > 1 {
-		n = rand.IntN(len(w.Addresses))
+		next = rand.IntN(len(w.Addresses))
 	}
-	failed := 0                  // addresses in a row
-	unable := 0                  // of those, for ErrCannotPart
-	whole := w.Partitions != nil // what the caller has may be of other partitions
-	cannot := map[string]bool{}  // addresses that were found unable
+	failures := 0                       // consecutive addresses
+	unfiltered := 0                     // of those, the ones with ErrNoPartitionFilter
+	needComplete := w.Partitions != nil // what the caller has may be of other partitions
+	noFilter := map[string]bool{}       // addresses that failed with ErrNoPartitionFilter
 	for ctx.Err() == nil {
-		first := true
-		addr := w.Addresses[n%len(w.Addresses)]
-		history, after := w.Track.After(addr)
-		if whole {
+		firstUpdate := true
+		addr := w.Addresses[next%len(w.Addresses)]
+		history, after := w.Cursor.ResumeFrom(addr)
+		if needComplete {
 			after = 0
 		}
-		err := w.once(ctx, addr, history, after, func(l News) error {
-			if whole && !l.Complete {
-				return errors.New("watch: changes, where the whole list was asked for")
+		err := w.watchOnce(ctx, addr, history, after, func(update Update) error {
+			if needComplete && !update.Complete {
+				return errors.New("watch: received changes instead of the complete list")
 			}
-			if err := w.Track.Take(l, time.Now()); err != nil {
+			if err := w.Cursor.Advance(update, time.Now()); err != nil {
 				return err
 			}
-			if first {
-				w.Log.Info("watching", "discovery", addr, "after", after, "revision", l.Revision, "complete", l.Complete, "members", len(l.Members))
+			if firstUpdate {
+				w.Log.Info("watching", "discovery", addr, "after", after, "revision", update.Revision, "complete", update.Complete, "members", len(update.Members))
 			}
-			if err := tell(l); err != nil {
-				whole = w.Partitions != nil // it lacks these changes
+			if err := handle(update); err != nil {
+				needComplete = w.Partitions != nil // the caller lacks these changes
 				return err
 			}
-			pause.news()
-			first, failed, unable, whole = false, 0, 0, false
+			pause.reset()
+			firstUpdate, failures, unfiltered, needComplete = false, 0, 0, false
 			return nil
 		})
 		if ctx.Err() != nil {
 			return
 		}
 		w.Log.Debug("watch ended", "discovery", addr, "err", err)
-		is := errors.Is(err, ErrCannotPart)
-		if is {
-			unable++
+		lacksFilter := errors.Is(err, ErrNoPartitionFilter)
+		if lacksFilter {
+			unfiltered++
 		}
-		if is != cannot[addr] && (is || !first) {
-			if cannot[addr] = is; is {
-				w.Log.Warn("not taken: the server would send the whole list", "discovery", addr, "err", err)
+		if lacksFilter != noFilter[addr] && (lacksFilter || !firstUpdate) {
+			if noFilter[addr] = lacksFilter; lacksFilter {
+				w.Log.Warn("skipping the server: it would send the whole list instead of some partitions", "discovery", addr, "err", err)
 			} else {
-				w.Log.Info("the server parts the list now", "discovery", addr)
+				w.Log.Info("the server now filters the list by partitions", "discovery", addr)
 			}
 		}
-		wait := pause.after(err, !first)
-		if failed++; failed < len(w.Addresses) { // the next one may do at once
-			wait = rand.N(firstBackoff)
+		wait := pause.pauseAfter(err, !firstUpdate)
+		if failures++; failures < len(w.Addresses) { // the next address may work, so try it soon
+			wait = rand.N(minBackoff)
 		} else {
-			if unable == len(w.Addresses) { // nothing but a newer build mends it, and each ask costs a piece of the whole list
-				wait = nextRefusal/2 + rand.N(nextRefusal/2)
+			if unfiltered == len(w.Addresses) { // only a newer build helps, and each request costs part of the whole list
+				wait = maxRefusalPause/2 + rand.N(maxRefusalPause/2)
 			}
-			failed, unable = 0, 0
+			failures, unfiltered = 0, 0
 		}
 		if len(w.Addresses) > 1 {
-			n++
-			w.Track.tryNext(time.Now())
+			next++
+			w.Cursor.tryNextServer(time.Now())
 		}
 		Sleep(ctx, wait)
 	}
 }
 
-// backError is a refusal that tells when to come back.
-type backError struct {
+// retryAfterError is a refusal with a Retry-After.
+type retryAfterError struct {
 	after time.Duration
 	error
 }
 
-func (b *backError) Unwrap() error { return b.error }
+func (e *retryAfterError) Unwrap() error { return e.error }
 
-// refusal makes an error of a refusing answer. Only a directory of ours is taken at its word on when to return.
-func refusal(resp *http.Response) error {
+// refusalError converts a refusal into an error. Only a directory's Retry-After is respected, not the
+// platform's.
+func refusalError(resp *http.Response) error {
 	err := fmt.Errorf("watch: %w: %s", ErrRefused, resp.Status)
-	s, bad := strconv.Atoi(resp.Header.Get("Retry-After"))
-	if bad != nil || s < 0 || resp.Header.Get(historyOf) == "" {
+	seconds, parseErr := strconv.Atoi(resp.Header.Get("Retry-After"))
+	if parseErr != nil || seconds < 0 || resp.Header.Get(headerHistory) == "" {
 		return err
 	}
-	return &backError{min(time.Duration(s)*time.Second, longestBack), err}
+	return &retryAfterError{min(time.Duration(seconds)*time.Second, maxRetryAfter), err}
 }
 
-// once follows one watch to its end. One that has gone silent is given up: its machine may be gone.
-func (w *Watcher) once(ctx context.Context, addr string, history, after int64, tell func(News) error) error {
+// watchOnce runs one watch to its end. It gives up on a silent watch, whose server's machine may be gone.
+func (w *Watcher) watchOnce(ctx context.Context, addr string, history, after int64, handle func(Update) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(answerTime, func() { cancel(errSilent) })
-	defer silence.Stop()
-	err := w.follow(ctx, addr, history, after, func() { silence.Reset(watchSilence) }, tell)
+	timer := time.AfterFunc(responseTimeout, func() { cancel(errSilent) })
+	defer timer.Stop()
+	err := w.readUpdates(ctx, addr, history, after, func() { timer.Reset(watchTimeout) }, handle)
 	if errors.Is(context.Cause(ctx), errSilent) {
 		err = fmt.Errorf("watch: %w: %w", errSilent, err)
 	}
 	return err
 }
 
-// follow takes the lists of one watch; alive is called for each sign that the service is there.
-func (w *Watcher) follow(ctx context.Context, addr string, history, after int64, alive func(), tell func(News) error) error {
+// readUpdates reads the lists of one watch. It calls alive for each sign that the server is alive.
+func (w *Watcher) readUpdates(ctx context.Context, addr string, history, after int64, alive func(), handle func(Update) error) error {
 	url := fmt.Sprintf("http://%s/registry/instances?watch=1&after=%d", addr, after)
 	if history > 0 {
 		url += fmt.Sprintf("&history=%d", history)
@@ -324,72 +335,72 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
-		return refusal(resp)
+		return refusalError(resp)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("watch: %s", resp.Status)
 	}
-	if by := resp.Header.Get(partitionsOf); w.Partitions != nil && by != strconv.Itoa(ownership.Partitions) {
-		return fmt.Errorf("watch: %w: %s is %.40q", ErrCannotPart, partitionsOf, by)
+	if partitions := resp.Header.Get(headerPartitions); w.Partitions != nil && partitions != strconv.Itoa(ownership.PartitionCount) {
+		return fmt.Errorf("watch: %w: header %s is %.40q", ErrNoPartitionFilter, headerPartitions, partitions)
 	}
-	news := News{From: addr, Vouched: resp.Header.Get(vouchedOf) != "no"}
-	if h := resp.Header.Get(historyOf); h != "" {
-		if news.History, err = strconv.ParseInt(h, 10, 64); err != nil || news.History <= 0 {
-			return fmt.Errorf("watch: history %.40q", h)
+	update := Update{Server: addr, SourceAlive: resp.Header.Get(headerVouched) != "no"}
+	if h := resp.Header.Get(headerHistory); h != "" {
+		if update.History, err = strconv.ParseInt(h, 10, 64); err != nil || update.History <= 0 {
+			return fmt.Errorf("watch: invalid history number %.40q", h)
 		}
 	}
 	alive()
-	heard := func() {
+	onLine := func() {
 		alive()
-		if w.Heard != nil {
-			w.Heard()
+		if w.OnLine != nil {
+			w.OnLine()
 		}
 	}
-	body := &lists{r: resp.Body, empty: heard}
-	in := json.NewDecoder(body)
+	body := &listReader{r: resp.Body, onEmptyLine: onLine}
+	decoder := json.NewDecoder(body)
 	for {
-		body.left, body.between = maxList, blank(in.Buffered())
-		news.List = catalog.List{}
-		if err := in.Decode(&news.List); err != nil {
+		body.remaining, body.betweenLists = maxListBytes, isBlank(decoder.Buffered())
+		update.List = catalog.List{}
+		if err := decoder.Decode(&update.List); err != nil {
 			return fmt.Errorf("watch: %w", err)
 		}
-		heard()
-		if err := tell(news); err != nil {
+		onLine()
+		if err := handle(update); err != nil {
 			return err
 		}
 	}
 }
 
-// lists reads the body of a watch. A list may stand on one line or on several, so only what stands between two of them is
-// a sign of life; one that trickles is none until it is there.
-type lists struct {
-	r       io.Reader
-	empty   func() // is called for empty lines
-	between bool   // the last list has ended and the next one has not begun
-	left    int    // bytes that the next list may yet take
+// listReader reads the body of a watch. A list may span several lines, so only lines between two lists count
+// as a heartbeat. A list that arrives slowly is no sign of life until it is complete.
+type listReader struct {
+	r            io.Reader
+	onEmptyLine  func() // called for empty lines
+	betweenLists bool   // the previous list has ended and the next one has not begun
+	remaining    int    // bytes that the next list may still use
 }
 
-func (l *lists) Read(p []byte) (int, error) {
-	if l.left <= 0 {
-		return 0, fmt.Errorf("a list of more than %d bytes", maxList)
+func (l *listReader) Read(p []byte) (int, error) {
+	if l.remaining <= 0 {
+		return 0, fmt.Errorf("the list exceeds %d bytes", maxListBytes)
 	}
 	for {
-		n, err := l.r.Read(p[:min(len(p), l.left)])
-		if l.between = l.between && len(bytes.TrimSpace(p[:n])) == 0; !l.between {
-			l.left -= n
+		n, err := l.r.Read(p[:min(len(p), l.remaining)])
+		if l.betweenLists = l.betweenLists && len(bytes.TrimSpace(p[:n])) == 0; !l.betweenLists {
+			l.remaining -= n
 			return n, err
 		}
 		if bytes.IndexByte(p[:n], '\n') >= 0 {
-			l.empty()
+			l.onEmptyLine()
 		}
 		if err != nil {
 			return 0, err
-		} // else it is not handed on, for a decoder keeps what stands before a list until that is there
+		} // not passed on: a decoder buffers what precedes a list until the list arrives
 	}
 }
 
-// blank tells that what is left of a decoder's reading is empty lines.
-func blank(r io.Reader) bool {
-	left, err := io.ReadAll(r) // of memory
-	return err == nil && len(bytes.TrimSpace(left)) == 0
+// isBlank reports whether a decoder has only empty lines left in its buffer.
+func isBlank(r io.Reader) bool {
+	rest, err := io.ReadAll(r) // reads from memory
+	return err == nil && len(bytes.TrimSpace(rest)) == 0
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire turns the simulator's JSON lines into the events of package choice and its actions into
-// lines. It decides nothing and supplies no defaults: what a line leaves out stays zero.
+// Package wire converts between the JSON lines of the simulator and package choice: lines to events, actions
+// to lines. It makes no decisions and has no defaults: a field that a line leaves out stays zero.
 package wire
 
 import (
@@ -11,183 +11,184 @@
 	"starlingusher/choice"
 )
 
-// Line is any line of a batch; Type says which fields count.
+// Line is any line from the simulator. Type determines which of its fields are used.
 type Line struct {
-	Type     string             `json:"event_type"`
-	SimTime  float64            `json:"simTime"`
-	Node     string             `json:"node"`
-	Nonce    json.Number        `json:"nonce64"`
-	Conf     json.RawMessage    `json:"conf"`
-	Slot     int                `json:"slot"`
-	Records  []Record           `json:"records"`
-	Form     string             `json:"form"`
-	Handle   string             `json:"handle"`
-	Class    int                `json:"cls"`
-	Owner    int                `json:"owner"`
-	Key      string             `json:"nameKey"`
-	DropDead float64            `json:"dropDead"`
-	Hint     float64            `json:"predicted"`
-	FarEnd   int                `json:"farEnd"`
-	Opts     int                `json:"opts"`
-	Go       int                `json:"go"`
-	Endpoint string             `json:"endpoint"`
-	Code     string             `json:"rc"`
-	Duration float64            `json:"duration"`
-	Closed   bool               `json:"closed"`
-	Note     float64            `json:"note"`
-	Feedback map[string]float64 `json:"feedback"`
-	Tag      string             `json:"tag"`
+	Type      string             `json:"event_type"`
+	SimTime   float64            `json:"simTime"` // milliseconds
+	Node      string             `json:"node"`    // ID of the simulated node that the line is for
+	Seed      json.Number        `json:"nonce64"`
+	Settings  json.RawMessage    `json:"conf"`
+	List      int                `json:"slot"` // number of a list, which a Manifest brings and an Announce names
+	Records   []Record           `json:"records"`
+	ListForm  string             `json:"form"` // of an Announce: whole, patch (changes only), stale_copy, or broken (no list)
+	MessageID string             `json:"handle"`
+	Class     int                `json:"cls"`
+	Tenant    int                `json:"owner"`
+	Key       string             `json:"nameKey"`
+	Deadline  float64            `json:"dropDead"`  // clock time in milliseconds
+	Hint      float64            `json:"predicted"` // milliseconds; used if Options has hintValid
+	Dest      int                `json:"farEnd"`
+	Options   int                `json:"opts"` // bits
+	Attempt   int                `json:"go"`   // number of the attempt of its message, from 0
+	Endpoint  string             `json:"endpoint"`
+	Outcome   string             `json:"rc"`
+	Duration  float64            `json:"duration"` // milliseconds
+	Final     bool               `json:"closed"`   // the message has ended
+	Detail    float64            `json:"note"`     // no_room: retry-after in milliseconds; stale_send: not 0 if there was no slot
+	Report    map[string]float64 `json:"feedback"` // load report: x0 is the share left of the limit, x1 the limit in calls a second
+	Tag       string             `json:"tag"`
 }
 
-// Record is one entry of a list.
+// Record is one entry of a list of endpoints.
 type Record struct {
 	Endpoint string  `json:"endpoint"`
 	Zone     int     `json:"rackZone"`
 	Kind     int     `json:"classOfHost"`
 	Dest     int     `json:"ownerNo"`
 	Phase    string  `json:"phase"`
-	Heft     float64 `json:"heft"`
+	Weight   float64 `json:"heft"`
 }
 
-const optHint = 1 // bit of opts: the hint is valid
+const hintValid = 1 // bit of Line.Options: Hint is set
 
-// Time converts milliseconds of the wire; the simulator counts whole microseconds.
-func Time(ms float64) time.Duration {
+// Duration converts the protocol's milliseconds to a duration, rounded to whole microseconds as the simulator
+// counts them.
+func Duration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Parse reads one line of a batch.
-func Parse(text []byte) (Line, error) {
+// ParseLine parses a line from the simulator.
+func ParseLine(text []byte) (Line, error) {
 	var l Line
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, fmt.Errorf("malformed line: %w", err)
 	}
 	if l.Type == "" {
-		return l, fmt.Errorf("a line without event_type")
+		return l, fmt.Errorf("line has no event_type")
 	}
 	return l, nil
 }
 
-var outcomes = map[string]choice.Outcome{
-	"pass": choice.Pass, "fault": choice.Fault, "no_room": choice.NoRoom, "too_slow": choice.TooSlow,
-	"no_route": choice.NoRoute, "cut": choice.Cut, "undone": choice.Undone, "stale_send": choice.Stale,
+var outcomeByWord = map[string]choice.Outcome{
+	"pass": choice.Success, "fault": choice.ServerError, "no_room": choice.Rejected, "too_slow": choice.TimedOut,
+	"no_route": choice.Unreachable, "cut": choice.ConnectionBroken, "undone": choice.Canceled, "stale_send": choice.Stale,
 }
 
-var phases = map[string]choice.Phase{
+var phaseByWord = map[string]choice.Phase{
 	"healthy": choice.Ready, "cordoned": choice.Draining, "deregistered": choice.Gone,
 }
 
-// Entries converts the records of a list.
+// Entries converts the records of a list for package choice.
 func Entries(records []Record) ([]choice.Entry, error) {
 	list := make([]choice.Entry, 0, len(records))
 	for _, r := range records {
-		phase, ok := phases[r.Phase]
+		phase, ok := phaseByWord[r.Phase]
 		if !ok {
 			return nil, fmt.Errorf("endpoint %q has unknown phase %q", r.Endpoint, r.Phase)
 		}
 		list = append(list, choice.Entry{
-			Endpoint: r.Endpoint, Zone: r.Zone, Kind: r.Kind, Dest: r.Dest, Phase: phase, Weight: r.Heft,
+			Endpoint: r.Endpoint, Zone: r.Zone, Kind: r.Kind, Dest: r.Dest, Phase: phase, Weight: r.Weight,
 		})
 	}
 	return list, nil
 }
 
-// Event converts a line addressed to one instance. It returns nil for lines that carry nothing to decide on.
-// An Announce needs the entries of its list, which the caller keeps.
-func Event(l Line, lists map[int][]choice.Entry) (choice.Event, error) {
+// ParseEvent converts a line for one node to an event. It returns nil, nil for lines that package choice
+// needs no event for. lists has the entries of the lists that an Announce may name, by their number.
+func ParseEvent(l Line, lists map[int][]choice.Entry) (choice.Event, error) {
 	switch l.Type {
 	case "Announce":
-		if l.Form == "broken" {
-			return choice.Listed{Failed: true}, nil
+		if l.ListForm == "broken" {
+			return choice.ListUpdate{Failed: true}, nil
 		}
-		if l.Form != "patch" && l.Form != "whole" && l.Form != "stale_copy" {
-			return nil, fmt.Errorf("Announce of unknown form %q", l.Form)
+		if l.ListForm != "patch" && l.ListForm != "whole" && l.ListForm != "stale_copy" {
+			return nil, fmt.Errorf("event Announce has unknown form %q", l.ListForm)
 		}
-		entries, ok := lists[l.Slot]
+		entries, ok := lists[l.List]
 		if !ok {
-			return nil, fmt.Errorf("Announce names list %d, which was never sent", l.Slot)
+			return nil, fmt.Errorf("event Announce names list %d, which was never sent", l.List)
 		}
-		return choice.Listed{Whole: l.Form != "patch", Entries: entries}, nil
+		return choice.ListUpdate{Complete: l.ListForm != "patch", Entries: entries}, nil
 	case "Query":
-		ev := choice.Arrived{
-			ID: l.Handle, Class: l.Class, Tenant: l.Owner, Dest: l.FarEnd, Key: l.Key, DropDead: Time(l.DropDead),
+		ev := choice.MessageArrived{
+			ID: l.MessageID, Class: l.Class, Tenant: l.Tenant, Dest: l.Dest, Key: l.Key, Deadline: Duration(l.Deadline),
 		}
-		if l.Opts&optHint != 0 {
-			ev.Hint = Time(l.Hint)
+		if l.Options&hintValid != 0 {
+			ev.Hint = Duration(l.Hint)
 		}
 		return ev, nil
 	case "AttemptEnd":
-		o, ok := outcomes[l.Code]
+		o, ok := outcomeByWord[l.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("AttemptEnd with unknown rc %q", l.Code)
+			return nil, fmt.Errorf("event AttemptEnd has unknown rc %q", l.Outcome)
 		}
-		ev := choice.Ended{
-			ID: l.Handle, Attempt: l.Go, Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration),
-			Closed: l.Closed, Report: report(l.Feedback),
+		ev := choice.AttemptEnded{
+			ID: l.MessageID, Attempt: l.Attempt, Endpoint: l.Endpoint, Outcome: o, Took: Duration(l.Duration),
+			Final: l.Final, Report: parseReport(l.Report),
 		}
-		if o == choice.NoRoom {
-			ev.Wait = Time(l.Note)
+		if o == choice.Rejected {
+			ev.RetryAfter = Duration(l.Detail)
 		}
-		ev.NoSlot = o == choice.Stale && l.Note != 0
+		ev.NoSlot = o == choice.Stale && l.Detail != 0
 		return ev, nil
 	case "Echo":
-		o, ok := outcomes[l.Code]
+		o, ok := outcomeByWord[l.Outcome]
 		if !ok {
-			return nil, fmt.Errorf("Echo with unknown rc %q", l.Code)
+			return nil, fmt.Errorf("event Echo has unknown rc %q", l.Outcome)
 		}
-		return choice.Probed{
-			Endpoint: l.Endpoint, Outcome: o, Took: Time(l.Duration), Report: report(l.Feedback),
+		return choice.ProbeEnded{
+			Endpoint: l.Endpoint, Outcome: o, Took: Duration(l.Duration), Report: parseReport(l.Report),
 		}, nil
 	case "Dropped":
-		return choice.Dropped{ID: l.Handle}, nil
+		return choice.MessageAbandoned{ID: l.MessageID}, nil
 	case "Ring":
-		return choice.Rang{Tag: l.Tag}, nil
+		return choice.WakeDue{Tag: l.Tag}, nil
 	case "Memo", "UnderWay":
 		return nil, nil
 	}
 	return nil, fmt.Errorf("unknown event %q", l.Type)
 }
 
-func report(f map[string]float64) choice.Report {
+func parseReport(f map[string]float64) choice.Report {
 	var r choice.Report
 	r.Left, r.HasLeft = f["x0"]
 	r.Limit, r.HasLimit = f["x1"]
 	return r
 }
 
-// Action converts an action of the instance named node into its line.
-func Action(node string, a choice.Action) ([]byte, error) {
-	o := map[string]any{"node": node}
+// EncodeAction converts an action of a simulated node to its line.
+func EncodeAction(node string, a choice.Action) ([]byte, error) {
+	line := map[string]any{"node": node}
 	switch a := a.(type) {
 	case choice.Send:
-		o["event_type"], o["handle"], o["endpoint"] = "Transmit", a.ID, a.Endpoint
-		o["notPast"] = millis(a.NotPast)
-	case choice.PushBack:
-		o["event_type"], o["handle"], o["holdOff"] = "PushBack", a.ID, millis(a.RetryAfter)
+		line["event_type"], line["handle"], line["endpoint"] = "Transmit", a.ID, a.Endpoint
+		line["notPast"] = milliseconds(a.TimeoutAt)
+	case choice.Refuse:
+		line["event_type"], line["handle"], line["holdOff"] = "PushBack", a.ID, milliseconds(a.RetryAfter)
 	case choice.Fail:
-		o["event_type"], o["handle"] = "RespondError", a.ID
+		line["event_type"], line["handle"] = "RespondError", a.ID
 	case choice.Cancel:
-		o["event_type"], o["handle"], o["go"] = "Recall", a.ID, a.Attempt
+		line["event_type"], line["handle"], line["go"] = "Recall", a.ID, a.Attempt
 	case choice.Probe:
-		o["event_type"], o["endpoint"] = "Test", a.Endpoint
-	case choice.HangUp:
-		o["event_type"], o["endpoint"] = "HangUp", a.Endpoint
+		line["event_type"], line["endpoint"] = "Test", a.Endpoint
+	case choice.CloseIdle:
+		line["event_type"], line["endpoint"] = "HangUp", a.Endpoint
 	case choice.Wake:
-		o["event_type"], o["when"], o["tag"] = "Defer", millis(a.At), a.Tag
+		line["event_type"], line["when"], line["tag"] = "Defer", milliseconds(a.At), a.Tag
 	case choice.Watch:
-		o["event_type"], o["enable"] = "Track", true
-	case choice.Note:
-		o["event_type"], o["text"] = "JournalLine", a.Text
+		line["event_type"], line["enable"] = "Track", true
+	case choice.LogLine:
+		line["event_type"], line["text"] = "JournalLine", a.Text
 	default:
 		return nil, fmt.Errorf("no line for action %T", a)
 	}
-	return json.Marshal(o)
+	return json.Marshal(line)
 }
 
-// Broken is the line that reports a crash of the decision code.
-func Broken(node, text string) []byte {
+// BrokenLine returns the line that reports a crash of package choice in a simulated node.
+func BrokenLine(node, text string) []byte {
 	b, err := json.Marshal(map[string]string{"event_type": "Broken", "node": node, "text": text})
 	if err != nil {
 		return []byte(`{"event_type":"Broken"}`)
@@ -195,5 +196,5 @@
 	return b
 }
 
-// Done ends a reply.
-const Done = `{"event_type":"Done"}`
+// DoneLine ends the reply to a batch.
+const DoneLine = `{"event_type":"Done"}`
